--- a/logic/admission.go
+++ b/balancer/admission.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // Admission is the fleet's cut: which part of each class's requests is let in while there is more work than the servers can do.
 // Classes that are not named are let in whole; an empty one ends the cut. NoRetries is the part of the budget for further
--- a/logic/api.go
+++ b/balancer/api.go
@@ -1,7 +1,7 @@
-// Package logic decides, for one node, which server gets each request and what becomes of it.
+// Package balancer decides, for one node, which server gets each request and what becomes of it.
 //
 // This file holds the interface only: settings, events and actions. The decisions are in logic.go.
-package logic
+package balancer
 
 // Millis is a time on the node's monotonic clock, or a span of it, in milliseconds.
 type Millis = float64
--- a/logic/arrivals.go
+++ b/balancer/arrivals.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // This file takes new requests in: their aims, and the load reports asked for them.
 
--- a/logic/attempts.go
+++ b/balancer/attempts.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // This file takes in how attempts ended.
 
--- a/logic/handover.go
+++ b/balancer/handover.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // What two processes that are one node during an upgrade tell each other, and plain bookkeeping over it. No decisions:
 // those are in logic.go.
--- a/logic/message.go
+++ b/balancer/message.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // The form of messages between nodes, and what of them is kept. When to tell and what to make of it is in
 // logic.go.
--- a/logic/picker.go
+++ b/balancer/picker.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"math"
--- a/logic/policy_test.go
+++ b/balancer/policy_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"go/ast"
@@ -58,7 +58,7 @@
 	}
 	var found []string
 	for _, name := range files {
-		if strings.HasSuffix(name, "_test.go") || slices.Contains(policyFiles(t), "logic/"+name) {
+		if strings.HasSuffix(name, "_test.go") || slices.Contains(policyFiles(t), "balancer/"+name) {
 			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
--- a/logic/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // This file holds slow start: when a server's began, and what this node may send it meanwhile.
 
--- a/logic/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // What a node remembers, and plain bookkeeping over it. No decisions: those are in logic.go.
 
--- a/logic/tuning.go
+++ b/balancer/tuning.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // This file holds the constants that the decisions are tuned by, with what each stands for.
 
--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tackhub.example/tackhub/internal/cluster"
-	swim "tackhub.example/tackhub/internal/members"
+	swim "tackhub.example/tackhub/internal/membership"
 	"tackhub.example/tackhub/lab/mesh"
 )
 
--- a/cmd/tackhub/main.go
+++ b/cmd/tackhub/main.go
@@ -15,8 +15,8 @@
 	"tackhub.example/tackhub/internal/cli"
 	"tackhub.example/tackhub/internal/cluster"
 	coapclient "tackhub.example/tackhub/internal/coap/client"
+	"tackhub.example/tackhub/internal/endpoints"
 	"tackhub.example/tackhub/internal/node"
-	"tackhub.example/tackhub/internal/roster"
 )
 
 // edgeVariable names the operator file where no flag does.
@@ -39,7 +39,7 @@
 				}
 				return nil
 			}},
-		roster.Command(),
+		endpoints.Command(),
 		cluster.Command(),
 		cluster.OverloadCommand(),
 		coapclient.Command(),
--- a/internal/door/door.go
+++ b/internal/admin/door.go
@@ -1,6 +1,6 @@
-// Package door answers the node's staff at an address of their own: whether the process is ready, its figures, and the
+// Package admin answers the node's staff at an address of their own: whether the process is ready, its figures, and the
 // drain by hand. It shares nothing with clients' requests: a listener, a few descriptors and time limits of its own.
-package door
+package admin
 
 import (
 	"context"
--- a/internal/clock/wall_test.go
+++ b/internal/clock/wall_test.go
@@ -11,17 +11,17 @@
 // wallUses are the places in the node that read the wall clock, by file: how many, and what a step of it by an hour does there.
 // docs/operating/stops.md has the same list in words.
 var wallUses = map[string]int{
-	"internal/clock/clock.go":     1, // the start of the node's clock: read once, carried on by the monotonic clock
-	"internal/catalog/catalog.go": 1, // a counter for people
-	"internal/cluster/cluster.go": 1, // the number of a process among those of its name, read once; a lower one is told to end
-	"internal/cluster/fleet.go":   2, // what the local socket tells people
+	"internal/clock/clock.go":       1, // the start of the node's clock: read once, carried on by the monotonic clock
+	"internal/discovery/catalog.go": 1, // a counter for people
+	"internal/cluster/cluster.go":   1, // the number of a process among those of its name, read once; a lower one is told to end
+	"internal/cluster/fleet.go":     2, // what the local socket tells people
 }
 
 // TestNoFurtherUseOfTheWallClock: deadlines, windows and waits are spans of real time, and a step of the wall clock must move none.
 func TestNoFurtherUseOfTheWallClock(t *testing.T) {
 	use := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|\.Round\(0\)|unix\.(CLOCK_REALTIME|Gettimeofday)`)
 	found := map[string]int{}
-	for _, top := range []string{"internal", "logic", filepath.Join("cmd", "tackhub")} {
+	for _, top := range []string{"internal", "balancer", filepath.Join("cmd", "tackhub")} {
 		err := filepath.WalkDir(filepath.Join("..", "..", top), func(path string, _ os.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -14,11 +14,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/internal/members"
-	"tackhub.example/tackhub/internal/part"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/membership"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // Node is what the link needs of its node.
@@ -26,14 +26,14 @@
 	Name() string
 	Clock() clock.Clock
 	// Inform tells the module what concerns the fleet as one; with heeded it returns once that is in force.
-	Inform(event logic.Event, heeded bool)
-	Classes() []logic.Class
+	Inform(event balancer.Event, heeded bool)
+	Classes() []balancer.Class
 	// TookOver tells whether another process of this node ran when this one started, Succeeded whether one takes over now.
 	TookOver() bool
 	Succeeded() bool
 	// Carry has the module's messages to other nodes go over the link, and with nil no longer; Hear takes theirs.
 	Carry(Teller)
-	Hear(logic.Told)
+	Hear(balancer.Told)
 	Number() int
 	Counters() *counters.Counters
 }
@@ -73,9 +73,9 @@
 	o      Options
 	node   Node
 	name   string
-	fleet  *fleet        // owned by run; nil where shares are off
-	load   *load         // likewise
-	core   *members.Core // owned by run
+	fleet  *fleet           // owned by run; nil where shares are off
+	load   *load            // likewise
+	core   *membership.Core // owned by run
 	udp    *net.UDPConn
 	tcp    *net.TCPListener
 	local  *local // nil without a place for it
@@ -98,11 +98,11 @@
 
 // inbound is a message that waits for the core.
 type inbound struct {
-	m     *members.Message
-	reply chan members.Message // of a full state that came by a stream; nil else
+	m     *membership.Message
+	reply chan membership.Message // of a full state that came by a stream; nil else
 }
 
-func build(host part.Host, options any, old part.Running) (part.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
 	o := *options.(*Options)
 	node, ok := host.Node.(Node)
 	if !ok {
@@ -142,7 +142,7 @@
 	o := l.o
 	l.base = time.Now()
 	start := uint64(l.base.UnixMicro()) // a later process has a higher one, unless the clock was set back: then it is told
-	l.core = members.New(members.Options{Name: l.name, Address: address, Cluster: uint32(xxhash.Sum64String(o.Cluster)), Start: start,
+	l.core = membership.New(membership.Options{Name: l.name, Address: address, Cluster: uint32(xxhash.Sum64String(o.Cluster)), Start: start,
 		Seed: xxhash.Sum64String(l.name), Period: o.Period.Std(), Timeout: o.Timeout.Std(), Suspicion: o.Suspicion.Std(), Most: o.Members,
 		Seeds: o.Seeds}, l.now())
 	l.load = loadOf(l)
@@ -260,7 +260,7 @@
 		case ask := <-l.asks:
 			ask()
 		case body := <-l.words:
-			l.core.Everyone(members.Message{Kind: members.Word, Node: uint32(l.node.Number()), Body: body})
+			l.core.Everyone(membership.Message{Kind: membership.Word, Node: uint32(l.node.Number()), Body: body})
 		case <-ctx.Done():
 			if l.node.Succeeded() {
 				return // the member stays: the next process is it
@@ -280,8 +280,8 @@
 // hear hands one message to the core. The answer to a full state goes back on its stream and nowhere else.
 func (l *link) hear(in inbound) {
 	l.core.Receive(l.now(), in.m)
-	if in.m.Kind == members.Word && len(in.m.Body) <= logic.MessageMost {
-		l.node.Hear(logic.Told{From: int(in.m.Node), Body: in.m.Body})
+	if in.m.Kind == membership.Word && len(in.m.Body) <= balancer.MessageMost {
+		l.node.Hear(balancer.Told{From: int(in.m.Node), Body: in.m.Body})
 	}
 	l.fleet.hear(in.m)
 	l.load.hear(in.m)
@@ -291,7 +291,7 @@
 	out, notes := l.core.Take()
 	l.tell(notes)
 	for _, s := range out {
-		if s.Stream && s.Message.Kind == members.FullReply {
+		if s.Stream && s.Message.Kind == membership.FullReply {
 			select {
 			case in.reply <- s.Message:
 			default: // there is one answer to one message
@@ -303,7 +303,7 @@
 }
 
 // carry does what the core wants done.
-func (l *link) carry() []members.Send {
+func (l *link) carry() []membership.Send {
 	out, notes := l.core.Take()
 	l.tell(notes)
 	for _, s := range out {
@@ -312,7 +312,7 @@
 	return out
 }
 
-func (l *link) dispatch(s members.Send) {
+func (l *link) dispatch(s membership.Send) {
 	if s.Stream {
 		l.stream(s)
 		return
@@ -323,7 +323,7 @@
 // warnings are the notes that somebody should look at.
 var warnings = []string{"condition", "standstill", "outdated", "full"}
 
-func (l *link) tell(notes []members.Note) {
+func (l *link) tell(notes []membership.Note) {
 	for _, n := range notes {
 		args := append([]any{"code", "cluster_" + n.Code}, n.Args...)
 		if n.Code == "view" {
@@ -356,7 +356,7 @@
 }
 
 // address is where a message goes.
-func (l *link) address(s members.Send) (netip.AddrPort, bool) {
+func (l *link) address(s membership.Send) (netip.AddrPort, bool) {
 	if a, ok := l.to[s.To]; ok && s.To != "" {
 		return a, true
 	}
@@ -364,7 +364,7 @@
 	return a, err == nil && a.Port() != 0
 }
 
-func (l *link) write(s members.Send) {
+func (l *link) write(s membership.Send) {
 	to, ok := l.address(s)
 	if !ok {
 		l.drop("address")
@@ -413,7 +413,7 @@
 		}
 		l.count.TakenBytes.Add(int64(n))
 		if m := l.parse(buffer[:n], from.Addr()); m != nil {
-			if m.Kind == members.Full || m.Kind == members.FullReply || m.Kind == members.Lifeline {
+			if m.Kind == membership.Full || m.Kind == membership.FullReply || m.Kind == membership.Lifeline {
 				l.drop("not_on_a_stream")
 				continue
 			}
@@ -423,8 +423,8 @@
 }
 
 // parse reads a message; nil where it is not to be taken.
-func (l *link) parse(raw []byte, from netip.Addr) *members.Message {
-	m := &members.Message{}
+func (l *link) parse(raw []byte, from netip.Addr) *membership.Message {
+	m := &membership.Message{}
 	switch rest, err := m.UnmarshalMsg(raw); {
 	case !l.accepted(from):
 		l.drop("network")
@@ -432,9 +432,9 @@
 		l.drop("malformed")
 	case m.Cluster != uint32(xxhash.Sum64String(l.o.Cluster)):
 		l.drop("other_cluster")
-	case m.Least > members.WireVersion:
+	case m.Least > membership.WireVersion:
 		l.drop("version")
-	case m.Kind < members.Ping || m.Kind > members.Loads:
+	case m.Kind < membership.Ping || m.Kind > membership.Loads:
 		l.drop("kind")
 	case !goodName(m.From) || !sound(m):
 		l.drop("malformed")
@@ -446,7 +446,7 @@
 }
 
 // sound tells whether the texts of a message are such as a member would send.
-func sound(m *members.Message) bool {
+func sound(m *membership.Message) bool {
 	for _, i := range m.News {
 		if !goodName(i.Name) || i.By != "" && !goodName(i.By) || !addressForm(i.Address) {
 			return false
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/internal/members"
+	"tackhub.example/tackhub/internal/membership"
 )
 
 // What comes from elsewhere, or is none of a member's words, is dropped under its reason.
@@ -19,8 +19,8 @@
 	l := &link{o: Options{Cluster: "c"}, log: slog.New(slog.DiscardHandler), count: &counters.Cluster{},
 		accept: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}
 	inside, outside := netip.MustParseAddr("10.1.2.3"), netip.MustParseAddr("192.0.2.1")
-	good := members.Message{Kind: members.Ping, Version: 1, Cluster: uint32(xxhash.Sum64String("c")), From: "n1", Start: 1, Address: "10.1.2.3:1"}
-	with := func(change func(*members.Message)) members.Message {
+	good := membership.Message{Kind: membership.Ping, Version: 1, Cluster: uint32(xxhash.Sum64String("c")), From: "n1", Start: 1, Address: "10.1.2.3:1"}
+	with := func(change func(*membership.Message)) membership.Message {
 		m := good
 		change(&m)
 		return m
@@ -28,17 +28,17 @@
 	for _, c := range []struct {
 		reason string
 		from   netip.Addr
-		m      members.Message
+		m      membership.Message
 	}{
 		{"", inside, good},
 		{"network", outside, good},
-		{"other_cluster", inside, with(func(m *members.Message) { m.Cluster++ })},
-		{"version", inside, with(func(m *members.Message) { m.Least = members.WireVersion + 1 })},
-		{"kind", inside, with(func(m *members.Message) { m.Kind = 200 })},
-		{"malformed", inside, with(func(m *members.Message) { m.From = "../n1" })},
-		{"malformed", inside, with(func(m *members.Message) { m.Address = "here" })},
-		{"malformed", inside, with(func(m *members.Message) { m.News = []members.Item{{Name: "a b", State: members.Alive}} })},
-		{"malformed", inside, with(func(m *members.Message) { m.Loads = []members.LoadItem{{Name: ""}} })},
+		{"other_cluster", inside, with(func(m *membership.Message) { m.Cluster++ })},
+		{"version", inside, with(func(m *membership.Message) { m.Least = membership.WireVersion + 1 })},
+		{"kind", inside, with(func(m *membership.Message) { m.Kind = 200 })},
+		{"malformed", inside, with(func(m *membership.Message) { m.From = "../n1" })},
+		{"malformed", inside, with(func(m *membership.Message) { m.Address = "here" })},
+		{"malformed", inside, with(func(m *membership.Message) { m.News = []membership.Item{{Name: "a b", State: membership.Alive}} })},
+		{"malformed", inside, with(func(m *membership.Message) { m.Loads = []membership.LoadItem{{Name: ""}} })},
 	} {
 		raw, err := c.m.MarshalMsg(nil)
 		if err != nil {
@@ -66,9 +66,9 @@
 		t.Error("half a state was read")
 	}
 	var b bytes.Buffer
-	big := members.Message{News: make([]members.Item, 2000)}
+	big := membership.Message{News: make([]membership.Item, 2000)}
 	for i := range big.News {
-		big.News[i] = members.Item{Name: string(make([]byte, 200))}
+		big.News[i] = membership.Item{Name: string(make([]byte, 200))}
 	}
 	if _, err := writeState(&b, big); !errors.Is(err, errTooLong) || b.Len() > 0 {
 		t.Errorf("wrote %d bytes, %v", b.Len(), err)
--- a/internal/cluster/command.go
+++ b/internal/cluster/command.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"tackhub.example/tackhub/internal/cli"
-	"tackhub.example/tackhub/internal/members"
+	"tackhub.example/tackhub/internal/membership"
 )
 
 // watchEvery is how often --watch asks: a view takes a few hundred milliseconds to change.
@@ -162,7 +162,7 @@
 	return b.String()
 }
 
-func evidence(m members.Member) string {
+func evidence(m membership.Member) string {
 	var out []string
 	say := func(what string, by map[string]int64) {
 		if len(by) == 0 {
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"tackhub.example/tackhub/internal/members"
-	"tackhub.example/tackhub/internal/shares"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/membership"
+	"tackhub.example/tackhub/internal/quota"
 )
 
 const (
@@ -30,8 +30,8 @@
 // fleet is the link's part in shares of what the whole fleet may use; nil where they are off.
 type fleet struct {
 	l      *link
-	s      *shares.Shares // nil until this process has joined: its number may change until then
-	told   shares.Share
+	s      *quota.Shares // nil until this process has joined: its number may change until then
+	told   quota.Share
 	wrote  bool   // told holds what the module has
 	past   []Told // for whoever asks
 	sum    uint32
@@ -47,7 +47,7 @@
 	if len(l.o.Shares) == 0 {
 		return nil
 	}
-	return &fleet{l: l, sum: shares.Sum(l.o.Shares), lines: map[string]int{}}
+	return &fleet{l: l, sum: quota.Sum(l.o.Shares), lines: map[string]int{}}
 }
 
 // begin has the module start from nothing.
@@ -55,8 +55,8 @@
 	if f == nil {
 		return
 	}
-	f.l.node.Inform(logic.Share{}, true)
-	f.people = shares.New(shares.Options{Name: f.l.name, All: f.l.o.Shares}, 0).Partners()
+	f.l.node.Inform(balancer.Share{}, true)
+	f.people = quota.New(quota.Options{Name: f.l.name, All: f.l.o.Shares}, 0).Partners()
 	for _, name := range f.people {
 		f.l.ending.Go(func() { f.lifeline(ctx, name) })
 	}
@@ -65,25 +65,25 @@
 // end gives everything back before anybody can see that this process ends.
 func (f *fleet) end() {
 	if f != nil {
-		f.l.node.Inform(logic.Share{}, true)
+		f.l.node.Inform(balancer.Share{}, true)
 	}
 }
 
 // hear takes what concerns shares from a message.
-func (f *fleet) hear(m *members.Message) {
+func (f *fleet) hear(m *membership.Message) {
 	if f == nil || f.s == nil {
 		return
 	}
 	now := f.l.now()
 	f.s.Seen(now, m.From, m.Start, m.Address)
 	switch m.Kind {
-	case members.Renew:
+	case membership.Renew:
 		if m.Sum != f.sum {
 			f.l.drop("shares_differ")
 			return
 		}
 		f.s.Renewed(now, m.From, m.Start, m.Address, m.For, m.Seq, m.Sum)
-	case members.Grant:
+	case membership.Grant:
 		f.s.Granted(m.From, m.Start, m.For, m.Seq)
 	}
 	f.carry()
@@ -96,10 +96,10 @@
 	}
 	core := f.l.core
 	if f.s == nil {
-		if core.State() != members.Alive {
+		if core.State() != membership.Alive {
 			return
 		}
-		f.s = shares.New(shares.Options{Name: f.l.name, All: f.l.o.Shares, Start: core.Start(), Lease: f.l.o.Lease.Std()}, f.l.now())
+		f.s = quota.New(quota.Options{Name: f.l.name, All: f.l.o.Shares, Start: core.Start(), Lease: f.l.o.Lease.Std()}, f.l.now())
 	}
 	now := f.l.now()
 	for _, name := range f.people {
@@ -107,7 +107,7 @@
 			f.s.Seen(now, name, start, address)
 		}
 	}
-	if core.Condition() != members.Outdated {
+	if core.Condition() != membership.Outdated {
 		f.s.Tick(now)
 	}
 	f.carry()
@@ -125,13 +125,13 @@
 func (f *fleet) carry() {
 	now := f.l.now()
 	share := f.s.Share(now)
-	if f.l.core.Condition() == members.Outdated { // whoever has the name now has its part
-		share = shares.Share{Until: math.MaxInt64}
+	if f.l.core.Condition() == membership.Outdated { // whoever has the name now has its part
+		share = quota.Share{Until: math.MaxInt64}
 	}
 	out := f.s.Take()
 	less := share.Value < f.told.Value || share.After < f.told.After
 	if !f.wrote || share.Value != f.told.Value || share.After != f.told.After || share.Until > f.told.Until+tellAgain {
-		at := logic.Millis(math.MaxInt64)
+		at := balancer.Millis(math.MaxInt64)
 		if share.Until != math.MaxInt64 {
 			at = f.l.node.Clock().Now() + float64(share.Until-now)/float64(time.Millisecond)
 		}
@@ -141,7 +141,7 @@
 		if share.Until != math.MaxInt64 {
 			until = began.Add(share.Until - now).UnixNano()
 		}
-		f.l.node.Inform(logic.Share{Value: share.Value, Until: at, After: share.After}, less && len(out) > 0)
+		f.l.node.Inform(balancer.Share{Value: share.Value, Until: at, After: share.After}, less && len(out) > 0)
 		if less {
 			began = time.Now()
 		}
@@ -152,11 +152,11 @@
 		f.l.count.Share.Set(int64(share.Value * 1e6))
 	}
 	for _, o := range out {
-		kind := members.Renew
-		if o.Kind == shares.Grant {
-			kind = members.Grant
+		kind := membership.Renew
+		if o.Kind == quota.Grant {
+			kind = membership.Grant
 		}
-		f.l.core.Direct(o.To, members.Message{Kind: kind, For: o.For, Seq: o.Seq, Sum: f.sum})
+		f.l.core.Direct(o.To, membership.Message{Kind: kind, For: o.For, Seq: o.Seq, Sum: f.sum})
 	}
 }
 
@@ -193,12 +193,12 @@
 }
 
 func (f *fleet) open(ctx context.Context, name string) (net.Conn, error) {
-	var hello members.Message
+	var hello membership.Message
 	ready := make(chan bool, 1)
 	select {
 	case f.l.asks <- func() {
 		if f.s != nil {
-			hello = f.l.core.Signed(members.Message{Kind: members.Lifeline})
+			hello = f.l.core.Signed(membership.Message{Kind: membership.Lifeline})
 		}
 		ready <- f.s != nil
 	}:
@@ -208,7 +208,7 @@
 	if !<-ready {
 		return nil, errors.New("not joined yet")
 	}
-	to, ok := f.l.address(members.Send{To: name, Address: f.l.o.Shares[name]})
+	to, ok := f.l.address(membership.Send{To: name, Address: f.l.o.Shares[name]})
 	if !ok {
 		return nil, errors.New("no address")
 	}
@@ -227,7 +227,7 @@
 
 // hold waits for the end of a partner's lifeline. Only the kernel's own word counts: a reset, a time-out or silence may have
 // come from the way.
-func (f *fleet) hold(ctx context.Context, conn net.Conn, m *members.Message) {
+func (f *fleet) hold(ctx context.Context, conn net.Conn, m *membership.Message) {
 	if f == nil || !slices.Contains(f.people, m.From) || m.Address != f.l.o.Shares[m.From] {
 		f.l.drop("lifeline")
 		return
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/internal/part"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // fakeNode is a node as the link sees it.
@@ -22,8 +22,8 @@
 	count  counters.Counters
 
 	mu     sync.Mutex
-	events []logic.Event
-	told   []logic.Told
+	events []balancer.Event
+	told   []balancer.Told
 	teller Teller
 }
 
@@ -31,11 +31,11 @@
 func (n *fakeNode) Number() int                  { return n.number }
 func (n *fakeNode) Clock() clock.Clock           { return clock.New() }
 func (n *fakeNode) Counters() *counters.Counters { return &n.count }
-func (n *fakeNode) Classes() []logic.Class       { return []logic.Class{{Name: "look", Worth: 1}} }
+func (n *fakeNode) Classes() []balancer.Class    { return []balancer.Class{{Name: "look", Worth: 1}} }
 func (n *fakeNode) TookOver() bool               { return false }
 func (n *fakeNode) Succeeded() bool              { return false }
 
-func (n *fakeNode) Inform(e logic.Event, _ bool) {
+func (n *fakeNode) Inform(e balancer.Event, _ bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.events = append(n.events, e)
@@ -47,18 +47,18 @@
 	n.teller = t
 }
 
-func (n *fakeNode) Hear(m logic.Told) {
+func (n *fakeNode) Hear(m balancer.Told) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.told = append(n.told, m)
 }
 
 // share is the last one that the module was told.
-func (n *fakeNode) share() (out logic.Share) {
+func (n *fakeNode) share() (out balancer.Share) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range n.events {
-		if s, is := e.(logic.Share); is {
+		if s, is := e.(balancer.Share); is {
 			out = s
 		}
 	}
@@ -89,7 +89,7 @@
 		_ = l.Close()
 	}
 	nodes := [2]*fakeNode{{name: "n0", number: 4}, {name: "n1", number: 7}}
-	var links [2]part.Running
+	var links [2]subsystem.Running
 	for i, n := range nodes {
 		o := Part().Section.New().(*Options)
 		o.Listen, o.Seeds, o.Overload, o.Shares = at[i], []string{at[1-i]}, true, map[string]string{"n0": at[0], "n1": at[1]}
@@ -97,13 +97,13 @@
 		if faults := check(o); len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		r, err := build(part.Host{Log: slog.New(slog.DiscardHandler), Node: n}, o, nil)
+		r, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: n}, o, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.Start(context.Background())
 		links[i] = r
-		if s := n.share(); s != (logic.Share{}) {
+		if s := n.share(); s != (balancer.Share{}) {
 			t.Errorf("%s begins with %+v", n.name, s)
 		}
 	}
@@ -118,11 +118,11 @@
 		return len(nodes[1].told) == 1 && nodes[1].told[0].From == 4 && string(nodes[1].told[0].Body) == "news"
 	})
 	links[1].Stop()
-	if s := nodes[1].share(); s != (logic.Share{}) || nodes[1].teller != nil {
+	if s := nodes[1].share(); s != (balancer.Share{}) || nodes[1].teller != nil {
 		t.Errorf("stopped it has %+v, and carries %v", s, nodes[1].teller)
 	}
 	eventually(t, "the whole for who is left", func() bool { s := nodes[0].share(); return s.Value == 1 && s.After == 1 })
-	if _, err := build(part.Host{Log: slog.New(slog.DiscardHandler), Node: nodes[0]}, &Options{Listen: at[1], Shares: map[string]string{"n1": at[1], "n2": at[0]}}, nil); err == nil {
+	if _, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: nodes[0]}, &Options{Listen: at[1], Shares: map[string]string{"n1": at[1], "n2": at[0]}}, nil); err == nil {
 		t.Error("a member that is not among those that share was built")
 	}
 }
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"tackhub.example/tackhub/internal/members"
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/membership"
 	"tackhub.example/tackhub/internal/overload"
-	"tackhub.example/tackhub/logic"
 )
 
 const (
@@ -49,7 +49,7 @@
 // end ends the cut: nobody would work it out any more.
 func (o *load) end() {
 	if o != nil {
-		o.l.node.Inform(logic.Admission{}, false)
+		o.l.node.Inform(balancer.Admission{}, false)
 	}
 }
 
@@ -68,8 +68,8 @@
 }
 
 // hear takes others' figures in.
-func (o *load) hear(m *members.Message) {
-	if o == nil || m.Kind != members.Loads {
+func (o *load) hear(m *membership.Message) {
+	if o == nil || m.Kind != membership.Loads {
 		return
 	}
 	now := o.l.now()
@@ -111,7 +111,7 @@
 				shares[name] = cut.Shares[i]
 			}
 		}
-		o.l.node.Inform(logic.Admission{Shares: shares, NoRetries: cut.NoRetries}, false)
+		o.l.node.Inform(balancer.Admission{Shares: shares, NoRetries: cut.NoRetries}, false)
 	}
 	if cut.Active != o.cut.Active {
 		f := o.s.Figures()
@@ -135,12 +135,12 @@
 
 // spread tells some members what is known of all.
 func (o *load) spread(now time.Duration) {
-	var items []members.LoadItem
+	var items []membership.LoadItem
 	for _, s := range o.s.Fresh(now, o.each) {
-		items = append(items, members.LoadItem{Name: s.Name, Start: s.Start, At: uint64(s.At.Milliseconds()), Age: uint32(s.Age.Milliseconds()),
+		items = append(items, membership.LoadItem{Name: s.Name, Start: s.Start, At: uint64(s.At.Milliseconds()), Age: uint32(s.Age.Milliseconds()),
 			Shed: s.Shed, Tried: s.Tried, Won: s.Won, Counts: append(slices.Clone(s.Asked), s.Done...)})
 	}
-	o.l.core.Some(members.Message{Kind: members.Loads, Loads: items})
+	o.l.core.Some(membership.Message{Kind: membership.Loads, Loads: items})
 }
 
 // LoadStatus is what a member holds of the fleet's load.
--- a/internal/cluster/local.go
+++ b/internal/cluster/local.go
@@ -11,8 +11,8 @@
 	"path/filepath"
 	"time"
 
-	"tackhub.example/tackhub/internal/members"
-	"tackhub.example/tackhub/internal/shares"
+	"tackhub.example/tackhub/internal/membership"
+	"tackhub.example/tackhub/internal/quota"
 )
 
 const (
@@ -107,14 +107,14 @@
 
 // Status is what a member tells of itself.
 type Status struct {
-	members.Status
+	membership.Status
 	Shares *Shares     `json:"shares,omitempty"`   // nil where they are off
 	Load   *LoadStatus `json:"overload,omitempty"` // likewise
 }
 
 // Shares are a member's part in what the whole fleet may use together.
 type Shares struct {
-	shares.Status
+	quota.Status
 	Told []Told `json:"told"` // the last ones that the module was told
 }
 
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/internal/part"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // Options are the section [cluster].
@@ -76,8 +76,8 @@
 }
 
 // Part is the subsystem.
-func Part() part.Part {
-	return part.Part{
+func Part() subsystem.Part {
+	return subsystem.Part{
 		Section: operator.Section{Name: "cluster", About: "the nodes know of one another: members, and who is there",
 			New: func() any {
 				return &Options{Cluster: "tackhub", Period: operator.Duration(defaultPeriod), Timeout: operator.Duration(defaultTimeout),
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -10,14 +10,14 @@
 	"net/netip"
 	"time"
 
-	"tackhub.example/tackhub/internal/members"
+	"tackhub.example/tackhub/internal/membership"
 )
 
 // A stream carries one full state each way, each after four bytes with its length.
 
 var errTooLong = errors.New("the state is too long")
 
-func writeState(w io.Writer, m members.Message) (int, error) {
+func writeState(w io.Writer, m membership.Message) (int, error) {
 	raw, err := m.MarshalMsg(make([]byte, 4))
 	if err != nil {
 		return 0, err
@@ -45,9 +45,9 @@
 
 // stream asks a member for its full state, for this one's own. One for which there is no slot is left out: the next comes
 // by itself.
-func (l *link) stream(s members.Send) {
+func (l *link) stream(s membership.Send) {
 	to, ok := l.address(s)
-	if !ok || s.Message.Kind != members.Full {
+	if !ok || s.Message.Kind != membership.Full {
 		return
 	}
 	select {
@@ -64,7 +64,7 @@
 	})
 }
 
-func (l *link) exchange(to netip.AddrPort, m members.Message) error {
+func (l *link) exchange(to netip.AddrPort, m membership.Message) error {
 	dialer := net.Dialer{Timeout: streamTime}
 	conn, err := dialer.DialContext(l.running, "tcp", to.String())
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	l.count.TakenBytes.Add(int64(len(raw)))
 	reply := l.parse(raw, to.Addr())
-	if reply == nil || reply.Kind != members.FullReply {
+	if reply == nil || reply.Kind != membership.FullReply {
 		return fmt.Errorf("%s answers no full state", to)
 	}
 	select { // the core takes it or is at its end; nobody else reads the inbox
@@ -121,7 +121,7 @@
 		}
 		l.ending.Go(func() {
 			defer func() { _ = conn.Close() }()
-			if m := l.answer(ctx, conn); m != nil && m.Kind == members.Lifeline {
+			if m := l.answer(ctx, conn); m != nil && m.Kind == membership.Lifeline {
 				stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 				defer stop()
 				l.fleet.hold(ctx, conn, m)
@@ -131,7 +131,7 @@
 }
 
 // answer takes the first message of a stream, and answers it where it is a full state.
-func (l *link) answer(ctx context.Context, conn net.Conn) *members.Message {
+func (l *link) answer(ctx context.Context, conn net.Conn) *membership.Message {
 	defer func() { <-l.calls }()
 	_ = conn.SetDeadline(time.Now().Add(streamTime))
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -147,10 +147,10 @@
 	l.count.TakenBytes.Add(int64(len(raw)))
 	from, _ := netip.ParseAddrPort(conn.RemoteAddr().String())
 	m := l.parse(raw, from.Addr())
-	if m == nil || m.Kind != members.Full {
+	if m == nil || m.Kind != membership.Full {
 		return m
 	}
-	in := inbound{m: m, reply: make(chan members.Message, 1)}
+	in := inbound{m: m, reply: make(chan membership.Message, 1)}
 	if !l.post(ctx, in, true) {
 		return m
 	}
--- a/internal/coap/back/back.go
+++ b/internal/coap/back/back.go
@@ -19,12 +19,12 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/coap/blocks"
 	"tackhub.example/tackhub/internal/coap/wire"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // Scheme begins the address of a server that speaks CoAP.
@@ -58,7 +58,7 @@
 
 // Addresses tells where servers listen.
 type Addresses interface {
-	Address(logic.ServerID) (string, bool)
+	Address(balancer.ServerID) (string, bool)
 }
 
 // Options are what a back works with.
@@ -66,7 +66,7 @@
 	Addresses Addresses
 	NStart    int           // exchanges out to one server (RFC 7252, 4.7)
 	Again     time.Duration // no message is sent again later than this after its first sending: a drain told meanwhile must hold
-	ParseLoad func([]byte) logic.Load
+	ParseLoad func([]byte) balancer.Load
 	Log       *slog.Logger
 	Count     *counters.CoapBack
 }
@@ -111,7 +111,7 @@
 )
 
 // Speaks tells whether a server speaks CoAP.
-func (b *Back) Speaks(server logic.ServerID) bool {
+func (b *Back) Speaks(server balancer.ServerID) bool {
 	addr, ok := b.o.Addresses.Address(server)
 	return ok && strings.HasPrefix(addr, Scheme)
 }
@@ -135,13 +135,13 @@
 }
 
 // Send starts an attempt. Done is called once, unless Abort comes first.
-func (b *Back) Send(server logic.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
+func (b *Back) Send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{cancel: cancel, copy: c}
 	if c.Body != nil { // over the 64 KiB that CoAP keeps to here: another server may take it
 		cancel()
 		b.o.Count.Outcomes.Inc("unsent")
-		go done(engine.End{Result: logic.Void})
+		go done(engine.End{Result: balancer.Void})
 		return a
 	}
 	began := time.Now()
@@ -159,29 +159,29 @@
 	return a
 }
 
-func (b *Back) run(ctx context.Context, server logic.ServerID, raw []byte, a *attempt) engine.End {
+func (b *Back) run(ctx context.Context, server balancer.ServerID, raw []byte, a *attempt) engine.End {
 	addr, ok := b.o.Addresses.Address(server)
 	if !ok {
-		return engine.End{Result: logic.Unreachable}
+		return engine.End{Result: balancer.Unreachable}
 	}
 	p, err := b.take(strings.TrimPrefix(addr, Scheme))
 	switch {
 	case errors.Is(err, errFull) || errors.Is(err, syscall.EMFILE):
 		b.o.Count.Outcomes.Inc("unsent")
-		return engine.End{Result: logic.Void} // our own limit: not held against the server
+		return engine.End{Result: balancer.Void} // our own limit: not held against the server
 	case err != nil:
 		b.o.Count.Outcomes.Inc("unreachable")
-		return engine.End{Result: logic.Unreachable}
+		return engine.End{Result: balancer.Unreachable}
 	}
 	defer p.release()
 	if refused := a.copy.Refused(); refused != nil {
 		b.o.Count.Outcomes.Inc("unsent")
-		return engine.End{Result: logic.Void, Left: errors.Is(refused, engine.ErrLeft)}
+		return engine.End{Result: balancer.Void, Left: errors.Is(refused, engine.ErrLeft)}
 	}
 	m, body, err := request(raw)
 	if err != nil {
 		b.o.Log.Error("a request cannot be put into CoAP", "code", "coap_request", "error", err)
-		return engine.End{Result: logic.Void}
+		return engine.End{Result: balancer.Void}
 	}
 	got, whole, err := p.ask(ctx, m, body, a)
 	end := b.outcome(got, whole, err, a)
@@ -189,8 +189,8 @@
 	return end
 }
 
-var names = map[logic.Result]string{logic.OK: "ok", logic.Errored: "error", logic.Overloaded: "turned_away", logic.TimedOut: "timed_out",
-	logic.Unreachable: "unreachable", logic.Broken: "broken", logic.Void: "unsent"}
+var names = map[balancer.Result]string{balancer.OK: "ok", balancer.Errored: "error", balancer.Overloaded: "turned_away", balancer.TimedOut: "timed_out",
+	balancer.Unreachable: "unreachable", balancer.Broken: "broken", balancer.Void: "unsent"}
 
 // outcome is what the module hears. Whether the request may have run hangs on whether its last block was written.
 func (b *Back) outcome(m message.Message, whole []byte, err error, a *attempt) engine.End {
@@ -200,21 +200,21 @@
 	if err != nil {
 		switch {
 		case errors.Is(err, errReset), !wrote: // it was not taken, or never whole
-			return engine.End{Result: logic.Unreachable}
+			return engine.End{Result: balancer.Unreachable}
 		case errors.Is(err, errNothing):
-			return engine.End{Result: logic.TimedOut}
+			return engine.End{Result: balancer.TimedOut}
 		}
-		return engine.End{Result: logic.Broken}
+		return engine.End{Result: balancer.Broken}
 	}
-	end := engine.End{Result: logic.Errored}
+	end := engine.End{Result: balancer.Errored}
 	if text, ok := wire.Bytes(&m, OptLoad); ok {
 		end.Load = b.o.ParseLoad(text)
 	}
 	switch {
 	case m.Code>>5 == 2:
-		end.Result, end.Body = logic.OK, whole
+		end.Result, end.Body = balancer.OK, whole
 	case m.Code == codes.ServiceUnavailable: // by docs/coap.md a server says so only of what it has not begun
-		end.Result = logic.Overloaded
+		end.Result = balancer.Overloaded
 	}
 	return end
 }
@@ -464,10 +464,10 @@
 }
 
 // Probe pings a server (RFC 7252, 4.3): a reset is a sign of life.
-func (b *Back) Probe(server logic.ServerID, within time.Duration, done func(engine.End)) {
+func (b *Back) Probe(server balancer.ServerID, within time.Duration, done func(engine.End)) {
 	began := time.Now()
 	go func() {
-		end := engine.End{Result: logic.Unreachable}
+		end := engine.End{Result: balancer.Unreachable}
 		if addr, ok := b.o.Addresses.Address(server); ok {
 			if p, err := b.take(strings.TrimPrefix(addr, Scheme)); err == nil {
 				end.Result = p.ping(within)
@@ -479,7 +479,7 @@
 	}()
 }
 
-func (p *peer) ping(within time.Duration) logic.Result {
+func (p *peer) ping(within time.Duration) balancer.Result {
 	w := make(chan arrival, 1)
 	p.mu.Lock()
 	p.id++
@@ -495,10 +495,10 @@
 	select {
 	case got := <-w:
 		if got.refused {
-			return logic.Unreachable
+			return balancer.Unreachable
 		}
-		return logic.OK
+		return balancer.OK
 	case <-time.After(within):
-		return logic.TimedOut
+		return balancer.TimedOut
 	}
 }
--- a/internal/coap/back/back_test.go
+++ b/internal/coap/back/back_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // kept is a large body.
@@ -20,7 +20,7 @@
 		func(e engine.End) { ended <- e })
 	select {
 	case e := <-ended:
-		if e.Result != logic.Void || count.Outcomes.Get("unsent") != 1 {
+		if e.Result != balancer.Void || count.Outcomes.Get("unsent") != 1 {
 			t.Errorf("ended as %s", engine.ResultName(e.Result))
 		}
 	case <-time.After(10 * time.Second):
--- a/internal/coap/front/front.go
+++ b/internal/coap/front/front.go
@@ -19,14 +19,14 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/coap/blocks"
 	"tackhub.example/tackhub/internal/coap/dedup"
 	"tackhub.example/tackhub/internal/coap/echo"
 	"tackhub.example/tackhub/internal/coap/wire"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/internal/exchange"
 	"tackhub.example/tackhub/internal/inflight"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/proxy"
 )
 
 // The transmission parameters of RFC 7252, 4.8.
@@ -60,13 +60,13 @@
 
 // Desk serves requests.
 type Desk interface {
-	Serve(*fasthttp.RequestCtx, exchange.Client)
+	Serve(*fasthttp.RequestCtx, proxy.Client)
 }
 
 // Options are what a front works with.
 type Options struct {
 	Desk    Desk
-	Classes []logic.Class
+	Classes []balancer.Class
 	Log     *slog.Logger
 	Count   *counters.Coap
 	Most    int // requests in hand
@@ -81,7 +81,7 @@
 // Front serves one socket. The transport is any net.PacketConn: plain UDP, or one that secures datagrams.
 type Front struct {
 	o       Options
-	classes map[string]logic.Class
+	classes map[string]balancer.Class
 	conn    net.PacketConn
 	began   time.Time
 	echo    *echo.Maker
@@ -114,7 +114,7 @@
 	if o.InFlight == nil {
 		o.InFlight = &inflight.Account{}
 	}
-	f := &Front{o: o, conn: conn, began: time.Now(), echo: echo.New(key), ids: fmt.Sprintf("%x", start[:8]), classes: map[string]logic.Class{},
+	f := &Front{o: o, conn: conn, began: time.Now(), echo: echo.New(key), ids: fmt.Sprintf("%x", start[:8]), classes: map[string]balancer.Class{},
 		open: make(chan struct{}, o.Most), table: dedup.New(o.Dedup), uploads: blocks.New(o.Uploads), kept: blocks.New(o.Kept),
 		proven: map[string]time.Duration{}, limits: newLimiter(o.Rate), waiting: map[dedup.Key]chan struct{}{},
 		nextMID: uint16(start[8])<<8 | uint16(start[9])}
--- a/internal/coap/front/front_test.go
+++ b/internal/coap/front/front_test.go
@@ -10,12 +10,12 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/coap/blocks"
 	"tackhub.example/tackhub/internal/coap/dedup"
 	"tackhub.example/tackhub/internal/coap/wire"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/internal/exchange"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/proxy"
 )
 
 // sink is a socket that counts what is sent.
@@ -29,13 +29,13 @@
 // desk serves everything at once.
 type desk struct{}
 
-func (desk) Serve(ctx *fasthttp.RequestCtx, _ exchange.Client) { ctx.SetBodyString("served") }
+func (desk) Serve(ctx *fasthttp.RequestCtx, _ proxy.Client) { ctx.SetBodyString("served") }
 
 func newFront(tb testing.TB) (*Front, *sink, *counters.Coap) {
 	tb.Helper()
 	count, out := &counters.Coap{}, &sink{}
 	small := blocks.Bounds{Count: 4, Endpoint: 2, Bytes: 4096, Body: 2048, Idle: time.Minute}
-	f, err := New(out, Options{Desk: desk{}, Classes: []logic.Class{{Name: "look", HardLimit: 500}, {Name: "bill", Effect: logic.Unsafe, HardLimit: 500}},
+	f, err := New(out, Options{Desk: desk{}, Classes: []balancer.Class{{Name: "look", HardLimit: 500}, {Name: "bill", Effect: balancer.Unsafe, HardLimit: 500}},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count, Most: 8, Dedup: dedup.Bounds{Entries: 32, Bytes: 64 << 10, Endpoint: 16},
 		Uploads: small, Kept: small})
 	if err != nil {
--- a/internal/coap/front/incoming.go
+++ b/internal/coap/front/incoming.go
@@ -12,12 +12,12 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/coap/blocks"
 	"tackhub.example/tackhub/internal/coap/dedup"
 	"tackhub.example/tackhub/internal/coap/echo"
 	"tackhub.example/tackhub/internal/coap/wire"
 	"tackhub.example/tackhub/internal/inflight"
-	"tackhub.example/tackhub/logic"
 )
 
 // incoming is one request on its way.
@@ -89,7 +89,7 @@
 	if verdict == echo.Valid {
 		f.prove(r.key.Endpoint)
 	}
-	if r.call.class.Effect == logic.Safe || verdict == echo.Valid {
+	if r.call.class.Effect == balancer.Safe || verdict == echo.Valid {
 		return true
 	}
 	if verdict == echo.Foreign {
@@ -165,7 +165,7 @@
 	}
 	body, ok := r.f.kept.Fetch(r.f.now(), blocks.Key{Endpoint: r.key.Endpoint, What: r.what()})
 	if !ok {
-		if r.call.class.Effect == logic.Safe {
+		if r.call.class.Effect == balancer.Safe {
 			return false // asked anew: the block is cut from a fresh answer
 		}
 		r.answer(reply{code: codes.RequestEntityIncomplete, harmless: true})
--- a/internal/coap/front/mapping.go
+++ b/internal/coap/front/mapping.go
@@ -9,8 +9,8 @@
 	"github.com/plgd-dev/go-coap/v3/message"
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/coap/wire"
-	"tackhub.example/tackhub/logic"
 )
 
 // The queries that are the node's own; all others go on to the server as they came.
@@ -24,7 +24,7 @@
 
 // call is a request in the terms of the exchange's stages. How each part is found is written down in docs/coap.md.
 type call struct {
-	class  logic.Class
+	class  balancer.Class
 	method string
 	uri    string // path and the queries that go on
 	key    string
@@ -52,7 +52,7 @@
 	message.Block1: true, message.Block2: true, message.Accept: true}
 
 // mapCall reads a message as a call. It is pure.
-func mapCall(m *message.Message, classes map[string]logic.Class) (call, *refusal) {
+func mapCall(m *message.Message, classes map[string]balancer.Class) (call, *refusal) {
 	for _, o := range m.Options {
 		switch {
 		case proxying[o.ID]:
@@ -74,16 +74,16 @@
 		c.wait = ""
 	}
 	switch {
-	case class.Effect == logic.Safe && m.Code == codes.GET:
+	case class.Effect == balancer.Safe && m.Code == codes.GET:
 		c.method = "GET"
-	case class.Effect != logic.Safe && (m.Code == codes.POST || m.Code == codes.PUT):
+	case class.Effect != balancer.Safe && (m.Code == codes.POST || m.Code == codes.PUT):
 		c.method = "POST"
 	default:
 		return call{}, refuse(codes.MethodNotAllowed, "%v on %s", m.Code, class.Name)
 	}
 	c.uri = c.queries(path, wire.Texts(m, message.URIQuery))
 	switch {
-	case class.Effect == logic.Keyed && c.key == "":
+	case class.Effect == balancer.Keyed && c.key == "":
 		return call{}, refuse(codes.BadRequest, "no key")
 	case c.wait == "":
 		return call{}, refuse(codes.BadRequest, "no wait")
--- a/internal/coap/front/part.go
+++ b/internal/coap/front/part.go
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/coap/blocks"
 	"tackhub.example/tackhub/internal/coap/dedup"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/inflight"
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/internal/part"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // Section is [coap].
@@ -32,7 +32,7 @@
 // Node is what the front needs of its node.
 type Node interface {
 	Desk() Desk
-	Classes() []logic.Class
+	Classes() []balancer.Class
 	Counters() *counters.Counters
 	InFlight() *inflight.Account
 }
@@ -47,8 +47,8 @@
 )
 
 // Part is the subsystem.
-func Part() part.Part {
-	return part.Part{
+func Part() subsystem.Part {
+	return subsystem.Part{
 		Section: operator.Section{Name: "coap", About: "devices over CoAP (UDP), through the same decisions as HTTP",
 			New: func() any {
 				return &Section{Open: 512, Remembered: 20_000, Memory: 12 << 20, PerEndpoint: 64, Uploads: 128, Rate: 500}
@@ -85,7 +85,7 @@
 	run   bool
 }
 
-func build(host part.Host, options any, old part.Running) (part.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
 	n, ok := host.Node.(Node)
 	if !ok {
 		return nil, errors.New("this node has no desk")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,11 +13,11 @@
 	"slices"
 	"strconv"
 
-	"tackhub.example/tackhub/internal/catalog"
-	"tackhub.example/tackhub/internal/locate"
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/configpos"
+	"tackhub.example/tackhub/internal/discovery"
 	"tackhub.example/tackhub/internal/operator"
 	"tackhub.example/tackhub/internal/settings"
-	"tackhub.example/tackhub/logic"
 )
 
 // Limits are what the node's machine gives it.
@@ -35,10 +35,10 @@
 	Operator  string // where staff are answered; empty: nowhere
 	Seed      uint64
 	Limits    Limits
-	Known     catalog.List
+	Known     discovery.List
 	Settings  settings.Settings
-	Peers     []netip.AddrPort // of all nodes, by number; none where they do not talk
-	Watch     *logic.Settings  // to be watched beside those in force; nil for none
+	Peers     []netip.AddrPort   // of all nodes, by number; none where they do not talk
+	Watch     *balancer.Settings // to be watched beside those in force; nil for none
 }
 
 type file struct {
@@ -77,7 +77,7 @@
 		return Config{}, []operator.Fault{*fault}
 	}
 	f.override(getenv)
-	return f.check(path, locate.JSON(raw))
+	return f.check(path, configpos.JSON(raw))
 }
 
 // oneLine is a fault as a start tells it: the key, or what comes before it, first.
@@ -109,9 +109,9 @@
 	var kind *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		f.Line = locate.LineAt(raw, syntax.Offset)
+		f.Line = configpos.LineAt(raw, syntax.Offset)
 	case errors.As(err, &kind):
-		f.Line = locate.LineAt(raw, kind.Offset)
+		f.Line = configpos.LineAt(raw, kind.Offset)
 	}
 	return f
 }
@@ -129,7 +129,7 @@
 }
 
 // check reads every part, and tells all that is wrong.
-func (f *file) check(path string, lines locate.Lines) (Config, []operator.Fault) {
+func (f *file) check(path string, lines configpos.Lines) (Config, []operator.Fault) {
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Limits: f.Limits}
 	var faults []operator.Fault
 	fault := func(at, key, format string, args ...any) {
@@ -170,7 +170,7 @@
 		faults = append(faults, wrong...)
 	}
 	if len(f.Known) > 0 {
-		if c.Known, err = catalog.ParseList(f.Known); err != nil {
+		if c.Known, err = discovery.ParseList(f.Known); err != nil {
 			fault("known", "known", "%v", err)
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 // peers are the nodes' addresses, needed where the settings let nodes talk.
-func (f *file) peers(set logic.Settings, fault func(at, key, format string, args ...any)) []netip.AddrPort {
+func (f *file) peers(set balancer.Settings, fault func(at, key, format string, args ...any)) []netip.AddrPort {
 	if !set.Peers && len(f.Peers.Nodes) == 0 {
 		return nil
 	}
@@ -209,7 +209,7 @@
 }
 
 // watched reads the settings to be watched; the path is taken from where the configuration stands.
-func watched(config, path string) (*logic.Settings, []operator.Fault) {
+func watched(config, path string) (*balancer.Settings, []operator.Fault) {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(config), path)
 	}
@@ -217,7 +217,7 @@
 	if err != nil {
 		return nil, []operator.Fault{{File: config, Key: "watch", Text: err.Error()}}
 	}
-	lines := locate.JSON(raw)
+	lines := configpos.JSON(raw)
 	set, err := settings.Parse(raw)
 	if err != nil {
 		var out []operator.Fault
@@ -226,7 +226,7 @@
 		}
 		return nil, out
 	}
-	if _, err := logic.New(set.Logic, 0); err != nil {
+	if _, err := balancer.New(set.Logic, 0); err != nil {
 		return nil, []operator.Fault{{File: path, Key: "watch", Text: err.Error()}}
 	}
 	return &set.Logic, nil
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"slices"
 
-	"tackhub.example/tackhub/internal/locate"
+	"tackhub.example/tackhub/internal/configpos"
 )
 
 // Reload reads the file again for a node that runs. The file's discovery now wins over the variable, which tells
@@ -21,7 +21,7 @@
 	if told != "" {
 		f.Discovery = told
 	}
-	c, faults := f.check(path, locate.JSON(raw))
+	c, faults := f.check(path, configpos.JSON(raw))
 	if len(faults) > 0 {
 		return Config{}, errors.New(oneLine(faults[0]))
 	}
--- a/internal/locate/locate.go
+++ b/internal/configpos/locate.go
@@ -1,6 +1,6 @@
-// Package locate finds the lines on which keys stand in files that were read already, so that a fault can name its line.
+// Package configpos finds the lines on which keys stand in files that were read already, so that a fault can name its line.
 // It is pure. A file that its own parser refuses gets whatever could be found.
-package locate
+package configpos
 
 import (
 	"bytes"
--- a/internal/locate/locate_test.go
+++ b/internal/configpos/locate_test.go
@@ -1,4 +1,4 @@
-package locate
+package configpos
 
 import "testing"
 
--- a/internal/catalog/catalog.go
+++ b/internal/discovery/catalog.go
@@ -1,4 +1,4 @@
-package catalog
+package discovery
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 const (
@@ -24,12 +24,12 @@
 )
 
 // News takes what the list tells.
-type News interface{ ListNews(logic.ServerList) }
+type News interface{ ListNews(balancer.ServerList) }
 
 // MemberNews takes what the list tells with all that discovery says of each server. Who takes it gets no ListNews but for
 // calls that failed.
 type MemberNews interface {
-	MemberNews(list List, form logic.ListForm)
+	MemberNews(list List, form balancer.ListForm)
 }
 
 // Catalog follows discovery.
@@ -54,7 +54,7 @@
 	lateness *time.Timer
 
 	mu       sync.RWMutex
-	members  map[logic.ServerID]Member
+	members  map[balancer.ServerID]Member
 	revision int64
 	source   *source
 	news     News
@@ -79,7 +79,7 @@
 		dial = dialTCP
 	}
 	c := &Catalog{pace: paceFor(o), dial: dial, ask: o.Subscribe, asked: make(chan struct{}, 1),
-		moved: make(chan struct{}, 1), log: o.Log, count: o.Count, members: map[logic.ServerID]Member{},
+		moved: make(chan struct{}, 1), log: o.Log, count: o.Count, members: map[balancer.ServerID]Member{},
 		source: newSource(o.Address, dial)}
 	known.Complete = true
 	c.locate(known)
@@ -87,11 +87,11 @@
 }
 
 // Address is where a server listens; false for one that has left the list, or is to get nothing new.
-func (c *Catalog) Address(id logic.ServerID) (string, bool) {
+func (c *Catalog) Address(id balancer.ServerID) (string, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	m := c.members[id]
-	if state, known := states[m.Phase]; !known || state != logic.Ready {
+	if state, known := states[m.Phase]; !known || state != balancer.Ready {
 		return "", false
 	}
 	return m.HostPort, true
@@ -134,7 +134,7 @@
 	defer c.lateness.Stop()
 	// Told even where nothing is known: it is the module's first event, without which one that has to ask for
 	// the list would not begin to.
-	c.tell(known, logic.ListCached)
+	c.tell(known, balancer.ListCached)
 	pause, at := retryFirst, int64(-1)
 	if c.pace.spread > 0 {
 		if len(known.Members) > 0 { // half the calls of a start: what has changed since is all that is needed
@@ -268,7 +268,7 @@
 	c.late = true
 	c.count.List.Late.Inc()
 	c.log.Warn("no news of the list for longer than it may take", "code", "list_late", "for_ms", time.Since(c.informed).Milliseconds())
-	c.news.ListNews(logic.ServerList{Form: logic.ListLate})
+	c.news.ListNews(balancer.ServerList{Form: balancer.ListLate})
 }
 
 func (c *Catalog) failed(err error, first bool) {
@@ -276,7 +276,7 @@
 	if first { // the first of a row: an outage must not fill the log
 		c.log.Warn("discovery call failed, the last list stands", "code", "list_failed", "error", err)
 	}
-	c.news.ListNews(logic.ServerList{Form: logic.ListFailed})
+	c.news.ListNews(balancer.ServerList{Form: balancer.ListFailed})
 }
 
 // call asks once: for the whole list where no version is held, whose answer is waited for so long, else by a watch.
@@ -321,19 +321,19 @@
 	switch {
 	case list.Complete:
 		c.count.List.Full.Inc()
-		c.tell(list, logic.ListFull)
+		c.tell(list, balancer.ListFull)
 	case len(list.Members) > 0 || at < 0 || late:
 		c.count.List.Delta.Inc()
-		c.tell(list, logic.ListDelta)
+		c.tell(list, balancer.ListDelta)
 	}
 }
 
-func (c *Catalog) tell(list List, form logic.ListForm) {
+func (c *Catalog) tell(list List, form balancer.ListForm) {
 	if n, ok := c.news.(MemberNews); ok {
 		n.MemberNews(list, form)
 		return
 	}
-	c.news.ListNews(logic.ServerList{Form: form, Entries: list.Entries()})
+	c.news.ListNews(balancer.ServerList{Form: form, Entries: list.Entries()})
 }
 
 // locate notes the addresses. They may change at a restart; one that is gone is not dialled any more.
@@ -346,9 +346,9 @@
 	}
 	for _, m := range list.Members {
 		if m.Phase == "DELETED" {
-			delete(c.members, logic.ServerID(m.ID))
+			delete(c.members, balancer.ServerID(m.ID))
 			continue
 		}
-		c.members[logic.ServerID(m.ID)] = m
+		c.members[balancer.ServerID(m.ID)] = m
 	}
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/discovery/catalog_test.go
@@ -1,4 +1,4 @@
-package catalog
+package discovery
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 const good = `{"revision":41,"complete":true,"members":[
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []logic.ServerEntry{
-		{ID: "s-1", State: logic.Ready, Zone: "a", Cell: 3, Size: 1.5, Started: 1764588000123},
-		{ID: "s-2", State: logic.Draining, Zone: "b", Cell: 4, Size: 1},
-		{ID: "s-3", State: logic.Draining, Size: 1}, // an unknown phase gets nothing new
-		{ID: "s-4", State: logic.Gone},
+	want := []balancer.ServerEntry{
+		{ID: "s-1", State: balancer.Ready, Zone: "a", Cell: 3, Size: 1.5, Started: 1764588000123},
+		{ID: "s-2", State: balancer.Draining, Zone: "b", Cell: 4, Size: 1},
+		{ID: "s-3", State: balancer.Draining, Size: 1}, // an unknown phase gets nothing new
+		{ID: "s-4", State: balancer.Gone},
 	}
 	if got := l.Entries(); !reflect.DeepEqual(got, want) {
 		t.Errorf("entries %+v, want %+v", got, want)
@@ -62,7 +62,7 @@
 		if err != nil {
 			return
 		}
-		seen := map[logic.ServerID]bool{}
+		seen := map[balancer.ServerID]bool{}
 		for _, e := range l.Entries() {
 			if e.ID == "" || seen[e.ID] {
 				t.Errorf("id %q is empty or comes twice", e.ID)
@@ -75,27 +75,27 @@
 func TestAddressesFollowTheList(t *testing.T) {
 	c := New(Options{Address: "127.0.0.1:1"}, List{Members: []Member{{ID: "a", HostPort: "1.1.1.1:1", Phase: "SERVING"},
 		{ID: "b", HostPort: "1.1.1.1:2", Phase: "DRAINING"}}})
-	expect := func(want map[logic.ServerID]string) {
+	expect := func(want map[balancer.ServerID]string) {
 		t.Helper()
-		for _, id := range []logic.ServerID{"a", "b", "c"} {
+		for _, id := range []balancer.ServerID{"a", "b", "c"} {
 			if addr, ok := c.Address(id); addr != want[id] || ok != (want[id] != "") {
 				t.Errorf("%s is at %q (%v), want %q", id, addr, ok, want[id])
 			}
 		}
 	}
-	expect(map[logic.ServerID]string{"a": "1.1.1.1:1"})
+	expect(map[balancer.ServerID]string{"a": "1.1.1.1:1"})
 	c.locate(List{Members: []Member{{ID: "a", HostPort: "1.1.1.1:1", Phase: "odd"}, {ID: "b", HostPort: "1.1.1.1:2", Phase: "SERVING"}}})
-	expect(map[logic.ServerID]string{"b": "1.1.1.1:2"})
+	expect(map[balancer.ServerID]string{"b": "1.1.1.1:2"})
 	c.locate(List{Members: []Member{{ID: "a", HostPort: "2.2.2.2:1", Phase: "SERVING"}, {ID: "b", Phase: "DELETED"}}})
-	expect(map[logic.ServerID]string{"a": "2.2.2.2:1"})
+	expect(map[balancer.ServerID]string{"a": "2.2.2.2:1"})
 	c.locate(List{Complete: true, Members: []Member{{ID: "c", HostPort: "3.3.3.3:1", Phase: "SERVING"}}})
-	expect(map[logic.ServerID]string{"c": "3.3.3.3:1"})
+	expect(map[balancer.ServerID]string{"c": "3.3.3.3:1"})
 }
 
 // heard collects what a catalog tells.
-type heard chan logic.ServerList
+type heard chan balancer.ServerList
 
-func (h heard) ListNews(l logic.ServerList) { h <- l }
+func (h heard) ListNews(l balancer.ServerList) { h <- l }
 
 // TestTurnedAwayGoesOnFromWhatIsHeld has discovery turn a watch away, with and without a time to come back.
 func TestTurnedAwayGoesOnFromWhatIsHeld(t *testing.T) {
--- a/internal/catalog/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -1,4 +1,4 @@
-package catalog
+package discovery
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"testing/synctest"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 const (
@@ -260,7 +260,7 @@
 
 type deaf struct{}
 
-func (deaf) ListNews(logic.ServerList) {}
+func (deaf) ListNews(balancer.ServerList) {}
 
 // join starts followers that hold a list.
 func (c *crowd) join(n int, address string, known List) {
@@ -499,10 +499,10 @@
 // forms counts what a follower tells the module.
 type forms struct {
 	mu   sync.Mutex
-	told []logic.ListForm
+	told []balancer.ListForm
 }
 
-func (f *forms) ListNews(l logic.ServerList) {
+func (f *forms) ListNews(l balancer.ServerList) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.told = append(f.told, l.Form)
@@ -534,7 +534,7 @@
 		time.Sleep(toldLatest + 5*time.Second) // the watch that is taken up again has nothing to tell for as long as it is held
 		got.mu.Lock()
 		defer got.mu.Unlock()
-		if last := got.told[len(got.told)-1]; last != logic.ListDelta {
+		if last := got.told[len(got.told)-1]; last != balancer.ListDelta {
 			t.Errorf("the last that the module heard is %v, want a delta", last)
 		}
 		if count.List.Informed.Get() == 0 {
--- a/internal/catalog/insist.go
+++ b/internal/discovery/insist.go
@@ -1,4 +1,4 @@
-package catalog
+package discovery
 
 import (
 	"context"
--- a/internal/catalog/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,6 @@
-// Package catalog holds discovery's list of servers: it follows the list's changes, tells them to the module,
+// Package discovery holds discovery's list of servers: it follows the list's changes, tells them to the module,
 // and knows each server's address.
-package catalog
+package discovery
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"fmt"
 	"net"
 
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
 )
 
 // Member is one server as discovery tells it.
@@ -29,8 +29,8 @@
 	Members  []Member `json:"members"`
 }
 
-var states = map[string]logic.ServerState{
-	"SERVING": logic.Ready, "DRAINING": logic.Draining, "DELETED": logic.Gone,
+var states = map[string]balancer.ServerState{
+	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Gone,
 }
 
 // ParseList reads an answer and refuses nonsense: what cannot be right must not replace a good list.
@@ -63,14 +63,14 @@
 }
 
 // Entries are the members in the module's terms. An unknown phase counts as draining: nothing new goes there.
-func (l List) Entries() []logic.ServerEntry {
-	out := make([]logic.ServerEntry, 0, len(l.Members))
+func (l List) Entries() []balancer.ServerEntry {
+	out := make([]balancer.ServerEntry, 0, len(l.Members))
 	for _, m := range l.Members {
 		state, ok := states[m.Phase]
 		if !ok {
-			state = logic.Draining
+			state = balancer.Draining
 		}
-		out = append(out, logic.ServerEntry{ID: logic.ServerID(m.ID), State: state, Zone: m.Locality,
+		out = append(out, balancer.ServerEntry{ID: balancer.ServerID(m.ID), State: state, Zone: m.Locality,
 			Cell: m.Cell, Size: m.Size, Started: m.UpSince})
 	}
 	return out
--- a/internal/catalog/pace.go
+++ b/internal/discovery/pace.go
@@ -1,11 +1,11 @@
-package catalog
+package discovery
 
 import (
 	"math/rand/v2"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
-	"tackhub.example/tackhub/logic"
 )
 
 const (
@@ -81,7 +81,7 @@
 }
 
 // paceFor works the waits out. They are shared out of toldLatest here and nowhere else; the module's own pause, where it sets
-// the pace, is logic.AskPauseMost.
+// the pace, is balancer.AskPauseMost.
 func paceFor(o Options) pace {
 	p := pace{watch: watchWait, answer: answerWait, pause: retryLongest}
 	if o.Nodes > few {
@@ -112,7 +112,7 @@
 	afterWatch := time.Duration(jitter * float64(retryFirst))
 	afterCall := max(p.away, time.Duration(jitter*float64(max(p.pause, p.quiet))))
 	if subscribe {
-		afterWatch, afterCall = p.anew, clock.Span(logic.AskPauseMost)
+		afterWatch, afterCall = p.anew, clock.Span(balancer.AskPauseMost)
 	}
 	return reply + max(p.hold+p.watch+afterWatch, p.answer+afterCall)
 }
--- a/internal/catalog/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -1,4 +1,4 @@
-package catalog
+package discovery
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 // TestNoChainOfWaitsPassesWhatNewsMayTake holds the sum for every number of nodes and any grace. Before the waits were shared
@@ -44,12 +44,12 @@
 // asker stands in for a module that must ask for the list: it takes its longest pause after each call that failed.
 type asker struct{ c *Catalog }
 
-func (a *asker) ListNews(l logic.ServerList) {
+func (a *asker) ListNews(l balancer.ServerList) {
 	switch l.Form {
-	case logic.ListCached:
+	case balancer.ListCached:
 		a.c.Watch()
-	case logic.ListFailed:
-		time.AfterFunc(clock.Span(logic.AskPauseMost), a.c.Watch)
+	case balancer.ListFailed:
+		time.AfterFunc(clock.Span(balancer.AskPauseMost), a.c.Watch)
 	}
 }
 
--- a/internal/listmerge/listmerge.go
+++ b/internal/endpointmerge/listmerge.go
@@ -1,8 +1,8 @@
-// Package listmerge merges what several sources say of the servers into one view, and tells what of it has changed. It is
+// Package endpointmerge merges what several sources say of the servers into one view, and tells what of it has changed. It is
 // pure: the time and what sources say come in, changes to push go out. It reads no clock, file or socket.
 //
 // What it guards against is written at each rule below and in docs/inventory.md.
-package listmerge
+package endpointmerge
 
 import (
 	"fmt"
--- a/internal/listmerge/listmerge_test.go
+++ b/internal/endpointmerge/listmerge_test.go
@@ -1,4 +1,4 @@
-package listmerge
+package endpointmerge
 
 import (
 	"fmt"
--- a/internal/roster/command.go
+++ b/internal/endpoints/command.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"time"
 
 	"tackhub.example/tackhub/internal/cli"
+	"tackhub.example/tackhub/internal/endpointmerge"
 	"tackhub.example/tackhub/internal/inventory"
-	"tackhub.example/tackhub/internal/listmerge"
 	"tackhub.example/tackhub/internal/operator"
 	"tackhub.example/tackhub/internal/statefile"
 )
@@ -244,10 +244,10 @@
 	if len(o.Files) == 0 && len(o.Static) == 0 {
 		return State{}, errors.New("inventory show: neither a state folder nor files are named; --edge or --state is wanted")
 	}
-	v := listmerge.New(o.settings(0))
+	v := endpointmerge.New(o.settings(0))
 	i := &Inventory{o: *o}
 	if len(o.Static) > 0 {
-		v.Step(1, listmerge.Stated{Source: sourceStatic, Revision: "file", Servers: i.static()})
+		v.Step(1, endpointmerge.Stated{Source: sourceStatic, Revision: "file", Servers: i.static()})
 	}
 	for _, f := range o.Files {
 		list, err := load(o, f.Path)
@@ -255,7 +255,7 @@
 			tellFaults(out, err)
 			return State{}, cli.ErrFaults
 		}
-		v.Step(1, listmerge.Stated{Source: f.source(), Revision: list.Sum, Servers: list.Servers})
+		v.Step(1, endpointmerge.Stated{Source: f.source(), Revision: list.Sum, Servers: list.Servers})
 	}
 	for _, c := range v.Conflicts() {
 		say(out, "differ: %v", c)
--- a/internal/roster/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"sync"
 	"time"
 
-	"tackhub.example/tackhub/internal/catalog"
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
+	"tackhub.example/tackhub/internal/discovery"
+	"tackhub.example/tackhub/internal/endpointmerge"
 	"tackhub.example/tackhub/internal/filewatch"
 	"tackhub.example/tackhub/internal/inventory"
-	"tackhub.example/tackhub/internal/listmerge"
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/internal/part"
 	"tackhub.example/tackhub/internal/statefile"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 const (
@@ -48,8 +48,8 @@
 }
 
 // Part is the subsystem.
-func Part() part.Part {
-	return part.Part{
+func Part() subsystem.Part {
+	return subsystem.Part{
 		Section: operator.Section{Name: "inventory", About: "servers from CSV and YAML files, merged with discovery",
 			New: func() any { return defaults() }, Check: check},
 		Build: build,
@@ -58,14 +58,14 @@
 
 // State is what is kept on disk.
 type State struct {
-	Saved     time.Time          `json:"saved"`
-	Revisions map[string]string  `json:"revisions"`
-	Members   []listmerge.Member `json:"members"`
+	Saved     time.Time              `json:"saved"`
+	Revisions map[string]string      `json:"revisions"`
+	Members   []endpointmerge.Member `json:"members"`
 }
 
 // said is an event of a source with what is to be told of it.
 type said struct {
-	event listmerge.Event
+	event endpointmerge.Event
 	file  *File // that a list or its fault came from
 	fault error
 	count int // servers of the list
@@ -77,7 +77,7 @@
 	node   Node
 	log    *slog.Logger
 	store  *statefile.Store
-	view   *listmerge.View
+	view   *endpointmerge.View
 	said   chan said
 	stop   context.CancelFunc
 	done   <-chan struct{}
@@ -93,14 +93,14 @@
 	stale bool
 }
 
-func build(host part.Host, options any, old part.Running) (part.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
 	n, ok := host.Node.(Node)
 	if !ok {
 		return nil, errors.New("this node has no roster")
 	}
 	o := *options.(*Options)
 	i := &Inventory{o: o, node: n, log: host.Log, said: make(chan said, waiting), stop: func() {}, good: map[string]time.Time{},
-		view: listmerge.New(o.settings(n.Window())), most: mostBytes(host.Limits.MemoryBytes)}
+		view: endpointmerge.New(o.settings(n.Window())), most: mostBytes(host.Limits.MemoryBytes)}
 	i.old, _ = old.(*Inventory)
 	if o.StateDir != "" {
 		if err := os.MkdirAll(o.StateDir, 0o700); err != nil {
@@ -132,9 +132,9 @@
 	i.done = ctx.Done()
 	i.recover()
 	i.node.Roster().attach(i)
-	i.step(said{event: listmerge.Tick{}})
+	i.step(said{event: endpointmerge.Tick{}})
 	if len(i.o.Static) > 0 {
-		i.step(said{event: listmerge.Stated{Source: sourceStatic, Revision: "file", Servers: i.static()}})
+		i.step(said{event: endpointmerge.Stated{Source: sourceStatic, Revision: "file", Servers: i.static()}})
 	}
 	for k := range i.o.Files {
 		f := &i.o.Files[k]
@@ -199,16 +199,16 @@
 }
 
 // begin takes members over before the roster is attached; the next step pushes them.
-func (i *Inventory) begin(revision string, members []listmerge.Member) {
+func (i *Inventory) begin(revision string, members []endpointmerge.Member) {
 	servers := make([]inventory.Server, 0, len(members))
 	for _, m := range members {
 		servers = append(servers, m.Server)
 	}
-	i.view.Step(i.node.Clock().Now(), listmerge.Stated{Source: listmerge.Restored, Revision: revision, Servers: servers})
+	i.view.Step(i.node.Clock().Now(), endpointmerge.Stated{Source: endpointmerge.Restored, Revision: revision, Servers: servers})
 }
 
 // discovery takes what discovery told. It may wait; the catalog's own goroutine calls it.
-func (i *Inventory) discovery(l catalog.List, form logic.ListForm) {
+func (i *Inventory) discovery(l discovery.List, form balancer.ListForm) {
 	if !i.o.Discovery {
 		return
 	}
@@ -223,19 +223,19 @@
 	}
 	revision := strconv.FormatInt(l.Revision, 10)
 	switch form {
-	case logic.ListFull:
-		i.say(said{event: listmerge.Stated{Source: sourceDiscovery, Revision: revision, Servers: set}})
-	case logic.ListDelta:
-		i.say(said{event: listmerge.Changed{Source: sourceDiscovery, Revision: revision, Set: set, Gone: gone}})
-	case logic.ListCached: // what the node held before it started: older than anything that speaks now
+	case balancer.ListFull:
+		i.say(said{event: endpointmerge.Stated{Source: sourceDiscovery, Revision: revision, Servers: set}})
+	case balancer.ListDelta:
+		i.say(said{event: endpointmerge.Changed{Source: sourceDiscovery, Revision: revision, Set: set, Gone: gone}})
+	case balancer.ListCached: // what the node held before it started: older than anything that speaks now
 		if len(set) > 0 {
-			i.say(said{event: listmerge.Stated{Source: listmerge.Restored, Revision: "known", Servers: set}})
+			i.say(said{event: endpointmerge.Stated{Source: endpointmerge.Restored, Revision: "known", Servers: set}})
 		}
 	}
 }
 
 // fromDiscovery is a discovery's entry in the inventory's terms. A phase that is not known counts as draining.
-func fromDiscovery(m catalog.Member) inventory.Server {
+func fromDiscovery(m discovery.Member) inventory.Server {
 	s := inventory.Server{ID: m.ID, Address: m.HostPort, Zone: m.Locality, Pod: strconv.Itoa(m.Cell), Size: m.Size,
 		Phase: inventory.Draining, Started: m.UpSince}
 	if m.Phase == "SERVING" {
@@ -259,7 +259,7 @@
 		return
 	}
 	if sum := confirmed(f); sum != "" {
-		i.say(said{event: listmerge.Confirmed{Source: f.source(), Revision: sum}})
+		i.say(said{event: endpointmerge.Confirmed{Source: f.source(), Revision: sum}})
 	}
 	if err := checksum(f, seen.Data); err != nil {
 		i.say(said{file: f, fault: err})
@@ -270,7 +270,7 @@
 		i.say(said{file: f, fault: err})
 		return
 	}
-	i.say(said{file: f, count: len(list.Servers), event: listmerge.Stated{Source: f.source(), Revision: list.Sum, Servers: list.Servers}})
+	i.say(said{file: f, count: len(list.Servers), event: endpointmerge.Stated{Source: f.source(), Revision: list.Sum, Servers: list.Servers}})
 }
 
 // confirmed is the revision that an operator lets pass; empty where none.
@@ -313,12 +313,12 @@
 	save := time.NewTicker(i.o.SaveEvery.Std())
 	defer save.Stop()
 	for {
-		at := listmerge.Millis(0)
+		at := endpointmerge.Millis(0)
 		select {
 		case s := <-i.said:
 			at = i.step(s)
 		case <-wake.C:
-			at = i.step(said{event: listmerge.Tick{}})
+			at = i.step(said{event: endpointmerge.Tick{}})
 		case <-first.C:
 			at = i.goOn()
 		case <-save.C:
@@ -334,16 +334,16 @@
 }
 
 // goOn ends the wait for the first whole list.
-func (i *Inventory) goOn() listmerge.Millis {
+func (i *Inventory) goOn() endpointmerge.Millis {
 	if silent := i.view.Silent(); !i.whole && !i.ready {
 		i.log.Warn("some sources have not spoken; going on without them", "code", "inventory_partial", "sources", silent)
 	}
 	i.ready = true
-	return i.step(said{event: listmerge.Tick{}})
+	return i.step(said{event: endpointmerge.Tick{}})
 }
 
 // step takes one event and tells what came of it; it gives the time at which to step again.
-func (i *Inventory) step(s said) listmerge.Millis {
+func (i *Inventory) step(s said) endpointmerge.Millis {
 	count := &i.node.Counters().Inventory
 	if s.fault != nil {
 		count.Bad.Inc()
@@ -353,7 +353,7 @@
 	out := i.view.Step(i.node.Clock().Now(), s.event)
 	i.push(s, out)
 	i.tell(s, out)
-	if st, ok := s.event.(listmerge.Stated); ok && s.file != nil {
+	if st, ok := s.event.(endpointmerge.Stated); ok && s.file != nil {
 		count.Lists.Inc()
 		i.good[st.Source] = time.Now()
 	}
@@ -361,16 +361,16 @@
 }
 
 // push tells the module. The first time it hears the whole view, and then one change for one change.
-func (i *Inventory) push(s said, out listmerge.Outcome) {
-	_, fromDiscovery := s.event.(listmerge.Changed)
+func (i *Inventory) push(s said, out endpointmerge.Outcome) {
+	_, fromDiscovery := s.event.(endpointmerge.Changed)
 	switch {
 	case !i.whole && (i.view.Len() == 0 || !i.ready && len(i.view.Silent()) > 0):
 		return
 	case !i.whole:
 		i.whole = true
-		i.node.Roster().push(i.view.Pushed(), logic.ListFull)
+		i.node.Roster().push(i.view.Pushed(), balancer.ListFull)
 	case len(out.Push) > 0 || fromDiscovery: // a module that asked discovery hears that an answer came
-		i.node.Roster().push(out.Push, logic.ListDelta)
+		i.node.Roster().push(out.Push, balancer.ListDelta)
 	default:
 		return
 	}
@@ -381,9 +381,9 @@
 }
 
 // tell writes what the pager needs to know.
-func (i *Inventory) tell(s said, out listmerge.Outcome) {
+func (i *Inventory) tell(s said, out endpointmerge.Outcome) {
 	count := &i.node.Counters().Inventory
-	if st, ok := s.event.(listmerge.Stated); ok && s.file != nil && len(out.Held) == 0 {
+	if st, ok := s.event.(endpointmerge.Stated); ok && s.file != nil && len(out.Held) == 0 {
 		i.log.Info("a list was taken", "code", "inventory_list", "file", s.file.Path, "sha256", st.Revision, "servers", s.count,
 			"changed", len(out.Push), "moving", out.Moved)
 	}
--- a/internal/roster/options.go
+++ b/internal/endpoints/options.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"tackhub.example/tackhub/internal/endpointmerge"
 	"tackhub.example/tackhub/internal/inventory"
-	"tackhub.example/tackhub/internal/listmerge"
 	"tackhub.example/tackhub/internal/operator"
 )
 
@@ -136,7 +136,7 @@
 		}
 	}
 	for field, list := range o.Order {
-		say(!slices.Contains(listmerge.Fields, field), "order."+field, "no such field; there are: %s", strings.Join(listmerge.Fields, ", "))
+		say(!slices.Contains(endpointmerge.Fields, field), "order."+field, "no such field; there are: %s", strings.Join(endpointmerge.Fields, ", "))
 		for _, name := range list {
 			say(!known(o, name), "order."+field, "%q is no source", name)
 		}
@@ -155,7 +155,7 @@
 
 func checkFiles(files []File) []operator.Fault {
 	var out []operator.Fault
-	seen := map[string]bool{sourceDiscovery: true, sourceStatic: true, listmerge.Restored: true}
+	seen := map[string]bool{sourceDiscovery: true, sourceStatic: true, endpointmerge.Restored: true}
 	for i, f := range files {
 		key := fmt.Sprintf("file[%d]", i)
 		switch ext := strings.ToLower(filepath.Ext(f.Path)); {
@@ -195,19 +195,19 @@
 }
 
 // settings are the options in the merged view's terms.
-func (o *Options) settings(window time.Duration) listmerge.Settings {
+func (o *Options) settings(window time.Duration) endpointmerge.Settings {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	hold := o.PodHold.Std()
 	if hold == 0 {
 		hold = window
 	}
-	s := listmerge.Settings{Sources: o.sources(), Order: o.Order, Require: o.Require, RemoveShare: o.RemoveShare,
+	s := endpointmerge.Settings{Sources: o.sources(), Order: o.Order, Require: o.Require, RemoveShare: o.RemoveShare,
 		RemoveLeast: o.RemoveLeast, PodHold: ms(hold), MoveShare: o.MoveShare, Tombstone: ms(o.Tombstone.Std())}
 	for _, f := range o.Files {
 		s.Guarded = append(s.Guarded, f.source())
 	}
-	if o.Order[listmerge.Address] == nil && o.Discovery { // discovery knows where a process is now
-		order := map[string][]string{listmerge.Address: {sourceDiscovery}}
+	if o.Order[endpointmerge.Address] == nil && o.Discovery { // discovery knows where a process is now
+		order := map[string][]string{endpointmerge.Address: {sourceDiscovery}}
 		for k, v := range o.Order {
 			order[k] = v
 		}
--- a/internal/roster/roster.go
+++ b/internal/endpoints/roster.go
@@ -1,27 +1,27 @@
-// Package roster stands between the sources of servers and the decision module. With the inventory off it hands discovery's
+// Package endpoints stands between the sources of servers and the decision module. With the inventory off it hands discovery's
 // news through as they come; with it on, discovery is one source among others, and the module hears of the merged view.
-package roster
+package endpoints
 
 import (
 	"sync"
 
-	"tackhub.example/tackhub/internal/catalog"
-	"tackhub.example/tackhub/internal/listmerge"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/discovery"
+	"tackhub.example/tackhub/internal/endpointmerge"
 )
 
 // News takes what the list tells.
-type News interface{ ListNews(logic.ServerList) }
+type News interface{ ListNews(balancer.ServerList) }
 
 // Catalog is discovery as the catalog follows it.
 type Catalog interface {
-	Address(logic.ServerID) (string, bool)
+	Address(balancer.ServerID) (string, bool)
 	Refetch()
 }
 
 // taker takes discovery's news while the inventory is on.
 type taker interface {
-	discovery(catalog.List, logic.ListForm)
+	discovery(discovery.List, balancer.ListForm)
 }
 
 // Roster is the node's list of servers.
@@ -31,14 +31,14 @@
 	mu        sync.RWMutex
 	news      News
 	taker     taker // nil: the inventory is off
-	addresses map[logic.ServerID]string
+	addresses map[balancer.ServerID]string
 }
 
 // New makes a roster with the inventory off.
 func New(c Catalog, news News) *Roster { return &Roster{catalog: c, news: news} }
 
 // Address is where a server listens; false for one that has left the list, or is to get nothing new.
-func (r *Roster) Address(id logic.ServerID) (string, bool) {
+func (r *Roster) Address(id balancer.ServerID) (string, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if r.addresses == nil { // off, or the merged view is not whole yet and the module has discovery's list
@@ -50,8 +50,8 @@
 
 // ListNews hands on what has no members: a call to discovery that failed, or news that may be late. With the inventory on the
 // latter is not the module's: discovery is one source among others, and nothing that it tells need reach the module.
-func (r *Roster) ListNews(l logic.ServerList) {
-	if l.Form == logic.ListLate {
+func (r *Roster) ListNews(l balancer.ServerList) {
+	if l.Form == balancer.ListLate {
 		r.mu.RLock()
 		defer r.mu.RUnlock()
 		if r.taker != nil {
@@ -62,7 +62,7 @@
 }
 
 // MemberNews takes discovery's news with all that they tell.
-func (r *Roster) MemberNews(l catalog.List, form logic.ListForm) {
+func (r *Roster) MemberNews(l discovery.List, form balancer.ListForm) {
 	r.mu.RLock()
 	t := r.taker
 	r.mu.RUnlock()
@@ -70,7 +70,7 @@
 		t.discovery(l, form)
 		return
 	}
-	r.news.ListNews(logic.ServerList{Form: form, Entries: l.Entries()})
+	r.news.ListNews(balancer.ServerList{Form: form, Entries: l.Entries()})
 }
 
 // attach turns the inventory on: from now on addresses and news come from the merged view.
@@ -90,30 +90,30 @@
 }
 
 // push tells the module what has changed: addresses first, so that it cannot send where none is known.
-func (r *Roster) push(entries []listmerge.Entry, form logic.ListForm) {
+func (r *Roster) push(entries []endpointmerge.Entry, form balancer.ListForm) {
 	r.mu.Lock()
 	if r.taker == nil {
 		r.mu.Unlock()
 		return
 	}
-	if form == logic.ListFull {
-		r.addresses = make(map[logic.ServerID]string, len(entries))
+	if form == balancer.ListFull {
+		r.addresses = make(map[balancer.ServerID]string, len(entries))
 	}
-	out := make([]logic.ServerEntry, 0, len(entries))
+	out := make([]balancer.ServerEntry, 0, len(entries))
 	for _, e := range entries {
-		id, state := logic.ServerID(e.ID), logic.Ready
+		id, state := balancer.ServerID(e.ID), balancer.Ready
 		switch {
 		case e.Gone:
 			delete(r.addresses, id)
-			state = logic.Gone
+			state = balancer.Gone
 		case e.Draining:
 			delete(r.addresses, id)
-			state = logic.Draining
+			state = balancer.Draining
 		default:
 			r.addresses[id] = e.Address
 		}
-		out = append(out, logic.ServerEntry{ID: id, State: state, Zone: e.Zone, Cell: e.Cell, Size: e.Size, Started: e.Started})
+		out = append(out, balancer.ServerEntry{ID: id, State: state, Zone: e.Zone, Cell: e.Cell, Size: e.Size, Started: e.Started})
 	}
 	r.mu.Unlock()
-	r.news.ListNews(logic.ServerList{Form: form, Entries: out})
+	r.news.ListNews(balancer.ServerList{Form: form, Entries: out})
 }
--- a/internal/roster/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"tackhub.example/tackhub/internal/catalog"
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
+	"tackhub.example/tackhub/internal/discovery"
 	"tackhub.example/tackhub/internal/inventory"
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/internal/part"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // desk is a node's surroundings: a catalog without discovery, and a module that notes what it hears.
@@ -27,27 +27,27 @@
 	roster *Roster
 	count  *counters.Counters
 	clock  clock.Clock
-	heard  chan logic.ServerList
+	heard  chan balancer.ServerList
 
 	mu       sync.Mutex
 	refetces int
 }
 
 func newDesk() *desk {
-	d := &desk{count: &counters.Counters{}, clock: clock.New(), heard: make(chan logic.ServerList, 10_000)}
+	d := &desk{count: &counters.Counters{}, clock: clock.New(), heard: make(chan balancer.ServerList, 10_000)}
 	d.roster = New(d, d)
 	return d
 }
 
-func (d *desk) Address(id logic.ServerID) (string, bool) { return "discovery:" + string(id), true }
-func (d *desk) Refetch()                                 { d.mu.Lock(); d.refetces++; d.mu.Unlock() }
-func (d *desk) ListNews(l logic.ServerList)              { d.heard <- l }
-func (d *desk) Roster() *Roster                          { return d.roster }
-func (d *desk) Clock() clock.Clock                       { return d.clock }
-func (d *desk) Window() time.Duration                    { return 50 * time.Millisecond }
-func (d *desk) Counters() *counters.Counters             { return d.count }
+func (d *desk) Address(id balancer.ServerID) (string, bool) { return "discovery:" + string(id), true }
+func (d *desk) Refetch()                                    { d.mu.Lock(); d.refetces++; d.mu.Unlock() }
+func (d *desk) ListNews(l balancer.ServerList)              { d.heard <- l }
+func (d *desk) Roster() *Roster                             { return d.roster }
+func (d *desk) Clock() clock.Clock                          { return d.clock }
+func (d *desk) Window() time.Duration                       { return 50 * time.Millisecond }
+func (d *desk) Counters() *counters.Counters                { return d.count }
 
-func (d *desk) next(t testing.TB) logic.ServerList {
+func (d *desk) next(t testing.TB) balancer.ServerList {
 	t.Helper()
 	select {
 	case l := <-d.heard:
@@ -59,13 +59,13 @@
 }
 
 // start builds and starts the subsystem from a section's text.
-func (d *desk) start(t testing.TB, text string) part.Running {
+func (d *desk) start(t testing.TB, text string) subsystem.Running {
 	t.Helper()
 	f, err := operator.Parse("edge.toml", text, []operator.Section{Part().Section})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Part().Build(part.Host{Node: d, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, f.Options("inventory"), nil)
+	r, err := Part().Build(subsystem.Host{Node: d, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, f.Options("inventory"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,14 +85,14 @@
 	}
 }
 
-func ids(l logic.ServerList) string {
+func ids(l balancer.ServerList) string {
 	var out []string
 	for _, e := range l.Entries {
 		id := string(e.ID)
 		switch e.State {
-		case logic.Draining:
+		case balancer.Draining:
 			id += "~"
-		case logic.Gone:
+		case balancer.Gone:
 			id += "-"
 		}
 		out = append(out, id)
@@ -105,9 +105,9 @@
 // addresses are there before the push. Off again, discovery is asked for its list anew.
 func TestPassThroughAndMerged(t *testing.T) {
 	d := newDesk()
-	known := catalog.List{Revision: 1, Members: []catalog.Member{{ID: "d1", HostPort: "127.0.0.1:1", Phase: "SERVING"}}}
-	d.roster.MemberNews(known, logic.ListFull)
-	if l := d.next(t); ids(l) != "d1" || l.Form != logic.ListFull {
+	known := discovery.List{Revision: 1, Members: []discovery.Member{{ID: "d1", HostPort: "127.0.0.1:1", Phase: "SERVING"}}}
+	d.roster.MemberNews(known, balancer.ListFull)
+	if l := d.next(t); ids(l) != "d1" || l.Form != balancer.ListFull {
 		t.Errorf("passed through: %+v", l)
 	}
 	path := filepath.Join(t.TempDir(), "list.csv")
@@ -115,27 +115,27 @@
 	if a, _ := d.roster.Address("d1"); a != "discovery:d1" {
 		t.Errorf("address %s before the first merged list", a)
 	}
-	d.roster.MemberNews(known, logic.ListFull)
+	d.roster.MemberNews(known, balancer.ListFull)
 	write(t, path, inventory.WriteCSV([]inventory.Server{{ID: "f1", Address: "127.0.0.1:2", Pod: "p"}}))
-	if l := d.next(t); ids(l) != "d1 f1" || l.Form != logic.ListFull {
+	if l := d.next(t); ids(l) != "d1 f1" || l.Form != balancer.ListFull {
 		t.Fatalf("first merged list: %+v", l)
 	}
 	if a, _ := d.roster.Address("f1"); a != "127.0.0.1:2" {
 		t.Errorf("address %s", a)
 	}
-	d.roster.MemberNews(catalog.List{Revision: 2, Members: []catalog.Member{{ID: "d1", Phase: "DELETED"}, {ID: "d2", HostPort: "127.0.0.1:3", Phase: "odd"}}}, logic.ListDelta)
-	if l := d.next(t); ids(l) != "d1- d2~" || l.Form != logic.ListDelta {
+	d.roster.MemberNews(discovery.List{Revision: 2, Members: []discovery.Member{{ID: "d1", Phase: "DELETED"}, {ID: "d2", HostPort: "127.0.0.1:3", Phase: "odd"}}}, balancer.ListDelta)
+	if l := d.next(t); ids(l) != "d1- d2~" || l.Form != balancer.ListDelta {
 		t.Errorf("one push for one change: %+v", l)
 	}
 	if _, ok := d.roster.Address("d1"); ok {
 		t.Error("a server that is gone has an address")
 	}
-	d.roster.MemberNews(catalog.List{Revision: 3}, logic.ListDelta)
+	d.roster.MemberNews(discovery.List{Revision: 3}, balancer.ListDelta)
 	if l := d.next(t); len(l.Entries) != 0 {
 		t.Errorf("an answer without news: %+v", l)
 	}
 	r.Stop()
-	d.roster.MemberNews(known, logic.ListFull)
+	d.roster.MemberNews(known, balancer.ListFull)
 	if l := d.next(t); ids(l) != "d1" {
 		t.Errorf("after it is off: %+v", l)
 	}
@@ -156,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Part().Build(part.Host{Node: d}, f.Options("inventory"), nil); err == nil {
+	if _, err := Part().Build(subsystem.Host{Node: d}, f.Options("inventory"), nil); err == nil {
 		t.Error("a folder that cannot be made was taken")
 	}
 }
--- a/internal/engine/carry.go
+++ b/internal/engine/carry.go
@@ -3,55 +3,55 @@
 import (
 	"math"
 
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
 )
 
 var resultNames = [...]string{
-	logic.OK: "served", logic.Errored: "error", logic.Overloaded: "turned_away", logic.TimedOut: "timed_out",
-	logic.Unreachable: "unreachable", logic.Broken: "broken", logic.Cancelled: "cancelled", logic.Void: "void",
+	balancer.OK: "served", balancer.Errored: "error", balancer.Overloaded: "turned_away", balancer.TimedOut: "timed_out",
+	balancer.Unreachable: "unreachable", balancer.Broken: "broken", balancer.Cancelled: "cancelled", balancer.Void: "void",
 }
 
 var reasonNames = [...]string{
-	logic.NoClass: "no_class", logic.Stale: "stale", logic.NoPlace: "no_place", logic.Tried: "tried",
-	logic.FleetCut: "fleet_cut",
+	balancer.NoClass: "no_class", balancer.Stale: "stale", balancer.NoPlace: "no_place", balancer.Tried: "tried",
+	balancer.FleetCut: "fleet_cut",
 }
 
 // ResultName is a result's name in counters and log lines.
-func ResultName(r logic.Result) string { return resultNames[r] }
+func ResultName(r balancer.Result) string { return resultNames[r] }
 
 // carry hands one action to whoever carries it out.
-func (e *Engine) carry(action logic.Action) {
+func (e *Engine) carry(action balancer.Action) {
 	switch a := action.(type) {
-	case logic.Send:
+	case balancer.Send:
 		e.send(a)
-	case logic.Cancel:
+	case balancer.Cancel:
 		if c := e.live[a.ID]; c != nil && a.Attempt >= 0 && a.Attempt < len(c.attempts) {
 			e.withdraw(c.attempts[a.Attempt])
 		}
-	case logic.Refuse:
+	case balancer.Refuse:
 		e.count.GivenUp.Inc(reasonNames[a.Why])
 		e.answer(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
-	case logic.Fail:
+	case balancer.Fail:
 		e.count.GivenUp.Inc(reasonNames[a.Why])
 		e.answer(a.ID, Answer{Kind: Failed})
-	case logic.SetTimer:
+	case balancer.SetTimer:
 		e.timers.add(a.At, a.Token, nil)
-	case logic.Probe:
+	case balancer.Probe:
 		e.count.Probes.Sent.Inc()
 		e.count.Probes.Open.Inc()
 		e.prober.Probe(a.Server, func(end End) { e.post(message{server: a.Server, end: &end}) })
-	case logic.Watch:
+	case balancer.Watch:
 		e.watcher.Watch()
-	case logic.Tell:
+	case balancer.Tell:
 		if e.teller != nil {
 			e.teller.Tell(a.Body)
 		}
-	case logic.Log:
+	case balancer.Log:
 		e.log.Info(a.Text, "code", "module")
 	}
 }
 
-func (e *Engine) answer(id logic.RequestID, a Answer) {
+func (e *Engine) answer(id balancer.RequestID, a Answer) {
 	c := e.live[id]
 	if c == nil {
 		return
@@ -65,7 +65,7 @@
 
 // send starts an attempt. One for a request that is over, out of time or out of attempts is not sent, and the
 // module is told so.
-func (e *Engine) send(s logic.Send) {
+func (e *Engine) send(s balancer.Send) {
 	c := e.live[s.ID]
 	if c == nil {
 		return
@@ -81,8 +81,8 @@
 		stop = math.Inf(1)
 	}
 	if c.closed || now >= stop || a.n >= e.most {
-		e.count.Outcomes.Inc(ResultName(logic.Void))
-		e.step(logic.AttemptEnd{ID: c.id, Attempt: a.n, Server: a.server, Result: logic.Void, Closed: c.closed})
+		e.count.Outcomes.Inc(ResultName(balancer.Void))
+		e.step(balancer.AttemptEnd{ID: c.id, Attempt: a.n, Server: a.server, Result: balancer.Void, Closed: c.closed})
 		return
 	}
 	a.open = true
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,9 +10,9 @@
 	"runtime/debug"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 // mailboxLen is how many events may wait. Senders wait beyond it, the engine never does, so it bounds memory
@@ -21,7 +21,7 @@
 
 // Module is what decides.
 type Module interface {
-	Step(now logic.Millis, event logic.Event) []logic.Action
+	Step(now balancer.Millis, event balancer.Event) []balancer.Action
 }
 
 // Census is a module that tells how many servers are listed and how many of them it avoids.
@@ -32,9 +32,9 @@
 
 // End is how an attempt or a probe ended. Whoever waits for the answer gets the body with it.
 type End struct {
-	Result  logic.Result
-	Elapsed logic.Millis
-	Load    logic.Load
+	Result  balancer.Result
+	Elapsed balancer.Millis
+	Load    balancer.Load
 	Body    []byte // of a served one, or the first of it
 	Rest    Rest   // what is still to come of it; nil where it is whole
 	Left    bool   // nothing was written whole, since the client had gone
@@ -58,9 +58,9 @@
 // Answer is a request's final answer.
 type Answer struct {
 	Kind       AnswerKind
-	Body       []byte       // of a served one, or the first of it
-	Rest       Rest         // what is still to come of it; nil where it is whole
-	RetryAfter logic.Millis // of a refused one; 0: no indication
+	Body       []byte          // of a served one, or the first of it
+	Rest       Rest            // what is still to come of it; nil where it is whole
+	RetryAfter balancer.Millis // of a refused one; 0: no indication
 }
 
 // AnswerKind says what became of a request.
@@ -127,15 +127,15 @@
 
 // Exchange is one client's request. Its methods do not wait.
 type Exchange interface {
-	Arrival() logic.Arrival
+	Arrival() balancer.Arrival
 	// Send starts an attempt that is waited for so long, and whose last byte must be written by a time; 0: at any.
-	Send(server logic.ServerID, wait, wholeBy logic.Millis, done func(End)) Attempt
+	Send(server balancer.ServerID, wait, wholeBy balancer.Millis, done func(End)) Attempt
 	Finish(Answer)
 }
 
 // Prober asks a server for a sign of life. It does not wait.
 type Prober interface {
-	Probe(server logic.ServerID, done func(End))
+	Probe(server balancer.ServerID, done func(End))
 }
 
 // Watcher follows the list of servers from now on. It does not wait.
@@ -150,25 +150,25 @@
 	clock   clock.Clock
 	mailbox chan message
 	timers  timers
-	live    map[logic.RequestID]*call
-	nextID  logic.RequestID
+	live    map[balancer.RequestID]*call
+	nextID  balancer.RequestID
 	prober  Prober
 	watcher Watcher
 	teller  Teller
 	most    int // attempts a request may have
 	log     *slog.Logger
 	count   *counters.Counters
-	census  Census        // nil where the module tells none
-	changes int           // as last counted
-	queue   []logic.Event // events that actions brought about; they follow at once
+	census  Census           // nil where the module tells none
+	changes int              // as last counted
+	queue   []balancer.Event // events that actions brought about; they follow at once
 	stopped chan struct{}
 }
 
 // call is a request in the engine's hands, kept until it is answered and its attempts have ended.
 type call struct {
-	id       logic.RequestID
+	id       balancer.RequestID
 	exchange Exchange
-	expires  logic.Millis
+	expires  balancer.Millis
 	attempts []*attempt
 	open     int
 	closed   bool
@@ -179,8 +179,8 @@
 type attempt struct {
 	call   *call
 	n      int
-	server logic.ServerID
-	sentAt logic.Millis
+	server balancer.ServerID
+	sentAt balancer.Millis
 	copy   Attempt
 	open   bool
 }
@@ -189,16 +189,16 @@
 type message struct {
 	call     *call // with arrive, uploaded, leave
 	uploaded bool
-	expires  logic.Millis // with uploaded
+	expires  balancer.Millis // with uploaded
 	arrive   bool
 	leave    bool
 	attempt  *attempt // with end
 	end      *End
-	server   logic.ServerID // with end: a probe's
-	list     *logic.ServerList
-	told     *logic.Told
-	event    logic.Event // anything else the module is to hear
-	between  func()      // to be run between two decisions
+	server   balancer.ServerID // with end: a probe's
+	list     *balancer.ServerList
+	told     *balancer.Told
+	event    balancer.Event // anything else the module is to hear
+	between  func()         // to be run between two decisions
 }
 
 // Options are what an engine works with.
@@ -217,7 +217,7 @@
 func New(o Options) *Engine {
 	census, _ := o.Module.(Census)
 	return &Engine{census: census, module: o.Module, clock: o.Clock, mailbox: make(chan message, mailboxLen),
-		live: map[logic.RequestID]*call{}, prober: o.Prober, watcher: o.Watcher, teller: o.Teller, most: o.MaxAttempts,
+		live: map[balancer.RequestID]*call{}, prober: o.Prober, watcher: o.Watcher, teller: o.Teller, most: o.MaxAttempts,
 		log: o.Log, count: o.Count, stopped: make(chan struct{})}
 }
 
@@ -235,7 +235,7 @@
 }
 
 // Uploaded says that the body of a request that arrived before it was whole has come, and when its client gives it up.
-func (t Ticket) Uploaded(expires logic.Millis) {
+func (t Ticket) Uploaded(expires balancer.Millis) {
 	t.engine.post(message{call: t.call, uploaded: true, expires: expires})
 }
 
@@ -243,13 +243,13 @@
 func (t Ticket) Leave() { t.engine.post(message{call: t.call, leave: true}) }
 
 // ListNews tells the module of the list.
-func (e *Engine) ListNews(l logic.ServerList) { e.post(message{list: &l}) }
+func (e *Engine) ListNews(l balancer.ServerList) { e.post(message{list: &l}) }
 
 // Hear tells the module what another node told.
-func (e *Engine) Hear(m logic.Told) { e.post(message{told: &m}) }
+func (e *Engine) Hear(m balancer.Told) { e.post(message{told: &m}) }
 
 // Tell hands the module an event that concerns no request.
-func (e *Engine) Tell(event logic.Event) { e.post(message{event: event}) }
+func (e *Engine) Tell(event balancer.Event) { e.post(message{event: event}) }
 
 // Between runs f between two decisions, on the goroutine that owns the module, and waits until it has run. It tells
 // whether it has: an engine that ends may not.
@@ -316,7 +316,7 @@
 		}
 		e.count.Engine.LateBy.Max(int64((now - t.at) * 1000))
 		if t.attempt == nil {
-			e.step(logic.TimerFired{Token: t.token})
+			e.step(balancer.TimerFired{Token: t.token})
 		} else if t.attempt.open {
 			e.expire(t.attempt)
 		}
@@ -325,9 +325,9 @@
 
 // expire gives an attempt up whose time is over. One that was not written whole never ran.
 func (e *Engine) expire(a *attempt) {
-	result := logic.Unreachable
+	result := balancer.Unreachable
 	if a.copy.Abort() {
-		result = logic.TimedOut
+		result = balancer.TimedOut
 	}
 	e.ended(a, End{Result: result, Elapsed: e.clock.Now() - a.sentAt})
 }
@@ -363,7 +363,7 @@
 	case m.end != nil:
 		e.count.Probes.Open.Add(-1)
 		e.count.ProbeOutcomes.Inc(ResultName(m.end.Result))
-		e.step(logic.ProbeEnd{Server: m.server, Result: m.end.Result, Elapsed: m.end.Elapsed, Load: m.end.Load})
+		e.step(balancer.ProbeEnd{Server: m.server, Result: m.end.Result, Elapsed: m.end.Elapsed, Load: m.end.Load})
 	}
 }
 
@@ -380,7 +380,7 @@
 }
 
 // uploaded gives a request whose body has come its true end, and its attempts theirs.
-func (e *Engine) uploaded(c *call, expires logic.Millis) {
+func (e *Engine) uploaded(c *call, expires balancer.Millis) {
 	if c.closed {
 		return
 	}
@@ -391,7 +391,7 @@
 			e.timers.add(expires, "", a)
 		}
 	}
-	e.step(logic.Uploaded{ID: c.id, Expires: expires})
+	e.step(balancer.Uploaded{ID: c.id, Expires: expires})
 }
 
 // leave ends a request that nobody waits for; what is out for it is withdrawn.
@@ -400,7 +400,7 @@
 		return
 	}
 	c.closed = true
-	e.step(logic.Dropped{ID: c.id})
+	e.step(balancer.Dropped{ID: c.id})
 	for _, a := range c.attempts {
 		e.withdraw(a)
 	}
@@ -410,7 +410,7 @@
 func (e *Engine) withdraw(a *attempt) {
 	if a.open {
 		a.copy.Abort()
-		e.ended(a, End{Result: logic.Cancelled, Elapsed: e.clock.Now() - a.sentAt})
+		e.ended(a, End{Result: balancer.Cancelled, Elapsed: e.clock.Now() - a.sentAt})
 	}
 }
 
@@ -421,12 +421,12 @@
 	c.open--
 	e.count.Attempts.Open.Add(-1)
 	e.count.Outcomes.Inc(ResultName(end.Result))
-	if end.Result == logic.OK && !c.closed {
+	if end.Result == balancer.OK && !c.closed {
 		e.finish(c, Answer{Kind: Served, Body: end.Body, Rest: end.Rest})
 	} else {
 		end.discard()
 	}
-	e.step(logic.AttemptEnd{ID: c.id, Attempt: a.n, Server: a.server, Result: end.Result, Elapsed: end.Elapsed,
+	e.step(balancer.AttemptEnd{ID: c.id, Attempt: a.n, Server: a.server, Result: end.Result, Elapsed: end.Elapsed,
 		Closed: c.closed, Load: end.Load})
 	e.forget(c)
 }
@@ -446,7 +446,7 @@
 }
 
 // step lets the module decide on one event, and on those that carrying its actions out brings about.
-func (e *Engine) step(event logic.Event) {
+func (e *Engine) step(event balancer.Event) {
 	e.queue = append(e.queue, event)
 	if len(e.queue) > 1 {
 		return // the step above takes it next
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 func TestTimersInOrder(t *testing.T) {
@@ -41,18 +41,18 @@
 
 // script is a module that answers each event by what a test says, and keeps the events.
 type script struct {
-	act    func(logic.Event) []logic.Action
-	events chan logic.Event
+	act    func(balancer.Event) []balancer.Action
+	events chan balancer.Event
 }
 
-func (s *script) Step(_ logic.Millis, e logic.Event) []logic.Action {
+func (s *script) Step(_ balancer.Millis, e balancer.Event) []balancer.Action {
 	actions := s.act(e)
 	s.events <- e
 	return actions
 }
 
 // want waits for the next event of a kind.
-func want[E logic.Event](t *testing.T, s *script) E {
+func want[E balancer.Event](t *testing.T, s *script) E {
 	t.Helper()
 	for {
 		select {
@@ -68,8 +68,8 @@
 
 // copyOf is an attempt under a test's control.
 type copyOf struct {
-	server  logic.ServerID
-	wait    logic.Millis
+	server  balancer.ServerID
+	wait    balancer.Millis
 	done    func(End)
 	written bool
 	aborted chan struct{}
@@ -82,28 +82,28 @@
 
 // exchange is a client's request under a test's control.
 type exchange struct {
-	arrival logic.Arrival
+	arrival balancer.Arrival
 	written bool
 	sent    chan *copyOf
 	answers chan Answer
 }
 
 func newExchange(expires float64) *exchange {
-	return &exchange{arrival: logic.Arrival{Class: "look", Expires: expires}, written: true,
+	return &exchange{arrival: balancer.Arrival{Class: "look", Expires: expires}, written: true,
 		sent: make(chan *copyOf, 8), answers: make(chan Answer, 8)}
 }
 
-func (x *exchange) Arrival() logic.Arrival { return x.arrival }
-func (x *exchange) Finish(a Answer)        { x.answers <- a }
-func (x *exchange) Send(s logic.ServerID, wait, _ logic.Millis, done func(End)) Attempt {
+func (x *exchange) Arrival() balancer.Arrival { return x.arrival }
+func (x *exchange) Finish(a Answer)           { x.answers <- a }
+func (x *exchange) Send(s balancer.ServerID, wait, _ balancer.Millis, done func(End)) Attempt {
 	c := &copyOf{server: s, wait: wait, done: done, written: x.written, aborted: make(chan struct{})}
 	x.sent <- c
 	return c
 }
 
-func start(t *testing.T, act func(logic.Event) []logic.Action) (*Engine, *script, clock.Clock, *counters.Counters) {
+func start(t *testing.T, act func(balancer.Event) []balancer.Action) (*Engine, *script, clock.Clock, *counters.Counters) {
 	t.Helper()
-	s := &script{act: act, events: make(chan logic.Event, 64)}
+	s := &script{act: act, events: make(chan balancer.Event, 64)}
 	count, clk := &counters.Counters{}, clock.New()
 	e := New(Options{Module: s, Clock: clk, MaxAttempts: 2, Count: count,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
@@ -114,9 +114,9 @@
 }
 
 // sendOnArrival sends every request to one server.
-func sendOnArrival(e logic.Event) []logic.Action {
-	if a, ok := e.(logic.Arrival); ok {
-		return []logic.Action{logic.Send{ID: a.ID, Server: "s1"}}
+func sendOnArrival(e balancer.Event) []balancer.Action {
+	if a, ok := e.(balancer.Arrival); ok {
+		return []balancer.Action{balancer.Send{ID: a.ID, Server: "s1"}}
 	}
 	return nil
 }
@@ -133,30 +133,30 @@
 }
 
 func TestFirstServedAnswers(t *testing.T) {
-	e, s, clk, count := start(t, func(ev logic.Event) []logic.Action {
-		a, ok := ev.(logic.Arrival)
+	e, s, clk, count := start(t, func(ev balancer.Event) []balancer.Action {
+		a, ok := ev.(balancer.Arrival)
 		if !ok {
 			return nil
 		}
-		return []logic.Action{logic.Send{ID: a.ID, Server: "s1"}, logic.Send{ID: a.ID, Server: "s2"},
-			logic.Send{ID: a.ID, Server: "s3"}}
+		return []balancer.Action{balancer.Send{ID: a.ID, Server: "s1"}, balancer.Send{ID: a.ID, Server: "s2"},
+			balancer.Send{ID: a.ID, Server: "s3"}}
 	})
 	x := newExchange(clk.Now() + 5000)
 	e.Arrive(x)
 	one, two := receive(t, x.sent), receive(t, x.sent)
-	want[logic.Arrival](t, s)
-	if v := want[logic.AttemptEnd](t, s); v.Result != logic.Void || v.Attempt != 2 {
+	want[balancer.Arrival](t, s)
+	if v := want[balancer.AttemptEnd](t, s); v.Result != balancer.Void || v.Attempt != 2 {
 		t.Errorf("an attempt beyond the limit ended as %+v", v)
 	}
-	two.done(End{Result: logic.OK, Body: []byte("two")})
+	two.done(End{Result: balancer.OK, Body: []byte("two")})
 	if a := receive(t, x.answers); a.Kind != Served || string(a.Body) != "two" {
 		t.Errorf("answer %+v", a)
 	}
-	if v := want[logic.AttemptEnd](t, s); !v.Closed || v.Attempt != 1 {
+	if v := want[balancer.AttemptEnd](t, s); !v.Closed || v.Attempt != 1 {
 		t.Errorf("told %+v", v)
 	}
-	one.done(End{Result: logic.OK, Body: []byte("one")})
-	if v := want[logic.AttemptEnd](t, s); !v.Closed || v.Attempt != 0 {
+	one.done(End{Result: balancer.OK, Body: []byte("one")})
+	if v := want[balancer.AttemptEnd](t, s); !v.Closed || v.Attempt != 0 {
 		t.Errorf("told %+v", v)
 	}
 	if len(x.answers) != 0 || count.Attempts.Open.Get() != 0 {
@@ -165,19 +165,19 @@
 }
 
 func TestAttemptOutOfTime(t *testing.T) {
-	for written, result := range map[bool]logic.Result{true: logic.TimedOut, false: logic.Unreachable} {
+	for written, result := range map[bool]balancer.Result{true: balancer.TimedOut, false: balancer.Unreachable} {
 		e, s, clk, _ := start(t, sendOnArrival)
 		x := newExchange(clk.Now() + 30)
 		x.written = written
 		e.Arrive(x)
 		c := receive(t, x.sent)
 		receive(t, c.aborted)
-		if v := want[logic.AttemptEnd](t, s); v.Result != result || v.Closed || v.Elapsed < 25 {
+		if v := want[balancer.AttemptEnd](t, s); v.Result != result || v.Closed || v.Elapsed < 25 {
 			t.Errorf("written %v: told %+v", written, v)
 		}
-		c.done(End{Result: logic.OK}) // too late: it has its end
-		e.ListNews(logic.ServerList{})
-		want[logic.ServerList](t, s)
+		c.done(End{Result: balancer.OK}) // too late: it has its end
+		e.ListNews(balancer.ServerList{})
+		want[balancer.ServerList](t, s)
 		if len(x.answers) != 0 {
 			t.Error("a late end answered the client")
 		}
@@ -191,26 +191,26 @@
 	c := receive(t, x.sent)
 	ticket.Leave()
 	receive(t, c.aborted)
-	want[logic.Dropped](t, s)
-	if v := want[logic.AttemptEnd](t, s); v.Result != logic.Cancelled || !v.Closed {
+	want[balancer.Dropped](t, s)
+	if v := want[balancer.AttemptEnd](t, s); v.Result != balancer.Cancelled || !v.Closed {
 		t.Errorf("told %+v", v)
 	}
 	ticket.Leave() // a second time changes nothing
-	e.ListNews(logic.ServerList{})
-	want[logic.ServerList](t, s)
+	e.ListNews(balancer.ServerList{})
+	want[balancer.ServerList](t, s)
 	if len(e.live) != 0 || len(x.answers) != 0 {
 		t.Errorf("%d requests kept, %d answers", len(e.live), len(x.answers))
 	}
 }
 
 func TestPanicEndsOneEvent(t *testing.T) {
-	e, s, clk, count := start(t, func(ev logic.Event) []logic.Action {
-		a, ok := ev.(logic.Arrival)
+	e, s, clk, count := start(t, func(ev balancer.Event) []balancer.Action {
+		a, ok := ev.(balancer.Arrival)
 		if ok && a.Class == "bad" {
 			panic("as the test wants")
 		}
 		if ok {
-			return []logic.Action{logic.Fail{ID: a.ID}}
+			return []balancer.Action{balancer.Fail{ID: a.ID}}
 		}
 		return nil
 	})
@@ -221,7 +221,7 @@
 	if a := receive(t, good.answers); a.Kind != Failed {
 		t.Errorf("answer %+v", a)
 	}
-	want[logic.Arrival](t, s)
+	want[balancer.Arrival](t, s)
 	if count.Engine.Panics.Get() != 1 {
 		t.Errorf("%d panics counted", count.Engine.Panics.Get())
 	}
@@ -230,16 +230,16 @@
 func TestTimersReachTheModule(t *testing.T) {
 	const farAhead = 1e15 // of any clock
 	now := clock.New().Now()
-	e, s, clk, _ := start(t, func(ev logic.Event) []logic.Action {
-		if _, ok := ev.(logic.ServerList); ok {
-			return []logic.Action{logic.SetTimer{Token: "never", At: farAhead},
-				logic.SetTimer{Token: "soon", At: now + 40}, logic.SetTimer{Token: "past", At: 1}}
+	e, s, clk, _ := start(t, func(ev balancer.Event) []balancer.Action {
+		if _, ok := ev.(balancer.ServerList); ok {
+			return []balancer.Action{balancer.SetTimer{Token: "never", At: farAhead},
+				balancer.SetTimer{Token: "soon", At: now + 40}, balancer.SetTimer{Token: "past", At: 1}}
 		}
 		return nil
 	})
-	e.ListNews(logic.ServerList{})
+	e.ListNews(balancer.ServerList{})
 	for _, token := range []string{"past", "soon"} {
-		if v := want[logic.TimerFired](t, s); v.Token != token {
+		if v := want[balancer.TimerFired](t, s); v.Token != token {
 			t.Errorf("%q fired, want %q", v.Token, token)
 		}
 	}
@@ -249,9 +249,9 @@
 }
 
 func TestFailureAfterTheDeadlineSaysSo(t *testing.T) {
-	e, _, clk, _ := start(t, func(ev logic.Event) []logic.Action {
-		if a, ok := ev.(logic.Arrival); ok {
-			return []logic.Action{logic.Fail{ID: a.ID}}
+	e, _, clk, _ := start(t, func(ev balancer.Event) []balancer.Action {
+		if a, ok := ev.(balancer.Arrival); ok {
+			return []balancer.Action{balancer.Fail{ID: a.ID}}
 		}
 		return nil
 	})
@@ -266,18 +266,18 @@
 
 // TestAnAttemptThatFindsItsClientGoneEndsTheRequest: the module hears of the leaving alone, and has nothing to decide on.
 func TestAnAttemptThatFindsItsClientGoneEndsTheRequest(t *testing.T) {
-	e, s, clk, count := start(t, func(event logic.Event) []logic.Action {
-		if a, ok := event.(logic.Arrival); ok {
-			return []logic.Action{logic.Send{ID: a.ID, Server: "s1", StopAt: a.Expires}}
+	e, s, clk, count := start(t, func(event balancer.Event) []balancer.Action {
+		if a, ok := event.(balancer.Arrival); ok {
+			return []balancer.Action{balancer.Send{ID: a.ID, Server: "s1", StopAt: a.Expires}}
 		}
 		return nil
 	})
 	x := newExchange(clk.Now() + 60_000)
 	ticket := e.Arrive(x)
 	c := <-x.sent
-	c.done(End{Result: logic.Void, Left: true})
-	want[logic.Dropped](t, s)
-	if end := want[logic.AttemptEnd](t, s); end.Result != logic.Cancelled || !end.Closed {
+	c.done(End{Result: balancer.Void, Left: true})
+	want[balancer.Dropped](t, s)
+	if end := want[balancer.AttemptEnd](t, s); end.Result != balancer.Cancelled || !end.Closed {
 		t.Errorf("%+v", end)
 	}
 	ticket.Leave() // as the connection's own watch tells a moment later
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,6 +1,6 @@
-// Package peers carries the module's short messages between nodes as UDP datagrams. A message that is lost, late or double
+// Package gossip carries the module's short messages between nodes as UDP datagrams. A message that is lost, late or double
 // does no harm, so nothing is sent again and nobody waits.
-package peers
+package gossip
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 const (
@@ -33,7 +33,7 @@
 )
 
 // Hearer takes what other nodes tell.
-type Hearer interface{ Hear(logic.Told) }
+type Hearer interface{ Hear(balancer.Told) }
 
 // Options are what the link works with.
 type Options struct {
@@ -78,7 +78,7 @@
 
 // Tell sends every other node a message. It never waits: what does not fit the queue is dropped and counted.
 func (l *Link) Tell(body []byte) {
-	if len(body) > logic.MessageMost {
+	if len(body) > balancer.MessageMost {
 		l.drop("too_long")
 		return
 	}
@@ -126,7 +126,7 @@
 const readPause = time.Millisecond
 
 func (l *Link) read(ctx context.Context) {
-	buffer := make([]byte, headLen+logic.MessageMost+1)
+	buffer := make([]byte, headLen+balancer.MessageMost+1)
 	second, taken := time.Time{}, 0
 	most := max(leastPerSecond, eachPerSecond*len(l.o.Nodes))
 	for {
@@ -156,12 +156,12 @@
 	switch {
 	case !known || number == l.o.Node:
 		l.drop("stranger")
-	case len(message) <= headLen || len(message) > headLen+logic.MessageMost:
+	case len(message) <= headLen || len(message) > headLen+balancer.MessageMost:
 		l.drop("size")
 	case binary.BigEndian.Uint32(message) != uint32(number):
 		l.drop("number")
 	default:
 		l.o.Count.Taken.Inc()
-		l.o.To.Hear(logic.Told{From: number, Body: append([]byte(nil), message[headLen:]...)})
+		l.o.To.Hear(balancer.Told{From: number, Body: append([]byte(nil), message[headLen:]...)})
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
-type ears chan logic.Told
+type ears chan balancer.Told
 
-func (e ears) Hear(m logic.Told) { e <- m }
+func (e ears) Hear(m balancer.Told) { e <- m }
 
 // free is an address of its own on loopback.
 func free(t *testing.T) netip.AddrPort {
@@ -83,7 +83,7 @@
 	for range queueLen + 3 { // nobody runs it
 		l.Tell([]byte("x"))
 	}
-	if l.Tell(make([]byte, logic.MessageMost+1)); count.Drops.Get("queue_full") != 3 || count.Drops.Get("too_long") != 1 {
+	if l.Tell(make([]byte, balancer.MessageMost+1)); count.Drops.Get("queue_full") != 3 || count.Drops.Get("too_long") != 1 {
 		t.Errorf("drops %d and %d", count.Drops.Get("queue_full"), count.Drops.Get("too_long"))
 	}
 }
--- a/internal/ingress/accept_test.go
+++ b/internal/ingress/accept_test.go
@@ -15,7 +15,7 @@
 
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/drain"
-	"tackhub.example/tackhub/internal/exchange"
+	"tackhub.example/tackhub/internal/proxy"
 )
 
 // failing is a listener whose accept fails with an error for as long as that is set.
@@ -37,7 +37,7 @@
 // gate answers a request once it is opened.
 type gate struct{ open chan struct{} }
 
-func (g gate) Serve(ctx *fasthttp.RequestCtx, _ exchange.Client) {
+func (g gate) Serve(ctx *fasthttp.RequestCtx, _ proxy.Client) {
 	<-g.open
 	ctx.SetBodyString("done")
 }
--- a/internal/ingress/account.go
+++ b/internal/ingress/account.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/valyala/fasthttp"
 
-	"tackhub.example/tackhub/internal/exchange"
 	"tackhub.example/tackhub/internal/inflight"
+	"tackhub.example/tackhub/internal/proxy"
 )
 
 // accounted is a request of a connection in the node's account, with how it will leave it.
@@ -28,7 +28,7 @@
 	defer c.mu.Unlock()
 	outcome := inflight.Answered
 	switch {
-	case c.reason == exchange.EndLeft:
+	case c.reason == proxy.EndLeft:
 		outcome = inflight.ClientLeft
 	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
 		outcome = inflight.Refused
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"tackhub.example/tackhub/internal/body"
-	"tackhub.example/tackhub/internal/exchange"
+	"tackhub.example/tackhub/internal/proxy"
 	"tackhub.example/tackhub/internal/socket"
 )
 
@@ -24,7 +24,7 @@
 	endReset   = "client_reset"     // broken by the client or the network
 	endIdle    = "idle"             // nothing came for the idle time
 	endSlow    = "slow_request"     // a request did not arrive whole in time
-	endBad     = exchange.EndBad    // what came could not be read as a request
+	endBad     = proxy.EndBad       // what came could not be read as a request
 	endWrite   = "write_failed"     // the answer could not be written
 	endEvicted = "descriptor_limit" // idle, and closed to make room
 	endDrained = "drained"          // the node is ending
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -17,8 +17,8 @@
 	"tackhub.example/tackhub/internal/body"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/drain"
-	"tackhub.example/tackhub/internal/exchange"
 	"tackhub.example/tackhub/internal/inflight"
+	"tackhub.example/tackhub/internal/proxy"
 )
 
 const (
@@ -60,7 +60,7 @@
 
 // Desk serves requests.
 type Desk interface {
-	Serve(*fasthttp.RequestCtx, exchange.Client)
+	Serve(*fasthttp.RequestCtx, proxy.Client)
 }
 
 // Server takes clients' connections in.
@@ -159,9 +159,9 @@
 func (s *Server) speak(c *conn) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			s.o.Log.Error("panic on a client's connection", "code", exchange.EndPanic, "panic", p,
+			s.o.Log.Error("panic on a client's connection", "code", proxy.EndPanic, "panic", p,
 				"stack", string(debug.Stack()))
-			c.Ends(exchange.EndPanic)
+			c.Ends(proxy.EndPanic)
 			err = c.Close()
 		}
 	}()
@@ -208,7 +208,7 @@
 	c.handled, c.busy = true, false
 	c.mu.Unlock()
 	if ctx.Request.Header.ConnectionClose() {
-		c.Ends(exchange.EndAsked)
+		c.Ends(proxy.EndAsked)
 	} else if reason := c.closeReason(); reason != "" {
 		c.Ends(reason)
 		ctx.SetConnectionClose()
--- a/internal/members/core.go
+++ b/internal/membership/core.go
@@ -1,10 +1,10 @@
-// Package members decides who of a cluster's nodes is there: failure detection by SWIM (Das, Gupta, Motivala, 2002) with
+// Package membership decides who of a cluster's nodes is there: failure detection by SWIM (Das, Gupta, Motivala, 2002) with
 // incarnations, suspicion and refutation, Lifeguard's distrust of oneself (Dadgar, Phillips, Currey, 2017), witnesses against
 // one-sided cuts, and views in which losses that come together are one change (after Rapid: Suresh and others, 2018).
 //
 // It is pure: the time and messages come in, messages and notes go out; chance comes from a seed. Times are spans of one
 // monotonic clock since any moment before the first call. What may rest on a view, and what not, is in docs/members.md.
-package members
+package membership
 
 import (
 	"math"
--- a/internal/members/message.go
+++ b/internal/membership/message.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -tests=false -io=false -file message.go -o message_gen.go
 //msgp:limit arrays:2048 maps:32
@@ -14,7 +14,7 @@
 	News                      // carries news alone
 	Full                      // everything that the sender knows, wanting the same back; on a stream
 	FullReply                 // the same back
-	Renew                     // asks a guard for a lease (internal/shares)
+	Renew                     // asks a guard for a lease (internal/quota)
 	Grant                     // grants it
 	Lifeline                  // first and last on a stream whose end tells that its sender's process has ended
 	Word                      // what the module tells other nodes
--- a/internal/members/view.go
+++ b/internal/membership/view.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"slices"
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -6,9 +6,9 @@
 	"io"
 	"strings"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/config"
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/logic"
 )
 
 // Check reads configuration and operator file as a start would, and prints what would run, or every fault. It tells
@@ -18,7 +18,7 @@
 	file, err := loadEdge(edge)
 	faults = append(faults, edgeFaults(edge, err)...)
 	if len(faults) == 0 {
-		if _, err := logic.New(c.Settings.Logic, c.Seed); err != nil {
+		if _, err := balancer.New(c.Settings.Logic, c.Seed); err != nil {
 			faults = append(faults, operator.Fault{File: getenv("ROUTER_CONFIG"), Key: "settings", Text: err.Error()})
 		}
 	}
@@ -85,6 +85,6 @@
 	return "off"
 }
 
-func effectName(c logic.Class) string {
-	return map[logic.Effect]string{logic.Safe: "safe", logic.Keyed: "keyed", logic.Unsafe: "unsafe"}[c.Effect]
+func effectName(c balancer.Class) string {
+	return map[balancer.Effect]string{balancer.Safe: "safe", balancer.Keyed: "keyed", balancer.Unsafe: "unsafe"}[c.Effect]
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,26 +11,26 @@
 	"sync/atomic"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/admin"
 	"tackhub.example/tackhub/internal/body"
-	"tackhub.example/tackhub/internal/catalog"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/cluster"
 	"tackhub.example/tackhub/internal/coap/back"
 	"tackhub.example/tackhub/internal/coap/front"
 	"tackhub.example/tackhub/internal/config"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/internal/door"
+	"tackhub.example/tackhub/internal/discovery"
 	"tackhub.example/tackhub/internal/drain"
+	"tackhub.example/tackhub/internal/endpoints"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/internal/exchange"
+	"tackhub.example/tackhub/internal/gossip"
 	"tackhub.example/tackhub/internal/inflight"
 	"tackhub.example/tackhub/internal/ingress"
-	"tackhub.example/tackhub/internal/part"
-	"tackhub.example/tackhub/internal/peers"
-	"tackhub.example/tackhub/internal/roster"
+	"tackhub.example/tackhub/internal/proxy"
+	"tackhub.example/tackhub/internal/shadow"
+	"tackhub.example/tackhub/internal/subsystem"
 	"tackhub.example/tackhub/internal/upstream"
-	"tackhub.example/tackhub/internal/watch"
-	"tackhub.example/tackhub/logic"
 )
 
 const (
@@ -68,38 +68,38 @@
 // node is all parts of one running node.
 type node struct {
 	name    string
-	known   catalog.List
+	known   discovery.List
 	clock   clock.Clock
 	count   *counters.Counters
 	window  time.Duration
-	desk    *exchange.Desk
-	classes []logic.Class
+	desk    *proxy.Desk
+	classes []balancer.Class
 	back    *back.Back
-	roster  *roster.Roster
-	catalog *catalog.Catalog
+	roster  *endpoints.Roster
+	catalog *discovery.Catalog
 	pool    *upstream.Pool
 	engine  *engine.Engine
-	watch   *watch.Watch // around the module
-	peers   *peers.Link  // nil where nodes do not talk
+	watch   *shadow.Watch // around the module
+	peers   *gossip.Link  // nil where nodes do not talk
 	ingress *ingress.Server
-	door    *door.Door  // nil where staff have none
+	door    *admin.Door // nil where staff have none
 	serving atomic.Bool // clients are taken in
 	upgrade *upgrade
-	legacy  atomic.Pointer[logic.State] // of the process before, until the list is told
-	each    int                         // connections on either side
+	legacy  atomic.Pointer[balancer.State] // of the process before, until the list is told
+	each    int                            // connections on either side
 	ending  sync.WaitGroup
 
 	plan     drain.Plan       // of a planned stop
 	inFlight inflight.Account // the requests that were taken, whichever front has them
 
-	subsystems *part.Set                      // what the operator file turns on
+	subsystems *subsystem.Set                 // what the operator file turns on
 	number     int                            // of the settings
 	carrier    atomic.Pointer[cluster.Teller] // of the module's messages; nil: peers, where there are any
 }
 
 func newNode(c config.Config, log *slog.Logger, count *counters.Counters) (*node, error) {
 	set := c.Settings.Logic
-	module, err := logic.New(set, c.Seed)
+	module, err := balancer.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -107,7 +107,7 @@
 	files := max(fewestFiles, c.Limits.Sockets/filesPer)
 	own := reserve + files
 	if c.Operator != "" {
-		own += door.Most + 1
+		own += admin.Most + 1
 	}
 	each := (c.Limits.Sockets - own) / 2
 	count.Operations = counters.Operations{}
@@ -116,17 +116,17 @@
 	}
 	n := &node{name: c.Name, number: set.Node, each: each, known: c.Known, clock: clk, count: count, window: longestWindow(set),
 		plan: drain.NewPlan(longest(set))}
-	n.catalog = catalog.New(catalog.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.Subscribe,
+	n.catalog = discovery.New(discovery.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.Subscribe,
 		MustAsk: clock.Span(set.MustAskIn), Grace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
-	n.roster = roster.New(n.catalog, lateNews{n})
+	n.roster = endpoints.New(n.catalog, lateNews{n})
 	n.pool = upstream.New(upstream.Options{Addresses: n.roster, Connect: clock.Span(connect(set)),
 		Idle: clock.Span(c.Settings.ConnIdle), Probe: probeTime, Most: each, Each: max(4, int(float64(each)*eachShare)), Spare: spare(set.Nodes),
-		Gone: func(id logic.ServerID) { n.engine.Tell(logic.Disconnected{Server: id}) }, Reports: set.Reports, Waiting: c.Settings.WaitingAt >= 0, Log: log, Count: count})
+		Gone: func(id balancer.ServerID) { n.engine.Tell(balancer.Disconnected{Server: id}) }, Reports: set.Reports, Waiting: c.Settings.WaitingAt >= 0, Log: log, Count: count})
 	n.back = back.New(back.Options{Addresses: n.roster, NStart: nstart, Again: clock.Span(set.DrainGrace / 2),
 		ParseLoad: n.pool.Load, Log: log, Count: &count.CoapBack})
-	n.watch = watch.New(module, c.Watch, log, &count.Watch)
+	n.watch = shadow.New(module, c.Watch, log, &count.Watch)
 	if len(c.Peers) > 0 {
-		n.peers, err = peers.Listen(peers.Options{Node: set.Node, Nodes: c.Peers, To: lateNews{n}, Log: log, Count: &count.Peers})
+		n.peers, err = gossip.Listen(gossip.Options{Node: set.Node, Nodes: c.Peers, To: lateNews{n}, Log: log, Count: &count.Peers})
 		if err != nil {
 			return nil, err
 		}
@@ -135,7 +135,7 @@
 		MaxAttempts: set.MaxAttempts, Log: log, Count: count})
 	n.classes = set.Classes
 	bodies := body.New(os.Getenv("TMPDIR"), files, max(fewestFiles, int(c.Limits.MemoryMB*bodyShare*(1<<20))/body.Piece), &count.Bodies)
-	n.desk = exchange.NewDesk(exchange.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
+	n.desk = proxy.NewDesk(proxy.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
 		Slack: c.Settings.AnswerSlack, Log: log, Count: count})
 	n.ingress = ingress.New(ingress.Options{Desk: n.desk, Bodies: bodies, Most: each, Aside: own / 2, InFlight: &n.inFlight, Log: log, Count: count,
 		Broken: func(l ingress.Listener, err error) {
@@ -145,7 +145,7 @@
 	return n, nil
 }
 
-func (n *node) send(server logic.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
+func (n *node) send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
 	if n.back.Speaks(server) {
 		return n.back.Send(server, c, done)
 	}
@@ -153,7 +153,7 @@
 }
 
 // Probe asks a server for a sign of life, over the protocol that it speaks.
-func (n *node) Probe(server logic.ServerID, done func(engine.End)) {
+func (n *node) Probe(server balancer.ServerID, done func(engine.End)) {
 	if n.back.Speaks(server) {
 		n.back.Probe(server, probeTime, done)
 		return
@@ -165,18 +165,18 @@
 type lateNews struct{ n *node }
 
 // ListNews tells the module.
-func (l lateNews) ListNews(list logic.ServerList) {
+func (l lateNews) ListNews(list balancer.ServerList) {
 	l.n.engine.ListNews(list)
 	if len(list.Entries) == 0 { // the list itself may not have been taken over
 		return
 	}
 	if from := l.n.legacy.Swap(nil); from != nil { // of servers that the module has heard of by now
-		l.n.engine.Tell(logic.Inherited{State: *from})
+		l.n.engine.Tell(balancer.Inherited{State: *from})
 	}
 }
 
 // Hear tells the module.
-func (l lateNews) Hear(m logic.Told) { l.n.engine.Hear(m) }
+func (l lateNews) Hear(m balancer.Told) { l.n.engine.Hear(m) }
 
 // start sets the engine and the pool going.
 func (n *node) start(ctx context.Context) {
@@ -214,7 +214,7 @@
 }
 
 // Roster, Clock, Window and Counters are what the inventory needs.
-func (n *node) Roster() *roster.Roster { return n.roster }
+func (n *node) Roster() *endpoints.Roster { return n.roster }
 
 // Clock is the node's.
 func (n *node) Clock() clock.Clock { return n.clock }
@@ -244,7 +244,7 @@
 }
 
 // Hear tells the module what another node told.
-func (n *node) Hear(m logic.Told) { n.engine.Hear(m) }
+func (n *node) Hear(m balancer.Told) { n.engine.Hear(m) }
 
 // TookOver tells whether another process of this node ran when this one started.
 func (n *node) TookOver() bool { return n.upgrade != nil && n.upgrade.heir != nil }
@@ -253,7 +253,7 @@
 func (n *node) Succeeded() bool { return n.upgrade != nil && n.upgrade.succeeded.Load() }
 
 // Inform tells the module what concerns the fleet as one; with heeded it returns once that is in force.
-func (n *node) Inform(event logic.Event, heeded bool) {
+func (n *node) Inform(event balancer.Event, heeded bool) {
 	n.engine.Tell(event)
 	if heeded {
 		n.engine.Between(func() {}) // after it in the mailbox
@@ -264,7 +264,7 @@
 func (n *node) Desk() front.Desk { return n.desk }
 
 // Classes are those of the settings.
-func (n *node) Classes() []logic.Class { return n.classes }
+func (n *node) Classes() []balancer.Class { return n.classes }
 
 // InFlight accounts for the requests that the node has taken.
 func (n *node) InFlight() *inflight.Account { return &n.inFlight }
@@ -286,17 +286,17 @@
 	return 0
 }
 
-func connect(set logic.Settings) logic.Millis {
+func connect(set balancer.Settings) balancer.Millis {
 	if set.ConnectTimeout > 0 {
 		return set.ConnectTimeout
 	}
 	return defaultConnect
 }
 
-func longestWindow(set logic.Settings) time.Duration {
+func longestWindow(set balancer.Settings) time.Duration {
 	most := 0.0
 	for _, c := range set.Classes {
-		if c.Effect == logic.Keyed {
+		if c.Effect == balancer.Keyed {
 			most = max(most, c.Window)
 		}
 	}
@@ -304,7 +304,7 @@
 }
 
 // longest is the longest that a client waits for an answer.
-func longest(set logic.Settings) time.Duration {
+func longest(set balancer.Settings) time.Duration {
 	most := 0.0
 	for _, c := range set.Classes {
 		most = max(most, c.HardLimit)
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -3,18 +3,18 @@
 import (
 	"tackhub.example/tackhub/internal/cluster"
 	"tackhub.example/tackhub/internal/coap/front"
-	"tackhub.example/tackhub/internal/part"
-	"tackhub.example/tackhub/internal/roster"
-	"tackhub.example/tackhub/internal/vitals"
+	"tackhub.example/tackhub/internal/endpoints"
+	"tackhub.example/tackhub/internal/resourceusage"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // Parts are the subsystems that the operator file can turn on, in the order in which they start. A new one adds its
 // package and one line here.
-func Parts() []part.Part {
-	return []part.Part{
-		roster.Part(),
+func Parts() []subsystem.Part {
+	return []subsystem.Part{
+		endpoints.Part(),
 		front.Part(),
 		cluster.Part(),
-		vitals.Part(),
+		resourceusage.Part(),
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -8,7 +8,7 @@
 
 	"tackhub.example/tackhub/internal/config"
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/internal/part"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // faultsTold bounds the lines for one bad file: a file of another kind has a fault in every line.
@@ -48,7 +48,7 @@
 	if path == "" {
 		return nil, nil
 	}
-	return operator.Load(path, part.Sections(Parts()))
+	return operator.Load(path, subsystem.Sections(Parts()))
 }
 
 // reloadEdge takes a new operator file whole, or leaves everything as it is and names each fault.
@@ -57,7 +57,7 @@
 		return
 	}
 	file, err := loadEdge(path)
-	var change part.Change
+	var change subsystem.Change
 	if err == nil {
 		change, err = n.subsystems.Take(ctx, file)
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -11,12 +11,12 @@
 	"runtime/debug"
 	"syscall"
 
+	"tackhub.example/tackhub/internal/admin"
 	"tackhub.example/tackhub/internal/config"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/internal/door"
 	"tackhub.example/tackhub/internal/handover"
 	"tackhub.example/tackhub/internal/logs"
-	"tackhub.example/tackhub/internal/part"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 const (
@@ -64,9 +64,9 @@
 		return err
 	}
 	n.upgrade = &upgrade{n: n, limits: c.Limits, log: log, heir: heir, out: make(chan handover.Message, tellQueue)}
-	n.subsystems = part.NewSet(Parts(), host(n, c, log, count))
+	n.subsystems = subsystem.NewSet(Parts(), host(n, c, log, count))
 	if c.Operator != "" {
-		if n.door, err = door.Listen(c.Operator, n, log, count); err != nil {
+		if n.door, err = admin.Listen(c.Operator, n, log, count); err != nil {
 			return err
 		}
 	}
@@ -104,9 +104,9 @@
 }
 
 // host is what a node gives its subsystems.
-func host(n *node, c config.Config, log *slog.Logger, count *counters.Counters) part.Host {
-	return part.Host{Log: log, Node: n, Counts: func() json.RawMessage { return count.JSON() },
-		Limits: part.Limits{MemoryBytes: int64(c.Limits.MemoryMB * (1 << 20)), Sockets: c.Limits.Sockets}}
+func host(n *node, c config.Config, log *slog.Logger, count *counters.Counters) subsystem.Host {
+	return subsystem.Host{Log: log, Node: n, Counts: func() json.RawMessage { return count.JSON() },
+		Limits: subsystem.Limits{MemoryBytes: int64(c.Limits.MemoryMB * (1 << 20)), Sockets: c.Limits.Sockets}}
 }
 
 // limit keeps the process within its machine's limits, and gives the descriptors that it may have: the
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -17,11 +17,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"tackhub.example/tackhub/internal/catalog"
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/config"
+	"tackhub.example/tackhub/internal/discovery"
 	"tackhub.example/tackhub/internal/handover"
 	"tackhub.example/tackhub/internal/ingress"
-	"tackhub.example/tackhub/logic"
 )
 
 // tellQueue bounds the messages to the other process that wait: some seconds of a busy node's ids. Beyond it they are
@@ -30,9 +30,9 @@
 
 // legacy is what a process hands to the next.
 type legacy struct {
-	List    catalog.List `json:"list"`
-	Module  logic.State  `json:"module"`
-	Drained bool         `json:"drained"`
+	List    discovery.List `json:"list"`
+	Module  balancer.State `json:"module"`
+	Drained bool           `json:"drained"`
 }
 
 // upgrade is a node's part in the change from one process to the next. It is the node as either side of the handover
@@ -63,10 +63,10 @@
 // same. One that does not say who it is has neither known.
 func (l *legacy) keepFor(before, now handover.Identity) {
 	if before.Discovery != now.Discovery {
-		l.List = catalog.List{}
+		l.List = discovery.List{}
 	}
 	if before.Settings != now.Settings {
-		l.Module = logic.State{}
+		l.Module = balancer.State{}
 	}
 }
 
@@ -218,7 +218,7 @@
 	debug.SetMemoryLimit(memoryLimit(u.limits) / int64(processes))
 	u.n.ingress.SetMost(u.n.each / processes)
 	u.n.pool.Share(processes)
-	u.n.engine.Tell(logic.Beside{Processes: processes})
+	u.n.engine.Tell(balancer.Beside{Processes: processes})
 	if !on {
 		u.succeeded.Store(false)
 		u.n.ingress.Succeed(false)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,7 +13,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"tackhub.example/tackhub/internal/locate"
+	"tackhub.example/tackhub/internal/configpos"
 )
 
 // maxFile bounds the file: it holds some hundred lines, and a node has a few megabytes.
@@ -104,7 +104,7 @@
 }
 
 func parse(path, text string, sections []Section, some bool) (*File, error) {
-	p := &parser{path: path, lines: locate.TOML(text), byName: map[string]Section{}, out: map[string]any{}}
+	p := &parser{path: path, lines: configpos.TOML(text), byName: map[string]Section{}, out: map[string]any{}}
 	for _, s := range sections {
 		p.byName[s.Name] = s
 	}
@@ -131,7 +131,7 @@
 
 type parser struct {
 	path   string
-	lines  locate.Lines
+	lines  configpos.Lines
 	md     toml.MetaData
 	byName map[string]Section
 	out    map[string]any
--- a/internal/exchange/admit.go
+++ b/internal/proxy/admit.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
 )
 
 const (
@@ -40,7 +40,7 @@
 		return &rejection{fasthttp.StatusBadRequest, "class_and_path_differ"}
 	case t.method != methodOf(class):
 		return &rejection{fasthttp.StatusMethodNotAllowed, "wrong_method"}
-	case class.Effect == logic.Keyed && !t.hasKey:
+	case class.Effect == balancer.Keyed && !t.hasKey:
 		return &rejection{fasthttp.StatusBadRequest, "no_key"}
 	case t.method == fasthttp.MethodGet && t.hasBody():
 		return &rejection{fasthttp.StatusBadRequest, "body_with_get"}
@@ -81,17 +81,17 @@
 }
 
 // methodOf is the method that a class's effect asks for.
-func methodOf(c logic.Class) string {
-	if c.Effect == logic.Safe {
+func methodOf(c balancer.Class) string {
+	if c.Effect == balancer.Safe {
 		return fasthttp.MethodGet
 	}
 	return fasthttp.MethodPost
 }
 
 // parseDeadline reads whole milliseconds: digits alone, so neither a sign nor an exponent.
-func parseDeadline(s string) (logic.Millis, bool) {
+func parseDeadline(s string) (balancer.Millis, bool) {
 	n, err := strconv.ParseUint(s, 10, 63)
-	return logic.Millis(min(n, maxDeadline)), err == nil
+	return balancer.Millis(min(n, maxDeadline)), err == nil
 }
 
 // claim takes the request's id while it is open; false where another open request has it. Two under one id could
@@ -128,7 +128,7 @@
 }
 
 // parseHint reads microseconds into milliseconds; an odd hint counts as none.
-func parseHint(s string) logic.Millis {
+func parseHint(s string) balancer.Millis {
 	n, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(n > 0) || n > 1e12 {
 		return 0
--- a/internal/exchange/book.go
+++ b/internal/proxy/book.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"github.com/valyala/fasthttp"
--- a/internal/exchange/exchange.go
+++ b/internal/proxy/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange holds a request's way through the node. It passes six stages, each in a file of its own:
+// Package proxy holds a request's way through the node. It passes six stages, each in a file of its own:
 // take in, admit, route, send, relay, book.
-package exchange
+package proxy
 
 import (
 	"log/slog"
@@ -11,12 +11,12 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/body"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/drain"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // Router decides what becomes of a request.
@@ -25,7 +25,7 @@
 }
 
 // Sender writes one copy of a request to a server.
-type Sender func(server logic.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt
+type Sender func(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt
 
 // Client is the connection that a request came on.
 type Client interface {
@@ -45,8 +45,8 @@
 	Send    Sender
 	Clock   clock.Clock
 	Bodies  *body.Store
-	Classes []logic.Class
-	Slack   logic.Millis // how late after its deadline an answer still counts
+	Classes []balancer.Class
+	Slack   balancer.Millis // how late after its deadline an answer still counts
 	Log     *slog.Logger
 	Count   *counters.Counters
 }
@@ -54,7 +54,7 @@
 // Desk takes requests through their stages.
 type Desk struct {
 	o       Options
-	classes map[string]logic.Class
+	classes map[string]balancer.Class
 
 	mu     sync.Mutex
 	open   map[string]struct{} // the ids of open requests, at most one for each client's connection
@@ -67,7 +67,7 @@
 
 // NewDesk makes a desk.
 func NewDesk(o Options) *Desk {
-	d := &Desk{o: o, classes: map[string]logic.Class{}, open: map[string]struct{}{}, stopping: make(chan struct{})}
+	d := &Desk{o: o, classes: map[string]balancer.Class{}, open: map[string]struct{}{}, stopping: make(chan struct{})}
 	for _, c := range o.Classes {
 		d.classes[c.Name] = c
 	}
@@ -116,14 +116,14 @@
 	desk    *Desk
 	client  Client
 	taken   taken
-	class   logic.Class
+	class   balancer.Class
 	wire    outgoing
 	answer  chan engine.Answer
 	ticket  engine.Ticket
 	routed  bool
-	claimed bool         // its id is on the desk's list
-	wait    logic.Millis // that the client allows
-	until   logic.Millis // when it gives the request up
+	claimed bool            // its id is on the desk's list
+	wait    balancer.Millis // that the client allows
+	until   balancer.Millis // when it gives the request up
 
 	mu      sync.Mutex
 	dropped bool // nobody waits for the answer
--- a/internal/exchange/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"strings"
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 func TestFirstPart(t *testing.T) {
@@ -39,8 +39,8 @@
 }
 
 func TestMethods(t *testing.T) {
-	for effect, want := range map[logic.Effect]string{logic.Safe: "GET", logic.Keyed: "POST", logic.Unsafe: "POST"} {
-		if got := methodOf(logic.Class{Effect: effect}); got != want {
+	for effect, want := range map[balancer.Effect]string{balancer.Safe: "GET", balancer.Keyed: "POST", balancer.Unsafe: "POST"} {
+		if got := methodOf(balancer.Class{Effect: effect}); got != want {
 			t.Errorf("effect %v by %s, want %s", effect, got, want)
 		}
 	}
--- a/internal/exchange/relay.go
+++ b/internal/proxy/relay.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"strconv"
--- a/internal/exchange/route.go
+++ b/internal/proxy/route.go
@@ -1,10 +1,10 @@
-package exchange
+package proxy
 
 import (
 	"github.com/cespare/xxhash/v2"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // route hands the request to the module.
@@ -14,9 +14,9 @@
 }
 
 // Arrival is the request in the module's terms.
-func (r *request) Arrival() logic.Arrival {
+func (r *request) Arrival() balancer.Arrival {
 	t := &r.taken
-	return logic.Arrival{Class: t.class, Tenant: t.tenant, Key: t.key, Hint: parseHint(t.hint), Retry: t.retry,
+	return balancer.Arrival{Class: t.class, Tenant: t.tenant, Key: t.key, Hint: parseHint(t.hint), Retry: t.retry,
 		Mark: xxhash.Sum64String(t.id), Expires: r.wire.expires, Uploading: r.uploadMost()}
 }
 
--- a/internal/exchange/send.go
+++ b/internal/proxy/send.go
@@ -1,13 +1,13 @@
-package exchange
+package proxy
 
 import (
 	"math"
 	"strconv"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // outgoing is a request as it goes on: the bytes that came, but for what holds for one connection only and the
@@ -16,7 +16,7 @@
 	head    []byte // request line and fields, without the closing line
 	body    []byte
 	large   engine.Body // follows head in place of body
-	expires logic.Millis
+	expires balancer.Millis
 }
 
 // hop are the fields that hold for one connection only, or that are written anew.
@@ -24,7 +24,7 @@
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true,
 	headDeadline: true}
 
-func newOutgoing(t *taken, expires logic.Millis) outgoing {
+func newOutgoing(t *taken, expires balancer.Millis) outgoing {
 	head := make([]byte, 0, 512)
 	head = append(head, t.method...)
 	head = append(head, ' ')
@@ -43,7 +43,7 @@
 }
 
 // bytes are one copy, telling the server how long the node will wait.
-func (o outgoing) bytes(wait logic.Millis) []byte {
+func (o outgoing) bytes(wait balancer.Millis) []byte {
 	out := make([]byte, 0, len(o.head)+len(o.body)+32)
 	out = append(append(out, o.head...), headDeadline+": "...)
 	out = strconv.AppendInt(out, max(1, int64(wait)), 10)
@@ -51,7 +51,7 @@
 }
 
 // Send starts an attempt; the engine calls it for each of the module's sends.
-func (r *request) Send(server logic.ServerID, wait, wholeBy logic.Millis, done func(engine.End)) engine.Attempt {
+func (r *request) Send(server balancer.ServerID, wait, wholeBy balancer.Millis, done func(engine.End)) engine.Attempt {
 	if math.IsInf(wait, 1) { // it will wait so long once the body has come
 		wait = r.wait
 	}
--- a/internal/exchange/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/body"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // client is a connection under a test's control.
@@ -42,11 +42,11 @@
 // module never decides anything.
 type module struct{}
 
-func (module) Step(logic.Millis, logic.Event) []logic.Action { return nil }
+func (module) Step(balancer.Millis, balancer.Event) []balancer.Action { return nil }
 
 func desk(r Router, count *counters.Counters) *Desk {
 	return NewDesk(Options{Router: r, Clock: clock.New(), Slack: 5, Count: count,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Classes: []logic.Class{{Name: "look"}}})
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Classes: []balancer.Class{{Name: "look"}}})
 }
 
 func lookRequest(deadline int) *fasthttp.RequestCtx {
@@ -122,7 +122,7 @@
 	f.Add("GET", "/look?x=1", "1", "look", "480", "12", "")
 	f.Add("POST", "/store", "1", "store", "480", "-1", "key")
 	f.Add("PUT", "//look", "", "look", "-1", "NaN", "")
-	classes := []logic.Class{{Name: "look"}, {Name: "store", Effect: logic.Keyed}, {Name: "bill", Effect: logic.Unsafe}}
+	classes := []balancer.Class{{Name: "look"}, {Name: "store", Effect: balancer.Keyed}, {Name: "bill", Effect: balancer.Unsafe}}
 	d := NewDesk(Options{Clock: clock.New(), Classes: classes})
 	f.Fuzz(func(t *testing.T, method, uri, id, class, deadline, hint, key string) {
 		var h fasthttp.RequestHeader
@@ -138,7 +138,7 @@
 		switch {
 		case firstPart([]byte(uri)) != class || id == "":
 			t.Errorf("%q of class %q with id %q was admitted", uri, class, id)
-		case r.class.Effect == logic.Keyed && key == "":
+		case r.class.Effect == balancer.Keyed && key == "":
 			t.Error("a keyed request without a key was admitted")
 		case !(a.Expires > r.taken.at) || a.Expires > r.taken.at+maxDeadline:
 			t.Errorf("expires %v after %v", a.Expires, r.taken.at)
@@ -193,7 +193,7 @@
 			count := &counters.Counters{}
 			r := &asked{to: silentEngine(t, count)}
 			d := desk(r, count)
-			d.classes["look"] = logic.Class{Name: "look", Effect: logic.Unsafe}
+			d.classes["look"] = balancer.Class{Name: "look", Effect: balancer.Unsafe}
 			f, err := body.New(t.TempDir(), 1, 4, &count.Bodies).Begin(1)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/exchange/stop.go
+++ b/internal/proxy/stop.go
@@ -1,14 +1,14 @@
-package exchange
+package proxy
 
 import (
 	"time"
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/drain"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // codeDraining is why a request is refused that was read too late in a planned stop.
@@ -34,7 +34,7 @@
 
 // within gives the end of a request's time, no later than a planned stop allows: the guard must still come before the stop's
 // last answer.
-func (d *Desk) within(until logic.Millis) logic.Millis {
+func (d *Desk) within(until balancer.Millis) balancer.Millis {
 	stop := d.stop.Load()
 	if stop == nil {
 		return until
@@ -44,7 +44,7 @@
 }
 
 // guardAfter is how long after the end of a request's time the guard ends it, in milliseconds.
-func (d *Desk) guardAfter() logic.Millis { return d.o.Slack + guardExtra }
+func (d *Desk) guardAfter() balancer.Millis { return d.o.Slack + guardExtra }
 
 // shorten has a request that was in flight when a planned stop began end with it. It reports whether that is sooner than its
 // own deadline.
--- a/internal/exchange/takein.go
+++ b/internal/proxy/takein.go
@@ -1,13 +1,13 @@
-package exchange
+package proxy
 
 import (
 	"bytes"
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // The header fields that the decisions need.
@@ -23,7 +23,7 @@
 
 // taken is a request as it came, with the fields that the decisions need taken out as text.
 type taken struct {
-	at       logic.Millis // its last byte's time, as early as the node can tell
+	at       balancer.Millis // its last byte's time, as early as the node can tell
 	method   string
 	uri      []byte // valid while the request is being served
 	id       string
--- a/internal/exchange/upload.go
+++ b/internal/proxy/upload.go
@@ -1,12 +1,12 @@
-package exchange
+package proxy
 
 import (
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/body"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // uploader is a client whose request may have a large body that is still coming.
@@ -40,7 +40,7 @@
 
 // uploadMost is how long a body that is still coming may take. The client's side ends one that is too slow for its size;
 // this only keeps the request's end from passing before.
-func (r *request) uploadMost() logic.Millis {
+func (r *request) uploadMost() balancer.Millis {
 	if !r.taken.coming {
 		return 0
 	}
--- a/internal/shares/shares.go
+++ b/internal/quota/shares.go
@@ -1,4 +1,4 @@
-// Package shares divides what the whole fleet may use together, so that all processes never use more than the whole at any
+// Package quota divides what the whole fleet may use together, so that all processes never use more than the whole at any
 // instant, whatever is cut, paused, killed or restarted, and however wrong any view is.
 //
 // Each member owns an equal part, cut into units. Each unit has a guard: another member, fixed by the names alone. The owner
@@ -8,7 +8,7 @@
 // spares the wait. The derivation, and what is not covered, is in docs/members.md.
 //
 // It is pure: times and messages in, messages and the share out.
-package shares
+package quota
 
 import (
 	"cmp"
--- a/internal/shares/shares_test.go
+++ b/internal/quota/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"container/heap"
--- a/internal/vitals/judge.go
+++ b/internal/resourceusage/judge.go
@@ -1,4 +1,4 @@
-package vitals
+package resourceusage
 
 // Reading is what a node measures of itself.
 type Reading struct {
--- a/internal/vitals/vitals.go
+++ b/internal/resourceusage/vitals.go
@@ -1,6 +1,6 @@
-// Package vitals lets a node tell in its log, at a stated interval, what it costs: memory, descriptors, goroutines and the
+// Package resourceusage lets a node tell in its log, at a stated interval, what it costs: memory, descriptors, goroutines and the
 // counters; and warn once when a bound is passed. It is the smallest subsystem of the operator file.
-package vitals
+package resourceusage
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"time"
 
 	"tackhub.example/tackhub/internal/operator"
-	"tackhub.example/tackhub/internal/part"
+	"tackhub.example/tackhub/internal/subsystem"
 )
 
 // Options are the section [vitals].
@@ -32,8 +32,8 @@
 )
 
 // Part is the subsystem.
-func Part() part.Part {
-	return part.Part{
+func Part() subsystem.Part {
+	return subsystem.Part{
 		Section: operator.Section{Name: "vitals", About: "what the node costs, in its log at an interval",
 			New:   func() any { return &Options{Every: operator.Duration(10 * time.Second), Memory: 0.8, Sockets: 0.9} },
 			Check: check},
@@ -57,13 +57,13 @@
 
 type vitals struct {
 	o      Options
-	host   part.Host
+	host   subsystem.Host
 	bounds Bounds
 	stop   context.CancelFunc
 	ending sync.WaitGroup
 }
 
-func build(host part.Host, options any, _ part.Running) (part.Running, error) {
+func build(host subsystem.Host, options any, _ subsystem.Running) (subsystem.Running, error) {
 	o := *options.(*Options)
 	return &vitals{o: o, host: host, bounds: Bounds{Resident: int64(o.Memory * float64(host.Limits.MemoryBytes)),
 		Sockets: int(o.Sockets * float64(host.Limits.Sockets))}, stop: func() {}}, nil
--- a/internal/vitals/vitals_test.go
+++ b/internal/resourceusage/vitals_test.go
@@ -1,4 +1,4 @@
-package vitals
+package resourceusage
 
 import (
 	"slices"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
 )
 
 type class struct {
@@ -91,18 +91,18 @@
 	Zone    string  `json:"zone"`
 }
 
-var effects = map[string]logic.Effect{"free": logic.Safe, "guarded": logic.Keyed, "single_shot": logic.Unsafe}
+var effects = map[string]balancer.Effect{"free": balancer.Safe, "guarded": balancer.Keyed, "single_shot": balancer.Unsafe}
 
-var groups = map[string]logic.Group{"all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell}
+var groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
 
 // Settings are the module's settings and the few further figures that whoever carries its decisions out needs.
 type Settings struct {
-	Logic       logic.Settings
-	LoadAt      int          // place of the requests in flight in a load report; -1 where none is to be had
-	WaitingAt   int          // place of the requests that wait, likewise
-	LoadNames   []string     // the names of a report's figures, in order
-	ConnIdle    logic.Millis // servers close a connection that has stood idle for this time
-	AnswerSlack logic.Millis // how late after the client's deadline a final answer still counts
+	Logic       balancer.Settings
+	LoadAt      int             // place of the requests in flight in a load report; -1 where none is to be had
+	WaitingAt   int             // place of the requests that wait, likewise
+	LoadNames   []string        // the names of a report's figures, in order
+	ConnIdle    balancer.Millis // servers close a connection that has stood idle for this time
+	AnswerSlack balancer.Millis // how late after the client's deadline a final answer still counts
 }
 
 // Fault is one thing that is wrong with the settings. Key is where it stands, with places in lists as numbers; the text
@@ -155,10 +155,10 @@
 }
 
 // decisions are the settings that the module itself takes.
-func decisions(o *options) logic.Settings {
-	s := logic.Settings{
+func decisions(o *options) balancer.Settings {
+	s := balancer.Settings{
 		Node: o.Me, Nodes: *o.FleetSize, Zone: o.Zone, OverShare: o.OverShare,
-		Goal: logic.Goal{Whole: o.Goal.Whole, WorstWindow: o.Goal.WorstWindow, WorstClass: o.Goal.WorstClass,
+		Goal: balancer.Goal{Whole: o.Goal.Whole, WorstWindow: o.Goal.WorstWindow, WorstClass: o.Goal.WorstClass,
 			WorstTenant: o.Goal.WorstTenant, Tail: o.Goal.Tail, Nines: o.Goal.Nines},
 		CountWork: o.CountedBy == "work", Subscribe: o.Discovery == "subscribe",
 		Sized: o.Weights == "nominal" || o.Weights == "rough", MarksRetry: o.Habits.MarksRetry,
@@ -171,12 +171,12 @@
 		WarmKeys: o.Family.WarmKeys, CPUPerRequest: o.Limits.CPUPerRequest,
 	}
 	for _, c := range o.Classes {
-		s.Classes = append(s.Classes, logic.Class{Name: c.Name, Effect: effects[c.Effect], Group: groups[c.Group], Window: c.WindowMs,
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Effect: effects[c.Effect], Group: groups[c.Group], Window: c.WindowMs,
 			Aim: c.AimMs, AimStretch: c.AimStretch, HardLimit: c.HardMs, Worth: c.Worth, LateShare: c.LateShare,
 			Streamed: c.Streamed})
 	}
 	for _, t := range o.Realms {
-		s.Tenants = append(s.Tenants, logic.Tenant{Name: t.Name, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	return s
 }
@@ -193,7 +193,7 @@
 		if c.Name == "" || slices.ContainsFunc(o.Classes[:i], func(b class) bool { return b.Name == c.Name }) {
 			out = append(out, Fault{at + "name", fmt.Sprintf("classes[%d].name: %q is empty or comes twice", i, c.Name)})
 		}
-		if _, known := groups[c.Group]; ok && !known && effect == logic.Keyed {
+		if _, known := groups[c.Group]; ok && !known && effect == balancer.Keyed {
 			out = append(out, Fault{at + "group", fmt.Sprintf("classes[%s].group: %q is not known", c.Name, c.Group)})
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
 )
 
 const good = `{"classes":[{"name":"look","effect":"free","aim_ms":300,"hard_limit_ms":900,"worth":1},
@@ -25,7 +25,7 @@
 		l.MaxAttempts != 4 || l.MustAskIn != 10000 || l.DrainGrace != 1500 || l.ConnectTimeout != 250 {
 		t.Errorf("settings %+v", l)
 	}
-	if len(l.Classes) != 2 || l.Classes[1].Effect != logic.Keyed || l.Classes[1].Group != logic.GroupZone {
+	if len(l.Classes) != 2 || l.Classes[1].Effect != balancer.Keyed || l.Classes[1].Group != balancer.GroupZone {
 		t.Errorf("classes %+v", l.Classes)
 	}
 	if s.LoadAt != 1 || s.ConnIdle != 10000 || s.AnswerSlack != 5 {
--- a/internal/watch/watch.go
+++ b/internal/shadow/watch.go
@@ -1,6 +1,6 @@
-// Package watch asks, at each step of the decision module, what other settings would have decided on the same state, and
+// Package shadow asks, at each step of the decision module, what other settings would have decided on the same state, and
 // counts where that differs. The module itself decides as if nobody watched.
-package watch
+package shadow
 
 import (
 	"log/slog"
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
-	"tackhub.example/tackhub/logic"
 )
 
 // seenMost bounds the requests remembered. A node holds far fewer at a time; beyond it some are counted twice.
@@ -36,22 +36,22 @@
 
 // Watch is a module that decides by its own settings and counts what others would have done.
 type Watch struct {
-	module *logic.Logic
-	other  atomic.Pointer[logic.Settings]
+	module *balancer.Logic
+	other  atomic.Pointer[balancer.Settings]
 	log    *slog.Logger
 	count  *counters.Watch
-	seen   map[logic.RequestID]uint // kinds counted, a bit each: one that is held is decided on again and again
+	seen   map[balancer.RequestID]uint // kinds counted, a bit each: one that is held is decided on again and again
 }
 
 // New watches a module; with no settings to watch it only passes on.
-func New(module *logic.Logic, other *logic.Settings, log *slog.Logger, count *counters.Watch) *Watch {
-	w := &Watch{module: module, log: log, count: count, seen: map[logic.RequestID]uint{}}
+func New(module *balancer.Logic, other *balancer.Settings, log *slog.Logger, count *counters.Watch) *Watch {
+	w := &Watch{module: module, log: log, count: count, seen: map[balancer.RequestID]uint{}}
 	w.Follow(other)
 	return w
 }
 
 // Follow watches other settings from the next step on; none where nil.
-func (w *Watch) Follow(other *logic.Settings) {
+func (w *Watch) Follow(other *balancer.Settings) {
 	if old := w.other.Swap(other); (old == nil) != (other == nil) {
 		w.log.Info("watching other settings", "code", "watch", "on", other != nil)
 	}
@@ -61,13 +61,13 @@
 func (w *Watch) Census() (listed, avoided int) { return w.module.Census() }
 
 // Snapshot is what the module knows.
-func (w *Watch) Snapshot() logic.State { return w.module.Snapshot() }
+func (w *Watch) Snapshot() balancer.State { return w.module.Snapshot() }
 
 // Changes is how often the list, or what is excluded of it, has changed.
 func (w *Watch) Changes() int { return w.module.Changes() }
 
 // Step lets the module decide.
-func (w *Watch) Step(now logic.Millis, event logic.Event) []logic.Action {
+func (w *Watch) Step(now balancer.Millis, event balancer.Event) []balancer.Action {
 	set := w.other.Load()
 	if set == nil {
 		return w.module.Step(now, event)
@@ -84,7 +84,7 @@
 }
 
 // ask lets a copy of the module decide; nil where it cannot. A fault there is none of the node's.
-func (w *Watch) ask(set logic.Settings, now logic.Millis, event logic.Event) (would []logic.Action) {
+func (w *Watch) ask(set balancer.Settings, now balancer.Millis, event balancer.Event) (would []balancer.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.fault(p)
@@ -96,7 +96,7 @@
 		w.fault(err)
 		return nil
 	}
-	return append([]logic.Action{}, c.Step(now, event)...)
+	return append([]balancer.Action{}, c.Step(now, event)...)
 }
 
 // fault counts a step that the other settings could not decide, and logs the first.
@@ -109,33 +109,33 @@
 // verdict is what became of a request in one step.
 type verdict struct {
 	kind   string // Sent, Refused, Failed, or empty: nothing
-	server logic.ServerID
-	after  logic.Millis
+	server balancer.ServerID
+	after  balancer.Millis
 }
 
 // plan is one step's actions, sorted out.
 type plan struct {
-	requests  map[logic.RequestID]verdict
-	probes    []logic.ServerID
-	cancelled []logic.Cancel
+	requests  map[balancer.RequestID]verdict
+	probes    []balancer.ServerID
+	cancelled []balancer.Cancel
 	messages  []string
 }
 
-func sortOut(actions []logic.Action) plan {
-	p := plan{requests: map[logic.RequestID]verdict{}}
+func sortOut(actions []balancer.Action) plan {
+	p := plan{requests: map[balancer.RequestID]verdict{}}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.Send:
+		case balancer.Send:
 			p.requests[a.ID] = verdict{kind: Sent, server: a.Server}
-		case logic.Refuse:
+		case balancer.Refuse:
 			p.requests[a.ID] = verdict{kind: Refused, after: a.RetryAfter}
-		case logic.Fail:
+		case balancer.Fail:
 			p.requests[a.ID] = verdict{kind: Failed}
-		case logic.Probe:
+		case balancer.Probe:
 			p.probes = append(p.probes, a.Server)
-		case logic.Cancel:
+		case balancer.Cancel:
 			p.cancelled = append(p.cancelled, a)
-		case logic.Tell:
+		case balancer.Tell:
 			p.messages = append(p.messages, string(a.Body))
 		}
 	}
@@ -143,11 +143,11 @@
 	return p
 }
 
-func (w *Watch) compare(event logic.Event, actions, would []logic.Action) {
+func (w *Watch) compare(event balancer.Event, actions, would []balancer.Action) {
 	w.count.Steps.Inc()
 	did, other := sortOut(actions), sortOut(would)
-	tried := logic.RequestID(0)
-	if e, ok := event.(logic.AttemptEnd); ok {
+	tried := balancer.RequestID(0)
+	if e, ok := event.(balancer.AttemptEnd); ok {
 		tried = e.ID
 	}
 	for id, v := range other.requests {
@@ -168,17 +168,17 @@
 		}
 	}
 	switch e := event.(type) {
-	case logic.AttemptEnd:
+	case balancer.AttemptEnd:
 		if e.Closed {
 			delete(w.seen, e.ID)
 		}
-	case logic.Dropped:
+	case balancer.Dropped:
 		delete(w.seen, e.ID)
 	}
 }
 
 // difference names what the other settings would have done instead; empty where they agree.
-func difference(did, would verdict, tried bool, zone func(logic.ServerID) string) string {
+func difference(did, would verdict, tried bool, zone func(balancer.ServerID) string) string {
 	switch {
 	case did == would:
 		return ""
@@ -200,7 +200,7 @@
 }
 
 // differ counts a difference once for each request.
-func (w *Watch) differ(id logic.RequestID, kind string) {
+func (w *Watch) differ(id balancer.RequestID, kind string) {
 	if kind == "" {
 		return
 	}
--- a/internal/watch/watch_test.go
+++ b/internal/shadow/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package shadow
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 	"reflect"
 	"testing"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
-func settings() logic.Settings {
-	return logic.Settings{Nodes: 4, Zone: "a", MarksRetry: true, Goal: logic.Goal{Whole: 1}, OverShare: 0.1,
-		Classes: []logic.Class{
-			{Name: "read", Effect: logic.Safe, Aim: 400, HardLimit: 2000, Worth: 1},
-			{Name: "put", Effect: logic.Keyed, Group: logic.GroupCell, Window: 1000, Aim: 400, HardLimit: 2000, Worth: 1},
-			{Name: "bill", Effect: logic.Unsafe, Aim: 400, HardLimit: 2000, Worth: 5}},
+func settings() balancer.Settings {
+	return balancer.Settings{Nodes: 4, Zone: "a", MarksRetry: true, Goal: balancer.Goal{Whole: 1}, OverShare: 0.1,
+		Classes: []balancer.Class{
+			{Name: "read", Effect: balancer.Safe, Aim: 400, HardLimit: 2000, Worth: 1},
+			{Name: "put", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 1000, Aim: 400, HardLimit: 2000, Worth: 1},
+			{Name: "bill", Effect: balancer.Unsafe, Aim: 400, HardLimit: 2000, Worth: 5}},
 		Reports: true, ProbedOnly: true, MayProbe: true, Peers: true, ProbePrice: 0.002, PeerPrice: 0.001,
 		DrainGrace: 1000, ColdFrom: 0.25, ColdFor: 5000, FallMultiple: 3, FallFor: 2000, MaxAttempts: 3, MayCancel: true,
 		RetryAfter: true, MaxRetryAfter: 2000, Tick: 1}
@@ -25,42 +25,42 @@
 
 // play drives a module through a run with failures, crowding, lost attempts, probes and messages, the same each time, and
 // gives the stream of its actions.
-func play(m engine.Module, steps int) []logic.Action {
+func play(m engine.Module, steps int) []balancer.Action {
 	rng := rand.New(rand.NewPCG(5, 6))
-	var all []logic.Action
-	var open []logic.AttemptEnd // Elapsed holds when it was sent
-	sent := map[logic.RequestID]int{}
+	var all []balancer.Action
+	var open []balancer.AttemptEnd // Elapsed holds when it was sent
+	sent := map[balancer.RequestID]int{}
 	now := 1000.0
-	step := func(e logic.Event) {
-		queue := []logic.Event{e}
+	step := func(e balancer.Event) {
+		queue := []balancer.Event{e}
 		for len(queue) > 0 {
 			acts := m.Step(now, queue[0])
 			queue = queue[1:]
 			for _, a := range acts {
 				all = append(all, a)
 				switch a := a.(type) {
-				case logic.Send:
-					open = append(open, logic.AttemptEnd{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Elapsed: now})
+				case balancer.Send:
+					open = append(open, balancer.AttemptEnd{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Elapsed: now})
 					sent[a.ID]++
-				case logic.Cancel:
+				case balancer.Cancel:
 					for i, o := range open {
 						if o.ID == a.ID && o.Attempt == a.Attempt {
 							open = append(open[:i], open[i+1:]...)
-							o.Result, o.Elapsed = logic.Cancelled, now-o.Elapsed
+							o.Result, o.Elapsed = balancer.Cancelled, now-o.Elapsed
 							queue = append(queue, o)
 							break
 						}
 					}
-				case logic.Probe:
-					queue = append(queue, logic.ProbeEnd{Server: a.Server, Result: logic.OK, Elapsed: 1, Load: logic.Load{
+				case balancer.Probe:
+					queue = append(queue, balancer.ProbeEnd{Server: a.Server, Result: balancer.OK, Elapsed: 1, Load: balancer.Load{
 						Valid: true, InFlight: float64(rng.IntN(4)), Queued: true, Waiting: float64(rng.IntN(3))}})
 				}
 			}
 		}
 	}
-	list := logic.ServerList{Form: logic.ListCached}
+	list := balancer.ServerList{Form: balancer.ListCached}
 	for i := range 9 {
-		list.Entries = append(list.Entries, logic.ServerEntry{ID: logic.ServerID(fmt.Sprint("s", i)), Zone: []string{"a", "b"}[i%2],
+		list.Entries = append(list.Entries, balancer.ServerEntry{ID: balancer.ServerID(fmt.Sprint("s", i)), Zone: []string{"a", "b"}[i%2],
 			Cell: i % 3, Size: 1})
 	}
 	step(list)
@@ -68,30 +68,30 @@
 		now += rng.Float64() * 12
 		switch k := rng.IntN(10); {
 		case k < 4:
-			id := logic.RequestID(i + 1)
-			step(logic.Arrival{ID: id, Class: []string{"read", "put", "bill"}[rng.IntN(3)], Key: fmt.Sprint(rng.IntN(40)),
+			id := balancer.RequestID(i + 1)
+			step(balancer.Arrival{ID: id, Class: []string{"read", "put", "bill"}[rng.IntN(3)], Key: fmt.Sprint(rng.IntN(40)),
 				Retry: rng.IntN(9) == 0, Expires: now + 300 + 1500*rng.Float64()})
 		case k < 8 && len(open) > 0:
 			j := rng.IntN(len(open))
 			o := open[j]
 			open = append(open[:j], open[j+1:]...)
 			if rng.IntN(4) == 0 {
-				o.Result = []logic.Result{logic.Errored, logic.Overloaded, logic.Unreachable, logic.Broken}[rng.IntN(4)]
+				o.Result = []balancer.Result{balancer.Errored, balancer.Overloaded, balancer.Unreachable, balancer.Broken}[rng.IntN(4)]
 			}
-			o.Elapsed, o.Closed = now-o.Elapsed, o.Result == logic.OK
+			o.Elapsed, o.Closed = now-o.Elapsed, o.Result == balancer.OK
 			step(o)
 		case k == 8:
-			step(logic.Told{From: 1 + rng.IntN(3), Body: []byte{0x10}})
+			step(balancer.Told{From: 1 + rng.IntN(3), Body: []byte{0x10}})
 		default:
-			step(logic.TimerFired{Token: []string{"sweep", "probes"}[rng.IntN(2)]})
+			step(balancer.TimerFired{Token: []string{"sweep", "probes"}[rng.IntN(2)]})
 		}
 	}
 	return all
 }
 
-func newModule(t testing.TB, set logic.Settings) *logic.Logic {
+func newModule(t testing.TB, set balancer.Settings) *balancer.Logic {
 	t.Helper()
-	l, err := logic.New(set, 11)
+	l, err := balancer.New(set, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,8 +106,8 @@
 		t.Fatalf("only %d actions in %d steps", len(alone), steps)
 	}
 	same, other := settings(), settings()
-	other.MayProbe, other.Classes[0].Effect, other.CrossZonePrice = false, logic.Unsafe, 0.5
-	for name, set := range map[string]*logic.Settings{"the same": &same, "others": &other, "none": nil} {
+	other.MayProbe, other.Classes[0].Effect, other.CrossZonePrice = false, balancer.Unsafe, 0.5
+	for name, set := range map[string]*balancer.Settings{"the same": &same, "others": &other, "none": nil} {
 		count := &counters.Watch{}
 		if got := play(New(newModule(t, settings()), set, slog.Default(), count), steps); !reflect.DeepEqual(got, alone) {
 			t.Errorf("%s watched: another stream of actions", name)
@@ -123,19 +123,19 @@
 }
 
 func TestEachKindIsCounted(t *testing.T) {
-	for kind, change := range map[string]func(base, other *logic.Settings){
-		OtherZone:        func(_, o *logic.Settings) { o.CrossZonePrice = 0.3 },
-		OtherServer:      func(_, o *logic.Settings) { o.WarmKeys = true },
-		Probe:            func(_, o *logic.Settings) { o.MayProbe = false },
-		Message:          func(_, o *logic.Settings) { o.Peers = false },
-		RetryAfter:       func(_, o *logic.Settings) { o.RetryAfter = false },
-		FurtherAttempt:   func(b, _ *logic.Settings) { b.MaxAttempts = 1 },
-		NoFurtherAttempt: func(_, o *logic.Settings) { o.MaxAttempts = 1 },
-		Failed:           func(_, o *logic.Settings) { o.Classes[0].Effect = logic.Unsafe },
-		Withdrawal:       func(b, _ *logic.Settings) { b.MayCancel = false },
-		Refused:          func(_, o *logic.Settings) { o.Classes[0].Aim = 30 },
-		Sent:             func(b, _ *logic.Settings) { b.Classes[0].Aim = 30 },
-		Held:             func(b, _ *logic.Settings) { b.MayProbe = false },
+	for kind, change := range map[string]func(base, other *balancer.Settings){
+		OtherZone:        func(_, o *balancer.Settings) { o.CrossZonePrice = 0.3 },
+		OtherServer:      func(_, o *balancer.Settings) { o.WarmKeys = true },
+		Probe:            func(_, o *balancer.Settings) { o.MayProbe = false },
+		Message:          func(_, o *balancer.Settings) { o.Peers = false },
+		RetryAfter:       func(_, o *balancer.Settings) { o.RetryAfter = false },
+		FurtherAttempt:   func(b, _ *balancer.Settings) { b.MaxAttempts = 1 },
+		NoFurtherAttempt: func(_, o *balancer.Settings) { o.MaxAttempts = 1 },
+		Failed:           func(_, o *balancer.Settings) { o.Classes[0].Effect = balancer.Unsafe },
+		Withdrawal:       func(b, _ *balancer.Settings) { b.MayCancel = false },
+		Refused:          func(_, o *balancer.Settings) { o.Classes[0].Aim = 30 },
+		Sent:             func(b, _ *balancer.Settings) { b.Classes[0].Aim = 30 },
+		Held:             func(b, _ *balancer.Settings) { b.MayProbe = false },
 	} {
 		base, other, count := settings(), settings(), &counters.Watch{}
 		change(&base, &other)
@@ -165,7 +165,7 @@
 
 func BenchmarkWatch(b *testing.B) {
 	same := settings()
-	for name, set := range map[string]*logic.Settings{"off": nil, "on": &same} {
+	for name, set := range map[string]*balancer.Settings{"off": nil, "on": &same} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			play(New(newModule(b, settings()), set, slog.Default(), &counters.Watch{}), b.N)
--- a/internal/simwire/host.go
+++ b/internal/simadapter/host.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"bufio"
@@ -7,13 +7,13 @@
 	"fmt"
 	"io"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/settings"
-	"tackhub.example/tackhub/logic"
 )
 
 // node is one instance and how its load reports are read; nothing in it is shared.
 type node struct {
-	logic *logic.Logic
+	logic *balancer.Logic
 	at    Places
 }
 
@@ -87,9 +87,9 @@
 	if n == nil {
 		return nil
 	}
-	var lists map[int][]logic.ServerEntry
+	var lists map[int][]balancer.ServerEntry
 	if e.What == "announce" {
-		lists = map[int][]logic.ServerEntry{e.Ref: Entries(h.lists[e.Ref])}
+		lists = map[int][]balancer.ServerEntry{e.Ref: Entries(h.lists[e.Ref])}
 	}
 	event := Translate(e, lists, n.at)
 	if event == nil {
@@ -105,9 +105,9 @@
 func (h *Host) hello(id int, e *Event) []any {
 	delete(h.nodes, id)
 	set, err := settings.Parse(e.Options)
-	var l *logic.Logic
+	var l *balancer.Logic
 	if err == nil {
-		l, err = logic.New(set.Logic, e.Nonce)
+		l, err = balancer.New(set.Logic, e.Nonce)
 	}
 	if err != nil {
 		fmt.Fprintf(h.errs, "instance %d: %v\n", id, err)
--- a/internal/simwire/simwire.go
+++ b/internal/simadapter/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire translates between the simulator's wire (basalt-222b, one JSON value a line) and the
+// Package simadapter translates between the simulator's wire (basalt-222b, one JSON value a line) and the
 // types of package logic. It decides nothing.
-package simwire
+package simadapter
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
 )
 
 // Batch is one line of events.
@@ -102,44 +102,44 @@
 	return b, nil
 }
 
-var results = map[string]logic.Result{
-	"success": logic.OK, "failure": logic.Errored, "overloaded": logic.Overloaded, "timed_out": logic.TimedOut,
-	"unreachable": logic.Unreachable, "broken": logic.Broken, "withdrawn": logic.Cancelled, "void": logic.Void,
+var results = map[string]balancer.Result{
+	"success": balancer.OK, "failure": balancer.Errored, "overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
+	"unreachable": balancer.Unreachable, "broken": balancer.Broken, "withdrawn": balancer.Cancelled, "void": balancer.Void,
 }
 
 // result reads an outcome; one that is not known is taken as an error that may have run.
-func result(rc string) logic.Result {
+func result(rc string) balancer.Result {
 	if r, ok := results[rc]; ok {
 		return r
 	}
-	return logic.Errored
+	return balancer.Errored
 }
 
-var states = map[string]logic.ServerState{
-	"Running": logic.Ready, "Stopping": logic.Draining, "Deleted": logic.Gone,
+var states = map[string]balancer.ServerState{
+	"Running": balancer.Ready, "Stopping": balancer.Draining, "Deleted": balancer.Gone,
 }
 
 // Entries turns a wire list into logic's. An unknown state counts as draining: nothing new is sent there.
-func Entries(members []Entry) []logic.ServerEntry {
-	out := make([]logic.ServerEntry, 0, len(members))
+func Entries(members []Entry) []balancer.ServerEntry {
+	out := make([]balancer.ServerEntry, 0, len(members))
 	for _, m := range members {
 		state, ok := states[m.Readiness]
 		if !ok {
-			state = logic.Draining
+			state = balancer.Draining
 		}
-		out = append(out, logic.ServerEntry{ID: logic.ServerID(m.Backend), State: state, Zone: m.AZ,
+		out = append(out, balancer.ServerEntry{ID: balancer.ServerID(m.Backend), State: state, Zone: m.AZ,
 			Cell: m.Block, Size: m.Capacity, Started: m.Start})
 	}
 	return out
 }
 
-var forms = map[string]logic.ListForm{
-	"delta": logic.ListDelta, "full": logic.ListFull, "cached": logic.ListCached, "failed": logic.ListFailed,
+var forms = map[string]balancer.ListForm{
+	"delta": balancer.ListDelta, "full": balancer.ListFull, "cached": balancer.ListCached, "failed": balancer.ListFailed,
 }
 
 // Translate turns a wire event into logic's, with the lists by number; nil for one to be skipped.
 // At tells the places of a load report's figures.
-func Translate(e *Event, lists map[int][]logic.ServerEntry, at Places) logic.Event {
+func Translate(e *Event, lists map[int][]balancer.ServerEntry, at Places) balancer.Event {
 	load := at.load(e.Feedback)
 	switch e.What {
 	case "announce":
@@ -147,26 +147,26 @@
 		if !ok {
 			return nil
 		}
-		if form == logic.ListFailed {
-			return logic.ServerList{Form: form}
+		if form == balancer.ListFailed {
+			return balancer.ServerList{Form: form}
 		}
-		return logic.ServerList{Form: form, Entries: lists[e.Ref]}
+		return balancer.ServerList{Form: form, Entries: lists[e.Ref]}
 	case "arrival":
-		return logic.Arrival{ID: logic.RequestID(e.Job), Class: e.Kind, Tenant: string(e.Project), Key: e.Object,
+		return balancer.Arrival{ID: balancer.RequestID(e.Job), Class: e.Kind, Tenant: string(e.Project), Key: e.Object,
 			Hint: e.SizeHint, Retry: e.Retry, Expires: e.Expires}
 	case "first_byte":
-		return logic.FirstByte{ID: logic.RequestID(e.Job), Attempt: e.N}
+		return balancer.FirstByte{ID: balancer.RequestID(e.Job), Attempt: e.N}
 	case "deadline_hit":
-		return logic.TimerFired{Token: e.Ctx}
+		return balancer.TimerFired{Token: e.Ctx}
 	case "attempt_end":
-		return logic.AttemptEnd{ID: logic.RequestID(e.Job), Attempt: e.N, Server: logic.ServerID(e.Backend),
+		return balancer.AttemptEnd{ID: balancer.RequestID(e.Job), Attempt: e.N, Server: balancer.ServerID(e.Backend),
 			Result: result(e.RC), Elapsed: e.RTT, Closed: e.NoMore, Load: load}
 	case "sampled":
-		return logic.ProbeEnd{Server: logic.ServerID(e.Backend), Result: result(e.RC), Elapsed: e.RTT, Load: load}
+		return balancer.ProbeEnd{Server: balancer.ServerID(e.Backend), Result: result(e.RC), Elapsed: e.RTT, Load: load}
 	case "peer_data":
-		return logic.Told{From: e.From, Body: e.Content}
+		return balancer.Told{From: e.From, Body: e.Content}
 	case "dropped":
-		return logic.Dropped{ID: logic.RequestID(e.Job)}
+		return balancer.Dropped{ID: balancer.RequestID(e.Job)}
 	}
 	return nil
 }
@@ -174,9 +174,9 @@
 // Places are where a load report holds what the module reads; -1 where it does not.
 type Places struct{ InFlight, Waiting int }
 
-func (p Places) load(figures []float64) (l logic.Load) {
+func (p Places) load(figures []float64) (l balancer.Load) {
 	if p.InFlight >= 0 && p.InFlight < len(figures) {
-		l = logic.Load{Valid: true, InFlight: figures[p.InFlight]}
+		l = balancer.Load{Valid: true, InFlight: figures[p.InFlight]}
 		if p.Waiting >= 0 && p.Waiting < len(figures) {
 			l.Queued, l.Waiting = true, figures[p.Waiting]
 		}
@@ -231,25 +231,25 @@
 }
 
 // Encode turns an action into its wire form.
-func Encode(a logic.Action) any {
+func Encode(a balancer.Action) any {
 	switch a := a.(type) {
-	case logic.Send:
+	case balancer.Send:
 		return callOut{"call_out", uint64(a.ID), a.StopAt, string(a.Server)}
-	case logic.Cancel:
+	case balancer.Cancel:
 		return recall{"recall", uint64(a.ID), a.Attempt}
-	case logic.Refuse:
+	case balancer.Refuse:
 		return jobAction{"busy", uint64(a.ID), a.RetryAfter}
-	case logic.Fail:
+	case balancer.Fail:
 		return jobAction{"error", uint64(a.ID), 0}
-	case logic.SetTimer:
+	case balancer.SetTimer:
 		return setTimer{"set_timer", a.Token, a.At}
-	case logic.Probe:
+	case balancer.Probe:
 		return backendAction{"health_check", string(a.Server)}
-	case logic.Watch:
+	case balancer.Watch:
 		return watch{"stream_changes", true}
-	case logic.Tell:
+	case balancer.Tell:
 		return tell{"tell", nil, a.Body}
-	case logic.Log:
+	case balancer.Log:
 		return reason{"record", a.Text}
 	}
 	return reason{"internal_error", fmt.Sprintf("no wire form for %T", a)}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simadapter/simwire_test.go
@@ -1,12 +1,12 @@
-package simwire
+package simadapter
 
 import (
 	"bytes"
 	"strings"
 	"testing"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/settings"
-	"tackhub.example/tackhub/logic"
 )
 
 const helloOptions = `{"classes":[{"aim_ms":300,"dedup_window_ms":500,"effect":"free","group":"all",` +
@@ -115,7 +115,7 @@
 		valid    bool
 	}{{[]float64{9, 8, 3}, true}, {[]float64{9}, false}, {nil, false}} {
 		e := Translate(&Event{What: "sampled", RC: "success", Feedback: c.feedback}, nil, Places{set.LoadAt, -1})
-		load := e.(logic.ProbeEnd).Load
+		load := e.(balancer.ProbeEnd).Load
 		if load.Valid != c.valid || c.valid && load.InFlight != 3 {
 			t.Errorf("%v: read as %+v", c.feedback, load)
 		}
--- a/internal/part/part.go
+++ b/internal/subsystem/part.go
@@ -1,6 +1,6 @@
-// Package part says what a subsystem is that the operator file can turn on: its section, and how it is built, started and
+// Package subsystem says what a subsystem is that the operator file can turn on: its section, and how it is built, started and
 // stopped. A new file is taken whole or not at all: everything that can fail is done by Build, before anything changes.
-package part
+package subsystem
 
 import (
 	"context"
--- a/internal/part/part_test.go
+++ b/internal/subsystem/part_test.go
@@ -1,4 +1,4 @@
-package part
+package subsystem
 
 import (
 	"context"
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -8,11 +8,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/body"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/engine"
 	"tackhub.example/tackhub/internal/socket"
-	"tackhub.example/tackhub/logic"
 )
 
 // maxProbe is the longest body that a probe's answer may have, in bytes: a load report has a line.
@@ -21,7 +21,7 @@
 // Attempt is one copy of a request on one connection. It is written once; nothing sends it again.
 type Attempt struct {
 	pool    *Pool
-	server  logic.ServerID
+	server  balancer.ServerID
 	copy    engine.Copy
 	began   time.Time
 	context context.Context
@@ -36,7 +36,7 @@
 }
 
 // Send starts writing the copy to a server. Done is called once with the outcome, unless Abort comes first.
-func (p *Pool) Send(server logic.ServerID, copied engine.Copy, done func(engine.End)) *Attempt {
+func (p *Pool) Send(server balancer.ServerID, copied engine.Copy, done func(engine.End)) *Attempt {
 	if copied.Body != nil {
 		copied.Body.Retain()
 	}
@@ -65,14 +65,14 @@
 	if a.copy.Body != nil {
 		defer a.copy.Body.Release()
 	}
-	defer a.pool.recovered(func() { a.report(engine.End{Result: logic.Broken}) })
+	defer a.pool.recovered(func() { a.report(engine.End{Result: balancer.Broken}) })
 	c, err := a.pool.get(a.context, a.server)
 	switch {
 	case isLimit(err): // not the server's fault: it must not be excluded for it
-		a.report(engine.End{Result: logic.Void})
+		a.report(engine.End{Result: balancer.Void})
 		return
 	case err != nil:
-		a.report(engine.End{Result: logic.Unreachable})
+		a.report(engine.End{Result: balancer.Unreachable})
 		return
 	}
 	if !a.hold(c) {
@@ -102,7 +102,7 @@
 		a.report(end)
 		return
 	}
-	if got.rest != nil && end.Result == logic.OK {
+	if got.rest != nil && end.Result == balancer.OK {
 		keep, end.Rest = true, got.rest
 	} else if got.rest != nil { // an error's body: nobody gets it, and what is left of it is not read
 		why = endGaveUp
@@ -113,7 +113,7 @@
 
 // void is the end of an attempt that was not written whole, for a reason that is not the server's.
 func void(why error) engine.End {
-	return engine.End{Result: logic.Void, Left: errors.Is(why, engine.ErrLeft)}
+	return engine.End{Result: balancer.Void, Left: errors.Is(why, engine.ErrLeft)}
 }
 
 // hold gives the attempt its connection; false if it was given up meanwhile.
@@ -195,12 +195,12 @@
 		if a.unkept { // our own limit or disk: not the server's fault
 			return void(err)
 		}
-		return engine.End{Result: logic.Unreachable}
+		return engine.End{Result: balancer.Unreachable}
 	case endReset, endBadAnswer:
-		return engine.End{Result: logic.Broken}
+		return engine.End{Result: balancer.Broken}
 	}
 	end := engine.End{Result: classify(resp), Load: a.pool.load(resp.Header.Peek(loadHeader), false)}
-	if end.Result == logic.OK {
+	if end.Result == balancer.OK {
 		end.Body = body
 	}
 	return end
@@ -223,16 +223,16 @@
 
 // classify reads an answer's outcome. A server that answers 503 or 504 without saying that the request did not
 // run may have run it.
-func classify(resp *fasthttp.Response) logic.Result {
+func classify(resp *fasthttp.Response) balancer.Result {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
-		return logic.OK
+		return balancer.OK
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusGatewayTimeout:
 		if string(resp.Header.Peek(notRunHeader)) == "1" {
-			return logic.Overloaded
+			return balancer.Overloaded
 		}
 	}
-	return logic.Errored
+	return balancer.Errored
 }
 
 // isLimit tells whether nothing was sent for a reason of our own: our limits, our machine's, or a server that has just left.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/socket"
-	"tackhub.example/tackhub/logic"
 )
 
 // The reason codes with which a connection to a server ends; docs/oncall.md lists them.
@@ -49,7 +49,7 @@
 type conn struct {
 	net.Conn
 	r         *bufio.Reader
-	id        logic.ServerID
+	id        balancer.ServerID
 	addr      string
 	opened    time.Time
 	idleSince time.Time
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/faults"
 	"tackhub.example/tackhub/internal/socket"
-	"tackhub.example/tackhub/logic"
 )
 
 // janitorEvery is how often idle connections are looked through; well under any idle time in use.
@@ -24,21 +24,21 @@
 
 // Addresses tells where servers listen that may be sent to; false for one that is gone or drains.
 type Addresses interface {
-	Address(logic.ServerID) (string, bool)
+	Address(balancer.ServerID) (string, bool)
 }
 
 // Options are what a pool works with.
 type Options struct {
 	Addresses Addresses
-	Connect   time.Duration        // the settings' limit for a connection to come up
-	Idle      time.Duration        // the settings' idle time; 0: none stated
-	Probe     time.Duration        // a probe's time
-	Most      int                  // connections in all
-	Each      int                  // connections to one server
-	Spare     int                  // of these, idle ones; 0: as many as there are
-	Reports   bool                 // servers report their load
-	Waiting   bool                 // ... with the requests that wait
-	Gone      func(logic.ServerID) // an idle connection to it is no more; called from any goroutine, may wait. Nil: nobody asks
+	Connect   time.Duration           // the settings' limit for a connection to come up
+	Idle      time.Duration           // the settings' idle time; 0: none stated
+	Probe     time.Duration           // a probe's time
+	Most      int                     // connections in all
+	Each      int                     // connections to one server
+	Spare     int                     // of these, idle ones; 0: as many as there are
+	Reports   bool                    // servers report their load
+	Waiting   bool                    // ... with the requests that wait
+	Gone      func(balancer.ServerID) // an idle connection to it is no more; called from any goroutine, may wait. Nil: nobody asks
 	Log       *slog.Logger
 	Count     *counters.Counters
 }
@@ -49,8 +49,8 @@
 	dialer net.Dialer
 
 	mu    sync.Mutex
-	idle  map[logic.ServerID][]*conn // newest last
-	held  map[logic.ServerID]int     // connections, in use and idle
+	idle  map[balancer.ServerID][]*conn // newest last
+	held  map[balancer.ServerID]int     // connections, in use and idle
 	total int
 	parts int // processes that share the limits
 }
@@ -58,7 +58,7 @@
 // New makes a pool.
 func New(o Options) *Pool {
 	return &Pool{o: o, dialer: net.Dialer{Timeout: o.Connect, KeepAlive: -1, Control: faults.Connect},
-		parts: 1, idle: map[logic.ServerID][]*conn{}, held: map[logic.ServerID]int{}}
+		parts: 1, idle: map[balancer.ServerID][]*conn{}, held: map[balancer.ServerID]int{}}
 }
 
 // Share has the limits shared by so many processes. What is open beyond it ends as it falls idle.
@@ -75,7 +75,7 @@
 var errAddress = errors.New("no address for the server")
 
 // get takes an idle connection, the newest that has rested first, or opens one.
-func (p *Pool) get(ctx context.Context, id logic.ServerID) (*conn, error) {
+func (p *Pool) get(ctx context.Context, id balancer.ServerID) (*conn, error) {
 	addr, ok := p.o.Addresses.Address(id)
 	if !ok {
 		return nil, errAddress
@@ -105,7 +105,7 @@
 
 // fresh opens a connection. A server that was told to drain, left or moved while it came up gets nothing on it: the grace
 // runs from the telling, however long connections take.
-func (p *Pool) fresh(ctx context.Context, id logic.ServerID, addr string) (*conn, error) {
+func (p *Pool) fresh(ctx context.Context, id balancer.ServerID, addr string) (*conn, error) {
 	c, err := p.dial(ctx, id, addr)
 	if err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 }
 
 // pop takes out the newest idle connection that has rested; where none has, the one that has longest.
-func (p *Pool) pop(id logic.ServerID) *conn {
+func (p *Pool) pop(id balancer.ServerID) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[id]
@@ -165,7 +165,7 @@
 }
 
 // reserve makes room for a connection, at the cost of the one longest idle where the limit is reached.
-func (p *Pool) reserve(id logic.ServerID) bool {
+func (p *Pool) reserve(id balancer.ServerID) bool {
 	p.mu.Lock()
 	if p.held[id] >= max(1, p.o.Each/p.parts) {
 		p.mu.Unlock()
@@ -201,7 +201,7 @@
 	return oldest
 }
 
-func (p *Pool) release(id logic.ServerID) {
+func (p *Pool) release(id balancer.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.total--
@@ -211,7 +211,7 @@
 	}
 }
 
-func (p *Pool) dial(ctx context.Context, id logic.ServerID, addr string) (*conn, error) {
+func (p *Pool) dial(ctx context.Context, id balancer.ServerID, addr string) (*conn, error) {
 	if !p.reserve(id) {
 		return nil, errRoom
 	}
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -8,17 +8,17 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 // Probe asks a server for a sign of life and, where servers report, its load. It does not wait.
-func (p *Pool) Probe(server logic.ServerID, done func(engine.End)) { go p.probe(server, done) }
+func (p *Pool) Probe(server balancer.ServerID, done func(engine.End)) { go p.probe(server, done) }
 
-func (p *Pool) probe(server logic.ServerID, done func(engine.End)) {
+func (p *Pool) probe(server balancer.ServerID, done func(engine.End)) {
 	began := time.Now()
-	defer p.recovered(func() { done(engine.End{Result: logic.Broken, Elapsed: clock.Millis(time.Since(began))}) })
+	defer p.recovered(func() { done(engine.End{Result: balancer.Broken, Elapsed: clock.Millis(time.Since(began))}) })
 	ctx, cancel := context.WithTimeout(context.Background(), p.o.Probe)
 	defer cancel()
 	end := p.ask(ctx, server)
@@ -27,15 +27,15 @@
 }
 
 // ask makes the probe. One that our own limits kept from being sent tells nothing of the server.
-func (p *Pool) ask(ctx context.Context, server logic.ServerID) engine.End {
+func (p *Pool) ask(ctx context.Context, server balancer.ServerID) engine.End {
 	c, err := p.get(ctx, server)
 	switch {
 	case isLimit(err):
-		return engine.End{Result: logic.Void}
+		return engine.End{Result: balancer.Void}
 	case err != nil && ctx.Err() != nil:
-		return engine.End{Result: logic.TimedOut}
+		return engine.End{Result: balancer.TimedOut}
 	case err != nil:
-		return engine.End{Result: logic.Unreachable}
+		return engine.End{Result: balancer.Unreachable}
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -77,30 +77,30 @@
 func (p *Pool) probeEnd(resp *fasthttp.Response, reason string, err error) engine.End {
 	switch {
 	case reason == endGaveUp:
-		return engine.End{Result: logic.TimedOut}
+		return engine.End{Result: balancer.TimedOut}
 	case reason == endWrite:
-		return engine.End{Result: logic.Unreachable}
+		return engine.End{Result: balancer.Unreachable}
 	case err != nil:
-		return engine.End{Result: logic.Broken}
+		return engine.End{Result: balancer.Broken}
 	}
 	end := engine.End{Result: classifyProbe(resp.StatusCode())}
 	text := resp.Header.Peek(loadHeader)
 	if len(text) == 0 {
 		text = resp.Body()
 	}
-	end.Load = p.load(text, end.Result == logic.OK)
+	end.Load = p.load(text, end.Result == balancer.OK)
 	return end
 }
 
 // classifyProbe reads a probe's answer. 503 says that the server takes nothing now: load, not a fault.
-func classifyProbe(status int) logic.Result {
+func classifyProbe(status int) balancer.Result {
 	switch status {
 	case fasthttp.StatusOK:
-		return logic.OK
+		return balancer.OK
 	case fasthttp.StatusServiceUnavailable:
-		return logic.Overloaded
+		return balancer.Overloaded
 	}
-	return logic.Errored
+	return balancer.Errored
 }
 
 // probeBytes is the probe's request: with the load report where there are any.
--- a/internal/upstream/report.go
+++ b/internal/upstream/report.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/balancer"
 )
 
 const (
@@ -21,24 +21,24 @@
 var waitingNames = [][]byte{[]byte("queue"), []byte("depth")}
 
 // Load reads a report that came by another protocol.
-func (p *Pool) Load(text []byte) logic.Load { return p.load(text, false) }
+func (p *Pool) Load(text []byte) balancer.Load { return p.load(text, false) }
 
 // load reads a report: an optional format word, then name=value pairs between commas. One that holds no figure
 // we know is counted, and counts as none. An answer need not carry one; a probe's body should.
-func (p *Pool) load(text []byte, expected bool) logic.Load {
+func (p *Pool) load(text []byte, expected bool) balancer.Load {
 	if !p.o.Reports || len(text) == 0 && !expected {
-		return logic.Load{}
+		return balancer.Load{}
 	}
 	if n, ok := parseLoad(text); ok {
 		p.o.Count.Reports.Read.Inc()
-		load := logic.Load{Valid: true, InFlight: n}
+		load := balancer.Load{Valid: true, InFlight: n}
 		if p.o.Waiting {
 			load.Waiting, load.Queued = figure(text, waitingNames)
 		}
 		return load
 	}
 	p.o.Count.Reports.Unknown.Inc()
-	return logic.Load{}
+	return balancer.Load{}
 }
 
 // parseLoad finds the requests in flight.
