--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,21 +17,21 @@
 
 	"github.com/valyala/fasthttp"
 
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/counters"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/logic"
 )
 
 func TestClassify(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		notRun string
-		want   logic.Result
+		want   balancer.Result
 	}{
-		{200, "", logic.OK}, {200, "1", logic.OK}, {500, "", logic.Errored}, {500, "1", logic.Errored},
-		{503, "1", logic.Overloaded}, {504, "1", logic.Overloaded}, {503, "", logic.Errored},
-		{504, "", logic.Errored}, {503, "0", logic.Errored}, {503, "true", logic.Errored}, {404, "1", logic.Errored},
-		{204, "", logic.Errored}, {302, "", logic.Errored},
+		{200, "", balancer.OK}, {200, "1", balancer.OK}, {500, "", balancer.Errored}, {500, "1", balancer.Errored},
+		{503, "1", balancer.Overloaded}, {504, "1", balancer.Overloaded}, {503, "", balancer.Errored},
+		{504, "", balancer.Errored}, {503, "0", balancer.Errored}, {503, "true", balancer.Errored}, {404, "1", balancer.Errored},
+		{204, "", balancer.Errored}, {302, "", balancer.Errored},
 	} {
 		var resp fasthttp.Response
 		resp.SetStatusCode(c.status)
@@ -71,9 +71,9 @@
 }
 
 // addresses is a fixed table.
-type addresses map[logic.ServerID]string
+type addresses map[balancer.ServerID]string
 
-func (a addresses) Address(id logic.ServerID) (string, bool) {
+func (a addresses) Address(id balancer.ServerID) (string, bool) {
 	addr, ok := a[id]
 	return addr, ok
 }
@@ -145,7 +145,7 @@
 		Each: each, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count}), count
 }
 
-func mustGet(t *testing.T, p *Pool, id logic.ServerID) *conn {
+func mustGet(t *testing.T, p *Pool, id balancer.ServerID) *conn {
 	t.Helper()
 	c, err := p.get(context.Background(), id)
 	if err != nil {
@@ -288,7 +288,7 @@
 	other, _ := listener(t)
 	a := addresses{"s1": addr, "s2": addr, "s3": addr}
 	p, count := testPool(a, 8, 8)
-	for _, id := range []logic.ServerID{"s1", "s2", "s3"} {
+	for _, id := range []balancer.ServerID{"s1", "s2", "s3"} {
 		p.put(mustGet(t, p, id))
 	}
 	delete(a, "s1")
@@ -355,8 +355,8 @@
 	p, _ := testPool(a, 8, 1)
 	held := mustGet(t, p, "full")
 	defer p.end(held, endExit, nil)
-	for id, want := range map[logic.ServerID]logic.Result{"full": logic.Void, "left": logic.Void,
-		"dead": logic.Unreachable} {
+	for id, want := range map[balancer.ServerID]balancer.Result{"full": balancer.Void, "left": balancer.Void,
+		"dead": balancer.Unreachable} {
 		ended := make(chan engine.End, 1)
 		done := func(e engine.End) { ended <- e }
 		for _, start := range []func(){func() { p.Send(id, engine.Copy{Bytes: []byte("x")}, done) }, func() { p.Probe(id, done) }} {
@@ -384,7 +384,7 @@
 	} {
 		ended := make(chan engine.End, 1)
 		p.Send("s1", c, func(e engine.End) { ended <- e })
-		if e := <-ended; e.Result != logic.Void || e.Left != (c.Wanted != nil) {
+		if e := <-ended; e.Result != balancer.Void || e.Left != (c.Wanted != nil) {
 			t.Errorf("%s: %s, left %v", c.Bytes, engine.ResultName(e.Result), e.Left)
 		}
 	}
@@ -502,8 +502,8 @@
 func TestThePoolTellsOfConnectionsThatAreGone(t *testing.T) {
 	addr, _ := listener(t)
 	p, _ := testPool(addresses{"s1": addr, "s2": addr}, 8, 8)
-	gone := map[logic.ServerID]int{}
-	p.o.Gone = func(id logic.ServerID) { gone[id]++ }
+	gone := map[balancer.ServerID]int{}
+	p.o.Gone = func(id balancer.ServerID) { gone[id]++ }
 	one, two, three := mustGet(t, p, "s1"), mustGet(t, p, "s1"), mustGet(t, p, "s1")
 	for _, c := range []*conn{one, two, three} {
 		p.put(c)
@@ -531,10 +531,10 @@
 
 // TestLocalConnectErrorsAreNotHeldAgainstTheServer: connect fails for a reason of this machine's, or of the server's.
 func TestLocalConnectErrorsAreNotHeldAgainstTheServer(t *testing.T) {
-	for errno, want := range map[syscall.Errno]logic.Result{
-		syscall.ENFILE: logic.Void, syscall.EMFILE: logic.Void, syscall.ENOBUFS: logic.Void, syscall.EADDRNOTAVAIL: logic.Void,
-		syscall.ENETUNREACH: logic.Void, syscall.ECONNREFUSED: logic.Unreachable, syscall.EHOSTUNREACH: logic.Unreachable,
-		syscall.ETIMEDOUT: logic.Unreachable,
+	for errno, want := range map[syscall.Errno]balancer.Result{
+		syscall.ENFILE: balancer.Void, syscall.EMFILE: balancer.Void, syscall.ENOBUFS: balancer.Void, syscall.EADDRNOTAVAIL: balancer.Void,
+		syscall.ENETUNREACH: balancer.Void, syscall.ECONNREFUSED: balancer.Unreachable, syscall.EHOSTUNREACH: balancer.Unreachable,
+		syscall.ETIMEDOUT: balancer.Unreachable,
 	} {
 		p, _ := testPool(addresses{"s": "127.0.0.1:1"}, 4, 4)
 		p.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", errno) }
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -24,9 +24,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"tackhub.example/tackhub/internal/catalog"
+	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/config"
-	"tackhub.example/tackhub/logic"
+	"tackhub.example/tackhub/internal/discovery"
 )
 
 // Options say what kind of balancer it is.
@@ -46,7 +46,7 @@
 
 // server is one server of the list.
 type server struct {
-	member catalog.Member
+	member discovery.Member
 	client *fasthttp.HostClient
 	open   atomic.Int64
 	closed bool // it drains
@@ -55,7 +55,7 @@
 // node is a running baseline.
 type node struct {
 	o       Options
-	classes map[string]logic.Class
+	classes map[string]balancer.Class
 	tries   int
 	ending  atomic.Bool
 
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	n := &node{o: o, classes: map[string]logic.Class{}, tries: max(1, c.Settings.Logic.MaxAttempts), servers: map[string]*server{}}
+	n := &node{o: o, classes: map[string]balancer.Class{}, tries: max(1, c.Settings.Logic.MaxAttempts), servers: map[string]*server{}}
 	for _, class := range c.Settings.Logic.Classes {
 		n.classes[class.Name] = class
 	}
@@ -121,21 +121,21 @@
 	}
 }
 
-func fetch(client *http.Client, url string) (catalog.List, error) {
+func fetch(client *http.Client, url string) (discovery.List, error) {
 	resp, err := client.Get(url)
 	if err != nil {
-		return catalog.List{}, err
+		return discovery.List{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return catalog.List{}, err
+		return discovery.List{}, err
 	}
-	return catalog.ParseList(raw)
+	return discovery.ParseList(raw)
 }
 
 // take takes a list over.
-func (n *node) take(list catalog.List) {
+func (n *node) take(list discovery.List) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	named := map[string]bool{}
@@ -237,7 +237,7 @@
 }
 
 // serve tries servers until one has answered, the tries are used up or the time is.
-func (n *node) serve(ctx *fasthttp.RequestCtx, class logic.Class, until time.Time) {
+func (n *node) serve(ctx *fasthttp.RequestCtx, class balancer.Class, until time.Time) {
 	tried := map[string]bool{}
 	mayRun := false
 	for range n.tries {
@@ -251,7 +251,7 @@
 			return
 		}
 		mayRun = mayRun || ran
-		if mayRun && class.Effect != logic.Safe {
+		if mayRun && class.Effect != balancer.Safe {
 			break
 		}
 	}
@@ -262,7 +262,7 @@
 	switch {
 	case !time.Now().Before(until):
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
-	case mayRun && class.Effect != logic.Safe:
+	case mayRun && class.Effect != balancer.Safe:
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -295,7 +295,7 @@
 }
 
 // broken plays the defects that replace serving; every seventh request has them, so that the rest shows a plain run.
-func (n *node) broken(ctx *fasthttp.RequestCtx, class logic.Class, wait time.Duration) bool {
+func (n *node) broken(ctx *fasthttp.RequestCtx, class balancer.Class, wait time.Duration) bool {
 	n.mu.Lock()
 	n.seen++
 	hit := n.seen%7 == 0
@@ -306,7 +306,7 @@
 	until := time.Now().Add(wait - margin)
 	switch n.o.Break {
 	case "double-send": // a second copy of whatever it is goes out beside the first
-		if class.Effect == logic.Safe {
+		if class.Effect == balancer.Safe {
 			return false
 		}
 		for range 2 {
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"tackhub.example/tackhub/internal/cluster"
-	"tackhub.example/tackhub/internal/members"
+	"tackhub.example/tackhub/internal/membership"
 	"tackhub.example/tackhub/lab/audit"
 	"tackhub.example/tackhub/lab/fleet"
 	"tackhub.example/tackhub/lab/hosts"
@@ -165,7 +165,7 @@
 
 func (m *meshed) sample(node int, st cluster.Status, start time.Time) {
 	at := time.Since(start)
-	s := audit.MemberSample{At: at, Node: node, Start: st.Start, View: st.View.Number, Whole: st.Condition == members.Whole}
+	s := audit.MemberSample{At: at, Node: node, Start: st.Start, View: st.View.Number, Whole: st.Condition == membership.Whole}
 	for i := range 64 {
 		for _, name := range st.View.Members {
 			if name == "n"+strconv.Itoa(i) {
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -1,4 +1,4 @@
-// Package membersim plays many cores of internal/members on one virtual clock, over a network that cuts directed links,
+// Package membersim plays many cores of internal/membership on one virtual clock, over a network that cuts directed links,
 // loses, delays, doubles and reorders messages, and stops, kills and restarts members. All chance is from one seed. It
 // stands beside the tests with real processes, for numbers of members and of schedules that no machine runs.
 package membersim
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"tackhub.example/tackhub/internal/members"
+	"tackhub.example/tackhub/internal/membership"
 )
 
 // Options are one cluster.
@@ -44,14 +44,14 @@
 
 // Node is one member's processes.
 type Node struct {
-	Core    *members.Core
+	Core    *membership.Core
 	up      bool
 	stopped bool
 	process int // of how many it is; what an earlier one left under way is void
 	start   uint64
 	held    []func()      // what came while it stood still
 	offset  time.Duration // of its clock: each has its own zero
-	Notes   []members.Note
+	Notes   []membership.Note
 }
 
 // heldMost is what a stopped process's socket holds.
@@ -110,13 +110,13 @@
 
 // introduce has everybody take everybody in, as after a full exchange.
 func (s *Sim) introduce() {
-	var news []members.Item
+	var news []membership.Item
 	for i, n := range s.nodes {
-		news = append(news, members.Item{Name: name(i), Start: n.start, State: members.Alive, Address: address(i)})
+		news = append(news, membership.Item{Name: name(i), Start: n.start, State: membership.Alive, Address: address(i)})
 	}
 	for i, n := range s.nodes {
 		from := (i + 1) % len(s.nodes)
-		n.Core.Receive(s.local(i), &members.Message{Kind: members.FullReply, Version: members.WireVersion, Cluster: 1, From: name(from),
+		n.Core.Receive(s.local(i), &membership.Message{Kind: membership.FullReply, Version: membership.WireVersion, Cluster: 1, From: name(from),
 			Start: s.nodes[from].start, Address: address(from), News: news})
 	}
 }
@@ -138,7 +138,7 @@
 	n.process++
 	n.start++
 	n.up, n.stopped, n.held = true, false, nil
-	n.Core = members.New(members.Options{Name: name(i), Address: address(i), Cluster: 1, Start: n.start, Seed: s.o.Seed<<16 + uint64(i),
+	n.Core = membership.New(membership.Options{Name: name(i), Address: address(i), Cluster: 1, Start: n.start, Seed: s.o.Seed<<16 + uint64(i),
 		Period: s.o.Period, Timeout: s.o.Timeout, Suspicion: s.o.Suspicion, Most: 1024,
 		Seeds: []string{address(0), address(1 % s.o.Members)}}, s.local(i))
 	s.tick(i, n.process, time.Duration(s.rng.Int64N(int64(s.o.Period/5))))
@@ -262,7 +262,7 @@
 			}
 		}
 		if send.Stream { // a connection needs both ways, and loses nothing
-			if m.Kind == members.Full && !s.IsCut(i, to) && !s.IsCut(to, i) || m.Kind == members.FullReply {
+			if m.Kind == membership.Full && !s.IsCut(i, to) && !s.IsCut(to, i) || m.Kind == membership.FullReply {
 				s.deliver(to, m, 3*s.o.Delay+s.jitter())
 			}
 			continue
@@ -284,7 +284,7 @@
 	return time.Duration(s.rng.Int64N(int64(s.o.Jitter)))
 }
 
-func (s *Sim) deliver(to int, m members.Message, in time.Duration) {
+func (s *Sim) deliver(to int, m membership.Message, in time.Duration) {
 	m.News = slices.Clone(m.News)
 	s.at(in, func() {
 		n := s.nodes[to]
@@ -300,8 +300,8 @@
 }
 
 // Views are the views of those that run.
-func (s *Sim) Views() map[int]members.View {
-	out := map[int]members.View{}
+func (s *Sim) Views() map[int]membership.View {
+	out := map[int]membership.View{}
 	for i, n := range s.nodes {
 		if s.Up(i) {
 			out[i] = n.Core.View()
--- a/lab/membersim/schedules_test.go
+++ b/lab/membersim/schedules_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"tackhub.example/tackhub/internal/members"
+	"tackhub.example/tackhub/internal/membership"
 )
 
 // schedule plays one random mixture of all faults, heals everything, and tells what did not hold.
@@ -19,7 +19,7 @@
 	if rng.IntN(2) == 0 {
 		s.Impair(rng.Float64()*0.3, time.Duration(rng.IntN(100))*time.Millisecond+1, 0.1)
 	}
-	numbers, cores := make([]uint64, n), make([]*members.Core, n)
+	numbers, cores := make([]uint64, n), make([]*membership.Core, n)
 	backward := func() error {
 		for i := range n {
 			c, v := s.Node(i).Core, s.Node(i).Core.View().Number
@@ -81,7 +81,7 @@
 	}
 	s.Run(8 * time.Second)
 	for i := range n {
-		if c := s.Node(i).Core.Condition(); s.Up(i) && c != members.Whole && len(s.Node(i).Core.View().Members) > 1 {
+		if c := s.Node(i).Core.Condition(); s.Up(i) && c != membership.Whole && len(s.Node(i).Core.View().Members) > 1 {
 			return fmt.Errorf("member %d holds itself for %v once all is whole", i, c)
 		}
 	}
@@ -214,7 +214,7 @@
 			switch {
 			case span < 5*time.Second:
 			case stopped == n-1: // the one that is left cannot tell: it holds itself for cut off
-				if c := s.Node(n - 1).Core.Condition(); c != members.Deaf {
+				if c := s.Node(n - 1).Core.Condition(); c != membership.Deaf {
 					t.Errorf("the only one that goes on holds itself for %v", c)
 				}
 			case s.Holds(n-1, 0):
@@ -245,9 +245,9 @@
 			}
 		}
 		s.Run(8 * time.Second)
-		want := members.Mute
+		want := membership.Mute
 		if deaf {
-			want = members.Deaf
+			want = membership.Deaf
 		}
 		if c := s.Node(0).Core.Condition(); c != want {
 			t.Errorf("deaf %v: it holds itself for %v", deaf, c)
