--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -14,14 +14,14 @@
 
 	"tackhub.example/tackhub/internal/cluster"
 	swim "tackhub.example/tackhub/internal/membership"
-	"tackhub.example/tackhub/lab/mesh"
+	"tackhub.example/tackhub/lab/netfault"
 )
 
 // bank is several processes of the program that are a cluster, with a link of its own for each directed pair.
 type bank struct {
 	t     *testing.T
 	dir   string
-	links *mesh.Mesh
+	links *netfault.Mesh
 	nodes []*process
 	start func(i int) *process
 	setup func(i int) setup
@@ -42,7 +42,7 @@
 	for range n {
 		listens = append(listens, freeAddress(t))
 	}
-	links, err := mesh.New(listens, 1)
+	links, err := netfault.NewMesh(listens, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tackhub/coap_test.go
+++ b/cmd/tackhub/coap_test.go
@@ -17,7 +17,7 @@
 
 	coap "tackhub.example/tackhub/internal/coap/client"
 	"tackhub.example/tackhub/internal/coap/wire"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/netfault"
 )
 
 // freeUDP is an address on which nobody listens for datagrams.
@@ -45,7 +45,7 @@
 }
 
 // device opens a socket, on a link where one is given, and a client on it.
-func device(t *testing.T, addr string, l *link.Link, o coap.Options) (*coap.Client, net.PacketConn, net.Addr) {
+func device(t *testing.T, addr string, l *netfault.Link, o coap.Options) (*coap.Client, net.PacketConn, net.Addr) {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -296,8 +296,8 @@
 	_, addr := withCoap(t, "", s)
 	var all sync.WaitGroup
 	for d := range 8 {
-		bad := link.Params{Loss: 0.2, Jitter: 5 * time.Millisecond}
-		c, _, _ := device(t, addr, link.New(bad, bad, uint64(d+1)), coap.Options{AckTimeout: 60 * time.Millisecond, Retransmit: 9, Dup: 1})
+		bad := netfault.Params{Loss: 0.2, Jitter: 5 * time.Millisecond}
+		c, _, _ := device(t, addr, netfault.NewLink(bad, bad, uint64(d+1)), coap.Options{AckTimeout: 60 * time.Millisecond, Retransmit: 9, Dup: 1})
 		all.Go(func() {
 			for i := range 12 {
 				text := fmt.Sprintf("d%d-%d", d, i)
--- a/cmd/tackhub/coapback_test.go
+++ b/cmd/tackhub/coapback_test.go
@@ -15,7 +15,7 @@
 	"tackhub.example/tackhub/internal/coap/back"
 	"tackhub.example/tackhub/internal/coap/blocks"
 	"tackhub.example/tackhub/internal/coap/wire"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/netfault"
 )
 
 // coapServer is a small CoAP backend that acts as it is told on each datagram.
@@ -29,7 +29,7 @@
 	at   []time.Time
 }
 
-func startCoapServer(t *testing.T, l *link.Link, act func(int, *message.Message) []message.Message) *coapServer {
+func startCoapServer(t *testing.T, l *netfault.Link, act func(int, *message.Message) []message.Message) *coapServer {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/tacklab/stands.go
+++ b/cmd/tacklab/stands.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"tackhub.example/tackhub/lab/fleet"
+	"tackhub.example/tackhub/lab/backend"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.New(s, sched.Speeds, time.Now())
+	f, err := backend.New(s, sched.Speeds, time.Now())
 	if err != nil {
 		return err
 	}
--- a/lab/fleet/agent.go
+++ b/lab/backend/agent.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"time"
 
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/netfault"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -50,7 +50,7 @@
 	up, down := Impairment(f.s.Links.Discovery)
 	a := &Agent{f: f, node: node, l: l, revision: 1, list: f.members(node), news: make(chan struct{})}
 	if !up.Clean() || !down.Clean() {
-		a.l = linked{l, link.New(down, up, f.s.Seed+uint64(node))}
+		a.l = linked{l, netfault.NewLink(down, up, f.s.Seed+uint64(node))}
 	}
 	a.srv = &http.Server{Handler: a, ReadHeaderTimeout: time.Minute}
 	go func() { _ = a.srv.Serve(a.l) }()
@@ -60,7 +60,7 @@
 // linked puts what is accepted on a link.
 type linked struct {
 	net.Listener
-	link *link.Link
+	link *netfault.Link
 }
 
 // Accept waits for a connection.
--- a/lab/fleet/coap.go
+++ b/lab/backend/coap.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"bytes"
--- a/lab/fleet/fleet.go
+++ b/lab/backend/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is the servers and the discovery that a node serves, as stand-ins on loopback sockets: hundreds of
+// Package backend is the servers and the discovery that a node serves, as stand-ins on loopback sockets: hundreds of
 // servers in one process, each a model.Server with sockets around it. A server listens once for every node, so that it
 // knows who sends, and the way from each node can be given a delay of its own.
-package fleet
+package backend
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"time"
 
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/link"
 	"tackhub.example/tackhub/lab/model"
+	"tackhub.example/tackhub/lab/netfault"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -21,7 +21,7 @@
 	s       *scenario.Scenario
 	start   time.Time // of the run's time
 	effects map[string]audit.Effect
-	links   [][]*link.Link // by server and node; nil: a clean way
+	links   [][]*netfault.Link // by server and node; nil: a clean way
 	pods    []*pod
 	servers []*Server
 	agents  []*Agent
@@ -55,7 +55,7 @@
 		f.pods = append(f.pods, &pod{model: model.NewPod(s.Fleet.PodLimit, millis(window))})
 	}
 	for i := range s.Fleet.Servers {
-		f.links = append(f.links, make([]*link.Link, s.Nodes.Count))
+		f.links = append(f.links, make([]*netfault.Link, s.Nodes.Count))
 		for node := range s.Nodes.Count {
 			f.links[i][node] = f.way(i, node)
 		}
@@ -79,7 +79,7 @@
 }
 
 // way is the link from a node to a server: the zones' distance and what the scenario does to servers' links.
-func (f *Fleet) way(server, node int) *link.Link {
+func (f *Fleet) way(server, node int) *netfault.Link {
 	up, down := Impairment(f.s.Links.Servers)
 	if f.s.ZoneOf(server) != f.s.NodeZone(node) {
 		up.Delay += f.s.Fleet.ZoneDelay
@@ -88,12 +88,12 @@
 	if up.Clean() && down.Clean() && !f.s.Stalls("servers-stall") {
 		return nil
 	}
-	return link.New(down, up, f.s.Seed<<20+uint64(server)<<8+uint64(node)) // the wrapped side writes what goes down
+	return netfault.NewLink(down, up, f.s.Seed<<20+uint64(server)<<8+uint64(node)) // the wrapped side writes what goes down
 }
 
 // Impairment gives both directions of a link as a scenario states it; up is to the node or server.
-func Impairment(i scenario.Impair) (up, down link.Params) {
-	p := link.Params{Loss: i.Loss, RTO: i.RTO, Delay: i.Delay, Jitter: i.Jitter, Bandwidth: i.Bandwidth}
+func Impairment(i scenario.Impair) (up, down netfault.Params) {
+	p := netfault.Params{Loss: i.Loss, RTO: i.RTO, Delay: i.Delay, Jitter: i.Jitter, Bandwidth: i.Bandwidth}
 	if i.Direction != "down" {
 		up = p
 	}
--- a/lab/fleet/server.go
+++ b/lab/backend/server.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 	"github.com/valyala/fasthttp"
 
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/hosts"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/loopback"
 	"tackhub.example/tackhub/lab/model"
+	"tackhub.example/tackhub/lab/netfault"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -87,7 +87,7 @@
 func newServer(f *Fleet, index int, speed float64) *Server {
 	s := &Server{f: f, index: index, speed: speed, pod: f.pods[f.s.PodOf(index)], wake: make(chan struct{}, 1),
 		addrs: make([]string, f.s.Nodes.Count), pending: map[uint64]*pending{}, conns: map[net.Conn]struct{}{},
-		host: hosts.Next(), rng: rand.New(rand.NewPCG(f.s.Seed, uint64(1000+index))), ended: make(chan struct{})}
+		host: loopback.Next(), rng: rand.New(rand.NewPCG(f.s.Seed, uint64(1000+index))), ended: make(chan struct{})}
 	go s.work()
 	return s
 }
@@ -446,7 +446,7 @@
 	case "servers-stall":
 		s.f.stalled(s.name(), e.Ends)
 		for _, l := range s.f.links[s.index] { // the server's end is the wrapped one: up is what it reads
-			Mute(l, e, link.In, link.Out)
+			Mute(l, e, netfault.In, netfault.Out)
 		}
 	case "servers-reset":
 		if !e.Ends {
@@ -469,7 +469,7 @@
 }
 
 // Mute begins or ends a stall on a link, in the direction that the fault names.
-func Mute(l *link.Link, e scenario.Event, up, down link.Direction) {
+func Mute(l *netfault.Link, e scenario.Event, up, down netfault.Direction) {
 	if e.Fault.Way != "down" {
 		l.Mute(up, !e.Ends)
 	}
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -14,10 +14,9 @@
 	"tackhub.example/tackhub/internal/cluster"
 	"tackhub.example/tackhub/internal/membership"
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/fleet"
-	"tackhub.example/tackhub/lab/hosts"
-	"tackhub.example/tackhub/lab/link"
-	"tackhub.example/tackhub/lab/mesh"
+	"tackhub.example/tackhub/lab/backend"
+	"tackhub.example/tackhub/lab/loopback"
+	"tackhub.example/tackhub/lab/netfault"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -27,7 +26,7 @@
 
 // meshed is the part of a run that concerns the nodes among themselves.
 type meshed struct {
-	links *mesh.Mesh
+	links *netfault.Mesh
 
 	mu      sync.Mutex
 	samples []audit.MemberSample
@@ -53,13 +52,13 @@
 	}
 	var listens []string
 	for range s.Nodes.Count {
-		addr, err := hosts.Free()
+		addr, err := loopback.Free()
 		if err != nil {
 			return err
 		}
 		listens = append(listens, addr)
 	}
-	links, err := mesh.New(listens, s.Seed)
+	links, err := netfault.NewMesh(listens, s.Seed)
 	if err != nil {
 		return err
 	}
@@ -91,7 +90,7 @@
 				text += fmt.Sprintf("%s = %q\n", key, d)
 			}
 		}
-		f, err := os.OpenFile(fleet.EdgePath(dir, i), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+		f, err := os.OpenFile(backend.EdgePath(dir, i), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -108,7 +107,7 @@
 // applyLink carries out a fault of a link, or ends it.
 func (m *meshed) apply(e scenario.Event, at time.Duration) {
 	on := !e.Ends
-	m.links.Set(e.Node, e.Peer, func(w *link.Way) {
+	m.links.Set(e.Node, e.Peer, func(w *netfault.Way) {
 		switch f := e.Fault; e.Kind {
 		case "cut":
 			w.Cut = on
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/bank"
-	"tackhub.example/tackhub/lab/fleet"
-	"tackhub.example/tackhub/lab/hosts"
+	"tackhub.example/tackhub/lab/backend"
 	"tackhub.example/tackhub/lab/load"
+	"tackhub.example/tackhub/lab/loopback"
+	"tackhub.example/tackhub/lab/nodeproc"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -76,7 +76,7 @@
 	Failed   int
 	Excluded []string
 	Events   []string
-	Loads    []fleet.Load
+	Loads    []backend.Load
 }
 
 // Mark is a fault as it was carried out.
@@ -97,8 +97,8 @@
 	Figures   Figures              `json:"figures"`
 	Seconds   []Second             `json:"seconds"`
 	Marks     []Mark               `json:"marks"`
-	Nodes     []bank.Report        `json:"nodes"`
-	Servers   [][]fleet.Load       `json:"servers"` // by half second
+	Nodes     []nodeproc.Report    `json:"nodes"`
+	Servers   [][]backend.Load     `json:"servers"` // by half second
 	Members   *audit.MemberFigures `json:"members,omitempty"`
 	Files     map[string]int       `json:"inventory_files,omitempty"` // rewritten well and badly, over all nodes
 	Seed      uint64               `json:"seed"`
@@ -123,7 +123,7 @@
 	r := &run{o: o, sched: sched, start: began}
 	out := &Result{Began: began, Scenario: o.Scenario.Name, About: o.Scenario.About, Seed: o.Scenario.Seed, Schedule: sched.Hash(),
 		Build: o.Build, Machine: machine(), When: began.UTC().Truncate(time.Second)}
-	if r.fleet, err = fleet.New(o.Scenario, sched.Speeds, began); err != nil {
+	if r.fleet, err = backend.New(o.Scenario, sched.Speeds, began); err != nil {
 		return nil, err
 	}
 	defer r.fleet.Close()
@@ -136,7 +136,7 @@
 	if o.Companion != nil {
 		stopping = o.Companion.Stopping
 	}
-	if r.bank, err = bank.Start(bank.Options{Stopping: stopping, Scenario: o.Scenario, Command: o.Command, Env: o.Env, Fleet: r.fleet,
+	if r.bank, err = nodeproc.Start(nodeproc.Options{Stopping: stopping, Scenario: o.Scenario, Command: o.Command, Env: o.Env, Fleet: r.fleet,
 		Start: began, Edge: edge, Dir: o.Dir}); err != nil {
 		return nil, err
 	}
@@ -177,12 +177,12 @@
 		clean()
 		return nil, nil, err
 	}
-	return func(node int) string { return fleet.EdgePath(dir, node) }, clean, nil
+	return func(node int) string { return backend.EdgePath(dir, node) }, clean, nil
 }
 
 func (r *run) writeEdges(dir string) (err error) {
 	if r.o.Scenario.Inventory != nil {
-		if r.writer, err = fleet.NewWriter(r.fleet, dir); err != nil {
+		if r.writer, err = backend.NewWriter(r.fleet, dir); err != nil {
 			return err
 		}
 	}
@@ -190,12 +190,12 @@
 		return nil
 	}
 	for node := range r.o.Scenario.Nodes.Count {
-		addr, err := hosts.Free() // a TCP port that is free on a host of its own: UDP's is too
+		addr, err := loopback.Free() // a TCP port that is free on a host of its own: UDP's is too
 		if err != nil {
 			return err
 		}
 		r.coap = append(r.coap, addr)
-		f, err := os.OpenFile(fleet.EdgePath(dir, node), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+		f, err := os.OpenFile(backend.EdgePath(dir, node), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -213,20 +213,20 @@
 	sched *scenario.Schedule
 	start time.Time
 	lead  time.Duration
-	fleet *fleet.Fleet
-	bank  *bank.Bank
+	fleet *backend.Fleet
+	bank  *nodeproc.Bank
 	load  *load.Load
 
-	coap   []string      // the nodes' CoAP addresses
-	writer *fleet.Writer // nil: discovery alone lists the servers
-	mesh   *meshed       // nil: the nodes do not know of one another
-	ended  time.Duration // the last moment that is judged
+	coap   []string        // the nodes' CoAP addresses
+	writer *backend.Writer // nil: discovery alone lists the servers
+	mesh   *meshed         // nil: the nodes do not know of one another
+	ended  time.Duration   // the last moment that is judged
 
 	mu      sync.Mutex
 	marks   []Mark
 	news    []string
 	failed  error
-	servers [][]fleet.Load
+	servers [][]backend.Load
 }
 
 // play sends the load while faults come and nodes are measured.
@@ -465,7 +465,7 @@
 }
 
 // costs sums up the nodes' measurements.
-func (r *run) costs(f *Figures, nodes []bank.Report) {
+func (r *run) costs(f *Figures, nodes []nodeproc.Report) {
 	for _, n := range nodes {
 		f.Crashes += n.Crashes
 		for _, s := range n.Samples {
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -11,8 +11,8 @@
 
 	coap "tackhub.example/tackhub/internal/coap/client"
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/fleet"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/backend"
+	"tackhub.example/tackhub/lab/netfault"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -32,7 +32,7 @@
 	if s.Clients.Coap == 0 || len(l.o.Coap) == 0 {
 		return
 	}
-	up, down := fleet.Impairment(s.Links.Clients)
+	up, down := backend.Impairment(s.Links.Clients)
 	for node, addr := range l.o.Coap {
 		free := make(chan *device, s.Clients.Devices)
 		to, err := net.ResolveUDPAddr("udp", addr)
@@ -42,7 +42,7 @@
 				break
 			}
 			if !up.Clean() || !down.Clean() {
-				conn = link.New(up, down, s.Seed<<16+uint64(node)<<10+uint64(i)).WrapPacket(conn)
+				conn = netfault.NewLink(up, down, s.Seed<<16+uint64(node)<<10+uint64(i)).WrapPacket(conn)
 			}
 			free <- &device{conn, coap.New(conn, to, coap.Options{AckTimeout: ackTimeout, Retransmit: 6, Dup: s.Clients.Dup})}
 		}
@@ -74,7 +74,7 @@
 		return reply{ending: audit.Unplaced}
 	}
 	defer func() { l.boxes[node] <- d }()
-	id := fleet.ID(op, n)
+	id := backend.ID(op, n)
 	t := audit.Try{ID: id, Op: op, Node: node, Sent: l.now(), Expires: l.now() + left,
 		Effect: map[string]audit.Effect{"safe": audit.Safe, "keyed": audit.Keyed, "unsafe": audit.Unsafe}[c.Effect]}
 	req := coap.Request{Code: codes.GET, Path: c.Name, Query: []string{"try=" + id, fmt.Sprintf("w=%d", a.Work.Microseconds()),
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/netfault"
 )
 
 const (
@@ -30,7 +30,7 @@
 // front deals out connections among the nodes.
 type front struct {
 	nodes   []string
-	links   []*link.Link                 // by node; nil: a clean way
+	links   []*netfault.Link             // by node; nil: a clean way
 	leaving func(node int) time.Duration // for how long a node's planned stop has been going on; nil: not known
 
 	mu    sync.Mutex
@@ -52,26 +52,26 @@
 
 // mark, delay and underWay ask the link, where the connection is on one.
 func (c *conn) mark() {
-	if l, ok := c.Conn.(*link.Conn); ok {
+	if l, ok := c.Conn.(*netfault.Conn); ok {
 		l.Mark()
 	}
 }
 
 func (c *conn) delay() time.Duration {
-	if l, ok := c.Conn.(*link.Conn); ok {
+	if l, ok := c.Conn.(*netfault.Conn); ok {
 		return l.Delay()
 	}
 	return 0
 }
 
 func (c *conn) underWay() bool {
-	l, ok := c.Conn.(*link.Conn)
+	l, ok := c.Conn.(*netfault.Conn)
 	return ok && l.UnderWay()
 }
 
 var errNoNode = errors.New("no node takes connections")
 
-func newFront(nodes []string, links []*link.Link) *front {
+func newFront(nodes []string, links []*netfault.Link) *front {
 	return &front{nodes: nodes, links: links, down: make([]time.Time, len(nodes)), idle: make([][]*conn, len(nodes)),
 		open: map[*conn]struct{}{}}
 }
@@ -190,7 +190,7 @@
 		if t, ok := c.Conn.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
-		if l, ok := c.Conn.(*link.Conn); ok {
+		if l, ok := c.Conn.(*netfault.Conn); ok {
 			l.Reset()
 		}
 		_ = c.Close()
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -19,8 +19,8 @@
 	"github.com/valyala/fasthttp"
 
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/fleet"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/backend"
+	"tackhub.example/tackhub/lab/netfault"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -59,7 +59,7 @@
 type Load struct {
 	o     Options
 	front *front
-	links []*link.Link
+	links []*netfault.Link
 	boxes []chan *device // CoAP devices by node: the free ones
 
 	open    atomic.Int64
@@ -72,12 +72,12 @@
 
 // New makes the clients; nothing is sent before Run.
 func New(o Options) *Load {
-	l := &Load{o: o, links: make([]*link.Link, len(o.Nodes))}
-	up, down := fleet.Impairment(o.Scenario.Links.Clients)
+	l := &Load{o: o, links: make([]*netfault.Link, len(o.Nodes))}
+	up, down := backend.Impairment(o.Scenario.Links.Clients)
 	stalls := o.Scenario.Stalls("clients-stall")
 	for i := range l.links {
 		if stalls || !up.Clean() || !down.Clean() {
-			l.links[i] = link.New(up, down, o.Scenario.Seed<<8+uint64(i))
+			l.links[i] = netfault.NewLink(up, down, o.Scenario.Seed<<8+uint64(i))
 		}
 	}
 	l.front = newFront(o.Nodes, l.links)
@@ -118,7 +118,7 @@
 func (l *Load) Apply(e scenario.Event) {
 	switch e.Kind {
 	case "clients-stall":
-		fleet.Mute(l.links[e.Node], e, link.Out, link.In)
+		backend.Mute(l.links[e.Node], e, netfault.Out, netfault.In)
 	case "clients-half-close":
 		if !e.Ends {
 			l.front.halfClose(e.Node)
@@ -224,7 +224,7 @@
 	if ctx.Err() != nil {
 		return reply{ending: audit.Left}
 	}
-	id := fleet.ID(op, n)
+	id := backend.ID(op, n)
 	c := l.o.Scenario.Classes[a.Class]
 	t := audit.Try{ID: id, Op: op, Effect: map[string]audit.Effect{"safe": audit.Safe, "keyed": audit.Keyed,
 		"unsafe": audit.Unsafe}[c.Effect]}
--- a/lab/hosts/hosts.go
+++ b/lab/loopback/hosts.go
@@ -1,6 +1,6 @@
-// Package hosts hands out addresses of the loopback range, each with a host of its own: a listener that comes back at its
+// Package loopback hands out addresses of the loopback range, each with a host of its own: a listener that comes back at its
 // old address then never finds the port taken by some connection's own end, since those lie on 127.0.0.1.
-package hosts
+package loopback
 
 import (
 	"fmt"
--- a/lab/link/conn.go
+++ b/lab/netfault/conn.go
@@ -1,4 +1,4 @@
-package link
+package netfault
 
 import (
 	"errors"
@@ -39,8 +39,8 @@
 	In                   // what it reads
 )
 
-// New makes a link.
-func New(up, down Params, seed uint64) *Link {
+// NewLink makes a link.
+func NewLink(up, down Params, seed uint64) *Link {
 	return &Link{up: up, down: down, seed: seed, conns: map[*Conn]struct{}{}}
 }
 
--- a/lab/mesh/mesh.go
+++ b/lab/netfault/mesh.go
@@ -1,37 +1,34 @@
-// Package mesh stands between nodes that talk to one another: every directed pair has a link of its own, for datagrams and
-// for connections, which can be cut, lose, delay, double and reorder. A node reaches each other one by an address that is
-// the link's, so that nobody needs more than loopback and an address book.
-package mesh
+package netfault
 
 import (
 	"fmt"
 	"net"
 	"sync"
 
-	"tackhub.example/tackhub/lab/hosts"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/loopback"
 )
 
-// Mesh is the links among some nodes.
+// Mesh is a link for each directed pair of nodes, for datagrams and for connections. A node reaches each other node by an
+// address that belongs to the link, so loopback and an address book are all it needs.
 type Mesh struct {
 	n     int
 	pairs map[[2]int]*pair
 
 	mu  sync.Mutex
-	way map[[2]int]link.Way // as set, by direction
+	way map[[2]int]Way // as set, by direction
 }
 
 // pair is how one node reaches another: datagrams go its way alone, connections need both.
 type pair struct {
 	address string
-	packets *link.PacketRelay
-	link    *link.Link
-	streams *link.Relay
+	packets *PacketRelay
+	link    *Link
+	streams *Relay
 }
 
-// New opens a link for each pair of the addresses at which the nodes listen.
-func New(nodes []string, seed uint64) (*Mesh, error) {
-	m := &Mesh{n: len(nodes), pairs: map[[2]int]*pair{}, way: map[[2]int]link.Way{}}
+// NewMesh opens a link for each pair of the addresses at which the nodes listen.
+func NewMesh(nodes []string, seed uint64) (*Mesh, error) {
+	m := &Mesh{n: len(nodes), pairs: map[[2]int]*pair{}, way: map[[2]int]Way{}}
 	for i := range nodes {
 		for j, to := range nodes {
 			if i == j {
@@ -49,13 +46,13 @@
 }
 
 func open(to string, seed uint64) (*pair, error) {
-	p := &pair{link: link.New(link.Params{}, link.Params{}, seed)}
+	p := &pair{link: NewLink(Params{}, Params{}, seed)}
 	var err error
-	if p.streams, err = link.NewRelay(net.JoinHostPort(hosts.Next(), "0"), to, p.link); err != nil {
+	if p.streams, err = NewRelay(net.JoinHostPort(loopback.Next(), "0"), to, p.link); err != nil {
 		return nil, err
 	}
 	p.address = p.streams.Addr()
-	if p.packets, err = link.NewPacketRelay(p.address, to, seed); err != nil {
+	if p.packets, err = NewPacketRelay(p.address, to, seed); err != nil {
 		p.streams.Close()
 		return nil, err
 	}
@@ -66,7 +63,7 @@
 func (m *Mesh) Address(from, to int) string { return m.pairs[[2]int{from, to}].address }
 
 // Set changes what the link from one node to another does.
-func (m *Mesh) Set(from, to int, change func(*link.Way)) {
+func (m *Mesh) Set(from, to int, change func(*Way)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := [2]int{from, to}
@@ -78,13 +75,13 @@
 	for _, k := range [][2]int{key, {to, from}} {
 		there, back := m.way[k], m.way[[2]int{k[1], k[0]}]
 		m.pairs[k].link.Impair(back.Params, there.Params)
-		m.pairs[k].link.Mute(link.In, there.Cut)
-		m.pairs[k].link.Mute(link.Out, back.Cut)
+		m.pairs[k].link.Mute(In, there.Cut)
+		m.pairs[k].link.Mute(Out, back.Cut)
 	}
 }
 
 // Cut cuts the link from one node to another, or makes it whole.
-func (m *Mesh) Cut(from, to int, on bool) { m.Set(from, to, func(w *link.Way) { w.Cut = on }) }
+func (m *Mesh) Cut(from, to int, on bool) { m.Set(from, to, func(w *Way) { w.Cut = on }) }
 
 // IsCut tells whether it is cut.
 func (m *Mesh) IsCut(from, to int) bool {
--- a/lab/link/link_test.go
+++ b/lab/netfault/netfault_test.go
@@ -1,4 +1,4 @@
-package link
+package netfault
 
 import (
 	"bytes"
@@ -89,7 +89,7 @@
 // Bytes come whole and in order both ways over a bad link, and each half-close comes once, after them.
 func TestRelayKeepsBytesAndHalfCloses(t *testing.T) {
 	p := Params{Delay: 5 * time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.01}
-	client, server := relayed(t, New(p, p, 1))
+	client, server := relayed(t, NewLink(p, p, 1))
 	up, down := bytes.Repeat([]byte("upwards "), 20_000), bytes.Repeat([]byte("down "), 30_000)
 	go func() {
 		_, _ = client.Write(up)
@@ -109,7 +109,7 @@
 }
 
 func TestDelayAndSilence(t *testing.T) {
-	l := New(Params{Delay: 60 * time.Millisecond}, Params{Delay: 60 * time.Millisecond}, 1)
+	l := NewLink(Params{Delay: 60 * time.Millisecond}, Params{Delay: 60 * time.Millisecond}, 1)
 	client, server := relayed(t, l)
 	ask := func() time.Duration {
 		began := time.Now()
@@ -141,7 +141,7 @@
 }
 
 func TestResetBreaksWhatIsOpen(t *testing.T) {
-	l := New(Params{Delay: time.Millisecond}, Params{}, 1)
+	l := NewLink(Params{Delay: time.Millisecond}, Params{}, 1)
 	client, server := relayed(t, l)
 	_, _ = client.Write([]byte("x"))
 	if _, err := io.ReadFull(server, make([]byte, 1)); err != nil {
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = a.Close(); _ = b.Close() }()
-	w := New(Params{Loss: 0.5, Delay: 30 * time.Millisecond}, Params{}, 5).WrapPacket(a)
+	w := NewLink(Params{Loss: 0.5, Delay: 30 * time.Millisecond}, Params{}, 5).WrapPacket(a)
 	want, shaper := 0, NewShaper(Params{Loss: 0.5, Delay: 30 * time.Millisecond}, 5, 2)
 	began := time.Now()
 	for range 200 {
--- a/lab/link/packetrelay.go
+++ b/lab/netfault/packetrelay.go
@@ -1,4 +1,4 @@
-package link
+package netfault
 
 import (
 	"fmt"
--- a/lab/link/shaper.go
+++ b/lab/netfault/shaper.go
@@ -1,7 +1,7 @@
-// Package link makes the link between two parties worse than loopback: delay, jitter, loss, a narrow line, silence,
+// Package netfault makes the link between two parties worse than loopback: delay, jitter, loss, a narrow line, silence,
 // resets. What happens to each segment or datagram is worked out by a Shaper, which is pure and draws chance from its
 // seed alone; Conn, PacketConn and Relay carry it out on sockets.
-package link
+package netfault
 
 import (
 	"math/rand/v2"
--- a/lab/bank/bank.go
+++ b/lab/nodeproc/bank.go
@@ -1,5 +1,5 @@
-// Package bank runs the nodes of an experiment as processes of their own, and measures each from outside.
-package bank
+// Package nodeproc runs the nodes of an experiment as processes of their own, and measures each from outside.
+package nodeproc
 
 import (
 	"bufio"
@@ -21,8 +21,8 @@
 	"time"
 
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/fleet"
-	"tackhub.example/tackhub/lab/hosts"
+	"tackhub.example/tackhub/lab/backend"
+	"tackhub.example/tackhub/lab/loopback"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -39,7 +39,7 @@
 	Scenario *scenario.Scenario
 	Command  []string // the program and its arguments
 	Env      []string
-	Fleet    *fleet.Fleet
+	Fleet    *backend.Fleet
 	Start    time.Time
 	Edge     func(node int) string // a node's operator file; nil: as the environment says
 	// Stopping is told of each planned stop, right after SIGTERM; nil: nobody asks.
@@ -113,7 +113,7 @@
 }
 
 func (b *Bank) node(i int) (*Node, error) {
-	addr, err := hosts.Free()
+	addr, err := loopback.Free()
 	if err != nil {
 		return nil, err
 	}
--- a/lab/bank/thread.go
+++ b/lab/nodeproc/thread.go
@@ -1,4 +1,4 @@
-package bank
+package nodeproc
 
 import "runtime"
 
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/fleet"
+	"tackhub.example/tackhub/lab/backend"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -272,14 +272,14 @@
 		more += fmt.Sprintf("Idempotency-Key: k%012x\r\n", op)
 	}
 	raw = fmt.Sprintf("%s /%s?w=%d HTTP/1.1\r\nHost: lab\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t000\r\nX-Deadline-Ms: %d\r\n%s\r\n%s",
-		method, class.Name, class.Work.Microseconds(), fleet.ID(op, 0), class.Name, class.Deadline.Milliseconds(), more, body)
+		method, class.Name, class.Work.Microseconds(), backend.ID(op, 0), class.Name, class.Deadline.Milliseconds(), more, body)
 	return class, raw
 }
 
 // finish writes the end of a request and reads its answer. The class does not matter for how long is listened: all have one
 // deadline.
 func (c *Clients) finish(conn *connection, node, op int, raw string) bool {
-	t := audit.Try{ID: fleet.ID(op, 0), Op: op, Node: node, Effect: audit.Safe}
+	t := audit.Try{ID: backend.ID(op, 0), Op: op, Node: node, Effect: audit.Safe}
 	_ = conn.SetWriteDeadline(time.Now().Add(dialWait))
 	if _, err := io.WriteString(conn, raw); err != nil {
 		return false // the end had come before it was whole
