--- a/cmd/tackhub/standins_test.go
+++ b/cmd/tackhub/standins_test.go
@@ -55,7 +55,13 @@
 
 func startServer(t *testing.T, id string, act reply) *server {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	return startServerAt(t, id, "127.0.0.1:0", act)
+}
+
+// startServerAt starts it at an address.
+func startServerAt(t *testing.T, id, addr string, act reply) *server {
+	t.Helper()
+	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
