--- a/cmd/tackhub/build_test.go
+++ b/cmd/tackhub/build_test.go
@@ -11,6 +11,11 @@
 // program is the built node that the tests start.
 var program string
 
+// The tests start a program that TestMain builds, so nothing in the test binary itself would depend on the node's code. The
+// linker would leave that code out, the binary would be the same after a change of the node, and `go test` would print the
+// cached result of an older node. The initialization of this variable reaches every command and with it the node.
+var _ = commands()
+
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
 func buildAndRun(m *testing.M) int {
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -6,16 +6,24 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"runtime"
 	"testing"
 	"time"
 
+	"tackhub.example/tackhub/internal/node"
 	"tackhub.example/tackhub/lab/audit"
+	"tackhub.example/tackhub/lab/baseline"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
 // programs are the built node and the built lab, whose baselines the tests start.
 var programs string
 
+// started is the code of the programs that the tests build and start. buildAndRun reads it so that the linker keeps that code
+// in the test binary: without it the binary would be the same after a change of the node, and `go test` would print the
+// cached result of an older node.
+var started = []any{node.Serve, baseline.Run}
+
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
 func buildAndRun(m *testing.M) int {
@@ -26,6 +34,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	programs = dir
+	runtime.KeepAlive(started)
 	out, err := exec.Command("go", "build", "-o", dir+"/", "tackhub.example/tackhub/cmd/tackhub", "tackhub.example/tackhub/cmd/tacklab").CombinedOutput()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "building: %v\n%s", err, out)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -4,11 +4,13 @@
 	"context"
 	"os/exec"
 	"path/filepath"
+	"runtime"
 	"slices"
 	"testing"
 	"time"
 
 	"tackhub.example/tackhub/lab/audit"
+	"tackhub.example/tackhub/lab/baseline"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
@@ -72,8 +74,13 @@
 	}
 }
 
+// started is the code of the program that a test builds and starts. Reading it keeps that code in the test binary: without it
+// the binary would be the same after a change of the code, and `go test` would print the cached result of an older program.
+var started = baseline.Run
+
 // TestSoakSeesANodeThatDropsItsRequests plays the lab's plain balancer, which ends at SIGTERM whatever it has in hand.
 func TestSoakSeesANodeThatDropsItsRequests(t *testing.T) {
+	runtime.KeepAlive(started)
 	lab := filepath.Join(t.TempDir(), "tacklab")
 	if out, err := exec.Command("go", "build", "-o", lab, "tackhub.example/tackhub/cmd/tacklab").CombinedOutput(); err != nil {
 		t.Fatalf("building: %v\n%s", err, out)
