--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -13,33 +13,68 @@
 func (Inherited) event() {}
 
 // State is what a node knows, in a form that another process can read. Times are the node's clock's: Unix milliseconds.
+// The JSON names are the form between versions: an old process hands over to a new one.
 type State struct {
-	Unit, Pace, Width, Lag, HintMean, Crowd, ProbeTook, Ease, Retries, Probes float64
+	Unit      float64 `json:"Unit"`
+	Pace      float64 `json:"Pace"`
+	Width     float64 `json:"Width"`
+	Lag       float64 `json:"Lag"`
+	HintMean  float64 `json:"HintMean"`
+	Crowd     float64 `json:"Crowd"`
+	ProbeTook float64 `json:"ProbeTook"`
+	Ease      float64 `json:"Ease"`
+	Retries   float64 `json:"Retries"`
+	Probes    float64 `json:"Probes"`
 
-	Servers []ServerRecord
-	Classes map[string]ClassRecord
-	Tenants map[string]TenantRecord
+	Servers []ServerRecord          `json:"Servers"`
+	Classes map[string]ClassRecord  `json:"Classes"`
+	Tenants map[string]TenantRecord `json:"Tenants"`
 }
 
 // ServerRecord is what a node knows of one server.
 type ServerRecord struct {
-	ID                                          ServerID
-	Started, Latency, Unit, OutcomeAt, FailedAt float64
-	Seen, Excluded                              bool
-	TrialAt, Score, Others, OthersAvg, ReportAt float64
-	Failures                                    int
-	Ok, Fail                                    []int // by second of the error window
-	Seconds                                     []int64
-	Recent                                      []bool // oldest first
-	Budget, BudgetAt                            float64
-	Bad, BadAt                                  map[string]float64 // by class
+	ID        ServerID           `json:"ID"`
+	Started   float64            `json:"Started"`
+	Latency   float64            `json:"Latency"`
+	Unit      float64            `json:"Unit"`
+	OutcomeAt float64            `json:"OutcomeAt"`
+	FailedAt  float64            `json:"FailedAt"`
+	Seen      bool               `json:"Seen"`
+	Excluded  bool               `json:"Excluded"`
+	TrialAt   float64            `json:"TrialAt"`
+	Score     float64            `json:"Score"`
+	Others    float64            `json:"Others"`
+	OthersAvg float64            `json:"OthersAvg"`
+	ReportAt  float64            `json:"ReportAt"`
+	Failures  int                `json:"Failures"`
+	Ok        []int              `json:"Ok"` // by second of the error window
+	Fail      []int              `json:"Fail"`
+	Seconds   []int64            `json:"Seconds"`
+	Recent    []bool             `json:"Recent"` // oldest first
+	Budget    float64            `json:"Budget"`
+	BudgetAt  float64            `json:"BudgetAt"`
+	Bad       map[string]float64 `json:"Bad"` // by class
+	BadAt     map[string]float64 `json:"BadAt"`
 }
 
 // ClassRecord is what was asked for and served of a class.
-type ClassRecord struct{ Asked, Served, At, LongestTry float64 }
+type ClassRecord struct {
+	Asked      float64 `json:"Asked"`
+	Served     float64 `json:"Served"`
+	At         float64 `json:"At"`
+	LongestTry float64 `json:"LongestTry"`
+}
 
 // TenantRecord is what was asked for and served of a tenant, and its rate.
-type TenantRecord struct{ Asked, Served, At, Rate, RateAt, Quota, QuotaAt float64 }
+type TenantRecord struct {
+	Asked   float64 `json:"Asked"`
+	Served  float64 `json:"Served"`
+	At      float64 `json:"At"`
+	Rate    float64 `json:"Rate"`
+	RateAt  float64 `json:"RateAt"`
+	Quota   float64 `json:"Quota"`
+	QuotaAt float64 `json:"QuotaAt"`
+}
 
 // Snapshot is what the node knows. What is left of a cold server's budget is split evenly between the two processes once
 // Beside has told of both, so that they cannot spend it twice.
