--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -8,11 +8,11 @@
 	ask := func(class string, mark uint64) (in bool) {
 		t.Helper()
 		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: class, Mark: mark, Expires: b.now + 1000})
+		acts := b.step(Arrival{ID: b.next, Class: class, SamplingMark: mark, Deadline: b.now + 1000})
 		for _, a := range acts {
-			if r, is := a.(Refuse); is {
-				if r.Why != FleetCut {
-					t.Errorf("refused for %v", r.Why)
+			if r, is := a.(Reject); is {
+				if r.Reason != FleetOverload {
+					t.Errorf("refused for %v", r.Reason)
 				}
 				return false
 			}
@@ -23,7 +23,7 @@
 	if !ask("read", high) {
 		t.Error("cut without a cut")
 	}
-	b.step(Admission{Shares: map[string]float64{"read": 0.5, "put": 0}})
+	b.step(FleetAdmission{AdmittedFraction: map[string]float64{"read": 0.5, "put": 0}})
 	if !ask("read", low) || ask("read", high) || ask("put", low) || !ask("bill", high) {
 		t.Error("not the marked part of the classes that are cut")
 	}
@@ -33,10 +33,10 @@
 		return b.l.retries.left
 	}
 	rate := whole()
-	if b.step(Admission{NoRetries: 0.75}); rate <= 0 || whole() < rate*0.249 || whole() > rate*0.251 {
+	if b.step(FleetAdmission{RetryReduction: 0.75}); rate <= 0 || whole() < rate*0.249 || whole() > rate*0.251 {
 		t.Errorf("%v of a retry for each first try, %v with three quarters held back", rate, whole())
 	}
-	b.step(Admission{})
+	b.step(FleetAdmission{})
 	if !ask("read", high) || !ask("put", low) {
 		t.Error("cut after its end")
 	}
--- a/balancer/ask_test.go
+++ b/balancer/ask_test.go
@@ -8,12 +8,12 @@
 	for _, nodes := range []int{1, 2, 8, 36, 80, 300, 350, 1024} {
 		for seed := range uint64(20) {
 			set := settings()
-			set.Nodes, set.Subscribe = nodes, true
+			set.Nodes, set.WatchEndpoints = nodes, true
 			l, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			now, event := 1000.0, Event(ServerList{Form: ListCached, Entries: server3(4)})
+			now, event := 1000.0, Event(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(4)})
 			for call := range 12 {
 				at := -1.0
 				for _, a := range l.Step(now, event) {
@@ -21,11 +21,11 @@
 						at = timer.At
 					}
 				}
-				if at < 0 || at-now > AskPauseMost {
-					t.Fatalf("%d nodes, call %d: asks %v ms later, bound %v", nodes, call, at-now, AskPauseMost)
+				if at < 0 || at-now > MaxPollBackoff {
+					t.Fatalf("%d nodes, call %d: asks %v ms later, bound %v", nodes, call, at-now, MaxPollBackoff)
 				}
 				l.Step(at, TimerFired{"ask"}) // calls
-				now, event = at+2500, ServerList{Form: ListFailed}
+				now, event = at+2500, EndpointUpdate{Kind: UpdateFailed}
 			}
 		}
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -11,23 +11,23 @@
 	for _, servers := range []int{60, 200, 350, 500, 1024} {
 		b.Run(fmt.Sprintf("%d servers", servers), func(b *testing.B) {
 			set := settings()
-			set.Nodes, set.Reports, set.MayProbe, set.ProbePrice = 350, true, true, 0.002
+			set.Nodes, set.LoadReports, set.ProbesAllowed, set.ProbePrice = 350, true, true, 0.002
 			l, err := New(set, 7)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now, timers := 100000.0, map[string]Millis{}
-			l.Step(now, ServerList{Form: ListCached, Entries: server3(servers)})
+			l.Step(now, EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(servers)})
 			id, served := RequestID(0), 0
 			var carry func([]Action)
 			carry = func(acts []Action) {
 				for _, a := range acts {
 					switch a := a.(type) {
-					case Send:
+					case StartAttempt:
 						served++
-						carry(l.Step(now+1, AttemptEnd{ID: a.ID, Server: a.Server, Result: OK, Elapsed: 30, Closed: true, Load: Load{Valid: true, InFlight: 1}}))
-					case Probe:
-						carry(l.Step(now+1, ProbeEnd{Server: a.Server, Result: OK, Elapsed: 1, Load: Load{Valid: true, InFlight: 1}}))
+						carry(l.Step(now+1, AttemptCompleted{ID: a.ID, Server: a.Server, Outcome: OK, Elapsed: 30, Closed: true, Report: LoadReport{Valid: true, InFlight: 1}}))
+					case ProbeLoad:
+						carry(l.Step(now+1, LoadProbeCompleted{Server: a.Server, Outcome: OK, Elapsed: 1, Report: LoadReport{Valid: true, InFlight: 1}}))
 					case SetTimer:
 						timers[a.Token] = a.At
 					}
@@ -42,7 +42,7 @@
 					}
 				}
 				id++
-				carry(l.Step(now, Arrival{ID: id, Class: "read", Expires: now + 2000}))
+				carry(l.Step(now, Arrival{ID: id, Class: "read", Deadline: now + 2000}))
 			}
 			b.ReportMetric(float64(served)/float64(id), "served/op")
 			b.ReportMetric(float64(len(l.heldQueue)), "held")
--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -75,7 +75,7 @@
 	t       *testing.T
 	rng     *rand.Rand
 	set     Settings
-	l       *Logic
+	l       *Balancer
 	now     Millis
 	sum     interface{ Sum64() uint64 }
 	write   func(format string, args ...any)
@@ -87,7 +87,7 @@
 	over    map[RequestID]bool
 	probes  []ServerID
 	timers  map[string]Millis
-	servers []ServerEntry
+	servers []Endpoint
 	bodies  []RequestID
 }
 
@@ -113,10 +113,10 @@
 	}
 	p.l = l
 	for i := range 2 + p.rng.IntN(14) {
-		p.servers = append(p.servers, ServerEntry{ID: ServerID(fmt.Sprintf("s%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 4,
-			Size: 1 + float64(i%3)/2})
+		p.servers = append(p.servers, Endpoint{ID: ServerID(fmt.Sprintf("s%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 4,
+			Capacity: 1 + float64(i%3)/2})
 	}
-	p.step(ServerList{Form: ListCached, Entries: p.servers})
+	p.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: p.servers})
 	return p
 }
 
@@ -125,23 +125,23 @@
 func (p *sequencePlayer) randomSettings() Settings {
 	set := settings()
 	set.Zone, set.Nodes, set.Node = "z0", 1+p.rng.IntN(6), 0
-	set.Classes[0].LateShare, set.Classes[0].AimStretch = 0.4*float64(p.rng.IntN(2)), float64(p.rng.IntN(3))
-	set.Classes[1].Group = Group(p.rng.IntN(3))
-	set.Classes[0].Worth, set.Classes[2].Aim = 1+float64(p.rng.IntN(3)), 100+300*p.rng.Float64()
-	set.MustAskIn = 10000 * float64(p.rng.IntN(2))
+	set.Classes[0].LateFraction, set.Classes[0].ObjectivePerWork = 0.4*float64(p.rng.IntN(2)), float64(p.rng.IntN(3))
+	set.Classes[1].DedupScope = DedupScope(p.rng.IntN(3))
+	set.Classes[0].PriorityWeight, set.Classes[2].LatencyObjective = 1+float64(p.rng.IntN(3)), 100+300*p.rng.Float64()
+	set.WatchDeadline = 10000 * float64(p.rng.IntN(2))
 	set.Tenants = []Tenant{{Name: "acme", Quota: 20}, {Name: "umbra", Quota: 5}}
-	set.Goal = Goal{Whole: 0.4, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.2, Nines: 0.1}
+	set.Goal = ObjectiveWeights{Overall: 0.4, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.2, Availability: 0.1}
 	if p.flip() {
-		set.Goal.Tail = 0.1
+		set.Goal.TailLatency = 0.1
 	}
-	set.CountWork, set.Subscribe, set.Sized, set.MarksRetry = p.flip(), p.flip(), p.flip(), p.flip()
-	set.Reports, set.Peers, set.WarmKeys, set.MayProbe = p.flip(), p.flip(), p.flip(), p.flip()
-	set.ProbedOnly = set.Reports && p.flip()
-	set.MayCancel, set.RetryAfter = p.flip(), p.flip()
+	set.WeightByWork, set.WatchEndpoints, set.CapacitiesListed, set.ClientsMarkRetries = p.flip(), p.flip(), p.flip(), p.flip()
+	set.LoadReports, set.GossipAllowed, set.KeyAffinity, set.ProbesAllowed = p.flip(), p.flip(), p.flip(), p.flip()
+	set.ReportsFromProbesOnly = set.LoadReports && p.flip()
+	set.CancelAllowed, set.RetryAfterAllowed = p.flip(), p.flip()
 	set.ConnectTimeout, set.Tick = 300, []float64{0, 1, 5}[p.rng.IntN(3)]
 	set.MaxAttempts = 1 + p.rng.IntN(5)
-	set.LateFailPrice, set.CrossZonePrice = 0.1, 0.02*float64(p.rng.IntN(2))
-	set.ProbePrice, set.HandshakePrice, set.PeerPrice = 0.002, 0.01*float64(p.rng.IntN(2)), 0.0001
+	set.LateFailurePrice, set.CrossZonePrice = 0.1, 0.02*float64(p.rng.IntN(2))
+	set.ProbePrice, set.HandshakePrice, set.GossipPrice = 0.002, 0.01*float64(p.rng.IntN(2)), 0.0001
 	set.CPUPerRequest = float64(p.rng.IntN(2) * 500)
 	return set
 }
@@ -157,34 +157,34 @@
 func (p *sequencePlayer) note(a Action) {
 	kind := ""
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		kind = "send"
-		p.write("send %d %s %x %x", a.ID, a.Server, math.Float64bits(a.StopAt), math.Float64bits(a.WholeBy))
+		p.write("send %d %s %x %x", a.ID, a.Server, math.Float64bits(a.Deadline), math.Float64bits(a.WriteDeadline))
 		p.open = append(p.open, openAttempt{a.ID, p.sent[a.ID], a.Server, p.now})
 		p.sent[a.ID]++
-	case Cancel:
+	case CancelAttempt:
 		kind = "cancel"
 		p.write("cancel %d %d", a.ID, a.Attempt)
-	case Refuse:
+	case Reject:
 		kind = "refuse"
-		p.write("refuse %d %x %d", a.ID, math.Float64bits(a.RetryAfter), a.Why)
+		p.write("refuse %d %x %d", a.ID, math.Float64bits(a.RetryAfter), a.Reason)
 		p.over[a.ID] = true
 	case Fail:
 		kind = "fail"
-		p.write("fail %d %d", a.ID, a.Why)
+		p.write("fail %d %d", a.ID, a.Reason)
 		p.over[a.ID] = true
 	case SetTimer:
 		kind = "timer"
 		p.write("timer %s %x", a.Token, math.Float64bits(a.At))
 		p.timers[a.Token] = a.At
-	case Probe:
+	case ProbeLoad:
 		kind = "probe"
 		p.write("probe %s", a.Server)
 		p.probes = append(p.probes, a.Server)
-	case Watch:
+	case WatchEndpoints:
 		kind = "watch"
 		p.write("watch")
-	case Tell:
+	case BroadcastGossip:
 		kind = "tell"
 		p.write("tell %x", a.Body)
 	case Log:
@@ -228,8 +228,8 @@
 		p.t.Fatal(err)
 	}
 	p.write("state %s", raw)
-	listed, avoided := p.l.Census()
-	p.write("census %d %d %d", listed, avoided, p.l.Changes())
+	listed, avoided := p.l.CountEndpoints()
+	p.write("census %d %d %d", listed, avoided, p.l.EndpointVersion())
 }
 
 func (p *sequencePlayer) event() {
@@ -248,30 +248,30 @@
 		if len(p.bodies) > 0 {
 			id := p.bodies[0]
 			p.bodies = p.bodies[1:]
-			p.step(Uploaded{ID: id, Expires: p.now + 900})
+			p.step(BodyReceived{ID: id, Deadline: p.now + 900})
 		}
 	case n < 90:
 		if len(p.open) > 0 {
 			id := p.open[p.rng.IntN(len(p.open))].id
 			p.over[id] = true
-			p.step(Dropped{ID: id})
+			p.step(ClientCancelled{ID: id})
 		}
 	case n < 94:
 		p.message()
 	case n < 95:
-		p.step(Disconnected{Server: p.servers[p.rng.IntN(len(p.servers))].ID})
+		p.step(ConnectionClosed{Server: p.servers[p.rng.IntN(len(p.servers))].ID})
 	case n < 96:
-		p.step(Share{Value: p.rng.Float64(), Until: p.now + 500, After: 0.3 * float64(p.rng.IntN(2))})
+		p.step(FleetQuota{Current: p.rng.Float64(), Until: p.now + 500, After: 0.3 * float64(p.rng.IntN(2))})
 	case n < 97:
-		p.step(Admission{Shares: map[string]float64{"read": 0.3 + 0.7*p.rng.Float64()}, NoRetries: p.rng.Float64()})
+		p.step(FleetAdmission{AdmittedFraction: map[string]float64{"read": 0.3 + 0.7*p.rng.Float64()}, RetryReduction: p.rng.Float64()})
 	case n < 98:
-		p.step(Beside{Processes: 1 + p.rng.IntN(2)})
+		p.step(SiblingProcesses{Count: 1 + p.rng.IntN(2)})
 	case n < 99:
 		p.handOver()
 	default:
 		if len(p.open) > 0 {
 			a := p.open[0]
-			p.step(FirstByte{ID: a.id, Attempt: a.number})
+			p.step(ResponseStarted{ID: a.id, Attempt: a.number})
 		}
 	}
 }
@@ -279,33 +279,33 @@
 func (p *sequencePlayer) arrival() {
 	p.next++
 	class := []string{"read", "read", "read", "put", "put", "bill", "none"}[p.rng.IntN(7)]
-	e := Arrival{ID: p.next, Class: class, Tenant: []string{"acme", "umbra", ""}[p.rng.IntN(3)], Mark: p.rng.Uint64(),
-		Retry: p.rng.IntN(5) == 0, Expires: p.now + 300 + 1700*p.rng.Float64()}
+	e := Arrival{ID: p.next, Class: class, Tenant: []string{"acme", "umbra", ""}[p.rng.IntN(3)], SamplingMark: p.rng.Uint64(),
+		IsRetry: p.rng.IntN(5) == 0, Deadline: p.now + 300 + 1700*p.rng.Float64()}
 	if p.flip() {
 		e.Key = fmt.Sprintf("k%d", p.rng.IntN(30))
 	}
 	if p.flip() {
-		e.Hint = 5 + 60*p.rng.Float64()
+		e.WorkHint = 5 + 60*p.rng.Float64()
 	}
 	if p.rng.IntN(12) == 0 {
-		e.Uploading = 400
+		e.UploadTimeout = 400
 		p.bodies = append(p.bodies, p.next)
 	}
 	p.step(e)
 }
 
-func (p *sequencePlayer) outcome() Result {
+func (p *sequencePlayer) outcome() Outcome {
 	if p.rng.IntN(10) < 7 {
 		return OK
 	}
-	return Result(p.rng.IntN(8))
+	return Outcome(p.rng.IntN(8))
 }
 
-func (p *sequencePlayer) load() Load {
-	return Load{Valid: p.rng.IntN(3) > 0, InFlight: float64(p.rng.IntN(9)), Queued: p.flip(), Waiting: float64(p.rng.IntN(4))}
+func (p *sequencePlayer) load() LoadReport {
+	return LoadReport{Valid: p.rng.IntN(3) > 0, InFlight: float64(p.rng.IntN(9)), QueueKnown: p.flip(), Queued: float64(p.rng.IntN(4))}
 }
 
-func (p *sequencePlayer) endAttempt(i int, result Result) {
+func (p *sequencePlayer) endAttempt(i int, result Outcome) {
 	a := p.open[i]
 	p.open = append(p.open[:i], p.open[i+1:]...)
 	if phase := int(p.now/3000) % 3; a.server == "s01" && phase > 0 { // one server is bad, some of the time, so that ejections, trials and readmissions come about
@@ -315,7 +315,7 @@
 	if closed {
 		p.over[a.id] = true
 	}
-	p.step(AttemptEnd{ID: a.id, Attempt: a.number, Server: a.server, Result: result, Elapsed: max(0.2, p.now-a.at), Closed: closed, Load: p.load()})
+	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: result, Elapsed: max(0.2, p.now-a.at), Closed: closed, Report: p.load()})
 }
 
 func (p *sequencePlayer) probeEnd() {
@@ -324,31 +324,31 @@
 	}
 	server := p.probes[0]
 	p.probes = p.probes[1:]
-	p.step(ProbeEnd{Server: server, Result: p.outcome(), Elapsed: 3 * p.rng.Float64(), Load: p.load()})
+	p.step(LoadProbeCompleted{Server: server, Outcome: p.outcome(), Elapsed: 3 * p.rng.Float64(), Report: p.load()})
 }
 
 func (p *sequencePlayer) listChange() {
 	s := &p.servers[p.rng.IntN(len(p.servers))]
 	switch p.rng.IntN(8) {
 	case 0:
-		p.step(ServerList{Form: ListFailed})
+		p.step(EndpointUpdate{Kind: UpdateFailed})
 	case 1:
-		p.step(ServerList{Form: ListLate})
+		p.step(EndpointUpdate{Kind: UpdateOverdue})
 	case 2:
-		p.step(ServerList{Form: ListFull, Entries: p.servers})
+		p.step(EndpointUpdate{Kind: FullUpdate, Endpoints: p.servers})
 	case 3:
 		s.Started = p.now + 500 - 3000*p.rng.Float64() // the wall clocks may differ
 		s.State = Ready
-		p.step(ServerList{Form: ListDelta, Entries: []ServerEntry{*s}})
+		p.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{*s}})
 	case 4:
 		s.Zone = fmt.Sprintf("z%d", p.rng.IntN(3))
-		p.step(ServerList{Form: ListDelta, Entries: []ServerEntry{*s}})
+		p.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{*s}})
 	case 5:
-		s.State = ServerState(p.rng.IntN(3))
-		p.step(ServerList{Form: ListDelta, Entries: []ServerEntry{*s}})
+		s.State = EndpointState(p.rng.IntN(3))
+		p.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{*s}})
 	default:
 		s.State = Ready
-		p.step(ServerList{Form: ListDelta, Entries: []ServerEntry{*s}})
+		p.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{*s}})
 	}
 }
 
@@ -362,7 +362,7 @@
 			body = append(body, byte(p.rng.IntN(9)))
 		}
 	}
-	p.step(Told{From: p.rng.IntN(6), Body: body})
+	p.step(GossipReceived{From: p.rng.IntN(6), Body: body})
 }
 
 // handOver continues with a new module that takes over what the old one knows, or with a copy of it.
@@ -377,5 +377,5 @@
 		p.l = c
 		return
 	}
-	p.step(Inherited{State: p.l.Snapshot()})
+	p.step(StateTransferred{State: p.l.Snapshot()})
 }
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -7,7 +7,7 @@
 
 // Clone is a copy that decides on the same state by other settings, its chance included; nothing is shared with the
 // original. A class or tenant that the other settings do not name is dropped, and its requests with it.
-func (l *Logic) Clone(set Settings) (*Logic, error) {
+func (l *Balancer) Clone(set Settings) (*Balancer, error) {
 	c, err := New(set, 0)
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	return out
 }
 
-func (s *server) copy(from, to *Logic) *server {
+func (s *server) copy(from, to *Balancer) *server {
 	n := *s
 	n.lookedAt = -1 // by other settings it may be judged otherwise
 	n.reach = to.zone(s.Zone)
@@ -102,7 +102,7 @@
 	return &n
 }
 
-func (r *request) copy(to *Logic, servers map[*server]*server) *request {
+func (r *request) copy(to *Balancer, servers map[*server]*server) *request {
 	n := *r
 	n.class, n.tenant, n.anchor = to.classes[r.class.Name], nil, servers[r.anchor]
 	if r.tenant != nil {
@@ -117,7 +117,7 @@
 }
 
 // Zone is a server's, empty where it is not known.
-func (l *Logic) Zone(id ServerID) string {
+func (l *Balancer) ZoneOf(id ServerID) string {
 	if s := l.servers[id]; s != nil {
 		return s.Zone
 	}
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -24,8 +24,8 @@
 	t.Helper()
 	f := &coldFleet{set: settings(), began: 100000}
 	f.set.Nodes, f.set.Classes = nodes, f.set.Classes[:1]
-	f.unit = f.set.FallMultiple * f.set.ColdFrom * f.set.FallFor / allowed
-	f.set.Classes[0].Aim = 40 * f.unit // long enough that the budget alone holds anything back
+	f.unit = f.set.OverloadFactor * f.set.InitialCapacity * f.set.OverloadWindow / allowed
+	f.set.Classes[0].LatencyObjective = 40 * f.unit // long enough that the budget alone holds anything back
 	for i := range nodes {
 		f.nodes = append(f.nodes, f.start(t, i, seed*10000+i))
 	}
@@ -46,15 +46,15 @@
 	}
 	l.unit, l.guess, l.hintMean = f.unit, f.unit, 10 // as after many requests
 	b := &bed{t: t, l: l, now: now}
-	b.step(ServerList{Form: ListCached, Entries: server3(4)})
-	b.step(ServerList{Form: ListDelta, Entries: []ServerEntry{{ID: "cold", Zone: "z", Size: 1, Started: f.began}}})
+	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(4)})
+	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
 	return b
 }
 
 // budget is what the settings allow the server in a window that begins then.
 func (f *coldFleet) budget(at Millis) float64 {
-	share := min(1, f.set.ColdFrom+(1-f.set.ColdFrom)*(at-f.began)/f.set.ColdFor)
-	return f.set.FallMultiple * share * f.set.FallFor / f.unit
+	share := min(1, f.set.InitialCapacity+(1-f.set.InitialCapacity)*(at-f.began)/f.set.SlowStartDuration)
+	return f.set.OverloadFactor * share * f.set.OverloadWindow / f.unit
 }
 
 // rush has requests come to all nodes for a span, every so many ms, with only the cold server left.
@@ -63,7 +63,7 @@
 	var carry func(b *bed, acts []Action)
 	carry = func(b *bed, acts []Action) {
 		for _, a := range acts {
-			if s, ok := a.(Send); ok && s.Server == "cold" {
+			if s, ok := a.(StartAttempt); ok && s.Server == "cold" {
 				f.sent = append(f.sent, coldCall{b.now, costs[s.ID]})
 				b.l.retries.left, b.l.servers["cold"].excluded = 0, false
 				carry(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // refused work counts too
@@ -72,13 +72,13 @@
 	}
 	for i, b := range f.nodes {
 		b.now = from
-		b.step(ServerList{Form: ListFull, Entries: []ServerEntry{{ID: "cold", Zone: "z", Size: 1, Started: f.began}}})
+		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
 		b.l.explorations.left = -1e9 // the test is on the budget alone: what is sent without a fit passes it too
 		for k := 0; b.now < from+span; k++ {
 			b.now += every * (0.5 + float64((i*7+k)%11)/10)
 			b.next++
 			costs[b.next] = cost(i + k)
-			carry(b, b.step(Arrival{ID: b.next, Class: "read", Expires: b.now + f.set.FallFor/4, Hint: 10 * cost(i+k)}))
+			carry(b, b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + f.set.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
 			carry(b, b.step(TimerFired{"sweep"}))
 		}
 	}
@@ -90,7 +90,7 @@
 	for _, from := range f.sent {
 		sum, allowed := 0.0, f.budget(from.at)
 		for _, c := range f.sent {
-			if c.at >= from.at && c.at < from.at+f.set.FallFor {
+			if c.at >= from.at && c.at < from.at+f.set.OverloadWindow {
 				sum += c.cost
 			}
 		}
@@ -107,8 +107,8 @@
 // budget, however slowly each bucket refills. What all modules send together in any window stays within the server's budget of N
 // calls and 2 x root of N + 2 for chance.
 func TestAllNodesTogetherKeepAColdServersBudget(t *testing.T) {
-	saved := func(f *coldFleet) Millis { return f.began + 0.3*f.set.ColdFor } // by then each node has had time to save its part
-	span, every := 1.5*settings().FallFor, settings().FallFor/40
+	saved := func(f *coldFleet) Millis { return f.began + 0.3*f.set.SlowStartDuration } // by then each node has had time to save its part
+	span, every := 1.5*settings().OverloadWindow, settings().OverloadWindow/40
 	heavy := func(k int) float64 { // the mean is one
 		if k%10 == 0 {
 			return 4
@@ -167,9 +167,9 @@
 		used, allowed := 0.0, 0.0
 		for seed := range 10 {
 			f := newColdFleet(t, nodes, 60, seed)
-			f.rush(f.began, f.set.ColdFor/2, f.set.FallFor/40, one)
-			for at := f.began; at < f.began+f.set.ColdFor/2; at += f.set.FallFor {
-				allowed += f.budget(at + f.set.FallFor/2)
+			f.rush(f.began, f.set.SlowStartDuration/2, f.set.OverloadWindow/40, one)
+			for at := f.began; at < f.began+f.set.SlowStartDuration/2; at += f.set.OverloadWindow {
+				allowed += f.budget(at + f.set.OverloadWindow/2)
 			}
 			used += float64(len(f.sent))
 		}
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -9,7 +9,7 @@
 // This file decides which of the waiting requests go on now, and which have no chance any more.
 
 // dispatch sends what can make its aim, most valuable first, and gives up at once on what cannot.
-func (l *Logic) dispatch() {
+func (l *Balancer) dispatch() {
 	if len(l.heldQueue) == 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 			}
 		}
 		if l.cannotFinish(r, ahead) {
-			l.giveUp(r, NoPlace)
+			l.giveUp(r, NoCapacity)
 			continue
 		}
 		if l.now > r.probing+askAgain*l.unit {
@@ -58,7 +58,7 @@
 }
 
 // cannotFinish says that a held request cannot make its aim: refusing early spares servers and clients.
-func (l *Logic) cannotFinish(r *request, ahead float64) bool {
+func (l *Balancer) cannotFinish(r *request, ahead float64) bool {
 	best, n := math.Inf(1), 0
 	for _, s := range l.list {
 		if !r.mayRun && l.quickestAt == l.now { // the same for all that are free to go anywhere
--- a/balancer/fairness.go
+++ b/balancer/fairness.go
@@ -6,8 +6,8 @@
 
 // countArrival books a first try to its class and tenant, and tells whether the tenant is over its share.
 // A node that sees more than its part of all traffic scales the quotas alike.
-func (l *Logic) countArrival(r *request, retry bool) {
-	if retry && l.set.MarksRetry {
+func (l *Balancer) countArrival(r *request, retry bool) {
+	if retry && l.set.ClientsMarkRetries {
 		return
 	}
 	l.retries.refill(l.retries.at+1, retryShare*(1-l.noRetries), retryBurst)
@@ -28,9 +28,9 @@
 
 // marginalWorth is what serving a request adds to the operator's goal for each unit of work: its worth in
 // the whole, and more where its class or its tenant is the worst served.
-func (l *Logic) marginalWorth(r *request) float64 {
+func (l *Balancer) marginalWorth(r *request) float64 {
 	if r.late {
-		return r.class.LateShare * l.worth(r) / r.cost / 1e6 // after all that can still be in time
+		return r.class.LateFraction * l.worth(r) / r.cost / 1e6 // after all that can still be in time
 	}
 	total, worstClass, worstTenant := 0.0, 1.0, 1.0
 	for _, c := range l.set.Classes {
@@ -42,7 +42,7 @@
 		worstTenant = min(worstTenant, l.tenants[t.Name].ratio())
 	}
 	g := l.set.Goal
-	gain := (g.Whole + g.WorstWindow + g.Tail + g.Nines) / max(1e-9, total)
+	gain := (g.Overall + g.WorstWindow + g.TailLatency + g.Availability) / max(1e-9, total)
 	if r.class.ratio() <= worstClass {
 		gain += g.WorstClass / max(1e-9, r.class.asked)
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -11,7 +11,7 @@
 // fleet are settings of one of hundreds of nodes, with probes at a price.
 func fleet(probe float64) Settings {
 	set := settings()
-	set.Nodes, set.MayProbe, set.Reports, set.ProbePrice = 300, true, true, probe
+	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ProbePrice = 300, true, true, probe
 	return set
 }
 
@@ -34,11 +34,11 @@
 	if sent(dear, 8) {
 		t.Error("a request is sent although servers are taken to be full")
 	}
-	dear.MayProbe = false
+	dear.ProbesAllowed = false
 	if !sent(dear, 1) {
 		t.Error("a request is held although nobody may be probed")
 	}
-	dear.Reports = false
+	dear.LoadReports = false
 	b := newBed(t, dear, server3(1)...)
 	if b.l.look(b.l.servers["s0"]); b.l.servers["s0"].doubt != 0 {
 		t.Error("where servers report nothing there is no doubt to be had of them")
@@ -49,7 +49,7 @@
 func TestDoubtGrowsWithTheReportsAge(t *testing.T) {
 	b := newBed(t, fleet(0.1), server3(2)...)
 	s := b.l.servers["s0"]
-	b.step(ProbeEnd{Server: "s0", Result: OK, Load: Load{Valid: true, InFlight: 2}})
+	b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 2}})
 	b.l.look(s)
 	fresh := s.doubt
 	b.now += 20 * b.l.unit
@@ -63,7 +63,7 @@
 // request of ours just now surely do not drain. Where there are none all stay open, and news ends it.
 func TestALateListPrefersServersThatJustTookRequests(t *testing.T) {
 	b := newBed(t, settings(), server3(20)...)
-	b.step(ServerList{Form: ListLate})
+	b.step(EndpointUpdate{Kind: UpdateOverdue})
 	b.now += b.l.set.DrainGrace / 4
 	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates within the grace, want all 20", n)
@@ -88,11 +88,11 @@
 	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates where none is sure, want all 20", n)
 	}
-	b.step(ServerList{Form: ListLate})
+	b.step(EndpointUpdate{Kind: UpdateOverdue})
 	b.serve("read", 10, allOK)
 	b.now += b.l.set.DrainGrace
 	b.serve("read", 10, allOK)
-	b.step(ServerList{Form: ListDelta})
+	b.step(EndpointUpdate{Kind: DeltaUpdate})
 	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates after news, want all 20", n)
 	}
@@ -101,7 +101,7 @@
 // Guards against finding out one server after the other that a zone is cut off, where a node meets each of them once in
 // seconds: of 3,800 pairs of a node and a server 3,109 waited for a connection once (split+mass).
 func TestAZoneFromWhichNothingComesIsAvoidedAsAWhole(t *testing.T) {
-	play := func(zones []string, silent func(zone string) Result, took Millis) (there int) {
+	play := func(zones []string, silent func(zone string) Outcome, took Millis) (there int) {
 		set := fleet(0.1)
 		set.ConnectTimeout = 150
 		entries := server3(60)
@@ -124,7 +124,7 @@
 		}
 		return there
 	}
-	always := func(r Result) func(string) Result { return func(string) Result { return r } }
+	always := func(r Outcome) func(string) Outcome { return func(string) Outcome { return r } }
 	if n := play([]string{"a", "b", "cut"}, always(Unreachable), 150); n > 8 {
 		t.Errorf("%d of 100 requests waited at a zone that is cut off", n)
 	}
@@ -184,7 +184,7 @@
 		entries := server3(4)
 		b := newBed(t, fleet(0.1), entries...)
 		entries[2].Started, entries[3].Started = b.now, b.now
-		b.step(ServerList{Form: ListDelta, Entries: entries[2:]})
+		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[2:]})
 		met, unseen := b.l.servers["s2"], b.l.servers["s3"]
 		b.l.unit = 20
 		for i := range 100 { // half of them wait for what else is there
@@ -198,7 +198,7 @@
 		if now := b.l.smoothUnit(unseen); now < b.l.unit/(speed+0.15) {
 			t.Errorf("a cold server never met is taken to need %.1f ms, a warm one needs %.1f", now, b.l.unit)
 		}
-		b.now += b.l.set.ColdFor
+		b.now += b.l.set.SlowStartDuration
 		met.outcomeAt = b.now // not by fading
 		b.step(TimerFired{"sweep"})
 		if felt := b.l.smoothUnit(met); felt > 1.6*b.l.unit || felt < b.l.unit/1.6 {
@@ -213,13 +213,13 @@
 	entries := server3(2)
 	b := newBed(t, fleet(0.1), entries...)
 	entries[1].Started = b.now
-	b.step(ServerList{Form: ListDelta, Entries: entries[1:]})
+	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[1:]})
 	b.l.crowd = 3
 	warm, cold := b.l.servers["s0"], b.l.servers["s1"]
 	if w, c := b.l.estimatedLoad(warm), b.l.estimatedLoad(cold); c > 0.9*w || c <= 0 {
 		t.Errorf("%.2f requests at a cold server, %.2f at a warm one", c, w)
 	}
-	b.l.report(cold, Load{Valid: true, InFlight: 3 * b.l.speed(cold)})
+	b.l.report(cold, LoadReport{Valid: true, InFlight: 3 * b.l.speed(cold)})
 	if math.Abs(b.l.crowd-3) > 1e-9 {
 		t.Errorf("a cold server with its part in hand moves the fleet's mean from 3 to %v", b.l.crowd)
 	}
@@ -245,7 +245,7 @@
 			b.end(id, 0, s, OK, 10)
 			if open[s]++; closing(i) {
 				open[s]--
-				b.step(Disconnected{Server: s})
+				b.step(ConnectionClosed{Server: s})
 			}
 		}
 		return dialed
@@ -268,17 +268,17 @@
 	b := newBed(t, fleet(0.1), server3(1)...)
 	s := b.l.servers["s0"]
 	for _, step := range []struct {
-		result Result
+		result Outcome
 		want   int
-	}{{OK, 1}, {Errored, 2}, {Overloaded, 3}, {Broken, 3}, {TimedOut, 3}, {Unreachable, 3}, {Cancelled, 3}, {Void, 3}} {
+	}{{OK, 1}, {Errored, 2}, {Overloaded, 3}, {ConnectionLost, 3}, {TimedOut, 3}, {Unreachable, 3}, {Cancelled, 3}, {NotSent, 3}} {
 		if s.connection(step.result); s.idle != step.want {
 			t.Errorf("%d connections idle after result %v, want %d", s.idle, step.result, step.want)
 		}
 	}
 	for range 5 {
-		b.step(Disconnected{Server: "s0"})
+		b.step(ConnectionClosed{Server: "s0"})
 	}
-	b.step(Disconnected{Server: "unheard of"})
+	b.step(ConnectionClosed{Server: "unheard of"})
 	if s.idle != 0 {
 		t.Errorf("%d connections idle after all were closed", s.idle)
 	}
@@ -318,7 +318,7 @@
 	}{{1, 1000, 1}, {8, 1500, 1.5}, {80, 10000, 2}, {300, 13000, 1.5}, {1000, 6000, 1.5}} {
 		d := &discoveryModel{each: 5000 / float64(max(50, size.nodes))} // a call from every node in 5 s: it grows with them
 		set := settings()
-		set.Nodes, set.Subscribe = size.nodes, true
+		set.Nodes, set.WatchEndpoints = size.nodes, true
 		type wake struct {
 			at   Millis
 			node int
@@ -329,7 +329,7 @@
 			i, _ := slices.BinarySearchFunc(queue, w.at, func(q wake, at Millis) int { return int(math.Copysign(1, q.at-at)) })
 			queue = slices.Insert(queue, i, w)
 		}
-		nodes, calls := make([]*Logic, size.nodes), 0
+		nodes, calls := make([]*Balancer, size.nodes), 0
 		for i := range nodes {
 			set.Node = i
 			l, err := New(set, uint64(i))
@@ -337,28 +337,28 @@
 				t.Fatal(err)
 			}
 			nodes[i] = l
-			push(wake{rand.New(rand.NewPCG(uint64(i), 1)).Float64(), i, ServerList{Form: ListCached, Entries: server3(4)}})
+			push(wake{rand.New(rand.NewPCG(uint64(i), 1)).Float64(), i, EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(4)}})
 		}
 		var informed []Millis
 		for now := 0.0; len(queue) > 0 && len(informed) < size.nodes && now < 3*size.within; {
 			w := queue[0]
 			queue = queue[1:]
 			now = w.at
-			if l, ok := w.what.(ServerList); ok && l.Form == ListFull {
+			if l, ok := w.what.(EndpointUpdate); ok && l.Kind == FullUpdate {
 				informed = append(informed, now)
 			}
 			for _, a := range nodes[w.node].Step(now, w.what) {
 				switch a := a.(type) {
 				case SetTimer:
 					push(wake{a.At, w.node, TimerFired{a.Token}})
-				case Watch:
+				case WatchEndpoints:
 					calls++
 					at, ok := d.call(now)
-					form := ListFailed
+					form := UpdateFailed
 					if ok {
-						form = ListFull
+						form = FullUpdate
 					}
-					push(wake{at, w.node, ServerList{Form: form, Entries: server3(4)}})
+					push(wake{at, w.node, EndpointUpdate{Kind: form, Endpoints: server3(4)}})
 				}
 			}
 		}
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -7,7 +7,7 @@
 type book struct {
 	t     *testing.T
 	set   Settings
-	state map[ServerID]ServerEntry
+	state map[ServerID]Endpoint
 	reqs  map[RequestID]*entry
 	order []RequestID
 }
@@ -31,28 +31,28 @@
 func (k *book) check(now Millis, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			k.send(now, a)
-		case Refuse:
+		case Reject:
 			e := k.reqs[a.ID]
 			for _, s := range e.sends {
-				if s.mayRun && e.class.Effect == Unsafe || (s.mayRun || s.open) && e.class.Effect == Keyed {
+				if s.mayRun && e.class.Idempotency == NonIdempotent || (s.mayRun || s.open) && e.class.Idempotency == IdempotentWithKey {
 					k.t.Fatalf("refused %d though attempt at %s may have run", a.ID, s.server)
 				}
 			}
 			e.answers++
 		case Fail:
 			k.reqs[a.ID].answers++
-		case Cancel:
+		case CancelAttempt:
 			if a.Attempt >= len(k.reqs[a.ID].sends) {
 				k.t.Fatalf("withdrew an attempt never made")
 			}
-		case Tell:
-			if !k.set.Peers || len(a.Body) > MessageMost {
-				k.t.Fatalf("told %d bytes, allowed: %v", len(a.Body), k.set.Peers)
+		case BroadcastGossip:
+			if !k.set.GossipAllowed || len(a.Body) > MaxGossipBytes {
+				k.t.Fatalf("told %d bytes, allowed: %v", len(a.Body), k.set.GossipAllowed)
 			}
-		case Probe:
-			if !k.set.MayProbe {
+		case ProbeLoad:
+			if !k.set.ProbesAllowed {
 				k.t.Fatal("probe where none is allowed")
 			}
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-func (k *book) send(now Millis, a Send) {
+func (k *book) send(now Millis, a StartAttempt) {
 	e := k.reqs[a.ID]
 	if e == nil || e.finished || e.answers > 0 {
 		k.t.Fatalf("sent for request %d, which is finished or unknown", a.ID)
@@ -74,16 +74,16 @@
 		k.t.Fatalf("sent to %s, which is not ready", a.Server)
 	}
 	for _, s := range e.sends {
-		if s.open && !k.set.SecondCopies {
+		if s.open && !k.set.HedgingAllowed {
 			k.t.Fatal("two attempts of one request at once")
 		}
 		if !s.open && !s.mayRun {
 			continue
 		}
-		if e.class.Effect == Unsafe {
+		if e.class.Idempotency == NonIdempotent {
 			k.t.Fatal("an unsafe request was sent again though it may have run")
 		}
-		if e.class.Effect == Keyed && (s.cell != server.Cell || now-s.at > e.class.Window) {
+		if e.class.Idempotency == IdempotentWithKey && (s.cell != server.Cell || now-s.at > e.class.DedupWindow) {
 			k.t.Fatalf("a keyed request left its cell or window: cell %d to %d after %.0f ms", s.cell, server.Cell, now-s.at)
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 // end ends an open attempt, chosen by pick, with the given result; nil when none is open.
-func (k *book) end(pick int, res Result, now Millis) Event {
+func (k *book) end(pick int, res Outcome, now Millis) Event {
 	for i := range k.order {
 		id := k.order[(i+pick)%len(k.order)]
 		e := k.reqs[id]
@@ -104,10 +104,10 @@
 				continue
 			}
 			s.open = false
-			s.mayRun = res != Overloaded && res != Unreachable && res != Void
+			s.mayRun = res != Overloaded && res != Unreachable && res != NotSent
 			e.finished = e.finished || res == OK
-			return AttemptEnd{ID: id, Attempt: n, Server: s.server, Result: res, Elapsed: now - s.at,
-				Closed: e.finished || e.answers > 0, Load: Load{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
+			return AttemptCompleted{ID: id, Attempt: n, Server: s.server, Outcome: res, Elapsed: now - s.at,
+				Closed: e.finished || e.answers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
 		}
 	}
 	return nil
@@ -122,24 +122,24 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		set := settings()
 		if len(data) > 1 && data[0] == 6 {
-			set.SecondCopies, set.MayProbe, set.Reports = data[1]&1 == 0, data[1]&2 != 0, data[1]&2 != 0
-			set.Peers, set.ProbedOnly, set.WarmKeys = data[1]&4 != 0, data[1]&4 != 0, data[1]&4 != 0
+			set.HedgingAllowed, set.ProbesAllowed, set.LoadReports = data[1]&1 == 0, data[1]&2 != 0, data[1]&2 != 0
+			set.GossipAllowed, set.ReportsFromProbesOnly, set.KeyAffinity = data[1]&4 != 0, data[1]&4 != 0, data[1]&4 != 0
 			set.Nodes = 1 + int(data[1]&4)
 		}
 		l, err := New(set, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &book{t: t, set: set, state: map[ServerID]ServerEntry{}, reqs: map[RequestID]*entry{}}
+		k := &book{t: t, set: set, state: map[ServerID]Endpoint{}, reqs: map[RequestID]*entry{}}
 		now := 1000.0
 		servers := server3(6)
-		list := func(form ListForm, entries ...ServerEntry) Event {
+		list := func(form UpdateKind, entries ...Endpoint) Event {
 			for _, e := range entries {
 				k.state[e.ID] = e
 			}
-			return ServerList{Form: form, Entries: entries}
+			return EndpointUpdate{Kind: form, Endpoints: entries}
 		}
-		k.check(now, l.Step(now, list(ListCached, servers...)))
+		k.check(now, l.Step(now, list(CachedUpdate, servers...)))
 		for i := 0; i+1 < len(data); i += 2 {
 			arg := int(data[i+1])
 			var e Event
@@ -149,35 +149,35 @@
 				if arg%7 == 0 {
 					body = append(body, make([]byte, 300)...)
 				}
-				e = Told{From: arg % 6, Body: body}
+				e = GossipReceived{From: arg % 6, Body: body}
 			case 0:
 				id := RequestID(len(k.order) + 1)
 				c := set.Classes[arg%3]
 				k.reqs[id] = &entry{class: c, expires: now + 1000}
 				k.order = append(k.order, id)
-				e = Arrival{ID: id, Class: c.Name, Retry: arg%5 == 0, Hint: float64(arg % 3 * 20), Expires: now + 1000}
+				e = Arrival{ID: id, Class: c.Name, IsRetry: arg%5 == 0, WorkHint: float64(arg % 3 * 20), Deadline: now + 1000}
 			case 1:
 				if len(k.order) > 0 {
-					e = k.end(arg/8, Result(arg%8), now)
+					e = k.end(arg/8, Outcome(arg%8), now)
 				}
 			case 2:
 				now += float64(arg)
 				e = TimerFired{"sweep"}
 			case 3:
 				s := servers[arg%6]
-				s.State = ServerState(arg / 6 % 3)
+				s.State = EndpointState(arg / 6 % 3)
 				if arg > 100 {
 					s.Started = now
 				}
-				e = list(ListDelta, s)
+				e = list(DeltaUpdate, s)
 			case 4:
 				e = TimerFired{[]string{"sweep", "probes", "ask", "what"}[arg%4]}
 			case 5:
-				e = ServerList{Form: ListFailed}
+				e = EndpointUpdate{Kind: UpdateFailed}
 			case 6:
-				e = ProbeEnd{Server: servers[arg%6].ID, Result: Result(arg % 8), Load: Load{Valid: arg%2 == 0, InFlight: 3}}
+				e = LoadProbeCompleted{Server: servers[arg%6].ID, Outcome: Outcome(arg % 8), Report: LoadReport{Valid: arg%2 == 0, InFlight: 3}}
 			case 7:
-				e = AttemptEnd{ID: RequestID(arg + 1000), Server: "nobody", Result: OK}
+				e = AttemptCompleted{ID: RequestID(arg + 1000), Server: "nobody", Outcome: OK}
 			}
 			if e != nil {
 				k.check(now, l.Step(now, e))
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -6,8 +6,8 @@
 
 // tell lets the other nodes know what this one has at each server and how its sends there ended, as often as
 // may be paid for. Where reading a message costs them all more than a request may, nothing is told.
-func (l *Logic) tell() {
-	if !l.set.Peers || l.set.Nodes < 2 || l.tellings.left <= 0 || l.now < l.toldAt+tellEvery {
+func (l *Balancer) tell() {
+	if !l.set.GossipAllowed || l.set.Nodes < 2 || l.tellings.left <= 0 || l.now < l.toldAt+tellEvery {
 		return
 	}
 	readers := float64(l.set.Nodes - 1)
@@ -24,14 +24,14 @@
 		}
 		body, l.changed = l.message(tellLoads), false
 	}
-	l.tellings.left -= l.set.PeerPrice * readers * float64(len(body)) / MessageMost
+	l.tellings.left -= l.set.GossipPrice * readers * float64(len(body)) / MaxGossipBytes
 	l.toldAt = l.now
-	l.do(Tell{body})
+	l.do(BroadcastGossip{body})
 }
 
 // badShare is a server's failure share by what this node saw and the others told, those counting half.
-func (l *Logic) badShare(s *server) float64 {
-	if !l.set.Peers || len(s.told) == 0 && s.failedAt < l.now-bucketCount*bucketLen {
+func (l *Balancer) badShare(s *server) float64 {
+	if !l.set.GossipAllowed || len(s.told) == 0 && s.failedAt < l.now-bucketCount*bucketLen {
 		return 0
 	}
 	ok, fail := s.window(l.now)
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -4,13 +4,13 @@
 // those are in logic.go.
 
 // Beside says of how many processes this node is made now: two during an upgrade, else one.
-type Beside struct{ Processes int }
+type SiblingProcesses struct{ Count int }
 
 // Inherited is what the process before this one knew, of servers that this one has in its list.
-type Inherited struct{ State State }
+type StateTransferred struct{ State State }
 
-func (Beside) event()    {}
-func (Inherited) event() {}
+func (SiblingProcesses) event() {}
+func (StateTransferred) event() {}
 
 // State is what a node knows, in a form that another process can read. Times are the node's clock's: Unix milliseconds.
 // The JSON names are the form between versions: an old process hands over to a new one.
@@ -78,7 +78,7 @@
 
 // Snapshot is what the node knows. What is left of a cold server's budget is split evenly between the two processes once
 // Beside has told of both, so that they cannot spend it twice.
-func (l *Logic) Snapshot() State {
+func (l *Balancer) Snapshot() State {
 	s := State{Unit: l.unit, Pace: l.pace, Width: l.width, Lag: l.lag, HintMean: l.hintMean, Crowd: l.crowd,
 		ProbeTook: l.probeTook, Ease: l.ease, Retries: l.retries.left, Probes: l.probes.left,
 		Classes: map[string]ClassRecord{}, Tenants: map[string]TenantRecord{}}
@@ -111,7 +111,7 @@
 
 // beside makes this process one of so many with the same part of all: what a node may send a cold server, and the odd
 // request that finds out whether a slowdown is over, is shared by the nodes, and a node's part by its processes.
-func (l *Logic) beside(processes int) {
+func (l *Balancer) beside(processes int) {
 	if l.processes == processes || processes < 1 {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // inherit takes over what is known of servers that have not started anew since.
-func (l *Logic) inherit(from State) {
+func (l *Balancer) inherit(from State) {
 	l.unit, l.pace, l.width, l.lag, l.hintMean = from.Unit, from.Pace, from.Width, from.Lag, from.HintMean
 	l.crowd, l.probeTook, l.ease = from.Crowd, from.ProbeTook, from.Ease
 	l.retries.left, l.probes.left = from.Retries, from.Probes
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -8,10 +8,10 @@
 // TestTwoProcessesShareAColdServersBudget holds what an old and a new process may send a cold server, by now and in the
 // time to come, against what one may.
 func TestTwoProcessesShareAColdServersBudget(t *testing.T) {
-	set := Settings{Nodes: 3, Classes: []Class{{Name: "look", Aim: 90, HardLimit: 100, Worth: 1}}, DrainGrace: 2000,
-		ColdFrom: 0.2, ColdFor: 9000, FallMultiple: 3, FallFor: 3000, MaxAttempts: 1, Goal: Goal{Whole: 1}}
-	list := ServerList{Form: ListFull, Entries: []ServerEntry{{ID: "cold", Size: 1, Started: 1}}}
-	begin := func(seed uint64, left float64) *Logic {
+	set := Settings{Nodes: 3, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 100, PriorityWeight: 1}}, DrainGrace: 2000,
+		InitialCapacity: 0.2, SlowStartDuration: 9000, OverloadFactor: 3, OverloadWindow: 3000, MaxAttempts: 1, Goal: ObjectiveWeights{Overall: 1}}
+	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Capacity: 1, Started: 1}}}
+	begin := func(seed uint64, left float64) *Balancer {
 		l, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -20,10 +20,10 @@
 		l.servers["cold"].budget.left = left
 		return l
 	}
-	rate := func(l *Logic) float64 { return l.coldRate(l.servers["cold"]) }
+	rate := func(l *Balancer) float64 { return l.coldRate(l.servers["cold"]) }
 	alone, old, next := begin(1, 6), begin(2, 6), begin(3, 0.7)
-	old.Step(10, Beside{2})
-	old.Step(10, Beside{2}) // told twice
+	old.Step(10, SiblingProcesses{2})
+	old.Step(10, SiblingProcesses{2}) // told twice
 	raw, err := json.Marshal(old.Snapshot())
 	var state State
 	if err == nil {
@@ -32,24 +32,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.Step(10, Beside{2})
-	next.Step(10, Inherited{state})
+	next.Step(10, SiblingProcesses{2})
+	next.Step(10, StateTransferred{state})
 	if left := old.servers["cold"].budget.left + next.servers["cold"].budget.left; left != 6 {
 		t.Errorf("one process had 6 left, two have %v", left)
 	}
 	if both := rate(old) + rate(next); both > rate(alone)*1.0001 || both < rate(alone)*0.9999 {
 		t.Errorf("two processes get %v a millisecond, one alone %v", both, rate(alone))
 	}
-	if next.Step(10, Beside{1}); rate(next) != rate(alone) || next.servers["cold"].budget.left > 3 {
+	if next.Step(10, SiblingProcesses{1}); rate(next) != rate(alone) || next.servers["cold"].budget.left > 3 {
 		t.Errorf("alone again: %v a millisecond, %v left", rate(next), next.servers["cold"].budget.left)
 	}
 }
 
 func TestInheritedIsWhatWasKnown(t *testing.T) {
-	set := Settings{Nodes: 1, Classes: []Class{{Name: "look", Aim: 90, HardLimit: 300, Worth: 1}}, DrainGrace: 2000,
-		ColdFrom: 0.2, ColdFor: 9000, FallMultiple: 3, FallFor: 1000, MaxAttempts: 3, Goal: Goal{Whole: 1}}
-	list := ServerList{Form: ListFull, Entries: []ServerEntry{{ID: "a", Size: 1}, {ID: "b", Size: 1, Started: 5}}}
-	made := func(seed uint64) *Logic {
+	set := Settings{Nodes: 1, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 300, PriorityWeight: 1}}, DrainGrace: 2000,
+		InitialCapacity: 0.2, SlowStartDuration: 9000, OverloadFactor: 3, OverloadWindow: 1000, MaxAttempts: 3, Goal: ObjectiveWeights{Overall: 1}}
+	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1, Started: 5}}}
+	made := func(seed uint64) *Balancer {
 		l, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 	state := old.Snapshot()
 	next := made(2)
 	next.servers["b"].Started = 7 // it has started anew since
-	next.Step(2, Inherited{state})
+	next.Step(2, StateTransferred{state})
 	n := next.servers["a"]
 	if !n.excluded || n.trialAt != 10_000 || n.unit != 17 || n.failures != 3 || n.recentRate() != a.recentRate() ||
 		n.errorRate(2000) != a.errorRate(2000) {
@@ -76,7 +76,7 @@
 	if next.servers["b"].unit == 99 {
 		t.Error("a server that started anew was given its past")
 	}
-	if listed, avoided := next.Census(); listed != 2 || avoided != 1 {
+	if listed, avoided := next.CountEndpoints(); listed != 2 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -8,7 +8,7 @@
 // bed drives one Logic by hand and keeps what it did.
 type bed struct {
 	t    *testing.T
-	l    *Logic
+	l    *Balancer
 	now  Millis
 	acts []Action
 	next RequestID
@@ -18,31 +18,31 @@
 	return Settings{
 		Nodes: 1,
 		Classes: []Class{
-			{Name: "read", Effect: Safe, Aim: 400, HardLimit: 2000, Worth: 1},
-			{Name: "put", Effect: Keyed, Group: GroupCell, Window: 1000, Aim: 400, HardLimit: 2000, Worth: 1},
-			{Name: "bill", Effect: Unsafe, Aim: 400, HardLimit: 2000, Worth: 5},
+			{Name: "read", Idempotency: Idempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
+			{Name: "put", Idempotency: IdempotentWithKey, DedupScope: DedupWithinCell, DedupWindow: 1000, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
+			{Name: "bill", Idempotency: NonIdempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 5},
 		},
-		Goal: Goal{Whole: 1}, OverShare: 0.1, MarksRetry: true,
-		DrainGrace: 1000, ColdFrom: 0.25, ColdFor: 10000, FallMultiple: 3, FallFor: 2000, MustAskIn: 10000,
-		MaxAttempts: 5, MayCancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 2000, Tick: 1,
+		Goal: ObjectiveWeights{Overall: 1}, OverQuotaFraction: 0.1, ClientsMarkRetries: true,
+		DrainGrace: 1000, InitialCapacity: 0.25, SlowStartDuration: 10000, OverloadFactor: 3, OverloadWindow: 2000, WatchDeadline: 10000,
+		MaxAttempts: 5, CancelAllowed: true, HedgingAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1,
 	}
 }
 
-func newBed(t *testing.T, set Settings, servers ...ServerEntry) *bed {
+func newBed(t *testing.T, set Settings, servers ...Endpoint) *bed {
 	t.Helper()
 	l, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &bed{t: t, l: l, now: 100000}
-	b.step(ServerList{Form: ListCached, Entries: servers})
+	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: servers})
 	return b
 }
 
-func server3(n int) []ServerEntry {
-	var out []ServerEntry
+func server3(n int) []Endpoint {
+	var out []Endpoint
 	for i := 0; i < n; i++ {
-		out = append(out, ServerEntry{ID: ServerID(fmt.Sprintf("s%d", i)), Zone: "z", Cell: i % 2, Size: 1})
+		out = append(out, Endpoint{ID: ServerID(fmt.Sprintf("s%d", i)), Zone: "z", Cell: i % 2, Capacity: 1})
 	}
 	return out
 }
@@ -56,16 +56,16 @@
 // arrive brings a request with the given time to live and returns its id and what was done.
 func (b *bed) arrive(class string, ttl Millis) (RequestID, []Action) {
 	b.next++
-	return b.next, b.step(Arrival{ID: b.next, Class: class, Expires: b.now + ttl})
+	return b.next, b.step(Arrival{ID: b.next, Class: class, Deadline: b.now + ttl})
 }
 
 // end finishes an attempt.
-func (b *bed) end(id RequestID, n int, s ServerID, res Result, took Millis) []Action {
-	return b.step(AttemptEnd{ID: id, Attempt: n, Server: s, Result: res, Elapsed: took, Closed: res == OK})
+func (b *bed) end(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
+	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: res, Elapsed: took, Closed: res == OK})
 }
 
 // serve sends one request and ends it wherever it went.
-func (b *bed) serve(class string, took Millis, result func(ServerID) Result) ServerID {
+func (b *bed) serve(class string, took Millis, result func(ServerID) Outcome) ServerID {
 	id, acts := b.arrive(class, 2000)
 	s := sentTo(acts)
 	if s == "" {
@@ -80,7 +80,7 @@
 	return s
 }
 
-func allOK(ServerID) Result { return OK }
+func allOK(ServerID) Outcome { return OK }
 
 // pass lets time go by in cycles.
 func (b *bed) pass(d Millis) {
@@ -92,7 +92,7 @@
 
 func sentTo(acts []Action) ServerID {
 	for _, a := range acts {
-		if s, ok := a.(Send); ok {
+		if s, ok := a.(StartAttempt); ok {
 			return s.Server
 		}
 	}
--- a/balancer/healthscore.go
+++ b/balancer/healthscore.go
@@ -8,7 +8,7 @@
 // This file scores the health of servers, zones and classes from the outcomes of attempts.
 
 // runScores scores each ready server from 0 to 1 and renews the typical unit time.
-func (l *Logic) runScores() {
+func (l *Balancer) runScores() {
 	l.scoredAt = l.now
 	l.tellZones()
 	var units []float64
@@ -16,8 +16,8 @@
 	for _, s := range l.list {
 		if s.seen && l.now < s.outcomeAt+staleAfter+staleDecay { // those shunned would hold the typical up
 			u := s.unit * l.pace
-			if l.set.Sized && s.Size > 0 {
-				u *= s.Size
+			if l.set.CapacitiesListed && s.Capacity > 0 {
+				u *= s.Capacity
 			}
 			units = append(units, u)
 		}
@@ -38,12 +38,12 @@
 
 // effectiveLatency is the smoothed latency, raised at once by attempts that stay out longer: silence counts
 // before the outcome arrives. Evidence that nothing renews fades toward the typical.
-func (l *Logic) effectiveLatency(s *server) Millis {
+func (l *Balancer) effectiveLatency(s *server) Millis {
 	return max(1e-3, l.fade(s, s.latency), l.overdue(s, false))
 }
 
 // smoothUnit is the time a server takes for each request in its hands.
-func (l *Logic) smoothUnit(s *server) Millis {
+func (l *Balancer) smoothUnit(s *server) Millis {
 	unit := l.fade(s, s.unit*l.pace)
 	if !s.seen {
 		unit = l.typicalUnit(s) // not the guess of its first moment
@@ -52,8 +52,8 @@
 }
 
 // observe books an attempt's outcome to its server's health.
-func (l *Logic) observe(s *server, r *request, a *attempt, result Result, elapsed Millis) {
-	if result == Void || (result == Cancelled && elapsed < a.expected) {
+func (l *Balancer) observe(s *server, r *request, a *attempt, result Outcome, elapsed Millis) {
+	if result == NotSent || (result == Cancelled && elapsed < a.expected) {
 		return // tells nothing of the server
 	}
 	good := result == OK
@@ -66,7 +66,7 @@
 	}
 	felt := elapsed
 	if !good { // a quick error must not look like a quick answer, a lost one not like a long queue
-		felt = r.class.Aim
+		felt = r.class.LatencyObjective
 	}
 	gain := 1 - (1-latencyGain)*math.Exp(-(l.now-s.outcomeAt)/staleDecay) // an old record counts for less
 	if !s.seen {
@@ -92,7 +92,7 @@
 // noteClass books an outcome to its class and tells whether the fault is the class's own at this server: it
 // fails there while another class is served well. Such failures, and such silence, say nothing about the
 // server; counting them would shun a server that is good for all the rest.
-func (l *Logic) noteClass(s *server, c *classState, result Result) bool {
+func (l *Balancer) noteClass(s *server, c *classState, result Outcome) bool {
 	if result == Overloaded || result == Cancelled {
 		return false
 	}
@@ -106,7 +106,7 @@
 	return l.classFault(s, c)
 }
 
-func (l *Logic) classFault(s *server, c *classState) bool {
+func (l *Balancer) classFault(s *server, c *classState) bool {
 	if l.classBad(s, c) < classFaulty {
 		return false
 	}
@@ -120,7 +120,7 @@
 
 // zoneFault is a zone's share of sends with nothing back, 0 but where another zone answers: it is lost or cut
 // off from here. A node that meets each server once in seconds would else wait for every one there in turn.
-func (l *Logic) zoneFault(zone *classHealth) float64 {
+func (l *Balancer) zoneFault(zone *classHealth) float64 {
 	if zone.bad < zoneSilent {
 		return 0
 	}
--- a/balancer/loadestimate.go
+++ b/balancer/loadestimate.go
@@ -11,7 +11,7 @@
 // an answer to a later send has passed or that take far longer than expected. They are no load, and their
 // silence says nothing of its speed. One that may be repeated is sent elsewhere while it is in time, at no
 // cost to the budget: no server has work of it.
-func (l *Logic) findLost(s *server, load Load) {
+func (l *Balancer) findLost(s *server, load LoadReport) {
 	missing := -load.InFlight
 	for _, r := range s.open {
 		if l.now-r.at(s).sentAt > reportFresh {
@@ -35,16 +35,16 @@
 		}
 		missing--
 		s.lost++
-		if !known && l.set.MayCancel && !r.done && r.class.Effect != Unsafe && l.now < r.aimAt {
-			l.do(Cancel{r.id, r.number(a)})
+		if !known && l.set.CancelAllowed && !r.done && r.class.Idempotency != NonIdempotent && l.now < r.aimAt {
+			l.do(CancelAttempt{r.id, r.number(a)})
 		}
 	}
 }
 
 // estimatedLoad estimates the requests a server has in hand. Reports age toward their mean.
-func (l *Logic) estimatedLoad(s *server) float64 {
+func (l *Balancer) estimatedLoad(s *server) float64 {
 	own := float64(s.inflight - s.lost - s.ahead)
-	if s.doubt = 0; !l.set.Reports {
+	if s.doubt = 0; !l.set.LoadReports {
 		return own
 	}
 	s.doubt = 1
@@ -65,35 +65,35 @@
 
 // queueRounds is how many requests' times pass until a server that holds so many is done with one more: it
 // works on several at once, as the reports of queues show, and only what is beyond them waits.
-func (l *Logic) queueRounds(ahead, cost float64) float64 {
+func (l *Balancer) queueRounds(ahead, cost float64) float64 {
 	width := math.Round(l.width)
 	return cost + max(0, ahead+1-width)/width
 }
 
-func (l *Logic) probeEnd(e ProbeEnd) {
+func (l *Balancer) probeEnd(e LoadProbeCompleted) {
 	s := l.servers[e.Server]
 	if s == nil {
 		return
 	}
 	s.probeOut = false
-	s.connection(e.Result)
+	s.connection(e.Outcome)
 	l.ease = min(1, l.ease+probeEase/10)
-	switch e.Result {
+	switch e.Outcome {
 	case OK:
 		l.probeTook += widthGain * (e.Elapsed - l.probeTook)
-		l.report(s, e.Load)
+		l.report(s, e.Report)
 	case Overloaded:
 		l.ease *= 1 - probeEase
 	case TimedOut:
 		l.ease *= 1 - probeEase
 		l.probeTook += widthGain * (e.Elapsed - l.probeTook)
-		if l.set.ProbedOnly && e.Elapsed <= lostAfter*l.probeTook {
+		if l.set.ReportsFromProbesOnly && e.Elapsed <= lostAfter*l.probeTook {
 			break // probes wait there like requests: this one shows a queue
 		}
 		fallthrough
-	case Errored, Unreachable, Broken: // what does not even answer a probe serves nothing
+	case Errored, Unreachable, ConnectionLost: // what does not even answer a probe serves nothing
 		s.note(l.now, false)
-		l.ejectOrKeep(s, e.Result, l.now-e.Elapsed)
+		l.ejectOrKeep(s, e.Outcome, l.now-e.Elapsed)
 	}
 	l.dispatch()
 }
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -10,23 +10,23 @@
 // and, where it is tried again or given up, retries.go; docs/design.md says what the design page rules.
 
 // New makes the logic of one node, or says which setting makes that impossible.
-func New(set Settings, seed uint64) (*Logic, error) {
+func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := validate(set); err != nil {
 		return nil, err
 	}
 	source := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
-	l := &Logic{set: set, processes: 1, source: source, rng: rand.New(source),
+	l := &Balancer{set: set, processes: 1, source: source, rng: rand.New(source),
 		servers: map[ServerID]*server{}, classes: map[string]*classState{}, tenants: map[string]*tenantState{},
 		requests: map[RequestID]*request{}, retries: tokens{left: retryBurst}, askDelay: askFirstWait,
 		said: map[speaker][]*server{}, heardFrom: map[int]Millis{}, refused: map[subject]comingBack{},
-		width: 1, ease: 1, pace: 1, warmth: 0.5, probes: tokens{left: probeWidth}, trialBy: Unsafe,
+		width: 1, ease: 1, pace: 1, warmth: 0.5, probes: tokens{left: probeWidth}, trialBy: NonIdempotent,
 		lateAt: math.Inf(1), zones: map[string]*classHealth{}}
 	l.unit, l.explorations.left = math.Inf(1), l.rng.Float64()
 	for i, c := range set.Classes {
 		l.classes[c.Name] = &classState{Class: c, index: i, guard: shortestAbove(set, c)}
-		l.unit = min(l.unit, c.Aim/4) // until measured: four requests make an aim
-		l.trialBy = min(l.trialBy, c.Effect)
-		l.meanWorth += c.Worth / float64(len(set.Classes))
+		l.unit = min(l.unit, c.LatencyObjective/4) // until measured: four requests make an aim
+		l.trialBy = min(l.trialBy, c.Idempotency)
+		l.meanWorth += c.PriorityWeight / float64(len(set.Classes))
 	}
 	l.guess = l.unit
 	for _, t := range set.Tenants {
@@ -36,7 +36,7 @@
 }
 
 // Step takes one event at the given time and returns what is to be done, in order.
-func (l *Logic) Step(now Millis, event Event) []Action {
+func (l *Balancer) Step(now Millis, event Event) []Action {
 	l.now, l.out = now, nil
 	if !l.started {
 		l.start()
@@ -44,52 +44,52 @@
 	switch e := event.(type) {
 	case Arrival:
 		l.arrive(e)
-	case AttemptEnd:
+	case AttemptCompleted:
 		l.attemptEnd(e)
-	case Dropped:
+	case ClientCancelled:
 		if r := l.requests[e.ID]; r != nil {
 			l.finish(r)
 		}
-	case ProbeEnd:
+	case LoadProbeCompleted:
 		l.probeEnd(e)
 	case TimerFired:
 		l.timer(e.Token)
-	case Disconnected:
+	case ConnectionClosed:
 		if s := l.servers[e.Server]; s != nil {
 			s.idle = max(0, s.idle-1)
 		}
-	case ServerList:
+	case EndpointUpdate:
 		l.serverList(e)
-	case Told:
+	case GossipReceived:
 		l.hear(e)
-	case Uploaded:
+	case BodyReceived:
 		l.uploaded(e)
-	case Beside:
-		l.beside(e.Processes)
+	case SiblingProcesses:
+		l.beside(e.Count)
 	case fleetNews:
 		e.apply(l)
-	case Inherited:
+	case StateTransferred:
 		l.inherit(e.State)
 	}
 	l.tell()
 	return l.out
 }
 
-func (l *Logic) start() {
+func (l *Balancer) start() {
 	l.started, l.explorations.at = true, l.now
-	if l.set.Subscribe { // nodes that start together must not all call at once: most calls would fail
-		l.askAt = l.now + l.rng.Float64()*min(askSpread*float64(l.set.Nodes-1), l.askWait(), AskPauseMost)
+	if l.set.WatchEndpoints { // nodes that start together must not all call at once: most calls would fail
+		l.askAt = l.now + l.rng.Float64()*min(askSpread*float64(l.set.Nodes-1), l.askWait(), MaxPollBackoff)
 		l.do(SetTimer{"ask", l.askAt})
 	}
 }
 
-func (l *Logic) timer(token string) {
+func (l *Balancer) timer(token string) {
 	switch token {
 	case "sweep", "probes":
 		l.sweeping = l.sweeping && token != "sweep"
 		l.dispatch()
 	case "ask":
-		if l.set.Subscribe && !l.subscribe && l.now >= l.askAt {
+		if l.set.WatchEndpoints && !l.subscribe && l.now >= l.askAt {
 			l.ask()
 		}
 	}
--- a/balancer/logic_test.go
+++ b/balancer/logic_test.go
@@ -14,11 +14,11 @@
 		"nodes":        func(s *Settings) { s.Nodes = 0 },
 		"classes":      func(s *Settings) { s.Classes = nil },
 		"attempts":     func(s *Settings) { s.MaxAttempts = 0 },
-		"cold":         func(s *Settings) { s.ColdFrom = 1.5 },
-		"cold server":  func(s *Settings) { s.FallMultiple = 0 },
+		"cold":         func(s *Settings) { s.InitialCapacity = 1.5 },
+		"cold server":  func(s *Settings) { s.OverloadFactor = 0 },
 		"drain":        func(s *Settings) { s.DrainGrace = -1 },
-		"aim":          func(s *Settings) { s.Classes[0].Aim = 0 },
-		"needs a wind": func(s *Settings) { s.Classes[1].Window = 0 },
+		"aim":          func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"needs a wind": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 	} {
 		set := settings()
 		spoil(&set)
@@ -82,18 +82,18 @@
 	b := newBed(t, settings(), server3(2)...)
 	b.l.list[0].score, b.l.list[1].score = 0.4, 0.8
 	b.l.list[0].recentLen, b.l.list[1].recentLen = 0, 0
-	b.step(ServerList{Form: ListDelta, Entries: []ServerEntry{{ID: "new", Size: 1}}})
+	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "new", Capacity: 1}}})
 	if got := b.l.servers["new"].score; math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("new server scores %.2f, want 0.6", got)
 	}
 }
 
 // failing makes one server fail until it is excluded.
-func failing(t *testing.T, b *bed, bad ServerID, res Result) {
+func failing(t *testing.T, b *bed, bad ServerID, res Outcome) {
 	t.Helper()
 	for i := 0; i < 300 && !b.l.servers[bad].excluded; i++ {
 		b.l.servers[bad].seen, b.l.servers[bad].unit = true, 1 // as fast as any by its record, so that it is drawn
-		b.serve("read", 5, func(s ServerID) Result {
+		b.serve("read", 5, func(s ServerID) Outcome {
 			if s == bad {
 				return res
 			}
@@ -179,7 +179,7 @@
 func TestSharedFailureExcludesNone(t *testing.T) {
 	b := newBed(t, settings(), server3(6)...)
 	for i := 0; i < 200; i++ {
-		b.serve("read", 5, func(ServerID) Result { return Errored })
+		b.serve("read", 5, func(ServerID) Outcome { return Errored })
 		b.now += 50
 	}
 	out := 0
@@ -204,7 +204,7 @@
 }
 
 func TestUnsafeIsNeverSentTwice(t *testing.T) {
-	for res, again := range map[Result]bool{Errored: false, TimedOut: false, Broken: false, Overloaded: true, Unreachable: true} {
+	for res, again := range map[Outcome]bool{Errored: false, TimedOut: false, ConnectionLost: false, Overloaded: true, Unreachable: true} {
 		b := newBed(t, settings(), server3(3)...)
 		id, acts := b.arrive("bill", 2000)
 		b.now += 10
@@ -230,7 +230,7 @@
 		if second != "" && b.l.servers[second].Cell != b.l.servers[first].Cell {
 			t.Fatalf("repeated in cell %d after cell %d", b.l.servers[second].Cell, b.l.servers[first].Cell)
 		}
-		if second == "" && count[Refuse](acts) > 0 {
+		if second == "" && count[Reject](acts) > 0 {
 			t.Fatal("refused though an attempt may have run")
 		}
 		if second != "" {
@@ -245,13 +245,13 @@
 }
 
 func TestNothingGoesToADrainingServer(t *testing.T) {
-	for _, form := range []ListForm{ListDelta, ListFull} {
+	for _, form := range []UpdateKind{DeltaUpdate, FullUpdate} {
 		b := newBed(t, settings(), server3(3)...)
-		entries := []ServerEntry{{ID: "s1", State: Draining, Size: 1}}
-		if form == ListFull { // absent from a full list means gone
-			entries = []ServerEntry{server3(3)[0], server3(3)[2]}
+		entries := []Endpoint{{ID: "s1", State: Draining, Capacity: 1}}
+		if form == FullUpdate { // absent from a full list means gone
+			entries = []Endpoint{server3(3)[0], server3(3)[2]}
 		}
-		b.step(ServerList{Form: form, Entries: entries})
+		b.step(EndpointUpdate{Kind: form, Endpoints: entries})
 		for i := 0; i < 100; i++ {
 			if b.serve("read", 5, allOK) == "s1" {
 				t.Fatalf("form %d: sent to a server that is draining or gone", form)
@@ -269,18 +269,18 @@
 		b.serve("read", 40, allOK)
 	}
 	unit := b.l.unit
-	b.l.list[0].State = Gone
-	b.step(ServerList{Form: ListDelta, Entries: []ServerEntry{
-		{ID: "s0", State: Gone}, {ID: "cold", Size: 1, Started: b.now}}})
+	b.l.list[0].State = Removed
+	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{
+		{ID: "s0", State: Removed}, {ID: "cold", Capacity: 1, Started: b.now}}})
 	sent, start := 0, b.now
-	for b.now < start+set.FallFor {
+	for b.now < start+set.OverloadWindow {
 		if id, acts := b.arrive("read", 2000); sentTo(acts) == "cold" {
 			sent++
 			b.end(id, 0, "cold", Overloaded, 0) // refused work counts too
 		}
 		b.now += 5
 	}
-	budget := set.FallMultiple * (set.ColdFrom + 0.2*(1-set.ColdFrom)) * set.FallFor / unit / float64(set.Nodes)
+	budget := set.OverloadFactor * (set.InitialCapacity + 0.2*(1-set.InitialCapacity)) * set.OverloadWindow / unit / float64(set.Nodes)
 	if sent == 0 || float64(sent) > budget {
 		t.Errorf("sent %d to a cold server, want 1 to %.1f", sent, budget)
 	}
@@ -289,7 +289,7 @@
 func TestRestartBeginsFresh(t *testing.T) {
 	b := newBed(t, settings(), server3(3)...)
 	failing(t, b, "s1", Errored)
-	b.step(ServerList{Form: ListDelta, Entries: []ServerEntry{{ID: "s1", Size: 1, Started: b.now}}})
+	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s1", Capacity: 1, Started: b.now}}})
 	s := b.l.servers["s1"]
 	if s.excluded || s.recentLen != 0 || b.l.ramp(s) > 0.3 {
 		t.Errorf("restarted server kept its past: excluded %v, outcomes %d, ramp %.2f", s.excluded, s.recentLen, b.l.ramp(s))
@@ -301,32 +301,32 @@
 
 func TestSubscriptionIsAskedForAgain(t *testing.T) {
 	set := settings()
-	set.Subscribe = true
+	set.WatchEndpoints = true
 	b := newBed(t, set, server3(2)...)
-	if b.step(TimerFired{"ask"}); count[Watch](b.acts) != 1 {
+	if b.step(TimerFired{"ask"}); count[WatchEndpoints](b.acts) != 1 {
 		t.Fatal("no subscription at the start")
 	}
 	for i := 0; i < 6; i++ {
 		var at Millis
-		for _, a := range b.step(ServerList{Form: ListFailed}) {
+		for _, a := range b.step(EndpointUpdate{Kind: UpdateFailed}) {
 			if timer, ok := a.(SetTimer); ok && timer.Token == "ask" {
 				at = timer.At
 			}
 		}
-		if at <= b.now || at-b.now > set.MustAskIn {
+		if at <= b.now || at-b.now > set.WatchDeadline {
 			t.Fatalf("asks again in %.0f ms", at-b.now)
 		}
 		b.now = at
-		if count[Watch](b.step(TimerFired{"ask"})) != 1 {
+		if count[WatchEndpoints](b.step(TimerFired{"ask"})) != 1 {
 			t.Fatal("a failed call is not repeated")
 		}
 	}
 	if len(b.l.list) != 2 {
 		t.Error("a failed call lost the list")
 	}
-	b.step(ServerList{Form: ListDelta})
+	b.step(EndpointUpdate{Kind: DeltaUpdate})
 	b.now += 60000
-	if count[Watch](b.step(TimerFired{"ask"})) != 0 {
+	if count[WatchEndpoints](b.step(TimerFired{"ask"})) != 0 {
 		t.Error("asks again while subscribed")
 	}
 }
@@ -388,18 +388,18 @@
 
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	b := newBed(t, settings()) // no servers at all
-	if _, acts := b.arrive("read", 2000); count[Refuse](acts) != 1 {
+	if _, acts := b.arrive("read", 2000); count[Reject](acts) != 1 {
 		t.Errorf("without servers: %v, want a refusal at once", acts)
 	}
 	b = newBed(t, settings(), server3(1)...)
 	for i := 0; i < 200; i++ {
 		b.arrive("read", 2000)
 	}
-	if n := count[Refuse](b.acts); n < 150 {
+	if n := count[Reject](b.acts); n < 150 {
 		t.Errorf("%d of 200 refused early by a server that can hold a few", n)
 	}
 	for _, a := range b.acts {
-		if r, ok := a.(Refuse); ok && r.RetryAfter <= 0 {
+		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
 			t.Fatal("a refusal does not say when to come back")
 		}
 	}
@@ -408,7 +408,7 @@
 // A slow answer is mostly a heavy request: withdrawing it throws its work away, a copy doubles it.
 func TestSlowRequestIsNotWithdrawn(t *testing.T) {
 	set := settings()
-	set.SecondCopies = false
+	set.HedgingAllowed = false
 	b := newBed(t, set, server3(2)...)
 	for i := 0; i < 40; i++ {
 		b.serve("read", 20, allOK)
@@ -416,23 +416,23 @@
 	b.arrive("read", 2000)
 	b.acts = nil
 	b.pass(1000)
-	if n := count[Cancel](b.acts) + count[Send](b.acts); n != 0 {
+	if n := count[CancelAttempt](b.acts) + count[StartAttempt](b.acts); n != 0 {
 		t.Errorf("%d withdrawn or sent again while the answer may still come", n)
 	}
 }
 
 func TestSpareCapacityTriesHeavyRequests(t *testing.T) {
 	set := settings()
-	set.Reports = true
+	set.LoadReports = true
 	b := newBed(t, set, server3(4)...)
 	for i := 0; i < 40; i++ {
 		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: "read", Hint: 50, Expires: b.now + 2000})
+		acts := b.step(Arrival{ID: b.next, Class: "read", WorkHint: 50, Deadline: b.now + 2000})
 		b.now += 100
 		b.end(b.next, 0, sentTo(acts), OK, 100)
 	}
 	b.next++
-	if acts := b.step(Arrival{ID: b.next, Class: "read", Hint: 250, Expires: b.now + 2000}); sentTo(acts) == "" {
+	if acts := b.step(Arrival{ID: b.next, Class: "read", WorkHint: 250, Deadline: b.now + 2000}); sentTo(acts) == "" {
 		t.Error("an idle fleet refused a request for a rough hint")
 	}
 }
@@ -440,21 +440,21 @@
 // Guards against a silent death: a server that answers no probe is excluded without losing requests to it.
 func TestUnansweredProbesExclude(t *testing.T) {
 	set := settings()
-	set.MayProbe, set.Reports = true, true
+	set.ProbesAllowed, set.LoadReports = true, true
 	b := newBed(t, set, server3(3)...)
 	for _, s := range b.l.list[1:] {
 		s.note(b.now, true)
 	}
 	for i := 0; i < tripFailures; i++ {
 		b.now += 50
-		b.step(ProbeEnd{Server: "s0", Result: Overloaded})
+		b.step(LoadProbeCompleted{Server: "s0", Outcome: Overloaded})
 	}
 	if b.l.servers["s0"].excluded {
 		t.Fatal("excluded for refusing probes")
 	}
 	for i := 0; i < tripFailures; i++ {
 		b.now += 50
-		b.step(ProbeEnd{Server: "s0", Result: TimedOut, Elapsed: 50})
+		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 50})
 	}
 	if !b.l.servers["s0"].excluded {
 		t.Error("a server that answers no probe is not excluded")
@@ -508,7 +508,7 @@
 // Fairness: with one tenant far over its share, the other's requests go first.
 func TestMeekTenantIsServedUnderShortage(t *testing.T) {
 	set := settings()
-	set.Goal = Goal{Whole: 0.7, WorstTenant: 0.3}
+	set.Goal = ObjectiveWeights{Overall: 0.7, WorstTenant: 0.3}
 	set.Tenants = []Tenant{{Name: "loud", Quota: 10}, {Name: "meek", Quota: 10}}
 	b := newBed(t, set, server3(1)...)
 	tenant, sent := map[RequestID]string{}, map[string]int{}
@@ -519,7 +519,7 @@
 			name = "meek"
 		}
 		tenant[b.next] = name
-		acts := b.step(Arrival{ID: b.next, Class: "read", Tenant: name, Expires: b.now + 2000})
+		acts := b.step(Arrival{ID: b.next, Class: "read", Tenant: name, Deadline: b.now + 2000})
 		b.now += 10
 		if i%5 == 4 { // the server answers one request in 50 ms
 			if r := b.l.list[0].open; len(r) > 0 {
@@ -527,7 +527,7 @@
 			}
 		}
 		for _, a := range acts {
-			if s, ok := a.(Send); ok {
+			if s, ok := a.(StartAttempt); ok {
 				sent[tenant[s.ID]]++
 			}
 		}
@@ -544,7 +544,7 @@
 	for i := 0; i < 60; i++ {
 		b.serve("read", 20, allOK)
 	}
-	lost := func(s ServerID) Result {
+	lost := func(s ServerID) Outcome {
 		if s == "s3" || s == "s4" || s == "s5" {
 			return Unreachable
 		}
@@ -610,9 +610,9 @@
 func TestKeyedGroups(t *testing.T) {
 	servers := server3(4)
 	servers[3].Zone = "y"
-	for group, want := range map[Group]int{GroupAll: 4, GroupZone: 3, GroupCell: 2} {
+	for group, want := range map[DedupScope]int{DedupAcrossFleet: 4, DedupWithinZone: 3, DedupWithinCell: 2} {
 		set := settings()
-		set.Classes[1].Group = group
+		set.Classes[1].DedupScope = group
 		b := newBed(t, set, servers...)
 		r := &request{class: b.l.classes["put"], cost: 1, mayRun: true, anchor: b.l.servers["s0"], boundTo: b.now + 500}
 		got := 0
@@ -626,8 +626,8 @@
 		}
 		b.acts = b.acts[:0]
 		b.l.out = nil
-		b.l.giveUp(r, NoPlace)
-		if refused := count[Refuse](b.l.out) == 1; refused != (group == GroupAll) {
+		b.l.giveUp(r, NoCapacity)
+		if refused := count[Reject](b.l.out) == 1; refused != (group == DedupAcrossFleet) {
 			t.Errorf("group %d: given up with %v", group, b.l.out)
 		}
 	}
@@ -677,7 +677,7 @@
 			t.Fatal(err)
 		}
 		b := &bed{t: t, l: l, now: 100000}
-		b.step(ServerList{Form: ListCached, Entries: server3(servers)})
+		b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(servers)})
 		l.unit = 1000 // nothing fits
 		for _, s := range l.list {
 			s.seen, s.unit = true, 1000
@@ -703,7 +703,7 @@
 	for i := 0; i < 100; i++ {
 		b.now += 10
 		b.next++
-		b.step(Arrival{ID: b.next, Class: "read", Tenant: "loud", Expires: b.now + 2000})
+		b.step(Arrival{ID: b.next, Class: "read", Tenant: "loud", Deadline: b.now + 2000})
 	}
 	loud := &request{class: b.l.classes["read"], tenant: b.l.tenants["loud"], cost: 1}
 	meek := &request{class: b.l.classes["read"], tenant: b.l.tenants["meek"], cost: 1}
@@ -718,12 +718,12 @@
 func TestLateRetryIsRefusedAtOnce(t *testing.T) {
 	for _, share := range []float64{0, 0.5} {
 		set := settings()
-		set.Classes[0].LateShare = share
+		set.Classes[0].LateFraction = share
 		b := newBed(t, set, server3(2)...)
 		b.arrive("read", 1000) // the longest try
 		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: "read", Retry: true, Expires: b.now + 300}) // began 1.7 s ago
-		if refused := count[Refuse](acts) == 1; refused != (share == 0) {
+		acts := b.step(Arrival{ID: b.next, Class: "read", IsRetry: true, Deadline: b.now + 300}) // began 1.7 s ago
+		if refused := count[Reject](acts) == 1; refused != (share == 0) {
 			t.Errorf("late answers worth %.1f: a retry past its aim got %v", share, acts)
 		}
 	}
@@ -733,7 +733,7 @@
 	run := func() []Action {
 		b := newBed(t, settings(), server3(5)...)
 		for i := 0; i < 200; i++ {
-			b.serve([]string{"read", "put", "bill"}[i%3], Millis(5+i%7), func(s ServerID) Result {
+			b.serve([]string{"read", "put", "bill"}[i%3], Millis(5+i%7), func(s ServerID) Outcome {
 				if s == "s2" {
 					return Errored
 				}
@@ -751,12 +751,12 @@
 	for name, odd := range map[string]func(*Settings){
 		"many nodes":    func(s *Settings) { s.Nodes = 50 },
 		"one attempt":   func(s *Settings) { s.MaxAttempts = 1 },
-		"no goal":       func(s *Settings) { s.Goal = Goal{} },
+		"no goal":       func(s *Settings) { s.Goal = ObjectiveWeights{} },
 		"zero quota":    func(s *Settings) { s.Tenants = []Tenant{{Name: "t"}} },
-		"no cold time":  func(s *Settings) { s.ColdFor = 0 },
-		"huge deadline": func(s *Settings) { s.Classes[0].HardLimit, s.Classes[0].Aim = 1e9, 1e9 },
-		"worthless":     func(s *Settings) { s.Classes[0].Worth = 0 },
-		"probes":        func(s *Settings) { s.MayProbe, s.Reports = true, true },
+		"no cold time":  func(s *Settings) { s.SlowStartDuration = 0 },
+		"huge deadline": func(s *Settings) { s.Classes[0].TotalTimeout, s.Classes[0].LatencyObjective = 1e9, 1e9 },
+		"worthless":     func(s *Settings) { s.Classes[0].PriorityWeight = 0 },
+		"probes":        func(s *Settings) { s.ProbesAllowed, s.LoadReports = true, true },
 	} {
 		set := settings()
 		odd(&set)
@@ -770,10 +770,10 @@
 // With reports, a send waits a moment for the servers asked, and goes on without those that stay silent.
 func TestProbesBeforeASend(t *testing.T) {
 	set := settings()
-	set.MayProbe, set.Reports = true, true
+	set.ProbesAllowed, set.LoadReports = true, true
 	b := newBed(t, set, server3(3)...)
 	_, acts := b.arrive("read", 2000)
-	if count[Probe](acts) == 0 || sentTo(acts) != "" {
+	if count[ProbeLoad](acts) == 0 || sentTo(acts) != "" {
 		t.Fatalf("got %v, want probes first", acts)
 	}
 	b.now += probeWait
@@ -784,12 +784,12 @@
 	b.now += 100
 	_, acts = b.arrive("read", 2000)
 	for _, a := range acts {
-		if p, ok := a.(Probe); ok {
+		if p, ok := a.(ProbeLoad); ok {
 			asked = append(asked, p.Server)
 		}
 	}
 	for i, s := range asked {
-		acts = b.step(ProbeEnd{Server: s, Result: OK, Load: Load{Valid: true, InFlight: float64(5 * i)}})
+		acts = b.step(LoadProbeCompleted{Server: s, Outcome: OK, Report: LoadReport{Valid: true, InFlight: float64(5 * i)}})
 	}
 	if len(asked) > 1 && sentTo(acts) != "" && sentTo(acts) != asked[0] {
 		if b.l.occupancy(b.l.servers[sentTo(acts)]) > 2 {
@@ -802,17 +802,17 @@
 // prefer the one it last heard of long ago to one it has just asked.
 func TestUnheardServerIsNotTakenToBeEmpty(t *testing.T) {
 	set := settings()
-	set.Nodes, set.Reports = 400, true
+	set.Nodes, set.LoadReports = 400, true
 	b := newBed(t, set, server3(60)...)
 	for i := 0; i < 40; i++ {
 		b.now += 50
-		b.step(ProbeEnd{Server: b.l.list[i].ID, Result: OK, Load: Load{Valid: true, InFlight: 3}})
+		b.step(LoadProbeCompleted{Server: b.l.list[i].ID, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 3}})
 	}
 	if got := b.l.occupancy(b.l.list[59]); got < 2 {
 		t.Errorf("a server never heard of is taken to hold %.1f where all others hold 3", got)
 	}
 	b.now += 60000
-	b.step(ProbeEnd{Server: "s1", Result: OK, Load: Load{Valid: true, InFlight: 0}})
+	b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 0}})
 	if fresh, old := b.l.occupancy(b.l.servers["s1"]), b.l.occupancy(b.l.servers["s2"]); fresh >= old {
 		t.Errorf("just heard to be empty: %.1f, heard of a minute ago: %.1f", fresh, old)
 	}
@@ -827,16 +827,16 @@
 	b.l.unit = 1000 // nothing fits
 	b.l.explorations.left = 0
 	_, acts := b.arrive("read", 2000)
-	for i := 0; i < 50 && count[Refuse](acts) == 0; i++ {
+	for i := 0; i < 50 && count[Reject](acts) == 0; i++ {
 		b.now += 10
 		acts = b.step(TimerFired{"sweep"})
 	}
 	for _, a := range acts {
-		if r, ok := a.(Refuse); ok && (r.RetryAfter <= 0 || r.RetryAfter > 400) {
+		if r, ok := a.(Reject); ok && (r.RetryAfter <= 0 || r.RetryAfter > 400) {
 			t.Errorf("told to come back after %.0f ms with an aim of 400", r.RetryAfter)
 		}
 	}
-	if count[Refuse](acts) != 1 {
+	if count[Reject](acts) != 1 {
 		t.Errorf("not refused: %v", acts)
 	}
 }
@@ -846,7 +846,7 @@
 func TestFirstCallsToDiscoveryAreSpread(t *testing.T) {
 	const nodes = 400
 	set := settings()
-	set.Nodes, set.Subscribe = nodes, true
+	set.Nodes, set.WatchEndpoints = nodes, true
 	calls := map[int]int{}
 	for n := 0; n < nodes; n++ {
 		l, err := New(set, uint64(n))
@@ -854,13 +854,13 @@
 			t.Fatal(err)
 		}
 		at, asked := 100000.0, false
-		for _, a := range l.Step(at, ServerList{Form: ListCached, Entries: server3(4)}) {
+		for _, a := range l.Step(at, EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(4)}) {
 			if s, ok := a.(SetTimer); ok && s.Token == "ask" {
 				at = s.At
 			}
 		}
-		asked = count[Watch](l.Step(at, TimerFired{"ask"})) == 1
-		if !asked || at > 100000+set.MustAskIn/2 {
+		asked = count[WatchEndpoints](l.Step(at, TimerFired{"ask"})) == 1
+		if !asked || at > 100000+set.WatchDeadline/2 {
 			t.Fatalf("node %d asked: %v, at %.0f ms after its start", n, asked, at-100000)
 		}
 		calls[int(at-100000)/500]++
@@ -878,7 +878,7 @@
 	for _, reports := range []bool{true, false} {
 		const nodes, servers = 300, 30
 		set := settings()
-		set.Nodes, set.Reports = nodes, reports
+		set.Nodes, set.LoadReports = nodes, reports
 		began, work := 100000.0, map[int]float64{}
 		for n := 0; n < nodes; n++ {
 			set.Node = n
@@ -887,25 +887,25 @@
 				t.Fatal(err)
 			}
 			b := &bed{t: t, l: l, now: began}
-			b.step(ServerList{Form: ListCached, Entries: server3(servers)})
-			b.step(ServerList{Form: ListDelta, Entries: []ServerEntry{{ID: "s7", Zone: "z", Size: 1, Started: began}}})
+			b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(servers)})
+			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s7", Zone: "z", Capacity: 1, Started: began}}})
 			cold := b.l.servers["s7"]
-			for ; b.now < began+set.ColdFor; b.now += 100 { // every node would send it one every 100 ms
+			for ; b.now < began+set.SlowStartDuration; b.now += 100 { // every node would send it one every 100 ms
 				l.now = b.now
 				r := &request{class: l.classes["read"], cost: 1, expires: b.now + 2000}
 				if slices.Contains(b.l.candidates(r), cold) {
 					cold.budget.left--
-					work[int((b.now-began)/set.FallFor)] += b.l.unit
+					work[int((b.now-began)/set.OverloadWindow)] += b.l.unit
 				}
 			}
 		}
 		for window, sent := range work {
-			share := min(1, set.ColdFrom+(1-set.ColdFrom)*float64(window)*set.FallFor/set.ColdFor)
-			if most := set.FallMultiple * share * set.FallFor; sent > most {
+			share := min(1, set.InitialCapacity+(1-set.InitialCapacity)*float64(window)*set.OverloadWindow/set.SlowStartDuration)
+			if most := set.OverloadFactor * share * set.OverloadWindow; sent > most {
 				t.Errorf("reports %v: window %d got %.0f ms of work, %.0f push it over", reports, window, sent, most)
 			}
 		}
-		if work[0] < 0.1*set.FallMultiple*set.ColdFrom*set.FallFor {
+		if work[0] < 0.1*set.OverloadFactor*set.InitialCapacity*set.OverloadWindow {
 			t.Errorf("reports %v: the first window got %.0f ms of work", reports, work[0])
 		}
 	}
@@ -916,18 +916,18 @@
 func TestIdleFleetTriesHeavyRequests(t *testing.T) {
 	for _, crowd := range []float64{0.1, 1.5} {
 		set := settings()
-		set.Reports = true
+		set.LoadReports = true
 		b := newBed(t, set, server3(4)...)
 		b.l.crowd, b.l.outstanding = crowd, 1 // no exploration
 		for _, s := range b.l.list {
-			b.l.report(s, Load{Valid: true, InFlight: 0})
+			b.l.report(s, LoadReport{Valid: true, InFlight: 0})
 		}
 		b.l.crowd = crowd
 		b.next++
-		b.step(Arrival{ID: b.next, Class: "read", Expires: b.now + 2000, Hint: 10})
+		b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 10})
 		b.l.hintMean = 2
 		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: "read", Expires: b.now + 2000, Hint: 8}) // four times the mean
+		acts := b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 8}) // four times the mean
 		if sent := sentTo(acts) != ""; sent != (crowd < 1) {
 			t.Errorf("mean load %.1f: sent %v", crowd, sent)
 		}
@@ -962,18 +962,18 @@
 	for _, c := range []struct{ nodes, servers int }{{500, 1}, {1, 240}, {600, 60}, {7, 5}} {
 		for _, reports := range []bool{false, true} {
 			set := settings()
-			set.Nodes, set.Node, set.Reports = c.nodes, c.nodes-1, reports
+			set.Nodes, set.Node, set.LoadReports = c.nodes, c.nodes-1, reports
 			b := newBed(t, set, server3(c.servers)...)
 			b.now += 60000 // nothing heard for a minute
 			if s := b.serve("read", 20, allOK); s == "" {
 				t.Errorf("%d nodes, %d servers, reports %v: not sent", c.nodes, c.servers, reports)
 			}
-			b.step(ServerList{Form: ListFull, Entries: server3(1)})
+			b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: server3(1)})
 			if s := b.serve("read", 20, allOK); s != "s0" {
 				t.Errorf("%d nodes, one server left: sent to %q", c.nodes, s)
 			}
-			b.step(ServerList{Form: ListFull})
-			if _, acts := b.arrive("read", 2000); count[Refuse](acts) != 1 {
+			b.step(EndpointUpdate{Kind: FullUpdate})
+			if _, acts := b.arrive("read", 2000); count[Reject](acts) != 1 {
 				t.Errorf("%d nodes, empty list: %v, want a refusal", c.nodes, acts)
 			}
 		}
@@ -984,7 +984,7 @@
 func lossy(t *testing.T, class string) (b *bed, lost RequestID, at ServerID) {
 	t.Helper()
 	set := settings()
-	set.Reports = true
+	set.LoadReports = true
 	b = newBed(t, set, server3(4)...)
 	for range 60 {
 		b.serve("read", 20, allOK)
@@ -1000,8 +1000,8 @@
 // Guards against a request that a server has taken and lost: its report, fresh, no longer holds it.
 func TestLostAttemptIsSentElsewhereAndNoLoad(t *testing.T) {
 	b, id, at := lossy(t, "read")
-	acts := b.step(ProbeEnd{Server: at, Result: OK, Load: Load{Valid: true}})
-	if count[Cancel](acts) != 1 {
+	acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}})
+	if count[CancelAttempt](acts) != 1 {
 		t.Fatalf("%v, want the lost attempt withdrawn", acts)
 	}
 	if occ := b.l.occupancy(b.l.servers[at]); occ >= 1 {
@@ -1019,11 +1019,11 @@
 // One that the report still holds is slow, not lost; one that must not run twice is left to its answer.
 func TestOnlyTheLostAreWithdrawn(t *testing.T) {
 	b, _, at := lossy(t, "read")
-	if acts := b.step(ProbeEnd{Server: at, Result: OK, Load: Load{Valid: true, InFlight: 1}}); count[Cancel](acts) != 0 {
+	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 1}}); count[CancelAttempt](acts) != 0 {
 		t.Errorf("%v: the server has it", acts)
 	}
 	b, _, at = lossy(t, "bill")
-	if acts := b.step(ProbeEnd{Server: at, Result: OK, Load: Load{Valid: true}}); count[Cancel](acts) != 0 {
+	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}}); count[CancelAttempt](acts) != 0 {
 		t.Errorf("%v: it may have run", acts)
 	}
 	if b.l.servers[at].lost != 1 {
@@ -1061,7 +1061,7 @@
 	}
 	for _, s := range b.l.list {
 		for range tripFailures {
-			b.l.ejectOrKeep(s, Broken, b.now)
+			b.l.ejectOrKeep(s, ConnectionLost, b.now)
 		}
 	}
 	for _, s := range b.l.list {
@@ -1074,7 +1074,7 @@
 			s.note(b.now, true)
 		}
 	}
-	b.l.ejectOrKeep(b.l.list[0], Broken, b.now)
+	b.l.ejectOrKeep(b.l.list[0], ConnectionLost, b.now)
 	if !b.l.list[0].excluded {
 		t.Error("the only one that fails is kept")
 	}
@@ -1086,17 +1086,17 @@
 	id, acts := b.arrive("read", 2000)
 	at := sentTo(acts)
 	for i := range 500 {
-		e := ServerEntry{ID: ServerID(fmt.Sprintf("n%d", i)), Zone: "z", Size: 1}
-		b.step(ServerList{Form: ListDelta, Entries: []ServerEntry{e}})
-		e.State = Gone
-		b.step(ServerList{Form: ListDelta, Entries: []ServerEntry{e}})
+		e := Endpoint{ID: ServerID(fmt.Sprintf("n%d", i)), Zone: "z", Capacity: 1}
+		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
+		e.State = Removed
+		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
 	}
-	b.step(ServerList{Form: ListFull, Entries: []ServerEntry{{ID: "last", Zone: "z", Size: 1}}})
+	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
 	if len(b.l.servers) != 2 || len(b.l.known) != 2 {
 		t.Errorf("%d and %d servers remembered, want the last and the one with a request out", len(b.l.servers), len(b.l.known))
 	}
 	b.end(id, 0, at, OK, 20)
-	b.step(ServerList{Form: ListFull, Entries: []ServerEntry{{ID: "last", Zone: "z", Size: 1}}})
+	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
 	if len(b.l.servers) != 1 || len(b.l.known) != 1 {
 		t.Errorf("%d and %d servers remembered, want the last", len(b.l.servers), len(b.l.known))
 	}
@@ -1114,7 +1114,7 @@
 	row := func(s *server, n int) bool {
 		for range n {
 			s.note(b.now, false)
-			b.l.ejectOrKeep(s, Broken, b.now)
+			b.l.ejectOrKeep(s, ConnectionLost, b.now)
 		}
 		return s.excluded
 	}
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -36,7 +36,7 @@
 }
 
 // message puts what this node has to say of its servers into bytes; those of which it has nothing are left out.
-func (l *Logic) message(kind tellKind) []byte {
+func (l *Balancer) message(kind tellKind) []byte {
 	body := []byte{tellVersion | byte(kind)}
 	for _, s := range l.list {
 		entry := []byte{byte(s.name >> 8), byte(s.name), byte(min(255, s.inflight))}
@@ -45,7 +45,7 @@
 			ok, fail := s.window(l.now)
 			entry, worth = append(entry[:2], byte(min(255, ok)), byte(min(255, fail))), fail > 0
 		}
-		if worth && len(body)+len(entry) <= MessageMost {
+		if worth && len(body)+len(entry) <= MaxGossipBytes {
 			body = append(body, entry...)
 		}
 	}
@@ -54,9 +54,9 @@
 
 // hear keeps what another node tells. A message that cannot be read is dropped whole, and servers that this
 // node's own list does not name are passed over.
-func (l *Logic) hear(e Told) {
+func (l *Balancer) hear(e GossipReceived) {
 	n := len(e.Body)
-	if !l.set.Peers || e.From == l.set.Node || n == 0 || n > MessageMost || e.Body[0]&0xf0 != tellVersion {
+	if !l.set.GossipAllowed || e.From == l.set.Node || n == 0 || n > MaxGossipBytes || e.Body[0]&0xf0 != tellVersion {
 		return
 	}
 	who := speaker{e.From, tellKind(e.Body[0] & 0x0f)}
@@ -97,7 +97,7 @@
 }
 
 // nameServers gives each server a short name, the same at every node. Of those that share one nothing is told.
-func (l *Logic) nameServers() {
+func (l *Balancer) nameServers() {
 	l.named = map[uint16]*server{}
 	for _, s := range l.known {
 		if s.hash == 0 {
--- a/balancer/move_test.go
+++ b/balancer/move_test.go
@@ -8,8 +8,8 @@
 // probed are settings under which load is learnt by probes alone and nodes may talk.
 func probed(nodes int) Settings {
 	set := settings()
-	set.Nodes, set.MayProbe, set.Reports, set.ProbedOnly, set.Peers = nodes, true, true, true, true
-	set.ProbePrice, set.PeerPrice = 0.004, 0.01
+	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ReportsFromProbesOnly, set.GossipAllowed = nodes, true, true, true, true
+	set.ProbePrice, set.GossipPrice = 0.004, 0.01
 	return set
 }
 
@@ -17,7 +17,7 @@
 func TestRequestsBesideOneAnother(t *testing.T) {
 	b := newBed(t, probed(1), server3(2)...)
 	for i := 0; i < 200; i++ {
-		b.step(ProbeEnd{Server: "s0", Result: OK, Load: Load{Valid: true, InFlight: 5, Queued: true, Waiting: 3}})
+		b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 5, QueueKnown: true, Queued: 3}})
 	}
 	for ahead, want := range map[float64]float64{0: 1, 1: 1, 3: 2} {
 		if got := b.l.queueRounds(ahead, 1); got != want {
@@ -28,20 +28,20 @@
 
 // Guards against a flood of probes: each has a price, servers turn away what is over their cap, and idle ones tell little.
 func TestProbesStayWithinTheirSpend(t *testing.T) {
-	ask := func(crowd float64, result Result) int {
+	ask := func(crowd float64, result Outcome) int {
 		b := newBed(t, probed(1), server3(40)...)
 		b.l.crowd = crowd
 		for i := 0; i < 300; i++ {
 			b.now += 50
 			id, acts := b.arrive("read", 2000)
 			for _, a := range acts {
-				if p, ok := a.(Probe); ok {
-					b.step(ProbeEnd{Server: p.Server, Result: result, Load: Load{Valid: result == OK, InFlight: crowd}})
+				if p, ok := a.(ProbeLoad); ok {
+					b.step(LoadProbeCompleted{Server: p.Server, Outcome: result, Report: LoadReport{Valid: result == OK, InFlight: crowd}})
 				}
 			}
 			b.end(id, 0, sentTo(b.acts), OK, 10)
 		}
-		return count[Probe](b.acts)
+		return count[ProbeLoad](b.acts)
 	}
 	most := int(300*probeSpend/0.004) + 3*probeWidth
 	if busy, refused, idle := ask(4, OK), ask(4, Overloaded), ask(0, OK); busy > most || busy < 300 || refused > most/3 || idle > most/3 {
@@ -53,8 +53,8 @@
 func TestSlowProbesAreNoFailures(t *testing.T) {
 	b := newBed(t, probed(1), server3(3)...)
 	for i := 0; i < 50; i++ {
-		b.step(ProbeEnd{Server: "s1", Result: OK, Elapsed: 120})
-		b.step(ProbeEnd{Server: "s0", Result: TimedOut, Elapsed: 300})
+		b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Elapsed: 120})
+		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 300})
 	}
 	if b.l.servers["s0"].excluded {
 		t.Error("excluded for probes that waited")
@@ -64,8 +64,8 @@
 // Guards against crossing zones for nothing, and against staying where it would be late.
 func TestCrossingIsPriced(t *testing.T) {
 	set := probed(1)
-	set.Zone, set.CrossZonePrice, set.MayProbe = "here", 0.13, false
-	list := []ServerEntry{{ID: "near", Zone: "here", Size: 1}, {ID: "far", Zone: "there", Size: 1}}
+	set.Zone, set.CrossZonePrice, set.ProbesAllowed = "here", 0.13, false
+	list := []Endpoint{{ID: "near", Zone: "here", Capacity: 1}, {ID: "far", Zone: "there", Capacity: 1}}
 	crossed := func(hands float64) int {
 		n := 0
 		for i := 0; i < 50; i++ {
@@ -74,8 +74,8 @@
 			for _, s := range b.l.list {
 				s.seen, s.unit, s.outcomeAt = true, 20, b.now
 			}
-			b.step(ProbeEnd{Server: "near", Result: OK, Load: Load{Valid: true, InFlight: hands}})
-			b.step(ProbeEnd{Server: "far", Result: OK, Load: Load{Valid: true}})
+			b.step(LoadProbeCompleted{Server: "near", Outcome: OK, Report: LoadReport{Valid: true, InFlight: hands}})
+			b.step(LoadProbeCompleted{Server: "far", Outcome: OK, Report: LoadReport{Valid: true}})
 			if _, acts := b.arrive("read", 2000); sentTo(acts) == "far" {
 				n++
 			}
@@ -114,14 +114,14 @@
 // Guards against many nodes each seeing only its own requests: what one has at a server keeps the others away.
 func TestToldLoadKeepsOthersAway(t *testing.T) {
 	set := probed(2)
-	set.MayProbe = false
+	set.ProbesAllowed = false
 	one := newBed(t, set, server3(2)...)
 	set.Node = 1
 	two := newBed(t, set, server3(2)...)
 	told := func(s ServerID, acts []Action) float64 {
 		for _, a := range acts {
-			if m, ok := a.(Tell); ok {
-				two.step(Told{From: 0, Body: m.Body})
+			if m, ok := a.(BroadcastGossip); ok {
+				two.step(GossipReceived{From: 0, Body: m.Body})
 			}
 		}
 		return two.l.servers[s].toldLoad()
@@ -144,15 +144,15 @@
 	entry := []byte{byte(name >> 8), byte(name), 9}
 	for what, body := range map[string][]byte{
 		"empty": {}, "cut short": append([]byte{tellVersion}, entry[:2]...), "other version": append([]byte{0x20}, entry...),
-		"other kind": append([]byte{tellVersion | 7}, entry...), "too long": make([]byte, MessageMost+1),
+		"other kind": append([]byte{tellVersion | 7}, entry...), "too long": make([]byte, MaxGossipBytes+1),
 		"unknown server": {tellVersion, byte(name>>8) ^ 1, byte(name), 9},
 	} {
-		if b.step(Told{From: 1, Body: body}); b.l.servers["s0"].toldLoad() != 0 {
+		if b.step(GossipReceived{From: 1, Body: body}); b.l.servers["s0"].toldLoad() != 0 {
 			t.Errorf("%s: believed", what)
 		}
 	}
-	b.step(Told{From: 1, Body: append([]byte{tellVersion}, entry...)})
-	b.step(Told{From: 1, Body: append([]byte{tellVersion}, entry...)})
+	b.step(GossipReceived{From: 1, Body: append([]byte{tellVersion}, entry...)})
+	b.step(GossipReceived{From: 1, Body: append([]byte{tellVersion}, entry...)})
 	if got := b.l.servers["s0"].toldLoad(); got != 9 {
 		t.Errorf("told twice of 9 requests: %v", got)
 	}
@@ -162,8 +162,8 @@
 	if first || again || count[Log](b.l.out) != 1 {
 		t.Errorf("a node long silent: still believed, or %d log lines", count[Log](b.l.out))
 	}
-	b.l.set.Peers = false
-	if b.step(Told{From: 2, Body: append([]byte{tellVersion}, entry...)}); b.l.servers["s0"].toldLoad() != 9 {
+	b.l.set.GossipAllowed = false
+	if b.step(GossipReceived{From: 2, Body: append([]byte{tellVersion}, entry...)}); b.l.servers["s0"].toldLoad() != 9 {
 		t.Error("heard where nodes may not talk")
 	}
 }
@@ -176,7 +176,7 @@
 	if b.l.badShare(s) != 0 {
 		t.Fatal("bad before any failure")
 	}
-	b.step(Told{From: 1, Body: []byte{tellVersion | byte(tellOutcomes), byte(s.name >> 8), byte(s.name), 10, 30}})
+	b.step(GossipReceived{From: 1, Body: []byte{tellVersion | byte(tellOutcomes), byte(s.name >> 8), byte(s.name), 10, 30}})
 	if got := b.l.badShare(s); got < 0.3 || s.excluded {
 		t.Errorf("30 of 40 failed at another node: share %.2f, excluded %v", got, s.excluded)
 	}
@@ -191,7 +191,7 @@
 // Guards against nodes that send one key to different servers, none of which then has it warm.
 func TestAllNodesPreferTheSameHomes(t *testing.T) {
 	set := probed(2)
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	homes := map[ServerID]int{}
 	for k := 0; k < 60; k++ {
 		r := &request{key: hash(fmt.Sprint("key", k))}
@@ -211,14 +211,14 @@
 // Guards against taking an unmarked retry for a fresh request with its whole aim ahead.
 func TestUnmarkedRetryKeepsItsAim(t *testing.T) {
 	set := settings()
-	set.MarksRetry = false
+	set.ClientsMarkRetries = false
 	b := newBed(t, set)
-	b.step(Arrival{ID: 1, Class: "read", Key: "k", Expires: b.now + 2000}) // no server: refused
+	b.step(Arrival{ID: 1, Class: "read", Key: "k", Deadline: b.now + 2000}) // no server: refused
 	b.now += 300
-	b.l.Step(b.now, ServerList{Form: ListFull, Entries: server3(1)})
+	b.l.Step(b.now, EndpointUpdate{Kind: FullUpdate, Endpoints: server3(1)})
 	b.l.unit = 5
-	b.step(Arrival{ID: 2, Class: "read", Key: "k", Expires: b.now + 2000})
-	b.step(Arrival{ID: 3, Class: "read", Key: "k", Expires: b.now + 2000})
+	b.step(Arrival{ID: 2, Class: "read", Key: "k", Deadline: b.now + 2000})
+	b.step(Arrival{ID: 3, Class: "read", Key: "k", Deadline: b.now + 2000})
 	if second, third := b.l.requests[2], b.l.requests[3]; second.aimAt != b.now+100 || third.aimAt != b.now+400 {
 		t.Errorf("%.0f ms left for the retry, %.0f for the next", second.aimAt-b.now, third.aimAt-b.now)
 	}
@@ -228,13 +228,13 @@
 // that is late already beside others.
 func TestServersAreNotPacked(t *testing.T) {
 	set := settings()
-	set.Classes[0].LateShare, set.Goal.Tail = 0.5, 0.2
+	set.Classes[0].LateFraction, set.Goal.TailLatency = 0.5, 0.2
 	b := newBed(t, set, server3(1)...)
 	b.l.unit, b.l.servers["s0"].seen, b.l.servers["s0"].unit = 5, true, 5
 	sent := 0
 	for i := 0; i < 10; i++ {
 		_, acts := b.arrive("read", 2000)
-		sent += count[Send](acts)
+		sent += count[StartAttempt](acts)
 	}
 	if sent != saturated {
 		t.Errorf("%d requests sent to a server that works on one at once", sent)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,7 +6,7 @@
 
 // ejectOrKeep applies the exclusion triggers and the trial. Refusals because a server is full are load, not a
 // fault: excluding for them would topple the next. Where a share of all fails a short row is but chance.
-func (l *Logic) ejectOrKeep(s *server, result Result, sentAt Millis) {
+func (l *Balancer) ejectOrKeep(s *server, result Outcome, sentAt Millis) {
 	switch {
 	case s.excluded && sentAt < s.trialAt:
 		return // sent before the exclusion: not the trial
@@ -46,7 +46,7 @@
 
 // othersHealthy says that servers remain that clearly fail less. Where few do the cause is shared, or is this
 // node, and excluding one after the other would only heap the load on the last.
-func (l *Logic) othersHealthy(s *server) bool {
+func (l *Balancer) othersHealthy(s *server) bool {
 	well, left := 0.0, 0.0
 	for _, o := range l.list {
 		if o != s && !o.excluded && o.recentLen > 0 { // of those never heard of nothing is known
@@ -59,7 +59,7 @@
 	return well > 0 && well >= healthyShare*left
 }
 
-func (l *Logic) readmit(s *server) {
+func (l *Balancer) readmit(s *server) {
 	s.excluded, l.shared = false, false
 	s.buckets, s.recentLen, s.recentPos = [bucketCount]bucket{}, 0, 0
 	l.newcomer(s)
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -51,7 +51,7 @@
 
 // TestNoFurtherFunctionOutsideThePolicyEmitsActions guards against decisions that move to where no lines are counted.
 func TestNoFurtherFunctionOutsideThePolicyEmitsActions(t *testing.T) {
-	actions := []string{"Send", "Cancel", "Refuse", "Fail", "SetTimer", "Probe", "Watch", "Tell", "Log"}
+	actions := []string{"StartAttempt", "CancelAttempt", "Reject", "Fail", "SetTimer", "ProbeLoad", "WatchEndpoints", "BroadcastGossip", "Log"}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -6,28 +6,30 @@
 
 // again decides on a request whose attempts have all ended without an answer. An unreachable server had no
 // work of it, so going on costs no budget.
-func (l *Logic) again(r *request, last Result) {
+func (l *Balancer) again(r *request, last Outcome) {
 	free := last == Cancelled || last == Unreachable
-	may := len(r.attempts) < l.set.MaxAttempts && l.now < r.aimAt && (!r.mayRun || r.class.Effect != Unsafe)
+	harmless := !r.mayRun || r.class.Idempotency != NonIdempotent
+	may := len(r.attempts) < l.set.MaxAttempts && l.now < r.aimAt && harmless
 	if l.now >= r.expires-l.set.Tick || !may || !free && !l.retries.take() {
-		l.giveUp(r, Tried)
+		l.giveUp(r, AttemptsExhausted)
 		return
 	}
 	l.hold(r)
 }
 
 // giveUp gives the final answer at once: a refusal where a retry is surely harmless, else a failure.
-func (l *Logic) giveUp(r *request, why Reason) {
+func (l *Balancer) giveUp(r *request, why RejectReason) {
 	c := r.class
-	if (r.mayRun || r.open > 0) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+	keptApart := c.Idempotency == IdempotentWithKey && c.DedupScope != DedupAcrossFleet
+	if (r.mayRun || r.open > 0) && (c.Idempotency == NonIdempotent || keptApart) {
 		l.do(Fail{r.id, why})
 	} else {
-		l.do(Refuse{ID: r.id, RetryAfter: l.retryAfter(r), Why: why})
+		l.do(Reject{ID: r.id, RetryAfter: l.retryAfter(r), Reason: why})
 		if len(l.refused) >= refusedMost {
 			clear(l.refused)
 		}
-		if r.subject.key != "" && !l.set.MarksRetry {
-			l.refused[r.subject] = comingBack{r.aimAt, l.now + r.class.Aim}
+		if r.subject.key != "" && !l.set.ClientsMarkRetries {
+			l.refused[r.subject] = comingBack{r.aimAt, l.now + r.class.LatencyObjective}
 		}
 	}
 	l.finish(r)
@@ -35,8 +37,8 @@
 
 // retryAfter is when the requests now held will have been worked off, but no later than an answer would still
 // be of use: a client told to come back after its aim only adds load, and its refusal then comes late.
-func (l *Logic) retryAfter(r *request) Millis {
-	if !l.set.RetryAfter || len(l.list) == 0 {
+func (l *Balancer) retryAfter(r *request) Millis {
+	if !l.set.RetryAfterAllowed || len(l.list) == 0 {
 		return 0
 	}
 	wait := l.unit * float64((len(l.heldQueue)+1)*l.set.Nodes) / float64(len(l.list)) / math.Round(l.width)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -11,8 +11,8 @@
 func shortestAbove(s Settings, c Class) Millis {
 	aim := math.Inf(1)
 	for _, d := range s.Classes {
-		if d.Worth > c.Worth && d.Aim < c.Aim {
-			aim = min(aim, d.Aim)
+		if d.PriorityWeight > c.PriorityWeight && d.LatencyObjective < c.LatencyObjective {
+			aim = min(aim, d.LatencyObjective)
 		}
 	}
 	return aim
@@ -27,18 +27,18 @@
 		return errors.New("no classes of request")
 	case s.MaxAttempts < 1:
 		return errors.New("attempts per request must be at least 1")
-	case s.ColdFrom < 0 || s.ColdFrom > 1:
+	case s.InitialCapacity < 0 || s.InitialCapacity > 1:
 		return errors.New("cold starting share must lie in 0 to 1")
-	case s.ColdFor < 0 || s.FallFor < 0 || s.FallMultiple <= 0:
+	case s.SlowStartDuration < 0 || s.OverloadWindow < 0 || s.OverloadFactor <= 0:
 		return errors.New("cold server figures must be positive")
 	case s.DrainGrace < 0:
 		return errors.New("drain grace must not be negative")
 	}
 	for _, c := range s.Classes {
-		if c.Aim <= 0 || c.HardLimit <= 0 {
+		if c.LatencyObjective <= 0 || c.TotalTimeout <= 0 {
 			return fmt.Errorf("class %q: aim and hard limit must be positive", c.Name)
 		}
-		if c.Effect == Keyed && c.Window <= 0 {
+		if c.Idempotency == IdempotentWithKey && c.DedupWindow <= 0 {
 			return fmt.Errorf("class %q: a keyed class needs a window", c.Name)
 		}
 	}
--- a/balancer/share_test.go
+++ b/balancer/share_test.go
@@ -10,7 +10,7 @@
 func TestShareOfTheFleet(t *testing.T) {
 	set := settings()
 	set.Nodes = 10
-	b := newBed(t, set, ServerEntry{ID: "cold", Size: 1, Started: 99999})
+	b := newBed(t, set, Endpoint{ID: "cold", Capacity: 1, Started: 99999})
 	cold := b.l.servers["cold"]
 	tenth := b.l.coldRate(cold)
 	near := func(what string, got, want float64) {
@@ -19,13 +19,13 @@
 			t.Errorf("%s: %v a millisecond, want %v", what, got, want)
 		}
 	}
-	b.step(Share{Value: 0.25, Until: b.now, After: 0.05})
+	b.step(FleetQuota{Current: 0.25, Until: b.now, After: 0.05})
 	near("run out", b.l.coldRate(cold), tenth/2)
-	b.step(Share{Value: 0.25, Until: b.now + 1, After: 0.05})
+	b.step(FleetQuota{Current: 0.25, Until: b.now + 1, After: 0.05})
 	near("a quarter", b.l.coldRate(cold), 2.5*tenth)
-	b.step(Beside{2})
+	b.step(SiblingProcesses{2})
 	near("one of two processes", b.l.coldRate(cold), 1.25*tenth)
-	b.step(Share{})
+	b.step(FleetQuota{})
 	if cold.budget.left = 5; b.l.coldRate(cold) != 0 || b.l.coldRoom(cold, 1) {
 		t.Errorf("room at %v with no share at all", b.l.coldRate(cold))
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,24 +10,24 @@
 func TestSlowStartByAnotherClock(t *testing.T) {
 	const hour = 3_600_000
 	set := settings()
-	set.ColdFrom, set.ColdFor = 0.3, 9000
+	set.InitialCapacity, set.SlowStartDuration = 0.3, 9000
 	for name, c := range map[string]struct {
-		form  ListForm
+		form  UpdateKind
 		off   Millis
 		least float64 // of the capacity that it counts with at once ...
 		most  float64
 		after Millis // ... and when it counts whole
 	}{
-		"clocks agree":           {ListDelta, -1000, 0.3, 0.4, 9000},
-		"node's clock is ahead":  {ListDelta, -hour, 0.3, 0.4, 9000},
-		"node's clock is behind": {ListDelta, hour, 0.3, 0.3, 9000},
-		"behind, whole list":     {ListFull, hour, 0.3, 0.3, 9000},
+		"clocks agree":           {DeltaUpdate, -1000, 0.3, 0.4, 9000},
+		"node's clock is ahead":  {DeltaUpdate, -hour, 0.3, 0.4, 9000},
+		"node's clock is behind": {DeltaUpdate, hour, 0.3, 0.3, 9000},
+		"behind, whole list":     {FullUpdate, hour, 0.3, 0.3, 9000},
 	} {
-		b := newBed(t, set, ServerEntry{ID: "warm", Size: 1})
+		b := newBed(t, set, Endpoint{ID: "warm", Capacity: 1})
 		b.now += 2 * hour
-		b.step(ServerList{Form: ListFull, Entries: []ServerEntry{{ID: "warm", Size: 1}}})
-		entries := []ServerEntry{{ID: "warm", Size: 1}, {ID: "cold", Size: 1, Started: b.now + c.off}}
-		b.step(ServerList{Form: c.form, Entries: entries})
+		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "warm", Capacity: 1}}})
+		entries := []Endpoint{{ID: "warm", Capacity: 1}, {ID: "cold", Capacity: 1, Started: b.now + c.off}}
+		b.step(EndpointUpdate{Kind: c.form, Endpoints: entries})
 		cold := b.l.servers["cold"]
 		if got := b.l.ramp(cold); got < c.least-1e-9 || got > c.most {
 			t.Errorf("%s: counts %.2f of its capacity at once, want %.2f to %.2f", name, got, c.least, c.most)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -12,12 +12,12 @@
 )
 
 // Logic decides for one node. It is pure: time and chance come in through Step and New.
-type Logic struct {
+type Balancer struct {
 	set            Settings
 	processes      int                // that make this node
 	noRetries      float64            // part of the retry budget that the fleet holds back
 	admission      map[string]float64 // the fleet's cut by class; nil: none
-	fleetShare     *Share             // of what the whole fleet may use; nil: the even part
+	fleetShare     *FleetQuota        // of what the whole fleet may use; nil: the even part
 	source         *rand.PCG          // of the chance
 	rng            *rand.Rand
 	now            Millis
@@ -56,13 +56,13 @@
 	warmth         float64 // of what cold servers may still lack, the share that they are seen to have
 	pace           float64 // the fleet's times against the servers' own records
 	refused        map[subject]comingBack
-	meanWorth      float64 // over the classes
-	listed         int     // how often the list or what is excluded has changed
-	trialBy        Effect  // classes of this effect carry trials: the least harm that there is
-	quickest       Millis  // the least time that a server takes for a request ...
-	quickestAt     Millis  // ... at this time
-	lag            Millis  // how old reports are when they come, as far as it shows
-	changed        bool    // since the other nodes were told
+	meanWorth      float64     // over the classes
+	listed         int         // how often the list or what is excluded has changed
+	trialBy        Idempotency // classes of this effect carry trials: the least harm that there is
+	quickest       Millis      // the least time that a server takes for a request ...
+	quickestAt     Millis      // ... at this time
+	lag            Millis      // how old reports are when they come, as far as it shows
+	changed        bool        // since the other nodes were told
 	toldAt         Millis
 	heardAt        Millis
 	deaf           bool // they no longer can be heard, and the log says so
@@ -188,7 +188,7 @@
 
 // server is all this node knows of one server.
 type server struct {
-	ServerEntry
+	Endpoint
 	coldSince     Millis // when its slow start began, by this node's clock; 0: long past
 	latency       Millis // smoothed; failures are charged a time cost
 	unit          Millis // time for each request in its hands: its speed as felt from here
@@ -368,20 +368,20 @@
 // ran marks that an attempt may have run: the first one binds a keyed request's repeats.
 func (r *request) ran(a *attempt) {
 	r.mayRun = true
-	if r.class.Effect == Keyed && (r.anchor == nil || a.sentAt+r.class.Window < r.boundTo) {
-		r.anchor, r.boundTo = a.server, a.sentAt+r.class.Window
+	if r.class.Idempotency == IdempotentWithKey && (r.anchor == nil || a.sentAt+r.class.DedupWindow < r.boundTo) {
+		r.anchor, r.boundTo = a.server, a.sentAt+r.class.DedupWindow
 	}
 }
 
 // forget drops a request once nothing of it is out.
-func (l *Logic) forget(r *request) {
+func (l *Balancer) forget(r *request) {
 	if r.open == 0 {
 		delete(l.requests, r.id)
 	}
 }
 
 // book adds a request's worth to the shares of its class and its tenant.
-func (l *Logic) book(r *request, add func(*share, float64)) {
+func (l *Balancer) book(r *request, add func(*share, float64)) {
 	w := l.worth(r)
 	r.class.decay(l.now)
 	add(&r.class.share, w)
@@ -392,7 +392,7 @@
 }
 
 // timeLeft is the time in which an answer still has its worth.
-func (l *Logic) timeLeft(r *request) Millis {
+func (l *Balancer) timeLeft(r *request) Millis {
 	if r.late {
 		return r.expires - l.now
 	}
@@ -400,23 +400,23 @@
 }
 
 // typicalUnit is the fleet's time for each request in a server's hands, for its size.
-func (l *Logic) typicalUnit(s *server) Millis {
-	if l.set.Sized && s.Size > 0 {
-		return l.unit / s.Size
+func (l *Balancer) typicalUnit(s *server) Millis {
+	if l.set.CapacitiesListed && s.Capacity > 0 {
+		return l.unit / s.Capacity
 	}
 	return l.unit
 }
 
 // finish ends a request; its attempts may still be out.
-func (l *Logic) finish(r *request) {
+func (l *Balancer) finish(r *request) {
 	r.done, r.held = true, false
 	l.forget(r)
 }
 
 // forgetGone drops the servers that have left the list once nothing is out at them: fleets are renewed all day.
-func (l *Logic) forgetGone() {
+func (l *Balancer) forgetGone() {
 	l.known = slices.DeleteFunc(l.known, func(s *server) bool {
-		gone := s.State == Gone && s.inflight == 0
+		gone := s.State == Removed && s.inflight == 0
 		if gone {
 			delete(l.servers, s.ID)
 		}
@@ -425,19 +425,19 @@
 }
 
 // worth is what a timely answer earns.
-func (l *Logic) worth(r *request) float64 {
-	w := r.class.Worth
-	if l.set.CountWork {
+func (l *Balancer) worth(r *request) float64 {
+	w := r.class.PriorityWeight
+	if l.set.WeightByWork {
 		w *= r.cost
 	}
 	if r.overQuo {
-		w *= l.set.OverShare
+		w *= l.set.OverQuotaFraction
 	}
 	return w
 }
 
 // look judges a server at most once at one time, unless something happens there: many requests ask.
-func (l *Logic) look(s *server) {
+func (l *Balancer) look(s *server) {
 	if s.lookedAt != l.now {
 		s.lookedAt = l.now
 		s.hands = l.estimatedLoad(s)
@@ -447,20 +447,20 @@
 }
 
 // occupancy is the requests that a server is taken to have in hand.
-func (l *Logic) occupancy(s *server) float64 {
+func (l *Balancer) occupancy(s *server) float64 {
 	l.look(s)
 	return s.hands
 }
 
 // feltUnit is the time that a server is taken to need for each request in its hands.
-func (l *Logic) feltUnit(s *server) Millis {
+func (l *Balancer) feltUnit(s *server) Millis {
 	l.look(s)
 	return s.felt
 }
 
 // homes are the two servers that all nodes prefer for a request's key, where a server that met it lately does
 // less work for it: the two highest by a hash of both, of those not excluded.
-func (l *Logic) homes(r *request) (first, second *server) {
+func (l *Balancer) homes(r *request) (first, second *server) {
 	if r.key == 0 || r.homesAt == l.listed {
 		return r.first, r.second
 	}
@@ -481,7 +481,7 @@
 }
 
 // hearing says that the other nodes can be heard. That they no longer can is logged once.
-func (l *Logic) hearing() bool {
+func (l *Balancer) hearing() bool {
 	if l.heardAt == 0 {
 		return false
 	}
@@ -494,28 +494,28 @@
 }
 
 // toldFor is how long what a node told is believed.
-func (l *Logic) toldFor() Millis { return max(toldOld, 3*l.hearGap) }
+func (l *Balancer) toldFor() Millis { return max(toldOld, 3*l.hearGap) }
 
 // ramp is the least share of its capacity a server can have by now.
-func (l *Logic) ramp(s *server) float64 {
-	if s.coldSince <= 0 || l.set.ColdFor <= 0 {
+func (l *Balancer) ramp(s *server) float64 {
+	if s.coldSince <= 0 || l.set.SlowStartDuration <= 0 {
 		return 1
 	}
 	age := l.now - s.coldSince
-	return min(1, l.set.ColdFrom+(1-l.set.ColdFrom)*age/l.set.ColdFor)
+	return min(1, l.set.InitialCapacity+(1-l.set.InitialCapacity)*age/l.set.SlowStartDuration)
 }
 
 // speed is the share of its capacity that a server is taken to have: what it must have by now at the least, and of the
 // rest as much as other cold servers show. Nodes that each met every cold server at the fleet's speed sent it a first
 // request that came late, fifty nodes each to each.
-func (l *Logic) speed(s *server) float64 {
+func (l *Balancer) speed(s *server) float64 {
 	least := l.ramp(s)
 	return least + l.warmth*(1-least)
 }
 
 // warmed is the time that a cold server would have taken once it is warm. Each answer of one tells which way the speed of
 // all is off; by how much it hardly can, since what else the server held is not known.
-func (l *Logic) warmed(s *server, unit Millis, good bool) Millis {
+func (l *Balancer) warmed(s *server, unit Millis, good bool) Millis {
 	speed := l.speed(s)
 	if speed < 1 && good {
 		step := warmthGain
@@ -528,14 +528,14 @@
 }
 
 // report books what a server reports of its load.
-func (l *Logic) report(s *server, load Load) {
+func (l *Balancer) report(s *server, load LoadReport) {
 	if !load.Valid {
 		return
 	}
 	l.findLost(s, load)
 	s.lookedAt = -1
-	if load.Queued && load.Waiting >= 1 { // all that it works on at once, for once
-		l.width += widthGain * (max(1, load.InFlight-load.Waiting) - l.width)
+	if load.QueueKnown && load.Queued >= 1 { // all that it works on at once, for once
+		l.width += widthGain * (max(1, load.InFlight-load.Queued) - l.width)
 	}
 	s.others = max(0, load.InFlight-float64(s.inflight-s.lost-s.ahead))
 	s.othersAvg = l.usualOthers(s) + 0.2*(s.others-l.usualOthers(s))
@@ -544,7 +544,7 @@
 }
 
 // connection books what an attempt or a probe left of its connection: one is kept after an answer.
-func (s *server) connection(result Result) {
+func (s *server) connection(result Outcome) {
 	if result == OK || result == Errored || result == Overloaded {
 		s.idle++
 	}
@@ -552,7 +552,7 @@
 
 // classBad is a class's failure share at a server, forgotten slowly. It is priced as time when servers are
 // compared: a server may fail or lose one class and serve the others well.
-func (l *Logic) classBad(s *server, c *classState) float64 {
+func (l *Balancer) classBad(s *server, c *classState) float64 {
 	h := s.class(c)
 	if h.bad == 0 {
 		return 0
@@ -561,7 +561,7 @@
 }
 
 // fade lets what is known of a server go back to the typical once nothing renews it.
-func (l *Logic) fade(s *server, v Millis) Millis {
+func (l *Balancer) fade(s *server, v Millis) Millis {
 	idle := l.now - s.outcomeAt - staleAfter
 	if idle <= 0 || s.inflight > 0 {
 		return v
@@ -571,7 +571,7 @@
 }
 
 // hintCost is a request's work by its hint, against the mean request.
-func (l *Logic) hintCost(hint Millis) float64 {
+func (l *Balancer) hintCost(hint Millis) float64 {
 	if l.hintMean == 0 {
 		l.hintMean = hint
 	}
@@ -582,9 +582,9 @@
 
 // Census counts the listed servers and, of these, the ones that get nothing in the ordinary way: excluded or draining.
 // It changes only when Changes does.
-func (l *Logic) Census() (listed, avoided int) {
+func (l *Balancer) CountEndpoints() (listed, avoided int) {
 	for _, s := range l.known {
-		if s.State == Gone {
+		if s.State == Removed {
 			continue
 		}
 		if listed++; s.excluded || s.State != Ready {
@@ -595,10 +595,10 @@
 }
 
 // Changes is how often the list, or what is excluded of it, has changed.
-func (l *Logic) Changes() int { return l.listed }
+func (l *Balancer) EndpointVersion() int { return l.listed }
 
 // newcomer starts a server at the others' mean score.
-func (l *Logic) newcomer(s *server) {
+func (l *Balancer) newcomer(s *server) {
 	sum, n := 0.0, 0.0
 	for _, o := range l.list {
 		if o != s {
@@ -611,14 +611,14 @@
 }
 
 // upload notes that a request's body is still coming.
-func (l *Logic) upload(r *request, most Millis) {
+func (l *Balancer) upload(r *request, most Millis) {
 	r.uploading = most > 0
 	r.expires += max(0, most)
 }
 
 // begun is when a server that is sent a request now can begin it: for one whose body is still coming not before that has
 // come, whenever that is. Until then it is none in the server's hands.
-func (l *Logic) begun(r *request, s *server) Millis {
+func (l *Balancer) begun(r *request, s *server) Millis {
 	if r.uploading {
 		s.ahead++
 		return math.Inf(1)
@@ -627,7 +627,7 @@
 }
 
 // settle puts an attempt whose request is whole, or over, into its server's hands.
-func (l *Logic) settle(a *attempt) {
+func (l *Balancer) settle(a *attempt) {
 	if math.IsInf(a.sentAt, 1) {
 		a.sentAt, a.server.lookedAt = l.now, -1
 		a.server.ahead--
@@ -635,12 +635,12 @@
 }
 
 // uploaded counts a request's time, and that of its attempts, from now on.
-func (l *Logic) uploaded(e Uploaded) {
+func (l *Balancer) uploaded(e BodyReceived) {
 	r := l.requests[e.ID]
 	if r == nil || !r.uploading {
 		return
 	}
-	r.uploading, r.expires = false, e.Expires
+	r.uploading, r.expires = false, e.Deadline
 	r.aimAt += l.now - r.arrived
 	r.arrived = l.now
 	for i := range r.attempts {
@@ -651,15 +651,15 @@
 	l.dispatch()
 }
 
-func (l *Logic) do(a Action) { l.out = append(l.out, a) }
+func (l *Balancer) do(a Action) { l.out = append(l.out, a) }
 
-func (l *Logic) logf(format string, args ...any) { l.do(Log{fmt.Sprintf(format, args...)}) }
+func (l *Balancer) logf(format string, args ...any) { l.do(Log{fmt.Sprintf(format, args...)}) }
 
-func (l *Logic) hold(r *request) {
+func (l *Balancer) hold(r *request) {
 	r.held, l.heldQueue = true, append(l.heldQueue, r)
 }
 
-func (l *Logic) wakeSweep() {
+func (l *Balancer) wakeSweep() {
 	if !l.sweeping && len(l.heldQueue) > 0 {
 		l.sweeping = true
 		l.do(SetTimer{"sweep", l.now + sweepEvery})
@@ -668,7 +668,7 @@
 
 // quotaScale is this node's part of the tenants' quotas. It is never more than the whole: with all tenants
 // over their quotas the loudest must not raise its own.
-func (l *Logic) quotaScale() float64 {
+func (l *Balancer) quotaScale() float64 {
 	rate, quota := 0.0, 0.0
 	for _, t := range l.set.Tenants {
 		st := l.tenants[t.Name]
@@ -683,23 +683,23 @@
 const askLost = 5000
 
 // askWait is the longest time between two calls for the list.
-func (l *Logic) askWait() Millis {
-	if l.set.MustAskIn > 0 {
-		return min(askLost, l.set.MustAskIn/2)
+func (l *Balancer) askWait() Millis {
+	if l.set.WatchDeadline > 0 {
+		return min(askLost, l.set.WatchDeadline/2)
 	}
 	return askLost
 }
 
 // probeWait lets answers come in that a node looks at once a tick.
-func (l *Logic) probeWait() Millis { return max(probeWait, 2*l.set.Tick) }
+func (l *Balancer) probeWait() Millis { return max(probeWait, 2*l.set.Tick) }
 
 // expected is the time a request sent now would take.
-func (l *Logic) expected(s *server, r *request) Millis {
+func (l *Balancer) expected(s *server, r *request) Millis {
 	return l.feltUnit(s) * l.queueRounds(l.occupancy(s), r.cost)
 }
 
 // noteZone books whether anything came back from a server's zone. A refusal or an error did.
-func (l *Logic) noteZone(s *server, result Result, elapsed Millis) {
+func (l *Balancer) noteZone(s *server, result Outcome, elapsed Millis) {
 	h := s.reach
 	h.bad, h.tried, h.at = l.zoneBad(h), true, l.now
 	if result == TimedOut || result == Unreachable && elapsed >= silentShare*l.set.ConnectTimeout {
@@ -710,7 +710,7 @@
 }
 
 // zone gives the health of a zone as seen from here.
-func (l *Logic) zone(name string) *classHealth {
+func (l *Balancer) zone(name string) *classHealth {
 	if l.zones[name] == nil {
 		l.zones[name] = &classHealth{}
 	}
@@ -719,7 +719,7 @@
 
 // tellZones logs once when a zone begins to be priced, and once when nearly all of it comes back: a share of silence in
 // between says neither.
-func (l *Logic) tellZones() {
+func (l *Balancer) tellZones() {
 	for _, name := range slices.Sorted(maps.Keys(l.zones)) {
 		switch h := l.zones[name]; {
 		case !h.told && l.zoneFault(h) > 0:
@@ -733,14 +733,14 @@
 }
 
 // zoneBad is the share of sends to a zone on which nothing came back, forgotten as fast as a shunned server's record.
-func (l *Logic) zoneBad(h *classHealth) float64 {
+func (l *Balancer) zoneBad(h *classHealth) float64 {
 	return h.bad * math.Exp(-(l.now-h.at)/staleDecay)
 }
 
 // overdue is how long a server has kept silent over its oldest attempt: alone, or for each request ahead of
 // it. An attempt that an answer to a later send has passed is lost or heavy, now and when its time is up: the
 // server is not to be shunned for it.
-func (l *Logic) overdue(s *server, each bool) Millis {
+func (l *Balancer) overdue(s *server, each bool) Millis {
 	r, a := s.oldest()
 	if a == nil || l.classFault(s, r.class) {
 		return 0
@@ -754,7 +754,7 @@
 
 // usualOthers is what the other nodes usually have at a server: its own mean, or the fleet's where its last
 // report is old. A node that hears of a server once a minute must not take silence for an empty server.
-func (l *Logic) usualOthers(s *server) float64 {
+func (l *Balancer) usualOthers(s *server) float64 {
 	usual := l.crowd * l.speed(s) // all nodes send a slow one as much less
 	if s.reportAt == 0 {
 		return usual
--- a/balancer/statefixture_test.go
+++ b/balancer/statefixture_test.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	successor.Step(old.now, ServerList{Form: ListFull, Entries: old.servers})
-	successor.Step(old.now, Inherited{State: state})
+	successor.Step(old.now, EndpointUpdate{Kind: FullUpdate, Endpoints: old.servers})
+	successor.Step(old.now, StateTransferred{State: state})
 	got, err := json.MarshalIndent(successor.Snapshot(), "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/balancer/upload_test.go
+++ b/balancer/upload_test.go
@@ -4,17 +4,17 @@
 
 // TestUploadIsNeitherSilentNorLost has a request's body come for longer than any answer takes.
 func TestUploadIsNeitherSilentNorLost(t *testing.T) {
-	set := Settings{Nodes: 1, Reports: true, MayCancel: true, MayProbe: false, DrainGrace: 2000, MaxAttempts: 3, ColdFrom: 0.2,
-		ColdFor: 9000, FallMultiple: 3, FallFor: 1000, Goal: Goal{Whole: 1},
-		Classes: []Class{{Name: "look", Aim: 100, HardLimit: 400, Worth: 1}}}
+	set := Settings{Nodes: 1, LoadReports: true, CancelAllowed: true, ProbesAllowed: false, DrainGrace: 2000, MaxAttempts: 3, InitialCapacity: 0.2,
+		SlowStartDuration: 9000, OverloadFactor: 3, OverloadWindow: 1000, Goal: ObjectiveWeights{Overall: 1},
+		Classes: []Class{{Name: "look", LatencyObjective: 100, TotalTimeout: 400, PriorityWeight: 1}}}
 	l, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Step(0, ServerList{Form: ListFull, Entries: []ServerEntry{{ID: "a", Size: 1}, {ID: "b", Size: 1}}})
+	l.Step(0, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}}})
 	var to ServerID
-	for _, a := range l.Step(1, Arrival{ID: 1, Class: "look", Expires: 401, Uploading: 20_000}) {
-		if s, ok := a.(Send); ok {
+	for _, a := range l.Step(1, Arrival{ID: 1, Class: "look", Deadline: 401, UploadTimeout: 20_000}) {
+		if s, ok := a.(StartAttempt); ok {
 			to = s.Server
 		}
 	}
@@ -25,7 +25,7 @@
 	// A report without it, and another request's answer, come meanwhile.
 	for _, now := range []float64{100, 1000, 5000} {
 		l.now = now
-		l.report(s, Load{Valid: true, InFlight: 0})
+		l.report(s, LoadReport{Valid: true, InFlight: 0})
 		s.answeredTo = now
 		l.runScores()
 		if r := l.requests[1]; r == nil || r.attempts[0].lost || l.overdue(s, false) > 0 {
@@ -35,7 +35,7 @@
 	if s.answeredTo = 0; l.estimatedLoad(s) != 0 || s.others != 0 {
 		t.Errorf("taken to hold %v, %v of them others'", l.estimatedLoad(s), s.others)
 	}
-	l.Step(6000, Uploaded{ID: 1, Expires: 6400})
+	l.Step(6000, BodyReceived{ID: 1, Deadline: 6400})
 	r := l.requests[1]
 	if r.expires != 6400 || r.aimAt != 6100 || r.attempts[0].sentAt != 6000 {
 		t.Errorf("counted from its end: expires %v, aim %v, sent %v", r.expires, r.aimAt, r.attempts[0].sentAt)
@@ -46,7 +46,7 @@
 	if l.overdue(s, false) != 50 {
 		t.Errorf("silent for %v ms", l.overdue(s, false))
 	}
-	l.Step(6080, AttemptEnd{ID: 1, Server: to, Result: OK, Elapsed: 80})
+	l.Step(6080, AttemptCompleted{ID: 1, Server: to, Outcome: OK, Elapsed: 80})
 	if l.requests[1] != nil || s.failures != 0 || l.lag != 0 || s.answeredTo != 6000 || s.ahead != 0 {
 		t.Errorf("after the answer: lag %v, answered to %v, %d failures", l.lag, s.answeredTo, s.failures)
 	}
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -255,7 +255,7 @@
 
 // Pieces gives the body piece by piece as it comes; last tells that the one given is the last, which it can only be once the
 // whole body is there. The piece is valid during the call.
-func (f *File) Pieces(each func(piece []byte, last bool) error) error {
+func (f *File) ForEachChunk(each func(piece []byte, last bool) error) error {
 	b, err := f.store.Buffer()
 	if err != nil {
 		return err
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -27,7 +27,7 @@
 	f.file = full
 	followed := make(chan error, 1)
 	go func() {
-		followed <- f.Pieces(func(_ []byte, last bool) error {
+		followed <- f.ForEachChunk(func(_ []byte, last bool) error {
 			if last {
 				t.Error("the last piece was given, though the body was not kept")
 			}
@@ -57,7 +57,7 @@
 		t.Fatal(whole, err)
 	}
 	_ = f.file.Close()
-	if err := f.Pieces(func([]byte, bool) error { return nil }); !errors.Is(err, ErrKeep) {
+	if err := f.ForEachChunk(func([]byte, bool) error { return nil }); !errors.Is(err, ErrKeep) {
 		t.Errorf("%v, want that it cannot be kept", err)
 	}
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -33,13 +33,13 @@
 	Succeeded() bool
 	// Carry has the module's messages to other nodes go over the link, and with nil no longer; Hear takes theirs.
 	Carry(Teller)
-	Hear(balancer.Told)
+	ReceiveGossip(balancer.GossipReceived)
 	Number() int
 	Counters() *counters.Counters
 }
 
 // Teller passes the module's messages on. It does not wait.
-type Teller interface{ Tell(body []byte) }
+type Teller interface{ Broadcast(body []byte) }
 
 const (
 	// ticksEach period the core is called: its own sign of a standstill is a gap of one and a half periods.
@@ -280,8 +280,8 @@
 // hear hands one message to the core. The answer to a full state goes back on its stream and nowhere else.
 func (l *link) hear(in inbound) {
 	l.core.Receive(l.now(), in.m)
-	if in.m.Kind == membership.Word && len(in.m.Body) <= balancer.MessageMost {
-		l.node.Hear(balancer.Told{From: int(in.m.Node), Body: in.m.Body})
+	if in.m.Kind == membership.Word && len(in.m.Body) <= balancer.MaxGossipBytes {
+		l.node.ReceiveGossip(balancer.GossipReceived{From: int(in.m.Node), Body: in.m.Body})
 	}
 	l.fleet.hear(in.m)
 	l.load.hear(in.m)
@@ -339,7 +339,7 @@
 }
 
 // Tell passes a message of the module's on to every member in the view.
-func (l *link) Tell(body []byte) {
+func (l *link) Broadcast(body []byte) {
 	select {
 	case l.words <- body:
 	default:
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -55,7 +55,7 @@
 	if f == nil {
 		return
 	}
-	f.l.node.Inform(balancer.Share{}, true)
+	f.l.node.Inform(balancer.FleetQuota{}, true)
 	f.people = quota.New(quota.Options{Name: f.l.name, All: f.l.o.Shares}, 0).Partners()
 	for _, name := range f.people {
 		f.l.ending.Go(func() { f.lifeline(ctx, name) })
@@ -65,7 +65,7 @@
 // end gives everything back before anybody can see that this process ends.
 func (f *fleet) end() {
 	if f != nil {
-		f.l.node.Inform(balancer.Share{}, true)
+		f.l.node.Inform(balancer.FleetQuota{}, true)
 	}
 }
 
@@ -141,7 +141,7 @@
 		if share.Until != math.MaxInt64 {
 			until = began.Add(share.Until - now).UnixNano()
 		}
-		f.l.node.Inform(balancer.Share{Value: share.Value, Until: at, After: share.After}, less && len(out) > 0)
+		f.l.node.Inform(balancer.FleetQuota{Current: share.Value, Until: at, After: share.After}, less && len(out) > 0)
 		if less {
 			began = time.Now()
 		}
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -23,7 +23,7 @@
 
 	mu     sync.Mutex
 	events []balancer.Event
-	told   []balancer.Told
+	told   []balancer.GossipReceived
 	teller Teller
 }
 
@@ -31,9 +31,11 @@
 func (n *fakeNode) Number() int                  { return n.number }
 func (n *fakeNode) Clock() clock.Clock           { return clock.New() }
 func (n *fakeNode) Counters() *counters.Counters { return &n.count }
-func (n *fakeNode) Classes() []balancer.Class    { return []balancer.Class{{Name: "look", Worth: 1}} }
-func (n *fakeNode) TookOver() bool               { return false }
-func (n *fakeNode) Succeeded() bool              { return false }
+func (n *fakeNode) Classes() []balancer.Class {
+	return []balancer.Class{{Name: "look", PriorityWeight: 1}}
+}
+func (n *fakeNode) TookOver() bool  { return false }
+func (n *fakeNode) Succeeded() bool { return false }
 
 func (n *fakeNode) Inform(e balancer.Event, _ bool) {
 	n.mu.Lock()
@@ -47,18 +49,18 @@
 	n.teller = t
 }
 
-func (n *fakeNode) Hear(m balancer.Told) {
+func (n *fakeNode) ReceiveGossip(m balancer.GossipReceived) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.told = append(n.told, m)
 }
 
 // share is the last one that the module was told.
-func (n *fakeNode) share() (out balancer.Share) {
+func (n *fakeNode) share() (out balancer.FleetQuota) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range n.events {
-		if s, is := e.(balancer.Share); is {
+		if s, is := e.(balancer.FleetQuota); is {
 			out = s
 		}
 	}
@@ -103,25 +105,25 @@
 		}
 		r.Start(context.Background())
 		links[i] = r
-		if s := n.share(); s != (balancer.Share{}) {
+		if s := n.share(); s != (balancer.FleetQuota{}) {
 			t.Errorf("%s begins with %+v", n.name, s)
 		}
 	}
 	defer links[0].Stop()
 	for _, n := range nodes {
-		eventually(t, "half of the whole for "+n.name, func() bool { return n.share().Value == 0.5 })
+		eventually(t, "half of the whole for "+n.name, func() bool { return n.share().Current == 0.5 })
 	}
-	nodes[0].teller.Tell([]byte("news"))
+	nodes[0].teller.Broadcast([]byte("news"))
 	eventually(t, "the module's message", func() bool {
 		nodes[1].mu.Lock()
 		defer nodes[1].mu.Unlock()
 		return len(nodes[1].told) == 1 && nodes[1].told[0].From == 4 && string(nodes[1].told[0].Body) == "news"
 	})
 	links[1].Stop()
-	if s := nodes[1].share(); s != (balancer.Share{}) || nodes[1].teller != nil {
+	if s := nodes[1].share(); s != (balancer.FleetQuota{}) || nodes[1].teller != nil {
 		t.Errorf("stopped it has %+v, and carries %v", s, nodes[1].teller)
 	}
-	eventually(t, "the whole for who is left", func() bool { s := nodes[0].share(); return s.Value == 1 && s.After == 1 })
+	eventually(t, "the whole for who is left", func() bool { s := nodes[0].share(); return s.Current == 1 && s.After == 1 })
 	if _, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: nodes[0]}, &Options{Listen: at[1], Shares: map[string]string{"n1": at[1], "n2": at[0]}}, nil); err == nil {
 		t.Error("a member that is not among those that share was built")
 	}
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -39,7 +39,7 @@
 	var classes []overload.Class
 	for _, c := range l.node.Classes() {
 		o.classes = append(o.classes, c.Name)
-		classes = append(classes, overload.Class{Name: c.Name, Worth: c.Worth})
+		classes = append(classes, overload.Class{Name: c.Name, Worth: c.PriorityWeight})
 	}
 	o.each = max(1, loadBytes/(itemBytes+classBytes*len(classes)))
 	o.s = overload.New(overload.Options{Name: l.name, Start: l.core.Start(), Classes: classes})
@@ -49,7 +49,7 @@
 // end ends the cut: nobody would work it out any more.
 func (o *load) end() {
 	if o != nil {
-		o.l.node.Inform(balancer.Admission{}, false)
+		o.l.node.Inform(balancer.FleetAdmission{}, false)
 	}
 }
 
@@ -111,7 +111,7 @@
 				shares[name] = cut.Shares[i]
 			}
 		}
-		o.l.node.Inform(balancer.Admission{Shares: shares, NoRetries: cut.NoRetries}, false)
+		o.l.node.Inform(balancer.FleetAdmission{AdmittedFraction: shares, RetryReduction: cut.NoRetries}, false)
 	}
 	if cut.Active != o.cut.Active {
 		f := o.s.Figures()
--- a/internal/coap/back/back.go
+++ b/internal/coap/back/back.go
@@ -66,7 +66,7 @@
 	Addresses Addresses
 	NStart    int           // exchanges out to one server (RFC 7252, 4.7)
 	Again     time.Duration // no message is sent again later than this after its first sending: a drain told meanwhile must hold
-	ParseLoad func([]byte) balancer.Load
+	ParseLoad func([]byte) balancer.LoadReport
 	Log       *slog.Logger
 	Count     *counters.CoapBack
 }
@@ -121,7 +121,7 @@
 	cancel context.CancelFunc
 	mu     sync.Mutex
 	wrote  bool
-	copy   engine.Copy
+	copy   engine.OutgoingRequest
 	over   bool
 }
 
@@ -135,13 +135,13 @@
 }
 
 // Send starts an attempt. Done is called once, unless Abort comes first.
-func (b *Back) Send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
+func (b *Back) Send(server balancer.ServerID, c engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{cancel: cancel, copy: c}
 	if c.Body != nil { // over the 64 KiB that CoAP keeps to here: another server may take it
 		cancel()
 		b.o.Count.Outcomes.Inc("unsent")
-		go done(engine.End{Result: balancer.Void})
+		go done(engine.Completion{Outcome: balancer.NotSent})
 		return a
 	}
 	began := time.Now()
@@ -159,62 +159,62 @@
 	return a
 }
 
-func (b *Back) run(ctx context.Context, server balancer.ServerID, raw []byte, a *attempt) engine.End {
+func (b *Back) run(ctx context.Context, server balancer.ServerID, raw []byte, a *attempt) engine.Completion {
 	addr, ok := b.o.Addresses.Address(server)
 	if !ok {
-		return engine.End{Result: balancer.Unreachable}
+		return engine.Completion{Outcome: balancer.Unreachable}
 	}
 	p, err := b.take(strings.TrimPrefix(addr, Scheme))
 	switch {
 	case errors.Is(err, errFull) || errors.Is(err, syscall.EMFILE):
 		b.o.Count.Outcomes.Inc("unsent")
-		return engine.End{Result: balancer.Void} // our own limit: not held against the server
+		return engine.Completion{Outcome: balancer.NotSent} // our own limit: not held against the server
 	case err != nil:
 		b.o.Count.Outcomes.Inc("unreachable")
-		return engine.End{Result: balancer.Unreachable}
+		return engine.Completion{Outcome: balancer.Unreachable}
 	}
 	defer p.release()
-	if refused := a.copy.Refused(); refused != nil {
+	if refused := a.copy.CheckWritable(); refused != nil {
 		b.o.Count.Outcomes.Inc("unsent")
-		return engine.End{Result: balancer.Void, Left: errors.Is(refused, engine.ErrLeft)}
+		return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(refused, engine.ErrClientGone)}
 	}
 	m, body, err := request(raw)
 	if err != nil {
 		b.o.Log.Error("a request cannot be put into CoAP", "code", "coap_request", "error", err)
-		return engine.End{Result: balancer.Void}
+		return engine.Completion{Outcome: balancer.NotSent}
 	}
 	got, whole, err := p.ask(ctx, m, body, a)
 	end := b.outcome(got, whole, err, a)
-	b.o.Count.Outcomes.Inc(names[end.Result])
+	b.o.Count.Outcomes.Inc(names[end.Outcome])
 	return end
 }
 
-var names = map[balancer.Result]string{balancer.OK: "ok", balancer.Errored: "error", balancer.Overloaded: "turned_away", balancer.TimedOut: "timed_out",
-	balancer.Unreachable: "unreachable", balancer.Broken: "broken", balancer.Void: "unsent"}
+var names = map[balancer.Outcome]string{balancer.OK: "ok", balancer.Errored: "error", balancer.Overloaded: "turned_away", balancer.TimedOut: "timed_out",
+	balancer.Unreachable: "unreachable", balancer.ConnectionLost: "broken", balancer.NotSent: "unsent"}
 
 // outcome is what the module hears. Whether the request may have run hangs on whether its last block was written.
-func (b *Back) outcome(m message.Message, whole []byte, err error, a *attempt) engine.End {
+func (b *Back) outcome(m message.Message, whole []byte, err error, a *attempt) engine.Completion {
 	a.mu.Lock()
 	wrote := a.wrote
 	a.mu.Unlock()
 	if err != nil {
 		switch {
 		case errors.Is(err, errReset), !wrote: // it was not taken, or never whole
-			return engine.End{Result: balancer.Unreachable}
+			return engine.Completion{Outcome: balancer.Unreachable}
 		case errors.Is(err, errNothing):
-			return engine.End{Result: balancer.TimedOut}
+			return engine.Completion{Outcome: balancer.TimedOut}
 		}
-		return engine.End{Result: balancer.Broken}
+		return engine.Completion{Outcome: balancer.ConnectionLost}
 	}
-	end := engine.End{Result: balancer.Errored}
+	end := engine.Completion{Outcome: balancer.Errored}
 	if text, ok := wire.Bytes(&m, OptLoad); ok {
-		end.Load = b.o.ParseLoad(text)
+		end.Report = b.o.ParseLoad(text)
 	}
 	switch {
 	case m.Code>>5 == 2:
-		end.Result, end.Body = balancer.OK, whole
+		end.Outcome, end.Body = balancer.OK, whole
 	case m.Code == codes.ServiceUnavailable: // by docs/coap.md a server says so only of what it has not begun
-		end.Result = balancer.Overloaded
+		end.Outcome = balancer.Overloaded
 	}
 	return end
 }
@@ -422,7 +422,7 @@
 		a.wrote = true
 		a.mu.Unlock()
 		if first { // an attempt whose last block goes out again after an Echo is still one
-			a.copy.Written()
+			a.copy.NotifyWritten()
 		}
 	}
 	return p.send(ctx, raw, w)
@@ -464,13 +464,13 @@
 }
 
 // Probe pings a server (RFC 7252, 4.3): a reset is a sign of life.
-func (b *Back) Probe(server balancer.ServerID, within time.Duration, done func(engine.End)) {
+func (b *Back) Probe(server balancer.ServerID, within time.Duration, done func(engine.Completion)) {
 	began := time.Now()
 	go func() {
-		end := engine.End{Result: balancer.Unreachable}
+		end := engine.Completion{Outcome: balancer.Unreachable}
 		if addr, ok := b.o.Addresses.Address(server); ok {
 			if p, err := b.take(strings.TrimPrefix(addr, Scheme)); err == nil {
-				end.Result = p.ping(within)
+				end.Outcome = p.ping(within)
 				p.release()
 			}
 		}
@@ -479,7 +479,7 @@
 	}()
 }
 
-func (p *peer) ping(within time.Duration) balancer.Result {
+func (p *peer) ping(within time.Duration) balancer.Outcome {
 	w := make(chan arrival, 1)
 	p.mu.Lock()
 	p.id++
--- a/internal/coap/front/front_test.go
+++ b/internal/coap/front/front_test.go
@@ -35,7 +35,7 @@
 	tb.Helper()
 	count, out := &counters.Coap{}, &sink{}
 	small := blocks.Bounds{Count: 4, Endpoint: 2, Bytes: 4096, Body: 2048, Idle: time.Minute}
-	f, err := New(out, Options{Desk: desk{}, Classes: []balancer.Class{{Name: "look", HardLimit: 500}, {Name: "bill", Effect: balancer.Unsafe, HardLimit: 500}},
+	f, err := New(out, Options{Desk: desk{}, Classes: []balancer.Class{{Name: "look", TotalTimeout: 500}, {Name: "bill", Idempotency: balancer.NonIdempotent, TotalTimeout: 500}},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count, Most: 8, Dedup: dedup.Bounds{Entries: 32, Bytes: 64 << 10, Endpoint: 16},
 		Uploads: small, Kept: small})
 	if err != nil {
--- a/internal/coap/front/incoming.go
+++ b/internal/coap/front/incoming.go
@@ -89,7 +89,7 @@
 	if verdict == echo.Valid {
 		f.prove(r.key.Endpoint)
 	}
-	if r.call.class.Effect == balancer.Safe || verdict == echo.Valid {
+	if r.call.class.Idempotency == balancer.Idempotent || verdict == echo.Valid {
 		return true
 	}
 	if verdict == echo.Foreign {
@@ -165,7 +165,7 @@
 	}
 	body, ok := r.f.kept.Fetch(r.f.now(), blocks.Key{Endpoint: r.key.Endpoint, What: r.what()})
 	if !ok {
-		if r.call.class.Effect == balancer.Safe {
+		if r.call.class.Idempotency == balancer.Idempotent {
 			return false // asked anew: the block is cut from a fresh answer
 		}
 		r.answer(reply{code: codes.RequestEntityIncomplete, harmless: true})
--- a/internal/coap/front/mapping.go
+++ b/internal/coap/front/mapping.go
@@ -69,21 +69,21 @@
 	if !ok {
 		return call{}, refuse(codes.NotFound, "no class %q", path[0])
 	}
-	c := call{class: class, wait: strconv.FormatInt(max(1, int64(class.HardLimit)), 10)}
-	if class.HardLimit <= 0 {
+	c := call{class: class, wait: strconv.FormatInt(max(1, int64(class.TotalTimeout)), 10)}
+	if class.TotalTimeout <= 0 {
 		c.wait = ""
 	}
 	switch {
-	case class.Effect == balancer.Safe && m.Code == codes.GET:
+	case class.Idempotency == balancer.Idempotent && m.Code == codes.GET:
 		c.method = "GET"
-	case class.Effect != balancer.Safe && (m.Code == codes.POST || m.Code == codes.PUT):
+	case class.Idempotency != balancer.Idempotent && (m.Code == codes.POST || m.Code == codes.PUT):
 		c.method = "POST"
 	default:
 		return call{}, refuse(codes.MethodNotAllowed, "%v on %s", m.Code, class.Name)
 	}
 	c.uri = c.queries(path, wire.Texts(m, message.URIQuery))
 	switch {
-	case class.Effect == balancer.Keyed && c.key == "":
+	case class.Idempotency == balancer.IdempotentWithKey && c.key == "":
 		return call{}, refuse(codes.BadRequest, "no key")
 	case c.wait == "":
 		return call{}, refuse(codes.BadRequest, "no wait")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -163,7 +163,7 @@
 			fault("settings."+e.Key, "settings", "%v", e)
 		}
 	}
-	c.Peers = f.peers(c.Settings.Logic, fault)
+	c.Peers = f.peers(c.Settings.Balancer, fault)
 	if f.Watch != "" {
 		var wrong []operator.Fault
 		c.Watch, wrong = watched(path, f.Watch)
@@ -179,7 +179,7 @@
 
 // peers are the nodes' addresses, needed where the settings let nodes talk.
 func (f *file) peers(set balancer.Settings, fault func(at, key, format string, args ...any)) []netip.AddrPort {
-	if !set.Peers && len(f.Peers.Nodes) == 0 {
+	if !set.GossipAllowed && len(f.Peers.Nodes) == 0 {
 		return nil
 	}
 	switch n := len(f.Peers.Nodes); {
@@ -202,7 +202,7 @@
 		}
 		out = append(out, a)
 	}
-	if !set.Peers {
+	if !set.GossipAllowed {
 		return nil // named ahead of the settings that will use them
 	}
 	return out
@@ -226,10 +226,10 @@
 		}
 		return nil, out
 	}
-	if _, err := balancer.New(set.Logic, 0); err != nil {
+	if _, err := balancer.New(set.Balancer, 0); err != nil {
 		return nil, []operator.Fault{{File: path, Key: "watch", Text: err.Error()}}
 	}
-	return &set.Logic, nil
+	return &set.Balancer, nil
 }
 
 // faults are the limits with which no node can run.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 	if c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 192, 1024}) || len(c.Known.Members) != 1 {
 		t.Errorf("seed %x, limits %+v, known %+v", c.Seed, c.Limits, c.Known)
 	}
-	if s := c.Settings; s.ConnIdle != 60000 || s.AnswerSlack != 5 || s.Logic.Nodes != 2 || s.Logic.DrainGrace != 1500 {
+	if s := c.Settings; s.ServerIdleTimeout != 60000 || s.ResponseSlack != 5 || s.Balancer.Nodes != 2 || s.Balancer.DrainGrace != 1500 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -24,12 +24,12 @@
 )
 
 // News takes what the list tells.
-type News interface{ ListNews(balancer.ServerList) }
+type News interface{ UpdateEndpoints(balancer.EndpointUpdate) }
 
 // MemberNews takes what the list tells with all that discovery says of each server. Who takes it gets no ListNews but for
 // calls that failed.
 type MemberNews interface {
-	MemberNews(list List, form balancer.ListForm)
+	MemberNews(list List, form balancer.UpdateKind)
 }
 
 // Catalog follows discovery.
@@ -116,7 +116,7 @@
 }
 
 // Watch asks for the list to be followed. It does not wait.
-func (c *Catalog) Watch() {
+func (c *Catalog) WatchEndpoints() {
 	select {
 	case c.asked <- struct{}{}:
 	default:
@@ -134,7 +134,7 @@
 	defer c.lateness.Stop()
 	// Told even where nothing is known: it is the module's first event, without which one that has to ask for
 	// the list would not begin to.
-	c.tell(known, balancer.ListCached)
+	c.tell(known, balancer.CachedUpdate)
 	pause, at := retryFirst, int64(-1)
 	if c.pace.spread > 0 {
 		if len(known.Members) > 0 { // half the calls of a start: what has changed since is all that is needed
@@ -268,7 +268,7 @@
 	c.late = true
 	c.count.List.Late.Inc()
 	c.log.Warn("no news of the list for longer than it may take", "code", "list_late", "for_ms", time.Since(c.informed).Milliseconds())
-	c.news.ListNews(balancer.ServerList{Form: balancer.ListLate})
+	c.news.UpdateEndpoints(balancer.EndpointUpdate{Kind: balancer.UpdateOverdue})
 }
 
 func (c *Catalog) failed(err error, first bool) {
@@ -276,7 +276,7 @@
 	if first { // the first of a row: an outage must not fill the log
 		c.log.Warn("discovery call failed, the last list stands", "code", "list_failed", "error", err)
 	}
-	c.news.ListNews(balancer.ServerList{Form: balancer.ListFailed})
+	c.news.UpdateEndpoints(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 }
 
 // call asks once: for the whole list where no version is held, whose answer is waited for so long, else by a watch.
@@ -321,19 +321,19 @@
 	switch {
 	case list.Complete:
 		c.count.List.Full.Inc()
-		c.tell(list, balancer.ListFull)
+		c.tell(list, balancer.FullUpdate)
 	case len(list.Members) > 0 || at < 0 || late:
 		c.count.List.Delta.Inc()
-		c.tell(list, balancer.ListDelta)
+		c.tell(list, balancer.DeltaUpdate)
 	}
 }
 
-func (c *Catalog) tell(list List, form balancer.ListForm) {
+func (c *Catalog) tell(list List, form balancer.UpdateKind) {
 	if n, ok := c.news.(MemberNews); ok {
 		n.MemberNews(list, form)
 		return
 	}
-	c.news.ListNews(balancer.ServerList{Form: form, Entries: list.Entries()})
+	c.news.UpdateEndpoints(balancer.EndpointUpdate{Kind: form, Endpoints: list.Entries()})
 }
 
 // locate notes the addresses. They may change at a restart; one that is gone is not dialled any more.
--- a/internal/discovery/catalog_test.go
+++ b/internal/discovery/catalog_test.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []balancer.ServerEntry{
-		{ID: "s-1", State: balancer.Ready, Zone: "a", Cell: 3, Size: 1.5, Started: 1764588000123},
-		{ID: "s-2", State: balancer.Draining, Zone: "b", Cell: 4, Size: 1},
-		{ID: "s-3", State: balancer.Draining, Size: 1}, // an unknown phase gets nothing new
-		{ID: "s-4", State: balancer.Gone},
+	want := []balancer.Endpoint{
+		{ID: "s-1", State: balancer.Ready, Zone: "a", Cell: 3, Capacity: 1.5, Started: 1764588000123},
+		{ID: "s-2", State: balancer.Draining, Zone: "b", Cell: 4, Capacity: 1},
+		{ID: "s-3", State: balancer.Draining, Capacity: 1}, // an unknown phase gets nothing new
+		{ID: "s-4", State: balancer.Removed},
 	}
 	if got := l.Entries(); !reflect.DeepEqual(got, want) {
 		t.Errorf("entries %+v, want %+v", got, want)
@@ -93,9 +93,9 @@
 }
 
 // heard collects what a catalog tells.
-type heard chan balancer.ServerList
+type heard chan balancer.EndpointUpdate
 
-func (h heard) ListNews(l balancer.ServerList) { h <- l }
+func (h heard) UpdateEndpoints(l balancer.EndpointUpdate) { h <- l }
 
 // TestTurnedAwayGoesOnFromWhatIsHeld has discovery turn a watch away, with and without a time to come back.
 func TestTurnedAwayGoesOnFromWhatIsHeld(t *testing.T) {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -260,7 +260,7 @@
 
 type deaf struct{}
 
-func (deaf) ListNews(balancer.ServerList) {}
+func (deaf) UpdateEndpoints(balancer.EndpointUpdate) {}
 
 // join starts followers that hold a list.
 func (c *crowd) join(n int, address string, known List) {
@@ -499,13 +499,13 @@
 // forms counts what a follower tells the module.
 type forms struct {
 	mu   sync.Mutex
-	told []balancer.ListForm
+	told []balancer.UpdateKind
 }
 
-func (f *forms) ListNews(l balancer.ServerList) {
+func (f *forms) UpdateEndpoints(l balancer.EndpointUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = append(f.told, l.Form)
+	f.told = append(f.told, l.Kind)
 }
 
 // TestLateNewsAreTold guards against a module that goes on sending by a list of which nothing has been heard for long, and
@@ -534,7 +534,7 @@
 		time.Sleep(toldLatest + 5*time.Second) // the watch that is taken up again has nothing to tell for as long as it is held
 		got.mu.Lock()
 		defer got.mu.Unlock()
-		if last := got.told[len(got.told)-1]; last != balancer.ListDelta {
+		if last := got.told[len(got.told)-1]; last != balancer.DeltaUpdate {
 			t.Errorf("the last that the module heard is %v, want a delta", last)
 		}
 		if count.List.Informed.Get() == 0 {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -29,8 +29,8 @@
 	Members  []Member `json:"members"`
 }
 
-var states = map[string]balancer.ServerState{
-	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Removed,
 }
 
 // ParseList reads an answer and refuses nonsense: what cannot be right must not replace a good list.
@@ -63,15 +63,15 @@
 }
 
 // Entries are the members in the module's terms. An unknown phase counts as draining: nothing new goes there.
-func (l List) Entries() []balancer.ServerEntry {
-	out := make([]balancer.ServerEntry, 0, len(l.Members))
+func (l List) Entries() []balancer.Endpoint {
+	out := make([]balancer.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
 		state, ok := states[m.Phase]
 		if !ok {
 			state = balancer.Draining
 		}
-		out = append(out, balancer.ServerEntry{ID: balancer.ServerID(m.ID), State: state, Zone: m.Locality,
-			Cell: m.Cell, Size: m.Size, Started: m.UpSince})
+		out = append(out, balancer.Endpoint{ID: balancer.ServerID(m.ID), State: state, Zone: m.Locality,
+			Cell: m.Cell, Capacity: m.Size, Started: m.UpSince})
 	}
 	return out
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -112,7 +112,7 @@
 	afterWatch := time.Duration(jitter * float64(retryFirst))
 	afterCall := max(p.away, time.Duration(jitter*float64(max(p.pause, p.quiet))))
 	if subscribe {
-		afterWatch, afterCall = p.anew, clock.Span(balancer.AskPauseMost)
+		afterWatch, afterCall = p.anew, clock.Span(balancer.MaxPollBackoff)
 	}
 	return reply + max(p.hold+p.watch+afterWatch, p.answer+afterCall)
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -44,12 +44,12 @@
 // asker stands in for a module that must ask for the list: it takes its longest pause after each call that failed.
 type asker struct{ c *Catalog }
 
-func (a *asker) ListNews(l balancer.ServerList) {
-	switch l.Form {
-	case balancer.ListCached:
-		a.c.Watch()
-	case balancer.ListFailed:
-		time.AfterFunc(clock.Span(balancer.AskPauseMost), a.c.Watch)
+func (a *asker) UpdateEndpoints(l balancer.EndpointUpdate) {
+	switch l.Kind {
+	case balancer.CachedUpdate:
+		a.c.WatchEndpoints()
+	case balancer.UpdateFailed:
+		time.AfterFunc(clock.Span(balancer.MaxPollBackoff), a.c.WatchEndpoints)
 	}
 }
 
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -208,7 +208,7 @@
 }
 
 // discovery takes what discovery told. It may wait; the catalog's own goroutine calls it.
-func (i *Inventory) discovery(l discovery.List, form balancer.ListForm) {
+func (i *Inventory) discovery(l discovery.List, form balancer.UpdateKind) {
 	if !i.o.Discovery {
 		return
 	}
@@ -223,11 +223,11 @@
 	}
 	revision := strconv.FormatInt(l.Revision, 10)
 	switch form {
-	case balancer.ListFull:
+	case balancer.FullUpdate:
 		i.say(said{event: endpointmerge.Stated{Source: sourceDiscovery, Revision: revision, Servers: set}})
-	case balancer.ListDelta:
+	case balancer.DeltaUpdate:
 		i.say(said{event: endpointmerge.Changed{Source: sourceDiscovery, Revision: revision, Set: set, Gone: gone}})
-	case balancer.ListCached: // what the node held before it started: older than anything that speaks now
+	case balancer.CachedUpdate: // what the node held before it started: older than anything that speaks now
 		if len(set) > 0 {
 			i.say(said{event: endpointmerge.Stated{Source: endpointmerge.Restored, Revision: "known", Servers: set}})
 		}
@@ -368,9 +368,9 @@
 		return
 	case !i.whole:
 		i.whole = true
-		i.node.Roster().push(i.view.Pushed(), balancer.ListFull)
+		i.node.Roster().push(i.view.Pushed(), balancer.FullUpdate)
 	case len(out.Push) > 0 || fromDiscovery: // a module that asked discovery hears that an answer came
-		i.node.Roster().push(out.Push, balancer.ListDelta)
+		i.node.Roster().push(out.Push, balancer.DeltaUpdate)
 	default:
 		return
 	}
--- a/internal/endpoints/roster.go
+++ b/internal/endpoints/roster.go
@@ -11,7 +11,7 @@
 )
 
 // News takes what the list tells.
-type News interface{ ListNews(balancer.ServerList) }
+type News interface{ UpdateEndpoints(balancer.EndpointUpdate) }
 
 // Catalog is discovery as the catalog follows it.
 type Catalog interface {
@@ -21,7 +21,7 @@
 
 // taker takes discovery's news while the inventory is on.
 type taker interface {
-	discovery(discovery.List, balancer.ListForm)
+	discovery(discovery.List, balancer.UpdateKind)
 }
 
 // Roster is the node's list of servers.
@@ -50,19 +50,19 @@
 
 // ListNews hands on what has no members: a call to discovery that failed, or news that may be late. With the inventory on the
 // latter is not the module's: discovery is one source among others, and nothing that it tells need reach the module.
-func (r *Roster) ListNews(l balancer.ServerList) {
-	if l.Form == balancer.ListLate {
+func (r *Roster) UpdateEndpoints(l balancer.EndpointUpdate) {
+	if l.Kind == balancer.UpdateOverdue {
 		r.mu.RLock()
 		defer r.mu.RUnlock()
 		if r.taker != nil {
 			return
 		}
 	}
-	r.news.ListNews(l)
+	r.news.UpdateEndpoints(l)
 }
 
 // MemberNews takes discovery's news with all that they tell.
-func (r *Roster) MemberNews(l discovery.List, form balancer.ListForm) {
+func (r *Roster) MemberNews(l discovery.List, form balancer.UpdateKind) {
 	r.mu.RLock()
 	t := r.taker
 	r.mu.RUnlock()
@@ -70,7 +70,7 @@
 		t.discovery(l, form)
 		return
 	}
-	r.news.ListNews(balancer.ServerList{Form: form, Entries: l.Entries()})
+	r.news.UpdateEndpoints(balancer.EndpointUpdate{Kind: form, Endpoints: l.Entries()})
 }
 
 // attach turns the inventory on: from now on addresses and news come from the merged view.
@@ -90,30 +90,30 @@
 }
 
 // push tells the module what has changed: addresses first, so that it cannot send where none is known.
-func (r *Roster) push(entries []endpointmerge.Entry, form balancer.ListForm) {
+func (r *Roster) push(entries []endpointmerge.Entry, form balancer.UpdateKind) {
 	r.mu.Lock()
 	if r.taker == nil {
 		r.mu.Unlock()
 		return
 	}
-	if form == balancer.ListFull {
+	if form == balancer.FullUpdate {
 		r.addresses = make(map[balancer.ServerID]string, len(entries))
 	}
-	out := make([]balancer.ServerEntry, 0, len(entries))
+	out := make([]balancer.Endpoint, 0, len(entries))
 	for _, e := range entries {
 		id, state := balancer.ServerID(e.ID), balancer.Ready
 		switch {
 		case e.Gone:
 			delete(r.addresses, id)
-			state = balancer.Gone
+			state = balancer.Removed
 		case e.Draining:
 			delete(r.addresses, id)
 			state = balancer.Draining
 		default:
 			r.addresses[id] = e.Address
 		}
-		out = append(out, balancer.ServerEntry{ID: id, State: state, Zone: e.Zone, Cell: e.Cell, Size: e.Size, Started: e.Started})
+		out = append(out, balancer.Endpoint{ID: id, State: state, Zone: e.Zone, Cell: e.Cell, Capacity: e.Size, Started: e.Started})
 	}
 	r.mu.Unlock()
-	r.news.ListNews(balancer.ServerList{Form: form, Entries: out})
+	r.news.UpdateEndpoints(balancer.EndpointUpdate{Kind: form, Endpoints: out})
 }
--- a/internal/endpoints/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -27,27 +27,27 @@
 	roster *Roster
 	count  *counters.Counters
 	clock  clock.Clock
-	heard  chan balancer.ServerList
+	heard  chan balancer.EndpointUpdate
 
 	mu       sync.Mutex
 	refetces int
 }
 
 func newDesk() *desk {
-	d := &desk{count: &counters.Counters{}, clock: clock.New(), heard: make(chan balancer.ServerList, 10_000)}
+	d := &desk{count: &counters.Counters{}, clock: clock.New(), heard: make(chan balancer.EndpointUpdate, 10_000)}
 	d.roster = New(d, d)
 	return d
 }
 
 func (d *desk) Address(id balancer.ServerID) (string, bool) { return "discovery:" + string(id), true }
 func (d *desk) Refetch()                                    { d.mu.Lock(); d.refetces++; d.mu.Unlock() }
-func (d *desk) ListNews(l balancer.ServerList)              { d.heard <- l }
+func (d *desk) UpdateEndpoints(l balancer.EndpointUpdate)   { d.heard <- l }
 func (d *desk) Roster() *Roster                             { return d.roster }
 func (d *desk) Clock() clock.Clock                          { return d.clock }
 func (d *desk) Window() time.Duration                       { return 50 * time.Millisecond }
 func (d *desk) Counters() *counters.Counters                { return d.count }
 
-func (d *desk) next(t testing.TB) balancer.ServerList {
+func (d *desk) next(t testing.TB) balancer.EndpointUpdate {
 	t.Helper()
 	select {
 	case l := <-d.heard:
@@ -85,14 +85,14 @@
 	}
 }
 
-func ids(l balancer.ServerList) string {
+func ids(l balancer.EndpointUpdate) string {
 	var out []string
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		id := string(e.ID)
 		switch e.State {
 		case balancer.Draining:
 			id += "~"
-		case balancer.Gone:
+		case balancer.Removed:
 			id += "-"
 		}
 		out = append(out, id)
@@ -106,8 +106,8 @@
 func TestPassThroughAndMerged(t *testing.T) {
 	d := newDesk()
 	known := discovery.List{Revision: 1, Members: []discovery.Member{{ID: "d1", HostPort: "127.0.0.1:1", Phase: "SERVING"}}}
-	d.roster.MemberNews(known, balancer.ListFull)
-	if l := d.next(t); ids(l) != "d1" || l.Form != balancer.ListFull {
+	d.roster.MemberNews(known, balancer.FullUpdate)
+	if l := d.next(t); ids(l) != "d1" || l.Kind != balancer.FullUpdate {
 		t.Errorf("passed through: %+v", l)
 	}
 	path := filepath.Join(t.TempDir(), "list.csv")
@@ -115,27 +115,27 @@
 	if a, _ := d.roster.Address("d1"); a != "discovery:d1" {
 		t.Errorf("address %s before the first merged list", a)
 	}
-	d.roster.MemberNews(known, balancer.ListFull)
+	d.roster.MemberNews(known, balancer.FullUpdate)
 	write(t, path, inventory.WriteCSV([]inventory.Server{{ID: "f1", Address: "127.0.0.1:2", Pod: "p"}}))
-	if l := d.next(t); ids(l) != "d1 f1" || l.Form != balancer.ListFull {
+	if l := d.next(t); ids(l) != "d1 f1" || l.Kind != balancer.FullUpdate {
 		t.Fatalf("first merged list: %+v", l)
 	}
 	if a, _ := d.roster.Address("f1"); a != "127.0.0.1:2" {
 		t.Errorf("address %s", a)
 	}
-	d.roster.MemberNews(discovery.List{Revision: 2, Members: []discovery.Member{{ID: "d1", Phase: "DELETED"}, {ID: "d2", HostPort: "127.0.0.1:3", Phase: "odd"}}}, balancer.ListDelta)
-	if l := d.next(t); ids(l) != "d1- d2~" || l.Form != balancer.ListDelta {
+	d.roster.MemberNews(discovery.List{Revision: 2, Members: []discovery.Member{{ID: "d1", Phase: "DELETED"}, {ID: "d2", HostPort: "127.0.0.1:3", Phase: "odd"}}}, balancer.DeltaUpdate)
+	if l := d.next(t); ids(l) != "d1- d2~" || l.Kind != balancer.DeltaUpdate {
 		t.Errorf("one push for one change: %+v", l)
 	}
 	if _, ok := d.roster.Address("d1"); ok {
 		t.Error("a server that is gone has an address")
 	}
-	d.roster.MemberNews(discovery.List{Revision: 3}, balancer.ListDelta)
-	if l := d.next(t); len(l.Entries) != 0 {
+	d.roster.MemberNews(discovery.List{Revision: 3}, balancer.DeltaUpdate)
+	if l := d.next(t); len(l.Endpoints) != 0 {
 		t.Errorf("an answer without news: %+v", l)
 	}
 	r.Stop()
-	d.roster.MemberNews(known, balancer.ListFull)
+	d.roster.MemberNews(known, balancer.FullUpdate)
 	if l := d.next(t); ids(l) != "d1" {
 		t.Errorf("after it is off: %+v", l)
 	}
--- a/internal/engine/carry.go
+++ b/internal/engine/carry.go
@@ -8,50 +8,50 @@
 
 var resultNames = [...]string{
 	balancer.OK: "served", balancer.Errored: "error", balancer.Overloaded: "turned_away", balancer.TimedOut: "timed_out",
-	balancer.Unreachable: "unreachable", balancer.Broken: "broken", balancer.Cancelled: "cancelled", balancer.Void: "void",
+	balancer.Unreachable: "unreachable", balancer.ConnectionLost: "broken", balancer.Cancelled: "cancelled", balancer.NotSent: "void",
 }
 
 var reasonNames = [...]string{
-	balancer.NoClass: "no_class", balancer.Stale: "stale", balancer.NoPlace: "no_place", balancer.Tried: "tried",
-	balancer.FleetCut: "fleet_cut",
+	balancer.UnknownClass: "no_class", balancer.LateRetry: "stale", balancer.NoCapacity: "no_place", balancer.AttemptsExhausted: "tried",
+	balancer.FleetOverload: "fleet_cut",
 }
 
 // ResultName is a result's name in counters and log lines.
-func ResultName(r balancer.Result) string { return resultNames[r] }
+func OutcomeName(r balancer.Outcome) string { return resultNames[r] }
 
 // carry hands one action to whoever carries it out.
 func (e *Engine) carry(action balancer.Action) {
 	switch a := action.(type) {
-	case balancer.Send:
+	case balancer.StartAttempt:
 		e.send(a)
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		if c := e.live[a.ID]; c != nil && a.Attempt >= 0 && a.Attempt < len(c.attempts) {
 			e.withdraw(c.attempts[a.Attempt])
 		}
-	case balancer.Refuse:
-		e.count.GivenUp.Inc(reasonNames[a.Why])
-		e.answer(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
+	case balancer.Reject:
+		e.count.GivenUp.Inc(reasonNames[a.Reason])
+		e.answer(a.ID, Response{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
-		e.count.GivenUp.Inc(reasonNames[a.Why])
-		e.answer(a.ID, Answer{Kind: Failed})
+		e.count.GivenUp.Inc(reasonNames[a.Reason])
+		e.answer(a.ID, Response{Kind: Failed})
 	case balancer.SetTimer:
 		e.timers.add(a.At, a.Token, nil)
-	case balancer.Probe:
+	case balancer.ProbeLoad:
 		e.count.Probes.Sent.Inc()
 		e.count.Probes.Open.Inc()
-		e.prober.Probe(a.Server, func(end End) { e.post(message{server: a.Server, end: &end}) })
-	case balancer.Watch:
-		e.watcher.Watch()
-	case balancer.Tell:
+		e.prober.ProbeLoad(a.Server, func(end Completion) { e.post(message{server: a.Server, end: &end}) })
+	case balancer.WatchEndpoints:
+		e.watcher.WatchEndpoints()
+	case balancer.BroadcastGossip:
 		if e.teller != nil {
-			e.teller.Tell(a.Body)
+			e.teller.Broadcast(a.Body)
 		}
 	case balancer.Log:
 		e.log.Info(a.Text, "code", "module")
 	}
 }
 
-func (e *Engine) answer(id balancer.RequestID, a Answer) {
+func (e *Engine) answer(id balancer.RequestID, a Response) {
 	c := e.live[id]
 	if c == nil {
 		return
@@ -65,7 +65,7 @@
 
 // send starts an attempt. One for a request that is over, out of time or out of attempts is not sent, and the
 // module is told so.
-func (e *Engine) send(s balancer.Send) {
+func (e *Engine) send(s balancer.StartAttempt) {
 	c := e.live[s.ID]
 	if c == nil {
 		return
@@ -74,22 +74,22 @@
 	a := &attempt{call: c, n: len(c.attempts), server: s.Server, sentAt: now}
 	c.attempts = append(c.attempts, a)
 	stop := c.expires
-	if s.StopAt > 0 {
-		stop = min(stop, s.StopAt)
+	if s.Deadline > 0 {
+		stop = min(stop, s.Deadline)
 	}
 	if c.uploading {
 		stop = math.Inf(1)
 	}
 	if c.closed || now >= stop || a.n >= e.most {
-		e.count.Outcomes.Inc(ResultName(balancer.Void))
-		e.step(balancer.AttemptEnd{ID: c.id, Attempt: a.n, Server: a.server, Result: balancer.Void, Closed: c.closed})
+		e.count.Outcomes.Inc(OutcomeName(balancer.NotSent))
+		e.step(balancer.AttemptCompleted{ID: c.id, Attempt: a.n, Server: a.server, Outcome: balancer.NotSent, Closed: c.closed})
 		return
 	}
 	a.open = true
 	c.open++
 	e.count.Attempts.Sent.Inc()
 	e.count.Attempts.Open.Inc()
-	a.copy = c.exchange.Send(s.Server, stop-now, s.WholeBy, func(end End) { e.post(message{attempt: a, end: &end}) })
+	a.copy = c.exchange.StartAttempt(s.Server, stop-now, s.WriteDeadline, func(end Completion) { e.post(message{attempt: a, end: &end}) })
 	if !c.uploading {
 		e.timers.add(stop, "", a)
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -25,51 +25,51 @@
 }
 
 // Census is a module that tells how many servers are listed and how many of them it avoids.
-type Census interface {
-	Census() (listed, avoided int)
-	Changes() int // Census gives the same while this does
+type EndpointCounter interface {
+	CountEndpoints() (listed, avoided int)
+	EndpointVersion() int // Census gives the same while this does
 }
 
 // End is how an attempt or a probe ended. Whoever waits for the answer gets the body with it.
-type End struct {
-	Result  balancer.Result
-	Elapsed balancer.Millis
-	Load    balancer.Load
-	Body    []byte // of a served one, or the first of it
-	Rest    Rest   // what is still to come of it; nil where it is whole
-	Left    bool   // nothing was written whole, since the client had gone
+type Completion struct {
+	Outcome    balancer.Outcome
+	Elapsed    balancer.Millis
+	Report     balancer.LoadReport
+	Body       []byte        // of a served one, or the first of it
+	Remaining  RemainingBody // what is still to come of it; nil where it is whole
+	ClientGone bool          // nothing was written whole, since the client had gone
 }
 
 // Rest is the part of a large answer that is still coming. Whoever gets it closes it.
-type Rest interface {
-	Size() int64     // of the whole body in bytes, -1 where it is not told
-	Until(time.Time) // when the client gives the request up; called before the first Read, if at all
+type RemainingBody interface {
+	Size() int64           // of the whole body in bytes, -1 where it is not told
+	SetDeadline(time.Time) // when the client gives the request up; called before the first Read, if at all
 	Read([]byte) (int, error)
 	Close()
 }
 
 // discard lets go of an answer that nobody gets.
-func (e End) discard() {
-	if e.Rest != nil {
-		e.Rest.Close()
+func (e Completion) discard() {
+	if e.Remaining != nil {
+		e.Remaining.Close()
 	}
 }
 
 // Answer is a request's final answer.
-type Answer struct {
-	Kind       AnswerKind
+type Response struct {
+	Kind       ResponseKind
 	Body       []byte          // of a served one, or the first of it
-	Rest       Rest            // what is still to come of it; nil where it is whole
+	Remaining  RemainingBody   // what is still to come of it; nil where it is whole
 	RetryAfter balancer.Millis // of a refused one; 0: no indication
 }
 
 // AnswerKind says what became of a request.
-type AnswerKind int
+type ResponseKind int
 
 // The kinds of answers.
 const (
-	Served AnswerKind = iota
-	Refused
+	Served ResponseKind = iota
+	Rejected
 	Failed
 	TimedOut // failed, and its time is up
 )
@@ -81,68 +81,68 @@
 }
 
 // Copy is one copy of a request for a server.
-type Copy struct {
-	Bytes []byte
-	Body  Body   // what follows the bytes; nil for none
-	Wrote func() // called once when the last byte has been written; nil where nobody asks
+type OutgoingRequest struct {
+	Bytes     []byte
+	Body      RequestBody // what follows the bytes; nil for none
+	OnWritten func()      // called once when the last byte has been written; nil where nobody asks
 	// WholeBy is when the last byte must have been written, or must not be any more; zero: no such end.
-	WholeBy time.Time
+	WriteDeadline time.Time
 	// Wanted tells whether the client is still there. Asked right before the first byte is written, and before the last piece of
 	// a large body: what the engine knows of a client may have waited behind other events. Nil: it always is.
-	Wanted func() bool
+	ClientWaiting func() bool
 }
 
 // ErrTooLate says that a copy could not be written whole in time. Nothing that a server could begin has been.
-var ErrTooLate = errors.New("not written whole in time")
+var ErrWriteDeadline = errors.New("not written whole in time")
 
 // ErrLeft says that a copy was not written whole since its client has gone. Nothing that a server could begin has been.
-var ErrLeft = errors.New("the client has gone")
+var ErrClientGone = errors.New("the client has gone")
 
 // Refused tells why the last byte must not be written any more; nil where it may.
-func (c Copy) Refused() error {
+func (c OutgoingRequest) CheckWritable() error {
 	switch {
-	case !c.WholeBy.IsZero() && !time.Now().Before(c.WholeBy):
-		return ErrTooLate
-	case c.Wanted != nil && !c.Wanted():
-		return ErrLeft
+	case !c.WriteDeadline.IsZero() && !time.Now().Before(c.WriteDeadline):
+		return ErrWriteDeadline
+	case c.ClientWaiting != nil && !c.ClientWaiting():
+		return ErrClientGone
 	}
 	return nil
 }
 
 // Body is a large body that is kept outside memory.
-type Body interface {
+type RequestBody interface {
 	Size() int64 // in bytes
 	Retain()     // it stays until one more Release
 	Release()
 	// Pieces gives it piece by piece, each valid during the call, the last one marked.
-	Pieces(each func(piece []byte, last bool) error) error
+	ForEachChunk(each func(piece []byte, last bool) error) error
 }
 
 // Written tells that the last byte has been written.
-func (c Copy) Written() {
-	if c.Wrote != nil {
-		c.Wrote()
+func (c OutgoingRequest) NotifyWritten() {
+	if c.OnWritten != nil {
+		c.OnWritten()
 	}
 }
 
 // Exchange is one client's request. Its methods do not wait.
-type Exchange interface {
+type Request interface {
 	Arrival() balancer.Arrival
 	// Send starts an attempt that is waited for so long, and whose last byte must be written by a time; 0: at any.
-	Send(server balancer.ServerID, wait, wholeBy balancer.Millis, done func(End)) Attempt
-	Finish(Answer)
+	StartAttempt(server balancer.ServerID, wait, wholeBy balancer.Millis, done func(Completion)) Attempt
+	Respond(Response)
 }
 
 // Prober asks a server for a sign of life. It does not wait.
 type Prober interface {
-	Probe(server balancer.ServerID, done func(End))
+	ProbeLoad(server balancer.ServerID, done func(Completion))
 }
 
 // Watcher follows the list of servers from now on. It does not wait.
-type Watcher interface{ Watch() }
+type EndpointWatcher interface{ WatchEndpoints() }
 
 // Teller passes a message on to the other nodes. It does not wait.
-type Teller interface{ Tell(body []byte) }
+type Broadcaster interface{ Broadcast(body []byte) }
 
 // Engine drives the module.
 type Engine struct {
@@ -153,12 +153,12 @@
 	live    map[balancer.RequestID]*call
 	nextID  balancer.RequestID
 	prober  Prober
-	watcher Watcher
-	teller  Teller
+	watcher EndpointWatcher
+	teller  Broadcaster
 	most    int // attempts a request may have
 	log     *slog.Logger
 	count   *counters.Counters
-	census  Census           // nil where the module tells none
+	census  EndpointCounter  // nil where the module tells none
 	changes int              // as last counted
 	queue   []balancer.Event // events that actions brought about; they follow at once
 	stopped chan struct{}
@@ -167,7 +167,7 @@
 // call is a request in the engine's hands, kept until it is answered and its attempts have ended.
 type call struct {
 	id       balancer.RequestID
-	exchange Exchange
+	exchange Request
 	expires  balancer.Millis
 	attempts []*attempt
 	open     int
@@ -193,32 +193,32 @@
 	arrive   bool
 	leave    bool
 	attempt  *attempt // with end
-	end      *End
+	end      *Completion
 	server   balancer.ServerID // with end: a probe's
-	list     *balancer.ServerList
-	told     *balancer.Told
+	list     *balancer.EndpointUpdate
+	told     *balancer.GossipReceived
 	event    balancer.Event // anything else the module is to hear
 	between  func()         // to be run between two decisions
 }
 
 // Options are what an engine works with.
 type Options struct {
-	Module      Module
-	Clock       clock.Clock
-	Prober      Prober
-	Watcher     Watcher
-	Teller      Teller // nil where nodes do not talk
-	MaxAttempts int
-	Log         *slog.Logger
-	Count       *counters.Counters
+	Module          Module
+	Clock           clock.Clock
+	Prober          Prober
+	EndpointWatcher EndpointWatcher
+	Broadcaster     Broadcaster // nil where nodes do not talk
+	MaxAttempts     int
+	Log             *slog.Logger
+	Counters        *counters.Counters
 }
 
 // New makes an engine; Run starts it.
 func New(o Options) *Engine {
-	census, _ := o.Module.(Census)
+	census, _ := o.Module.(EndpointCounter)
 	return &Engine{census: census, module: o.Module, clock: o.Clock, mailbox: make(chan message, mailboxLen),
-		live: map[balancer.RequestID]*call{}, prober: o.Prober, watcher: o.Watcher, teller: o.Teller, most: o.MaxAttempts,
-		log: o.Log, count: o.Count, stopped: make(chan struct{})}
+		live: map[balancer.RequestID]*call{}, prober: o.Prober, watcher: o.EndpointWatcher, teller: o.Broadcaster, most: o.MaxAttempts,
+		log: o.Log, count: o.Counters, stopped: make(chan struct{})}
 }
 
 // Ticket names a request that the engine has taken.
@@ -228,32 +228,32 @@
 }
 
 // Arrive hands a request to the module. Its Finish is called once, unless Leave comes first.
-func (e *Engine) Arrive(x Exchange) Ticket {
+func (e *Engine) Submit(x Request) Ticket {
 	c := &call{exchange: x}
 	e.post(message{call: c, arrive: true})
 	return Ticket{e, c}
 }
 
 // Uploaded says that the body of a request that arrived before it was whole has come, and when its client gives it up.
-func (t Ticket) Uploaded(expires balancer.Millis) {
+func (t Ticket) BodyReceived(expires balancer.Millis) {
 	t.engine.post(message{call: t.call, uploaded: true, expires: expires})
 }
 
 // Leave says that nobody waits for the answer any more.
-func (t Ticket) Leave() { t.engine.post(message{call: t.call, leave: true}) }
+func (t Ticket) Cancel() { t.engine.post(message{call: t.call, leave: true}) }
 
 // ListNews tells the module of the list.
-func (e *Engine) ListNews(l balancer.ServerList) { e.post(message{list: &l}) }
+func (e *Engine) UpdateEndpoints(l balancer.EndpointUpdate) { e.post(message{list: &l}) }
 
 // Hear tells the module what another node told.
-func (e *Engine) Hear(m balancer.Told) { e.post(message{told: &m}) }
+func (e *Engine) ReceiveGossip(m balancer.GossipReceived) { e.post(message{told: &m}) }
 
 // Tell hands the module an event that concerns no request.
-func (e *Engine) Tell(event balancer.Event) { e.post(message{event: event}) }
+func (e *Engine) Post(event balancer.Event) { e.post(message{event: event}) }
 
 // Between runs f between two decisions, on the goroutine that owns the module, and waits until it has run. It tells
 // whether it has: an engine that ends may not.
-func (e *Engine) Between(f func()) bool {
+func (e *Engine) RunBetweenSteps(f func()) bool {
 	ran := make(chan struct{})
 	e.post(message{between: func() { defer close(ran); f() }})
 	select {
@@ -329,7 +329,7 @@
 	if a.copy.Abort() {
 		result = balancer.TimedOut
 	}
-	e.ended(a, End{Result: result, Elapsed: e.clock.Now() - a.sentAt})
+	e.ended(a, Completion{Outcome: result, Elapsed: e.clock.Now() - a.sentAt})
 }
 
 func (e *Engine) take(m message) {
@@ -346,7 +346,7 @@
 			m.end.discard()
 			return
 		}
-		if m.end.Left { // the client's leaving may be waiting behind this
+		if m.end.ClientGone { // the client's leaving may be waiting behind this
 			e.count.Attempts.Unwanted.Inc()
 			e.leave(m.attempt.call)
 			return
@@ -362,8 +362,8 @@
 		m.between()
 	case m.end != nil:
 		e.count.Probes.Open.Add(-1)
-		e.count.ProbeOutcomes.Inc(ResultName(m.end.Result))
-		e.step(balancer.ProbeEnd{Server: m.server, Result: m.end.Result, Elapsed: m.end.Elapsed, Load: m.end.Load})
+		e.count.ProbeOutcomes.Inc(OutcomeName(m.end.Outcome))
+		e.step(balancer.LoadProbeCompleted{Server: m.server, Outcome: m.end.Outcome, Elapsed: m.end.Elapsed, Report: m.end.Report})
 	}
 }
 
@@ -374,7 +374,7 @@
 	e.nextID++
 	c.id = e.nextID
 	a := c.exchange.Arrival()
-	a.ID, c.expires, c.uploading = c.id, a.Expires, a.Uploading > 0
+	a.ID, c.expires, c.uploading = c.id, a.Deadline, a.UploadTimeout > 0
 	e.live[c.id] = c
 	e.step(a)
 }
@@ -391,7 +391,7 @@
 			e.timers.add(expires, "", a)
 		}
 	}
-	e.step(balancer.Uploaded{ID: c.id, Expires: expires})
+	e.step(balancer.BodyReceived{ID: c.id, Deadline: expires})
 }
 
 // leave ends a request that nobody waits for; what is out for it is withdrawn.
@@ -400,7 +400,7 @@
 		return
 	}
 	c.closed = true
-	e.step(balancer.Dropped{ID: c.id})
+	e.step(balancer.ClientCancelled{ID: c.id})
 	for _, a := range c.attempts {
 		e.withdraw(a)
 	}
@@ -410,33 +410,33 @@
 func (e *Engine) withdraw(a *attempt) {
 	if a.open {
 		a.copy.Abort()
-		e.ended(a, End{Result: balancer.Cancelled, Elapsed: e.clock.Now() - a.sentAt})
+		e.ended(a, Completion{Outcome: balancer.Cancelled, Elapsed: e.clock.Now() - a.sentAt})
 	}
 }
 
 // ended books an attempt's end: the first one served answers the client.
-func (e *Engine) ended(a *attempt, end End) {
+func (e *Engine) ended(a *attempt, end Completion) {
 	c := a.call
 	a.open, a.copy = false, nil
 	c.open--
 	e.count.Attempts.Open.Add(-1)
-	e.count.Outcomes.Inc(ResultName(end.Result))
-	if end.Result == balancer.OK && !c.closed {
-		e.finish(c, Answer{Kind: Served, Body: end.Body, Rest: end.Rest})
+	e.count.Outcomes.Inc(OutcomeName(end.Outcome))
+	if end.Outcome == balancer.OK && !c.closed {
+		e.finish(c, Response{Kind: Served, Body: end.Body, Remaining: end.Remaining})
 	} else {
 		end.discard()
 	}
-	e.step(balancer.AttemptEnd{ID: c.id, Attempt: a.n, Server: a.server, Result: end.Result, Elapsed: end.Elapsed,
-		Closed: c.closed, Load: end.Load})
+	e.step(balancer.AttemptCompleted{ID: c.id, Attempt: a.n, Server: a.server, Outcome: end.Outcome, Elapsed: end.Elapsed,
+		Closed: c.closed, Report: end.Report})
 	e.forget(c)
 }
 
-func (e *Engine) finish(c *call, a Answer) {
+func (e *Engine) finish(c *call, a Response) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.exchange.Finish(a)
+	c.exchange.Respond(a)
 }
 
 func (e *Engine) forget(c *call) {
@@ -467,11 +467,11 @@
 
 // recount notes what the module tells of the list, once that has changed.
 func (e *Engine) recount() {
-	if e.census == nil || e.census.Changes() == e.changes {
+	if e.census == nil || e.census.EndpointVersion() == e.changes {
 		return
 	}
-	e.changes = e.census.Changes()
-	listed, avoided := e.census.Census()
+	e.changes = e.census.EndpointVersion()
+	listed, avoided := e.census.CountEndpoints()
 	e.count.Registry.Entries.Set(int64(listed))
 	e.count.Registry.Avoided.Set(int64(avoided))
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -70,7 +70,7 @@
 type copyOf struct {
 	server  balancer.ServerID
 	wait    balancer.Millis
-	done    func(End)
+	done    func(Completion)
 	written bool
 	aborted chan struct{}
 }
@@ -85,17 +85,17 @@
 	arrival balancer.Arrival
 	written bool
 	sent    chan *copyOf
-	answers chan Answer
+	answers chan Response
 }
 
 func newExchange(expires float64) *exchange {
-	return &exchange{arrival: balancer.Arrival{Class: "look", Expires: expires}, written: true,
-		sent: make(chan *copyOf, 8), answers: make(chan Answer, 8)}
+	return &exchange{arrival: balancer.Arrival{Class: "look", Deadline: expires}, written: true,
+		sent: make(chan *copyOf, 8), answers: make(chan Response, 8)}
 }
 
 func (x *exchange) Arrival() balancer.Arrival { return x.arrival }
-func (x *exchange) Finish(a Answer)           { x.answers <- a }
-func (x *exchange) Send(s balancer.ServerID, wait, _ balancer.Millis, done func(End)) Attempt {
+func (x *exchange) Respond(a Response)        { x.answers <- a }
+func (x *exchange) StartAttempt(s balancer.ServerID, wait, _ balancer.Millis, done func(Completion)) Attempt {
 	c := &copyOf{server: s, wait: wait, done: done, written: x.written, aborted: make(chan struct{})}
 	x.sent <- c
 	return c
@@ -105,7 +105,7 @@
 	t.Helper()
 	s := &script{act: act, events: make(chan balancer.Event, 64)}
 	count, clk := &counters.Counters{}, clock.New()
-	e := New(Options{Module: s, Clock: clk, MaxAttempts: 2, Count: count,
+	e := New(Options{Module: s, Clock: clk, MaxAttempts: 2, Counters: count,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); <-e.stopped })
@@ -116,7 +116,7 @@
 // sendOnArrival sends every request to one server.
 func sendOnArrival(e balancer.Event) []balancer.Action {
 	if a, ok := e.(balancer.Arrival); ok {
-		return []balancer.Action{balancer.Send{ID: a.ID, Server: "s1"}}
+		return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1"}}
 	}
 	return nil
 }
@@ -138,25 +138,25 @@
 		if !ok {
 			return nil
 		}
-		return []balancer.Action{balancer.Send{ID: a.ID, Server: "s1"}, balancer.Send{ID: a.ID, Server: "s2"},
-			balancer.Send{ID: a.ID, Server: "s3"}}
+		return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1"}, balancer.StartAttempt{ID: a.ID, Server: "s2"},
+			balancer.StartAttempt{ID: a.ID, Server: "s3"}}
 	})
 	x := newExchange(clk.Now() + 5000)
-	e.Arrive(x)
+	e.Submit(x)
 	one, two := receive(t, x.sent), receive(t, x.sent)
 	want[balancer.Arrival](t, s)
-	if v := want[balancer.AttemptEnd](t, s); v.Result != balancer.Void || v.Attempt != 2 {
+	if v := want[balancer.AttemptCompleted](t, s); v.Outcome != balancer.NotSent || v.Attempt != 2 {
 		t.Errorf("an attempt beyond the limit ended as %+v", v)
 	}
-	two.done(End{Result: balancer.OK, Body: []byte("two")})
+	two.done(Completion{Outcome: balancer.OK, Body: []byte("two")})
 	if a := receive(t, x.answers); a.Kind != Served || string(a.Body) != "two" {
 		t.Errorf("answer %+v", a)
 	}
-	if v := want[balancer.AttemptEnd](t, s); !v.Closed || v.Attempt != 1 {
+	if v := want[balancer.AttemptCompleted](t, s); !v.Closed || v.Attempt != 1 {
 		t.Errorf("told %+v", v)
 	}
-	one.done(End{Result: balancer.OK, Body: []byte("one")})
-	if v := want[balancer.AttemptEnd](t, s); !v.Closed || v.Attempt != 0 {
+	one.done(Completion{Outcome: balancer.OK, Body: []byte("one")})
+	if v := want[balancer.AttemptCompleted](t, s); !v.Closed || v.Attempt != 0 {
 		t.Errorf("told %+v", v)
 	}
 	if len(x.answers) != 0 || count.Attempts.Open.Get() != 0 {
@@ -165,19 +165,19 @@
 }
 
 func TestAttemptOutOfTime(t *testing.T) {
-	for written, result := range map[bool]balancer.Result{true: balancer.TimedOut, false: balancer.Unreachable} {
+	for written, result := range map[bool]balancer.Outcome{true: balancer.TimedOut, false: balancer.Unreachable} {
 		e, s, clk, _ := start(t, sendOnArrival)
 		x := newExchange(clk.Now() + 30)
 		x.written = written
-		e.Arrive(x)
+		e.Submit(x)
 		c := receive(t, x.sent)
 		receive(t, c.aborted)
-		if v := want[balancer.AttemptEnd](t, s); v.Result != result || v.Closed || v.Elapsed < 25 {
+		if v := want[balancer.AttemptCompleted](t, s); v.Outcome != result || v.Closed || v.Elapsed < 25 {
 			t.Errorf("written %v: told %+v", written, v)
 		}
-		c.done(End{Result: balancer.OK}) // too late: it has its end
-		e.ListNews(balancer.ServerList{})
-		want[balancer.ServerList](t, s)
+		c.done(Completion{Outcome: balancer.OK}) // too late: it has its end
+		e.UpdateEndpoints(balancer.EndpointUpdate{})
+		want[balancer.EndpointUpdate](t, s)
 		if len(x.answers) != 0 {
 			t.Error("a late end answered the client")
 		}
@@ -187,17 +187,17 @@
 func TestLeavingWithdraws(t *testing.T) {
 	e, s, clk, _ := start(t, sendOnArrival)
 	x := newExchange(clk.Now() + 5000)
-	ticket := e.Arrive(x)
+	ticket := e.Submit(x)
 	c := receive(t, x.sent)
-	ticket.Leave()
+	ticket.Cancel()
 	receive(t, c.aborted)
-	want[balancer.Dropped](t, s)
-	if v := want[balancer.AttemptEnd](t, s); v.Result != balancer.Cancelled || !v.Closed {
+	want[balancer.ClientCancelled](t, s)
+	if v := want[balancer.AttemptCompleted](t, s); v.Outcome != balancer.Cancelled || !v.Closed {
 		t.Errorf("told %+v", v)
 	}
-	ticket.Leave() // a second time changes nothing
-	e.ListNews(balancer.ServerList{})
-	want[balancer.ServerList](t, s)
+	ticket.Cancel() // a second time changes nothing
+	e.UpdateEndpoints(balancer.EndpointUpdate{})
+	want[balancer.EndpointUpdate](t, s)
 	if len(e.live) != 0 || len(x.answers) != 0 {
 		t.Errorf("%d requests kept, %d answers", len(e.live), len(x.answers))
 	}
@@ -216,8 +216,8 @@
 	})
 	bad, good := newExchange(clk.Now()+5000), newExchange(clk.Now()+5000)
 	bad.arrival.Class = "bad"
-	e.Arrive(bad)
-	e.Arrive(good)
+	e.Submit(bad)
+	e.Submit(good)
 	if a := receive(t, good.answers); a.Kind != Failed {
 		t.Errorf("answer %+v", a)
 	}
@@ -231,13 +231,13 @@
 	const farAhead = 1e15 // of any clock
 	now := clock.New().Now()
 	e, s, clk, _ := start(t, func(ev balancer.Event) []balancer.Action {
-		if _, ok := ev.(balancer.ServerList); ok {
+		if _, ok := ev.(balancer.EndpointUpdate); ok {
 			return []balancer.Action{balancer.SetTimer{Token: "never", At: farAhead},
 				balancer.SetTimer{Token: "soon", At: now + 40}, balancer.SetTimer{Token: "past", At: 1}}
 		}
 		return nil
 	})
-	e.ListNews(balancer.ServerList{})
+	e.UpdateEndpoints(balancer.EndpointUpdate{})
 	for _, token := range []string{"past", "soon"} {
 		if v := want[balancer.TimerFired](t, s); v.Token != token {
 			t.Errorf("%q fired, want %q", v.Token, token)
@@ -255,9 +255,9 @@
 		}
 		return nil
 	})
-	for expires, kind := range map[float64]AnswerKind{clk.Now() - 1: TimedOut, clk.Now() + 5000: Failed} {
+	for expires, kind := range map[float64]ResponseKind{clk.Now() - 1: TimedOut, clk.Now() + 5000: Failed} {
 		x := newExchange(expires)
-		e.Arrive(x)
+		e.Submit(x)
 		if a := receive(t, x.answers); a.Kind != kind {
 			t.Errorf("kind %v, want %v", a.Kind, kind)
 		}
@@ -268,20 +268,20 @@
 func TestAnAttemptThatFindsItsClientGoneEndsTheRequest(t *testing.T) {
 	e, s, clk, count := start(t, func(event balancer.Event) []balancer.Action {
 		if a, ok := event.(balancer.Arrival); ok {
-			return []balancer.Action{balancer.Send{ID: a.ID, Server: "s1", StopAt: a.Expires}}
+			return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1", Deadline: a.Deadline}}
 		}
 		return nil
 	})
 	x := newExchange(clk.Now() + 60_000)
-	ticket := e.Arrive(x)
+	ticket := e.Submit(x)
 	c := <-x.sent
-	c.done(End{Result: balancer.Void, Left: true})
-	want[balancer.Dropped](t, s)
-	if end := want[balancer.AttemptEnd](t, s); end.Result != balancer.Cancelled || !end.Closed {
+	c.done(Completion{Outcome: balancer.NotSent, ClientGone: true})
+	want[balancer.ClientCancelled](t, s)
+	if end := want[balancer.AttemptCompleted](t, s); end.Outcome != balancer.Cancelled || !end.Closed {
 		t.Errorf("%+v", end)
 	}
-	ticket.Leave() // as the connection's own watch tells a moment later
-	if !e.Between(func() {}) || count.Attempts.Unwanted.Get() != 1 || count.Attempts.Open.Get() != 0 {
+	ticket.Cancel() // as the connection's own watch tells a moment later
+	if !e.RunBetweenSteps(func() {}) || count.Attempts.Unwanted.Get() != 1 || count.Attempts.Open.Get() != 0 {
 		t.Errorf("unwanted %d, open %d", count.Attempts.Unwanted.Get(), count.Attempts.Open.Get())
 	}
 	if len(x.answers) > 0 {
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -33,7 +33,7 @@
 )
 
 // Hearer takes what other nodes tell.
-type Hearer interface{ Hear(balancer.Told) }
+type Hearer interface{ ReceiveGossip(balancer.GossipReceived) }
 
 // Options are what the link works with.
 type Options struct {
@@ -77,8 +77,8 @@
 }
 
 // Tell sends every other node a message. It never waits: what does not fit the queue is dropped and counted.
-func (l *Link) Tell(body []byte) {
-	if len(body) > balancer.MessageMost {
+func (l *Link) Broadcast(body []byte) {
+	if len(body) > balancer.MaxGossipBytes {
 		l.drop("too_long")
 		return
 	}
@@ -126,7 +126,7 @@
 const readPause = time.Millisecond
 
 func (l *Link) read(ctx context.Context) {
-	buffer := make([]byte, headLen+balancer.MessageMost+1)
+	buffer := make([]byte, headLen+balancer.MaxGossipBytes+1)
 	second, taken := time.Time{}, 0
 	most := max(leastPerSecond, eachPerSecond*len(l.o.Nodes))
 	for {
@@ -156,12 +156,12 @@
 	switch {
 	case !known || number == l.o.Node:
 		l.drop("stranger")
-	case len(message) <= headLen || len(message) > headLen+balancer.MessageMost:
+	case len(message) <= headLen || len(message) > headLen+balancer.MaxGossipBytes:
 		l.drop("size")
 	case binary.BigEndian.Uint32(message) != uint32(number):
 		l.drop("number")
 	default:
 		l.o.Count.Taken.Inc()
-		l.o.To.Hear(balancer.Told{From: number, Body: append([]byte(nil), message[headLen:]...)})
+		l.o.To.ReceiveGossip(balancer.GossipReceived{From: number, Body: append([]byte(nil), message[headLen:]...)})
 	}
 }
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -12,9 +12,9 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-type ears chan balancer.Told
+type ears chan balancer.GossipReceived
 
-func (e ears) Hear(m balancer.Told) { e <- m }
+func (e ears) ReceiveGossip(m balancer.GossipReceived) { e <- m }
 
 // free is an address of its own on loopback.
 func free(t *testing.T) netip.AddrPort {
@@ -42,7 +42,7 @@
 		links = append(links, l)
 		go l.Run(ctx)
 	}
-	links[0].Tell([]byte("hello"))
+	links[0].Broadcast([]byte("hello"))
 	select {
 	case m := <-heard:
 		if m.From != 0 || string(m.Body) != "hello" {
@@ -81,9 +81,9 @@
 	}
 	defer l.conn.Close()
 	for range queueLen + 3 { // nobody runs it
-		l.Tell([]byte("x"))
+		l.Broadcast([]byte("x"))
 	}
-	if l.Tell(make([]byte, balancer.MessageMost+1)); count.Drops.Get("queue_full") != 3 || count.Drops.Get("too_long") != 1 {
+	if l.Broadcast(make([]byte, balancer.MaxGossipBytes+1)); count.Drops.Get("queue_full") != 3 || count.Drops.Get("too_long") != 1 {
 		t.Errorf("drops %d and %d", count.Drops.Get("queue_full"), count.Drops.Get("too_long"))
 	}
 }
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -18,7 +18,7 @@
 	file, err := loadEdge(edge)
 	faults = append(faults, edgeFaults(edge, err)...)
 	if len(faults) == 0 {
-		if _, err := balancer.New(c.Settings.Logic, c.Seed); err != nil {
+		if _, err := balancer.New(c.Settings.Balancer, c.Seed); err != nil {
 			faults = append(faults, operator.Fault{File: getenv("ROUTER_CONFIG"), Key: "settings", Text: err.Error()})
 		}
 	}
@@ -47,7 +47,7 @@
 // describe prints the effective configuration.
 func describe(out io.Writer, c config.Config, file *operator.File) {
 	say := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
-	set := c.Settings.Logic
+	set := c.Settings.Balancer
 	say("node      %s, node %d of %d, zone %q", c.Name, set.Node, set.Nodes, set.Zone)
 	say("listen    %s", c.Listen)
 	say("discovery %s, %d servers known", c.Discovery, len(c.Known.Members))
@@ -56,9 +56,9 @@
 	}
 	say("limits    %v cores, %v MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 	say("rules     drain grace %v ms, cold from %v for %v ms, falls at %v times for %v ms, %d attempts",
-		set.DrainGrace, set.ColdFrom, set.ColdFor, set.FallMultiple, set.FallFor, set.MaxAttempts)
+		set.DrainGrace, set.InitialCapacity, set.SlowStartDuration, set.OverloadFactor, set.OverloadWindow, set.MaxAttempts)
 	for _, k := range set.Classes {
-		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", k.Name, effectName(k), k.Aim, k.HardLimit, k.Worth)
+		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", k.Name, effectName(k), k.LatencyObjective, k.TotalTimeout, k.PriorityWeight)
 	}
 	say("tenants   %d", len(set.Tenants))
 	say("peers     %s", onOff(len(c.Peers) > 0, fmt.Sprintf("%d nodes", len(c.Peers))))
@@ -86,5 +86,5 @@
 }
 
 func effectName(c balancer.Class) string {
-	return map[balancer.Effect]string{balancer.Safe: "safe", balancer.Keyed: "keyed", balancer.Unsafe: "unsafe"}[c.Effect]
+	return map[balancer.Idempotency]string{balancer.Idempotent: "safe", balancer.IdempotentWithKey: "keyed", balancer.NonIdempotent: "unsafe"}[c.Idempotency]
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,8 +79,8 @@
 	catalog *discovery.Catalog
 	pool    *upstream.Pool
 	engine  *engine.Engine
-	watch   *shadow.Watch // around the module
-	peers   *gossip.Link  // nil where nodes do not talk
+	watch   *shadow.Evaluator // around the module
+	peers   *gossip.Link      // nil where nodes do not talk
 	ingress *ingress.Server
 	door    *admin.Door // nil where staff have none
 	serving atomic.Bool // clients are taken in
@@ -98,7 +98,7 @@
 }
 
 func newNode(c config.Config, log *slog.Logger, count *counters.Counters) (*node, error) {
-	set := c.Settings.Logic
+	set := c.Settings.Balancer
 	module, err := balancer.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -116,12 +116,12 @@
 	}
 	n := &node{name: c.Name, number: set.Node, each: each, known: c.Known, clock: clk, count: count, window: longestWindow(set),
 		plan: drain.NewPlan(longest(set))}
-	n.catalog = discovery.New(discovery.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.Subscribe,
-		MustAsk: clock.Span(set.MustAskIn), Grace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
+	n.catalog = discovery.New(discovery.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.WatchEndpoints,
+		MustAsk: clock.Span(set.WatchDeadline), Grace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
 	n.roster = endpoints.New(n.catalog, lateNews{n})
 	n.pool = upstream.New(upstream.Options{Addresses: n.roster, Connect: clock.Span(connect(set)),
-		Idle: clock.Span(c.Settings.ConnIdle), Probe: probeTime, Most: each, Each: max(4, int(float64(each)*eachShare)), Spare: spare(set.Nodes),
-		Gone: func(id balancer.ServerID) { n.engine.Tell(balancer.Disconnected{Server: id}) }, Reports: set.Reports, Waiting: c.Settings.WaitingAt >= 0, Log: log, Count: count})
+		Idle: clock.Span(c.Settings.ServerIdleTimeout), Probe: probeTime, Most: each, Each: max(4, int(float64(each)*eachShare)), Spare: spare(set.Nodes),
+		Gone: func(id balancer.ServerID) { n.engine.Post(balancer.ConnectionClosed{Server: id}) }, Reports: set.LoadReports, Waiting: c.Settings.QueuedIndex >= 0, Log: log, Count: count})
 	n.back = back.New(back.Options{Addresses: n.roster, NStart: nstart, Again: clock.Span(set.DrainGrace / 2),
 		ParseLoad: n.pool.Load, Log: log, Count: &count.CoapBack})
 	n.watch = shadow.New(module, c.Watch, log, &count.Watch)
@@ -131,12 +131,12 @@
 			return nil, err
 		}
 	}
-	n.engine = engine.New(engine.Options{Module: n.watch, Clock: clk, Prober: n, Watcher: n.catalog, Teller: n,
-		MaxAttempts: set.MaxAttempts, Log: log, Count: count})
+	n.engine = engine.New(engine.Options{Module: n.watch, Clock: clk, Prober: n, EndpointWatcher: n.catalog, Broadcaster: n,
+		MaxAttempts: set.MaxAttempts, Log: log, Counters: count})
 	n.classes = set.Classes
 	bodies := body.New(os.Getenv("TMPDIR"), files, max(fewestFiles, int(c.Limits.MemoryMB*bodyShare*(1<<20))/body.Piece), &count.Bodies)
 	n.desk = proxy.NewDesk(proxy.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
-		Slack: c.Settings.AnswerSlack, Log: log, Count: count})
+		Slack: c.Settings.ResponseSlack, Log: log, Count: count})
 	n.ingress = ingress.New(ingress.Options{Desk: n.desk, Bodies: bodies, Most: each, Aside: own / 2, InFlight: &n.inFlight, Log: log, Count: count,
 		Broken: func(l ingress.Listener, err error) {
 			log.Error("the listener is broken, the node ends once all is answered", "code", "listener_broken", "error", err)
@@ -145,7 +145,7 @@
 	return n, nil
 }
 
-func (n *node) send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
+func (n *node) send(server balancer.ServerID, c engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
 	if n.back.Speaks(server) {
 		return n.back.Send(server, c, done)
 	}
@@ -153,30 +153,30 @@
 }
 
 // Probe asks a server for a sign of life, over the protocol that it speaks.
-func (n *node) Probe(server balancer.ServerID, done func(engine.End)) {
+func (n *node) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
 	if n.back.Speaks(server) {
 		n.back.Probe(server, probeTime, done)
 		return
 	}
-	n.pool.Probe(server, done)
+	n.pool.ProbeLoad(server, done)
 }
 
 // lateNews hands the roster's news to the engine, which is made after it.
 type lateNews struct{ n *node }
 
 // ListNews tells the module.
-func (l lateNews) ListNews(list balancer.ServerList) {
-	l.n.engine.ListNews(list)
-	if len(list.Entries) == 0 { // the list itself may not have been taken over
+func (l lateNews) UpdateEndpoints(list balancer.EndpointUpdate) {
+	l.n.engine.UpdateEndpoints(list)
+	if len(list.Endpoints) == 0 { // the list itself may not have been taken over
 		return
 	}
 	if from := l.n.legacy.Swap(nil); from != nil { // of servers that the module has heard of by now
-		l.n.engine.Tell(balancer.Inherited{State: *from})
+		l.n.engine.Post(balancer.StateTransferred{State: *from})
 	}
 }
 
 // Hear tells the module.
-func (l lateNews) Hear(m balancer.Told) { l.n.engine.Hear(m) }
+func (l lateNews) ReceiveGossip(m balancer.GossipReceived) { l.n.engine.ReceiveGossip(m) }
 
 // start sets the engine and the pool going.
 func (n *node) start(ctx context.Context) {
@@ -235,16 +235,16 @@
 }
 
 // Tell passes a message of the module's on to the other nodes. It does not wait.
-func (n *node) Tell(body []byte) {
+func (n *node) Broadcast(body []byte) {
 	if t := n.carrier.Load(); t != nil {
-		(*t).Tell(body)
+		(*t).Broadcast(body)
 	} else if n.peers != nil {
-		n.peers.Tell(body)
+		n.peers.Broadcast(body)
 	}
 }
 
 // Hear tells the module what another node told.
-func (n *node) Hear(m balancer.Told) { n.engine.Hear(m) }
+func (n *node) ReceiveGossip(m balancer.GossipReceived) { n.engine.ReceiveGossip(m) }
 
 // TookOver tells whether another process of this node ran when this one started.
 func (n *node) TookOver() bool { return n.upgrade != nil && n.upgrade.heir != nil }
@@ -254,9 +254,9 @@
 
 // Inform tells the module what concerns the fleet as one; with heeded it returns once that is in force.
 func (n *node) Inform(event balancer.Event, heeded bool) {
-	n.engine.Tell(event)
+	n.engine.Post(event)
 	if heeded {
-		n.engine.Between(func() {}) // after it in the mailbox
+		n.engine.RunBetweenSteps(func() {}) // after it in the mailbox
 	}
 }
 
@@ -296,8 +296,8 @@
 func longestWindow(set balancer.Settings) time.Duration {
 	most := 0.0
 	for _, c := range set.Classes {
-		if c.Effect == balancer.Keyed {
-			most = max(most, c.Window)
+		if c.Idempotency == balancer.IdempotentWithKey {
+			most = max(most, c.DedupWindow)
 		}
 	}
 	return clock.Span(most)
@@ -307,7 +307,7 @@
 func longest(set balancer.Settings) time.Duration {
 	most := 0.0
 	for _, c := range set.Classes {
-		most = max(most, c.HardLimit)
+		most = max(most, c.TotalTimeout)
 	}
 	return clock.Span(most)
 }
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -218,7 +218,7 @@
 	debug.SetMemoryLimit(memoryLimit(u.limits) / int64(processes))
 	u.n.ingress.SetMost(u.n.each / processes)
 	u.n.pool.Share(processes)
-	u.n.engine.Tell(balancer.Beside{Processes: processes})
+	u.n.engine.Post(balancer.SiblingProcesses{Count: processes})
 	if !on {
 		u.succeeded.Store(false)
 		u.n.ingress.Succeed(false)
@@ -229,7 +229,7 @@
 // State is what the next process gets.
 func (u *upgrade) State() (json.RawMessage, error) {
 	l := legacy{List: u.n.catalog.List(), Drained: u.n.ingress.Drained()}
-	if !u.n.engine.Between(func() { l.Module = u.n.watch.Snapshot() }) {
+	if !u.n.engine.RunBetweenSteps(func() { l.Module = u.n.watch.Snapshot() }) {
 		return nil, errors.New("the engine has ended")
 	}
 	return json.Marshal(l)
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -40,7 +40,7 @@
 		return &rejection{fasthttp.StatusBadRequest, "class_and_path_differ"}
 	case t.method != methodOf(class):
 		return &rejection{fasthttp.StatusMethodNotAllowed, "wrong_method"}
-	case class.Effect == balancer.Keyed && !t.hasKey:
+	case class.Idempotency == balancer.IdempotentWithKey && !t.hasKey:
 		return &rejection{fasthttp.StatusBadRequest, "no_key"}
 	case t.method == fasthttp.MethodGet && t.hasBody():
 		return &rejection{fasthttp.StatusBadRequest, "body_with_get"}
@@ -58,8 +58,8 @@
 	if !r.claim() {
 		return &rejection{fasthttp.StatusConflict, "id_in_use"}
 	}
-	if class.HardLimit > 0 { // no client waits longer: a request held beyond it holds a connection for nothing
-		wait = min(wait, class.HardLimit)
+	if class.TotalTimeout > 0 { // no client waits longer: a request held beyond it holds a connection for nothing
+		wait = min(wait, class.TotalTimeout)
 	}
 	r.class = class
 	r.until = r.desk.within(t.at + wait)
@@ -82,7 +82,7 @@
 
 // methodOf is the method that a class's effect asks for.
 func methodOf(c balancer.Class) string {
-	if c.Effect == balancer.Safe {
+	if c.Idempotency == balancer.Idempotent {
 		return fasthttp.MethodGet
 	}
 	return fasthttp.MethodPost
