--- a/internal/proxy/book.go
+++ b/internal/proxy/book.go
@@ -28,7 +28,7 @@
 		c.Left.Inc()
 	case e.status == fasthttp.StatusOK:
 		c.Served.Inc()
-	case e.kind == engine.Refused:
+	case e.kind == engine.Rejected:
 		c.Refused.Inc()
 	default:
 		c.Failed.Inc()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -21,11 +21,11 @@
 
 // Router decides what becomes of a request.
 type Router interface {
-	Arrive(engine.Exchange) engine.Ticket
+	Submit(engine.Request) engine.Ticket
 }
 
 // Sender writes one copy of a request to a server.
-type Sender func(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt
+type Sender func(server balancer.ServerID, c engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt
 
 // Client is the connection that a request came on.
 type Client interface {
@@ -118,7 +118,7 @@
 	taken   taken
 	class   balancer.Class
 	wire    outgoing
-	answer  chan engine.Answer
+	answer  chan engine.Response
 	ticket  engine.Ticket
 	routed  bool
 	claimed bool            // its id is on the desk's list
@@ -131,7 +131,7 @@
 
 // Serve takes one request through all stages. A panic in it ends this request and its connection only.
 func (d *Desk) Serve(ctx *fasthttp.RequestCtx, client Client) {
-	r := &request{desk: d, client: client, answer: make(chan engine.Answer, 1)}
+	r := &request{desk: d, client: client, answer: make(chan engine.Response, 1)}
 	d.o.Count.Requests.Taken.Inc()
 	d.o.Count.Requests.Open.Inc()
 	passing := false
@@ -177,6 +177,6 @@
 // abandon withdraws a request that no answer can be given to any more.
 func (r *request) abandon() {
 	if r.routed {
-		r.ticket.Leave()
+		r.ticket.Cancel()
 	}
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -39,8 +39,8 @@
 }
 
 func TestMethods(t *testing.T) {
-	for effect, want := range map[balancer.Effect]string{balancer.Safe: "GET", balancer.Keyed: "POST", balancer.Unsafe: "POST"} {
-		if got := methodOf(balancer.Class{Effect: effect}); got != want {
+	for effect, want := range map[balancer.Idempotency]string{balancer.Idempotent: "GET", balancer.IdempotentWithKey: "POST", balancer.NonIdempotent: "POST"} {
+		if got := methodOf(balancer.Class{Idempotency: effect}); got != want {
 			t.Errorf("effect %v by %s, want %s", effect, got, want)
 		}
 	}
@@ -76,10 +76,10 @@
 }
 
 func TestStatuses(t *testing.T) {
-	for kind, want := range map[engine.AnswerKind]int{engine.Served: 200, engine.Refused: 503, engine.Failed: 502,
+	for kind, want := range map[engine.ResponseKind]int{engine.Served: 200, engine.Rejected: 503, engine.Failed: 502,
 		engine.TimedOut: 504} {
 		var ctx fasthttp.RequestCtx
-		endingOf(engine.Answer{Kind: kind, RetryAfter: 250}).write(&ctx)
+		endingOf(engine.Response{Kind: kind, RetryAfter: 250}).write(&ctx)
 		if got := ctx.Response.StatusCode(); got != want {
 			t.Errorf("kind %v: %d, want %d", kind, got, want)
 		}
--- a/internal/proxy/pass.go
+++ b/internal/proxy/pass.go
@@ -22,7 +22,7 @@
 type passing struct {
 	r       *request
 	first   []byte
-	rest    engine.Rest
+	rest    engine.RemainingBody
 	to      io.Writer // the client's connection
 	store   *body.Store
 	whole   bool
@@ -97,21 +97,21 @@
 }
 
 // pass begins a large answer.
-func (r *request) pass(ctx *fasthttp.RequestCtx, client Client, a engine.Answer) ending {
+func (r *request) pass(ctx *fasthttp.RequestCtx, client Client, a engine.Response) ending {
 	to, ok := client.(io.Writer)
 	if !ok { // CoAP keeps to small ones
-		a.Rest.Close()
+		a.Remaining.Close()
 		return ending{status: statusNoPiece, kind: engine.Failed}
 	}
 	// From here on no timer but the stream's own ends it: the request counts as answered.
-	a.Rest.Until(time.Now().Add(clock.Span(r.until - r.desk.o.Clock.Now())))
-	p := &passing{r: r, first: a.Body, rest: a.Rest, to: to, store: r.desk.o.Bodies}
-	if a.Rest.Size() < 0 && !ctx.Request.Header.IsHTTP11() {
+	a.Remaining.SetDeadline(time.Now().Add(clock.Span(r.until - r.desk.o.Clock.Now())))
+	p := &passing{r: r, first: a.Body, rest: a.Remaining, to: to, store: r.desk.o.Bodies}
+	if a.Remaining.Size() < 0 && !ctx.Request.Header.IsHTTP11() {
 		p.plain(ctx, client)
 		return ending{passing: p}
 	}
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.Response.SetBodyStream(p, int(a.Rest.Size()))
+	ctx.Response.SetBodyStream(p, int(a.Remaining.Size()))
 	return ending{status: fasthttp.StatusOK, passing: p}
 }
 
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -21,7 +21,7 @@
 // ending is what became of a request.
 type ending struct {
 	status     int
-	kind       engine.AnswerKind
+	kind       engine.ResponseKind
 	body       []byte
 	retryAfter float64
 	rejected   string // why it was not admitted
@@ -41,7 +41,7 @@
 	for {
 		select {
 		case a := <-r.answer:
-			if a.Rest != nil {
+			if a.Remaining != nil {
 				return r.pass(ctx, client, a)
 			}
 			return endingOf(a)
@@ -78,12 +78,12 @@
 
 // endingOf gives an answer its status. What a server said of refusals or errors is never passed on: only the
 // module knows whether trying again is harmless.
-func endingOf(a engine.Answer) ending {
+func endingOf(a engine.Response) ending {
 	e := ending{kind: a.Kind, body: a.Body, retryAfter: a.RetryAfter}
 	switch a.Kind {
 	case engine.Served:
 		e.status = fasthttp.StatusOK
-	case engine.Refused:
+	case engine.Rejected:
 		e.status = fasthttp.StatusServiceUnavailable
 	case engine.TimedOut:
 		e.status = fasthttp.StatusGatewayTimeout
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -9,23 +9,23 @@
 
 // route hands the request to the module.
 func (r *request) route() {
-	r.ticket = r.desk.o.Router.Arrive(r)
+	r.ticket = r.desk.o.Router.Submit(r)
 	r.routed = true
 }
 
 // Arrival is the request in the module's terms.
 func (r *request) Arrival() balancer.Arrival {
 	t := &r.taken
-	return balancer.Arrival{Class: t.class, Tenant: t.tenant, Key: t.key, Hint: parseHint(t.hint), Retry: t.retry,
-		Mark: xxhash.Sum64String(t.id), Expires: r.wire.expires, Uploading: r.uploadMost()}
+	return balancer.Arrival{Class: t.class, Tenant: t.tenant, Key: t.key, WorkHint: parseHint(t.hint), IsRetry: t.retry,
+		SamplingMark: xxhash.Sum64String(t.id), Deadline: r.wire.expires, UploadTimeout: r.uploadMost()}
 }
 
 // Finish takes the module's final answer; the engine calls it once.
-func (r *request) Finish(a engine.Answer) {
+func (r *request) Respond(a engine.Response) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.dropped && a.Rest != nil {
-		a.Rest.Close()
+	if r.dropped && a.Remaining != nil {
+		a.Remaining.Close()
 		return
 	}
 	r.answer <- a
@@ -39,8 +39,8 @@
 	r.dropped = true
 	select {
 	case a := <-r.answer:
-		if a.Rest != nil {
-			a.Rest.Close()
+		if a.Remaining != nil {
+			a.Remaining.Close()
 		}
 	default:
 	}
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -15,7 +15,7 @@
 type outgoing struct {
 	head    []byte // request line and fields, without the closing line
 	body    []byte
-	large   engine.Body // follows head in place of body
+	large   engine.RequestBody // follows head in place of body
 	expires balancer.Millis
 }
 
@@ -51,14 +51,14 @@
 }
 
 // Send starts an attempt; the engine calls it for each of the module's sends.
-func (r *request) Send(server balancer.ServerID, wait, wholeBy balancer.Millis, done func(engine.End)) engine.Attempt {
+func (r *request) StartAttempt(server balancer.ServerID, wait, wholeBy balancer.Millis, done func(engine.Completion)) engine.Attempt {
 	if math.IsInf(wait, 1) { // it will wait so long once the body has come
 		wait = r.wait
 	}
 	relayed := &r.desk.o.Count.Operations.For(r.class.Name).Relayed
-	c := engine.Copy{Bytes: r.wire.bytes(wait), Body: r.wire.large, Wrote: relayed.Inc, Wanted: r.wanted}
+	c := engine.OutgoingRequest{Bytes: r.wire.bytes(wait), Body: r.wire.large, OnWritten: relayed.Inc, ClientWaiting: r.wanted}
 	if wholeBy > 0 {
-		c.WholeBy = time.Now().Add(clock.Span(wholeBy - r.desk.o.Clock.Now()))
+		c.WriteDeadline = time.Now().Add(clock.Span(wholeBy - r.desk.o.Clock.Now()))
 	}
 	return r.desk.o.Send(server, c, done)
 }
--- a/internal/proxy/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -37,7 +37,7 @@
 // broken is a router that fails.
 type broken struct{}
 
-func (broken) Arrive(engine.Exchange) engine.Ticket { panic("as the test wants") }
+func (broken) Submit(engine.Request) engine.Ticket { panic("as the test wants") }
 
 // module never decides anything.
 type module struct{}
@@ -76,7 +76,7 @@
 // silentEngine is an engine whose module never answers.
 func silentEngine(t *testing.T, count *counters.Counters) *engine.Engine {
 	t.Helper()
-	e := engine.New(engine.Options{Module: module{}, Clock: clock.New(), Count: count, MaxAttempts: 1,
+	e := engine.New(engine.Options{Module: module{}, Clock: clock.New(), Counters: count, MaxAttempts: 1,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -122,7 +122,7 @@
 	f.Add("GET", "/look?x=1", "1", "look", "480", "12", "")
 	f.Add("POST", "/store", "1", "store", "480", "-1", "key")
 	f.Add("PUT", "//look", "", "look", "-1", "NaN", "")
-	classes := []balancer.Class{{Name: "look"}, {Name: "store", Effect: balancer.Keyed}, {Name: "bill", Effect: balancer.Unsafe}}
+	classes := []balancer.Class{{Name: "look"}, {Name: "store", Idempotency: balancer.IdempotentWithKey}, {Name: "bill", Idempotency: balancer.NonIdempotent}}
 	d := NewDesk(Options{Clock: clock.New(), Classes: classes})
 	f.Fuzz(func(t *testing.T, method, uri, id, class, deadline, hint, key string) {
 		var h fasthttp.RequestHeader
@@ -138,12 +138,12 @@
 		switch {
 		case firstPart([]byte(uri)) != class || id == "":
 			t.Errorf("%q of class %q with id %q was admitted", uri, class, id)
-		case r.class.Effect == balancer.Keyed && key == "":
+		case r.class.Idempotency == balancer.IdempotentWithKey && key == "":
 			t.Error("a keyed request without a key was admitted")
-		case !(a.Expires > r.taken.at) || a.Expires > r.taken.at+maxDeadline:
-			t.Errorf("expires %v after %v", a.Expires, r.taken.at)
-		case !(a.Hint >= 0 && a.Hint < 1e12):
-			t.Errorf("hint %v from %q", a.Hint, hint)
+		case !(a.Deadline > r.taken.at) || a.Deadline > r.taken.at+maxDeadline:
+			t.Errorf("expires %v after %v", a.Deadline, r.taken.at)
+		case !(a.WorkHint >= 0 && a.WorkHint < 1e12):
+			t.Errorf("hint %v from %q", a.WorkHint, hint)
 		}
 	})
 }
@@ -175,10 +175,10 @@
 	last  atomic.Pointer[request]
 }
 
-func (a *asked) Arrive(x engine.Exchange) engine.Ticket {
+func (a *asked) Submit(x engine.Request) engine.Ticket {
 	a.times.Add(1)
 	a.last.Store(x.(*request))
-	return a.to.Arrive(x)
+	return a.to.Submit(x)
 }
 
 // TestAnswersAheadOfARequestsEnd: one that comes before the last byte can have gone on is to nothing that has run, and the
@@ -193,7 +193,7 @@
 			count := &counters.Counters{}
 			r := &asked{to: silentEngine(t, count)}
 			d := desk(r, count)
-			d.classes["look"] = balancer.Class{Name: "look", Effect: balancer.Unsafe}
+			d.classes["look"] = balancer.Class{Name: "look", Idempotency: balancer.NonIdempotent}
 			f, err := body.New(t.TempDir(), 1, 4, &count.Bodies).Begin(1)
 			if err != nil {
 				t.Fatal(err)
@@ -203,7 +203,7 @@
 				for end := time.Now().Add(10 * time.Second); count.Engine.Events.Get() == 0 && time.Now().Before(end); {
 					time.Sleep(time.Millisecond) // until the engine has taken the arrival: it answers no sooner
 				}
-				r.last.Load().Finish(engine.Answer{Kind: engine.Failed})
+				r.last.Load().Respond(engine.Response{Kind: engine.Failed})
 			}
 			nothing := func() {}
 			u := &uploading{newClient(), f, answer, nothing}
--- a/internal/proxy/takein.go
+++ b/internal/proxy/takein.go
@@ -37,7 +37,7 @@
 	coming   bool // of large there is still something to come
 	header   *fasthttp.RequestHeader
 	body     []byte
-	large    engine.Body // in place of body where it is kept in a file
+	large    engine.RequestBody // in place of body where it is kept in a file
 }
 
 // takeIn notes when the request came and what it says. It judges nothing.
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -31,7 +31,7 @@
 }
 
 // body is the file as the engine knows it; nil for none.
-func (k *kept) body() engine.Body {
+func (k *kept) body() engine.RequestBody {
 	if k == nil {
 		return nil
 	}
@@ -64,13 +64,13 @@
 	// Its time counts from its last byte.
 	r.until = r.desk.within(r.desk.o.Clock.At(client.LastRead()) + r.wait)
 	if !early {
-		r.ticket.Uploaded(r.until)
+		r.ticket.BodyReceived(r.until)
 		return nil
 	}
 	// There was no place for it ahead of its end, or its server broke off. Only now it is a request: it is decided on as
 	// one. An answer that came later than that may be to what has run, and stands.
-	if a := <-r.answer; a.Rest != nil {
-		a.Rest.Close()
+	if a := <-r.answer; a.Remaining != nil {
+		a.Remaining.Close()
 	}
 	if e := r.gone(ctx, client); e != nil {
 		return e
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -91,18 +91,18 @@
 	Zone    string  `json:"zone"`
 }
 
-var effects = map[string]balancer.Effect{"free": balancer.Safe, "guarded": balancer.Keyed, "single_shot": balancer.Unsafe}
+var effects = map[string]balancer.Idempotency{"free": balancer.Idempotent, "guarded": balancer.IdempotentWithKey, "single_shot": balancer.NonIdempotent}
 
-var groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+var groups = map[string]balancer.DedupScope{"all": balancer.DedupAcrossFleet, "zone": balancer.DedupWithinZone, "cell": balancer.DedupWithinCell}
 
 // Settings are the module's settings and the few further figures that whoever carries its decisions out needs.
 type Settings struct {
-	Logic       balancer.Settings
-	LoadAt      int             // place of the requests in flight in a load report; -1 where none is to be had
-	WaitingAt   int             // place of the requests that wait, likewise
-	LoadNames   []string        // the names of a report's figures, in order
-	ConnIdle    balancer.Millis // servers close a connection that has stood idle for this time
-	AnswerSlack balancer.Millis // how late after the client's deadline a final answer still counts
+	Balancer          balancer.Settings
+	InFlightIndex     int             // place of the requests in flight in a load report; -1 where none is to be had
+	QueuedIndex       int             // place of the requests that wait, likewise
+	ReportFields      []string        // the names of a report's figures, in order
+	ServerIdleTimeout balancer.Millis // servers close a connection that has stood idle for this time
+	ResponseSlack     balancer.Millis // how late after the client's deadline a final answer still counts
 }
 
 // Fault is one thing that is wrong with the settings. Key is where it stands, with places in lists as numbers; the text
@@ -148,31 +148,31 @@
 	if o.Report.How == "none" || o.Report.How == "probe" && !o.Limits.Probes { // nobody may ask for them
 		loadAt, waitingAt = -1, -1
 	}
-	set.Reports = loadAt >= 0
-	set.ProbedOnly = o.Report.How == "probe"
-	return Settings{Logic: set, LoadAt: loadAt, WaitingAt: waitingAt, LoadNames: o.Report.Names, ConnIdle: o.Limits.IdleMs,
-		AnswerSlack: o.Rules.AnswerSlackMs}, nil
+	set.LoadReports = loadAt >= 0
+	set.ReportsFromProbesOnly = o.Report.How == "probe"
+	return Settings{Balancer: set, InFlightIndex: loadAt, QueuedIndex: waitingAt, ReportFields: o.Report.Names, ServerIdleTimeout: o.Limits.IdleMs,
+		ResponseSlack: o.Rules.AnswerSlackMs}, nil
 }
 
 // decisions are the settings that the module itself takes.
 func decisions(o *options) balancer.Settings {
 	s := balancer.Settings{
-		Node: o.Me, Nodes: *o.FleetSize, Zone: o.Zone, OverShare: o.OverShare,
-		Goal: balancer.Goal{Whole: o.Goal.Whole, WorstWindow: o.Goal.WorstWindow, WorstClass: o.Goal.WorstClass,
-			WorstTenant: o.Goal.WorstTenant, Tail: o.Goal.Tail, Nines: o.Goal.Nines},
-		CountWork: o.CountedBy == "work", Subscribe: o.Discovery == "subscribe",
-		Sized: o.Weights == "nominal" || o.Weights == "rough", MarksRetry: o.Habits.MarksRetry,
-		DrainGrace: *o.Rules.StopMs, ColdFrom: *o.Rules.ColdFrom, ColdFor: *o.Rules.ColdMs,
-		FallMultiple: *o.Rules.FallMultiple, FallFor: *o.Rules.FallMs, MustAskIn: o.Rules.MustAskMs,
-		MaxAttempts: *o.Limits.Attempts, MayCancel: o.Limits.MayCancel, MayProbe: o.Limits.Probes,
-		SecondCopies: o.Limits.SecondCopies, RetryAfter: o.Limits.RetryAfter, MaxRetryAfter: o.Limits.MaxRetryAfter,
-		ConnectTimeout: o.Limits.ConnectMs, Tick: o.TickMs, LateFailPrice: o.Prices.LateFail,
-		CrossZonePrice: o.Prices.CrossZone, ProbePrice: o.Prices.Probe, PeerPrice: o.Prices.Peer, HandshakePrice: o.Prices.Handshake, Peers: o.Limits.Peers,
-		WarmKeys: o.Family.WarmKeys, CPUPerRequest: o.Limits.CPUPerRequest,
+		Node: o.Me, Nodes: *o.FleetSize, Zone: o.Zone, OverQuotaFraction: o.OverShare,
+		Goal: balancer.ObjectiveWeights{Overall: o.Goal.Whole, WorstWindow: o.Goal.WorstWindow, WorstClass: o.Goal.WorstClass,
+			WorstTenant: o.Goal.WorstTenant, TailLatency: o.Goal.Tail, Availability: o.Goal.Nines},
+		WeightByWork: o.CountedBy == "work", WatchEndpoints: o.Discovery == "subscribe",
+		CapacitiesListed: o.Weights == "nominal" || o.Weights == "rough", ClientsMarkRetries: o.Habits.MarksRetry,
+		DrainGrace: *o.Rules.StopMs, InitialCapacity: *o.Rules.ColdFrom, SlowStartDuration: *o.Rules.ColdMs,
+		OverloadFactor: *o.Rules.FallMultiple, OverloadWindow: *o.Rules.FallMs, WatchDeadline: o.Rules.MustAskMs,
+		MaxAttempts: *o.Limits.Attempts, CancelAllowed: o.Limits.MayCancel, ProbesAllowed: o.Limits.Probes,
+		HedgingAllowed: o.Limits.SecondCopies, RetryAfterAllowed: o.Limits.RetryAfter, MaxRetryAfter: o.Limits.MaxRetryAfter,
+		ConnectTimeout: o.Limits.ConnectMs, Tick: o.TickMs, LateFailurePrice: o.Prices.LateFail,
+		CrossZonePrice: o.Prices.CrossZone, ProbePrice: o.Prices.Probe, GossipPrice: o.Prices.Peer, HandshakePrice: o.Prices.Handshake, GossipAllowed: o.Limits.Peers,
+		KeyAffinity: o.Family.WarmKeys, CPUPerRequest: o.Limits.CPUPerRequest,
 	}
 	for _, c := range o.Classes {
-		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Effect: effects[c.Effect], Group: groups[c.Group], Window: c.WindowMs,
-			Aim: c.AimMs, AimStretch: c.AimStretch, HardLimit: c.HardMs, Worth: c.Worth, LateShare: c.LateShare,
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Idempotency: effects[c.Effect], DedupScope: groups[c.Group], DedupWindow: c.WindowMs,
+			LatencyObjective: c.AimMs, ObjectivePerWork: c.AimStretch, TotalTimeout: c.HardMs, PriorityWeight: c.Worth, LateFraction: c.LateShare,
 			Streamed: c.Streamed})
 	}
 	for _, t := range o.Realms {
@@ -193,7 +193,7 @@
 		if c.Name == "" || slices.ContainsFunc(o.Classes[:i], func(b class) bool { return b.Name == c.Name }) {
 			out = append(out, Fault{at + "name", fmt.Sprintf("classes[%d].name: %q is empty or comes twice", i, c.Name)})
 		}
-		if _, known := groups[c.Group]; ok && !known && effect == balancer.Keyed {
+		if _, known := groups[c.Group]; ok && !known && effect == balancer.IdempotentWithKey {
 			out = append(out, Fault{at + "group", fmt.Sprintf("classes[%s].group: %q is not known", c.Name, c.Group)})
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,16 +20,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := s.Logic
-	if l.Nodes != 3 || l.Node != 1 || !l.Subscribe || !l.CountWork || !l.Sized || !l.MarksRetry || !l.Reports ||
-		l.MaxAttempts != 4 || l.MustAskIn != 10000 || l.DrainGrace != 1500 || l.ConnectTimeout != 250 {
+	l := s.Balancer
+	if l.Nodes != 3 || l.Node != 1 || !l.WatchEndpoints || !l.WeightByWork || !l.CapacitiesListed || !l.ClientsMarkRetries || !l.LoadReports ||
+		l.MaxAttempts != 4 || l.WatchDeadline != 10000 || l.DrainGrace != 1500 || l.ConnectTimeout != 250 {
 		t.Errorf("settings %+v", l)
 	}
-	if len(l.Classes) != 2 || l.Classes[1].Effect != balancer.Keyed || l.Classes[1].Group != balancer.GroupZone {
+	if len(l.Classes) != 2 || l.Classes[1].Idempotency != balancer.IdempotentWithKey || l.Classes[1].DedupScope != balancer.DedupWithinZone {
 		t.Errorf("classes %+v", l.Classes)
 	}
-	if s.LoadAt != 1 || s.ConnIdle != 10000 || s.AnswerSlack != 5 {
-		t.Errorf("load at %d, idle %v, slack %v", s.LoadAt, s.ConnIdle, s.AnswerSlack)
+	if s.InFlightIndex != 1 || s.ServerIdleTimeout != 10000 || s.ResponseSlack != 5 {
+		t.Errorf("load at %d, idle %v, slack %v", s.InFlightIndex, s.ServerIdleTimeout, s.ResponseSlack)
 	}
 }
 
@@ -46,7 +46,7 @@
 			t.Errorf("%s: error %v", key, err)
 		}
 	}
-	if s, err := Parse([]byte(strings.Replace(good, `"answers"`, `"none"`, 1))); err != nil || s.Logic.Reports || s.LoadAt != -1 {
+	if s, err := Parse([]byte(strings.Replace(good, `"answers"`, `"none"`, 1))); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 {
 		t.Errorf("without reports: %+v %v", s, err)
 	}
 }
@@ -55,22 +55,22 @@
 	with := func(old, new string) (Settings, error) { return Parse([]byte(strings.Replace(good, old, new, 1))) }
 	s, err := with(`"goal":{"whole":1}`, `"goal":{"whole":1,"log_loss_part":0.2,"nines_wanted":2},
  "family_info":{"warm_keys":true},"prices":{"cross_zone":0.13,"handshake":0.02,"peer":0.01,"probe":0.008}`)
-	if l := s.Logic; err != nil || l.Goal.Nines != 0.2 || !l.WarmKeys || l.CrossZonePrice != 0.13 || l.HandshakePrice != 0.02 || l.PeerPrice != 0.01 ||
-		l.ProbePrice != 0.008 || l.ProbedOnly || l.Peers || l.CPUPerRequest != 0 {
+	if l := s.Balancer; err != nil || l.Goal.Availability != 0.2 || !l.KeyAffinity || l.CrossZonePrice != 0.13 || l.HandshakePrice != 0.02 || l.GossipPrice != 0.01 ||
+		l.ProbePrice != 0.008 || l.ReportsFromProbesOnly || l.GossipAllowed || l.CPUPerRequest != 0 {
 		t.Errorf("read %+v, %v", l, err)
 	}
 	s, err = with(`"probes":true}`, `"probes":true,"peers":true,"cpu_us_per_request":10}`)
-	if err != nil || !s.Logic.Peers || s.Logic.CPUPerRequest != 10 || s.WaitingAt != 0 {
+	if err != nil || !s.Balancer.GossipAllowed || s.Balancer.CPUPerRequest != 10 || s.QueuedIndex != 0 {
 		t.Errorf("read %+v, %v", s, err)
 	}
-	if s, err = with(`"how":"answers"`, `"how":"probe"`); err != nil || !s.Logic.ProbedOnly || !s.Logic.Reports {
-		t.Errorf("read %+v, %v", s.Logic, err)
+	if s, err = with(`"how":"answers"`, `"how":"probe"`); err != nil || !s.Balancer.ReportsFromProbesOnly || !s.Balancer.LoadReports {
+		t.Errorf("read %+v, %v", s.Balancer, err)
 	}
 	// Reports that come with probes alone, which nobody may send: the module waited for news that never came.
 	if s, err = with(`"probes":true},"realms":[{"name":"t","quota_per_s":5}],
  "report":{"how":"answers"`, `"probes":false},"realms":[{"name":"t","quota_per_s":5}],
- "report":{"how":"probe"`); err != nil || s.Logic.Reports || s.LoadAt != -1 || s.Logic.MayProbe {
-		t.Errorf("reports that nobody may ask for: %+v, %v", s.Logic, err)
+ "report":{"how":"probe"`); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 || s.Balancer.ProbesAllowed {
+		t.Errorf("reports that nobody may ask for: %+v, %v", s.Balancer, err)
 	}
 	for key, change := range map[string][2]string{
 		"goal.nines_wanted":     {`"whole":1}`, `"whole":1,"nines_wanted":0}`},
--- a/internal/shadow/watch.go
+++ b/internal/shadow/watch.go
@@ -17,26 +17,26 @@
 
 // Kinds of difference: what the settings watched would have done.
 const (
-	OtherServer      = "other_server"       // sent to another server of the same zone
-	OtherZone        = "other_zone"         // sent to a server of another zone
-	Held             = "held"               // held what was sent, refused or failed
-	Refused          = "refused"            // refused what was sent, held or failed
-	Failed           = "failed"             // failed what was sent, held or refused
-	Sent             = "sent"               // sent what was held, refused or failed
-	FurtherAttempt   = "further_attempt"    // tried again what was not
-	NoFurtherAttempt = "no_further_attempt" // not tried again what was
-	RetryAfter       = "retry_after"        // told the client another time to come back
-	Withdrawal       = "withdrawal"         // withdrawn other attempts
-	Probe            = "probe"              // asked other servers for their load
-	Message          = "message"            // told the other nodes something else, or nothing
+	DifferentServer = "other_server"       // sent to another server of the same zone
+	DifferentZone   = "other_zone"         // sent to a server of another zone
+	Queued          = "held"               // held what was sent, refused or failed
+	Rejected        = "refused"            // refused what was sent, held or failed
+	Failed          = "failed"             // failed what was sent, held or refused
+	Sent            = "sent"               // sent what was held, refused or failed
+	Retried         = "further_attempt"    // tried again what was not
+	NotRetried      = "no_further_attempt" // not tried again what was
+	RetryAfter      = "retry_after"        // told the client another time to come back
+	Cancellation    = "withdrawal"         // withdrawn other attempts
+	Probe           = "probe"              // asked other servers for their load
+	Gossip          = "message"            // told the other nodes something else, or nothing
 )
 
-var kinds = []string{OtherServer, OtherZone, Held, Refused, Failed, Sent, FurtherAttempt, NoFurtherAttempt, RetryAfter,
-	Withdrawal, Probe, Message}
+var kinds = []string{DifferentServer, DifferentZone, Queued, Rejected, Failed, Sent, Retried, NotRetried, RetryAfter,
+	Cancellation, Probe, Gossip}
 
 // Watch is a module that decides by its own settings and counts what others would have done.
-type Watch struct {
-	module *balancer.Logic
+type Evaluator struct {
+	module *balancer.Balancer
 	other  atomic.Pointer[balancer.Settings]
 	log    *slog.Logger
 	count  *counters.Watch
@@ -44,30 +44,30 @@
 }
 
 // New watches a module; with no settings to watch it only passes on.
-func New(module *balancer.Logic, other *balancer.Settings, log *slog.Logger, count *counters.Watch) *Watch {
-	w := &Watch{module: module, log: log, count: count, seen: map[balancer.RequestID]uint{}}
+func New(module *balancer.Balancer, other *balancer.Settings, log *slog.Logger, count *counters.Watch) *Evaluator {
+	w := &Evaluator{module: module, log: log, count: count, seen: map[balancer.RequestID]uint{}}
 	w.Follow(other)
 	return w
 }
 
 // Follow watches other settings from the next step on; none where nil.
-func (w *Watch) Follow(other *balancer.Settings) {
+func (w *Evaluator) Follow(other *balancer.Settings) {
 	if old := w.other.Swap(other); (old == nil) != (other == nil) {
 		w.log.Info("watching other settings", "code", "watch", "on", other != nil)
 	}
 }
 
 // Census and Changes are the module's.
-func (w *Watch) Census() (listed, avoided int) { return w.module.Census() }
+func (w *Evaluator) CountEndpoints() (listed, avoided int) { return w.module.CountEndpoints() }
 
 // Snapshot is what the module knows.
-func (w *Watch) Snapshot() balancer.State { return w.module.Snapshot() }
+func (w *Evaluator) Snapshot() balancer.State { return w.module.Snapshot() }
 
 // Changes is how often the list, or what is excluded of it, has changed.
-func (w *Watch) Changes() int { return w.module.Changes() }
+func (w *Evaluator) EndpointVersion() int { return w.module.EndpointVersion() }
 
 // Step lets the module decide.
-func (w *Watch) Step(now balancer.Millis, event balancer.Event) []balancer.Action {
+func (w *Evaluator) Step(now balancer.Millis, event balancer.Event) []balancer.Action {
 	set := w.other.Load()
 	if set == nil {
 		return w.module.Step(now, event)
@@ -84,7 +84,7 @@
 }
 
 // ask lets a copy of the module decide; nil where it cannot. A fault there is none of the node's.
-func (w *Watch) ask(set balancer.Settings, now balancer.Millis, event balancer.Event) (would []balancer.Action) {
+func (w *Evaluator) ask(set balancer.Settings, now balancer.Millis, event balancer.Event) (would []balancer.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.fault(p)
@@ -100,7 +100,7 @@
 }
 
 // fault counts a step that the other settings could not decide, and logs the first.
-func (w *Watch) fault(what any) {
+func (w *Evaluator) fault(what any) {
 	if w.count.Faults.Inc(); w.count.Faults.Get() == 1 {
 		w.log.Error("the settings watched could not decide, further steps are only counted", "code", "watch_fault", "fault", what)
 	}
@@ -117,7 +117,7 @@
 type plan struct {
 	requests  map[balancer.RequestID]verdict
 	probes    []balancer.ServerID
-	cancelled []balancer.Cancel
+	cancelled []balancer.CancelAttempt
 	messages  []string
 }
 
@@ -125,17 +125,17 @@
 	p := plan{requests: map[balancer.RequestID]verdict{}}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case balancer.Send:
+		case balancer.StartAttempt:
 			p.requests[a.ID] = verdict{kind: Sent, server: a.Server}
-		case balancer.Refuse:
-			p.requests[a.ID] = verdict{kind: Refused, after: a.RetryAfter}
+		case balancer.Reject:
+			p.requests[a.ID] = verdict{kind: Rejected, after: a.RetryAfter}
 		case balancer.Fail:
 			p.requests[a.ID] = verdict{kind: Failed}
-		case balancer.Probe:
+		case balancer.ProbeLoad:
 			p.probes = append(p.probes, a.Server)
-		case balancer.Cancel:
+		case balancer.CancelAttempt:
 			p.cancelled = append(p.cancelled, a)
-		case balancer.Tell:
+		case balancer.BroadcastGossip:
 			p.messages = append(p.messages, string(a.Body))
 		}
 	}
@@ -143,36 +143,36 @@
 	return p
 }
 
-func (w *Watch) compare(event balancer.Event, actions, would []balancer.Action) {
+func (w *Evaluator) compare(event balancer.Event, actions, would []balancer.Action) {
 	w.count.Steps.Inc()
 	did, other := sortOut(actions), sortOut(would)
 	tried := balancer.RequestID(0)
-	if e, ok := event.(balancer.AttemptEnd); ok {
+	if e, ok := event.(balancer.AttemptCompleted); ok {
 		tried = e.ID
 	}
 	for id, v := range other.requests {
-		w.differ(id, difference(did.requests[id], v, id == tried, w.module.Zone))
+		w.differ(id, difference(did.requests[id], v, id == tried, w.module.ZoneOf))
 	}
 	for id, v := range did.requests {
 		if _, both := other.requests[id]; !both {
-			w.differ(id, difference(v, verdict{}, id == tried, w.module.Zone))
+			w.differ(id, difference(v, verdict{}, id == tried, w.module.ZoneOf))
 		}
 		if v.kind != Sent {
 			delete(w.seen, id)
 		}
 	}
 	for kind, differs := range map[string]bool{Probe: !slices.Equal(did.probes, other.probes),
-		Withdrawal: !slices.Equal(did.cancelled, other.cancelled), Message: !slices.Equal(did.messages, other.messages)} {
+		Cancellation: !slices.Equal(did.cancelled, other.cancelled), Gossip: !slices.Equal(did.messages, other.messages)} {
 		if differs {
 			w.count.Differ.Inc(kind)
 		}
 	}
 	switch e := event.(type) {
-	case balancer.AttemptEnd:
+	case balancer.AttemptCompleted:
 		if e.Closed {
 			delete(w.seen, e.ID)
 		}
-	case balancer.Dropped:
+	case balancer.ClientCancelled:
 		delete(w.seen, e.ID)
 	}
 }
@@ -184,23 +184,23 @@
 		return ""
 	case did.kind == Sent && would.kind == Sent:
 		if zone(did.server) != zone(would.server) {
-			return OtherZone
+			return DifferentZone
 		}
-		return OtherServer
+		return DifferentServer
 	case did.kind == would.kind:
 		return RetryAfter
 	case tried && would.kind == Sent:
-		return FurtherAttempt
+		return Retried
 	case tried && did.kind == Sent:
-		return NoFurtherAttempt
+		return NotRetried
 	case would.kind == "":
-		return Held
+		return Queued
 	}
 	return would.kind
 }
 
 // differ counts a difference once for each request.
-func (w *Watch) differ(id balancer.RequestID, kind string) {
+func (w *Evaluator) differ(id balancer.RequestID, kind string) {
 	if kind == "" {
 		return
 	}
--- a/internal/shadow/watch_test.go
+++ b/internal/shadow/watch_test.go
@@ -13,14 +13,14 @@
 )
 
 func settings() balancer.Settings {
-	return balancer.Settings{Nodes: 4, Zone: "a", MarksRetry: true, Goal: balancer.Goal{Whole: 1}, OverShare: 0.1,
+	return balancer.Settings{Nodes: 4, Zone: "a", ClientsMarkRetries: true, Goal: balancer.ObjectiveWeights{Overall: 1}, OverQuotaFraction: 0.1,
 		Classes: []balancer.Class{
-			{Name: "read", Effect: balancer.Safe, Aim: 400, HardLimit: 2000, Worth: 1},
-			{Name: "put", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 1000, Aim: 400, HardLimit: 2000, Worth: 1},
-			{Name: "bill", Effect: balancer.Unsafe, Aim: 400, HardLimit: 2000, Worth: 5}},
-		Reports: true, ProbedOnly: true, MayProbe: true, Peers: true, ProbePrice: 0.002, PeerPrice: 0.001,
-		DrainGrace: 1000, ColdFrom: 0.25, ColdFor: 5000, FallMultiple: 3, FallFor: 2000, MaxAttempts: 3, MayCancel: true,
-		RetryAfter: true, MaxRetryAfter: 2000, Tick: 1}
+			{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
+			{Name: "put", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupWithinCell, DedupWindow: 1000, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
+			{Name: "bill", Idempotency: balancer.NonIdempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 5}},
+		LoadReports: true, ReportsFromProbesOnly: true, ProbesAllowed: true, GossipAllowed: true, ProbePrice: 0.002, GossipPrice: 0.001,
+		DrainGrace: 1000, InitialCapacity: 0.25, SlowStartDuration: 5000, OverloadFactor: 3, OverloadWindow: 2000, MaxAttempts: 3, CancelAllowed: true,
+		RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1}
 }
 
 // play drives a module through a run with failures, crowding, lost attempts, probes and messages, the same each time, and
@@ -28,7 +28,7 @@
 func play(m engine.Module, steps int) []balancer.Action {
 	rng := rand.New(rand.NewPCG(5, 6))
 	var all []balancer.Action
-	var open []balancer.AttemptEnd // Elapsed holds when it was sent
+	var open []balancer.AttemptCompleted // Elapsed holds when it was sent
 	sent := map[balancer.RequestID]int{}
 	now := 1000.0
 	step := func(e balancer.Event) {
@@ -39,29 +39,29 @@
 			for _, a := range acts {
 				all = append(all, a)
 				switch a := a.(type) {
-				case balancer.Send:
-					open = append(open, balancer.AttemptEnd{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Elapsed: now})
+				case balancer.StartAttempt:
+					open = append(open, balancer.AttemptCompleted{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Elapsed: now})
 					sent[a.ID]++
-				case balancer.Cancel:
+				case balancer.CancelAttempt:
 					for i, o := range open {
 						if o.ID == a.ID && o.Attempt == a.Attempt {
 							open = append(open[:i], open[i+1:]...)
-							o.Result, o.Elapsed = balancer.Cancelled, now-o.Elapsed
+							o.Outcome, o.Elapsed = balancer.Cancelled, now-o.Elapsed
 							queue = append(queue, o)
 							break
 						}
 					}
-				case balancer.Probe:
-					queue = append(queue, balancer.ProbeEnd{Server: a.Server, Result: balancer.OK, Elapsed: 1, Load: balancer.Load{
-						Valid: true, InFlight: float64(rng.IntN(4)), Queued: true, Waiting: float64(rng.IntN(3))}})
+				case balancer.ProbeLoad:
+					queue = append(queue, balancer.LoadProbeCompleted{Server: a.Server, Outcome: balancer.OK, Elapsed: 1, Report: balancer.LoadReport{
+						Valid: true, InFlight: float64(rng.IntN(4)), QueueKnown: true, Queued: float64(rng.IntN(3))}})
 				}
 			}
 		}
 	}
-	list := balancer.ServerList{Form: balancer.ListCached}
+	list := balancer.EndpointUpdate{Kind: balancer.CachedUpdate}
 	for i := range 9 {
-		list.Entries = append(list.Entries, balancer.ServerEntry{ID: balancer.ServerID(fmt.Sprint("s", i)), Zone: []string{"a", "b"}[i%2],
-			Cell: i % 3, Size: 1})
+		list.Endpoints = append(list.Endpoints, balancer.Endpoint{ID: balancer.ServerID(fmt.Sprint("s", i)), Zone: []string{"a", "b"}[i%2],
+			Cell: i % 3, Capacity: 1})
 	}
 	step(list)
 	for i := range steps {
@@ -70,18 +70,18 @@
 		case k < 4:
 			id := balancer.RequestID(i + 1)
 			step(balancer.Arrival{ID: id, Class: []string{"read", "put", "bill"}[rng.IntN(3)], Key: fmt.Sprint(rng.IntN(40)),
-				Retry: rng.IntN(9) == 0, Expires: now + 300 + 1500*rng.Float64()})
+				IsRetry: rng.IntN(9) == 0, Deadline: now + 300 + 1500*rng.Float64()})
 		case k < 8 && len(open) > 0:
 			j := rng.IntN(len(open))
 			o := open[j]
 			open = append(open[:j], open[j+1:]...)
 			if rng.IntN(4) == 0 {
-				o.Result = []balancer.Result{balancer.Errored, balancer.Overloaded, balancer.Unreachable, balancer.Broken}[rng.IntN(4)]
+				o.Outcome = []balancer.Outcome{balancer.Errored, balancer.Overloaded, balancer.Unreachable, balancer.ConnectionLost}[rng.IntN(4)]
 			}
-			o.Elapsed, o.Closed = now-o.Elapsed, o.Result == balancer.OK
+			o.Elapsed, o.Closed = now-o.Elapsed, o.Outcome == balancer.OK
 			step(o)
 		case k == 8:
-			step(balancer.Told{From: 1 + rng.IntN(3), Body: []byte{0x10}})
+			step(balancer.GossipReceived{From: 1 + rng.IntN(3), Body: []byte{0x10}})
 		default:
 			step(balancer.TimerFired{Token: []string{"sweep", "probes"}[rng.IntN(2)]})
 		}
@@ -89,7 +89,7 @@
 	return all
 }
 
-func newModule(t testing.TB, set balancer.Settings) *balancer.Logic {
+func newModule(t testing.TB, set balancer.Settings) *balancer.Balancer {
 	t.Helper()
 	l, err := balancer.New(set, 11)
 	if err != nil {
@@ -106,7 +106,7 @@
 		t.Fatalf("only %d actions in %d steps", len(alone), steps)
 	}
 	same, other := settings(), settings()
-	other.MayProbe, other.Classes[0].Effect, other.CrossZonePrice = false, balancer.Unsafe, 0.5
+	other.ProbesAllowed, other.Classes[0].Idempotency, other.CrossZonePrice = false, balancer.NonIdempotent, 0.5
 	for name, set := range map[string]*balancer.Settings{"the same": &same, "others": &other, "none": nil} {
 		count := &counters.Watch{}
 		if got := play(New(newModule(t, settings()), set, slog.Default(), count), steps); !reflect.DeepEqual(got, alone) {
@@ -124,18 +124,18 @@
 
 func TestEachKindIsCounted(t *testing.T) {
 	for kind, change := range map[string]func(base, other *balancer.Settings){
-		OtherZone:        func(_, o *balancer.Settings) { o.CrossZonePrice = 0.3 },
-		OtherServer:      func(_, o *balancer.Settings) { o.WarmKeys = true },
-		Probe:            func(_, o *balancer.Settings) { o.MayProbe = false },
-		Message:          func(_, o *balancer.Settings) { o.Peers = false },
-		RetryAfter:       func(_, o *balancer.Settings) { o.RetryAfter = false },
-		FurtherAttempt:   func(b, _ *balancer.Settings) { b.MaxAttempts = 1 },
-		NoFurtherAttempt: func(_, o *balancer.Settings) { o.MaxAttempts = 1 },
-		Failed:           func(_, o *balancer.Settings) { o.Classes[0].Effect = balancer.Unsafe },
-		Withdrawal:       func(b, _ *balancer.Settings) { b.MayCancel = false },
-		Refused:          func(_, o *balancer.Settings) { o.Classes[0].Aim = 30 },
-		Sent:             func(b, _ *balancer.Settings) { b.Classes[0].Aim = 30 },
-		Held:             func(b, _ *balancer.Settings) { b.MayProbe = false },
+		DifferentZone:   func(_, o *balancer.Settings) { o.CrossZonePrice = 0.3 },
+		DifferentServer: func(_, o *balancer.Settings) { o.KeyAffinity = true },
+		Probe:           func(_, o *balancer.Settings) { o.ProbesAllowed = false },
+		Gossip:          func(_, o *balancer.Settings) { o.GossipAllowed = false },
+		RetryAfter:      func(_, o *balancer.Settings) { o.RetryAfterAllowed = false },
+		Retried:         func(b, _ *balancer.Settings) { b.MaxAttempts = 1 },
+		NotRetried:      func(_, o *balancer.Settings) { o.MaxAttempts = 1 },
+		Failed:          func(_, o *balancer.Settings) { o.Classes[0].Idempotency = balancer.NonIdempotent },
+		Cancellation:    func(b, _ *balancer.Settings) { b.CancelAllowed = false },
+		Rejected:        func(_, o *balancer.Settings) { o.Classes[0].LatencyObjective = 30 },
+		Sent:            func(b, _ *balancer.Settings) { b.Classes[0].LatencyObjective = 30 },
+		Queued:          func(b, _ *balancer.Settings) { b.ProbesAllowed = false },
 	} {
 		base, other, count := settings(), settings(), &counters.Watch{}
 		change(&base, &other)
@@ -158,8 +158,8 @@
 	}
 	w.Follow(&other)
 	play(w, 500)
-	if count.Steps.Get() == 0 || count.Faults.Get() != 0 || count.Differ.Get(Refused) == 0 {
-		t.Errorf("%d steps, %d faults, %d refused", count.Steps.Get(), count.Faults.Get(), count.Differ.Get(Refused))
+	if count.Steps.Get() == 0 || count.Faults.Get() != 0 || count.Differ.Get(Rejected) == 0 {
+		t.Errorf("%d steps, %d faults, %d refused", count.Steps.Get(), count.Faults.Get(), count.Differ.Get(Rejected))
 	}
 }
 
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -13,7 +13,7 @@
 
 // node is one instance and how its load reports are read; nothing in it is shared.
 type node struct {
-	logic *balancer.Logic
+	logic *balancer.Balancer
 	at    Places
 }
 
@@ -87,9 +87,9 @@
 	if n == nil {
 		return nil
 	}
-	var lists map[int][]balancer.ServerEntry
+	var lists map[int][]balancer.Endpoint
 	if e.What == "announce" {
-		lists = map[int][]balancer.ServerEntry{e.Ref: Entries(h.lists[e.Ref])}
+		lists = map[int][]balancer.Endpoint{e.Ref: Entries(h.lists[e.Ref])}
 	}
 	event := Translate(e, lists, n.at)
 	if event == nil {
@@ -105,14 +105,14 @@
 func (h *Host) hello(id int, e *Event) []any {
 	delete(h.nodes, id)
 	set, err := settings.Parse(e.Options)
-	var l *balancer.Logic
+	var l *balancer.Balancer
 	if err == nil {
-		l, err = balancer.New(set.Logic, e.Nonce)
+		l, err = balancer.New(set.Balancer, e.Nonce)
 	}
 	if err != nil {
 		fmt.Fprintf(h.errs, "instance %d: %v\n", id, err)
 		return []any{InternalError(err.Error())}
 	}
-	h.nodes[id] = &node{logic: l, at: Places{set.LoadAt, set.WaitingAt}}
+	h.nodes[id] = &node{logic: l, at: Places{set.InFlightIndex, set.QueuedIndex}}
 	return nil
 }
--- a/internal/simadapter/simwire.go
+++ b/internal/simadapter/simwire.go
@@ -102,44 +102,44 @@
 	return b, nil
 }
 
-var results = map[string]balancer.Result{
+var results = map[string]balancer.Outcome{
 	"success": balancer.OK, "failure": balancer.Errored, "overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
-	"unreachable": balancer.Unreachable, "broken": balancer.Broken, "withdrawn": balancer.Cancelled, "void": balancer.Void,
+	"unreachable": balancer.Unreachable, "broken": balancer.ConnectionLost, "withdrawn": balancer.Cancelled, "void": balancer.NotSent,
 }
 
 // result reads an outcome; one that is not known is taken as an error that may have run.
-func result(rc string) balancer.Result {
+func result(rc string) balancer.Outcome {
 	if r, ok := results[rc]; ok {
 		return r
 	}
 	return balancer.Errored
 }
 
-var states = map[string]balancer.ServerState{
-	"Running": balancer.Ready, "Stopping": balancer.Draining, "Deleted": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"Running": balancer.Ready, "Stopping": balancer.Draining, "Deleted": balancer.Removed,
 }
 
 // Entries turns a wire list into logic's. An unknown state counts as draining: nothing new is sent there.
-func Entries(members []Entry) []balancer.ServerEntry {
-	out := make([]balancer.ServerEntry, 0, len(members))
+func Entries(members []Entry) []balancer.Endpoint {
+	out := make([]balancer.Endpoint, 0, len(members))
 	for _, m := range members {
 		state, ok := states[m.Readiness]
 		if !ok {
 			state = balancer.Draining
 		}
-		out = append(out, balancer.ServerEntry{ID: balancer.ServerID(m.Backend), State: state, Zone: m.AZ,
-			Cell: m.Block, Size: m.Capacity, Started: m.Start})
+		out = append(out, balancer.Endpoint{ID: balancer.ServerID(m.Backend), State: state, Zone: m.AZ,
+			Cell: m.Block, Capacity: m.Capacity, Started: m.Start})
 	}
 	return out
 }
 
-var forms = map[string]balancer.ListForm{
-	"delta": balancer.ListDelta, "full": balancer.ListFull, "cached": balancer.ListCached, "failed": balancer.ListFailed,
+var forms = map[string]balancer.UpdateKind{
+	"delta": balancer.DeltaUpdate, "full": balancer.FullUpdate, "cached": balancer.CachedUpdate, "failed": balancer.UpdateFailed,
 }
 
 // Translate turns a wire event into logic's, with the lists by number; nil for one to be skipped.
 // At tells the places of a load report's figures.
-func Translate(e *Event, lists map[int][]balancer.ServerEntry, at Places) balancer.Event {
+func Translate(e *Event, lists map[int][]balancer.Endpoint, at Places) balancer.Event {
 	load := at.load(e.Feedback)
 	switch e.What {
 	case "announce":
@@ -147,26 +147,26 @@
 		if !ok {
 			return nil
 		}
-		if form == balancer.ListFailed {
-			return balancer.ServerList{Form: form}
+		if form == balancer.UpdateFailed {
+			return balancer.EndpointUpdate{Kind: form}
 		}
-		return balancer.ServerList{Form: form, Entries: lists[e.Ref]}
+		return balancer.EndpointUpdate{Kind: form, Endpoints: lists[e.Ref]}
 	case "arrival":
 		return balancer.Arrival{ID: balancer.RequestID(e.Job), Class: e.Kind, Tenant: string(e.Project), Key: e.Object,
-			Hint: e.SizeHint, Retry: e.Retry, Expires: e.Expires}
+			WorkHint: e.SizeHint, IsRetry: e.Retry, Deadline: e.Expires}
 	case "first_byte":
-		return balancer.FirstByte{ID: balancer.RequestID(e.Job), Attempt: e.N}
+		return balancer.ResponseStarted{ID: balancer.RequestID(e.Job), Attempt: e.N}
 	case "deadline_hit":
 		return balancer.TimerFired{Token: e.Ctx}
 	case "attempt_end":
-		return balancer.AttemptEnd{ID: balancer.RequestID(e.Job), Attempt: e.N, Server: balancer.ServerID(e.Backend),
-			Result: result(e.RC), Elapsed: e.RTT, Closed: e.NoMore, Load: load}
+		return balancer.AttemptCompleted{ID: balancer.RequestID(e.Job), Attempt: e.N, Server: balancer.ServerID(e.Backend),
+			Outcome: result(e.RC), Elapsed: e.RTT, Closed: e.NoMore, Report: load}
 	case "sampled":
-		return balancer.ProbeEnd{Server: balancer.ServerID(e.Backend), Result: result(e.RC), Elapsed: e.RTT, Load: load}
+		return balancer.LoadProbeCompleted{Server: balancer.ServerID(e.Backend), Outcome: result(e.RC), Elapsed: e.RTT, Report: load}
 	case "peer_data":
-		return balancer.Told{From: e.From, Body: e.Content}
+		return balancer.GossipReceived{From: e.From, Body: e.Content}
 	case "dropped":
-		return balancer.Dropped{ID: balancer.RequestID(e.Job)}
+		return balancer.ClientCancelled{ID: balancer.RequestID(e.Job)}
 	}
 	return nil
 }
@@ -174,11 +174,11 @@
 // Places are where a load report holds what the module reads; -1 where it does not.
 type Places struct{ InFlight, Waiting int }
 
-func (p Places) load(figures []float64) (l balancer.Load) {
+func (p Places) load(figures []float64) (l balancer.LoadReport) {
 	if p.InFlight >= 0 && p.InFlight < len(figures) {
-		l = balancer.Load{Valid: true, InFlight: figures[p.InFlight]}
+		l = balancer.LoadReport{Valid: true, InFlight: figures[p.InFlight]}
 		if p.Waiting >= 0 && p.Waiting < len(figures) {
-			l.Queued, l.Waiting = true, figures[p.Waiting]
+			l.QueueKnown, l.Queued = true, figures[p.Waiting]
 		}
 	}
 	return l
@@ -233,21 +233,21 @@
 // Encode turns an action into its wire form.
 func Encode(a balancer.Action) any {
 	switch a := a.(type) {
-	case balancer.Send:
-		return callOut{"call_out", uint64(a.ID), a.StopAt, string(a.Server)}
-	case balancer.Cancel:
+	case balancer.StartAttempt:
+		return callOut{"call_out", uint64(a.ID), a.Deadline, string(a.Server)}
+	case balancer.CancelAttempt:
 		return recall{"recall", uint64(a.ID), a.Attempt}
-	case balancer.Refuse:
+	case balancer.Reject:
 		return jobAction{"busy", uint64(a.ID), a.RetryAfter}
 	case balancer.Fail:
 		return jobAction{"error", uint64(a.ID), 0}
 	case balancer.SetTimer:
 		return setTimer{"set_timer", a.Token, a.At}
-	case balancer.Probe:
+	case balancer.ProbeLoad:
 		return backendAction{"health_check", string(a.Server)}
-	case balancer.Watch:
+	case balancer.WatchEndpoints:
 		return watch{"stream_changes", true}
-	case balancer.Tell:
+	case balancer.BroadcastGossip:
 		return tell{"tell", nil, a.Body}
 	case balancer.Log:
 		return reason{"record", a.Text}
--- a/internal/simadapter/simwire_test.go
+++ b/internal/simadapter/simwire_test.go
@@ -107,15 +107,15 @@
 	options := strings.Replace(helloOptions, `"how":"none","names":["concurrent"]`,
 		`"how":"answers","names":["never_heard","depth","concurrent"]`, 1)
 	set, err := settings.Parse([]byte(options))
-	if err != nil || set.LoadAt != 2 || !set.Logic.Reports {
-		t.Fatalf("place %d, reports %v, error %v", set.LoadAt, set.Logic.Reports, err)
+	if err != nil || set.InFlightIndex != 2 || !set.Balancer.LoadReports {
+		t.Fatalf("place %d, reports %v, error %v", set.InFlightIndex, set.Balancer.LoadReports, err)
 	}
 	for _, c := range []struct {
 		feedback []float64
 		valid    bool
 	}{{[]float64{9, 8, 3}, true}, {[]float64{9}, false}, {nil, false}} {
-		e := Translate(&Event{What: "sampled", RC: "success", Feedback: c.feedback}, nil, Places{set.LoadAt, -1})
-		load := e.(balancer.ProbeEnd).Load
+		e := Translate(&Event{What: "sampled", RC: "success", Feedback: c.feedback}, nil, Places{set.InFlightIndex, -1})
+		load := e.(balancer.LoadProbeCompleted).Report
 		if load.Valid != c.valid || c.valid && load.InFlight != 3 {
 			t.Errorf("%v: read as %+v", c.feedback, load)
 		}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -22,11 +22,11 @@
 type Attempt struct {
 	pool    *Pool
 	server  balancer.ServerID
-	copy    engine.Copy
+	copy    engine.OutgoingRequest
 	began   time.Time
 	context context.Context
 	cancel  context.CancelFunc
-	done    func(engine.End)
+	done    func(engine.Completion)
 
 	mu      sync.Mutex
 	conn    *conn
@@ -36,7 +36,7 @@
 }
 
 // Send starts writing the copy to a server. Done is called once with the outcome, unless Abort comes first.
-func (p *Pool) Send(server balancer.ServerID, copied engine.Copy, done func(engine.End)) *Attempt {
+func (p *Pool) Send(server balancer.ServerID, copied engine.OutgoingRequest, done func(engine.Completion)) *Attempt {
 	if copied.Body != nil {
 		copied.Body.Retain()
 	}
@@ -65,21 +65,21 @@
 	if a.copy.Body != nil {
 		defer a.copy.Body.Release()
 	}
-	defer a.pool.recovered(func() { a.report(engine.End{Result: balancer.Broken}) })
+	defer a.pool.recovered(func() { a.report(engine.Completion{Outcome: balancer.ConnectionLost}) })
 	c, err := a.pool.get(a.context, a.server)
 	switch {
 	case isLimit(err): // not the server's fault: it must not be excluded for it
-		a.report(engine.End{Result: balancer.Void})
+		a.report(engine.Completion{Outcome: balancer.NotSent})
 		return
 	case err != nil:
-		a.report(engine.End{Result: balancer.Unreachable})
+		a.report(engine.Completion{Outcome: balancer.Unreachable})
 		return
 	}
 	if !a.hold(c) {
 		a.pool.end(c, endGaveUp, nil)
 		return
 	}
-	if refused := a.copy.Refused(); refused != nil { // the connection came up too late for it, and serves another
+	if refused := a.copy.CheckWritable(); refused != nil { // the connection came up too late for it, and serves another
 		a.release()
 		a.pool.put(c)
 		a.report(void(refused))
@@ -102,8 +102,8 @@
 		a.report(end)
 		return
 	}
-	if got.rest != nil && end.Result == balancer.OK {
-		keep, end.Rest = true, got.rest
+	if got.rest != nil && end.Outcome == balancer.OK {
+		keep, end.Remaining = true, got.rest
 	} else if got.rest != nil { // an error's body: nobody gets it, and what is left of it is not read
 		why = endGaveUp
 	}
@@ -112,8 +112,8 @@
 }
 
 // void is the end of an attempt that was not written whole, for a reason that is not the server's.
-func void(why error) engine.End {
-	return engine.End{Result: balancer.Void, Left: errors.Is(why, engine.ErrLeft)}
+func void(why error) engine.Completion {
+	return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(why, engine.ErrClientGone)}
 }
 
 // hold gives the attempt its connection; false if it was given up meanwhile.
@@ -140,14 +140,14 @@
 	c.requests++
 	if err := a.write(c); err != nil {
 		a.unkept = errors.Is(err, body.ErrNoRoom) || errors.Is(err, body.ErrKeep) ||
-			errors.Is(err, engine.ErrTooLate) || errors.Is(err, engine.ErrLeft)
+			errors.Is(err, engine.ErrWriteDeadline) || errors.Is(err, engine.ErrClientGone)
 		a.mu.Lock()
 		a.writing = false // the last byte was never written: the server cannot have begun
 		a.mu.Unlock()
 		return answer{}, endWrite, err
 	}
 	a.pool.o.Count.Attempts.Written.Inc()
-	a.copy.Written()
+	a.copy.NotifyWritten()
 	return a.pool.readAnswer(c, resp)
 }
 
@@ -156,9 +156,9 @@
 	if _, err := c.Write(a.copy.Bytes); err != nil || a.copy.Body == nil {
 		return err
 	}
-	return a.copy.Body.Pieces(func(piece []byte, last bool) error {
+	return a.copy.Body.ForEachChunk(func(piece []byte, last bool) error {
 		if last {
-			if err := a.copy.Refused(); err != nil {
+			if err := a.copy.CheckWritable(); err != nil {
 				return err
 			}
 			a.mu.Lock()
@@ -189,31 +189,31 @@
 }
 
 // outcome tells what became of the attempt.
-func (a *Attempt) outcome(resp *fasthttp.Response, body []byte, reason string, err error) engine.End {
+func (a *Attempt) outcome(resp *fasthttp.Response, body []byte, reason string, err error) engine.Completion {
 	switch reason {
 	case endWrite:
 		if a.unkept { // our own limit or disk: not the server's fault
 			return void(err)
 		}
-		return engine.End{Result: balancer.Unreachable}
+		return engine.Completion{Outcome: balancer.Unreachable}
 	case endReset, endBadAnswer:
-		return engine.End{Result: balancer.Broken}
+		return engine.Completion{Outcome: balancer.ConnectionLost}
 	}
-	end := engine.End{Result: classify(resp), Load: a.pool.load(resp.Header.Peek(loadHeader), false)}
-	if end.Result == balancer.OK {
+	end := engine.Completion{Outcome: classify(resp), Report: a.pool.load(resp.Header.Peek(loadHeader), false)}
+	if end.Outcome == balancer.OK {
 		end.Body = body
 	}
 	return end
 }
 
-func (a *Attempt) report(end engine.End) {
+func (a *Attempt) report(end engine.Completion) {
 	a.mu.Lock()
 	aborted, began := a.aborted, a.began
 	a.mu.Unlock()
 	if aborted {
 		a.pool.o.Count.Attempts.Late.Inc()
-		if end.Rest != nil {
-			end.Rest.Close()
+		if end.Remaining != nil {
+			end.Remaining.Close()
 		}
 		return
 	}
@@ -223,7 +223,7 @@
 
 // classify reads an answer's outcome. A server that answers 503 or 504 without saying that the request did not
 // run may have run it.
-func classify(resp *fasthttp.Response) balancer.Result {
+func classify(resp *fasthttp.Response) balancer.Outcome {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
 		return balancer.OK
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -14,11 +14,15 @@
 )
 
 // Probe asks a server for a sign of life and, where servers report, its load. It does not wait.
-func (p *Pool) Probe(server balancer.ServerID, done func(engine.End)) { go p.probe(server, done) }
+func (p *Pool) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
+	go p.probe(server, done)
+}
 
-func (p *Pool) probe(server balancer.ServerID, done func(engine.End)) {
+func (p *Pool) probe(server balancer.ServerID, done func(engine.Completion)) {
 	began := time.Now()
-	defer p.recovered(func() { done(engine.End{Result: balancer.Broken, Elapsed: clock.Millis(time.Since(began))}) })
+	defer p.recovered(func() {
+		done(engine.Completion{Outcome: balancer.ConnectionLost, Elapsed: clock.Millis(time.Since(began))})
+	})
 	ctx, cancel := context.WithTimeout(context.Background(), p.o.Probe)
 	defer cancel()
 	end := p.ask(ctx, server)
@@ -27,15 +31,15 @@
 }
 
 // ask makes the probe. One that our own limits kept from being sent tells nothing of the server.
-func (p *Pool) ask(ctx context.Context, server balancer.ServerID) engine.End {
+func (p *Pool) ask(ctx context.Context, server balancer.ServerID) engine.Completion {
 	c, err := p.get(ctx, server)
 	switch {
 	case isLimit(err):
-		return engine.End{Result: balancer.Void}
+		return engine.Completion{Outcome: balancer.NotSent}
 	case err != nil && ctx.Err() != nil:
-		return engine.End{Result: balancer.TimedOut}
+		return engine.Completion{Outcome: balancer.TimedOut}
 	case err != nil:
-		return engine.End{Result: balancer.Unreachable}
+		return engine.Completion{Outcome: balancer.Unreachable}
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -74,26 +78,26 @@
 	p.end(c, reason, err)
 }
 
-func (p *Pool) probeEnd(resp *fasthttp.Response, reason string, err error) engine.End {
+func (p *Pool) probeEnd(resp *fasthttp.Response, reason string, err error) engine.Completion {
 	switch {
 	case reason == endGaveUp:
-		return engine.End{Result: balancer.TimedOut}
+		return engine.Completion{Outcome: balancer.TimedOut}
 	case reason == endWrite:
-		return engine.End{Result: balancer.Unreachable}
+		return engine.Completion{Outcome: balancer.Unreachable}
 	case err != nil:
-		return engine.End{Result: balancer.Broken}
+		return engine.Completion{Outcome: balancer.ConnectionLost}
 	}
-	end := engine.End{Result: classifyProbe(resp.StatusCode())}
+	end := engine.Completion{Outcome: classifyProbe(resp.StatusCode())}
 	text := resp.Header.Peek(loadHeader)
 	if len(text) == 0 {
 		text = resp.Body()
 	}
-	end.Load = p.load(text, end.Result == balancer.OK)
+	end.Report = p.load(text, end.Outcome == balancer.OK)
 	return end
 }
 
 // classifyProbe reads a probe's answer. 503 says that the server takes nothing now: load, not a fault.
-func classifyProbe(status int) balancer.Result {
+func classifyProbe(status int) balancer.Outcome {
 	switch status {
 	case fasthttp.StatusOK:
 		return balancer.OK
--- a/internal/upstream/report.go
+++ b/internal/upstream/report.go
@@ -21,24 +21,24 @@
 var waitingNames = [][]byte{[]byte("queue"), []byte("depth")}
 
 // Load reads a report that came by another protocol.
-func (p *Pool) Load(text []byte) balancer.Load { return p.load(text, false) }
+func (p *Pool) Load(text []byte) balancer.LoadReport { return p.load(text, false) }
 
 // load reads a report: an optional format word, then name=value pairs between commas. One that holds no figure
 // we know is counted, and counts as none. An answer need not carry one; a probe's body should.
-func (p *Pool) load(text []byte, expected bool) balancer.Load {
+func (p *Pool) load(text []byte, expected bool) balancer.LoadReport {
 	if !p.o.Reports || len(text) == 0 && !expected {
-		return balancer.Load{}
+		return balancer.LoadReport{}
 	}
 	if n, ok := parseLoad(text); ok {
 		p.o.Count.Reports.Read.Inc()
-		load := balancer.Load{Valid: true, InFlight: n}
+		load := balancer.LoadReport{Valid: true, InFlight: n}
 		if p.o.Waiting {
-			load.Waiting, load.Queued = figure(text, waitingNames)
+			load.Queued, load.QueueKnown = figure(text, waitingNames)
 		}
 		return load
 	}
 	p.o.Count.Reports.Unknown.Inc()
-	return balancer.Load{}
+	return balancer.LoadReport{}
 }
 
 // parseLoad finds the requests in flight.
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -49,7 +49,7 @@
 func (s *Stream) Size() int64 { return s.size }
 
 // Until says when the client gives the request up.
-func (s *Stream) Until(t time.Time) { s.until = t }
+func (s *Stream) SetDeadline(t time.Time) { s.until = t }
 
 // due is when the next piece must have come. Over 64 KiB the first bytes are timed alone, and an answer of untold size may become
 // such a one: what its server still gives is passed on, also late. But one that stands still is broken off.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -26,7 +26,7 @@
 	for _, c := range []struct {
 		status int
 		notRun string
-		want   balancer.Result
+		want   balancer.Outcome
 	}{
 		{200, "", balancer.OK}, {200, "1", balancer.OK}, {500, "", balancer.Errored}, {500, "1", balancer.Errored},
 		{503, "1", balancer.Overloaded}, {504, "1", balancer.Overloaded}, {503, "", balancer.Errored},
@@ -39,7 +39,7 @@
 			resp.Header.Set(notRunHeader, c.notRun)
 		}
 		if got := classify(&resp); got != c.want {
-			t.Errorf("%d with %q: %s, want %s", c.status, c.notRun, engine.ResultName(got), engine.ResultName(c.want))
+			t.Errorf("%d with %q: %s, want %s", c.status, c.notRun, engine.OutcomeName(got), engine.OutcomeName(c.want))
 		}
 	}
 }
@@ -355,16 +355,16 @@
 	p, _ := testPool(a, 8, 1)
 	held := mustGet(t, p, "full")
 	defer p.end(held, endExit, nil)
-	for id, want := range map[balancer.ServerID]balancer.Result{"full": balancer.Void, "left": balancer.Void,
+	for id, want := range map[balancer.ServerID]balancer.Outcome{"full": balancer.NotSent, "left": balancer.NotSent,
 		"dead": balancer.Unreachable} {
-		ended := make(chan engine.End, 1)
-		done := func(e engine.End) { ended <- e }
-		for _, start := range []func(){func() { p.Send(id, engine.Copy{Bytes: []byte("x")}, done) }, func() { p.Probe(id, done) }} {
+		ended := make(chan engine.Completion, 1)
+		done := func(e engine.Completion) { ended <- e }
+		for _, start := range []func(){func() { p.Send(id, engine.OutgoingRequest{Bytes: []byte("x")}, done) }, func() { p.ProbeLoad(id, done) }} {
 			start()
 			select {
 			case e := <-ended:
-				if e.Result != want {
-					t.Errorf("%s: %s, want %s", id, engine.ResultName(e.Result), engine.ResultName(want))
+				if e.Outcome != want {
+					t.Errorf("%s: %s, want %s", id, engine.OutcomeName(e.Outcome), engine.OutcomeName(want))
 				}
 			case <-time.After(10 * time.Second):
 				t.Fatal("no end")
@@ -378,18 +378,18 @@
 	addr, accepted := listener(t)
 	p, count := testPool(addresses{"s1": addr}, 8, 8)
 	wanted := false
-	for _, c := range []engine.Copy{
-		{Bytes: []byte("unwanted"), Wanted: func() bool { return wanted }},
-		{Bytes: []byte("too late"), WholeBy: time.Now()},
+	for _, c := range []engine.OutgoingRequest{
+		{Bytes: []byte("unwanted"), ClientWaiting: func() bool { return wanted }},
+		{Bytes: []byte("too late"), WriteDeadline: time.Now()},
 	} {
-		ended := make(chan engine.End, 1)
-		p.Send("s1", c, func(e engine.End) { ended <- e })
-		if e := <-ended; e.Result != balancer.Void || e.Left != (c.Wanted != nil) {
-			t.Errorf("%s: %s, left %v", c.Bytes, engine.ResultName(e.Result), e.Left)
+		ended := make(chan engine.Completion, 1)
+		p.Send("s1", c, func(e engine.Completion) { ended <- e })
+		if e := <-ended; e.Outcome != balancer.NotSent || e.ClientGone != (c.ClientWaiting != nil) {
+			t.Errorf("%s: %s, left %v", c.Bytes, engine.OutcomeName(e.Outcome), e.ClientGone)
 		}
 	}
 	wanted = true
-	p.Send("s1", engine.Copy{Bytes: []byte("wanted"), Wanted: func() bool { return wanted }}, func(engine.End) {})
+	p.Send("s1", engine.OutgoingRequest{Bytes: []byte("wanted"), ClientWaiting: func() bool { return wanted }}, func(engine.Completion) {})
 	got := make([]byte, len("wanted"))
 	if _, err := io.ReadFull(accepted(0), got); err != nil || string(got) != "wanted" {
 		t.Errorf("the first bytes at the server are %q, %v", got, err)
@@ -425,7 +425,7 @@
 	addr := silentListener(t)
 	p, count := testPool(addresses{"s1": addr}, 64, 64)
 	for i := range 300 {
-		a := p.Send("s1", engine.Copy{Bytes: []byte("x")}, func(engine.End) {})
+		a := p.Send("s1", engine.OutgoingRequest{Bytes: []byte("x")}, func(engine.Completion) {})
 		for range i % 50 {
 			runtime.Gosched()
 		}
@@ -531,17 +531,17 @@
 
 // TestLocalConnectErrorsAreNotHeldAgainstTheServer: connect fails for a reason of this machine's, or of the server's.
 func TestLocalConnectErrorsAreNotHeldAgainstTheServer(t *testing.T) {
-	for errno, want := range map[syscall.Errno]balancer.Result{
-		syscall.ENFILE: balancer.Void, syscall.EMFILE: balancer.Void, syscall.ENOBUFS: balancer.Void, syscall.EADDRNOTAVAIL: balancer.Void,
-		syscall.ENETUNREACH: balancer.Void, syscall.ECONNREFUSED: balancer.Unreachable, syscall.EHOSTUNREACH: balancer.Unreachable,
+	for errno, want := range map[syscall.Errno]balancer.Outcome{
+		syscall.ENFILE: balancer.NotSent, syscall.EMFILE: balancer.NotSent, syscall.ENOBUFS: balancer.NotSent, syscall.EADDRNOTAVAIL: balancer.NotSent,
+		syscall.ENETUNREACH: balancer.NotSent, syscall.ECONNREFUSED: balancer.Unreachable, syscall.EHOSTUNREACH: balancer.Unreachable,
 		syscall.ETIMEDOUT: balancer.Unreachable,
 	} {
 		p, _ := testPool(addresses{"s": "127.0.0.1:1"}, 4, 4)
 		p.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", errno) }
-		ended := make(chan engine.End, 1)
-		p.Send("s", engine.Copy{Bytes: []byte("x")}, func(e engine.End) { ended <- e })
-		if got := (<-ended).Result; got != want {
-			t.Errorf("%v: %s, want %s", errno, engine.ResultName(got), engine.ResultName(want))
+		ended := make(chan engine.Completion, 1)
+		p.Send("s", engine.OutgoingRequest{Bytes: []byte("x")}, func(e engine.Completion) { ended <- e })
+		if got := (<-ended).Outcome; got != want {
+			t.Errorf("%v: %s, want %s", errno, engine.OutcomeName(got), engine.OutcomeName(want))
 		}
 		if p.total != 0 {
 			t.Errorf("%v: a place is lost", errno)
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -71,8 +71,8 @@
 	if err != nil {
 		return err
 	}
-	n := &node{o: o, classes: map[string]balancer.Class{}, tries: max(1, c.Settings.Logic.MaxAttempts), servers: map[string]*server{}}
-	for _, class := range c.Settings.Logic.Classes {
+	n := &node{o: o, classes: map[string]balancer.Class{}, tries: max(1, c.Settings.Balancer.MaxAttempts), servers: map[string]*server{}}
+	for _, class := range c.Settings.Balancer.Classes {
 		n.classes[class.Name] = class
 	}
 	n.take(c.Known)
@@ -251,7 +251,7 @@
 			return
 		}
 		mayRun = mayRun || ran
-		if mayRun && class.Effect != balancer.Safe {
+		if mayRun && class.Idempotency != balancer.Idempotent {
 			break
 		}
 	}
@@ -262,7 +262,7 @@
 	switch {
 	case !time.Now().Before(until):
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
-	case mayRun && class.Effect != balancer.Safe:
+	case mayRun && class.Idempotency != balancer.Idempotent:
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -306,7 +306,7 @@
 	until := time.Now().Add(wait - margin)
 	switch n.o.Break {
 	case "double-send": // a second copy of whatever it is goes out beside the first
-		if class.Effect == balancer.Safe {
+		if class.Idempotency == balancer.Idempotent {
 			return false
 		}
 		for range 2 {
