--- /dev/null
+++ b/internal/endpoints/format_test.go
@@ -0,0 +1,189 @@
+package endpoints
+
+import (
+	"encoding/json"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/endpointmerge"
+	"tackhub.example/tackhub/internal/inventory"
+	"tackhub.example/tackhub/internal/operator"
+	"tackhub.example/tackhub/internal/statefile"
+)
+
+// A node that is upgraded serves from what the version before it saved until its sources have spoken. testdata/state was
+// written by a running subsystem (a CSV file, a static server and discovery; one server drained, one moving) as the code
+// stood before the packages' names were revised (December 2026) and is never written anew.
+
+// formatState is what testdata/state holds.
+func formatState() State {
+	noRack := map[string]string{"rack": ""}
+	fromFile := map[string]string{"address": "hosts.csv", "pod": "hosts.csv", "size": "hosts.csv", "zone": "hosts.csv"}
+	return State{
+		Saved: time.Date(2026, time.December, 3, 6, 58, 58, 863198973, time.UTC),
+		Revisions: map[string]string{"discovery": "42", "static": "file",
+			"hosts.csv": "e7041f11bdd7ac815d6a8efaa5befd63fcfe62ec5d9fb40e05397cffde70d437"},
+		Members: []endpointmerge.Member{
+			{Server: inventory.Server{ID: "d5", Address: "[fd00::5]:80", Zone: "c", Pod: "9", Size: 0.5, Phase: inventory.Serving, Started: 1764588000456.5},
+				From: map[string]string{"address": "discovery", "pod": "discovery", "size": "discovery", "started": "discovery", "zone": "discovery"}},
+			{Server: inventory.Server{ID: "fixed", Address: "10.9.9.9:80", Zone: "a", Phase: inventory.Serving},
+				From: map[string]string{"address": "static", "zone": "static"}},
+			{Server: inventory.Server{ID: "s1", Address: "10.0.1.1:80", Zone: "a", Pod: "7", Size: 2.5, Phase: inventory.Serving, Started: 1764588000123,
+				Tags: []string{"ssd", "big"}, Extra: map[string]string{"rack": `r "1", <left>`}},
+				From: map[string]string{"address": "discovery", "pod": "hosts.csv", "size": "hosts.csv", "started": "discovery", "tags": "hosts.csv", "zone": "hosts.csv"}},
+			{Server: inventory.Server{ID: "s2", Address: "10.0.0.2:80", Zone: "b", Pod: "8", Phase: inventory.Draining, Extra: noRack},
+				From: map[string]string{"address": "hosts.csv", "phase": "hosts.csv", "pod": "hosts.csv", "zone": "hosts.csv"}},
+			{Server: inventory.Server{ID: "s3", Address: "10.0.0.3:80", Zone: "b", Pod: "8", Size: 1, Phase: inventory.Serving, Extra: noRack}, From: fromFile},
+			{Server: inventory.Server{ID: "s4", Address: "10.0.0.4:80", Zone: "b", Pod: "8", Size: 1, Phase: inventory.Serving, Extra: noRack}, From: fromFile,
+				Moving: "b/10"},
+		},
+	}
+}
+
+const formatFile = "inventory.000000000001"
+
+func TestSavedStateIsRead(t *testing.T) {
+	var out strings.Builder
+	got, err := saved(&out, filepath.Join("testdata", "state"))
+	if err != nil || out.Len() > 0 {
+		t.Fatalf("%v; printed %q", err, out.String())
+	}
+	if !reflect.DeepEqual(got, formatState()) {
+		t.Errorf("read %+v\nwant %+v", got, formatState())
+	}
+}
+
+// What is written now has the same bytes, so that an old version reads it too: an upgrade can be taken back.
+func TestSavedStateIsWritten(t *testing.T) {
+	data, err := json.Marshal(formatState())
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := statefile.New(statefile.OS{}, dir, stateName, stateVersion).Save(data); err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(filepath.Join(dir, formatFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join("testdata", "state", formatFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(got) != string(want) {
+		t.Errorf("wrote %s\nwant  %s", got, want)
+	}
+}
+
+// A node whose sources say nothing serves from the saved state: every server with its zone, pod, size and start.
+func TestServesFromTheSavedState(t *testing.T) {
+	raw, err := os.ReadFile(filepath.Join("testdata", "state", formatFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, formatFile), raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d := newDesk()
+	d.start(t, "[inventory]\nstate_dir=\""+dir+"\"\n[[inventory.file]]\npath=\"/nowhere/hosts.csv\"\n")
+	want := balancer.ServerList{Form: balancer.ListFull, Entries: []balancer.ServerEntry{
+		{ID: "d5", State: balancer.Ready, Zone: "c", Cell: 1, Size: 0.5, Started: 1764588000456.5},
+		{ID: "fixed", State: balancer.Ready, Zone: "a", Cell: 2, Size: 1},
+		{ID: "s1", State: balancer.Ready, Zone: "a", Cell: 3, Size: 2.5, Started: 1764588000123},
+		{ID: "s2", State: balancer.Draining, Zone: "b", Cell: 4, Size: 1},
+		{ID: "s3", State: balancer.Ready, Zone: "b", Cell: 4, Size: 1},
+		{ID: "s4", State: balancer.Ready, Zone: "b", Cell: 4, Size: 1},
+	}}
+	if got := d.next(t); !reflect.DeepEqual(got, want) {
+		t.Errorf("the module heard %+v\nwant %+v", got, want)
+	}
+	for id, want := range map[balancer.ServerID]string{"d5": "[fd00::5]:80", "fixed": "10.9.9.9:80", "s1": "10.0.1.1:80", "s2": "",
+		"s3": "10.0.0.3:80", "s4": "10.0.0.4:80"} {
+		if got, ok := d.roster.Address(id); got != want || ok != (want != "") {
+			t.Errorf("%s is at %q (%v), want %q", id, got, ok, want)
+		}
+	}
+}
+
+// The .confirm file that an operator's command writes is read by nodes of other versions.
+func TestConfirmFormat(t *testing.T) {
+	list := []byte("id,address\ns1,10.0.0.1:80\n# end 1\n")
+	const sum = "6fc2a317bd9e9b9380d78f36c29605c52b68dc9f886c7b1ba455e39ae57be5c7"
+	path := filepath.Join(t.TempDir(), "hosts.csv")
+	if err := os.WriteFile(path, list, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := confirm(io.Discard, "", []string{path}); err != nil {
+		t.Fatal(err)
+	}
+	raw, err := os.ReadFile(path + ".confirm")
+	if err != nil || string(raw) != sum+"\n" {
+		t.Errorf("wrote %q (%v), want %q", raw, err, sum+"\n")
+	}
+	f := &File{Path: path, Checksum: true}
+	if got := confirmed(f); got != sum {
+		t.Errorf("confirmed %q, want %q", got, sum)
+	}
+	if err := os.WriteFile(path+".sha256", []byte(strings.ToUpper(sum)+"  hosts.csv\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := checksum(f, list); err != nil {
+		t.Errorf("a checksum file as sha256sum writes it: %v", err)
+	}
+}
+
+// Every key of the section [inventory], with the field that it fills.
+func TestOperatorFileKeys(t *testing.T) {
+	const text = `[inventory]
+discovery = false
+precedence = ["b", "static"]
+require = ["b"]
+remove_share = 0.25
+remove_least = 4
+pod_hold = "31s"
+move_share = 0.5
+tombstone = "11m"
+settle = "12ms"
+poll = "13ms"
+state_dir = "folder"
+save_every = "14s"
+[inventory.order]
+zone = ["static"]
+[[inventory.file]]
+path = "a.csv"
+name = "b"
+aliases = { host = "address" }
+min_rows = 3
+trailer = true
+checksum = true
+[[inventory.static]]
+id = "s"
+address = "10.0.0.1:80"
+zone = "z"
+pod = "p"
+size = 1.5
+`
+	f, err := operator.Parse("edge.toml", text, []operator.Section{Part().Section})
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Options{
+		Files:  []File{{Path: "a.csv", Name: "b", Aliases: map[string]string{"host": "address"}, MinRows: 3, Trailer: true, Checksum: true}},
+		Static: []Static{{ID: "s", Address: "10.0.0.1:80", Zone: "z", Pod: "p", Size: 1.5}}, Precedence: []string{"b", "static"},
+		Order: map[string][]string{"zone": {"static"}}, Require: []string{"b"}, RemoveShare: 0.25, RemoveLeast: 4,
+		PodHold: operator.Duration(31 * time.Second), MoveShare: 0.5, Tombstone: operator.Duration(11 * time.Minute),
+		Settle: operator.Duration(12 * time.Millisecond), Poll: operator.Duration(13 * time.Millisecond), StateDir: "folder",
+		SaveEvery: operator.Duration(14 * time.Second),
+	}
+	if got := f.Options("inventory"); !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v\nwant %+v", got, want)
+	}
+}
