--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -75,7 +75,7 @@
 
 // status is what a member holds; nothing where it does not answer.
 func (b *bank) status(i int) cluster.Status {
-	s, _, err := cluster.Ask(cluster.SocketPath(b.dir, fmt.Sprintf("m%d", i)))
+	s, _, err := cluster.QueryStatus(cluster.SocketPath(b.dir, fmt.Sprintf("m%d", i)))
 	if err != nil {
 		return cluster.Status{}
 	}
@@ -102,10 +102,10 @@
 	b.views("m0 to lose m1", []int{0}, "m0")
 	eventually(t, "the verdict with its evidence", func() bool {
 		m := b.status(0).Members
-		return len(m) == 1 && m[0].State == swim.Unreachable && m[0].Accusers["m0"] > 0
+		return len(m) == 1 && m[0].State == swim.Unreachable && m[0].SuspectedBy["m0"] > 0
 	})
 	eventually(t, "both to hold themselves for cut off", func() bool {
-		return b.status(0).Condition == swim.Deaf && b.status(1).Condition == swim.Mute
+		return b.status(0).Connectivity == swim.InboundLost && b.status(1).Connectivity == swim.OutboundLost
 	})
 	if !strings.Contains(b.nodes[1].log.String(), `"is":"not heard"`) {
 		t.Error("m1 does not say in its log that it is not heard")
@@ -113,7 +113,7 @@
 	b.links.Cut(1, 0, false)
 	b.views("one view again", both, "m0", "m1")
 	eventually(t, "both to be whole", func() bool {
-		return b.status(0).Condition == swim.Whole && b.status(1).Condition == swim.Whole
+		return b.status(0).Connectivity == swim.Connected && b.status(1).Connectivity == swim.Connected
 	})
 	if after := b.status(0).View.Number; after <= before {
 		t.Errorf("the view's number went from %d to %d", before, after)
@@ -137,7 +137,7 @@
 	t.Parallel()
 	b := startBank(t, 2)
 	b.views("both to meet", []int{0, 1}, "m0", "m1")
-	before, watching, stop := b.status(0).Start, make(chan bool), make(chan struct{})
+	before, watching, stop := b.status(0).Generation, make(chan bool), make(chan struct{})
 	go func() { // until the upgrade is over
 		lost := false
 		for {
@@ -160,7 +160,7 @@
 	}
 	eventually(t, "m1 to hear of the next process", func() bool {
 		m := b.status(1).Members
-		return len(m) == 1 && m[0].Start > before && m[0].State == swim.Alive
+		return len(m) == 1 && m[0].Generation > before && m[0].State == swim.Alive
 	})
 	close(stop)
 	if <-watching {
@@ -190,10 +190,10 @@
 	writeFile(t, edge, fmt.Sprintf("[cluster]\nname = \"m0\"\nlisten = %q\nseeds = [%q]\n", freeAddress(t), b.links.Address(0, 1)))
 	second := startNode(t, setup{discovery: b.discovery, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}})
 	eventually(t, "the first to say so", func() bool { return strings.Contains(b.nodes[0].log.String(), "cluster_outdated") })
-	eventually(t, "it to hold itself for outdated", func() bool { return b.status(0).Condition == swim.Outdated })
+	eventually(t, "it to hold itself for outdated", func() bool { return b.status(0).Connectivity == swim.Superseded })
 	eventually(t, "m1 to hold the second", func() bool {
 		m := b.status(1).Members
-		return len(m) == 1 && m[0].Former > 0 && m[0].State == swim.Alive
+		return len(m) == 1 && m[0].PreviousGeneration > 0 && m[0].State == swim.Alive
 	})
 	if strings.Contains(second.log.String(), "cluster_outdated") {
 		t.Error("both hold themselves for outdated")
@@ -220,7 +220,7 @@
 		_, _ = conn.Write(append(raw, more...))
 	}
 	name := uint32(xxhash.Sum64String("tackhub"))
-	later := swim.Message{Kind: swim.Ping, Version: 9, Cluster: name, From: "x9", Start: 1, Address: conn.LocalAddr().String(), Seq: 7}
+	later := swim.Message{Kind: swim.Ping, Version: 9, ClusterHash: name, From: "x9", Generation: 1, Address: conn.LocalAddr().String(), Seq: 7}
 	say(later, 0xa2, 'z', 'z', 0x92, 1, 2) // "zz": [1, 2]
 	_ = conn.SetReadDeadline(time.Now().Add(patience))
 	buf, reply := make([]byte, 1500), swim.Message{}
@@ -236,9 +236,9 @@
 	if reply.Seq != 7 || reply.Version != swim.WireVersion {
 		t.Errorf("answered %+v", reply)
 	}
-	later.Least, later.From = 9, "x8" // a version that this one would misunderstand
+	later.MinVersion, later.From = 9, "x8" // a version that this one would misunderstand
 	say(later)
-	say(swim.Message{Kind: swim.Ping, Version: 1, Cluster: name + 1, From: "x7", Start: 1, Address: "127.0.0.1:9"})
+	say(swim.Message{Kind: swim.Ping, Version: 1, ClusterHash: name + 1, From: "x7", Generation: 1, Address: "127.0.0.1:9"})
 	_, _ = conn.Write([]byte("no message"))
 	eventually(t, "the drops to be counted", func() bool {
 		drops := b.nodes[0].counts().Cluster.Drops
@@ -259,7 +259,7 @@
 		n.exit()
 	}
 	b.nodes[0] = b.start(0)
-	eventually(t, "it to go on alone", func() bool { s := b.status(0); return s.State == swim.Alive && s.Condition == swim.Alone })
+	eventually(t, "it to go on alone", func() bool { s := b.status(0); return s.State == swim.Alive && s.Connectivity == swim.NoPeers })
 	b.nodes[1] = b.start(1)
 	b.views("both to meet again", []int{0, 1}, "m0", "m1")
 }
--- a/cmd/tackhub/crossing_test.go
+++ b/cmd/tackhub/crossing_test.go
@@ -65,7 +65,7 @@
 // TestStopBeforeTheNodeIsReady: the signal comes while the start waits for a process that hangs at the meeting place.
 func TestStopBeforeTheNodeIsReady(t *testing.T) {
 	dir, addr := t.TempDir(), freeAddress(t)
-	l, err := net.Listen("unix", handover.Path(dir, addr))
+	l, err := net.Listen("unix", handover.SocketPath(dir, addr))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tackhub/main.go
+++ b/cmd/tackhub/main.go
@@ -35,16 +35,16 @@
 		{Name: "check", Help: "Read configuration and operator file as a start would; print what would run, or every fault", Flags: withEdge,
 			Run: func(_ []string, out io.Writer) error {
 				if !node.Check(out, os.Getenv, edge) {
-					return cli.ErrFaults
+					return cli.ErrReported
 				}
 				return nil
 			}},
 		endpoints.Command(),
-		cluster.Command(),
+		cluster.MembersCommand(),
 		cluster.OverloadCommand(),
 		coapclient.Command(),
 		{Name: "version", Help: "Print the build", Run: func(_ []string, out io.Writer) error { return version(out) }},
-	}, About: []string{
+	}, Footer: []string{
 		"",
 		"Signals while it serves: SIGTERM or SIGINT drains and ends it (further ones change nothing), SIGHUP reads its files again,",
 		"SIGUSR1 writes the counters to the log.",
--- a/cmd/tackhub/upgrade_test.go
+++ b/cmd/tackhub/upgrade_test.go
@@ -224,7 +224,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := upgradable(t, s)
-			path := handover.Path(u.dir, u.old.addr)
+			path := handover.SocketPath(u.dir, u.old.addr)
 			eventually(t, "the meeting place", func() bool { _, err := os.Stat(path); return err == nil })
 			act(t, u, path)
 			p, door := u.next()
@@ -256,7 +256,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := upgradable(t, s)
-			eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.Path(u.dir, u.old.addr)); return err == nil })
+			eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.old.addr)); return err == nil })
 			other := u.setup(freeAddress(t))
 			change(&other)
 			p := launch(t, u.old.addr, other)
@@ -311,7 +311,7 @@
 // TestAddressOfOneKilledIsNotShared: what a killed process left in $TMPDIR says nothing of who listens there now.
 func TestAddressOfOneKilledIsNotShared(t *testing.T) {
 	u := upgradable(t, startServer(t, "s1", say(200, "done")))
-	eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.Path(u.dir, u.old.addr)); return err == nil })
+	eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.old.addr)); return err == nil })
 	_ = u.old.cmd.Process.Kill()
 	<-u.old.done
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -15,17 +15,17 @@
 
 const (
 	// Small is the most that is held in memory whole, in bytes: the protocol's bound for ordinary bodies.
-	Small = 64 << 10
+	MaxInMemory = 64 << 10
 
 	// Most is the largest body there may be, in bytes.
-	Most = 32 << 20
+	MaxSize = 32 << 20
 
 	// Piece is what is read and written at a time, in bytes. Larger ones hardly cost less CPU.
-	Piece = 32 << 10
+	BufferSize = 32 << 10
 
 	// Longest is how long the largest body may take at the least rate at which a client may send, 64 kB a second, and half
 	// as long again.
-	Longest = Most / 64_000 * 3 / 2 * time.Second
+	MaxTransferTime = MaxSize / 64_000 * 3 / 2 * time.Second
 
 	// waitMost is how long a body waits for room. Its sender is held up meanwhile; beyond it a request is better off
 	// elsewhere, and an answer held back for 2 s is lost.
@@ -37,10 +37,10 @@
 	ErrTooLarge = errors.New("body too large")
 
 	// ErrNoRoom says that no room came free in time.
-	ErrNoRoom = errors.New("no room for another large body")
+	ErrNoCapacity = errors.New("no room for another large body")
 
 	// ErrKeep says that the body could not be written to its file.
-	ErrKeep = errors.New("body cannot be kept")
+	ErrStorage = errors.New("body cannot be kept")
 )
 
 // Store is the room for large bodies.
@@ -55,15 +55,15 @@
 // New makes a store. Files go to dir; where it is empty there are none, and no large requests.
 func New(dir string, files, buffers int, count *counters.Bodies) *Store {
 	return &Store{dir: dir, files: make(chan struct{}, files), buffers: make(chan struct{}, buffers), count: count,
-		pool: sync.Pool{New: func() any { return new([Piece]byte) }}}
+		pool: sync.Pool{New: func() any { return new([BufferSize]byte) }}}
 }
 
 // Limit is the largest request that there is room for at all, in bytes.
-func (s *Store) Limit() int {
+func (s *Store) MaxRequestSize() int {
 	if s.dir == "" {
-		return Small
+		return MaxInMemory
 	}
-	return Most
+	return MaxSize
 }
 
 // take waits for one of a stock.
@@ -86,16 +86,16 @@
 }
 
 // Buffer is a piece's room, until it is given back.
-func (s *Store) Buffer() (*[Piece]byte, error) {
+func (s *Store) AcquireBuffer() (*[BufferSize]byte, error) {
 	if !s.take(s.buffers) {
-		return nil, ErrNoRoom
+		return nil, ErrNoCapacity
 	}
 	s.count.Buffers.Inc()
-	return s.pool.Get().(*[Piece]byte), nil
+	return s.pool.Get().(*[BufferSize]byte), nil
 }
 
 // Return gives a buffer back.
-func (s *Store) Return(b *[Piece]byte) {
+func (s *Store) ReleaseBuffer(b *[BufferSize]byte) {
 	s.pool.Put(b)
 	s.count.Buffers.Add(-1)
 	<-s.buffers
@@ -117,12 +117,12 @@
 }
 
 // Begin makes room for a body of so many bytes, -1 where that is not known.
-func (s *Store) Begin(size int64) (*File, error) {
-	if s.dir == "" || size > Most {
+func (s *Store) Create(size int64) (*File, error) {
+	if s.dir == "" || size > MaxSize {
 		return nil, ErrTooLarge
 	}
 	if !s.take(s.files) {
-		return nil, ErrNoRoom
+		return nil, ErrNoCapacity
 	}
 	f := &File{store: s, want: size, more: make(chan struct{})}
 	f.users.Store(1)
@@ -133,7 +133,7 @@
 	}
 	if err != nil {
 		f.Release()
-		return nil, errors.Join(ErrKeep, err)
+		return nil, errors.Join(ErrStorage, err)
 	}
 	return f, nil
 }
@@ -142,12 +142,12 @@
 // called before anyone who follows the body can know of that. A body that cannot be read or kept will not become whole,
 // which whoever follows it hears too. Both functions may be nil.
 func (f *File) Fill(from io.Reader, pause func(got int64) bool, ended func()) (whole bool, err error) {
-	b, err := f.store.Buffer()
+	b, err := f.store.AcquireBuffer()
 	if err != nil {
 		f.end(err)
 		return false, err
 	}
-	defer f.store.Return(b)
+	defer f.store.ReleaseBuffer(b)
 	for {
 		n, err := from.Read(b[:])
 		if werr := f.add(b[:n]); werr != nil {
@@ -184,13 +184,13 @@
 }
 
 // Stop ends a body that will not become whole; one that is stays as it is.
-func (f *File) Stop() { f.end(io.ErrUnexpectedEOF) }
+func (f *File) Abort() { f.end(io.ErrUnexpectedEOF) }
 
 func (f *File) add(p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
-	if f.size+int64(len(p)) > Most {
+	if f.size+int64(len(p)) > MaxSize {
 		return ErrTooLarge
 	}
 	n, err := f.file.Write(p)
@@ -201,7 +201,7 @@
 	f.more = make(chan struct{})
 	f.mu.Unlock()
 	if err != nil {
-		return errors.Join(ErrKeep, err)
+		return errors.Join(ErrStorage, err)
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 }
 
 // Whole tells whether all of it has come.
-func (f *File) Whole() bool {
+func (f *File) Complete() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.over && f.err == nil
@@ -256,31 +256,31 @@
 // Pieces gives the body piece by piece as it comes; last tells that the one given is the last, which it can only be once the
 // whole body is there. The piece is valid during the call.
 func (f *File) ForEachChunk(each func(piece []byte, last bool) error) error {
-	b, err := f.store.Buffer()
+	b, err := f.store.AcquireBuffer()
 	if err != nil {
 		return err
 	}
-	defer f.store.Return(b)
+	defer f.store.ReleaseBuffer(b)
 	for at := int64(0); ; {
 		size, over, err := f.await(at)
 		if err != nil {
-			return errors.Join(ErrKeep, err)
+			return errors.Join(ErrStorage, err)
 		}
 		if !over && size == f.want {
 			size-- // its end may yet not come: the last byte waits for it
 		}
-		n := min(int64(Piece), size-at)
+		n := min(int64(BufferSize), size-at)
 		if n == 0 && over {
 			return nil
 		}
 		if n == 0 {
 			if _, _, err := f.await(f.want); err != nil {
-				return errors.Join(ErrKeep, err)
+				return errors.Join(ErrStorage, err)
 			}
 			continue
 		}
 		if _, err := f.file.ReadAt(b[:n], at); err != nil {
-			return errors.Join(ErrKeep, err)
+			return errors.Join(ErrStorage, err)
 		}
 		at += n
 		if err := each(b[:n], over && at == size); err != nil {
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -15,7 +15,7 @@
 // last byte can go on.
 func TestFullDisk(t *testing.T) {
 	count := &counters.Bodies{}
-	f, err := New(t.TempDir(), 1, 2, count).Begin(Piece * 2)
+	f, err := New(t.TempDir(), 1, 2, count).Create(BufferSize * 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +34,11 @@
 			return nil
 		})
 	}()
-	whole, err := f.Fill(strings.NewReader(strings.Repeat("x", Piece*2)), nil, nil)
-	if whole || !errors.Is(err, ErrKeep) || !errors.Is(err, syscall.ENOSPC) {
+	whole, err := f.Fill(strings.NewReader(strings.Repeat("x", BufferSize*2)), nil, nil)
+	if whole || !errors.Is(err, ErrStorage) || !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("whole %v, %v", whole, err)
 	}
-	if err := <-followed; !errors.Is(err, ErrKeep) {
+	if err := <-followed; !errors.Is(err, ErrStorage) {
 		t.Errorf("who follows it heard %v", err)
 	}
 	f.Release()
@@ -49,7 +49,7 @@
 
 // TestReadFails has reading a kept body back fail: nothing passes for its end.
 func TestReadFails(t *testing.T) {
-	f, err := New(t.TempDir(), 1, 2, &counters.Bodies{}).Begin(10)
+	f, err := New(t.TempDir(), 1, 2, &counters.Bodies{}).Create(10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 		t.Fatal(whole, err)
 	}
 	_ = f.file.Close()
-	if err := f.ForEachChunk(func([]byte, bool) error { return nil }); !errors.Is(err, ErrKeep) {
+	if err := f.ForEachChunk(func([]byte, bool) error { return nil }); !errors.Is(err, ErrStorage) {
 		t.Errorf("%v, want that it cannot be kept", err)
 	}
 }
@@ -66,7 +66,7 @@
 	count := &counters.Bodies{}
 	s := New(filepath.Join(t.TempDir(), "gone"), 1, 1, count)
 	for range 3 { // a place that is not given back would show as no room
-		if _, err := s.Begin(100 << 10); !errors.Is(err, ErrKeep) {
+		if _, err := s.Create(100 << 10); !errors.Is(err, ErrStorage) {
 			t.Errorf("%v, want that it cannot be kept", err)
 		}
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -13,11 +13,11 @@
 
 // Command is one subcommand.
 type Command struct {
-	Name  string
-	Args  string    // what follows the flags, for the usage line
-	Help  string    // one line
-	Sub   []Command // commands below it; then it has neither flags nor a Run of its own
-	Flags func(*flag.FlagSet)
+	Name        string
+	ArgsUsage   string    // what follows the flags, for the usage line
+	Help        string    // one line
+	Subcommands []Command // commands below it; then it has neither flags nor a Run of its own
+	Flags       func(*flag.FlagSet)
 	// Run does the work; ErrFaults says that what was wrong has been printed.
 	Run func(args []string, out io.Writer) error
 }
@@ -25,13 +25,13 @@
 // Program is the whole command line.
 type Program struct {
 	Name     string
-	About    []string // lines below the commands
+	Footer   []string // lines below the commands
 	Commands []Command
 	Default  string // the command where the first argument is none
 }
 
 // ErrFaults ends a command whose output already says what is wrong.
-var ErrFaults = errors.New("faults were found")
+var ErrReported = errors.New("faults were found")
 
 // The exit codes.
 const (
@@ -51,8 +51,8 @@
 		return ExitOK
 	}
 	for _, c := range p.Commands {
-		if c.Name == name && c.Sub != nil {
-			return Program{Name: p.Name + " " + c.Name, About: []string{c.Help}, Commands: c.Sub}.Run(rest, out, errs)
+		if c.Name == name && c.Subcommands != nil {
+			return Program{Name: p.Name + " " + c.Name, Footer: []string{c.Help}, Commands: c.Subcommands}.Run(rest, out, errs)
 		}
 		if c.Name == name {
 			return p.run(c, rest, out, errs)
@@ -79,14 +79,14 @@
 	case err != nil:
 		_, _ = fmt.Fprintf(errs, "%s %s: %v; see %s %s --help\n", p.Name, c.Name, err, p.Name, c.Name)
 		return ExitUsage
-	case flags.NArg() > 0 && c.Args == "":
+	case flags.NArg() > 0 && c.ArgsUsage == "":
 		_, _ = fmt.Fprintf(errs, "%s %s: %q is too much; see %s %s --help\n", p.Name, c.Name, flags.Arg(0), p.Name, c.Name)
 		return ExitUsage
 	}
 	switch err := c.Run(flags.Args(), out); {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, ErrFaults):
+	case errors.Is(err, ErrReported):
 		return ExitFailed
 	default:
 		_, _ = fmt.Fprintf(errs, "%s: %v\n", p.Name, err)
@@ -105,14 +105,14 @@
 		_, _ = fmt.Fprintf(out, "  %-12s %s%s\n", c.Name, c.Help, note)
 	}
 	_, _ = fmt.Fprintf(out, "\n%s COMMAND --help tells a command's flags.\n", p.Name)
-	for _, line := range p.About {
+	for _, line := range p.Footer {
 		_, _ = fmt.Fprintln(out, line)
 	}
 }
 
 // help prints one command.
 func (p Program) help(out io.Writer, c Command, flags *flag.FlagSet) {
-	_, _ = fmt.Fprintf(out, "Usage: %s\n\n%s\n", strings.Join(strings.Fields(p.Name+" "+c.Name+" [FLAGS] "+c.Args), " "), c.Help)
+	_, _ = fmt.Fprintf(out, "Usage: %s\n\n%s\n", strings.Join(strings.Fields(p.Name+" "+c.Name+" [FLAGS] "+c.ArgsUsage), " "), c.Help)
 	first := true
 	flags.VisitAll(func(f *flag.Flag) {
 		if first {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -11,18 +11,18 @@
 
 func program(ran *string) Program {
 	file := ""
-	return Program{Name: "prog", Default: "serve", About: []string{"More."}, Commands: []Command{
+	return Program{Name: "prog", Default: "serve", Footer: []string{"More."}, Commands: []Command{
 		{Name: "serve", Help: "Serve.", Flags: func(f *flag.FlagSet) { f.StringVar(&file, "edge", "", "the `FILE`") },
 			Run: func([]string, io.Writer) error { *ran = "serve " + file; return nil }},
 		{Name: "check", Help: "Check.", Run: func(_ []string, out io.Writer) error {
 			_, _ = fmt.Fprintln(out, "bad line")
-			return ErrFaults
+			return ErrReported
 		}},
-		{Name: "list", Help: "Lists.", Sub: []Command{{Name: "lint", Args: "FILE…", Help: "Lint.", Run: func(args []string, _ io.Writer) error {
+		{Name: "list", Help: "Lists.", Subcommands: []Command{{Name: "lint", ArgsUsage: "FILE…", Help: "Lint.", Run: func(args []string, _ io.Writer) error {
 			*ran = "lint " + strings.Join(args, "+")
 			return nil
 		}}}},
-		{Name: "show", Args: "ID…", Help: "Show.", Run: func(args []string, _ io.Writer) error {
+		{Name: "show", ArgsUsage: "ID…", Help: "Show.", Run: func(args []string, _ io.Writer) error {
 			*ran = "show " + strings.Join(args, "+")
 			return errors.New("no such thing")
 		}},
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -26,20 +26,20 @@
 	Name() string
 	Clock() clock.Clock
 	// Inform tells the module what concerns the fleet as one; with heeded it returns once that is in force.
-	Inform(event balancer.Event, heeded bool)
+	ApplyEvent(event balancer.Event, heeded bool)
 	Classes() []balancer.Class
 	// TookOver tells whether another process of this node ran when this one started, Succeeded whether one takes over now.
 	TookOver() bool
 	Succeeded() bool
 	// Carry has the module's messages to other nodes go over the link, and with nil no longer; Hear takes theirs.
-	Carry(Teller)
+	SetBroadcaster(Broadcaster)
 	ReceiveGossip(balancer.GossipReceived)
 	Number() int
 	Counters() *counters.Counters
 }
 
 // Teller passes the module's messages on. It does not wait.
-type Teller interface{ Broadcast(body []byte) }
+type Broadcaster interface{ Broadcast(body []byte) }
 
 const (
 	// ticksEach period the core is called: its own sign of a standstill is a gap of one and a half periods.
@@ -102,7 +102,7 @@
 	reply chan membership.Message // of a full state that came by a stream; nil else
 }
 
-func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Instance) (subsystem.Instance, error) {
 	o := *options.(*Options)
 	node, ok := host.Node.(Node)
 	if !ok {
@@ -119,14 +119,14 @@
 	if !goodName(l.name) {
 		return nil, fmt.Errorf("name: the node's own, %q, is none for a member; set one", l.name)
 	}
-	for name, a := range o.Addresses {
+	for name, a := range o.AddressOverrides {
 		l.to[name] = netip.MustParseAddrPort(a) // checked
 	}
-	for _, n := range o.Accept {
+	for _, n := range o.AcceptNetworks {
 		l.accept = append(l.accept, netip.MustParsePrefix(n))
 	}
 	address := o.address()
-	if at, in := o.Shares[l.name]; len(o.Shares) > 0 && (!in || at != address) {
+	if at, in := o.QuotaMembers[l.name]; len(o.QuotaMembers) > 0 && (!in || at != address) {
 		return nil, fmt.Errorf("shares: this member is %s at %s, which is not among them", l.name, address)
 	}
 	if err := l.open(); err != nil && !(node.TookOver() && errors.Is(err, syscall.EADDRINUSE)) {
@@ -142,9 +142,9 @@
 	o := l.o
 	l.base = time.Now()
 	start := uint64(l.base.UnixMicro()) // a later process has a higher one, unless the clock was set back: then it is told
-	l.core = membership.New(membership.Options{Name: l.name, Address: address, Cluster: uint32(xxhash.Sum64String(o.Cluster)), Start: start,
-		Seed: xxhash.Sum64String(l.name), Period: o.Period.Std(), Timeout: o.Timeout.Std(), Suspicion: o.Suspicion.Std(), Most: o.Members,
-		Seeds: o.Seeds}, l.now())
+	l.core = membership.New(membership.Options{Name: l.name, Address: address, ClusterHash: uint32(xxhash.Sum64String(o.Cluster)), Generation: start,
+		RandSeed: xxhash.Sum64String(l.name), ProbeInterval: o.ProbeInterval.Std(), ProbeTimeout: o.ProbeTimeout.Std(), SuspicionTimeout: o.SuspicionTimeout.Std(), MaxMembers: o.MaxMembers,
+		SeedAddresses: o.Seeds}, l.now())
 	l.load = loadOf(l)
 }
 
@@ -245,9 +245,9 @@
 // run owns the core.
 func (l *link) run(ctx context.Context) {
 	defer func() { _ = l.udp.Close() }()
-	l.node.Carry(l)
-	defer l.node.Carry(nil)
-	tick := time.NewTicker(l.o.Period.Std() / ticksEach)
+	l.node.SetBroadcaster(l)
+	defer l.node.SetBroadcaster(nil)
+	tick := time.NewTicker(l.o.ProbeInterval.Std() / ticksEach)
 	defer tick.Stop()
 	for {
 		select {
@@ -260,7 +260,7 @@
 		case ask := <-l.asks:
 			ask()
 		case body := <-l.words:
-			l.core.Everyone(membership.Message{Kind: membership.Word, Node: uint32(l.node.Number()), Body: body})
+			l.core.SendToAll(membership.Message{Kind: membership.Broadcast, Node: uint32(l.node.Number()), Body: body})
 		case <-ctx.Done():
 			if l.node.Succeeded() {
 				return // the member stays: the next process is it
@@ -280,7 +280,7 @@
 // hear hands one message to the core. The answer to a full state goes back on its stream and nowhere else.
 func (l *link) hear(in inbound) {
 	l.core.Receive(l.now(), in.m)
-	if in.m.Kind == membership.Word && len(in.m.Body) <= balancer.MaxGossipBytes {
+	if in.m.Kind == membership.Broadcast && len(in.m.Body) <= balancer.MaxGossipBytes {
 		l.node.ReceiveGossip(balancer.GossipReceived{From: int(in.m.Node), Body: in.m.Body})
 	}
 	l.fleet.hear(in.m)
@@ -288,10 +288,10 @@
 	if in.reply == nil {
 		return
 	}
-	out, notes := l.core.Take()
+	out, notes := l.core.TakeOutput()
 	l.tell(notes)
 	for _, s := range out {
-		if s.Stream && s.Message.Kind == membership.FullReply {
+		if s.Stream && s.Message.Kind == membership.SyncReply {
 			select {
 			case in.reply <- s.Message:
 			default: // there is one answer to one message
@@ -303,8 +303,8 @@
 }
 
 // carry does what the core wants done.
-func (l *link) carry() []membership.Send {
-	out, notes := l.core.Take()
+func (l *link) carry() []membership.OutgoingMessage {
+	out, notes := l.core.TakeOutput()
 	l.tell(notes)
 	for _, s := range out {
 		l.dispatch(s)
@@ -312,7 +312,7 @@
 	return out
 }
 
-func (l *link) dispatch(s membership.Send) {
+func (l *link) dispatch(s membership.OutgoingMessage) {
 	if s.Stream {
 		l.stream(s)
 		return
@@ -323,14 +323,14 @@
 // warnings are the notes that somebody should look at.
 var warnings = []string{"condition", "standstill", "outdated", "full"}
 
-func (l *link) tell(notes []membership.Note) {
+func (l *link) tell(notes []membership.Event) {
 	for _, n := range notes {
 		args := append([]any{"code", "cluster_" + n.Code}, n.Args...)
 		if n.Code == "view" {
 			l.count.Views.Inc()
 			l.count.Members.Set(int64(len(l.core.View().Members)))
 		}
-		if slices.Contains(warnings, n.Code) && (n.Code != "condition" || l.core.Condition().CutOff()) {
+		if slices.Contains(warnings, n.Code) && (n.Code != "condition" || l.core.Connectivity().Isolated()) {
 			l.log.Warn(n.Text, args...)
 			continue
 		}
@@ -356,7 +356,7 @@
 }
 
 // address is where a message goes.
-func (l *link) address(s membership.Send) (netip.AddrPort, bool) {
+func (l *link) address(s membership.OutgoingMessage) (netip.AddrPort, bool) {
 	if a, ok := l.to[s.To]; ok && s.To != "" {
 		return a, true
 	}
@@ -364,7 +364,7 @@
 	return a, err == nil && a.Port() != 0
 }
 
-func (l *link) write(s membership.Send) {
+func (l *link) write(s membership.OutgoingMessage) {
 	to, ok := l.address(s)
 	if !ok {
 		l.drop("address")
@@ -403,7 +403,7 @@
 		if now := l.now(); now-second >= time.Second {
 			second, taken = now, 0
 		}
-		if taken++; taken > l.o.Rate {
+		if taken++; taken > l.o.MaxMessageRate {
 			l.drop("rate")
 			continue
 		}
@@ -413,7 +413,7 @@
 		}
 		l.count.TakenBytes.Add(int64(n))
 		if m := l.parse(buffer[:n], from.Addr()); m != nil {
-			if m.Kind == membership.Full || m.Kind == membership.FullReply || m.Kind == membership.Lifeline {
+			if m.Kind == membership.SyncRequest || m.Kind == membership.SyncReply || m.Kind == membership.LivenessStream {
 				l.drop("not_on_a_stream")
 				continue
 			}
@@ -430,11 +430,11 @@
 		l.drop("network")
 	case err != nil || len(rest) > 0:
 		l.drop("malformed")
-	case m.Cluster != uint32(xxhash.Sum64String(l.o.Cluster)):
+	case m.ClusterHash != uint32(xxhash.Sum64String(l.o.Cluster)):
 		l.drop("other_cluster")
-	case m.Least > membership.WireVersion:
+	case m.MinVersion > membership.WireVersion:
 		l.drop("version")
-	case m.Kind < membership.Ping || m.Kind > membership.Loads:
+	case m.Kind < membership.Ping || m.Kind > membership.LoadReports:
 		l.drop("kind")
 	case !goodName(m.From) || !sound(m):
 		l.drop("malformed")
@@ -447,12 +447,12 @@
 
 // sound tells whether the texts of a message are such as a member would send.
 func sound(m *membership.Message) bool {
-	for _, i := range m.News {
-		if !goodName(i.Name) || i.By != "" && !goodName(i.By) || !addressForm(i.Address) {
+	for _, i := range m.Updates {
+		if !goodName(i.Name) || i.Reporter != "" && !goodName(i.Reporter) || !addressForm(i.Address) {
 			return false
 		}
 	}
-	for _, i := range m.Loads {
+	for _, i := range m.LoadReports {
 		if !goodName(i.Name) {
 			return false
 		}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -19,7 +19,7 @@
 	l := &link{o: Options{Cluster: "c"}, log: slog.New(slog.DiscardHandler), count: &counters.Cluster{},
 		accept: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}
 	inside, outside := netip.MustParseAddr("10.1.2.3"), netip.MustParseAddr("192.0.2.1")
-	good := membership.Message{Kind: membership.Ping, Version: 1, Cluster: uint32(xxhash.Sum64String("c")), From: "n1", Start: 1, Address: "10.1.2.3:1"}
+	good := membership.Message{Kind: membership.Ping, Version: 1, ClusterHash: uint32(xxhash.Sum64String("c")), From: "n1", Generation: 1, Address: "10.1.2.3:1"}
 	with := func(change func(*membership.Message)) membership.Message {
 		m := good
 		change(&m)
@@ -32,13 +32,13 @@
 	}{
 		{"", inside, good},
 		{"network", outside, good},
-		{"other_cluster", inside, with(func(m *membership.Message) { m.Cluster++ })},
-		{"version", inside, with(func(m *membership.Message) { m.Least = membership.WireVersion + 1 })},
+		{"other_cluster", inside, with(func(m *membership.Message) { m.ClusterHash++ })},
+		{"version", inside, with(func(m *membership.Message) { m.MinVersion = membership.WireVersion + 1 })},
 		{"kind", inside, with(func(m *membership.Message) { m.Kind = 200 })},
 		{"malformed", inside, with(func(m *membership.Message) { m.From = "../n1" })},
 		{"malformed", inside, with(func(m *membership.Message) { m.Address = "here" })},
-		{"malformed", inside, with(func(m *membership.Message) { m.News = []membership.Item{{Name: "a b", State: membership.Alive}} })},
-		{"malformed", inside, with(func(m *membership.Message) { m.Loads = []membership.LoadItem{{Name: ""}} })},
+		{"malformed", inside, with(func(m *membership.Message) { m.Updates = []membership.Update{{Name: "a b", State: membership.Alive}} })},
+		{"malformed", inside, with(func(m *membership.Message) { m.LoadReports = []membership.LoadReport{{Name: ""}} })},
 	} {
 		raw, err := c.m.MarshalMsg(nil)
 		if err != nil {
@@ -66,9 +66,9 @@
 		t.Error("half a state was read")
 	}
 	var b bytes.Buffer
-	big := membership.Message{News: make([]membership.Item, 2000)}
-	for i := range big.News {
-		big.News[i] = membership.Item{Name: string(make([]byte, 200))}
+	big := membership.Message{Updates: make([]membership.Update, 2000)}
+	for i := range big.Updates {
+		big.Updates[i] = membership.Update{Name: string(make([]byte, 200))}
 	}
 	if _, err := writeState(&b, big); !errors.Is(err, errTooLong) || b.Len() > 0 {
 		t.Errorf("wrote %d bytes, %v", b.Len(), err)
--- a/internal/cluster/command.go
+++ b/internal/cluster/command.go
@@ -21,7 +21,7 @@
 const watchEvery = 500 * time.Millisecond
 
 // Command is tackhub members.
-func Command() cli.Command {
+func MembersCommand() cli.Command {
 	var name string
 	var asJSON, watch bool
 	return cli.Command{Name: "members", Help: "Show what a running node holds of its cluster, over its local socket in $TMPDIR",
@@ -53,31 +53,31 @@
 			if err != nil {
 				return err
 			}
-			status, _, err := Ask(path)
+			status, _, err := QueryStatus(path)
 			switch {
 			case err != nil:
 				return err
-			case status.Load == nil:
+			case status.Overload == nil:
 				return errors.New("overload is off in [cluster]")
 			case asJSON:
-				return json.NewEncoder(out).Encode(status.Load)
+				return json.NewEncoder(out).Encode(status.Overload)
 			}
-			_, err = io.WriteString(out, loadTable(status.Load))
+			_, err = io.WriteString(out, loadTable(status.Overload))
 			return err
 		}}
 }
 
-func loadTable(s *LoadStatus) string {
+func loadTable(s *OverloadStatus) string {
 	var b strings.Builder
 	if s.Active {
-		fmt.Fprintf(&b, "more work than the servers can do, for %s: %.0f requests a second are let in\n", ago(s.For), s.Limit)
+		fmt.Fprintf(&b, "more work than the servers can do, for %s: %.0f requests a second are let in\n", ago(s.Duration), s.Limit)
 	} else {
 		b.WriteString("the servers can do what is asked for\n")
 	}
-	fmt.Fprintf(&b, "by the figures of %d members, %.0f%% of the view\n%-20s %10s %10s %8s\n", s.Members, 100*s.Cover, "class", "asked /s", "done /s", "let in")
-	fmt.Fprintf(&b, "%.0f%% of all attempts fail; %.0f%% of the budget for further ones is free\n", 100*s.Failing, 100*s.Retries)
-	for _, c := range slices.Sorted(maps.Keys(s.Asked)) {
-		fmt.Fprintf(&b, "%-20s %10.0f %10.0f %7.0f%%\n", c, s.Asked[c], s.Done[c], 100*s.Admit[c])
+	fmt.Fprintf(&b, "by the figures of %d members, %.0f%% of the view\n%-20s %10s %10s %8s\n", s.Members, 100*s.Coverage, "class", "asked /s", "done /s", "let in")
+	fmt.Fprintf(&b, "%.0f%% of all attempts fail; %.0f%% of the budget for further ones is free\n", 100*s.FailureRatio, 100*s.RetryBudget)
+	for _, c := range slices.Sorted(maps.Keys(s.Requested)) {
+		fmt.Fprintf(&b, "%-20s %10.0f %10.0f %7.0f%%\n", c, s.Requested[c], s.Accepted[c], 100*s.Admit[c])
 	}
 	return b.String()
 }
@@ -106,7 +106,7 @@
 func show(out io.Writer, path string, asJSON, watch bool) error {
 	last := ""
 	for {
-		status, raw, err := Ask(path)
+		status, raw, err := QueryStatus(path)
 		if err != nil {
 			return err
 		}
@@ -130,9 +130,9 @@
 // essence is what --watch waits for a change of: no ages.
 func essence(s Status) string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.View.Number, s.Condition, s.State)
+	fmt.Fprint(&b, s.View.Number, s.Connectivity, s.State)
 	for _, m := range s.Members {
-		fmt.Fprint(&b, m.Name, m.Start, m.State, m.Link, m.Self)
+		fmt.Fprint(&b, m.Name, m.Generation, m.State, m.Link, m.OwnConnectivity)
 	}
 	return b.String()
 }
@@ -140,24 +140,24 @@
 // table is the status for people.
 func table(s Status) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %s, %s, distrust of own verdicts %d of 4, incarnation %d\n", s.Name, s.State, s.Condition, s.Health, s.Inc)
+	fmt.Fprintf(&b, "%s: %s, %s, distrust of own verdicts %d of 4, incarnation %d\n", s.Name, s.State, s.Connectivity, s.LocalHealth, s.Incarnation)
 	fmt.Fprintf(&b, "view %d, %d members: %s\n", s.View.Number, len(s.View.Members), strings.Join(s.View.Members, " "))
 	fmt.Fprintf(&b, "%-16s %-12s %8s %-8s %8s %9s  %s\n", "member", "state", "for", "link", "heard", "answered", "evidence")
 	for _, m := range s.Members {
-		fmt.Fprintf(&b, "%-16s %-12s %8s %-8s %8s %9s  %s\n", m.Name, m.State, ago(m.For), m.Link, ago(m.Heard), ago(m.Reached), evidence(m))
+		fmt.Fprintf(&b, "%-16s %-12s %8s %-8s %8s %9s  %s\n", m.Name, m.State, ago(m.StateAge), m.Link, ago(m.SinceReceived), ago(m.SinceAcked), evidence(m))
 	}
-	if h := s.Shares; h != nil {
-		fmt.Fprintf(&b, "share %.4f of the whole, %.4f would be even; own units: %d leased, %d sole", h.Share, 1/float64(max(1, h.Whole)), h.Leased, h.Sole)
-		if len(h.Lapsed) > 0 {
-			fmt.Fprintf(&b, "; lapsed, guarded by %s", strings.Join(h.Lapsed, " "))
+	if h := s.Quota; h != nil {
+		fmt.Fprintf(&b, "share %.4f of the whole, %.4f would be even; own units: %d leased, %d sole", h.Fraction, 1/float64(max(1, h.Members)), h.UnitsLeased, h.UnitsSole)
+		if len(h.LapsedLessors) > 0 {
+			fmt.Fprintf(&b, "; lapsed, guarded by %s", strings.Join(h.LapsedLessors, " "))
 		}
-		if len(h.Inherited) > 0 {
-			fmt.Fprintf(&b, "; inherited from %s", strings.Join(h.Inherited, " "))
+		if len(h.InheritedFrom) > 0 {
+			fmt.Fprintf(&b, "; inherited from %s", strings.Join(h.InheritedFrom, " "))
 		}
 		b.WriteByte('\n')
 	}
-	if s.Refused > 0 {
-		fmt.Fprintf(&b, "%d times a member was not taken in for want of room\n", s.Refused)
+	if s.RejectedMembers > 0 {
+		fmt.Fprintf(&b, "%d times a member was not taken in for want of room\n", s.RejectedMembers)
 	}
 	return b.String()
 }
@@ -174,18 +174,18 @@
 		}
 		out = append(out, what+" "+strings.Join(who, ", "))
 	}
-	say("missed by", m.Accusers)
-	say("heard by", m.Witnesses)
-	if m.Self.CutOff() {
-		out = append(out, "says of itself: "+m.Self.String())
+	say("missed by", m.SuspectedBy)
+	say("heard by", m.HeardBy)
+	if m.OwnConnectivity.Isolated() {
+		out = append(out, "says of itself: "+m.OwnConnectivity.String())
 	}
-	if m.Lost > 1 {
-		out = append(out, fmt.Sprintf("lost %d times", m.Lost))
+	if m.LossCount > 1 {
+		out = append(out, fmt.Sprintf("lost %d times", m.LossCount))
 	}
-	if m.Damped > 0 {
-		out = append(out, "kept out for "+ago(m.Damped)+" more")
+	if m.DampedFor > 0 {
+		out = append(out, "kept out for "+ago(m.DampedFor)+" more")
 	}
-	if m.Former > 0 {
+	if m.PreviousGeneration > 0 {
 		out = append(out, "another process before it")
 	}
 	return strings.Join(out, "; ")
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -30,10 +30,10 @@
 // fleet is the link's part in shares of what the whole fleet may use; nil where they are off.
 type fleet struct {
 	l      *link
-	s      *quota.Shares // nil until this process has joined: its number may change until then
-	told   quota.Share
-	wrote  bool   // told holds what the module has
-	past   []Told // for whoever asks
+	s      *quota.Allocator // nil until this process has joined: its number may change until then
+	told   quota.Allocation
+	wrote  bool               // told holds what the module has
+	past   []AllocationRecord // for whoever asks
 	sum    uint32
 	people []string // partners
 
@@ -44,10 +44,10 @@
 // fleetOf makes the part; nil where shares are not configured. From the first moment the module has nothing: what it had
 // evenly others may hold by now.
 func fleetOf(l *link) *fleet {
-	if len(l.o.Shares) == 0 {
+	if len(l.o.QuotaMembers) == 0 {
 		return nil
 	}
-	return &fleet{l: l, sum: quota.Sum(l.o.Shares), lines: map[string]int{}}
+	return &fleet{l: l, sum: quota.MembersHash(l.o.QuotaMembers), lines: map[string]int{}}
 }
 
 // begin has the module start from nothing.
@@ -55,8 +55,8 @@
 	if f == nil {
 		return
 	}
-	f.l.node.Inform(balancer.FleetQuota{}, true)
-	f.people = quota.New(quota.Options{Name: f.l.name, All: f.l.o.Shares}, 0).Partners()
+	f.l.node.ApplyEvent(balancer.FleetQuota{}, true)
+	f.people = quota.New(quota.Options{Name: f.l.name, Members: f.l.o.QuotaMembers}, 0).Peers()
 	for _, name := range f.people {
 		f.l.ending.Go(func() { f.lifeline(ctx, name) })
 	}
@@ -65,7 +65,7 @@
 // end gives everything back before anybody can see that this process ends.
 func (f *fleet) end() {
 	if f != nil {
-		f.l.node.Inform(balancer.FleetQuota{}, true)
+		f.l.node.ApplyEvent(balancer.FleetQuota{}, true)
 	}
 }
 
@@ -75,16 +75,16 @@
 		return
 	}
 	now := f.l.now()
-	f.s.Seen(now, m.From, m.Start, m.Address)
+	f.s.MemberSeen(now, m.From, m.Generation, m.Address)
 	switch m.Kind {
-	case membership.Renew:
-		if m.Sum != f.sum {
+	case membership.RenewLease:
+		if m.MembersHash != f.sum {
 			f.l.drop("shares_differ")
 			return
 		}
-		f.s.Renewed(now, m.From, m.Start, m.Address, m.For, m.Seq, m.Sum)
-	case membership.Grant:
-		f.s.Granted(m.From, m.Start, m.For, m.Seq)
+		f.s.HandleRenew(now, m.From, m.Generation, m.Address, m.ForGeneration, m.Seq, m.MembersHash)
+	case membership.GrantLease:
+		f.s.HandleGrant(m.From, m.Generation, m.ForGeneration, m.Seq)
 	}
 	f.carry()
 }
@@ -99,15 +99,15 @@
 		if core.State() != membership.Alive {
 			return
 		}
-		f.s = quota.New(quota.Options{Name: f.l.name, All: f.l.o.Shares, Start: core.Start(), Lease: f.l.o.Lease.Std()}, f.l.now())
+		f.s = quota.New(quota.Options{Name: f.l.name, Members: f.l.o.QuotaMembers, Generation: core.Generation(), LeaseTTL: f.l.o.LeaseTTL.Std()}, f.l.now())
 	}
 	now := f.l.now()
 	for _, name := range f.people {
 		if start, address, ok := core.Process(name); ok {
-			f.s.Seen(now, name, start, address)
+			f.s.MemberSeen(now, name, start, address)
 		}
 	}
-	if core.Condition() != membership.Outdated {
+	if core.Connectivity() != membership.Superseded {
 		f.s.Tick(now)
 	}
 	f.carry()
@@ -116,7 +116,7 @@
 // ended notes that a process has ended.
 func (f *fleet) ended(name string, start uint64) {
 	if f.s != nil {
-		f.s.Ended(name, start)
+		f.s.ProcessEnded(name, start)
 		f.carry()
 	}
 }
@@ -124,39 +124,39 @@
 // carry tells the module its share, and then sends what may be sent only once that is heeded.
 func (f *fleet) carry() {
 	now := f.l.now()
-	share := f.s.Share(now)
-	if f.l.core.Condition() == membership.Outdated { // whoever has the name now has its part
-		share = quota.Share{Until: math.MaxInt64}
+	share := f.s.Allocation(now)
+	if f.l.core.Connectivity() == membership.Superseded { // whoever has the name now has its part
+		share = quota.Allocation{ValidUntil: math.MaxInt64}
 	}
-	out := f.s.Take()
-	less := share.Value < f.told.Value || share.After < f.told.After
-	if !f.wrote || share.Value != f.told.Value || share.After != f.told.After || share.Until > f.told.Until+tellAgain {
+	out := f.s.TakeOutput()
+	less := share.Fraction < f.told.Fraction || share.FractionAfter < f.told.FractionAfter
+	if !f.wrote || share.Fraction != f.told.Fraction || share.FractionAfter != f.told.FractionAfter || share.ValidUntil > f.told.ValidUntil+tellAgain {
 		at := balancer.Millis(math.MaxInt64)
-		if share.Until != math.MaxInt64 {
-			at = f.l.node.Clock().Now() + float64(share.Until-now)/float64(time.Millisecond)
+		if share.ValidUntil != math.MaxInt64 {
+			at = f.l.node.Clock().Now() + float64(share.ValidUntil-now)/float64(time.Millisecond)
 		}
 		// More counts from before it is told, less from when it is heeded.
 		began := time.Now()
 		until := int64(math.MaxInt64)
-		if share.Until != math.MaxInt64 {
-			until = began.Add(share.Until - now).UnixNano()
+		if share.ValidUntil != math.MaxInt64 {
+			until = began.Add(share.ValidUntil - now).UnixNano()
 		}
-		f.l.node.Inform(balancer.FleetQuota{Current: share.Value, Until: at, After: share.After}, less && len(out) > 0)
+		f.l.node.ApplyEvent(balancer.FleetQuota{Current: share.Fraction, Until: at, After: share.FractionAfter}, less && len(out) > 0)
 		if less {
 			began = time.Now()
 		}
-		if f.past = append(f.past, Told{began.UnixNano(), share.Value, until, share.After}); len(f.past) > pastKept {
+		if f.past = append(f.past, AllocationRecord{began.UnixNano(), share.Fraction, until, share.FractionAfter}); len(f.past) > pastKept {
 			f.past = f.past[1:]
 		}
 		f.told, f.wrote = share, true
-		f.l.count.Share.Set(int64(share.Value * 1e6))
+		f.l.count.Share.Set(int64(share.Fraction * 1e6))
 	}
 	for _, o := range out {
-		kind := membership.Renew
+		kind := membership.RenewLease
 		if o.Kind == quota.Grant {
-			kind = membership.Grant
+			kind = membership.GrantLease
 		}
-		f.l.core.Direct(o.To, membership.Message{Kind: kind, For: o.For, Seq: o.Seq, Sum: f.sum})
+		f.l.core.SendToMember(o.To, membership.Message{Kind: kind, ForGeneration: o.ForGeneration, Seq: o.Seq, MembersHash: f.sum})
 	}
 }
 
@@ -164,11 +164,11 @@
 const pastKept = 32
 
 // status is the part's, for whoever asks; nil where shares are off.
-func (f *fleet) status() *Shares {
+func (f *fleet) status() *QuotaStatus {
 	if f == nil {
 		return nil
 	}
-	out := &Shares{Told: slices.Clone(f.past)}
+	out := &QuotaStatus{Allocations: slices.Clone(f.past)}
 	if f.s != nil {
 		out.Status = f.s.Status(f.l.now())
 	}
@@ -198,7 +198,7 @@
 	select {
 	case f.l.asks <- func() {
 		if f.s != nil {
-			hello = f.l.core.Signed(membership.Message{Kind: membership.Lifeline})
+			hello = f.l.core.WithSender(membership.Message{Kind: membership.LivenessStream})
 		}
 		ready <- f.s != nil
 	}:
@@ -208,7 +208,7 @@
 	if !<-ready {
 		return nil, errors.New("not joined yet")
 	}
-	to, ok := f.l.address(membership.Send{To: name, Address: f.l.o.Shares[name]})
+	to, ok := f.l.address(membership.OutgoingMessage{To: name, Address: f.l.o.QuotaMembers[name]})
 	if !ok {
 		return nil, errors.New("no address")
 	}
@@ -228,7 +228,7 @@
 // hold waits for the end of a partner's lifeline. Only the kernel's own word counts: a reset, a time-out or silence may have
 // come from the way.
 func (f *fleet) hold(ctx context.Context, conn net.Conn, m *membership.Message) {
-	if f == nil || !slices.Contains(f.people, m.From) || m.Address != f.l.o.Shares[m.From] {
+	if f == nil || !slices.Contains(f.people, m.From) || m.Address != f.l.o.QuotaMembers[m.From] {
 		f.l.drop("lifeline")
 		return
 	}
@@ -249,7 +249,7 @@
 		return
 	}
 	select {
-	case f.l.asks <- func() { f.ended(m.From, m.Start) }:
+	case f.l.asks <- func() { f.ended(m.From, m.Generation) }:
 	case <-ctx.Done():
 	}
 }
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -24,7 +24,7 @@
 	mu     sync.Mutex
 	events []balancer.Event
 	told   []balancer.GossipReceived
-	teller Teller
+	teller Broadcaster
 }
 
 func (n *fakeNode) Name() string                 { return n.name }
@@ -37,13 +37,13 @@
 func (n *fakeNode) TookOver() bool  { return false }
 func (n *fakeNode) Succeeded() bool { return false }
 
-func (n *fakeNode) Inform(e balancer.Event, _ bool) {
+func (n *fakeNode) ApplyEvent(e balancer.Event, _ bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.events = append(n.events, e)
 }
 
-func (n *fakeNode) Carry(t Teller) {
+func (n *fakeNode) SetBroadcaster(t Broadcaster) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.teller = t
@@ -91,11 +91,11 @@
 		_ = l.Close()
 	}
 	nodes := [2]*fakeNode{{name: "n0", number: 4}, {name: "n1", number: 7}}
-	var links [2]subsystem.Running
+	var links [2]subsystem.Instance
 	for i, n := range nodes {
-		o := Part().Section.New().(*Options)
-		o.Listen, o.Seeds, o.Overload, o.Shares = at[i], []string{at[1-i]}, true, map[string]string{"n0": at[0], "n1": at[1]}
-		o.Lease = operator.Duration(time.Second) // the test need not wait for four
+		o := Subsystem().Section.New().(*Options)
+		o.Listen, o.Seeds, o.Overload, o.QuotaMembers = at[i], []string{at[1-i]}, true, map[string]string{"n0": at[0], "n1": at[1]}
+		o.LeaseTTL = operator.Duration(time.Second) // the test need not wait for four
 		if faults := check(o); len(faults) > 0 {
 			t.Fatal(faults)
 		}
@@ -124,7 +124,7 @@
 		t.Errorf("stopped it has %+v, and carries %v", s, nodes[1].teller)
 	}
 	eventually(t, "the whole for who is left", func() bool { s := nodes[0].share(); return s.Current == 1 && s.After == 1 })
-	if _, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: nodes[0]}, &Options{Listen: at[1], Shares: map[string]string{"n1": at[1], "n2": at[0]}}, nil); err == nil {
+	if _, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: nodes[0]}, &Options{Listen: at[1], QuotaMembers: map[string]string{"n1": at[1], "n2": at[0]}}, nil); err == nil {
 		t.Error("a member that is not among those that share was built")
 	}
 }
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -21,12 +21,12 @@
 // load is the link's part in the overload of the fleet as one; nil where it is off. The core's owner runs it.
 type load struct {
 	l       *link
-	s       *overload.State
+	s       *overload.Controller
 	classes []string
 	each    int // summaries in one message
 	next    time.Duration
 	told    time.Duration
-	cut     overload.Cut
+	cut     overload.Admission
 	since   time.Duration
 }
 
@@ -39,46 +39,46 @@
 	var classes []overload.Class
 	for _, c := range l.node.Classes() {
 		o.classes = append(o.classes, c.Name)
-		classes = append(classes, overload.Class{Name: c.Name, Worth: c.PriorityWeight})
+		classes = append(classes, overload.Class{Name: c.Name, Priority: c.PriorityWeight})
 	}
 	o.each = max(1, loadBytes/(itemBytes+classBytes*len(classes)))
-	o.s = overload.New(overload.Options{Name: l.name, Start: l.core.Start(), Classes: classes})
+	o.s = overload.New(overload.Options{Name: l.name, Generation: l.core.Generation(), Classes: classes})
 	return o
 }
 
 // end ends the cut: nobody would work it out any more.
 func (o *load) end() {
 	if o != nil {
-		o.l.node.Inform(balancer.FleetAdmission{}, false)
+		o.l.node.ApplyEvent(balancer.FleetAdmission{}, false)
 	}
 }
 
 // counts are the node's own since its start.
 func (o *load) counts() overload.Counts {
 	c := o.l.node.Counters()
-	out := overload.Counts{Shed: uint64(c.GivenUp.Get("fleet_cut")), Won: uint64(c.Outcomes.Get("served"))}
-	out.Tried = max(out.Won, uint64(c.Attempts.Sent.Get()-c.Attempts.Open.Get()))
+	out := overload.Counts{Shed: uint64(c.Rejected.Get("fleet_cut")), Successes: uint64(c.Outcomes.Get("served"))}
+	out.Attempts = max(out.Successes, uint64(c.Attempts.Sent.Get()-c.Attempts.Open.Get()))
 	for _, name := range o.classes {
 		k := c.Operations.For(name)
 		done := uint64(k.Fulfilled.Get() + k.Faulted.Get())
-		out.Done = append(out.Done, done)
-		out.Asked = append(out.Asked, done+uint64(k.Throttled.Get()))
+		out.Accepted = append(out.Accepted, done)
+		out.Requested = append(out.Requested, done+uint64(k.Throttled.Get()))
 	}
 	return out
 }
 
 // hear takes others' figures in.
 func (o *load) hear(m *membership.Message) {
-	if o == nil || m.Kind != membership.Loads {
+	if o == nil || m.Kind != membership.LoadReports {
 		return
 	}
 	now := o.l.now()
-	for _, i := range m.Loads {
+	for _, i := range m.LoadReports {
 		if i.Name == o.l.name || len(i.Counts) != 2*len(o.classes) {
 			continue
 		}
-		s := overload.Summary{Name: i.Name, Start: i.Start, At: time.Duration(i.At) * time.Millisecond, Age: time.Duration(i.Age) * time.Millisecond,
-			Counts: overload.Counts{Shed: i.Shed, Tried: i.Tried, Won: i.Won, Asked: i.Counts[:len(o.classes)], Done: i.Counts[len(o.classes):]}}
+		s := overload.Summary{Name: i.Name, Generation: i.Generation, At: time.Duration(i.At) * time.Millisecond, Age: time.Duration(i.Age) * time.Millisecond,
+			Counts: overload.Counts{Shed: i.Shed, Attempts: i.Attempts, Successes: i.Successes, Requested: i.Counts[:len(o.classes)], Accepted: i.Counts[len(o.classes):]}}
 		o.s.Merge(now, s)
 	}
 }
@@ -103,19 +103,19 @@
 }
 
 // heed has the module follow the cut, where it has changed.
-func (o *load) heed(cut overload.Cut, now time.Duration) {
-	if cut.Active || o.cut.Active || cut.NoRetries != o.cut.NoRetries {
+func (o *load) heed(cut overload.Admission, now time.Duration) {
+	if cut.Active || o.cut.Active || cut.RetryHoldback != o.cut.RetryHoldback {
 		shares := map[string]float64{}
 		for i, name := range o.classes {
 			if cut.Active {
-				shares[name] = cut.Shares[i]
+				shares[name] = cut.Fractions[i]
 			}
 		}
-		o.l.node.Inform(balancer.FleetAdmission{AdmittedFraction: shares, RetryReduction: cut.NoRetries}, false)
+		o.l.node.ApplyEvent(balancer.FleetAdmission{AdmittedFraction: shares, RetryReduction: cut.RetryHoldback}, false)
 	}
 	if cut.Active != o.cut.Active {
-		f := o.s.Figures()
-		args := []any{"code", "cluster_overload", "asked_per_s", total(f.Asked), "done_per_s", total(f.Done), "members", f.Members}
+		f := o.s.Rates()
+		args := []any{"code", "cluster_overload", "asked_per_s", total(f.Requested), "done_per_s", total(f.Accepted), "members", f.Members}
 		if cut.Active {
 			o.since = now
 			o.l.log.Warn("there is more work than the servers can do: the fleet lets the dearest in first", args...)
@@ -123,7 +123,7 @@
 			o.l.log.Info("the servers can do all that is asked for again", append(args, "after_ms", (now-o.since).Milliseconds())...)
 		}
 	}
-	o.cut = overload.Cut{Active: cut.Active, Shares: slices.Clone(cut.Shares), NoRetries: cut.NoRetries}
+	o.cut = overload.Admission{Active: cut.Active, Fractions: slices.Clone(cut.Fractions), RetryHoldback: cut.RetryHoldback}
 }
 
 func total(x []float64) (out float64) {
@@ -135,49 +135,49 @@
 
 // spread tells some members what is known of all.
 func (o *load) spread(now time.Duration) {
-	var items []membership.LoadItem
-	for _, s := range o.s.Fresh(now, o.each) {
-		items = append(items, membership.LoadItem{Name: s.Name, Start: s.Start, At: uint64(s.At.Milliseconds()), Age: uint32(s.Age.Milliseconds()),
-			Shed: s.Shed, Tried: s.Tried, Won: s.Won, Counts: append(slices.Clone(s.Asked), s.Done...)})
+	var items []membership.LoadReport
+	for _, s := range o.s.NextSummaries(now, o.each) {
+		items = append(items, membership.LoadReport{Name: s.Name, Generation: s.Generation, At: uint64(s.At.Milliseconds()), Age: uint32(s.Age.Milliseconds()),
+			Shed: s.Shed, Attempts: s.Attempts, Successes: s.Successes, Counts: append(slices.Clone(s.Requested), s.Accepted...)})
 	}
-	o.l.core.Some(membership.Message{Kind: membership.Loads, Loads: items})
+	o.l.core.SendToSome(membership.Message{Kind: membership.LoadReports, LoadReports: items})
 }
 
 // LoadStatus is what a member holds of the fleet's load.
-type LoadStatus struct {
-	Active  bool               `json:"active"`
-	Asked   map[string]float64 `json:"asked_per_s"`
-	Done    map[string]float64 `json:"done_per_s"` // not refused
-	Admit   map[string]float64 `json:"admit"`
-	Limit   float64            `json:"limit_per_s"` // what is let in; 0: all
-	Members int                `json:"members"`     // whose figures these are
-	Cover   float64            `json:"cover"`       // share of the view that was heard of
-	Failing float64            `json:"failing"`     // part of all attempts that fail
-	Retries float64            `json:"retries"`     // part of the budget for further attempts that is free
-	For     int64              `json:"for_ms"`      // it has been so; 0 where there is no cut
+type OverloadStatus struct {
+	Active       bool               `json:"active"`
+	Requested    map[string]float64 `json:"asked_per_s"`
+	Accepted     map[string]float64 `json:"done_per_s"` // not refused
+	Admit        map[string]float64 `json:"admit"`
+	Limit        float64            `json:"limit_per_s"` // what is let in; 0: all
+	Members      int                `json:"members"`     // whose figures these are
+	Coverage     float64            `json:"cover"`       // share of the view that was heard of
+	FailureRatio float64            `json:"failing"`     // part of all attempts that fail
+	RetryBudget  float64            `json:"retries"`     // part of the budget for further attempts that is free
+	Duration     int64              `json:"for_ms"`      // it has been so; 0 where there is no cut
 }
 
 // status is for whoever asks; nil where it is off.
-func (o *load) status() *LoadStatus {
+func (o *load) status() *OverloadStatus {
 	if o == nil {
 		return nil
 	}
-	f := o.s.Figures()
-	out := &LoadStatus{Active: o.cut.Active, Asked: map[string]float64{}, Done: map[string]float64{}, Admit: map[string]float64{}, Limit: f.Limit,
-		Members: f.Members, Cover: f.Cover}
-	out.Retries = 1 - o.cut.NoRetries
-	if f.Tried > 0 {
-		out.Failing = 1 - f.Won/f.Tried
+	f := o.s.Rates()
+	out := &OverloadStatus{Active: o.cut.Active, Requested: map[string]float64{}, Accepted: map[string]float64{}, Admit: map[string]float64{}, Limit: f.Limit,
+		Members: f.Members, Coverage: f.Coverage}
+	out.RetryBudget = 1 - o.cut.RetryHoldback
+	if f.Attempts > 0 {
+		out.FailureRatio = 1 - f.Successes/f.Attempts
 	}
 	if o.cut.Active {
-		out.For = (o.l.now() - o.since).Milliseconds()
+		out.Duration = (o.l.now() - o.since).Milliseconds()
 	}
 	for i, name := range o.classes {
-		if i < len(f.Asked) {
-			out.Asked[name], out.Done[name] = f.Asked[i], f.Done[i]
+		if i < len(f.Requested) {
+			out.Requested[name], out.Accepted[name] = f.Requested[i], f.Accepted[i]
 		}
-		if i < len(o.cut.Shares) {
-			out.Admit[name] = o.cut.Shares[i]
+		if i < len(o.cut.Fractions) {
+			out.Admit[name] = o.cut.Fractions[i]
 		}
 	}
 	return out
--- a/internal/cluster/local.go
+++ b/internal/cluster/local.go
@@ -108,23 +108,23 @@
 // Status is what a member tells of itself.
 type Status struct {
 	membership.Status
-	Shares *Shares     `json:"shares,omitempty"`   // nil where they are off
-	Load   *LoadStatus `json:"overload,omitempty"` // likewise
+	Quota    *QuotaStatus    `json:"shares,omitempty"`   // nil where they are off
+	Overload *OverloadStatus `json:"overload,omitempty"` // likewise
 }
 
 // Shares are a member's part in what the whole fleet may use together.
-type Shares struct {
+type QuotaStatus struct {
 	quota.Status
-	Told []Told `json:"told"` // the last ones that the module was told
+	Allocations []AllocationRecord `json:"told"` // the last ones that the module was told
 }
 
 // Told is a share as the module has had it from a moment on. Times are Unix nanoseconds by the machine's clock; from Until on
 // After holds.
-type Told struct {
-	At    int64   `json:"at_ns"`
-	Value float64 `json:"value"`
-	Until int64   `json:"until_ns"`
-	After float64 `json:"after"`
+type AllocationRecord struct {
+	At            int64   `json:"at_ns"`
+	Fraction      float64 `json:"value"`
+	ValidUntil    int64   `json:"until_ns"`
+	FractionAfter float64 `json:"after"`
 }
 
 // status asks the core's owner.
@@ -141,7 +141,7 @@
 }
 
 // Ask gets a running member's status over its local socket.
-func Ask(path string) (Status, []byte, error) {
+func QueryStatus(path string) (Status, []byte, error) {
 	var out Status
 	conn, err := net.DialTimeout("unix", path, callTime)
 	if err != nil {
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -15,21 +15,21 @@
 
 // Options are the section [cluster].
 type Options struct {
-	Cluster   string            `toml:"cluster"`   // its name: messages of others are dropped
-	Name      string            `toml:"name"`      // of this member; empty: the node's
-	Listen    string            `toml:"listen"`    // UDP and TCP
-	Advertise string            `toml:"advertise"` // how others reach it; empty: listen
-	Seeds     []string          `toml:"seeds"`     // addresses to begin with
-	Addresses map[string]string `toml:"addresses"` // members' addresses as seen from here, where they differ
-	Accept    []string          `toml:"accept"`    // networks whose messages are taken; empty: all
-	Period    operator.Duration `toml:"period"`    // between two probes
-	Timeout   operator.Duration `toml:"timeout"`   // for a direct answer
-	Suspicion operator.Duration `toml:"suspicion"` // the least until a silent member is taken out
-	Members   int               `toml:"members"`   // at the most, lost ones included
-	Rate      int               `toml:"rate"`      // messages taken in a second
-	Shares    map[string]string `toml:"shares"`    // addresses, as advertised, of all members that share budgets; empty: off
-	Overload  bool              `toml:"overload"`  // the fleet lets the dearest work in first while there is too much
-	Lease     operator.Duration `toml:"lease"`     // how long a share lasts without a word from its guard
+	Cluster          string            `toml:"cluster"`   // its name: messages of others are dropped
+	Name             string            `toml:"name"`      // of this member; empty: the node's
+	Listen           string            `toml:"listen"`    // UDP and TCP
+	Advertise        string            `toml:"advertise"` // how others reach it; empty: listen
+	Seeds            []string          `toml:"seeds"`     // addresses to begin with
+	AddressOverrides map[string]string `toml:"addresses"` // members' addresses as seen from here, where they differ
+	AcceptNetworks   []string          `toml:"accept"`    // networks whose messages are taken; empty: all
+	ProbeInterval    operator.Duration `toml:"period"`    // between two probes
+	ProbeTimeout     operator.Duration `toml:"timeout"`   // for a direct answer
+	SuspicionTimeout operator.Duration `toml:"suspicion"` // the least until a silent member is taken out
+	MaxMembers       int               `toml:"members"`   // at the most, lost ones included
+	MaxMessageRate   int               `toml:"rate"`      // messages taken in a second
+	QuotaMembers     map[string]string `toml:"shares"`    // addresses, as advertised, of all members that share budgets; empty: off
+	Overload         bool              `toml:"overload"`  // the fleet lets the dearest work in first while there is too much
+	LeaseTTL         operator.Duration `toml:"lease"`     // how long a share lasts without a word from its guard
 }
 
 const (
@@ -76,24 +76,24 @@
 }
 
 // Part is the subsystem.
-func Part() subsystem.Part {
-	return subsystem.Part{
-		Section: operator.Section{Name: "cluster", About: "the nodes know of one another: members, and who is there",
+func Subsystem() subsystem.Definition {
+	return subsystem.Definition{
+		Section: operator.Section{Name: "cluster", Summary: "the nodes know of one another: members, and who is there",
 			New: func() any {
-				return &Options{Cluster: "tackhub", Period: operator.Duration(defaultPeriod), Timeout: operator.Duration(defaultTimeout),
-					Suspicion: operator.Duration(defaultSuspicion), Members: mostMembers, Rate: defaultRate,
-					Lease: operator.Duration(defaultLease)}
+				return &Options{Cluster: "tackhub", ProbeInterval: operator.Duration(defaultPeriod), ProbeTimeout: operator.Duration(defaultTimeout),
+					SuspicionTimeout: operator.Duration(defaultSuspicion), MaxMembers: mostMembers, MaxMessageRate: defaultRate,
+					LeaseTTL: operator.Duration(defaultLease)}
 			},
 			Check: check},
 		Build: build,
 	}
 }
 
-func check(options any) []operator.Fault {
+func check(options any) []operator.Diagnostic {
 	o := options.(*Options)
-	var out []operator.Fault
+	var out []operator.Diagnostic
 	fault := func(key, format string, args ...any) {
-		out = append(out, operator.Fault{Key: key, Text: fmt.Sprintf(format, args...)})
+		out = append(out, operator.Diagnostic{Key: key, Message: fmt.Sprintf(format, args...)})
 	}
 	if o.Cluster == "" {
 		fault("cluster", "must not be empty")
@@ -117,20 +117,20 @@
 			fault(fmt.Sprintf("seeds[%d]", i), "%q is no IP address with a port", s)
 		}
 	}
-	for name, s := range o.Addresses {
+	for name, s := range o.AddressOverrides {
 		if a, err := netip.ParseAddrPort(s); err != nil || a.Port() == 0 || !goodName(name) {
 			fault("addresses."+name, "%q is no member's name with an IP address and a port", s)
 		}
 	}
-	for i, s := range o.Accept {
+	for i, s := range o.AcceptNetworks {
 		if _, err := netip.ParsePrefix(s); err != nil {
 			fault(fmt.Sprintf("accept[%d]", i), "%q is no network such as 10.0.0.0/8", s)
 		}
 	}
-	if n := len(o.Shares); n == 1 || n > o.Members {
-		fault("shares", "%d members cannot share, 2 to %d can", n, o.Members)
+	if n := len(o.QuotaMembers); n == 1 || n > o.MaxMembers {
+		fault("shares", "%d members cannot share, 2 to %d can", n, o.MaxMembers)
 	}
-	for name, s := range o.Shares {
+	for name, s := range o.QuotaMembers {
 		if !addressForm(s) || s == "" || !goodName(name) {
 			fault("shares."+name, "%q is no member's name with the address that it advertises", s)
 		}
@@ -139,22 +139,22 @@
 }
 
 // spans are the faults of times and bounds.
-func (o *Options) spans() []operator.Fault {
-	var out []operator.Fault
+func (o *Options) spans() []operator.Diagnostic {
+	var out []operator.Diagnostic
 	fault := func(bad bool, key, format string, args ...any) {
 		if bad {
-			out = append(out, operator.Fault{Key: key, Text: fmt.Sprintf(format, args...)})
+			out = append(out, operator.Diagnostic{Key: key, Message: fmt.Sprintf(format, args...)})
 		}
 	}
-	period := o.Period.Std()
+	period := o.ProbeInterval.Std()
 	fault(period < leastPeriod || period > mostPeriod, "period", "must be %v to %v", leastPeriod, mostPeriod)
-	fault(o.Timeout.Std() < time.Millisecond || o.Timeout > o.Period, "timeout", "must be 1ms to the period, %v", period)
+	fault(o.ProbeTimeout.Std() < time.Millisecond || o.ProbeTimeout > o.ProbeInterval, "timeout", "must be 1ms to the period, %v", period)
 	// A probe with its helpers takes two periods; a span below four would end before a wrong suspicion is refuted.
-	fault(o.Suspicion < 4*o.Period, "suspicion", "must be at least four periods, %v", 4*period)
-	fault(o.Suspicion.Std() > time.Hour, "suspicion", "must be at most 1h")
+	fault(o.SuspicionTimeout < 4*o.ProbeInterval, "suspicion", "must be at least four periods, %v", 4*period)
+	fault(o.SuspicionTimeout.Std() > time.Hour, "suspicion", "must be at most 1h")
 	// Some renewals must fit, and each has a way there and back.
-	fault(o.Lease < 4*o.Period || o.Lease.Std() > time.Minute, "lease", "must be four periods, %v, to 1m", 4*period)
-	fault(o.Members < 2 || o.Members > mostMembers, "members", "must be 2 to %d", mostMembers)
-	fault(o.Rate < 10 || o.Rate > 1_000_000, "rate", "must be 10 to 1000000")
+	fault(o.LeaseTTL < 4*o.ProbeInterval || o.LeaseTTL.Std() > time.Minute, "lease", "must be four periods, %v, to 1m", 4*period)
+	fault(o.MaxMembers < 2 || o.MaxMembers > mostMembers, "members", "must be 2 to %d", mostMembers)
+	fault(o.MaxMessageRate < 10 || o.MaxMessageRate > 1_000_000, "rate", "must be 10 to 1000000")
 	return out
 }
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -45,9 +45,9 @@
 
 // stream asks a member for its full state, for this one's own. One for which there is no slot is left out: the next comes
 // by itself.
-func (l *link) stream(s membership.Send) {
+func (l *link) stream(s membership.OutgoingMessage) {
 	to, ok := l.address(s)
-	if !ok || s.Message.Kind != membership.Full {
+	if !ok || s.Message.Kind != membership.SyncRequest {
 		return
 	}
 	select {
@@ -86,7 +86,7 @@
 	}
 	l.count.TakenBytes.Add(int64(len(raw)))
 	reply := l.parse(raw, to.Addr())
-	if reply == nil || reply.Kind != membership.FullReply {
+	if reply == nil || reply.Kind != membership.SyncReply {
 		return fmt.Errorf("%s answers no full state", to)
 	}
 	select { // the core takes it or is at its end; nobody else reads the inbox
@@ -107,7 +107,7 @@
 			}
 			l.drop("accept")
 			select { // out of descriptors: an accept in a busy loop would take the core
-			case <-time.After(l.o.Period.Std()):
+			case <-time.After(l.o.ProbeInterval.Std()):
 			case <-ctx.Done():
 			}
 			continue
@@ -121,7 +121,7 @@
 		}
 		l.ending.Go(func() {
 			defer func() { _ = conn.Close() }()
-			if m := l.answer(ctx, conn); m != nil && m.Kind == membership.Lifeline {
+			if m := l.answer(ctx, conn); m != nil && m.Kind == membership.LivenessStream {
 				stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 				defer stop()
 				l.fleet.hold(ctx, conn, m)
@@ -147,7 +147,7 @@
 	l.count.TakenBytes.Add(int64(len(raw)))
 	from, _ := netip.ParseAddrPort(conn.RemoteAddr().String())
 	m := l.parse(raw, from.Addr())
-	if m == nil || m.Kind != membership.Full {
+	if m == nil || m.Kind != membership.SyncRequest {
 		return m
 	}
 	in := inbound{m: m, reply: make(chan membership.Message, 1)}
--- a/internal/cluster/wire_test.go
+++ b/internal/cluster/wire_test.go
@@ -37,16 +37,16 @@
 // wireLink is a link that has joined a cluster with one other member. Its core's time is fixed.
 func wireLink(t *testing.T) *link {
 	t.Helper()
-	l := &link{o: Options{Cluster: wireCluster, Shares: map[string]string{"n1": "10.0.0.1:7946", "n2": "10.0.0.2:7946"}, Overload: true},
+	l := &link{o: Options{Cluster: wireCluster, QuotaMembers: map[string]string{"n1": "10.0.0.1:7946", "n2": "10.0.0.2:7946"}, Overload: true},
 		node: &fakeNode{name: "n1", number: 4}, name: "n1", log: slog.New(slog.DiscardHandler), count: &counters.Cluster{}, base: time.Now()}
-	l.core = membership.New(membership.Options{Name: "n1", Address: "10.0.0.1:7946", Cluster: uint32(xxhash.Sum64String(wireCluster)), Start: 11, Seed: 1,
-		Period: 250 * time.Millisecond, Timeout: 150 * time.Millisecond, Suspicion: 2500 * time.Millisecond, Most: 8}, 0)
-	l.core.Receive(0, &membership.Message{Kind: membership.FullReply, Version: 1, Cluster: uint32(xxhash.Sum64String(wireCluster)),
-		From: "n2", Start: 12, Address: "10.0.0.2:7946"})
+	l.core = membership.New(membership.Options{Name: "n1", Address: "10.0.0.1:7946", ClusterHash: uint32(xxhash.Sum64String(wireCluster)), Generation: 11, RandSeed: 1,
+		ProbeInterval: 250 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, SuspicionTimeout: 2500 * time.Millisecond, MaxMembers: 8}, 0)
+	l.core.Receive(0, &membership.Message{Kind: membership.SyncReply, Version: 1, ClusterHash: uint32(xxhash.Sum64String(wireCluster)),
+		From: "n2", Generation: 12, Address: "10.0.0.2:7946"})
 	if l.core.State() != membership.Alive {
 		t.Fatalf("the core is %v", l.core.State())
 	}
-	l.core.Take()
+	l.core.TakeOutput()
 	l.fleet, l.load = fleetOf(l), loadOf(l)
 	return l
 }
@@ -54,7 +54,7 @@
 // sentOne is the only message that waits to be sent.
 func sentOne(t *testing.T, l *link) membership.Message {
 	t.Helper()
-	out, _ := l.core.Take()
+	out, _ := l.core.TakeOutput()
 	if len(out) != 1 {
 		t.Fatalf("%d messages are to be sent: %+v", len(out), out)
 	}
@@ -63,12 +63,12 @@
 
 func TestQuotaMessagesAreThoseOfReleasedVersions(t *testing.T) {
 	l := wireLink(t)
-	l.fleet.s = quota.New(quota.Options{Name: "n1", All: l.o.Shares, Start: 11, Lease: time.Second}, -time.Hour)
-	l.fleet.s.Seen(0, "n2", 12, "10.0.0.2:7946")
+	l.fleet.s = quota.New(quota.Options{Name: "n1", Members: l.o.QuotaMembers, Generation: 11, LeaseTTL: time.Second}, -time.Hour)
+	l.fleet.s.MemberSeen(0, "n2", 12, "10.0.0.2:7946")
 	l.fleet.s.Tick(time.Second)
 	l.fleet.carry()
 	checkBytes(t, "renew.msgpack", sentOne(t, l))
-	l.fleet.s.Renewed(time.Second, "n2", 12, "10.0.0.2:7946", 11, 3, l.fleet.sum)
+	l.fleet.s.HandleRenew(time.Second, "n2", 12, "10.0.0.2:7946", 11, 3, l.fleet.sum)
 	l.fleet.carry()
 	checkBytes(t, "grant.msgpack", sentOne(t, l))
 }
@@ -84,8 +84,8 @@
 func TestLoadMessagesAreThoseOfReleasedVersions(t *testing.T) {
 	l := wireLink(t)
 	for at := range time.Duration(2) {
-		l.load.s.Observe((at+1)*time.Second, (at+1)*time.Second, overload.Counts{Shed: uint64(at), Tried: 30, Won: 20,
-			Asked: []uint64{40 + uint64(at)}, Done: []uint64{30}})
+		l.load.s.Observe((at+1)*time.Second, (at+1)*time.Second, overload.Counts{Shed: uint64(at), Attempts: 30, Successes: 20,
+			Requested: []uint64{40 + uint64(at)}, Accepted: []uint64{30}})
 	}
 	l.load.s.Decide(2*time.Second, []string{"n1", "n2"})
 	l.load.spread(2 * time.Second)
@@ -97,8 +97,8 @@
 	m.From = "n2"
 	other.load.hear(&m)
 	other.load.s.Decide(other.now(), []string{"n1"})
-	if got := other.load.s.Fresh(other.now(), 1); len(got) != 1 || got[0].Name != "n1" || got[0].Start != 11 || got[0].At != 2*time.Second ||
-		!reflect.DeepEqual(got[0].Counts, overload.Counts{Shed: 1, Tried: 30, Won: 20, Asked: []uint64{41}, Done: []uint64{30}}) {
+	if got := other.load.s.NextSummaries(other.now(), 1); len(got) != 1 || got[0].Name != "n1" || got[0].Generation != 11 || got[0].At != 2*time.Second ||
+		!reflect.DeepEqual(got[0].Counts, overload.Counts{Shed: 1, Attempts: 30, Successes: 20, Requested: []uint64{41}, Accepted: []uint64{30}}) {
 		t.Errorf("the figures are read as %+v", got)
 	}
 }
@@ -106,7 +106,7 @@
 // A message on a stream follows four bytes with its length.
 func TestStreamsAreThoseOfReleasedVersions(t *testing.T) {
 	l := wireLink(t)
-	hello := l.core.Signed(membership.Message{Kind: membership.Lifeline})
+	hello := l.core.WithSender(membership.Message{Kind: membership.LivenessStream})
 	var b bytes.Buffer
 	want := recorded(t, "lifeline.stream")
 	if n, err := writeState(&b, hello); err != nil || n != len(want) || !bytes.Equal(b.Bytes(), want) {
@@ -129,8 +129,8 @@
 	}
 	defer func() { _ = conn.Close() }()
 	l.udp = conn // it sends to itself
-	word := l.core.Signed(membership.Message{Kind: membership.Word, Node: 4, Body: []byte("body")})
-	l.write(membership.Send{Address: conn.LocalAddr().String(), Message: word})
+	word := l.core.WithSender(membership.Message{Kind: membership.Broadcast, Node: 4, Body: []byte("body")})
+	l.write(membership.OutgoingMessage{Address: conn.LocalAddr().String(), Message: word})
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	buffer := make([]byte, packetMost)
 	n, err := conn.Read(buffer)
@@ -144,15 +144,15 @@
 
 // wireStatus has every field of a status set.
 var wireStatus = Status{
-	Status: membership.Status{Name: "n1", Start: 11, Inc: 2, State: membership.Alive, Condition: membership.Deaf, Health: 3, Refused: 4,
+	Status: membership.Status{Name: "n1", Generation: 11, Incarnation: 2, State: membership.Alive, Connectivity: membership.InboundLost, LocalHealth: 3, RejectedMembers: 4,
 		View: membership.View{Number: 5, Members: []string{"n1", "n2"}},
-		Members: []membership.Member{{Name: "n2", Address: "10.0.0.2:7946", Start: 12, Inc: 1, State: membership.Suspect, For: 100, Heard: 200,
-			Reached: 300, Seen: 400, Link: "one-way", Self: membership.Mute, Accusers: map[string]int64{"n3": 1}, Witnesses: map[string]int64{"n4": 2},
-			Lost: 3, Damped: 4, Former: 5}}},
-	Shares: &Shares{Status: quota.Status{Share: 0.25, Whole: 4, Leased: 3, Sole: 2, Lapsed: []string{"n2"}, Inherited: []string{"n3"}},
-		Told: []Told{{At: 1, Value: 0.25, Until: 2, After: 0.125}}},
-	Load: &LoadStatus{Active: true, Asked: map[string]float64{"look": 10}, Done: map[string]float64{"look": 9}, Admit: map[string]float64{"look": 0.9},
-		Limit: 9, Members: 2, Cover: 1, Failing: 0.1, Retries: 0.5, For: 700},
+		Members: []membership.Member{{Name: "n2", Address: "10.0.0.2:7946", Generation: 12, Incarnation: 1, State: membership.Suspect, StateAge: 100, SinceReceived: 200,
+			SinceAcked: 300, SinceSeen: 400, Link: "one-way", OwnConnectivity: membership.OutboundLost, SuspectedBy: map[string]int64{"n3": 1}, HeardBy: map[string]int64{"n4": 2},
+			LossCount: 3, DampedFor: 4, PreviousGeneration: 5}}},
+	Quota: &QuotaStatus{Status: quota.Status{Fraction: 0.25, Members: 4, UnitsLeased: 3, UnitsSole: 2, LapsedLessors: []string{"n2"}, InheritedFrom: []string{"n3"}},
+		Allocations: []AllocationRecord{{At: 1, Fraction: 0.25, ValidUntil: 2, FractionAfter: 0.125}}},
+	Overload: &OverloadStatus{Active: true, Requested: map[string]float64{"look": 10}, Accepted: map[string]float64{"look": 9}, Admit: map[string]float64{"look": 0.9},
+		Limit: 9, Members: 2, Coverage: 1, FailureRatio: 0.1, RetryBudget: 0.5, Duration: 700},
 }
 
 // `tackhub members` of another version reads this over the local socket.
@@ -171,7 +171,7 @@
 // What the module says to other nodes is bounded by what a datagram holds.
 func TestModuleMessagesFitADatagram(t *testing.T) {
 	l := wireLink(t)
-	message := l.core.Signed(membership.Message{Kind: membership.Word, Node: 4, Body: make([]byte, balancer.MessageMost)})
+	message := l.core.WithSender(membership.Message{Kind: membership.Broadcast, Node: 4, Body: make([]byte, balancer.MaxGossipBytes)})
 	raw, err := message.MarshalMsg(nil)
 	if err != nil || len(raw) > packetMost {
 		t.Errorf("%d bytes, %v", len(raw), err)
--- a/internal/coap/back/back_test.go
+++ b/internal/coap/back/back_test.go
@@ -14,7 +14,7 @@
 
 // TestLargeBodiesAreNotSent: only a part of one would go out, and pass for the whole.
 func TestLargeBodiesAreNotSent(t *testing.T) {
-	var count counters.CoapBack
+	var count counters.CoapServers
 	ended := make(chan engine.Completion, 1)
 	New(Options{Count: &count}).Send("s1", engine.OutgoingRequest{Bytes: []byte("POST / HTTP/1.1\r\n\r\n"), Body: kept{}},
 		func(e engine.Completion) { ended <- e })
--- a/internal/coap/client/command.go
+++ b/internal/coap/client/command.go
@@ -29,7 +29,7 @@
 		var loss float64
 		var dup int
 		var wait time.Duration
-		out.Sub = append(out.Sub, cli.Command{Name: name, Args: "coap://ADDRESS:PORT/CLASS?QUERY", Help: "Send one request and print the answer",
+		out.Subcommands = append(out.Subcommands, cli.Command{Name: name, ArgsUsage: "coap://ADDRESS:PORT/CLASS?QUERY", Help: "Send one request and print the answer",
 			Flags: func(f *flag.FlagSet) {
 				f.StringVar(&body, "body", "", "the `TEXT` to send")
 				f.Float64Var(&loss, "loss", 0, "`SHARE` of datagrams to lose, both ways")
@@ -73,7 +73,7 @@
 		r.Query = splitQuery(u.RawQuery)
 	}
 	began := time.Now()
-	got, err := New(conn, to, Options{Dup: dup}).Do(ctx, r)
+	got, err := New(conn, to, Options{Duplicates: dup}).Do(ctx, r)
 	if err != nil {
 		return err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -70,31 +70,31 @@
 }
 
 // Check reads the environment and the file, and tells every fault with its line.
-func Check(getenv func(string) string) (Config, []operator.Fault) {
+func Check(getenv func(string) string) (Config, []operator.Diagnostic) {
 	path := getenv("ROUTER_CONFIG")
 	f, raw, fault := read(path)
 	if fault != nil {
-		return Config{}, []operator.Fault{*fault}
+		return Config{}, []operator.Diagnostic{*fault}
 	}
 	f.override(getenv)
 	return f.check(path, configpos.JSON(raw))
 }
 
 // oneLine is a fault as a start tells it: the key, or what comes before it, first.
-func oneLine(f operator.Fault) string {
+func oneLine(f operator.Diagnostic) string {
 	if f.Key == "" {
-		return f.Text
+		return f.Message
 	}
-	return f.Key + ": " + f.Text
+	return f.Key + ": " + f.Message
 }
 
-func read(path string) (f file, raw []byte, fault *operator.Fault) {
+func read(path string) (f file, raw []byte, fault *operator.Diagnostic) {
 	if path == "" {
-		return f, nil, &operator.Fault{Text: "ROUTER_CONFIG is not set"}
+		return f, nil, &operator.Diagnostic{Message: "ROUTER_CONFIG is not set"}
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return f, nil, &operator.Fault{Key: "ROUTER_CONFIG", Text: err.Error()}
+		return f, nil, &operator.Diagnostic{Key: "ROUTER_CONFIG", Message: err.Error()}
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return f, nil, unreadable(path, raw, err)
@@ -103,8 +103,8 @@
 }
 
 // unreadable is the fault of a text that is no configuration.
-func unreadable(path string, raw []byte, err error) *operator.Fault {
-	f := &operator.Fault{File: path, Key: "ROUTER_CONFIG", Text: path + ": " + err.Error()}
+func unreadable(path string, raw []byte, err error) *operator.Diagnostic {
+	f := &operator.Diagnostic{File: path, Key: "ROUTER_CONFIG", Message: path + ": " + err.Error()}
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	switch {
@@ -129,11 +129,11 @@
 }
 
 // check reads every part, and tells all that is wrong.
-func (f *file) check(path string, lines configpos.Lines) (Config, []operator.Fault) {
+func (f *file) check(path string, lines configpos.Lines) (Config, []operator.Diagnostic) {
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Limits: f.Limits}
-	var faults []operator.Fault
+	var faults []operator.Diagnostic
 	fault := func(at, key, format string, args ...any) {
-		faults = append(faults, operator.Fault{File: path, Line: lines.Of(at), Key: key, Text: fmt.Sprintf(format, args...)})
+		faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(at), Key: key, Message: fmt.Sprintf(format, args...)})
 	}
 	if c.Name == "" {
 		fault("name", "", "ROUTER_NAME is not set, nor name in the configuration")
@@ -150,7 +150,7 @@
 		}
 	}
 	for _, l := range f.Limits.faults() {
-		fault(l.Key, l.Key, "%s", l.Text)
+		fault(l.Key, l.Key, "%s", l.Message)
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -165,7 +165,7 @@
 	}
 	c.Peers = f.peers(c.Settings.Balancer, fault)
 	if f.Watch != "" {
-		var wrong []operator.Fault
+		var wrong []operator.Diagnostic
 		c.Watch, wrong = watched(path, f.Watch)
 		faults = append(faults, wrong...)
 	}
@@ -209,41 +209,41 @@
 }
 
 // watched reads the settings to be watched; the path is taken from where the configuration stands.
-func watched(config, path string) (*balancer.Settings, []operator.Fault) {
+func watched(config, path string) (*balancer.Settings, []operator.Diagnostic) {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(config), path)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, []operator.Fault{{File: config, Key: "watch", Text: err.Error()}}
+		return nil, []operator.Diagnostic{{File: config, Key: "watch", Message: err.Error()}}
 	}
 	lines := configpos.JSON(raw)
 	set, err := settings.Parse(raw)
 	if err != nil {
-		var out []operator.Fault
+		var out []operator.Diagnostic
 		for _, e := range settings.All(err) {
-			out = append(out, operator.Fault{File: path, Line: lines.Of(e.Key), Key: "watch", Text: e.Text})
+			out = append(out, operator.Diagnostic{File: path, Line: lines.Line(e.Key), Key: "watch", Message: e.Text})
 		}
 		return nil, out
 	}
 	if _, err := balancer.New(set.Balancer, 0); err != nil {
-		return nil, []operator.Fault{{File: path, Key: "watch", Text: err.Error()}}
+		return nil, []operator.Diagnostic{{File: path, Key: "watch", Message: err.Error()}}
 	}
 	return &set.Balancer, nil
 }
 
 // faults are the limits with which no node can run.
-func (l Limits) faults() []operator.Fault {
-	var out []operator.Fault
+func (l Limits) faults() []operator.Diagnostic {
+	var out []operator.Diagnostic
 	if !(l.Cores > 0) {
-		out = append(out, operator.Fault{Key: "limits.cores", Text: fmt.Sprintf("%v is not a share of cores", l.Cores)})
+		out = append(out, operator.Diagnostic{Key: "limits.cores", Message: fmt.Sprintf("%v is not a share of cores", l.Cores)})
 	}
 	if !(l.MemoryMB > 0) {
-		out = append(out, operator.Fault{Key: "limits.memory_mb", Text: fmt.Sprintf("%v is no memory", l.MemoryMB)})
+		out = append(out, operator.Diagnostic{Key: "limits.memory_mb", Message: fmt.Sprintf("%v is no memory", l.MemoryMB)})
 	}
 	if l.Sockets < leastSockets {
-		out = append(out, operator.Fault{Key: "limits.sockets",
-			Text: fmt.Sprintf("%d is too few, %d are needed", l.Sockets, leastSockets)})
+		out = append(out, operator.Diagnostic{Key: "limits.sockets",
+			Message: fmt.Sprintf("%d is too few, %d are needed", l.Sockets, leastSockets)})
 	}
 	return out
 }
--- a/internal/configpos/locate.go
+++ b/internal/configpos/locate.go
@@ -14,7 +14,7 @@
 type Lines map[string]int
 
 // Of is the line of a key, or of the nearest one above it that is known; 0 where none is.
-func (l Lines) Of(key string) int {
+func (l Lines) Line(key string) int {
 	for {
 		if n, ok := l[key]; ok {
 			return n
--- a/internal/configpos/locate_test.go
+++ b/internal/configpos/locate_test.go
@@ -30,7 +30,7 @@
 		{TOML(tomlText), "a.deep.z", 16},
 		{TOML(tomlText), "none", 0},
 	} {
-		if got := c.lines.Of(c.key); got != c.want {
+		if got := c.lines.Line(c.key); got != c.want {
 			t.Errorf("%s: line %d, want %d", c.key, got, c.want)
 		}
 	}
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -27,13 +27,13 @@
 func (c *Count) MarshalJSON() ([]byte, error) { return json.Marshal(c.n.Load()) }
 
 // Group counts by a code, such as the reason of an ending.
-type Group struct {
+type ByCode struct {
 	mu sync.Mutex
 	m  map[string]int64
 }
 
 // Inc adds one to the code's count.
-func (g *Group) Inc(code string) {
+func (g *ByCode) Inc(code string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.m == nil {
@@ -43,14 +43,14 @@
 }
 
 // Get reads a code's count.
-func (g *Group) Get(code string) int64 {
+func (g *ByCode) Get(code string) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.m[code]
 }
 
 // MarshalJSON writes the codes and their counts.
-func (g *Group) MarshalJSON() ([]byte, error) {
+func (g *ByCode) MarshalJSON() ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.m == nil {
@@ -93,55 +93,55 @@
 
 // Coap are the counts of the CoAP front. Requests that it takes are counted among the node's requests as well.
 type Coap struct {
-	Datagrams   Count `json:"datagrams"`
-	Drops       Group `json:"drops"` // datagrams that no request came of, by reason
-	Pings       Count `json:"pings"`
-	Taken       Count `json:"taken"`    // requests handed to the exchange
-	Joined      Count `json:"joined"`   // repeats of a request in hand
-	Replayed    Count `json:"replayed"` // repeats that got the stored answer
-	Refused     Group `json:"refused"`  // requests that the front itself answered, by reason
-	Answers     Group `json:"answers"`  // by code
-	Retransmits Count `json:"retransmits"`
-	ReadErrors  Count `json:"read_errors"`
-	SendErrors  Count `json:"send_errors"`
-	Panics      Count `json:"panics"`
+	Datagrams   Count  `json:"datagrams"`
+	Drops       ByCode `json:"drops"` // datagrams that no request came of, by reason
+	Pings       Count  `json:"pings"`
+	Taken       Count  `json:"taken"`    // requests handed to the exchange
+	Joined      Count  `json:"joined"`   // repeats of a request in hand
+	Replayed    Count  `json:"replayed"` // repeats that got the stored answer
+	Refused     ByCode `json:"refused"`  // requests that the front itself answered, by reason
+	Answers     ByCode `json:"answers"`  // by code
+	Retransmits Count  `json:"retransmits"`
+	ReadErrors  Count  `json:"read_errors"`
+	SendErrors  Count  `json:"send_errors"`
+	Panics      Count  `json:"panics"`
 }
 
 // CoapBack are the counts of attempts at servers that speak CoAP. They are counted among the node's attempts as well.
-type CoapBack struct {
-	Outcomes    Group `json:"outcomes"`
-	Retransmits Count `json:"retransmits"`
-	Late        Count `json:"late"` // answers that nobody waited for any more
-	Junk        Count `json:"junk"`
+type CoapServers struct {
+	Outcomes    ByCode `json:"outcomes"`
+	Retransmits Count  `json:"retransmits"`
+	Late        Count  `json:"late"` // answers that nobody waited for any more
+	Junk        Count  `json:"junk"`
 }
 
 // Peers are the counts of messages between nodes.
-type Peers struct {
-	Sent  Count `json:"sent"`  // datagrams, one for each node told
-	Taken Count `json:"taken"` // handed to the module
-	Drops Group `json:"drops"` // not sent or not taken, by reason
+type Gossip struct {
+	Sent  Count  `json:"sent"`  // datagrams, one for each node told
+	Taken Count  `json:"taken"` // handed to the module
+	Drops ByCode `json:"drops"` // not sent or not taken, by reason
 }
 
 // Cluster are the counts of the link among the members of a cluster.
 type Cluster struct {
-	Sent          Count `json:"sent"` // datagrams
-	SentBytes     Count `json:"sent_bytes"`
-	Taken         Count `json:"taken"` // messages that could be read and were this cluster's
-	TakenBytes    Count `json:"taken_bytes"`
-	Drops         Group `json:"drops"`   // not sent or not taken, by reason
-	Streams       Count `json:"streams"` // full states sent to be answered
-	StreamsFailed Count `json:"streams_failed"`
-	Views         Count `json:"views"`
-	Members       Count `json:"members"`   // in the view now
-	Share         Count `json:"share_ppm"` // of the whole fleet's budgets, in millionths; 0 where shares are off
+	Sent          Count  `json:"sent"` // datagrams
+	SentBytes     Count  `json:"sent_bytes"`
+	Taken         Count  `json:"taken"` // messages that could be read and were this cluster's
+	TakenBytes    Count  `json:"taken_bytes"`
+	Drops         ByCode `json:"drops"`   // not sent or not taken, by reason
+	Streams       Count  `json:"streams"` // full states sent to be answered
+	StreamsFailed Count  `json:"streams_failed"`
+	Views         Count  `json:"views"`
+	Members       Count  `json:"members"`   // in the view now
+	Share         Count  `json:"share_ppm"` // of the whole fleet's budgets, in millionths; 0 where shares are off
 }
 
 // Watch are the counts of decisions that other settings would have made otherwise.
-type Watch struct {
-	Steps  Count `json:"steps"`  // steps of the module that were compared
-	Differ Group `json:"differ"` // differences by kind, each once for a request
-	Faults Count `json:"faults"` // steps that the other settings could not decide
-	Micros Count `json:"micros"` // time spent on it, in microseconds
+type Shadow struct {
+	Steps  Count  `json:"steps"`  // steps of the module that were compared
+	Differ ByCode `json:"differ"` // differences by kind, each once for a request
+	Faults Count  `json:"faults"` // steps that the other settings could not decide
+	Micros Count  `json:"micros"` // time spent on it, in microseconds
 }
 
 // Counters are all counts of one node.
@@ -163,7 +163,7 @@
 		Repeated Count `json:"repeated"` // signals to end that came while the node was ending
 	} `json:"stop"`
 	Operations Operations `json:"operations"` // by class
-	Rejections Group      `json:"rejections"` // why requests were rejected
+	Rejections ByCode     `json:"rejections"` // why requests were rejected
 	Registry   struct {
 		Entries Count `json:"entries"` // servers in the list as the module has it
 		Avoided Count `json:"avoided"` // of these, the ones that get nothing in the ordinary way
@@ -172,11 +172,11 @@
 	Handover struct {
 		Dropped Count `json:"dropped"` // messages for the other process of an upgrade, and ids of its, beyond what is kept
 	} `json:"handover"` // all 0 outside upgrades
-	Door struct {
-		Calls   Count `json:"calls"`   // answered 2xx
-		Refused Group `json:"refused"` // calls answered otherwise, by status
-		Open    Count `json:"open"`    // callers now
-		Evicted Count `json:"evicted"` // callers that said nothing and made way for others
+	Admin struct {
+		Calls   Count  `json:"calls"`   // answered 2xx
+		Refused ByCode `json:"refused"` // calls answered otherwise, by status
+		Open    Count  `json:"open"`    // callers now
+		Evicted Count  `json:"evicted"` // callers that said nothing and made way for others
 	} `json:"operator_door"` // all 0 where staff have none
 	Attempts struct {
 		Sent    Count `json:"sent"`    // started for the module
@@ -186,13 +186,13 @@
 		// Unwanted were not written: their clients were seen to have gone in that moment.
 		Unwanted Count `json:"unwanted"`
 	} `json:"attempts"`
-	Outcomes Group `json:"outcomes"` // of attempts, as told to the module
-	GivenUp  Group `json:"given_up"` // requests that the module refused or failed, by its reason
+	Outcomes ByCode `json:"outcomes"` // of attempts, as told to the module
+	Rejected ByCode `json:"given_up"` // requests that the module refused or failed, by its reason
 	Probes   struct {
 		Sent Count `json:"sent"`
 		Open Count `json:"open"`
 	} `json:"probes"`
-	ProbeOutcomes Group `json:"probe_outcomes"`
+	ProbeOutcomes ByCode `json:"probe_outcomes"`
 	Reports       struct {
 		Read    Count `json:"read"`
 		Unknown Count `json:"unknown"` // reports that came and held no figure we know
@@ -205,14 +205,14 @@
 		Paused      Count `json:"paused"` // times accepting paused for want of descriptors
 		Short       Count `json:"short"`  // times a connection took one of the descriptors that are set aside
 	} `json:"client_connections"`
-	ClientEnds Group `json:"client_connection_ends"` // by reason code
+	ClientEnds ByCode `json:"client_connection_ends"` // by reason code
 	Servers    struct {
 		Dialed Count `json:"dialed"`
 		Open   Count `json:"open"`
 		Reused Count `json:"reused"`
 	} `json:"server_connections"`
-	ServerEnds Group `json:"server_connection_ends"` // by reason code
-	List       struct {
+	ServerEnds ByCode `json:"server_connection_ends"` // by reason code
+	ServerList struct {
 		Full   Count `json:"full"`
 		Delta  Count `json:"delta"`
 		Failed Count `json:"failed"` // calls to discovery that failed or told nonsense
@@ -230,12 +230,12 @@
 		Saves        Count `json:"saves"`
 		SaveFailures Count `json:"save_failures"`
 	} `json:"inventory"`
-	Peers    Peers    `json:"peers"`        // all 0 where nodes do not talk
-	Cluster  Cluster  `json:"cluster"`      // of the subsystem; all 0 where it is off
-	Watch    Watch    `json:"watch"`        // all 0 where no other settings are watched
-	CoapBack CoapBack `json:"coap_servers"` // all 0 where no server speaks it
-	Coap     Coap     `json:"coap"`         // of the subsystem; all 0 where it is off
-	Engine   struct {
+	Gossip      Gossip      `json:"peers"`        // all 0 where nodes do not talk
+	Cluster     Cluster     `json:"cluster"`      // of the subsystem; all 0 where it is off
+	Shadow      Shadow      `json:"watch"`        // all 0 where no other settings are watched
+	CoapServers CoapServers `json:"coap_servers"` // all 0 where no server speaks it
+	Coap        Coap        `json:"coap"`         // of the subsystem; all 0 where it is off
+	Engine      struct {
 		Events   Count `json:"events"`
 		Panics   Count `json:"panics"`
 		LateBy   Count `json:"timer_late_max_us"` // the latest that a timer fired, in microseconds
--- a/internal/counters/figures.go
+++ b/internal/counters/figures.go
@@ -4,7 +4,7 @@
 
 // Figures writes what staff are shown, from the same counts as JSON: each class's endings and attempts since the start,
 // the requests in hand now, the servers in the list and those of them that are avoided.
-func (c *Counters) Figures() []byte {
+func (c *Counters) AdminSummary() []byte {
 	relayed := int64(0)
 	for _, o := range c.Operations {
 		relayed += o.Relayed.Get()
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -24,16 +24,16 @@
 )
 
 // News takes what the list tells.
-type News interface{ UpdateEndpoints(balancer.EndpointUpdate) }
+type ListHandler interface{ UpdateEndpoints(balancer.EndpointUpdate) }
 
 // MemberNews takes what the list tells with all that discovery says of each server. Who takes it gets no ListNews but for
 // calls that failed.
-type MemberNews interface {
-	MemberNews(list List, form balancer.UpdateKind)
+type MemberHandler interface {
+	HandleMembers(list List, form balancer.UpdateKind)
 }
 
 // Catalog follows discovery.
-type Catalog struct {
+type Client struct {
 	pace  pace
 	ask   bool // the list is followed only once asked for
 	asked chan struct{}
@@ -57,28 +57,28 @@
 	members  map[balancer.ServerID]Member
 	revision int64
 	source   *source
-	news     News
+	news     ListHandler
 }
 
 // Options say how discovery is to be followed.
 type Options struct {
-	Address   string
-	Nodes     int           // that follow the same discovery; 0: not known
-	Subscribe bool          // only after Watch
-	MustAsk   time.Duration // a node that has not asked for so long is deemed informed; 0: never
-	Dial      Dial          // nil: TCP
-	Grace     time.Duration // within which nothing new may go to a server that has been told to drain
-	Log       *slog.Logger
-	Count     *counters.Counters
+	Address         string
+	Nodes           int           // that follow the same discovery; 0: not known
+	Subscribe       bool          // only after Watch
+	MaxPollInterval time.Duration // a node that has not asked for so long is deemed informed; 0: never
+	Dial            Dial          // nil: TCP
+	DrainGrace      time.Duration // within which nothing new may go to a server that has been told to drain
+	Log             *slog.Logger
+	Count           *counters.Counters
 }
 
 // New makes a catalog that holds the list as it was known before.
-func New(o Options, known List) *Catalog {
+func New(o Options, known List) *Client {
 	dial := o.Dial
 	if dial == nil {
 		dial = dialTCP
 	}
-	c := &Catalog{pace: paceFor(o), dial: dial, ask: o.Subscribe, asked: make(chan struct{}, 1),
+	c := &Client{pace: paceFor(o), dial: dial, ask: o.Subscribe, asked: make(chan struct{}, 1),
 		moved: make(chan struct{}, 1), log: o.Log, count: o.Count, members: map[balancer.ServerID]Member{},
 		source: newSource(o.Address, dial)}
 	known.Complete = true
@@ -87,7 +87,7 @@
 }
 
 // Address is where a server listens; false for one that has left the list, or is to get nothing new.
-func (c *Catalog) Address(id balancer.ServerID) (string, bool) {
+func (c *Client) Address(id balancer.ServerID) (string, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	m := c.members[id]
@@ -98,14 +98,14 @@
 }
 
 // Size is the number of servers with an address.
-func (c *Catalog) Size() int {
+func (c *Client) Size() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return len(c.members)
 }
 
 // List is the whole list as held.
-func (c *Catalog) List() List {
+func (c *Client) List() List {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	out := List{Revision: c.revision, Complete: true, Members: make([]Member, 0, len(c.members))}
@@ -116,7 +116,7 @@
 }
 
 // Watch asks for the list to be followed. It does not wait.
-func (c *Catalog) WatchEndpoints() {
+func (c *Client) WatchEndpoints() {
 	select {
 	case c.asked <- struct{}{}:
 	default:
@@ -124,7 +124,7 @@
 }
 
 // Run tells the list as held, then follows discovery until the context ends.
-func (c *Catalog) Run(ctx context.Context, known List, news News) {
+func (c *Client) Run(ctx context.Context, known List, news ListHandler) {
 	c.news = news
 	c.running.Store(true)
 	c.newsMu.Lock()
@@ -171,7 +171,7 @@
 // follow takes the whole list from a source and then its changes, until a call fails. What is held of another
 // source, or from before a failure, is not gone on from: revisions may not compare, and news was missed. Only a call that
 // was turned away leaves what is held as it was. It gives why it failed; nil where that was our own doing.
-func (c *Catalog) follow(ctx context.Context, src *source, at *int64, pause time.Duration) (next time.Duration, failed error) {
+func (c *Client) follow(ctx context.Context, src *source, at *int64, pause time.Duration) (next time.Duration, failed error) {
 	for ctx.Err() == nil {
 		var list List
 		var err error
@@ -227,7 +227,7 @@
 }
 
 // waitAsked waits until the module asks. Another address needs no asking: it goes on with what was asked for.
-func (c *Catalog) waitAsked(ctx context.Context) bool {
+func (c *Client) waitAsked(ctx context.Context) bool {
 	select {
 	case <-c.asked:
 		return true
@@ -239,7 +239,7 @@
 }
 
 // arrived forgets that discovery moved: it is followed there already.
-func (c *Catalog) arrived() {
+func (c *Client) arrived() {
 	select {
 	case <-c.moved:
 	default:
@@ -247,7 +247,7 @@
 }
 
 // rest waits before the next call; another address ends it.
-func (c *Catalog) rest(ctx context.Context, d time.Duration) {
+func (c *Client) rest(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -259,20 +259,20 @@
 
 // tellLate tells the module once that news is missing for longer than it may take: what discovery had to tell counts as told by
 // now. It does not wait for the next call to fail, which may be seconds later.
-func (c *Catalog) tellLate() {
+func (c *Client) tellLate() {
 	c.newsMu.Lock()
 	defer c.newsMu.Unlock()
 	if c.late || time.Since(c.informed) < toldLatest {
 		return // an answer has crossed it
 	}
 	c.late = true
-	c.count.List.Late.Inc()
+	c.count.ServerList.Late.Inc()
 	c.log.Warn("no news of the list for longer than it may take", "code", "list_late", "for_ms", time.Since(c.informed).Milliseconds())
 	c.news.UpdateEndpoints(balancer.EndpointUpdate{Kind: balancer.UpdateOverdue})
 }
 
-func (c *Catalog) failed(err error, first bool) {
-	c.count.List.Failed.Inc()
+func (c *Client) failed(err error, first bool) {
+	c.count.ServerList.Failed.Inc()
 	if first { // the first of a row: an outage must not fill the log
 		c.log.Warn("discovery call failed, the last list stands", "code", "list_failed", "error", err)
 	}
@@ -280,7 +280,7 @@
 }
 
 // call asks once: for the whole list where no version is held, whose answer is waited for so long, else by a watch.
-func (c *Catalog) call(src *source, at int64, wait time.Duration) (List, error) {
+func (c *Client) call(src *source, at int64, wait time.Duration) (List, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -310,34 +310,34 @@
 	return list, nil
 }
 
-func (c *Catalog) take(list List, at int64) {
+func (c *Client) take(list List, at int64) {
 	c.locate(list) // before the module can send there
 	c.newsMu.Lock()
 	defer c.newsMu.Unlock()
 	late := c.late
 	c.informed, c.late = time.Now(), false
 	c.lateness.Reset(lateAfter)
-	c.count.List.Informed.Set(c.informed.UnixMilli())
+	c.count.ServerList.Informed.Set(c.informed.UnixMilli())
 	switch {
 	case list.Complete:
-		c.count.List.Full.Inc()
+		c.count.ServerList.Full.Inc()
 		c.tell(list, balancer.FullUpdate)
 	case len(list.Members) > 0 || at < 0 || late:
-		c.count.List.Delta.Inc()
+		c.count.ServerList.Delta.Inc()
 		c.tell(list, balancer.DeltaUpdate)
 	}
 }
 
-func (c *Catalog) tell(list List, form balancer.UpdateKind) {
-	if n, ok := c.news.(MemberNews); ok {
-		n.MemberNews(list, form)
+func (c *Client) tell(list List, form balancer.UpdateKind) {
+	if n, ok := c.news.(MemberHandler); ok {
+		n.HandleMembers(list, form)
 		return
 	}
 	c.news.UpdateEndpoints(balancer.EndpointUpdate{Kind: form, Endpoints: list.Entries()})
 }
 
 // locate notes the addresses. They may change at a restart; one that is gone is not dialled any more.
-func (c *Catalog) locate(list List) {
+func (c *Client) locate(list List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revision = list.Revision
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -219,7 +219,7 @@
 	mu       sync.Mutex
 	cancel   context.CancelFunc
 	ctx      context.Context
-	all      []*Catalog
+	all      []*Client
 	ending   []func()
 }
 
@@ -265,7 +265,7 @@
 // join starts followers that hold a list.
 func (c *crowd) join(n int, address string, known List) {
 	for range n {
-		f := New(Options{Address: address, Nodes: n, MustAsk: 10 * time.Second, Grace: grace, Dial: c.dial,
+		f := New(Options{Address: address, Nodes: n, MaxPollInterval: 10 * time.Second, DrainGrace: grace, Dial: c.dial,
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, known)
 		c.all = append(c.all, f)
 		go f.Run(c.ctx, known, deaf{})
@@ -307,7 +307,7 @@
 // took 30 s with 300: servers that had been told to drain went on getting requests (herd+mass, 221 to 561 times).
 func TestNewsReachesHundredsInTime(t *testing.T) {
 	const answer = answerMany + onTheWay
-	longestPause := paceFor(Options{Nodes: followers, Grace: grace}).away
+	longestPause := paceFor(Options{Nodes: followers, DrainGrace: grace}).away
 	for _, tc := range []struct {
 		name  string
 		bound time.Duration // from the change, or from when discovery answers again
@@ -366,7 +366,7 @@
 			two.revision, two.members = a.revision, a.members
 			c.agency("two", two)
 			for _, f := range c.all {
-				f.Follow("two")
+				f.SetAddress("two")
 			}
 		}},
 	} {
@@ -430,7 +430,7 @@
 		t.Run(fmt.Sprintf("%d nodes, %v", tc.nodes, tc.grace), func(t *testing.T) {
 			t.Parallel()
 			l := listenAsDiscovery(t)
-			c := New(Options{Address: l.Addr().String(), Nodes: tc.nodes, Grace: tc.grace,
+			c := New(Options{Address: l.Addr().String(), Nodes: tc.nodes, DrainGrace: tc.grace,
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, List{})
 			const toldAfterHold = 2 * time.Second // the protocol's: a silent watch's news counts then, even if the change is older
 			if late := toldAfterHold + tc.grace; c.pace.watch+quietLeast >= late {
@@ -460,7 +460,7 @@
 		t.Run(fmt.Sprintf("%d nodes, %v", tc.nodes, tc.grace), func(t *testing.T) {
 			t.Parallel()
 			l := listenAsDiscovery(t)
-			c := New(Options{Address: l.Addr().String(), Nodes: tc.nodes, Grace: tc.grace, MustAsk: 200 * time.Millisecond,
+			c := New(Options{Address: l.Addr().String(), Nodes: tc.nodes, DrainGrace: tc.grace, MaxPollInterval: 200 * time.Millisecond,
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, List{})
 			defer func() { c.current().cutOff() }()
 			go c.Run(t.Context(), List{}, deaf{})
@@ -518,16 +518,16 @@
 		a.set(func() { a.closed = true })
 		var got forms
 		count := &counters.Counters{}
-		f := New(Options{Address: "one", Nodes: followers, MustAsk: 10 * time.Second, Grace: grace, Dial: c.dial,
+		f := New(Options{Address: "one", Nodes: followers, MaxPollInterval: 10 * time.Second, DrainGrace: grace, Dial: c.dial,
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count}, a.known())
 		c.all = append(c.all, f)
 		go f.Run(c.ctx, a.known(), &got)
 		time.Sleep(toldLatest)
-		if count.List.Late.Get() != 0 {
+		if count.ServerList.Late.Get() != 0 {
 			t.Error("news is called late before it counts as told")
 		}
 		time.Sleep(2 * toldLatest)
-		if n := count.List.Late.Get(); n != 1 {
+		if n := count.ServerList.Late.Get(); n != 1 {
 			t.Errorf("late %d times in one outage, want once", n)
 		}
 		a.set(func() { a.closed = false })
@@ -537,7 +537,7 @@
 		if last := got.told[len(got.told)-1]; last != balancer.DeltaUpdate {
 			t.Errorf("the last that the module heard is %v, want a delta", last)
 		}
-		if count.List.Informed.Get() == 0 {
+		if count.ServerList.Informed.Get() == 0 {
 			t.Error("the time of the last answer is not counted")
 		}
 	})
@@ -558,7 +558,7 @@
 					defer c.end()
 					c.agency("one", a)
 					for range followers {
-						f := New(Options{Address: "one", Nodes: followers, Subscribe: subscribe, Grace: grace, Dial: c.dial,
+						f := New(Options{Address: "one", Nodes: followers, Subscribe: subscribe, DrainGrace: grace, Dial: c.dial,
 							Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, a.known())
 						c.all = append(c.all, f)
 						go f.Run(c.ctx, a.known(), &asker{f})
@@ -568,7 +568,7 @@
 					a.drain()
 					time.Sleep(toldLatest + 100*time.Millisecond)
 					for _, f := range c.all {
-						if f.count.List.Late.Get() != 1 && f.List().Revision != 2 {
+						if f.count.ServerList.Late.Get() != 1 && f.List().Revision != 2 {
 							t.Fatalf("news is missing, and the module has not heard of it")
 						}
 					}
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -39,11 +39,11 @@
 	if err := json.Unmarshal(golden, &decoded); err != nil || !reflect.DeepEqual(decoded, formatList) {
 		t.Errorf("decoded %+v (%v)\nwant    %+v", decoded, err, formatList)
 	}
-	wantEntries := []balancer.ServerEntry{
-		{ID: "s-1", State: balancer.Ready, Zone: "a", Cell: 3, Size: 1.5, Started: 1764588000123},
-		{ID: "s-2", State: balancer.Draining, Zone: "zone \"b\"", Cell: -1, Size: 1, Started: 0.5},
-		{ID: "s-3", State: balancer.Gone},
-		{ID: "s-4", State: balancer.Draining, Size: 2},
+	wantEntries := []balancer.Endpoint{
+		{ID: "s-1", State: balancer.Ready, Zone: "a", Cell: 3, Capacity: 1.5, Started: 1764588000123},
+		{ID: "s-2", State: balancer.Draining, Zone: "zone \"b\"", Cell: -1, Capacity: 1, Started: 0.5},
+		{ID: "s-3", State: balancer.Removed},
+		{ID: "s-4", State: balancer.Draining, Capacity: 2},
 	}
 	if got := read.Entries(); !reflect.DeepEqual(got, wantEntries) {
 		t.Errorf("entries %+v\nwant    %+v", got, wantEntries)
--- a/internal/discovery/insist.go
+++ b/internal/discovery/insist.go
@@ -20,7 +20,7 @@
 // back is never answered (seen on herd+mass: 288 of 288), and what it got there counts as told at once; so while one call is
 // waited for the next one is made, and nobody who comes back waits for the end of a call that is lost. An answer that a
 // discovery with little room gives late is still taken, and being turned away ends it.
-func (c *Catalog) insist(ctx context.Context, src *source) (List, error) {
+func (c *Client) insist(ctx context.Context, src *source) (List, error) {
 	type result struct {
 		list List
 		err  error
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -87,21 +87,21 @@
 	if o.Nodes > few {
 		p.answer = answerMany
 		p.crowd = time.Duration(o.Nodes) * callEach
-		p.spread = min(p.crowd, time.Duration(float64(o.Grace)*firstShare))
+		p.spread = min(p.crowd, time.Duration(float64(o.DrainGrace)*firstShare))
 	}
 	p.away = toldLatest - reply - p.answer
 	if o.Nodes > few {
 		p.pause = min(4*p.crowd, time.Duration(float64(p.away)/jitter))
 	}
-	p.quiet = min(p.pause, max(quietLeast, time.Duration(float64(o.Grace)*graceShare)))
+	p.quiet = min(p.pause, max(quietLeast, time.Duration(float64(o.DrainGrace)*graceShare)))
 	first := time.Duration(jitter * float64(retryFirst))
 	if o.Subscribe {
 		p.anew = min(time.Duration(max(0, o.Nodes-1))*anewEach, anewMost)
 		first = p.anew
 	}
 	p.hold = toldLatest - reply - p.watch - first
-	if o.MustAsk > 0 {
-		p.hold = min(p.hold, o.MustAsk/2)
+	if o.MaxPollInterval > 0 {
+		p.hold = min(p.hold, o.MaxPollInterval/2)
 	}
 	return p
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -20,7 +20,7 @@
 		for _, grace := range []time.Duration{0, time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 			for _, mustAsk := range []time.Duration{0, 200 * time.Millisecond, 10 * time.Second} {
 				for _, subscribe := range []bool{false, true} {
-					p := paceFor(Options{Nodes: nodes, Grace: grace, MustAsk: mustAsk, Subscribe: subscribe})
+					p := paceFor(Options{Nodes: nodes, DrainGrace: grace, MaxPollInterval: mustAsk, Subscribe: subscribe})
 					if worst := p.worst(subscribe); worst > toldLatest {
 						t.Fatalf("%d nodes, grace %v, asked for %v: news may take %v: %+v", nodes, grace, subscribe, worst, p)
 					}
@@ -42,7 +42,7 @@
 }
 
 // asker stands in for a module that must ask for the list: it takes its longest pause after each call that failed.
-type asker struct{ c *Catalog }
+type asker struct{ c *Client }
 
 func (a *asker) UpdateEndpoints(l balancer.EndpointUpdate) {
 	switch l.Kind {
@@ -81,7 +81,7 @@
 						c.agency("one", a)
 						known := a.known()
 						for range size.nodes {
-							f := New(Options{Address: "one", Nodes: size.nodes, Grace: size.grace, Subscribe: size.subscribe, Dial: c.dial,
+							f := New(Options{Address: "one", Nodes: size.nodes, DrainGrace: size.grace, Subscribe: size.subscribe, Dial: c.dial,
 								Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, known)
 							c.all = append(c.all, f)
 							go f.Run(c.ctx, known, &asker{f})
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -87,7 +87,7 @@
 
 // Follow goes on with discovery at another address, or anew at the same one: the call that is out is ended and
 // the whole list is taken. Until it is in, the servers' addresses and the module's list stay.
-func (c *Catalog) Follow(address string) {
+func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	old := c.source
 	c.source = newSource(address, c.dial)
@@ -100,13 +100,13 @@
 }
 
 // Refetch asks for the whole list again, where discovery is followed already: whoever takes the news has changed.
-func (c *Catalog) Refetch() {
+func (c *Client) Refetch() {
 	if c.running.Load() {
-		c.Follow(c.current().client.Addr)
+		c.SetAddress(c.current().client.Addr)
 	}
 }
 
-func (c *Catalog) current() *source {
+func (c *Client) current() *source {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.source
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -10,10 +10,10 @@
 	KillAfter = 700 * time.Millisecond
 
 	// LongestDeadline is the longest deadline that the earliest SIGKILL waits for, whatever the settings allow.
-	LongestDeadline = 3 * time.Second
+	MaxDeadline = 3 * time.Second
 
 	// Standstill is how long the process may be held up between any two steps (STANDING, more than these days).
-	Standstill = 150 * time.Millisecond
+	MaxPause = 150 * time.Millisecond
 
 	// newConnections is how long new connections go on coming after the signal: 0.4 s by the protocol, and a little for
 	// their first request. Until then idle connections stay open too: a client that lost its own would only come back.
@@ -30,28 +30,28 @@
 	// CloseListener is from when the listener is closed, as soon as nothing waits in its queue.
 	CloseListener time.Duration
 	// GiveUpHalf is from when requests that are not whole are refused.
-	GiveUpHalf time.Duration
+	RejectIncomplete time.Duration
 	// LastForward is until when a request may be forwarded. Whatever is read later is refused at once: nothing of it has run.
 	LastForward time.Duration
 	// LastAnswer is by when every answer is out, and when the listener is closed whatever its queue holds. A request that is
 	// forwarded is waited for no longer.
-	LastAnswer time.Duration
+	LastResponse time.Duration
 	// Kill is the earliest SIGKILL, counted from the signal.
 	Kill time.Duration
 }
 
 // NewPlan plans the stop of a node whose clients wait for so long at the most; 0: no limit is known.
 func NewPlan(longest time.Duration) Plan {
-	if longest <= 0 || longest > LongestDeadline {
-		longest = LongestDeadline
+	if longest <= 0 || longest > MaxDeadline {
+		longest = MaxDeadline
 	}
 	p := Plan{Kill: longest + KillAfter}
 	// One standstill may come before the signal is noticed, and one right before the last answer is written.
-	p.LastAnswer = p.Kill - 2*Standstill
-	p.LastForward = p.LastAnswer - Standstill
-	p.CloseIdle = min(newConnections, p.LastAnswer)
-	p.CloseListener = min(earliestClose, p.LastAnswer)
-	p.GiveUpHalf = min(earliestClose, p.LastForward)
+	p.LastResponse = p.Kill - 2*MaxPause
+	p.LastForward = p.LastResponse - MaxPause
+	p.CloseIdle = min(newConnections, p.LastResponse)
+	p.CloseListener = min(earliestClose, p.LastResponse)
+	p.RejectIncomplete = min(earliestClose, p.LastForward)
 	return p
 }
 
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,16 +9,16 @@
 	for _, longest := range []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 390 * time.Millisecond, 1500 * time.Millisecond,
 		3 * time.Second, time.Hour} {
 		p := NewPlan(longest)
-		if p.LastForward+Standstill > p.LastAnswer {
-			t.Errorf("%v: a request forwarded at %v has no standstill before %v", longest, p.LastForward, p.LastAnswer)
+		if p.LastForward+MaxPause > p.LastResponse {
+			t.Errorf("%v: a request forwarded at %v has no standstill before %v", longest, p.LastForward, p.LastResponse)
 		}
-		if p.LastAnswer+2*Standstill > p.Kill {
-			t.Errorf("%v: no two standstills between the last answer at %v and the kill at %v", longest, p.LastAnswer, p.Kill)
+		if p.LastResponse+2*MaxPause > p.Kill {
+			t.Errorf("%v: no two standstills between the last answer at %v and the kill at %v", longest, p.LastResponse, p.Kill)
 		}
-		if p.CloseIdle > p.CloseListener || p.CloseListener > p.LastAnswer || p.GiveUpHalf > p.LastForward {
+		if p.CloseIdle > p.CloseListener || p.CloseListener > p.LastResponse || p.RejectIncomplete > p.LastForward {
 			t.Errorf("%v: steps out of order: %+v", longest, p)
 		}
-		if p.Kill > LongestDeadline+KillAfter {
+		if p.Kill > MaxDeadline+KillAfter {
 			t.Errorf("%v: the kill may come before %v", longest, p.Kill)
 		}
 	}
@@ -26,7 +26,7 @@
 
 func TestPlanOfTheIncident(t *testing.T) {
 	const ms = time.Millisecond
-	want := Plan{CloseIdle: 450 * ms, CloseListener: 550 * ms, GiveUpHalf: 550 * ms, LastForward: 640 * ms, LastAnswer: 790 * ms, Kill: 1090 * ms}
+	want := Plan{CloseIdle: 450 * ms, CloseListener: 550 * ms, RejectIncomplete: 550 * ms, LastForward: 640 * ms, LastResponse: 790 * ms, Kill: 1090 * ms}
 	if got := NewPlan(390 * ms); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
--- a/internal/endpointmerge/listmerge.go
+++ b/internal/endpointmerge/listmerge.go
@@ -15,58 +15,58 @@
 type Millis = float64
 
 // Restored is the source of a view recovered from disk. It holds until every other source has spoken.
-const Restored = "state"
+const SourceRestored = "state"
 
 // The fields that have a precedence. The phase has none: a server that any source drains is drained, since a drain that
 // is not kept breaks a rule and one too many costs a little capacity.
 const (
-	Address = "address"
-	Zone    = "zone"
-	Pod     = "pod"
-	Size    = "size"
+	FieldAddress = "address"
+	FieldZone    = "zone"
+	FieldPod     = "pod"
+	FieldSize    = "size"
 )
 
 // Fields are all of them.
-var Fields = []string{Address, Zone, Pod, Size}
+var Fields = []string{FieldAddress, FieldZone, FieldPod, FieldSize}
 
 // Settings say how to merge.
 type Settings struct {
-	Sources []string            // all that will speak, in the order of their precedence
-	Order   map[string][]string // by field: another order; sources that it leaves out follow in theirs
-	Require []string            // these must list a server for it to be a member, once they have spoken
+	Sources         []string            // all that will speak, in the order of their precedence
+	FieldPrecedence map[string][]string // by field: another order; sources that it leaves out follow in theirs
+	RequiredSources []string            // these must list a server for it to be a member, once they have spoken
 
 	// A list of a guarded source that takes away more than RemoveShare of the members at once, and at least RemoveLeast,
 	// is held until it is confirmed, replaced, or borne out by what other sources say.
-	Guarded     []string
-	RemoveShare float64
-	RemoveLeast int
+	GuardedSources  []string
+	MaxRemovedShare float64
+	MinHeldRemovals int
 
 	// A server whose group (zone and pod) changes gets nothing new for PodHold, under its old group: a keyed request that
 	// went there may still be repeated in that group, and one sent meanwhile would be dropped by none. At most MoveShare
 	// of the members move at a time; the others wait with their old group, in service.
-	PodHold   Millis
-	MoveShare float64
+	PodHold        Millis
+	MaxMovingShare float64
 
 	// Tombstone is how long a server that one source has taken away is not raised by a source that says nothing new.
-	Tombstone Millis
+	TombstoneTTL Millis
 }
 
 // Event is something a source said, or the time.
 type Event interface{ event() }
 
 // Stated is a source's whole list.
-type Stated struct {
+type Snapshot struct {
 	Source   string
 	Revision string
 	Servers  []inventory.Server
 }
 
 // Changed is what a source changes of its list.
-type Changed struct {
+type Delta struct {
 	Source   string
 	Revision string
-	Set      []inventory.Server
-	Gone     []string
+	Updated  []inventory.Server
+	Removed  []string
 }
 
 // Withdrawn is a source that will not speak any more: what it said does not count, and takes nothing away.
@@ -78,8 +78,8 @@
 // Tick is the time alone.
 type Tick struct{}
 
-func (Stated) event()    {}
-func (Changed) event()   {}
+func (Snapshot) event()  {}
+func (Delta) event()     {}
 func (Withdrawn) event() {}
 func (Confirmed) event() {}
 func (Tick) event()      {}
@@ -92,44 +92,44 @@
 	Cell     int // a number for the pod; the same number is the same pod for as long as this view lives
 	Size     float64
 	Draining bool
-	Gone     bool
+	Removed  bool
 	Started  Millis
 }
 
 // Member is one server of the view.
 type Member struct {
 	inventory.Server
-	From   map[string]string `json:"from"`             // which source each field came from
-	Moving string            `json:"moving,omitempty"` // the group it will have; until then it has its old one
+	FieldSources map[string]string `json:"from"`             // which source each field came from
+	MovingTo     string            `json:"moving,omitempty"` // the group it will have; until then it has its old one
 }
 
 // Conflict is a field on which two sources that speak of it differ.
 type Conflict struct {
-	ID, Field   string
-	Taken, Left string // values
-	From, Not   string // sources
+	ID, Field                    string
+	Chosen, Rejected             string // values
+	ChosenSource, RejectedSource string // sources
 }
 
 // String is the conflict as a line.
 func (c Conflict) String() string {
-	return fmt.Sprintf("%s: %s is %q by %s, not %q by %s", c.ID, c.Field, c.Taken, c.From, c.Left, c.Not)
+	return fmt.Sprintf("%s: %s is %q by %s, not %q by %s", c.ID, c.Field, c.Chosen, c.ChosenSource, c.Rejected, c.RejectedSource)
 }
 
 // Held is a list that waits for confirmation.
-type Held struct {
+type HeldList struct {
 	Source, Revision string
-	Away, Of         int // members that it would take away, of how many
+	Removed, Total   int // members that it would take away, of how many
 }
 
 // Outcome is what a step brought about.
 type Outcome struct {
-	Push      []Entry
-	Spoke     bool // some source said something, though perhaps nothing new
-	Held      []Held
-	Released  []string   // sources whose held list passed or was replaced
-	Conflicts []Conflict // new ones
-	Moved     int        // servers that have begun to change their group
-	Wake      Millis     // when a Tick is due; 0: none
+	Changes      []Entry
+	Spoke        bool // some source said something, though perhaps nothing new
+	Held         []HeldList
+	Released     []string   // sources whose held list passed or was replaced
+	Conflicts    []Conflict // new ones
+	MovesStarted int        // servers that have begun to change their group
+	NextTick     Millis     // when a Tick is due; 0: none
 }
 
 // conflictsKept bounds what is remembered of conflicts, which grow with the fleet.
@@ -173,7 +173,7 @@
 	cells     map[string]int     // by pod
 	podOf     map[int]string     // by cell
 	nextCell  int
-	held      map[string]Stated
+	held      map[string]Snapshot
 	told      map[string]string // by source: the revision of the held list that was told
 	confirmed map[string]string // by source: a revision that may pass
 	conflicts map[string]Conflict
@@ -187,12 +187,12 @@
 func New(s Settings) *View {
 	v := &View{set: s, sources: map[string]*source{}, tombs: map[string]tomb{}, members: map[string]*member{},
 		orders: map[string][]string{}, wants: map[string]string{}, touched: map[string]bool{}, movers: map[string]*member{},
-		podOf: map[int]string{}, claims: map[string]map[string]bool{}, pushed: map[string]Entry{}, cells: map[string]int{}, held: map[string]Stated{},
+		podOf: map[int]string{}, claims: map[string]map[string]bool{}, pushed: map[string]Entry{}, cells: map[string]int{}, held: map[string]Snapshot{},
 		told: map[string]string{}, confirmed: map[string]string{}, conflicts: map[string]Conflict{}}
 	for i, name := range s.Sources {
 		v.sources[name] = &source{rank: i, servers: map[string]inventory.Server{}, at: map[string]Millis{}}
 	}
-	v.sources[Restored] = &source{rank: len(s.Sources), servers: map[string]inventory.Server{}, at: map[string]Millis{}}
+	v.sources[SourceRestored] = &source{rank: len(s.Sources), servers: map[string]inventory.Server{}, at: map[string]Millis{}}
 	for _, field := range append([]string{""}, Fields...) {
 		v.orders[field] = v.order(field)
 	}
@@ -212,9 +212,9 @@
 	var out Outcome
 	dirty := map[string]bool{}
 	switch e := e.(type) {
-	case Stated:
+	case Snapshot:
 		v.stated(e, dirty, &out)
-	case Changed:
+	case Delta:
 		v.changed(e, dirty, &out)
 	case Withdrawn:
 		v.withdrawn(e.Source, dirty)
@@ -233,10 +233,10 @@
 	return out
 }
 
-func (v *View) allSpoke() bool { return len(v.Silent()) == 0 }
+func (v *View) allSpoke() bool { return len(v.PendingSources()) == 0 }
 
 // Silent are the sources that have not spoken yet.
-func (v *View) Silent() []string {
+func (v *View) PendingSources() []string {
 	var out []string
 	for _, name := range v.set.Sources {
 		if !v.sources[name].spoken {
@@ -247,7 +247,7 @@
 }
 
 // stated takes a whole list, or holds it.
-func (v *View) stated(e Stated, dirty map[string]bool, out *Outcome) {
+func (v *View) stated(e Snapshot, dirty map[string]bool, out *Outcome) {
 	s := v.sources[e.Source]
 	if s == nil {
 		return
@@ -267,7 +267,7 @@
 }
 
 // take makes a whole list a source's word.
-func (v *View) take(e Stated, dirty map[string]bool) {
+func (v *View) take(e Snapshot, dirty map[string]bool) {
 	s := v.sources[e.Source]
 	now := map[string]inventory.Server{}
 	for _, server := range e.Servers {
@@ -282,7 +282,7 @@
 			dirty[id] = true
 		}
 	}
-	if !s.spoken && contains(v.set.Require, e.Source) { // from now on it takes away what it does not list
+	if !s.spoken && contains(v.set.RequiredSources, e.Source) { // from now on it takes away what it does not list
 		for id := range v.members {
 			dirty[id] = true
 		}
@@ -293,20 +293,20 @@
 	}
 }
 
-func (v *View) changed(e Changed, dirty map[string]bool, out *Outcome) {
+func (v *View) changed(e Delta, dirty map[string]bool, out *Outcome) {
 	s := v.sources[e.Source]
 	if s == nil {
 		return
 	}
 	out.Spoke = true
 	s.revision = e.Revision
-	for _, server := range e.Set {
+	for _, server := range e.Updated {
 		s.servers[server.ID] = server
 		s.at[server.ID] = v.now
 		dirty[server.ID] = true
 		v.raised(e.Source, server.ID)
 	}
-	for _, id := range e.Gone {
+	for _, id := range e.Removed {
 		if _, had := s.servers[id]; had {
 			delete(s.servers, id)
 			v.away(e.Source, id)
@@ -357,16 +357,16 @@
 
 // tooMuch tells whether a list takes away more than a share of the members at once. It guards against a list that was
 // made from half of its own source, which reads well.
-func (v *View) tooMuch(e Stated) bool {
-	if !contains(v.set.Guarded, e.Source) || v.confirmed[e.Source] == e.Revision || v.set.RemoveShare <= 0 {
+func (v *View) tooMuch(e Snapshot) bool {
+	if !contains(v.set.GuardedSources, e.Source) || v.confirmed[e.Source] == e.Revision || v.set.MaxRemovedShare <= 0 {
 		return false
 	}
 	away, of := v.takesAway(e)
-	return away >= max(1, v.set.RemoveLeast) && float64(away) > v.set.RemoveShare*float64(of)
+	return away >= max(1, v.set.MinHeldRemovals) && float64(away) > v.set.MaxRemovedShare*float64(of)
 }
 
 // takesAway counts the members in service that a list would take out of it.
-func (v *View) takesAway(e Stated) (away, of int) {
+func (v *View) takesAway(e Snapshot) (away, of int) {
 	s, next := v.sources[e.Source], map[string]inventory.Phase{}
 	for _, server := range e.Servers {
 		next[server.ID] = server.Phase
@@ -378,8 +378,8 @@
 		of++
 		_, listed := s.servers[id]
 		if !s.spoken {
-			_, listed = v.sources[Restored].servers[id]
-			listed = listed || contains(v.set.Require, e.Source)
+			_, listed = v.sources[SourceRestored].servers[id]
+			listed = listed || contains(v.set.RequiredSources, e.Source)
 		}
 		if phase, ok := next[id]; listed && (!ok || phase == inventory.Draining) {
 			away++
@@ -406,29 +406,29 @@
 		if v.told[name] != e.Revision {
 			v.told[name] = e.Revision
 			away, of := v.takesAway(e)
-			out.Held = append(out.Held, Held{name, e.Revision, away, of})
+			out.Held = append(out.Held, HeldList{name, e.Revision, away, of})
 		}
 	}
 }
 
 // forgetRestored drops the recovered view once every source has spoken for itself.
 func (v *View) forgetRestored(dirty map[string]bool) {
-	if len(v.sources[Restored].servers) == 0 {
+	if len(v.sources[SourceRestored].servers) == 0 {
 		return
 	}
 	if v.allSpoke() {
-		v.withdrawn(Restored, dirty)
+		v.withdrawn(SourceRestored, dirty)
 	}
 }
 
 // Stale tells whether the view still leans on what was recovered from disk.
-func (v *View) Stale() bool { return len(v.sources[Restored].servers) > 0 }
+func (v *View) Stale() bool { return len(v.sources[SourceRestored].servers) > 0 }
 
 // Revisions are the sources' last revisions, of those that have spoken.
 func (v *View) Revisions() map[string]string {
 	out := map[string]string{}
 	for name, s := range v.sources {
-		if s.spoken && name != Restored {
+		if s.spoken && name != SourceRestored {
 			out[name] = s.revision
 		}
 	}
--- a/internal/endpointmerge/listmerge_test.go
+++ b/internal/endpointmerge/listmerge_test.go
@@ -11,8 +11,8 @@
 )
 
 func settings() Settings {
-	return Settings{Sources: []string{"file", "discovery"}, Order: map[string][]string{Address: {"discovery", "file"}},
-		Guarded: []string{"file"}, RemoveShare: 0.3, RemoveLeast: 2, PodHold: 2000, MoveShare: 0.5, Tombstone: 60_000}
+	return Settings{Sources: []string{"file", "discovery"}, FieldPrecedence: map[string][]string{FieldAddress: {"discovery", "file"}},
+		GuardedSources: []string{"file"}, MaxRemovedShare: 0.3, MinHeldRemovals: 2, PodHold: 2000, MaxMovingShare: 0.5, TombstoneTTL: 60_000}
 }
 
 func server(id, pod string) inventory.Server {
@@ -37,15 +37,15 @@
 	s.t.Helper()
 	out := s.v.Step(now, e)
 	got := ""
-	for _, p := range out.Push {
+	for _, p := range out.Changes {
 		got += " " + p.ID
 		switch {
-		case p.Gone:
+		case p.Removed:
 			got += "-"
 		case p.Draining:
 			got += "~"
 		}
-		if !p.Gone {
+		if !p.Removed {
 			got += fmt.Sprint("@", p.Cell)
 		}
 	}
@@ -58,9 +58,9 @@
 // The file owns pods and sizes, discovery owns addresses; a drain by either drains; what only one knows is a member too.
 func TestMergeByField(t *testing.T) {
 	v := New(settings())
-	v.Step(1, Stated{Source: "file", Revision: "f1", Servers: []inventory.Server{
+	v.Step(1, Snapshot{Source: "file", Revision: "f1", Servers: []inventory.Server{
 		{ID: "s1", Address: "10.0.0.1:80", Zone: "a", Pod: "p7", Size: 2, Extra: map[string]string{"rack": "r1"}}, server("s2", "p7")}})
-	out := v.Step(2, Stated{Source: "discovery", Revision: "1", Servers: []inventory.Server{
+	out := v.Step(2, Snapshot{Source: "discovery", Revision: "1", Servers: []inventory.Server{
 		{ID: "s1", Address: "10.9.9.9:80", Zone: "a", Pod: "4", Started: 500, Phase: inventory.Draining}, server("s3", "5")}})
 	got := v.Members()
 	if len(got) != 3 || got[0].Address != "10.9.9.9:80" || got[0].Pod != "p7" || got[0].Size != 2 || got[0].Phase != inventory.Draining ||
@@ -68,13 +68,13 @@
 		t.Fatalf("members %+v", got)
 	}
 	want := map[string]string{"address": "discovery", "pod": "file", "zone": "file", "size": "file", "phase": "discovery", "started": "discovery"}
-	if !reflect.DeepEqual(got[0].From, want) {
-		t.Errorf("from %v, want %v", got[0].From, want)
+	if !reflect.DeepEqual(got[0].FieldSources, want) {
+		t.Errorf("from %v, want %v", got[0].FieldSources, want)
 	}
 	if len(out.Conflicts) != 2 || len(v.Conflicts()) != 2 {
 		t.Errorf("conflicts %v, want address and pod of s1", out.Conflicts)
 	}
-	if out = v.Step(3, Stated{Source: "discovery", Revision: "2", Servers: []inventory.Server{server("s3", "5")}}); len(v.Conflicts()) != 0 {
+	if out = v.Step(3, Snapshot{Source: "discovery", Revision: "2", Servers: []inventory.Server{server("s3", "5")}}); len(v.Conflicts()) != 0 {
 		t.Errorf("conflicts %v stand after their end", v.Conflicts())
 	}
 }
@@ -82,71 +82,71 @@
 // A server that discovery has taken away is not raised by a file that merely still lists it.
 func TestTombstones(t *testing.T) {
 	s := script{t, New(settings())}
-	s.at(1, Stated{Source: "file", Revision: "f1", Servers: servers("p", 3)}, " s1@1 s2@1 s3@1")
-	s.at(2, Stated{Source: "discovery", Revision: "1", Servers: servers("p", 3)}, "")
-	s.at(3, Changed{Source: "discovery", Revision: "2", Gone: []string{"s2"}}, " s2-")
-	s.at(4, Stated{Source: "file", Revision: "f2", Servers: servers("p", 3)}, "")
-	s.at(5, Changed{Source: "discovery", Revision: "3", Set: servers("p", 2)[1:]}, " s2@1") // it is back
-	s.at(6, Changed{Source: "discovery", Revision: "4", Gone: []string{"s2"}}, " s2-")
+	s.at(1, Snapshot{Source: "file", Revision: "f1", Servers: servers("p", 3)}, " s1@1 s2@1 s3@1")
+	s.at(2, Snapshot{Source: "discovery", Revision: "1", Servers: servers("p", 3)}, "")
+	s.at(3, Delta{Source: "discovery", Revision: "2", Removed: []string{"s2"}}, " s2-")
+	s.at(4, Snapshot{Source: "file", Revision: "f2", Servers: servers("p", 3)}, "")
+	s.at(5, Delta{Source: "discovery", Revision: "3", Updated: servers("p", 2)[1:]}, " s2@1") // it is back
+	s.at(6, Delta{Source: "discovery", Revision: "4", Removed: []string{"s2"}}, " s2-")
 	s.at(61_000, Tick{}, "") // the tombstone is old, but nobody has spoken since
-	s.at(61_001, Stated{Source: "file", Revision: "f3", Servers: servers("p", 3)}, " s2@1")
-	s.at(61_002, Changed{Source: "discovery", Revision: "5", Gone: []string{"s3"}}, " s3-")
+	s.at(61_001, Snapshot{Source: "file", Revision: "f3", Servers: servers("p", 3)}, " s2@1")
+	s.at(61_002, Delta{Source: "discovery", Revision: "5", Removed: []string{"s3"}}, " s3-")
 	s.at(61_003, Withdrawn{"discovery"}, " s3@1") // its tombstones go with it
 }
 
 // A list that takes away too much is held until it is confirmed, replaced, or borne out by another source.
 func TestMassRemovalIsHeld(t *testing.T) {
 	s := script{t, New(settings())}
-	s.at(1, Stated{Source: "discovery", Revision: "1", Servers: servers("p", 6)}, " s1@1 s2@1 s3@1 s4@1 s5@1 s6@1")
-	s.at(2, Stated{Source: "file", Revision: "f1", Servers: servers("p", 6)}, "")
-	out := s.at(3, Stated{Source: "file", Revision: "f2", Servers: servers("p", 2)}, "")
-	if want := []Held{{"file", "f2", 4, 6}}; !reflect.DeepEqual(out.Held, want) {
+	s.at(1, Snapshot{Source: "discovery", Revision: "1", Servers: servers("p", 6)}, " s1@1 s2@1 s3@1 s4@1 s5@1 s6@1")
+	s.at(2, Snapshot{Source: "file", Revision: "f1", Servers: servers("p", 6)}, "")
+	out := s.at(3, Snapshot{Source: "file", Revision: "f2", Servers: servers("p", 2)}, "")
+	if want := []HeldList{{"file", "f2", 4, 6}}; !reflect.DeepEqual(out.Held, want) {
 		t.Errorf("held %v, want %v", out.Held, want)
 	}
 	if out = s.at(4, Tick{}, ""); out.Held != nil {
 		t.Error("one held list was told twice")
 	}
-	out = s.at(5, Stated{Source: "file", Revision: "f3", Servers: servers("p", 5)}, " s6-") // a good one replaces it
+	out = s.at(5, Snapshot{Source: "file", Revision: "f3", Servers: servers("p", 5)}, " s6-") // a good one replaces it
 	if len(out.Released) == 0 {
 		t.Error("the release was not told")
 	}
-	s.at(6, Stated{Source: "file", Revision: "f4", Servers: servers("p", 1)}, "")
-	if out = s.at(6, Stated{Source: "file", Revision: "f4", Servers: servers("p", 1)}, ""); out.Released != nil || out.Held != nil {
+	s.at(6, Snapshot{Source: "file", Revision: "f4", Servers: servers("p", 1)}, "")
+	if out = s.at(6, Snapshot{Source: "file", Revision: "f4", Servers: servers("p", 1)}, ""); out.Released != nil || out.Held != nil {
 		t.Errorf("read again, a held list was told as %v, %v", out.Released, out.Held)
 	}
 	s.at(7, Confirmed{"file", "f3"}, "") // another revision's confirmation
 	s.at(8, Confirmed{"file", "f4"}, " s2- s3- s4- s5-")
 	s.at(9, Confirmed{"file", "f5"}, "") // given beforehand, it holds for that list
-	s.at(10, Stated{Source: "file", Revision: "f6", Servers: servers("p", 6)}, " s2@1 s3@1 s4@1 s5@1 s6@1")
-	s.at(11, Stated{Source: "file", Revision: "f7", Servers: servers("p", 2)}, "")
-	s.at(12, Changed{Source: "discovery", Revision: "2", Gone: []string{"s3", "s4", "s5"}}, " s3- s4- s5- s6-") // borne out: one more is little
+	s.at(10, Snapshot{Source: "file", Revision: "f6", Servers: servers("p", 6)}, " s2@1 s3@1 s4@1 s5@1 s6@1")
+	s.at(11, Snapshot{Source: "file", Revision: "f7", Servers: servers("p", 2)}, "")
+	s.at(12, Delta{Source: "discovery", Revision: "2", Removed: []string{"s3", "s4", "s5"}}, " s3- s4- s5- s6-") // borne out: one more is little
 	drained := servers("p", 2)
 	drained[0].Phase, drained[1].Phase = inventory.Draining, inventory.Draining
-	s.at(13, Stated{Source: "file", Revision: "f8", Servers: drained}, "") // draining all is taking away as well
+	s.at(13, Snapshot{Source: "file", Revision: "f8", Servers: drained}, "") // draining all is taking away as well
 }
 
 // A server whose pod changes gets nothing new under the old one until the window is over; a pod that only gets another
 // name goes on undisturbed.
 func TestPodsMove(t *testing.T) {
 	set := settings()
-	set.Sources, set.MoveShare = []string{"file"}, 0.3
+	set.Sources, set.MaxMovingShare = []string{"file"}, 0.3
 	s := script{t, New(set)}
 	two := append(servers("p1", 2), server("s3", "p2"), server("s4", "p2"))
-	s.at(1, Stated{Source: "file", Revision: "1", Servers: two}, " s1@1 s2@1 s3@2 s4@2")
+	s.at(1, Snapshot{Source: "file", Revision: "1", Servers: two}, " s1@1 s2@1 s3@2 s4@2")
 	renamed := append(servers("q1", 2), server("s3", "p2"), server("s4", "p2"))
-	s.at(2, Stated{Source: "file", Revision: "2", Servers: renamed}, "")
+	s.at(2, Snapshot{Source: "file", Revision: "2", Servers: renamed}, "")
 	moved := append(servers("p2", 2), server("s3", "p2"), server("s4", "p2")) // both join a pod that others have
-	out := s.at(3, Stated{Source: "file", Revision: "3", Servers: moved}, " s1~@1")
-	if out.Wake != 2003 || out.Moved != 1 {
-		t.Errorf("wake at %v, %d moved; want 2003 and 1 of 4 at a time", out.Wake, out.Moved)
+	out := s.at(3, Snapshot{Source: "file", Revision: "3", Servers: moved}, " s1~@1")
+	if out.NextTick != 2003 || out.MovesStarted != 1 {
+		t.Errorf("wake at %v, %d moved; want 2003 and 1 of 4 at a time", out.NextTick, out.MovesStarted)
 	}
 	s.at(2002, Tick{}, "")
 	s.at(2003, Tick{}, " s1@2 s2~@1")
-	s.at(2500, Stated{Source: "file", Revision: "4", Servers: append(servers("q1", 2)[1:], moved[0], moved[2], moved[3])}, " s2@1") // back before it moved
-	if got := s.v.Members(); got[0].Pod != "p2" || got[1].Pod != "q1" || got[1].Moving != "" {
+	s.at(2500, Snapshot{Source: "file", Revision: "4", Servers: append(servers("q1", 2)[1:], moved[0], moved[2], moved[3])}, " s2@1") // back before it moved
+	if got := s.v.Members(); got[0].Pod != "p2" || got[1].Pod != "q1" || got[1].MovingTo != "" {
 		t.Errorf("members %+v", got)
 	}
-	s.at(2600, Stated{Source: "file", Revision: "5", Servers: []inventory.Server{server("s1", "p1"), server("s2", "q1"), server("s3", "p2"), server("s4", "p2")}}, " s1~@2")
+	s.at(2600, Snapshot{Source: "file", Revision: "5", Servers: []inventory.Server{server("s1", "p1"), server("s2", "q1"), server("s3", "p2"), server("s4", "p2")}}, " s1~@2")
 	s.at(4600, Tick{}, " s1@3") // the old name came back: it is another pod than the one that is q1 now
 }
 
@@ -155,10 +155,10 @@
 	set := settings()
 	set.Sources = []string{"file"}
 	v := New(set)
-	v.Step(1000, Stated{Source: "file", Revision: "1", Servers: servers("p", 3)})
-	out := v.Step(2000, Stated{Source: "file", Revision: "2", Servers: append(servers("p", 2), inventory.Server{ID: "n3", Address: "10.0.0.3:80", Pod: "p"})})
-	if len(out.Push) != 2 || out.Push[0].ID != "n3" || out.Push[0].Started != 2000 || !out.Push[1].Gone || out.Push[1].ID != "s3" {
-		t.Errorf("pushed %+v", out.Push)
+	v.Step(1000, Snapshot{Source: "file", Revision: "1", Servers: servers("p", 3)})
+	out := v.Step(2000, Snapshot{Source: "file", Revision: "2", Servers: append(servers("p", 2), inventory.Server{ID: "n3", Address: "10.0.0.3:80", Pod: "p"})})
+	if len(out.Changes) != 2 || out.Changes[0].ID != "n3" || out.Changes[0].Started != 2000 || !out.Changes[1].Removed || out.Changes[1].ID != "s3" {
+		t.Errorf("pushed %+v", out.Changes)
 	}
 	for _, m := range v.Members() {
 		if m.ID != "n3" && m.Started != 0 {
@@ -167,12 +167,12 @@
 	}
 	set.Sources = []string{"file", "discovery"}
 	v = New(set)
-	v.Step(1, Stated{Source: "file", Revision: "1", Servers: servers("p", 1)})
-	v.Step(2, Stated{Source: "discovery", Revision: "1", Servers: []inventory.Server{{ID: "x1", Address: "10.0.0.1:80"}}})
+	v.Step(1, Snapshot{Source: "file", Revision: "1", Servers: servers("p", 1)})
+	v.Step(2, Snapshot{Source: "discovery", Revision: "1", Servers: []inventory.Server{{ID: "x1", Address: "10.0.0.1:80"}}})
 	if got := v.Members(); len(got) != 1 || got[0].ID != "x1" {
 		t.Errorf("two ids at one address: %+v, want discovery's, which owns addresses", got)
 	}
-	v.Step(3, Changed{Source: "discovery", Revision: "2", Gone: []string{"x1"}})
+	v.Step(3, Delta{Source: "discovery", Revision: "2", Removed: []string{"x1"}})
 	if got := v.Members(); len(got) != 1 || got[0].ID != "s1" {
 		t.Errorf("after the other is gone: %+v", got)
 	}
@@ -181,21 +181,21 @@
 // A view from disk serves until every source has spoken, and guards against a cut-off list at the start.
 func TestRestored(t *testing.T) {
 	s := script{t, New(settings())}
-	s.at(1, Stated{Source: Restored, Revision: "7", Servers: servers("p", 6)}, " s1@1 s2@1 s3@1 s4@1 s5@1 s6@1")
+	s.at(1, Snapshot{Source: SourceRestored, Revision: "7", Servers: servers("p", 6)}, " s1@1 s2@1 s3@1 s4@1 s5@1 s6@1")
 	if !s.v.Stale() {
 		t.Error("a recovered view is not stale")
 	}
-	s.at(2, Stated{Source: "file", Revision: "f1", Servers: servers("p", 1)}, "")
-	s.at(3, Stated{Source: "discovery", Revision: "1", Servers: servers("p", 6)}, "")
-	s.at(4, Stated{Source: "file", Revision: "f2", Servers: servers("p", 6)}, "")
+	s.at(2, Snapshot{Source: "file", Revision: "f1", Servers: servers("p", 1)}, "")
+	s.at(3, Snapshot{Source: "discovery", Revision: "1", Servers: servers("p", 6)}, "")
+	s.at(4, Snapshot{Source: "file", Revision: "f2", Servers: servers("p", 6)}, "")
 	if s.v.Stale() {
 		t.Error("stale after all have spoken")
 	}
 	set := settings()
-	set.Require = []string{"file"}
+	set.RequiredSources = []string{"file"}
 	s = script{t, New(set)}
-	s.at(1, Stated{Source: "discovery", Revision: "1", Servers: servers("p", 2)}, " s1@1 s2@1")
-	s.at(2, Stated{Source: "file", Revision: "f1", Servers: servers("p", 1)}, " s2-") // one of two is not the least of a mass removal
+	s.at(1, Snapshot{Source: "discovery", Revision: "1", Servers: servers("p", 2)}, " s1@1 s2@1")
+	s.at(2, Snapshot{Source: "file", Revision: "f1", Servers: servers("p", 1)}, " s2-") // one of two is not the least of a mass removal
 }
 
 // genServers draws lists over few ids, addresses and pods, so that they meet.
@@ -219,7 +219,7 @@
 func TestMergeProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
-		set.Sources, set.Guarded = []string{"file", "discovery", "static"}, nil
+		set.Sources, set.GuardedSources = []string{"file", "discovery", "static"}, nil
 		said := map[string][]inventory.Server{}
 		for _, name := range set.Sources {
 			said[name] = genServers(t, name)
@@ -228,7 +228,7 @@
 		for _, order := range [][]string{{"file", "discovery", "static"}, {"static", "discovery", "file"}, {"discovery", "static", "file"}} {
 			v := New(set)
 			for i, name := range order {
-				v.Step(Millis(i+1), Stated{Source: name, Revision: "1", Servers: said[name]})
+				v.Step(Millis(i+1), Snapshot{Source: name, Revision: "1", Servers: said[name]})
 			}
 			for now := Millis(3000); now < 60_000; now += 2500 { // let moves arrive
 				v.Step(now, Tick{})
@@ -239,8 +239,8 @@
 			t.Fatalf("order matters:\n%+v\n%+v\n%+v", a, b, c)
 		}
 		v := views[0]
-		if out := v.Step(70_000, Stated{Source: "file", Revision: "1", Servers: said["file"]}); len(out.Push) > 0 {
-			t.Fatalf("said again, it pushed %+v", out.Push)
+		if out := v.Step(70_000, Snapshot{Source: "file", Revision: "1", Servers: said["file"]}); len(out.Changes) > 0 {
+			t.Fatalf("said again, it pushed %+v", out.Changes)
 		}
 	})
 }
@@ -258,19 +258,19 @@
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1:
 				list := genServers(t, "list")
-				e = Stated{Source: name, Revision: fmt.Sprint(i), Servers: list}
+				e = Snapshot{Source: name, Revision: fmt.Sprint(i), Servers: list}
 				named[name] = union(named[name], list)
 			case 2:
 				list := genServers(t, "list")
-				e = Changed{Source: name, Revision: fmt.Sprint(i), Set: list, Gone: []string{fmt.Sprint("s", rapid.IntRange(1, 9).Draw(t, "gone"))}}
+				e = Delta{Source: name, Revision: fmt.Sprint(i), Updated: list, Removed: []string{fmt.Sprint("s", rapid.IntRange(1, 9).Draw(t, "gone"))}}
 				named[name] = union(named[name], list)
 			case 3:
 				e = Tick{}
 			default:
 				e = Confirmed{name, fmt.Sprint(rapid.IntRange(0, i).Draw(t, "revision"))}
 			}
-			for _, p := range v.Step(max(now, v.now), e).Push {
-				if p.Gone {
+			for _, p := range v.Step(max(now, v.now), e).Changes {
+				if p.Removed {
 					delete(held, p.ID)
 					continue
 				}
@@ -312,7 +312,7 @@
 		if !named["file"][m.ID] && !named["discovery"][m.ID] {
 			t.Fatalf("%s is named by nobody", m.ID)
 		}
-		if m.Moving != "" && e.Draining {
+		if m.MovingTo != "" && e.Draining {
 			moving++
 		}
 	}
@@ -332,24 +332,24 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			v := New(set)
-			v.Step(1, Stated{Source: "file", Revision: "1", Servers: list})
-			if out := v.Step(2, Stated{Source: "discovery", Revision: "1", Servers: list}); len(out.Push) != 0 || v.Len() != 10_000 {
-				b.Fatal(len(out.Push), v.Len())
+			v.Step(1, Snapshot{Source: "file", Revision: "1", Servers: list})
+			if out := v.Step(2, Snapshot{Source: "discovery", Revision: "1", Servers: list}); len(out.Changes) != 0 || v.Len() != 10_000 {
+				b.Fatal(len(out.Changes), v.Len())
 			}
 		}
 	})
 	b.Run("one change", func(b *testing.B) {
 		b.ReportAllocs()
 		v := New(set)
-		v.Step(1, Stated{Source: "file", Revision: "1", Servers: list})
-		v.Step(2, Stated{Source: "discovery", Revision: "1", Servers: list})
+		v.Step(1, Snapshot{Source: "file", Revision: "1", Servers: list})
+		v.Step(2, Snapshot{Source: "discovery", Revision: "1", Servers: list})
 		i := 0
 		for b.Loop() {
 			i++
 			s := list[i%10_000]
 			s.Started = float64(i + 10)
-			if out := v.Step(float64(i+10), Changed{Source: "discovery", Revision: "2", Set: []inventory.Server{s}}); len(out.Push) != 1 {
-				b.Fatal(out.Push)
+			if out := v.Step(float64(i+10), Delta{Source: "discovery", Revision: "2", Updated: []inventory.Server{s}}); len(out.Changes) != 1 {
+				b.Fatal(out.Changes)
 			}
 		}
 	})
--- a/internal/endpointmerge/merge.go
+++ b/internal/endpointmerge/merge.go
@@ -10,7 +10,7 @@
 // order is the precedence of sources for a field.
 func (v *View) order(field string) []string {
 	var out []string
-	for _, name := range v.set.Order[field] {
+	for _, name := range v.set.FieldPrecedence[field] {
 		if v.sources[name] != nil && !contains(out, name) {
 			out = append(out, name)
 		}
@@ -20,7 +20,7 @@
 			out = append(out, name)
 		}
 	}
-	return append(out, Restored)
+	return append(out, SourceRestored)
 }
 
 // listed tells whether a server is a member by what sources say, addresses aside.
@@ -35,7 +35,7 @@
 		delete(v.tombs, id)
 		return false
 	}
-	for _, name := range v.set.Require {
+	for _, name := range v.set.RequiredSources {
 		if s := v.sources[name]; s != nil && s.spoken {
 			if _, ok := s.servers[id]; !ok {
 				return false
@@ -54,7 +54,7 @@
 // removal. Until then it is taken for stale.
 func (v *View) overruled(id, by string, at Millis) bool {
 	for name, s := range v.sources {
-		if _, ok := s.servers[id]; ok && name != by && name != Restored && s.at[id] >= at+v.set.Tombstone {
+		if _, ok := s.servers[id]; ok && name != by && name != SourceRestored && s.at[id] >= at+v.set.TombstoneTTL {
 			return true
 		}
 	}
@@ -114,11 +114,11 @@
 		v.noConflicts(id)
 		return nil
 	}
-	m := &member{Member: Member{Server: inventory.Server{ID: id, Phase: inventory.Serving}, From: map[string]string{}}}
-	m.Address = v.pick(m, Address, func(s inventory.Server) string { return s.Address }, out)
-	m.Zone = v.pick(m, Zone, func(s inventory.Server) string { return s.Zone }, out)
-	m.Pod = v.pick(m, Pod, func(s inventory.Server) string { return s.Pod }, out)
-	size := v.pick(m, Size, func(s inventory.Server) string {
+	m := &member{Member: Member{Server: inventory.Server{ID: id, Phase: inventory.Serving}, FieldSources: map[string]string{}}}
+	m.Address = v.pick(m, FieldAddress, func(s inventory.Server) string { return s.Address }, out)
+	m.Zone = v.pick(m, FieldZone, func(s inventory.Server) string { return s.Zone }, out)
+	m.Pod = v.pick(m, FieldPod, func(s inventory.Server) string { return s.Pod }, out)
+	size := v.pick(m, FieldSize, func(s inventory.Server) string {
 		if s.Size == 0 {
 			return ""
 		}
@@ -131,10 +131,10 @@
 			continue
 		}
 		if s.Phase == inventory.Draining {
-			m.Phase, m.From["phase"] = inventory.Draining, name
+			m.Phase, m.FieldSources["phase"] = inventory.Draining, name
 		}
 		if m.Tags == nil && len(s.Tags) > 0 {
-			m.Tags, m.From["tags"] = s.Tags, name
+			m.Tags, m.FieldSources["tags"] = s.Tags, name
 		}
 		for k, text := range s.Extra {
 			if m.Extra == nil {
@@ -145,9 +145,9 @@
 			}
 		}
 	}
-	for _, name := range v.orders[Address] { // who knows the address knows the process
+	for _, name := range v.orders[FieldAddress] { // who knows the address knows the process
 		if s, ok := v.sources[name].servers[id]; ok && s.Started > 0 {
-			m.Started, m.From["started"] = s.Started, name
+			m.Started, m.FieldSources["started"] = s.Started, name
 			break
 		}
 	}
@@ -170,7 +170,7 @@
 		switch {
 		case from == "":
 			taken, from = of(s), name
-		case of(s) != taken && name != Restored && !found:
+		case of(s) != taken && name != SourceRestored && !found:
 			found = true
 			c := Conflict{m.ID, field, taken, of(s), from, name}
 			if v.conflicts[key] != c {
@@ -185,7 +185,7 @@
 		delete(v.conflicts, key)
 	}
 	if from != "" {
-		m.From[field] = from
+		m.FieldSources[field] = from
 	}
 	return taken
 }
@@ -200,7 +200,7 @@
 // that started later, then by id. Two servers at one address cannot both be; a new process there is another server.
 func (v *View) owner(address string, fresh map[string]*member) string {
 	best, bestRank, bestStarted := "", 0, 0.0
-	order := v.orders[Address]
+	order := v.orders[FieldAddress]
 	for id := range v.claims[address] {
 		m := fresh[id]
 		if m == nil {
@@ -208,7 +208,7 @@
 		}
 		rank := 0
 		for i, name := range order {
-			if name == m.From[Address] {
+			if name == m.FieldSources[FieldAddress] {
 				rank = i
 			}
 		}
@@ -237,7 +237,7 @@
 		return
 	case was == nil:
 		c.cell = v.cellOf(c.Pod)
-		if v.settled && c.Started == 0 && c.From[Address] != Restored {
+		if v.settled && c.Started == 0 && c.FieldSources[FieldAddress] != SourceRestored {
 			c.Started = v.now // nobody tells when it started: new to us, it is taken for cold
 		}
 		v.members[id] = c
@@ -266,11 +266,11 @@
 		if c.until > 0 { // back before it moved: nothing new went there meanwhile
 			v.moving--
 		}
-		c.until, c.queue, c.next, c.Moving = 0, false, group{}, ""
+		c.until, c.queue, c.next, c.MovingTo = 0, false, group{}, ""
 	case v.set.PodHold <= 0:
 		c.Zone, c.Pod, c.cell = want.zone, want.pod, v.cellOf(want.pod)
 	default:
-		c.next, c.Moving = want, want.zone+"/"+want.pod
+		c.next, c.MovingTo = want, want.zone+"/"+want.pod
 		c.queue = c.until == 0
 	}
 }
@@ -286,8 +286,8 @@
 		if m.queue {
 			waits = append(waits, m)
 		}
-		if m.until > 0 && (out.Wake == 0 || m.until < out.Wake) {
-			out.Wake = m.until
+		if m.until > 0 && (out.NextTick == 0 || m.until < out.NextTick) {
+			out.NextTick = m.until
 		}
 	}
 	if len(waits) == 0 {
@@ -295,7 +295,7 @@
 	}
 	sort.Slice(waits, func(i, j int) bool { return waits[i].ID < waits[j].ID })
 	waits = v.rename(waits)
-	most := max(1, int(v.set.MoveShare*float64(len(v.members))))
+	most := max(1, int(v.set.MaxMovingShare*float64(len(v.members))))
 	for _, m := range waits {
 		if v.moving >= most {
 			break
@@ -303,16 +303,16 @@
 		m.queue, m.until = false, v.now+v.set.PodHold
 		v.touched[m.ID] = true
 		v.moving++
-		out.Moved++
-		if out.Wake == 0 || m.until < out.Wake {
-			out.Wake = m.until
+		out.MovesStarted++
+		if out.NextTick == 0 || m.until < out.NextTick {
+			out.NextTick = m.until
 		}
 	}
 }
 
 func (v *View) arrive(m *member) {
 	m.Zone, m.Pod, m.cell = m.next.zone, m.next.pod, v.cellOf(m.next.pod)
-	m.until, m.queue, m.next, m.Moving = 0, false, group{}, ""
+	m.until, m.queue, m.next, m.MovingTo = 0, false, group{}, ""
 	v.touched[m.ID] = true
 	delete(v.movers, m.ID)
 }
@@ -353,7 +353,7 @@
 		}
 		v.cells[m.next.pod], v.podOf[m.cell] = m.cell, m.next.pod
 		m.Pod = m.next.pod
-		m.queue, m.next, m.Moving = false, group{}, ""
+		m.queue, m.next, m.MovingTo = false, group{}, ""
 		delete(v.movers, m.ID)
 	}
 	return out
@@ -376,8 +376,8 @@
 		if m == nil {
 			if was.ID != "" {
 				delete(v.pushed, id)
-				was.Gone = true
-				out.Push = append(out.Push, was)
+				was.Removed = true
+				out.Changes = append(out.Changes, was)
 			}
 			continue
 		}
@@ -388,15 +388,15 @@
 		}
 		if was != e {
 			v.pushed[id] = e
-			out.Push = append(out.Push, e)
+			out.Changes = append(out.Changes, e)
 		}
 	}
 	clear(v.touched)
-	sort.Slice(out.Push, func(i, j int) bool { return out.Push[i].ID < out.Push[j].ID })
+	sort.Slice(out.Changes, func(i, j int) bool { return out.Changes[i].ID < out.Changes[j].ID })
 }
 
 // Pushed is everything as it was pushed last, by id.
-func (v *View) Pushed() []Entry {
+func (v *View) Published() []Entry {
 	out := make([]Entry, 0, len(v.pushed))
 	for _, e := range v.pushed {
 		out = append(out, e)
--- a/internal/endpoints/command.go
+++ b/internal/endpoints/command.go
@@ -25,12 +25,12 @@
 	withEdge := func(f *flag.FlagSet) {
 		f.StringVar(&edge, "edge", os.Getenv("TACKHUB_EDGE"), "operator `FILE`, for how its files are to be read")
 	}
-	return cli.Command{Name: "inventory", Help: "Look at lists of servers: lint, diff, convert, show, confirm", Sub: []cli.Command{
-		{Name: "lint", Args: "FILE…", Help: "Tell every fault of lists in CSV or YAML, or that there is none", Flags: withEdge,
+	return cli.Command{Name: "inventory", Help: "Look at lists of servers: lint, diff, convert, show, confirm", Subcommands: []cli.Command{
+		{Name: "lint", ArgsUsage: "FILE…", Help: "Tell every fault of lists in CSV or YAML, or that there is none", Flags: withEdge,
 			Run: func(args []string, out io.Writer) error { return lint(out, edge, args) }},
-		{Name: "diff", Args: "A B", Help: "Tell what makes the second list of the first", Flags: withEdge,
+		{Name: "diff", ArgsUsage: "A B", Help: "Tell what makes the second list of the first", Flags: withEdge,
 			Run: func(args []string, out io.Writer) error { return diff(out, edge, args) }},
-		{Name: "convert", Args: "FILE", Help: "Write a list in the other form to standard output, with a trailer", Flags: func(f *flag.FlagSet) {
+		{Name: "convert", ArgsUsage: "FILE", Help: "Write a list in the other form to standard output, with a trailer", Flags: func(f *flag.FlagSet) {
 			withEdge(f)
 			f.StringVar(&to, "to", "csv", "`FORM`: csv or yaml")
 		}, Run: func(args []string, out io.Writer) error { return convert(out, edge, to, args) }},
@@ -40,7 +40,7 @@
 				f.StringVar(&state, "state", "", "a node's state `FOLDER`; without it the operator file's, then the files themselves")
 				f.BoolVar(&asJSON, "json", false, "as JSON")
 			}, Run: func(_ []string, out io.Writer) error { return show(out, edge, state, asJSON) }},
-		{Name: "confirm", Args: "FILE", Help: "Let a list pass that is held for taking away too much: writes FILE.confirm with its SHA-256", Flags: withEdge,
+		{Name: "confirm", ArgsUsage: "FILE", Help: "Let a list pass that is held for taking away too much: writes FILE.confirm with its SHA-256", Flags: withEdge,
 			Run: func(args []string, out io.Writer) error { return confirm(out, edge, args) }},
 	}}
 }
@@ -104,20 +104,20 @@
 	for _, path := range paths {
 		list, err := load(o, path)
 		if err == nil {
-			say(out, "%s: %d servers, sha256 %s", path, len(list.Servers), list.Sum)
+			say(out, "%s: %d servers, sha256 %s", path, len(list.Servers), list.SHA256)
 			continue
 		}
 		bad = true
 		tellFaults(out, err)
 	}
 	if bad {
-		return cli.ErrFaults
+		return cli.ErrReported
 	}
 	return nil
 }
 
 func tellFaults(out io.Writer, err error) {
-	var faults *inventory.Faults
+	var faults *inventory.Diagnostics
 	if !errors.As(err, &faults) {
 		say(out, "%v", err)
 		return
@@ -125,7 +125,7 @@
 	for _, f := range faults.First {
 		say(out, "%v", f)
 	}
-	if more := faults.All - len(faults.First); more > 0 {
+	if more := faults.Total - len(faults.First); more > 0 {
 		say(out, "and %d more faults", more)
 	}
 }
@@ -144,7 +144,7 @@
 	for i, path := range paths {
 		if lists[i], err = load(o, path); err != nil {
 			tellFaults(out, err)
-			return cli.ErrFaults
+			return cli.ErrReported
 		}
 	}
 	changes := inventory.Diff(lists[0].Servers, lists[1].Servers)
@@ -188,13 +188,13 @@
 		return err
 	}
 	path := File{Path: paths[0]}.confirm()
-	if err := os.WriteFile(path+".tmp", []byte(list.Sum+"\n"), 0o644); err != nil {
+	if err := os.WriteFile(path+".tmp", []byte(list.SHA256+"\n"), 0o644); err != nil {
 		return err
 	}
 	if err := os.Rename(path+".tmp", path); err != nil {
 		return err
 	}
-	say(out, "%s lets %d servers with sha256 %s pass", path, len(list.Servers), list.Sum)
+	say(out, "%s lets %d servers with sha256 %s pass", path, len(list.Servers), list.SHA256)
 	return nil
 }
 
@@ -207,7 +207,7 @@
 	if dir == "" {
 		dir = o.StateDir
 	}
-	var state State
+	var state SavedState
 	if dir != "" {
 		state, err = saved(out, dir)
 	} else {
@@ -228,10 +228,10 @@
 	return nil
 }
 
-func saved(out io.Writer, dir string) (state State, err error) {
+func saved(out io.Writer, dir string) (state SavedState, err error) {
 	data, skipped, err := statefile.New(statefile.OS{}, dir, stateName, stateVersion).Load()
 	for _, s := range skipped {
-		say(out, "passed over %s: %v", s.File, s.Why)
+		say(out, "passed over %s: %v", s.File, s.Err)
 	}
 	if err != nil {
 		return state, fmt.Errorf("%s: %w", dir, err)
@@ -240,30 +240,30 @@
 }
 
 // merged is the view of the files and the static list, without discovery.
-func merged(out io.Writer, o *Options) (State, error) {
+func merged(out io.Writer, o *Options) (SavedState, error) {
 	if len(o.Files) == 0 && len(o.Static) == 0 {
-		return State{}, errors.New("inventory show: neither a state folder nor files are named; --edge or --state is wanted")
+		return SavedState{}, errors.New("inventory show: neither a state folder nor files are named; --edge or --state is wanted")
 	}
 	v := endpointmerge.New(o.settings(0))
 	i := &Inventory{o: *o}
 	if len(o.Static) > 0 {
-		v.Step(1, endpointmerge.Stated{Source: sourceStatic, Revision: "file", Servers: i.static()})
+		v.Step(1, endpointmerge.Snapshot{Source: sourceStatic, Revision: "file", Servers: i.static()})
 	}
 	for _, f := range o.Files {
 		list, err := load(o, f.Path)
 		if err != nil {
 			tellFaults(out, err)
-			return State{}, cli.ErrFaults
+			return SavedState{}, cli.ErrReported
 		}
-		v.Step(1, endpointmerge.Stated{Source: f.source(), Revision: list.Sum, Servers: list.Servers})
+		v.Step(1, endpointmerge.Snapshot{Source: f.source(), Revision: list.SHA256, Servers: list.Servers})
 	}
 	for _, c := range v.Conflicts() {
 		say(out, "differ: %v", c)
 	}
-	return State{Saved: time.Now().UTC(), Revisions: v.Revisions(), Members: v.Members()}, nil
+	return SavedState{Saved: time.Now().UTC(), Revisions: v.Revisions(), Members: v.Members()}, nil
 }
 
-func table(out io.Writer, state State) {
+func table(out io.Writer, state SavedState) {
 	sources := make([]string, 0, len(state.Revisions))
 	for name, revision := range state.Revisions {
 		sources = append(sources, fmt.Sprintf("%s at %.12s", name, revision))
@@ -273,13 +273,13 @@
 	say(out, "%-16s %-21s %-8s %-8s %-5s %-8s %s", "id", "address", "zone", "pod", "size", "phase", "from")
 	for _, m := range state.Members {
 		var from []string
-		for field, name := range m.From {
+		for field, name := range m.FieldSources {
 			from = append(from, field+"="+name)
 		}
 		sort.Strings(from)
 		pod := m.Pod
-		if m.Moving != "" {
-			pod += ">" + m.Moving
+		if m.MovingTo != "" {
+			pod += ">" + m.MovingTo
 		}
 		say(out, "%-16s %-21s %-8s %-8s %-5g %-8s %s", m.ID, m.Address, m.Zone, pod, m.Size, m.Phase, strings.Join(from, " "))
 	}
--- a/internal/endpoints/format_test.go
+++ b/internal/endpoints/format_test.go
@@ -22,26 +22,26 @@
 // stood before the packages' names were revised (December 2026) and is never written anew.
 
 // formatState is what testdata/state holds.
-func formatState() State {
+func formatState() SavedState {
 	noRack := map[string]string{"rack": ""}
 	fromFile := map[string]string{"address": "hosts.csv", "pod": "hosts.csv", "size": "hosts.csv", "zone": "hosts.csv"}
-	return State{
+	return SavedState{
 		Saved: time.Date(2026, time.December, 3, 6, 58, 58, 863198973, time.UTC),
 		Revisions: map[string]string{"discovery": "42", "static": "file",
 			"hosts.csv": "e7041f11bdd7ac815d6a8efaa5befd63fcfe62ec5d9fb40e05397cffde70d437"},
 		Members: []endpointmerge.Member{
 			{Server: inventory.Server{ID: "d5", Address: "[fd00::5]:80", Zone: "c", Pod: "9", Size: 0.5, Phase: inventory.Serving, Started: 1764588000456.5},
-				From: map[string]string{"address": "discovery", "pod": "discovery", "size": "discovery", "started": "discovery", "zone": "discovery"}},
+				FieldSources: map[string]string{"address": "discovery", "pod": "discovery", "size": "discovery", "started": "discovery", "zone": "discovery"}},
 			{Server: inventory.Server{ID: "fixed", Address: "10.9.9.9:80", Zone: "a", Phase: inventory.Serving},
-				From: map[string]string{"address": "static", "zone": "static"}},
+				FieldSources: map[string]string{"address": "static", "zone": "static"}},
 			{Server: inventory.Server{ID: "s1", Address: "10.0.1.1:80", Zone: "a", Pod: "7", Size: 2.5, Phase: inventory.Serving, Started: 1764588000123,
 				Tags: []string{"ssd", "big"}, Extra: map[string]string{"rack": `r "1", <left>`}},
-				From: map[string]string{"address": "discovery", "pod": "hosts.csv", "size": "hosts.csv", "started": "discovery", "tags": "hosts.csv", "zone": "hosts.csv"}},
+				FieldSources: map[string]string{"address": "discovery", "pod": "hosts.csv", "size": "hosts.csv", "started": "discovery", "tags": "hosts.csv", "zone": "hosts.csv"}},
 			{Server: inventory.Server{ID: "s2", Address: "10.0.0.2:80", Zone: "b", Pod: "8", Phase: inventory.Draining, Extra: noRack},
-				From: map[string]string{"address": "hosts.csv", "phase": "hosts.csv", "pod": "hosts.csv", "zone": "hosts.csv"}},
-			{Server: inventory.Server{ID: "s3", Address: "10.0.0.3:80", Zone: "b", Pod: "8", Size: 1, Phase: inventory.Serving, Extra: noRack}, From: fromFile},
-			{Server: inventory.Server{ID: "s4", Address: "10.0.0.4:80", Zone: "b", Pod: "8", Size: 1, Phase: inventory.Serving, Extra: noRack}, From: fromFile,
-				Moving: "b/10"},
+				FieldSources: map[string]string{"address": "hosts.csv", "phase": "hosts.csv", "pod": "hosts.csv", "zone": "hosts.csv"}},
+			{Server: inventory.Server{ID: "s3", Address: "10.0.0.3:80", Zone: "b", Pod: "8", Size: 1, Phase: inventory.Serving, Extra: noRack}, FieldSources: fromFile},
+			{Server: inventory.Server{ID: "s4", Address: "10.0.0.4:80", Zone: "b", Pod: "8", Size: 1, Phase: inventory.Serving, Extra: noRack}, FieldSources: fromFile,
+				MovingTo: "b/10"},
 		},
 	}
 }
@@ -94,13 +94,13 @@
 	}
 	d := newDesk()
 	d.start(t, "[inventory]\nstate_dir=\""+dir+"\"\n[[inventory.file]]\npath=\"/nowhere/hosts.csv\"\n")
-	want := balancer.ServerList{Form: balancer.ListFull, Entries: []balancer.ServerEntry{
-		{ID: "d5", State: balancer.Ready, Zone: "c", Cell: 1, Size: 0.5, Started: 1764588000456.5},
-		{ID: "fixed", State: balancer.Ready, Zone: "a", Cell: 2, Size: 1},
-		{ID: "s1", State: balancer.Ready, Zone: "a", Cell: 3, Size: 2.5, Started: 1764588000123},
-		{ID: "s2", State: balancer.Draining, Zone: "b", Cell: 4, Size: 1},
-		{ID: "s3", State: balancer.Ready, Zone: "b", Cell: 4, Size: 1},
-		{ID: "s4", State: balancer.Ready, Zone: "b", Cell: 4, Size: 1},
+	want := balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: []balancer.Endpoint{
+		{ID: "d5", State: balancer.Ready, Zone: "c", Cell: 1, Capacity: 0.5, Started: 1764588000456.5},
+		{ID: "fixed", State: balancer.Ready, Zone: "a", Cell: 2, Capacity: 1},
+		{ID: "s1", State: balancer.Ready, Zone: "a", Cell: 3, Capacity: 2.5, Started: 1764588000123},
+		{ID: "s2", State: balancer.Draining, Zone: "b", Cell: 4, Capacity: 1},
+		{ID: "s3", State: balancer.Ready, Zone: "b", Cell: 4, Capacity: 1},
+		{ID: "s4", State: balancer.Ready, Zone: "b", Cell: 4, Capacity: 1},
 	}}
 	if got := d.next(t); !reflect.DeepEqual(got, want) {
 		t.Errorf("the module heard %+v\nwant %+v", got, want)
@@ -177,7 +177,7 @@
 	}
 	want := &Options{
 		Files:  []File{{Path: "a.csv", Name: "b", Aliases: map[string]string{"host": "address"}, MinRows: 3, Trailer: true, Checksum: true}},
-		Static: []Static{{ID: "s", Address: "10.0.0.1:80", Zone: "z", Pod: "p", Size: 1.5}}, Precedence: []string{"b", "static"},
+		Static: []StaticServer{{ID: "s", Address: "10.0.0.1:80", Zone: "z", Pod: "p", Size: 1.5}}, Precedence: []string{"b", "static"},
 		Order: map[string][]string{"zone": {"static"}}, Require: []string{"b"}, RemoveShare: 0.25, RemoveLeast: 4,
 		PodHold: operator.Duration(31 * time.Second), MoveShare: 0.5, Tombstone: operator.Duration(11 * time.Minute),
 		Settle: operator.Duration(12 * time.Millisecond), Poll: operator.Duration(13 * time.Millisecond), StateDir: "folder",
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -41,23 +41,23 @@
 
 // Node is what the inventory needs of its node.
 type Node interface {
-	Roster() *Roster
+	Endpoints() *Directory
 	Clock() clock.Clock
-	Window() time.Duration // the longest in which a keyed request's repeats are dropped
+	IdempotencyWindow() time.Duration // the longest in which a keyed request's repeats are dropped
 	Counters() *counters.Counters
 }
 
 // Part is the subsystem.
-func Part() subsystem.Part {
-	return subsystem.Part{
-		Section: operator.Section{Name: "inventory", About: "servers from CSV and YAML files, merged with discovery",
+func Part() subsystem.Definition {
+	return subsystem.Definition{
+		Section: operator.Section{Name: "inventory", Summary: "servers from CSV and YAML files, merged with discovery",
 			New: func() any { return defaults() }, Check: check},
 		Build: build,
 	}
 }
 
 // State is what is kept on disk.
-type State struct {
+type SavedState struct {
 	Saved     time.Time              `json:"saved"`
 	Revisions map[string]string      `json:"revisions"`
 	Members   []endpointmerge.Member `json:"members"`
@@ -93,14 +93,14 @@
 	stale bool
 }
 
-func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Instance) (subsystem.Instance, error) {
 	n, ok := host.Node.(Node)
 	if !ok {
 		return nil, errors.New("this node has no roster")
 	}
 	o := *options.(*Options)
 	i := &Inventory{o: o, node: n, log: host.Log, said: make(chan said, waiting), stop: func() {}, good: map[string]time.Time{},
-		view: endpointmerge.New(o.settings(n.Window())), most: mostBytes(host.Limits.MemoryBytes)}
+		view: endpointmerge.New(o.settings(n.IdempotencyWindow())), most: mostBytes(host.Limits.MemoryBytes)}
 	i.old, _ = old.(*Inventory)
 	if o.StateDir != "" {
 		if err := os.MkdirAll(o.StateDir, 0o700); err != nil {
@@ -131,10 +131,10 @@
 	ctx, i.stop = context.WithCancel(ctx)
 	i.done = ctx.Done()
 	i.recover()
-	i.node.Roster().attach(i)
+	i.node.Endpoints().attach(i)
 	i.step(said{event: endpointmerge.Tick{}})
 	if len(i.o.Static) > 0 {
-		i.step(said{event: endpointmerge.Stated{Source: sourceStatic, Revision: "file", Servers: i.static()}})
+		i.step(said{event: endpointmerge.Snapshot{Source: sourceStatic, Revision: "file", Servers: i.static()}})
 	}
 	for k := range i.o.Files {
 		f := &i.o.Files[k]
@@ -143,8 +143,8 @@
 			beside = append(beside, f.checksum())
 		}
 		i.ending.Go(func() {
-			filewatch.Run(ctx, filewatch.Options{Path: f.Path, Beside: beside, Settle: i.o.Settle.Std(), AtOnce: f.Trailer || f.Checksum,
-				Poll: i.o.Poll.Std(), Most: i.most}, func(s filewatch.Seen) { i.read(f, s) })
+			filewatch.Run(ctx, filewatch.Options{Path: f.Path, Companions: beside, Settle: i.o.Settle.Std(), SelfVerifying: f.Trailer || f.Checksum,
+				PollInterval: i.o.Poll.Std(), MaxBytes: i.most}, func(s filewatch.Event) { i.read(f, s) })
 		})
 	}
 	i.ending.Go(i.run)
@@ -155,7 +155,7 @@
 	if i.done == nil { // never started
 		return
 	}
-	i.node.Roster().detach()
+	i.node.Endpoints().detach()
 	i.stop()
 	i.ending.Wait()
 	i.save()
@@ -182,9 +182,9 @@
 	}
 	data, skipped, err := i.store.Load()
 	for _, s := range skipped {
-		i.log.Warn("a state was passed over", "code", "state_skipped", "file", s.File, "error", s.Why)
+		i.log.Warn("a state was passed over", "code", "state_skipped", "file", s.File, "error", s.Err)
 	}
-	var state State
+	var state SavedState
 	if err == nil {
 		err = json.Unmarshal(data, &state)
 	}
@@ -204,7 +204,7 @@
 	for _, m := range members {
 		servers = append(servers, m.Server)
 	}
-	i.view.Step(i.node.Clock().Now(), endpointmerge.Stated{Source: endpointmerge.Restored, Revision: revision, Servers: servers})
+	i.view.Step(i.node.Clock().Now(), endpointmerge.Snapshot{Source: endpointmerge.SourceRestored, Revision: revision, Servers: servers})
 }
 
 // discovery takes what discovery told. It may wait; the catalog's own goroutine calls it.
@@ -224,12 +224,12 @@
 	revision := strconv.FormatInt(l.Revision, 10)
 	switch form {
 	case balancer.FullUpdate:
-		i.say(said{event: endpointmerge.Stated{Source: sourceDiscovery, Revision: revision, Servers: set}})
+		i.say(said{event: endpointmerge.Snapshot{Source: sourceDiscovery, Revision: revision, Servers: set}})
 	case balancer.DeltaUpdate:
-		i.say(said{event: endpointmerge.Changed{Source: sourceDiscovery, Revision: revision, Set: set, Gone: gone}})
+		i.say(said{event: endpointmerge.Delta{Source: sourceDiscovery, Revision: revision, Updated: set, Removed: gone}})
 	case balancer.CachedUpdate: // what the node held before it started: older than anything that speaks now
 		if len(set) > 0 {
-			i.say(said{event: endpointmerge.Stated{Source: endpointmerge.Restored, Revision: "known", Servers: set}})
+			i.say(said{event: endpointmerge.Snapshot{Source: endpointmerge.SourceRestored, Revision: "known", Servers: set}})
 		}
 	}
 }
@@ -253,7 +253,7 @@
 }
 
 // read takes what a file's watcher has seen.
-func (i *Inventory) read(f *File, seen filewatch.Seen) {
+func (i *Inventory) read(f *File, seen filewatch.Event) {
 	if seen.Err != nil {
 		i.say(said{file: f, fault: seen.Err})
 		return
@@ -270,7 +270,7 @@
 		i.say(said{file: f, fault: err})
 		return
 	}
-	i.say(said{file: f, count: len(list.Servers), event: endpointmerge.Stated{Source: f.source(), Revision: list.Sum, Servers: list.Servers}})
+	i.say(said{file: f, count: len(list.Servers), event: endpointmerge.Snapshot{Source: f.source(), Revision: list.SHA256, Servers: list.Servers}})
 }
 
 // confirmed is the revision that an operator lets pass; empty where none.
@@ -298,7 +298,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.checksum(), err)
 	}
-	if want, sum := firstWord(raw), inventory.Sum(data); want != sum {
+	if want, sum := firstWord(raw), inventory.SHA256(data); want != sum {
 		return fmt.Errorf("%s: SHA-256 is %.12s…, %s says %.12s…", f.Path, sum, f.checksum(), want)
 	}
 	return nil
@@ -335,7 +335,7 @@
 
 // goOn ends the wait for the first whole list.
 func (i *Inventory) goOn() endpointmerge.Millis {
-	if silent := i.view.Silent(); !i.whole && !i.ready {
+	if silent := i.view.PendingSources(); !i.whole && !i.ready {
 		i.log.Warn("some sources have not spoken; going on without them", "code", "inventory_partial", "sources", silent)
 	}
 	i.ready = true
@@ -353,44 +353,44 @@
 	out := i.view.Step(i.node.Clock().Now(), s.event)
 	i.push(s, out)
 	i.tell(s, out)
-	if st, ok := s.event.(endpointmerge.Stated); ok && s.file != nil {
+	if st, ok := s.event.(endpointmerge.Snapshot); ok && s.file != nil {
 		count.Lists.Inc()
 		i.good[st.Source] = time.Now()
 	}
-	return out.Wake
+	return out.NextTick
 }
 
 // push tells the module. The first time it hears the whole view, and then one change for one change.
 func (i *Inventory) push(s said, out endpointmerge.Outcome) {
-	_, fromDiscovery := s.event.(endpointmerge.Changed)
+	_, fromDiscovery := s.event.(endpointmerge.Delta)
 	switch {
-	case !i.whole && (i.view.Len() == 0 || !i.ready && len(i.view.Silent()) > 0):
+	case !i.whole && (i.view.Len() == 0 || !i.ready && len(i.view.PendingSources()) > 0):
 		return
 	case !i.whole:
 		i.whole = true
-		i.node.Roster().push(i.view.Pushed(), balancer.FullUpdate)
-	case len(out.Push) > 0 || fromDiscovery: // a module that asked discovery hears that an answer came
-		i.node.Roster().push(out.Push, balancer.DeltaUpdate)
+		i.node.Endpoints().push(i.view.Published(), balancer.FullUpdate)
+	case len(out.Changes) > 0 || fromDiscovery: // a module that asked discovery hears that an answer came
+		i.node.Endpoints().push(out.Changes, balancer.DeltaUpdate)
 	default:
 		return
 	}
-	i.dirty = i.dirty || len(out.Push) > 0
+	i.dirty = i.dirty || len(out.Changes) > 0
 	count := &i.node.Counters().Inventory
 	count.Pushes.Inc()
-	count.Entries.Add(int64(len(out.Push)))
+	count.Entries.Add(int64(len(out.Changes)))
 }
 
 // tell writes what the pager needs to know.
 func (i *Inventory) tell(s said, out endpointmerge.Outcome) {
 	count := &i.node.Counters().Inventory
-	if st, ok := s.event.(endpointmerge.Stated); ok && s.file != nil && len(out.Held) == 0 {
+	if st, ok := s.event.(endpointmerge.Snapshot); ok && s.file != nil && len(out.Held) == 0 {
 		i.log.Info("a list was taken", "code", "inventory_list", "file", s.file.Path, "sha256", st.Revision, "servers", s.count,
-			"changed", len(out.Push), "moving", out.Moved)
+			"changed", len(out.Changes), "moving", out.MovesStarted)
 	}
 	for _, h := range out.Held {
 		count.Held.Inc()
 		i.log.Error("a list that takes away too much is held; the last good one stands", "code", "inventory_held", "source", h.Source,
-			"sha256", h.Revision, "away", h.Away, "of", h.Of)
+			"sha256", h.Revision, "away", h.Removed, "of", h.Total)
 	}
 	for _, name := range out.Released {
 		i.log.Info("a held list is let pass or replaced", "code", "inventory_released", "source", name)
@@ -398,8 +398,8 @@
 	for k, c := range out.Conflicts {
 		count.Conflicts.Inc()
 		if k < conflictsTold {
-			i.log.Warn("sources differ", "code", "inventory_conflict", "server", c.ID, "field", c.Field, "taken", c.Taken, "from", c.From,
-				"left", c.Left, "not", c.Not)
+			i.log.Warn("sources differ", "code", "inventory_conflict", "server", c.ID, "field", c.Field, "taken", c.Chosen, "from", c.ChosenSource,
+				"left", c.Rejected, "not", c.RejectedSource)
 		}
 	}
 	if n := len(out.Conflicts) - conflictsTold; n > 0 {
@@ -413,13 +413,13 @@
 
 // tellFault names each fault of a file that was not taken, and how old what stands is.
 func (i *Inventory) tellFault(f *File, err error) {
-	var faults *inventory.Faults
+	var faults *inventory.Diagnostics
 	if errors.As(err, &faults) {
 		for _, x := range faults.First {
 			i.log.Error("fault in a list", "code", "inventory_fault", "file", x.File, "line", x.Line, "column", x.Column, "row", x.Row,
-				"error", x.Text)
+				"error", x.Message)
 		}
-		err = fmt.Errorf("%d faults", faults.All)
+		err = fmt.Errorf("%d faults", faults.Total)
 	}
 	args := []any{"code", "inventory_bad", "file", f.Path, "error", err}
 	if at, ok := i.good[f.source()]; ok {
@@ -433,7 +433,7 @@
 	if i.store == nil || !i.dirty {
 		return
 	}
-	data, err := json.Marshal(State{Saved: time.Now().UTC(), Revisions: i.view.Revisions(), Members: i.view.Members()})
+	data, err := json.Marshal(SavedState{Saved: time.Now().UTC(), Revisions: i.view.Revisions(), Members: i.view.Members()})
 	if err == nil {
 		err = i.store.Save(data)
 	}
--- a/internal/endpoints/options.go
+++ b/internal/endpoints/options.go
@@ -22,7 +22,7 @@
 // Options are the section [inventory].
 type Options struct {
 	Files       []File              `toml:"file"`
-	Static      []Static            `toml:"static"`
+	Static      []StaticServer      `toml:"static"`
 	Discovery   bool                `toml:"discovery"`    // the node's discovery is a source
 	Precedence  []string            `toml:"precedence"`   // sources, the strongest first
 	Order       map[string][]string `toml:"order"`        // by field: another order
@@ -49,7 +49,7 @@
 }
 
 // Static is one server that stands in the operator file itself.
-type Static struct {
+type StaticServer struct {
 	ID      string  `toml:"id"`
 	Address string  `toml:"address"`
 	Zone    string  `toml:"zone"`
@@ -108,12 +108,12 @@
 	mostStatic  = 4096 // some 150 bytes each, within what the operator file may hold
 )
 
-func check(options any) []operator.Fault {
+func check(options any) []operator.Diagnostic {
 	o := options.(*Options)
-	var out []operator.Fault
+	var out []operator.Diagnostic
 	say := func(bad bool, key, format string, args ...any) {
 		if bad {
-			out = append(out, operator.Fault{Key: key, Text: fmt.Sprintf(format, args...)})
+			out = append(out, operator.Diagnostic{Key: key, Message: fmt.Sprintf(format, args...)})
 		}
 	}
 	share := func(x float64) bool { return x >= 0 && x <= 1 }
@@ -153,41 +153,41 @@
 	return name == sourceDiscovery && o.Discovery || name == sourceStatic && len(o.Static) > 0
 }
 
-func checkFiles(files []File) []operator.Fault {
-	var out []operator.Fault
-	seen := map[string]bool{sourceDiscovery: true, sourceStatic: true, endpointmerge.Restored: true}
+func checkFiles(files []File) []operator.Diagnostic {
+	var out []operator.Diagnostic
+	seen := map[string]bool{sourceDiscovery: true, sourceStatic: true, endpointmerge.SourceRestored: true}
 	for i, f := range files {
 		key := fmt.Sprintf("file[%d]", i)
 		switch ext := strings.ToLower(filepath.Ext(f.Path)); {
 		case f.Path == "":
-			out = append(out, operator.Fault{Key: key, Text: "path is missing"})
+			out = append(out, operator.Diagnostic{Key: key, Message: "path is missing"})
 		case ext != ".csv" && ext != ".yaml" && ext != ".yml":
-			out = append(out, operator.Fault{Key: key + ".path", Text: fmt.Sprintf("ending %q is not known: .csv, .yaml or .yml is wanted", ext)})
+			out = append(out, operator.Diagnostic{Key: key + ".path", Message: fmt.Sprintf("ending %q is not known: .csv, .yaml or .yml is wanted", ext)})
 		case seen[f.source()]:
-			out = append(out, operator.Fault{Key: key, Text: fmt.Sprintf("another source has the name %q", f.source())})
+			out = append(out, operator.Diagnostic{Key: key, Message: fmt.Sprintf("another source has the name %q", f.source())})
 		case f.MinRows < 0:
-			out = append(out, operator.Fault{Key: key + ".min_rows", Text: "must not be negative"})
+			out = append(out, operator.Diagnostic{Key: key + ".min_rows", Message: "must not be negative"})
 		}
 		seen[f.source()] = true
 	}
 	return out
 }
 
-func checkStatic(list []Static) []operator.Fault {
-	var out []operator.Fault
+func checkStatic(list []StaticServer) []operator.Diagnostic {
+	var out []operator.Diagnostic
 	ids, addresses := map[string]bool{}, map[string]bool{}
 	for i, s := range list {
 		key := fmt.Sprintf("static[%d]", i)
-		_, err := netip.ParseAddrPort(strings.TrimPrefix(s.Address, inventory.SchemeCoap))
+		_, err := netip.ParseAddrPort(strings.TrimPrefix(s.Address, inventory.SchemeCoAP))
 		switch {
 		case s.ID == "" || ids[s.ID]:
-			out = append(out, operator.Fault{Key: key + ".id", Text: fmt.Sprintf("id %q is missing or comes twice", s.ID)})
+			out = append(out, operator.Diagnostic{Key: key + ".id", Message: fmt.Sprintf("id %q is missing or comes twice", s.ID)})
 		case err != nil:
-			out = append(out, operator.Fault{Key: key + ".address", Text: fmt.Sprintf("%q is no IP address with a port", s.Address)})
+			out = append(out, operator.Diagnostic{Key: key + ".address", Message: fmt.Sprintf("%q is no IP address with a port", s.Address)})
 		case addresses[s.Address]:
-			out = append(out, operator.Fault{Key: key + ".address", Text: s.Address + " comes twice"})
+			out = append(out, operator.Diagnostic{Key: key + ".address", Message: s.Address + " comes twice"})
 		case s.Size < 0:
-			out = append(out, operator.Fault{Key: key + ".size", Text: "must not be negative"})
+			out = append(out, operator.Diagnostic{Key: key + ".size", Message: "must not be negative"})
 		}
 		ids[s.ID], addresses[s.Address] = true, true
 	}
@@ -201,17 +201,17 @@
 	if hold == 0 {
 		hold = window
 	}
-	s := endpointmerge.Settings{Sources: o.sources(), Order: o.Order, Require: o.Require, RemoveShare: o.RemoveShare,
-		RemoveLeast: o.RemoveLeast, PodHold: ms(hold), MoveShare: o.MoveShare, Tombstone: ms(o.Tombstone.Std())}
+	s := endpointmerge.Settings{Sources: o.sources(), FieldPrecedence: o.Order, RequiredSources: o.Require, MaxRemovedShare: o.RemoveShare,
+		MinHeldRemovals: o.RemoveLeast, PodHold: ms(hold), MaxMovingShare: o.MoveShare, TombstoneTTL: ms(o.Tombstone.Std())}
 	for _, f := range o.Files {
-		s.Guarded = append(s.Guarded, f.source())
+		s.GuardedSources = append(s.GuardedSources, f.source())
 	}
-	if o.Order[endpointmerge.Address] == nil && o.Discovery { // discovery knows where a process is now
-		order := map[string][]string{endpointmerge.Address: {sourceDiscovery}}
+	if o.Order[endpointmerge.FieldAddress] == nil && o.Discovery { // discovery knows where a process is now
+		order := map[string][]string{endpointmerge.FieldAddress: {sourceDiscovery}}
 		for k, v := range o.Order {
 			order[k] = v
 		}
-		s.Order = order
+		s.FieldPrecedence = order
 	}
 	return s
 }
--- a/internal/endpoints/roster.go
+++ b/internal/endpoints/roster.go
@@ -11,10 +11,10 @@
 )
 
 // News takes what the list tells.
-type News interface{ UpdateEndpoints(balancer.EndpointUpdate) }
+type ListHandler interface{ UpdateEndpoints(balancer.EndpointUpdate) }
 
 // Catalog is discovery as the catalog follows it.
-type Catalog interface {
+type DiscoveryClient interface {
 	Address(balancer.ServerID) (string, bool)
 	Refetch()
 }
@@ -25,20 +25,20 @@
 }
 
 // Roster is the node's list of servers.
-type Roster struct {
-	catalog Catalog
+type Directory struct {
+	catalog DiscoveryClient
 
 	mu        sync.RWMutex
-	news      News
+	news      ListHandler
 	taker     taker // nil: the inventory is off
 	addresses map[balancer.ServerID]string
 }
 
 // New makes a roster with the inventory off.
-func New(c Catalog, news News) *Roster { return &Roster{catalog: c, news: news} }
+func New(c DiscoveryClient, news ListHandler) *Directory { return &Directory{catalog: c, news: news} }
 
 // Address is where a server listens; false for one that has left the list, or is to get nothing new.
-func (r *Roster) Address(id balancer.ServerID) (string, bool) {
+func (r *Directory) Address(id balancer.ServerID) (string, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if r.addresses == nil { // off, or the merged view is not whole yet and the module has discovery's list
@@ -50,7 +50,7 @@
 
 // ListNews hands on what has no members: a call to discovery that failed, or news that may be late. With the inventory on the
 // latter is not the module's: discovery is one source among others, and nothing that it tells need reach the module.
-func (r *Roster) UpdateEndpoints(l balancer.EndpointUpdate) {
+func (r *Directory) UpdateEndpoints(l balancer.EndpointUpdate) {
 	if l.Kind == balancer.UpdateOverdue {
 		r.mu.RLock()
 		defer r.mu.RUnlock()
@@ -62,7 +62,7 @@
 }
 
 // MemberNews takes discovery's news with all that they tell.
-func (r *Roster) MemberNews(l discovery.List, form balancer.UpdateKind) {
+func (r *Directory) HandleMembers(l discovery.List, form balancer.UpdateKind) {
 	r.mu.RLock()
 	t := r.taker
 	r.mu.RUnlock()
@@ -74,7 +74,7 @@
 }
 
 // attach turns the inventory on: from now on addresses and news come from the merged view.
-func (r *Roster) attach(t taker) {
+func (r *Directory) attach(t taker) {
 	r.mu.Lock()
 	r.taker, r.addresses = t, nil
 	r.mu.Unlock()
@@ -82,7 +82,7 @@
 }
 
 // detach turns it off: discovery is asked for its whole list, which then replaces the merged one.
-func (r *Roster) detach() {
+func (r *Directory) detach() {
 	r.mu.Lock()
 	r.taker, r.addresses = nil, nil
 	r.mu.Unlock()
@@ -90,7 +90,7 @@
 }
 
 // push tells the module what has changed: addresses first, so that it cannot send where none is known.
-func (r *Roster) push(entries []endpointmerge.Entry, form balancer.UpdateKind) {
+func (r *Directory) push(entries []endpointmerge.Entry, form balancer.UpdateKind) {
 	r.mu.Lock()
 	if r.taker == nil {
 		r.mu.Unlock()
@@ -103,7 +103,7 @@
 	for _, e := range entries {
 		id, state := balancer.ServerID(e.ID), balancer.Ready
 		switch {
-		case e.Gone:
+		case e.Removed:
 			delete(r.addresses, id)
 			state = balancer.Removed
 		case e.Draining:
--- a/internal/endpoints/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -24,7 +24,7 @@
 
 // desk is a node's surroundings: a catalog without discovery, and a module that notes what it hears.
 type desk struct {
-	roster *Roster
+	roster *Directory
 	count  *counters.Counters
 	clock  clock.Clock
 	heard  chan balancer.EndpointUpdate
@@ -42,9 +42,9 @@
 func (d *desk) Address(id balancer.ServerID) (string, bool) { return "discovery:" + string(id), true }
 func (d *desk) Refetch()                                    { d.mu.Lock(); d.refetces++; d.mu.Unlock() }
 func (d *desk) UpdateEndpoints(l balancer.EndpointUpdate)   { d.heard <- l }
-func (d *desk) Roster() *Roster                             { return d.roster }
+func (d *desk) Endpoints() *Directory                       { return d.roster }
 func (d *desk) Clock() clock.Clock                          { return d.clock }
-func (d *desk) Window() time.Duration                       { return 50 * time.Millisecond }
+func (d *desk) IdempotencyWindow() time.Duration            { return 50 * time.Millisecond }
 func (d *desk) Counters() *counters.Counters                { return d.count }
 
 func (d *desk) next(t testing.TB) balancer.EndpointUpdate {
@@ -59,7 +59,7 @@
 }
 
 // start builds and starts the subsystem from a section's text.
-func (d *desk) start(t testing.TB, text string) subsystem.Running {
+func (d *desk) start(t testing.TB, text string) subsystem.Instance {
 	t.Helper()
 	f, err := operator.Parse("edge.toml", text, []operator.Section{Part().Section})
 	if err != nil {
@@ -106,7 +106,7 @@
 func TestPassThroughAndMerged(t *testing.T) {
 	d := newDesk()
 	known := discovery.List{Revision: 1, Members: []discovery.Member{{ID: "d1", HostPort: "127.0.0.1:1", Phase: "SERVING"}}}
-	d.roster.MemberNews(known, balancer.FullUpdate)
+	d.roster.HandleMembers(known, balancer.FullUpdate)
 	if l := d.next(t); ids(l) != "d1" || l.Kind != balancer.FullUpdate {
 		t.Errorf("passed through: %+v", l)
 	}
@@ -115,7 +115,7 @@
 	if a, _ := d.roster.Address("d1"); a != "discovery:d1" {
 		t.Errorf("address %s before the first merged list", a)
 	}
-	d.roster.MemberNews(known, balancer.FullUpdate)
+	d.roster.HandleMembers(known, balancer.FullUpdate)
 	write(t, path, inventory.WriteCSV([]inventory.Server{{ID: "f1", Address: "127.0.0.1:2", Pod: "p"}}))
 	if l := d.next(t); ids(l) != "d1 f1" || l.Kind != balancer.FullUpdate {
 		t.Fatalf("first merged list: %+v", l)
@@ -123,19 +123,19 @@
 	if a, _ := d.roster.Address("f1"); a != "127.0.0.1:2" {
 		t.Errorf("address %s", a)
 	}
-	d.roster.MemberNews(discovery.List{Revision: 2, Members: []discovery.Member{{ID: "d1", Phase: "DELETED"}, {ID: "d2", HostPort: "127.0.0.1:3", Phase: "odd"}}}, balancer.DeltaUpdate)
+	d.roster.HandleMembers(discovery.List{Revision: 2, Members: []discovery.Member{{ID: "d1", Phase: "DELETED"}, {ID: "d2", HostPort: "127.0.0.1:3", Phase: "odd"}}}, balancer.DeltaUpdate)
 	if l := d.next(t); ids(l) != "d1- d2~" || l.Kind != balancer.DeltaUpdate {
 		t.Errorf("one push for one change: %+v", l)
 	}
 	if _, ok := d.roster.Address("d1"); ok {
 		t.Error("a server that is gone has an address")
 	}
-	d.roster.MemberNews(discovery.List{Revision: 3}, balancer.DeltaUpdate)
+	d.roster.HandleMembers(discovery.List{Revision: 3}, balancer.DeltaUpdate)
 	if l := d.next(t); len(l.Endpoints) != 0 {
 		t.Errorf("an answer without news: %+v", l)
 	}
 	r.Stop()
-	d.roster.MemberNews(known, balancer.FullUpdate)
+	d.roster.HandleMembers(known, balancer.FullUpdate)
 	if l := d.next(t); ids(l) != "d1" {
 		t.Errorf("after it is off: %+v", l)
 	}
--- a/internal/engine/carry.go
+++ b/internal/engine/carry.go
@@ -29,10 +29,10 @@
 			e.withdraw(c.attempts[a.Attempt])
 		}
 	case balancer.Reject:
-		e.count.GivenUp.Inc(reasonNames[a.Reason])
+		e.count.Rejected.Inc(reasonNames[a.Reason])
 		e.answer(a.ID, Response{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
-		e.count.GivenUp.Inc(reasonNames[a.Reason])
+		e.count.Rejected.Inc(reasonNames[a.Reason])
 		e.answer(a.ID, Response{Kind: Failed})
 	case balancer.SetTimer:
 		e.timers.add(a.At, a.Token, nil)
--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -15,16 +15,16 @@
 
 // Options are how a file is followed.
 type Options struct {
-	Path   string
-	Beside []string      // further files whose change is to be looked at, such as a checksum
-	Settle time.Duration // see Tracker
-	AtOnce bool
-	Poll   time.Duration // between looks where no notification comes
-	Most   int64         // bytes
+	Path          string
+	Companions    []string      // further files whose change is to be looked at, such as a checksum
+	Settle        time.Duration // see Tracker
+	SelfVerifying bool
+	PollInterval  time.Duration // between looks where no notification comes
+	MaxBytes      int64         // bytes
 }
 
 // Seen is what Run tells.
-type Seen struct {
+type Event struct {
 	Data []byte // of a file read whole
 	Err  error  // it is not there, or cannot be read
 }
@@ -34,9 +34,9 @@
 // Run follows a file until the context ends and tells each state of it that was read whole, and the first of a row of
 // errors. Notifications of the kernel only make it look sooner: they can be lost, a folder can be replaced, a symbolic
 // link can be switched far away, so it looks at every poll as well.
-func Run(ctx context.Context, o Options, tell func(Seen)) {
-	w := &watcher{o: o, tracker: Tracker{Settle: o.Settle, AtOnce: o.AtOnce}, tell: tell,
-		beside: make([]Look, len(o.Beside))}
+func Run(ctx context.Context, o Options, tell func(Event)) {
+	w := &watcher{o: o, tracker: Tracker{Settle: o.Settle, SelfVerifying: o.SelfVerifying}, tell: tell,
+		beside: make([]FileState, len(o.Companions))}
 	w.notify = w.open()
 	if w.notify != nil {
 		defer func() { _ = w.notify.Close() }()
@@ -60,10 +60,10 @@
 type watcher struct {
 	o       Options
 	tracker Tracker
-	tell    func(Seen)
+	tell    func(Event)
 	notify  *fsnotify.Watcher
-	beside  []Look // of the files beside it, as they were last
-	failed  string // the error told last
+	beside  []FileState // of the files beside it, as they were last
+	failed  string      // the error told last
 }
 
 // open asks for notifications of the file's folder; nil where there are none to be had, and polling has to do.
@@ -90,7 +90,7 @@
 	if base == filepath.Base(w.o.Path) || len(base) > 2 && base[:2] == ".." {
 		return true
 	}
-	for _, b := range w.o.Beside {
+	for _, b := range w.o.Companions {
 		if base == filepath.Base(b) {
 			return true
 		}
@@ -103,63 +103,63 @@
 	if w.notify != nil {
 		_ = w.notify.Add(filepath.Dir(w.o.Path)) // again, where the folder was replaced; no harm where it stands
 	}
-	for i, path := range w.o.Beside { // a notification of it may be lost like any other
-		if l, err := stat(path); err == nil && !l.Same(w.beside[i]) {
+	for i, path := range w.o.Companions { // a notification of it may be lost like any other
+		if l, err := stat(path); err == nil && !l.Equal(w.beside[i]) {
 			w.beside[i] = l
-			w.tracker.Anew()
+			w.tracker.Invalidate()
 		}
 	}
 	now := time.Now()
 	l, err := stat(w.o.Path)
 	if err != nil {
 		w.fail(err)
-		return w.o.Poll
+		return w.o.PollInterval
 	}
-	switch verdict, due := w.tracker.See(now, l); verdict {
+	switch verdict, due := w.tracker.Observe(now, l); verdict {
 	case Missing:
 		w.fail(fmt.Errorf("%s is not there", w.o.Path))
-	case Wait:
-		return min(w.o.Poll, max(time.Millisecond, due.Sub(now)))
-	case Read:
-		data, err := read(w.o.Path, l, w.o.Most)
+	case WaitForSettle:
+		return min(w.o.PollInterval, max(time.Millisecond, due.Sub(now)))
+	case ReadNow:
+		data, err := read(w.o.Path, l, w.o.MaxBytes)
 		if errors.Is(err, errMoving) {
-			return min(w.o.Poll, max(time.Millisecond, w.o.Settle))
+			return min(w.o.PollInterval, max(time.Millisecond, w.o.Settle))
 		}
-		w.tracker.Taken(l)
+		w.tracker.MarkRead(l)
 		if err != nil {
 			w.fail(err)
 			break
 		}
 		w.failed = ""
-		w.tell(Seen{Data: data})
+		w.tell(Event{Data: data})
 	}
-	return w.o.Poll
+	return w.o.PollInterval
 }
 
 // fail tells an error once.
 func (w *watcher) fail(err error) {
 	if text := err.Error(); text != w.failed {
 		w.failed = text
-		w.tell(Seen{Err: err})
+		w.tell(Event{Err: err})
 	}
 }
 
-func stat(path string) (Look, error) {
+func stat(path string) (FileState, error) {
 	info, err := os.Stat(path) // through symbolic links: what they lead to is what counts
 	if errors.Is(err, os.ErrNotExist) {
-		return Look{}, nil
+		return FileState{}, nil
 	}
 	if err != nil {
-		return Look{}, err
+		return FileState{}, err
 	}
 	return look(path, info)
 }
 
-func look(path string, info os.FileInfo) (Look, error) {
+func look(path string, info os.FileInfo) (FileState, error) {
 	if !info.Mode().IsRegular() {
-		return Look{}, fmt.Errorf("%s is no plain file", path)
+		return FileState{}, fmt.Errorf("%s is no plain file", path)
 	}
-	l := Look{There: true, Size: info.Size(), Mod: info.ModTime()}
+	l := FileState{Exists: true, Size: info.Size(), ModTime: info.ModTime()}
 	if sys, ok := info.Sys().(*syscall.Stat_t); ok {
 		l.Inode = sys.Ino
 	}
@@ -167,7 +167,7 @@
 }
 
 // read reads a file whole, and only if it stays as it was looked at: before, in between and after.
-func read(path string, want Look, most int64) ([]byte, error) {
+func read(path string, want FileState, most int64) ([]byte, error) {
 	if want.Size > most {
 		return nil, fmt.Errorf("%s has %d bytes, %d at most", path, want.Size, most)
 	}
@@ -189,7 +189,7 @@
 		return nil, err
 	}
 	after, err := stat(path)
-	if err != nil || !opened.Same(want) || !after.Same(want) || int64(len(data)) != want.Size {
+	if err != nil || !opened.Equal(want) || !after.Equal(want) || int64(len(data)) != want.Size {
 		return nil, errMoving
 	}
 	return data, nil
--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/filewatch_test.go
@@ -13,37 +13,37 @@
 func TestTracker(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	file := func(inode uint64, size int64, mod int) Look {
-		return Look{There: true, Size: size, Mod: at(mod), Inode: inode}
+	file := func(inode uint64, size int64, mod int) FileState {
+		return FileState{Exists: true, Size: size, ModTime: at(mod), Inode: inode}
 	}
 	for _, c := range []struct {
 		name   string
 		atOnce bool
-		looks  []Look
+		looks  []FileState
 		times  []int
-		want   []Verdict // a Read is taken
+		want   []Action // a Read is taken
 	}{
-		{"old at the start", false, []Look{file(1, 5, -900)}, []int{0}, []Verdict{Read}},
-		{"read once", false, []Look{file(1, 5, -900), file(1, 5, -900)}, []int{0, 50}, []Verdict{Read, Nothing}},
-		{"grows, then settles", false, []Look{file(1, 5, -900), file(1, 7, 10), file(1, 9, 60), file(1, 9, 60), file(1, 9, 60)},
-			[]int{0, 11, 61, 120, 161}, []Verdict{Read, Wait, Wait, Wait, Read}},
-		{"renamed, old inside", false, []Look{file(1, 5, -900), file(2, 5, -200)}, []int{0, 10}, []Verdict{Read, Read}},
-		{"renamed, fresh", false, []Look{file(1, 5, -900), file(2, 5, 9), file(2, 5, 9)}, []int{0, 10, 109}, []Verdict{Read, Wait, Read}},
-		{"renamed, fresh, tells by itself", true, []Look{file(1, 5, -900), file(2, 5, 9)}, []int{0, 10}, []Verdict{Read, Read}},
-		{"written in place, tells by itself", true, []Look{file(1, 5, -900), file(1, 6, 9)}, []int{0, 10}, []Verdict{Read, Wait}},
-		{"truncated, with its old time still", false, []Look{file(1, 5, -900), file(1, 0, -900), file(1, 0, 3), file(1, 7, 4), file(1, 7, 4)},
-			[]int{0, 1, 3, 5, 105}, []Verdict{Read, Wait, Wait, Wait, Read}},
-		{"gone and back as it was", false, []Look{file(1, 5, -900), {}, file(1, 5, -900)}, []int{0, 10, 20}, []Verdict{Read, Missing, Nothing}},
-		{"a clock set back", false, []Look{file(1, 5, 9_000_000), file(1, 5, 9_000_000)}, []int{0, 100}, []Verdict{Wait, Read}},
+		{"old at the start", false, []FileState{file(1, 5, -900)}, []int{0}, []Action{ReadNow}},
+		{"read once", false, []FileState{file(1, 5, -900), file(1, 5, -900)}, []int{0, 50}, []Action{ReadNow, Unchanged}},
+		{"grows, then settles", false, []FileState{file(1, 5, -900), file(1, 7, 10), file(1, 9, 60), file(1, 9, 60), file(1, 9, 60)},
+			[]int{0, 11, 61, 120, 161}, []Action{ReadNow, WaitForSettle, WaitForSettle, WaitForSettle, ReadNow}},
+		{"renamed, old inside", false, []FileState{file(1, 5, -900), file(2, 5, -200)}, []int{0, 10}, []Action{ReadNow, ReadNow}},
+		{"renamed, fresh", false, []FileState{file(1, 5, -900), file(2, 5, 9), file(2, 5, 9)}, []int{0, 10, 109}, []Action{ReadNow, WaitForSettle, ReadNow}},
+		{"renamed, fresh, tells by itself", true, []FileState{file(1, 5, -900), file(2, 5, 9)}, []int{0, 10}, []Action{ReadNow, ReadNow}},
+		{"written in place, tells by itself", true, []FileState{file(1, 5, -900), file(1, 6, 9)}, []int{0, 10}, []Action{ReadNow, WaitForSettle}},
+		{"truncated, with its old time still", false, []FileState{file(1, 5, -900), file(1, 0, -900), file(1, 0, 3), file(1, 7, 4), file(1, 7, 4)},
+			[]int{0, 1, 3, 5, 105}, []Action{ReadNow, WaitForSettle, WaitForSettle, WaitForSettle, ReadNow}},
+		{"gone and back as it was", false, []FileState{file(1, 5, -900), {}, file(1, 5, -900)}, []int{0, 10, 20}, []Action{ReadNow, Missing, Unchanged}},
+		{"a clock set back", false, []FileState{file(1, 5, 9_000_000), file(1, 5, 9_000_000)}, []int{0, 100}, []Action{WaitForSettle, ReadNow}},
 	} {
-		tr := Tracker{Settle: 100 * time.Millisecond, AtOnce: c.atOnce}
+		tr := Tracker{Settle: 100 * time.Millisecond, SelfVerifying: c.atOnce}
 		for i, l := range c.looks {
-			got, due := tr.See(at(c.times[i]), l)
-			if got != c.want[i] || (got == Wait) != due.After(at(c.times[i])) {
+			got, due := tr.Observe(at(c.times[i]), l)
+			if got != c.want[i] || (got == WaitForSettle) != due.After(at(c.times[i])) {
 				t.Errorf("%s, look %d: %v until %v, want %v", c.name, i, got, due, c.want[i])
 			}
-			if got == Read {
-				tr.Taken(l)
+			if got == ReadNow {
+				tr.MarkRead(l)
 			}
 		}
 	}
@@ -52,19 +52,19 @@
 const patience = 10 * time.Second
 
 // follow runs a watcher and gives what it tells.
-func follow(t *testing.T, o Options) <-chan Seen {
+func follow(t *testing.T, o Options) <-chan Event {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	out, ended := make(chan Seen, 1000), make(chan struct{})
+	out, ended := make(chan Event, 1000), make(chan struct{})
 	go func() {
 		defer close(ended)
-		Run(ctx, o, func(s Seen) { out <- s })
+		Run(ctx, o, func(s Event) { out <- s })
 	}()
 	t.Cleanup(func() { cancel(); <-ended })
 	return out
 }
 
-func want(t *testing.T, from <-chan Seen, text string) {
+func want(t *testing.T, from <-chan Event, text string) {
 	t.Helper()
 	end := time.After(patience)
 	for {
@@ -98,7 +98,7 @@
 func TestWhatHappensToFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "late")
 	path := filepath.Join(dir, "list.csv")
-	seen := follow(t, Options{Path: path, Settle: 10 * time.Millisecond, Poll: 20 * time.Millisecond, Most: 100})
+	seen := follow(t, Options{Path: path, Settle: 10 * time.Millisecond, PollInterval: 20 * time.Millisecond, MaxBytes: 100})
 	want(t, seen, "is not there")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	path := filepath.Join(t.TempDir(), "list.csv")
 	whole := func(i int) string { return strings.Repeat(fmt.Sprintf("row %d\n", i), 200) }
 	put(t, path, whole(0))
-	seen := follow(t, Options{Path: path, Settle: 500 * time.Millisecond, Poll: 5 * time.Millisecond, Most: 1 << 20})
+	seen := follow(t, Options{Path: path, Settle: 500 * time.Millisecond, PollInterval: 5 * time.Millisecond, MaxBytes: 1 << 20})
 	want(t, seen, "row 0")
 	for i := 1; i <= 3; i++ {
 		f, err := os.Create(path)
