--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -33,19 +33,19 @@
 )
 
 // Hearer takes what other nodes tell.
-type Hearer interface{ ReceiveGossip(balancer.GossipReceived) }
+type Receiver interface{ ReceiveGossip(balancer.GossipReceived) }
 
 // Options are what the link works with.
 type Options struct {
-	Node  int              // this node's number
-	Nodes []netip.AddrPort // all nodes' addresses, by number; this node listens on its own
-	To    Hearer
-	Log   *slog.Logger
-	Count *counters.Peers
+	Node     int              // this node's number
+	Nodes    []netip.AddrPort // all nodes' addresses, by number; this node listens on its own
+	Receiver Receiver
+	Log      *slog.Logger
+	Counters *counters.Gossip
 }
 
 // Link is one node's side.
-type Link struct {
+type Transport struct {
 	o       Options
 	conn    *net.UDPConn
 	out     chan []byte
@@ -54,8 +54,8 @@
 }
 
 // Listen opens the node's own address.
-func Listen(o Options) (*Link, error) {
-	l := &Link{o: o, out: make(chan []byte, queueLen), numbers: map[netip.AddrPort]int{}}
+func Listen(o Options) (*Transport, error) {
+	l := &Transport{o: o, out: make(chan []byte, queueLen), numbers: map[netip.AddrPort]int{}}
 	for i, a := range o.Nodes {
 		l.numbers[a] = i
 	}
@@ -69,15 +69,15 @@
 }
 
 // drop counts a message that is not sent or not taken; the first of each reason is logged, the rest are counted.
-func (l *Link) drop(reason string) {
-	l.o.Count.Drops.Inc(reason)
+func (l *Transport) drop(reason string) {
+	l.o.Counters.Drops.Inc(reason)
 	if _, known := l.logged.LoadOrStore(reason, true); !known {
 		l.o.Log.Warn("a message between nodes was dropped, further ones are only counted", "code", "peers_drop", "reason", reason)
 	}
 }
 
 // Tell sends every other node a message. It never waits: what does not fit the queue is dropped and counted.
-func (l *Link) Broadcast(body []byte) {
+func (l *Transport) Broadcast(body []byte) {
 	if len(body) > balancer.MaxGossipBytes {
 		l.drop("too_long")
 		return
@@ -90,7 +90,7 @@
 }
 
 // Run sends and takes in until the context ends.
-func (l *Link) Run(ctx context.Context) {
+func (l *Transport) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (l *Link) write(body []byte) {
+func (l *Transport) write(body []byte) {
 	message := append(binary.BigEndian.AppendUint32(nil, uint32(l.o.Node)), body...)
 	for i, to := range l.o.Nodes {
 		if i == l.o.Node {
@@ -118,14 +118,14 @@
 			l.drop("write")
 			continue
 		}
-		l.o.Count.Sent.Inc()
+		l.o.Counters.Sent.Inc()
 	}
 }
 
 // readPause keeps an error that stays, such as a want of buffers, from taking the core.
 const readPause = time.Millisecond
 
-func (l *Link) read(ctx context.Context) {
+func (l *Transport) read(ctx context.Context) {
 	buffer := make([]byte, headLen+balancer.MaxGossipBytes+1)
 	second, taken := time.Time{}, 0
 	most := max(leastPerSecond, eachPerSecond*len(l.o.Nodes))
@@ -151,7 +151,7 @@
 }
 
 // take passes on what comes from a node's own address under its own number.
-func (l *Link) take(message []byte, from netip.AddrPort) {
+func (l *Transport) take(message []byte, from netip.AddrPort) {
 	number, known := l.numbers[from]
 	switch {
 	case !known || number == l.o.Node:
@@ -161,7 +161,7 @@
 	case binary.BigEndian.Uint32(message) != uint32(number):
 		l.drop("number")
 	default:
-		l.o.Count.Taken.Inc()
-		l.o.To.ReceiveGossip(balancer.GossipReceived{From: number, Body: append([]byte(nil), message[headLen:]...)})
+		l.o.Counters.Taken.Inc()
+		l.o.Receiver.ReceiveGossip(balancer.GossipReceived{From: number, Body: append([]byte(nil), message[headLen:]...)})
 	}
 }
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -30,12 +30,12 @@
 
 func TestNodesHearOneAnotherAndNoStranger(t *testing.T) {
 	nodes := []netip.AddrPort{free(t), free(t), free(t)} // the third is down
-	heard, count := make(ears, 8), &counters.Peers{}
+	heard, count := make(ears, 8), &counters.Gossip{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	links := []*Link{}
+	links := []*Transport{}
 	for i := range 2 {
-		l, err := Listen(Options{Node: i, Nodes: nodes, To: heard, Log: slog.Default(), Count: count})
+		l, err := Listen(Options{Node: i, Nodes: nodes, Receiver: heard, Log: slog.Default(), Counters: count})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,8 +74,8 @@
 
 // The engine must never wait for the network.
 func TestTellNeverWaits(t *testing.T) {
-	count := &counters.Peers{}
-	l, err := Listen(Options{Node: 0, Nodes: []netip.AddrPort{free(t), free(t)}, To: make(ears), Log: slog.Default(), Count: count})
+	count := &counters.Gossip{}
+	l, err := Listen(Options{Node: 0, Nodes: []netip.AddrPort{free(t), free(t)}, Receiver: make(ears), Log: slog.Default(), Counters: count})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -29,23 +29,23 @@
 	}
 	defer func() { _ = receiver.Close() }()
 	nodes[0], nodes[sender] = receiver.LocalAddr().(*net.UDPAddr).AddrPort(), free(t)
-	heard, count := make(ears, 1), &counters.Peers{}
+	heard, count := make(ears, 1), &counters.Gossip{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l, err := Listen(Options{Node: sender, Nodes: nodes, To: heard, Log: slog.New(slog.DiscardHandler), Count: count})
+	l, err := Listen(Options{Node: sender, Nodes: nodes, Receiver: heard, Log: slog.New(slog.DiscardHandler), Counters: count})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go l.Run(ctx)
-	l.Tell([]byte("body\x00\xff"))
-	buffer := make([]byte, headLen+balancer.MessageMost)
+	l.Broadcast([]byte("body\x00\xff"))
+	buffer := make([]byte, headLen+balancer.MaxGossipBytes)
 	_ = receiver.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, err := receiver.Read(buffer)
 	if err != nil || !bytes.Equal(buffer[:n], want) {
 		t.Errorf("sent %x, want %x; %v", buffer[:n], want, err)
 	}
 
-	other := &Link{o: Options{Node: 0, Nodes: nodes, To: heard, Log: slog.New(slog.DiscardHandler), Count: count},
+	other := &Transport{o: Options{Node: 0, Nodes: nodes, Receiver: heard, Log: slog.New(slog.DiscardHandler), Counters: count},
 		numbers: map[netip.AddrPort]int{nodes[sender]: sender}}
 	other.take(want, nodes[sender])
 	select {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -32,13 +32,13 @@
 )
 
 // ErrNone says that there is no process to take over from.
-var ErrNone = errors.New("no process to take over from")
+var ErrNoPredecessor = errors.New("no process to take over from")
 
 // ErrGone says that the process that left its name there has ended.
-var ErrGone = errors.New("the process before has gone")
+var ErrPredecessorGone = errors.New("the process before has gone")
 
 // ErrOther says that another node's process serves at the address.
-var ErrOther = errors.New("another node serves at this address")
+var ErrOtherNode = errors.New("another node serves at this address")
 
 // Identity is whose process one is. The place where processes meet hangs on the clients' address alone, and whoever is met
 // there may be another customer's.
@@ -53,12 +53,12 @@
 
 // Same tells whether two processes are one node: of one name, and with the same discovery or the same settings, either of
 // which an upgrade may change.
-func (i Identity) Same(o Identity) bool {
+func (i Identity) SameNode(o Identity) bool {
 	return i.Name == o.Name && (i.Discovery == o.Discovery || i.Settings == o.Settings)
 }
 
 // Path is where the processes at one clients' address meet.
-func Path(dir, listen string) string {
+func SocketPath(dir, listen string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(listen))
 	return filepath.Join(dir, fmt.Sprintf("tackhub-%016x.sock", h.Sum64()))
@@ -66,15 +66,15 @@
 
 // Message is one line between the processes. The first of each side has the version and the address.
 type Message struct {
-	Version int             `json:"tackhub_handover,omitempty"`
-	Listen  string          `json:"listen,omitempty"`
-	Who     Identity        `json:"who,omitzero"`
-	Want    string          `json:"want,omitempty"`  // "state": asks for it
-	State   json.RawMessage `json:"state,omitempty"` // what the old process knows
-	Ready   bool            `json:"ready,omitempty"` // the new process serves, or the old one has noted it
-	Drained *bool           `json:"drained,omitempty"`
-	Opened  string          `json:"opened,omitempty"` // the id of a request taken in
-	Closed  string          `json:"closed,omitempty"` // ... that has ended
+	Version       int             `json:"tackhub_handover,omitempty"`
+	Listen        string          `json:"listen,omitempty"`
+	Identity      Identity        `json:"who,omitzero"`
+	Request       string          `json:"want,omitempty"`  // "state": asks for it
+	State         json.RawMessage `json:"state,omitempty"` // what the old process knows
+	Ready         bool            `json:"ready,omitempty"` // the new process serves, or the old one has noted it
+	Drained       *bool           `json:"drained,omitempty"`
+	RequestOpened string          `json:"opened,omitempty"` // the id of a request taken in
+	RequestClosed string          `json:"closed,omitempty"` // ... that has ended
 }
 
 // link is one side of the connection between the processes.
@@ -136,20 +136,20 @@
 }
 
 // Heir is the new process's side.
-type Heir struct {
-	Listener *net.TCPListener // the one that clients come to
-	Before   Identity         // of the old process; empty where its version does not say
-	link     link
+type Successor struct {
+	Listener            *net.TCPListener // the one that clients come to
+	PredecessorIdentity Identity         // of the old process; empty where its version does not say
+	link                link
 }
 
 // Take asks the process that serves at the address for its listener. ErrNone: there is none; ErrGone: it has ended; ErrOther:
 // it is another node's; any other error: there is something that cannot hand over.
-func Take(dir, listen string, who Identity) (*Heir, error) {
-	path := Path(dir, listen)
+func TakeOver(dir, listen string, who Identity) (*Successor, error) {
+	path := SocketPath(dir, listen)
 	info, err := os.Lstat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return nil, ErrNone
+		return nil, ErrNoPredecessor
 	case err != nil:
 		return nil, err
 	case info.Mode()&fs.ModeSocket == 0:
@@ -161,12 +161,12 @@
 		return err
 	})
 	if errors.Is(err, unix.ECONNREFUSED) { // it was killed; whoever listens at the address now is somebody else
-		return nil, ErrGone
+		return nil, ErrPredecessorGone
 	}
 	if err != nil {
 		return nil, err
 	}
-	h := &Heir{link: link{conn: conn.(*net.UnixConn)}}
+	h := &Successor{link: link{conn: conn.(*net.UnixConn)}}
 	if h.Listener, err = h.hello(listen, who); err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -175,8 +175,8 @@
 }
 
 // hello exchanges the first messages; the listener comes with the first byte of the old process's.
-func (h *Heir) hello(listen string, who Identity) (*net.TCPListener, error) {
-	if err := h.link.write(Message{Version: Version, Listen: listen, Who: who}); err != nil {
+func (h *Successor) hello(listen string, who Identity) (*net.TCPListener, error) {
+	if err := h.link.write(Message{Version: Version, Listen: listen, Identity: who}); err != nil {
 		return nil, err
 	}
 	if err := h.link.conn.SetReadDeadline(time.Now().Add(stepTime)); err != nil {
@@ -196,12 +196,12 @@
 	}
 	h.link.r = bufio.NewReader(io.MultiReader(&oneByte{first[0], false}, h.link.conn))
 	m, err := h.link.read(stepTime)
-	h.Before = m.Who
+	h.PredecessorIdentity = m.Identity
 	switch {
 	case err != nil:
 		return nil, err
-	case m.Who.known() && !m.Who.Same(who):
-		return nil, fmt.Errorf("%w: %q", ErrOther, m.Who.Name)
+	case m.Identity.known() && !m.Identity.SameNode(who):
+		return nil, fmt.Errorf("%w: %q", ErrOtherNode, m.Identity.Name)
 	case ferr != nil:
 		return nil, ferr
 	case m.Version != Version || m.Listen != listen:
@@ -253,8 +253,8 @@
 }
 
 // State asks for what the old process knows.
-func (h *Heir) State() (json.RawMessage, error) {
-	if err := h.link.write(Message{Want: "state"}); err != nil {
+func (h *Successor) RequestState() (json.RawMessage, error) {
+	if err := h.link.write(Message{Request: "state"}); err != nil {
 		return nil, err
 	}
 	m, err := h.link.read(stepTime)
@@ -265,7 +265,7 @@
 }
 
 // Ready tells the old process that this one serves, and waits until it has noted it.
-func (h *Heir) Ready() error {
+func (h *Successor) AnnounceReady() error {
 	if err := h.link.write(Message{Ready: true}); err != nil {
 		return err
 	}
@@ -277,10 +277,10 @@
 }
 
 // Tell passes a message on.
-func (h *Heir) Tell(m Message) error { return h.link.write(m) }
+func (h *Successor) Send(m Message) error { return h.link.write(m) }
 
 // Hear takes the old process's messages until it has gone.
-func (h *Heir) Hear(take func(Message)) {
+func (h *Successor) ReceiveAll(take func(Message)) {
 	for {
 		m, err := h.link.read(0)
 		if err != nil {
@@ -291,4 +291,4 @@
 }
 
 // Close ends it; the old process goes on alone if it is still there.
-func (h *Heir) Close() { _ = h.link.conn.Close() }
+func (h *Successor) Close() { _ = h.link.conn.Close() }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -21,18 +21,18 @@
 // nothing is a node that has nothing to tell.
 type nothing struct{}
 
-func (nothing) Beside(bool)                     {}
+func (nothing) SetSibling(bool)                 {}
 func (nothing) State() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
-func (nothing) Succeeded()                      {}
-func (nothing) Hear(Message)                    {}
+func (nothing) SuccessorReady()                 {}
+func (nothing) HandleMessage(Message)           {}
 
-func keep(t *testing.T, dir string) (*Keeper, *net.TCPListener) {
+func keep(t *testing.T, dir string) (*Predecessor, *net.TCPListener) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := Keep(dir, "here", us, l, nothing{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	k, err := Listen(dir, "here", us, l, nothing{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,15 +48,15 @@
 	}
 	k, old := keep(t, dir)
 	go k.Run(t.Context())
-	heir, err := Take(dir, "here", us)
+	heir, err := TakeOver(dir, "here", us)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer heir.Close()
-	if raw, err := heir.State(); err != nil || string(raw) != "{}" {
+	if raw, err := heir.RequestState(); err != nil || string(raw) != "{}" {
 		t.Errorf("state %s, %v", raw, err)
 	}
-	if err := heir.Ready(); err != nil {
+	if err := heir.AnnounceReady(); err != nil {
 		t.Error(err)
 	}
 	waiting, err := net.Dial("tcp", old.Addr().String())
@@ -73,17 +73,17 @@
 }
 
 func TestNothingToTake(t *testing.T) {
-	if _, err := Take(t.TempDir(), "here", us); err != ErrNone {
+	if _, err := TakeOver(t.TempDir(), "here", us); err != ErrNoPredecessor {
 		t.Errorf("an empty place: %v", err)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(Path(dir, "here"), nil, 0o600); err != nil {
+	if err := os.WriteFile(SocketPath(dir, "here"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Take(dir, "here", us); err == nil || err == ErrNone {
+	if _, err := TakeOver(dir, "here", us); err == nil || err == ErrNoPredecessor {
 		t.Errorf("a foreign file: %v", err)
 	}
-	if _, err := Keep(dir, "here", us, nil, nothing{}, nil); err == nil {
+	if _, err := Listen(dir, "here", us, nil, nothing{}, nil); err == nil {
 		t.Error("a foreign file made way")
 	}
 }
@@ -94,13 +94,13 @@
 	k, _ := keep(t, dir)
 	go k.Run(t.Context())
 	for _, other := range []Identity{{Name: "n1", Discovery: "d", Settings: "s"}, {Name: "n0", Discovery: "e", Settings: "t"}} {
-		if h, err := Take(dir, "here", other); !errors.Is(err, ErrOther) || h != nil {
+		if h, err := TakeOver(dir, "here", other); !errors.Is(err, ErrOtherNode) || h != nil {
 			t.Errorf("%+v: %v", other, err)
 		}
 	}
 	for _, same := range []Identity{us, {Name: "n0", Discovery: "e", Settings: "s"}, {Name: "n0", Discovery: "d", Settings: "t"}} {
-		h, err := Take(dir, "here", same)
-		if err != nil || h.Before != us {
+		h, err := TakeOver(dir, "here", same)
+		if err != nil || h.PredecessorIdentity != us {
 			t.Fatalf("%+v: %v", same, err)
 		}
 		_ = h.Listener.Close()
@@ -113,7 +113,7 @@
 	dir := t.TempDir()
 	first, _ := keep(t, dir)
 	second, _ := keep(t, dir)
-	for _, k := range []*Keeper{first, second} {
+	for _, k := range []*Predecessor{first, second} {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		k.Run(ctx)
--- a/internal/handover/keeper.go
+++ b/internal/handover/keeper.go
@@ -36,17 +36,17 @@
 // Node is the process that serves, as the next one finds it.
 type Node interface {
 	// Beside says that there is a second process from now on, or no longer.
-	Beside(on bool)
+	SetSibling(on bool)
 	// State is what the next process should know.
 	State() (json.RawMessage, error)
 	// Succeeded says that the next process serves.
-	Succeeded()
+	SuccessorReady()
 	// Hear takes what it tells after that.
-	Hear(Message)
+	HandleMessage(Message)
 }
 
 // Keeper is the old process's side: it waits for the next one.
-type Keeper struct {
+type Predecessor struct {
 	path     string
 	listen   string
 	who      Identity
@@ -62,8 +62,8 @@
 
 // Keep waits under the address's name for the next process. What a process before this one left there makes way; what is
 // no socket stays and is an error.
-func Keep(dir, listen string, who Identity, clients *net.TCPListener, node Node, log *slog.Logger) (*Keeper, error) {
-	k := &Keeper{path: Path(dir, listen), listen: listen, who: who, clients: clients, node: node, log: log}
+func Listen(dir, listen string, who Identity, clients *net.TCPListener, node Node, log *slog.Logger) (*Predecessor, error) {
+	k := &Predecessor{path: SocketPath(dir, listen), listen: listen, who: who, clients: clients, node: node, log: log}
 	info, err := os.Lstat(k.path)
 	if err == nil && info.Mode()&fs.ModeSocket == 0 {
 		return nil, errors.New(k.path + " is no socket")
@@ -106,7 +106,7 @@
 }
 
 // Run meets one process after the other until the context ends, and takes its own name away unless the next has it.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Predecessor) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() {
 		_ = k.listener.Close()
 		k.mu.Lock()
@@ -136,25 +136,25 @@
 }
 
 // Heir tells whether the next process serves, and passes a message on to it.
-func (k *Keeper) Heir() bool {
+func (k *Predecessor) HasSuccessor() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.heir != nil
 }
 
 // Tell passes a message on to the next process, if it serves.
-func (k *Keeper) Tell(m Message) error {
+func (k *Predecessor) Send(m Message) error {
 	k.mu.Lock()
 	l := k.heir
 	k.mu.Unlock()
 	if l == nil {
-		return ErrNone
+		return ErrNoPredecessor
 	}
 	return l.write(m)
 }
 
 // meet hands over to one process, and stays with it until one of the two ends.
-func (k *Keeper) meet(l *link) error {
+func (k *Predecessor) meet(l *link) error {
 	if err := sameUser(l.conn); err != nil {
 		return err
 	}
@@ -162,9 +162,9 @@
 	if err != nil {
 		return err
 	}
-	if m.Who.known() && !m.Who.Same(k.who) { // it is told whose place this is, and gets nothing
-		return errors.Join(fmt.Errorf("node %q asked for the listener of %q", m.Who.Name, k.who.Name),
-			l.write(Message{Version: Version, Listen: k.listen, Who: k.who}))
+	if m.Identity.known() && !m.Identity.SameNode(k.who) { // it is told whose place this is, and gets nothing
+		return errors.Join(fmt.Errorf("node %q asked for the listener of %q", m.Identity.Name, k.who.Name),
+			l.write(Message{Version: Version, Listen: k.listen, Identity: k.who}))
 	}
 	// Also to another version: its own check tells it so, in words.
 	if err := k.hand(l); err != nil {
@@ -173,8 +173,8 @@
 	if m.Version != Version || m.Listen != k.listen {
 		return errors.New("the next process speaks another version, or serves another address")
 	}
-	k.node.Beside(true)
-	defer k.node.Beside(false)
+	k.node.SetSibling(true)
+	defer k.node.SetSibling(false)
 	defer func() {
 		k.mu.Lock()
 		k.heir = nil
@@ -187,7 +187,7 @@
 			return err
 		}
 		switch {
-		case m.Want == "state":
+		case m.Request == "state":
 			state, err := k.node.State()
 			if err != nil {
 				return err
@@ -203,18 +203,18 @@
 				return err
 			}
 			k.log.Info("the next process serves beside this one", "code", "handover")
-			k.node.Succeeded()
+			k.node.SuccessorReady()
 			limit = 0
 		default:
-			k.node.Hear(m)
+			k.node.HandleMessage(m)
 		}
 	}
 }
 
 // hand sends the first message with the listener. Its descriptor is lent as it is: File would set the one queue of both
 // processes to blocking.
-func (k *Keeper) hand(l *link) error {
-	raw, err := json.Marshal(Message{Version: Version, Listen: k.listen, Who: k.who})
+func (k *Predecessor) hand(l *link) error {
+	raw, err := json.Marshal(Message{Version: Version, Listen: k.listen, Identity: k.who})
 	if err != nil {
 		return err
 	}
--- a/internal/handover/wire_test.go
+++ b/internal/handover/wire_test.go
@@ -19,15 +19,15 @@
 var yes, no = true, false
 
 var wireLines = []Message{
-	{Version: 1, Listen: "127.0.0.1:8080", Who: Identity{Name: "n0", Discovery: "http://127.0.0.1:9000", Settings: "ab12"}},
+	{Version: 1, Listen: "127.0.0.1:8080", Identity: Identity{Name: "n0", Discovery: "http://127.0.0.1:9000", Settings: "ab12"}},
 	{Version: 1, Listen: "127.0.0.1:8080"}, // of a version that does not say who it is
-	{Want: "state"},
+	{Request: "state"},
 	{State: json.RawMessage(`{"list":{"revision":0,"complete":false,"members":null},"module":{},"drained":false}`)},
 	{Ready: true},
 	{Drained: &yes},
 	{Drained: &no},
-	{Opened: "key-1"},
-	{Closed: "key-1"},
+	{RequestOpened: "key-1"},
+	{RequestClosed: "key-1"},
 }
 
 // pipe gives the two ends of a connection as the processes of one node have it.
@@ -106,7 +106,7 @@
 
 // The name of the socket is where processes of two versions meet.
 func TestSocketNameIsThatOfReleasedVersions(t *testing.T) {
-	if got := Path("/tmp", "0.0.0.0:8080"); got != "/tmp/tackhub-64437901d19ee2e9.sock" {
+	if got := SocketPath("/tmp", "0.0.0.0:8080"); got != "/tmp/tackhub-64437901d19ee2e9.sock" {
 		t.Errorf("the socket is %s", got)
 	}
 }
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -13,39 +13,39 @@
 
 // The outcomes.
 const (
-	Answered   Outcome = iota // its whole answer was handed to the kernel
-	Refused                   // the same, and the answer was a refusal
-	ClientLeft                // its client had gone before the answer
-	Unanswered                // its answer could not be written whole
+	Answered           Outcome = iota // its whole answer was handed to the kernel
+	Rejected                          // the same, and the answer was a refusal
+	ClientDisconnected                // its client had gone before the answer
+	Unanswered                        // its answer could not be written whole
 )
 
 // Account holds the requests in flight. The zero value is ready for use.
-type Account struct {
+type Tracker struct {
 	mu      sync.Mutex
 	open    map[*Request]struct{}
-	changed chan struct{} // closed when the account becomes empty; nil where nobody waits
-	stop    *Stop         // nil: no planned stop has begun
+	changed chan struct{}  // closed when the account becomes empty; nil where nobody waits
+	stop    *ShutdownStats // nil: no planned stop has begun
 }
 
 // Request is one request in the account.
 type Request struct {
-	account *Account
+	account *Tracker
 	// ID, Class and Began are for the log.
 	ID, Class string
 	Began     time.Time
 }
 
 // Stop holds the figures of a planned stop.
-type Stop struct {
-	Began     time.Time
-	OpenThen  int           // in the account when the stop began
-	ReadSince int           // requests read since
-	Outcomes  [4]int        // requests that left the account since, by outcome
-	Latest    time.Duration // of the answers, since the stop began
+type ShutdownStats struct {
+	Began         time.Time
+	OpenAtStart   int           // in the account when the stop began
+	ReceivedSince int           // requests read since
+	Outcomes      [4]int        // requests that left the account since, by outcome
+	LastAnswer    time.Duration // of the answers, since the stop began
 }
 
 // Begin takes a request into the account.
-func (a *Account) Begin(id, class string) *Request {
+func (a *Tracker) Begin(id, class string) *Request {
 	r := &Request{account: a, ID: id, Class: class, Began: time.Now()}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 	a.open[r] = struct{}{}
 	if a.stop != nil {
-		a.stop.ReadSince++
+		a.stop.ReceivedSince++
 	}
 	return r
 }
@@ -70,8 +70,8 @@
 	delete(a.open, r)
 	if a.stop != nil {
 		a.stop.Outcomes[how]++
-		if how == Answered || how == Refused {
-			a.stop.Latest = time.Since(a.stop.Began)
+		if how == Answered || how == Rejected {
+			a.stop.LastAnswer = time.Since(a.stop.Began)
 		}
 	}
 	if len(a.open) == 0 && a.changed != nil {
@@ -81,14 +81,14 @@
 }
 
 // Open is how many requests are in the account.
-func (a *Account) Open() int {
+func (a *Tracker) Open() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.open)
 }
 
 // Empty returns a channel that is closed once the account is empty.
-func (a *Account) Empty() <-chan struct{} {
+func (a *Tracker) Empty() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.changed == nil {
@@ -103,20 +103,20 @@
 }
 
 // BeginStop starts the figures of a planned stop.
-func (a *Account) BeginStop(now time.Time) {
+func (a *Tracker) BeginShutdown(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.stop == nil {
-		a.stop = &Stop{Began: now, OpenThen: len(a.open)}
+		a.stop = &ShutdownStats{Began: now, OpenAtStart: len(a.open)}
 	}
 }
 
 // StopFigures are the figures of the planned stop so far; ok is false where none has begun.
-func (a *Account) StopFigures() (figures Stop, ok bool) {
+func (a *Tracker) ShutdownStats() (figures ShutdownStats, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.stop == nil {
-		return Stop{}, false
+		return ShutdownStats{}, false
 	}
 	return *a.stop, true
 }
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestAccountIsEmptyOnlyAfterTheLastEnd(t *testing.T) {
-	var a Account
+	var a Tracker
 	if !closed(a.Empty()) {
 		t.Error("an account with nothing in it is not empty")
 	}
@@ -33,18 +33,18 @@
 }
 
 func TestStopFigures(t *testing.T) {
-	var a Account
+	var a Tracker
 	before := a.Begin("1", "look")
-	if _, ok := a.StopFigures(); ok {
+	if _, ok := a.ShutdownStats(); ok {
 		t.Error("figures of a stop that has not begun")
 	}
-	a.BeginStop(time.Now().Add(-time.Second))
-	a.BeginStop(time.Now()) // a second signal begins nothing
+	a.BeginShutdown(time.Now().Add(-time.Second))
+	a.BeginShutdown(time.Now()) // a second signal begins nothing
 	after := a.Begin("2", "look")
 	before.End(Answered)
-	after.End(Refused)
-	got, ok := a.StopFigures()
-	if !ok || got.OpenThen != 1 || got.ReadSince != 1 || got.Outcomes != [4]int{1, 1, 0, 0} || got.Latest < time.Second {
+	after.End(Rejected)
+	got, ok := a.ShutdownStats()
+	if !ok || got.OpenAtStart != 1 || got.ReceivedSince != 1 || got.Outcomes != [4]int{1, 1, 0, 0} || got.LastAnswer < time.Second {
 		t.Errorf("%+v, %v", got, ok)
 	}
 }
--- a/internal/ingress/accept.go
+++ b/internal/ingress/accept.go
@@ -82,7 +82,7 @@
 func (s *Server) Serve(l Listener) error {
 	err := s.accept(l)
 	if err != nil {
-		s.o.Broken(l, err)
+		s.o.OnListenerBroken(l, err)
 	}
 	err = errors.Join(err, ignoreClosed(l.Close()))
 	for !s.ended() {
@@ -115,7 +115,7 @@
 			_ = l.SetDeadline(time.Now().Add(s.quietFor())) // a broken listener shows in Accept
 		}
 		nc, err := acceptFrom(l)
-		if !socket.IsBroken(err) {
+		if !socket.IsListenerBroken(err) {
 			brokenSince = time.Time{}
 		}
 		switch {
@@ -126,9 +126,9 @@
 			quiet = true
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case socket.IsBroken(err) && brokenSince.IsZero():
+		case socket.IsListenerBroken(err) && brokenSince.IsZero():
 			brokenSince = time.Now()
-		case socket.IsBroken(err) && time.Since(brokenSince) >= brokenFor:
+		case socket.IsListenerBroken(err) && time.Since(brokenSince) >= brokenFor:
 			return err
 		default: // out of descriptors or buffers, or the connection was gone already
 			s.o.Count.Clients.Paused.Inc()
@@ -150,7 +150,7 @@
 // makeRoom makes room where accept fails for want of descriptors or memory. Other errors concern one connection or pass by
 // themselves, and no client has to go for them.
 func (s *Server) makeRoom(err error) {
-	if socket.IsShort(err) {
+	if socket.IsResourceExhausted(err) {
 		s.lowerLimit()
 		s.evict(0)
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	most := min(files.Cur, math.MaxInt32)
-	mark := most - min(uint64(s.o.Aside), most/2)
+	mark := most - min(uint64(s.o.ReservedDescriptors), most/2)
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		return
--- a/internal/ingress/accept_test.go
+++ b/internal/ingress/accept_test.go
@@ -43,7 +43,7 @@
 }
 
 // serveFailing starts a server on a listener that can fail. Done gives what Serve returned.
-func serveFailing(t *testing.T, desk Desk) (*failing, *Server, <-chan error) {
+func serveFailing(t *testing.T, desk Handler) (*failing, *Server, <-chan error) {
 	t.Helper()
 	config := net.ListenConfig{Control: DeferAccept} // as the node's
 	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -52,8 +52,8 @@
 	}
 	f := &failing{TCPListener: l.(*net.TCPListener)}
 	var s *Server
-	s = New(Options{Desk: desk, Most: 100, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{},
-		Broken: func(l Listener, _ error) { s.Drain(l, drain.NewPlan(100*time.Millisecond).Start(time.Now())) }})
+	s = New(Options{Handler: desk, MaxConns: 100, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{},
+		OnListenerBroken: func(l Listener, _ error) { s.Drain(l, drain.NewPlan(100*time.Millisecond).Start(time.Now())) }})
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(f) }()
 	return f, s, done
--- a/internal/ingress/account.go
+++ b/internal/ingress/account.go
@@ -28,10 +28,10 @@
 	defer c.mu.Unlock()
 	outcome := inflight.Answered
 	switch {
-	case c.reason == proxy.EndLeft:
-		outcome = inflight.ClientLeft
+	case c.reason == proxy.ReasonClientLeft:
+		outcome = inflight.ClientDisconnected
 	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
-		outcome = inflight.Refused
+		outcome = inflight.Rejected
 	}
 	c.taken[len(c.taken)-1].outcome = outcome
 }
@@ -47,7 +47,7 @@
 // caller holds the lock.
 func (c *conn) release(broke bool) {
 	for _, t := range c.taken {
-		if broke && t.outcome != inflight.ClientLeft {
+		if broke && t.outcome != inflight.ClientDisconnected {
 			t.outcome = inflight.Unanswered
 		}
 		t.request.End(t.outcome)
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -19,16 +19,16 @@
 // The reason codes with which a client's connection ends, besides those that an exchange gives;
 // docs/oncall.md lists them.
 const (
-	endClosed  = "client_closed"    // between requests
-	endCut     = "client_cut"       // with a request half sent
-	endReset   = "client_reset"     // broken by the client or the network
-	endIdle    = "idle"             // nothing came for the idle time
-	endSlow    = "slow_request"     // a request did not arrive whole in time
-	endBad     = proxy.EndBad       // what came could not be read as a request
-	endWrite   = "write_failed"     // the answer could not be written
-	endEvicted = "descriptor_limit" // idle, and closed to make room
-	endDrained = "drained"          // the node is ending
-	endOther   = "ended"            // none of these
+	endClosed  = "client_closed"        // between requests
+	endCut     = "client_cut"           // with a request half sent
+	endReset   = "client_reset"         // broken by the client or the network
+	endIdle    = "idle"                 // nothing came for the idle time
+	endSlow    = "slow_request"         // a request did not arrive whole in time
+	endBad     = proxy.ReasonBadRequest // what came could not be read as a request
+	endWrite   = "write_failed"         // the answer could not be written
+	endEvicted = "descriptor_limit"     // idle, and closed to make room
+	endDrained = "drained"              // the node is ending
+	endOther   = "ended"                // none of these
 )
 
 // lingerFor bounds how long a connection that ends with unread bytes is kept, so that its last answer arrives:
@@ -163,7 +163,7 @@
 }
 
 // Ends gives the reason why the connection ends.
-func (c *conn) Ends(reason string) {
+func (c *conn) SetCloseReason(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.end(reason)
@@ -196,7 +196,7 @@
 func (c *conn) closeReason() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing == "" && (c.server.draining() || c.server.Drained()) {
+	if c.closing == "" && (c.server.draining() || c.server.AdminDrained()) {
 		return endDrained
 	}
 	return c.closing
@@ -314,14 +314,14 @@
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
 		return peekNothing
-	case err == nil && n > 0 && !socket.Ended(fd):
+	case err == nil && n > 0 && !socket.PeerClosed(fd):
 		return peekData
 	}
 	return peekEnd
 }
 
 // Left tells whether the client has gone already.
-func (c *conn) Left() bool {
+func (c *conn) Disconnected() bool {
 	seen := peekNothing
 	err := c.raw.Control(func(fd uintptr) { seen = peek(fd) })
 	return err != nil || seen == peekEnd
@@ -329,7 +329,7 @@
 
 // Watch tells when the client leaves, until stop is called. It only peeks, so that no byte of the next
 // request is lost, and looks on behind such bytes: each thing that comes wakes it once.
-func (c *conn) Watch() (<-chan struct{}, func()) {
+func (c *conn) WatchDisconnect() (<-chan struct{}, func()) {
 	left, done := make(chan struct{}), make(chan struct{})
 	_ = c.Conn.SetReadDeadline(time.Time{}) // the request's own has been kept
 	go func() {
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -116,7 +116,7 @@
 
 func TestWatchSeesTheClientLeaveAndTakesNothing(t *testing.T) {
 	client, c := pair(t)
-	left, stop := c.Watch()
+	left, stop := c.WatchDisconnect()
 	if _, err := client.Write([]byte("next")); err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 	if n, err := c.Read(b); err != nil || string(b[:n]) != "next" {
 		t.Errorf("the next request reads %q, %v", b[:n], err)
 	}
-	left, stop = c.Watch()
+	left, stop = c.WatchDisconnect()
 	defer stop()
 	_ = client.Close()
 	select {
@@ -150,13 +150,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, c := pair(t)
-			left, stop := c.Watch()
+			left, stop := c.WatchDisconnect()
 			defer stop()
 			if _, err := client.Write([]byte("next")); err != nil {
 				t.Fatal(err)
 			}
 			c.waitFor(t, c.waiting)
-			if c.Left() {
+			if c.Disconnected() {
 				t.Error("a client that sent its next request was taken to have left")
 			}
 			if err := end(client.(*net.TCPConn)); err != nil {
@@ -167,7 +167,7 @@
 			case <-time.After(10 * time.Second):
 				t.Error("a client's leaving was not seen")
 			}
-			if !c.Left() {
+			if !c.Disconnected() {
 				t.Error("a client that has gone was not taken to have left")
 			}
 		})
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -58,9 +58,9 @@
 	}
 	now := time.Now()
 	s.closeUnused(stop, now)
-	if stop.Reached(stop.LastAnswer, now) {
+	if stop.Reached(stop.LastResponse, now) {
 		// What waits now is still refused in time, unless it never ends.
-		return !queued(l) || stop.Reached(stop.LastAnswer+drain.Standstill, now)
+		return !queued(l) || stop.Reached(stop.LastResponse+drain.MaxPause, now)
 	}
 	return quiet && stop.Reached(stop.CloseListener, now) && !s.heldBack(l, now) && !queued(l)
 }
@@ -76,8 +76,8 @@
 	if !stop.Reached(stop.CloseIdle, now) {
 		return
 	}
-	last := stop.Reached(stop.LastAnswer, now)
-	half := stop.Reached(stop.GiveUpHalf, now)
+	last := stop.Reached(stop.LastResponse, now)
+	half := stop.Reached(stop.RejectIncomplete, now)
 	for _, c := range s.all() {
 		if d, ok := c.idleFor(); ok && (last || c.served() || d >= firstFor) {
 			c.closeWhenIdle(endDrained)
@@ -129,7 +129,7 @@
 )
 
 // Drained tells whether staff have sent the clients elsewhere.
-func (s *Server) Drained() bool {
+func (s *Server) AdminDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byHand != nil
@@ -137,7 +137,7 @@
 
 // DrainByHand has health say no, answers end their connections, and idle connections close step by step. Whoever comes
 // all the same is served.
-func (s *Server) DrainByHand() {
+func (s *Server) BeginAdminDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byHand != nil {
@@ -149,7 +149,7 @@
 }
 
 // EndDrainByHand welcomes clients again.
-func (s *Server) EndDrainByHand() {
+func (s *Server) EndAdminDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byHand == nil {
--- a/internal/ingress/receive.go
+++ b/internal/ingress/receive.go
@@ -79,10 +79,10 @@
 	in := &pacedBody{c: c, from: from, began: time.Now()}
 	var small []byte
 	var err error
-	if size <= body.Small {
-		small, err = io.ReadAll(io.LimitReader(in, body.Small+1))
+	if size <= body.MaxInMemory {
+		small, err = io.ReadAll(io.LimitReader(in, body.MaxInMemory+1))
 	}
-	if err == nil && (size > body.Small || len(small) > body.Small) {
+	if err == nil && (size > body.MaxInMemory || len(small) > body.MaxInMemory) {
 		err = s.receiveLarge(c, in, small, size)
 		small = nil
 	}
@@ -94,7 +94,7 @@
 }
 
 func (s *Server) receiveLarge(c *conn, in *pacedBody, first []byte, size int64) error {
-	f, err := s.o.Bodies.Begin(max(-1, size))
+	f, err := s.o.Bodies.Create(max(-1, size))
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	switch {
 	case errors.Is(err, body.ErrTooLarge):
 		return fasthttp.StatusRequestEntityTooLarge, "body_too_large"
-	case errors.Is(err, body.ErrNoRoom), errors.Is(err, body.ErrKeep):
+	case errors.Is(err, body.ErrNoCapacity), errors.Is(err, body.ErrStorage):
 		// Nothing was sent whole, so trying again is harmless, and elsewhere there may be room.
 		s.sayNoRoom(err)
 		ctx.Response.Header.Set("Retry-After", "1")
@@ -173,7 +173,7 @@
 
 func (c *conn) dropBody() {
 	if c.large != nil {
-		c.large.Stop()
+		c.large.Abort()
 		c.large.Release()
 		c.large, c.rest = nil, nil
 	}
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -46,20 +46,20 @@
 
 // Options are what a server works with.
 type Options struct {
-	Desk   Desk
-	Bodies *body.Store
-	Most   int // connections; SetMost changes it
-	Aside  int // descriptors of the process that they must leave, where the system gives twice as many
-	Log    *slog.Logger
-	Count  *counters.Counters
+	Handler             Handler
+	Bodies              *body.Store
+	MaxConns            int // connections; SetMost changes it
+	ReservedDescriptors int // descriptors of the process that they must leave, where the system gives twice as many
+	Log                 *slog.Logger
+	Count               *counters.Counters
 	// Broken begins a planned stop without a signal, where the listener has broken.
-	Broken func(l Listener, err error)
+	OnListenerBroken func(l Listener, err error)
 	// InFlight accounts for the requests that were taken.
-	InFlight *inflight.Account
+	InFlight *inflight.Tracker
 }
 
 // Desk serves requests.
-type Desk interface {
+type Handler interface {
 	Serve(*fasthttp.RequestCtx, proxy.Client)
 }
 
@@ -94,33 +94,33 @@
 // New makes a server.
 func New(o Options) *Server {
 	if o.InFlight == nil {
-		o.InFlight = &inflight.Account{}
+		o.InFlight = &inflight.Tracker{}
 	}
 	s := &Server{o: o, conns: map[*conn]struct{}{}, made: time.Now()}
-	s.SetMost(o.Most)
+	s.SetMaxConns(o.MaxConns)
 	s.fits.Store(math.MaxInt64)
 	s.http = fasthttp.Server{
 		Handler: s.handle, ErrorHandler: s.unreadable, HeaderReceived: s.headCame,
 		ReadTimeout: headTime, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
-		StreamRequestBody: true, MaxRequestBodySize: body.Small, ReadBufferSize: maxHead, DisablePreParseMultipartForm: true, NoDefaultServerHeader: true,
+		StreamRequestBody: true, MaxRequestBodySize: body.MaxInMemory, ReadBufferSize: maxHead, DisablePreParseMultipartForm: true, NoDefaultServerHeader: true,
 		NoDefaultDate: true, NoDefaultContentType: true, Logger: quiet{},
 	}
 	return s
 }
 
 // SetMost sets how many connections there may be. Beyond it those that stand idle make way; none is cut off.
-func (s *Server) SetMost(n int) { s.most.Store(int64(n)) }
+func (s *Server) SetMaxConns(n int) { s.most.Store(int64(n)) }
 
 // Succeed says that another process takes connections in at the same queue, or no longer does. With a successor a drain
 // leaves the queue to it at once.
-func (s *Server) Succeed(on bool) { s.succeeded.Store(on) }
+func (s *Server) SetSuccessor(on bool) { s.succeeded.Store(on) }
 
 // tooLarge marks a request that announced more than there may be. A client that sets it itself is told the same.
 const tooLarge = "Tackhub-Too-Large"
 
 // headCame looks at a head before anything of the body is waited for: a length that will not be read is told at once.
 func (s *Server) headCame(h *fasthttp.RequestHeader) (none fasthttp.RequestConfig) {
-	if s.o.Bodies != nil && h.ContentLength() > s.o.Bodies.Limit() {
+	if s.o.Bodies != nil && h.ContentLength() > s.o.Bodies.MaxRequestSize() {
 		h.SetContentLength(0)
 		h.Del(fasthttp.HeaderExpect)
 		h.Set(tooLarge, "1")
@@ -145,7 +145,7 @@
 		s.evicting.Add(-1)
 	}
 	s.o.Count.Clients.Open.Add(-1)
-	c.Ends(endOther)
+	c.SetCloseReason(endOther)
 	s.o.Count.ClientEnds.Inc(c.reason)
 	args := []any{"code", c.reason, "client", c.RemoteAddr().String(), "requests", c.requests,
 		"age_ms", time.Since(c.opened).Milliseconds()}
@@ -159,9 +159,9 @@
 func (s *Server) speak(c *conn) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			s.o.Log.Error("panic on a client's connection", "code", proxy.EndPanic, "panic", p,
+			s.o.Log.Error("panic on a client's connection", "code", proxy.ReasonPanic, "panic", p,
 				"stack", string(debug.Stack()))
-			c.Ends(proxy.EndPanic)
+			c.SetCloseReason(proxy.ReasonPanic)
 			err = c.Close()
 		}
 	}()
@@ -199,7 +199,7 @@
 			break
 		}
 		c.begin(string(ctx.Request.Header.Peek("X-Request-Id")), string(ctx.Request.Header.Peek("X-Class")))
-		s.o.Desk.Serve(ctx, c)
+		s.o.Handler.Serve(ctx, c)
 		c.answered(ctx.Response.StatusCode())
 	}
 	// At this deadline fasthttp flushes each answer; else one would wait for the body of the next pipelined request.
@@ -208,9 +208,9 @@
 	c.handled, c.busy = true, false
 	c.mu.Unlock()
 	if ctx.Request.Header.ConnectionClose() {
-		c.Ends(proxy.EndAsked)
+		c.SetCloseReason(proxy.ReasonClientAsked)
 	} else if reason := c.closeReason(); reason != "" {
-		c.Ends(reason)
+		c.SetCloseReason(reason)
 		ctx.SetConnectionClose()
 	}
 }
@@ -219,7 +219,7 @@
 // can serve.
 func (s *Server) health(ctx *fasthttp.RequestCtx) {
 	// With a successor the node goes on, whichever of its processes is asked.
-	if s.draining() && !s.succeeded.Load() || s.Drained() {
+	if s.draining() && !s.succeeded.Load() || s.AdminDrained() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
@@ -242,7 +242,7 @@
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, c *conn, status int, code string) {
 	s.o.Count.Rejections.Inc(code)
 	if c != nil {
-		c.Ends(endBad)
+		c.SetCloseReason(endBad)
 	}
 	ctx.SetStatusCode(status)
 	ctx.SetConnectionClose()
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -73,7 +73,7 @@
 		line, column := c.FieldPos(0)
 		r.fault(place{line: line, column: column}, "no column id")
 	}
-	if r.faults.All > 0 {
+	if r.faults.Total > 0 {
 		return nil
 	}
 	return out
--- a/internal/inventory/format_test.go
+++ b/internal/inventory/format_test.go
@@ -42,8 +42,8 @@
 		if !reflect.DeepEqual(list.Servers, want) {
 			t.Errorf("%s: read %+v\nwant %+v", name, list.Servers, want)
 		}
-		if wantSum := formatSums[name]; list.Sum != wantSum {
-			t.Errorf("%s: SHA-256 %s, want %s", name, list.Sum, wantSum)
+		if wantSum := formatSums[name]; list.SHA256 != wantSum {
+			t.Errorf("%s: SHA-256 %s, want %s", name, list.SHA256, wantSum)
 		}
 	}
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -45,20 +45,20 @@
 // List is a whole list that was taken.
 type List struct {
 	Servers []Server
-	Sum     string // SHA-256 of the bytes, in hexadecimal: the list's revision
+	SHA256  string // SHA-256 of the bytes, in hexadecimal: the list's revision
 }
 
 // Fault is one thing that is wrong with a file. Row counts servers from 1; 0 where none is meant.
-type Fault struct {
-	File   string
-	Line   int
-	Column int
-	Row    int
-	Text   string
+type Diagnostic struct {
+	File    string
+	Line    int
+	Column  int
+	Row     int
+	Message string
 }
 
 // String is the fault as one line.
-func (f Fault) String() string {
+func (f Diagnostic) String() string {
 	out := f.File
 	if f.Line > 0 {
 		out += fmt.Sprintf(":%d:%d", f.Line, f.Column)
@@ -66,29 +66,29 @@
 	if f.Row > 0 {
 		out += fmt.Sprintf(": row %d", f.Row)
 	}
-	return out + ": " + f.Text
+	return out + ": " + f.Message
 }
 
 // FaultsTold is how many faults of one file are kept: a file of another kind has one in every row.
-const FaultsTold = 20
+const MaxDiagnostics = 20
 
 // Faults are what is wrong with a file: the first ones, and how many there are in all.
-type Faults struct {
-	First []Fault
-	All   int
+type Diagnostics struct {
+	First []Diagnostic
+	Total int
 }
 
 // Error tells the first fault and the number.
-func (f *Faults) Error() string {
-	if f.All == 1 {
+func (f *Diagnostics) Error() string {
+	if f.Total == 1 {
 		return f.First[0].String()
 	}
-	return fmt.Sprintf("%s (and %d more)", f.First[0], f.All-1)
+	return fmt.Sprintf("%s (and %d more)", f.First[0], f.Total-1)
 }
 
-func (f *Faults) add(fault Fault) {
-	f.All++
-	if len(f.First) < FaultsTold {
+func (f *Diagnostics) add(fault Diagnostic) {
+	f.Total++
+	if len(f.First) < MaxDiagnostics {
 		f.First = append(f.First, fault)
 	}
 }
@@ -101,7 +101,7 @@
 }
 
 // SchemeCoap before an address says that the server speaks CoAP instead of HTTP.
-const SchemeCoap = "coap://"
+const SchemeCoAP = "coap://"
 
 // The bounds of a file. Ten thousand servers take one megabyte as CSV and three as YAML.
 const (
@@ -132,7 +132,7 @@
 	case ".yaml", ".yml":
 		return ParseYAML(name, raw, o)
 	default:
-		return List{}, &Faults{First: []Fault{{File: name, Text: fmt.Sprintf("ending %q is not known: .csv, .yaml or .yml is wanted", ext)}}, All: 1}
+		return List{}, &Diagnostics{First: []Diagnostic{{File: name, Message: fmt.Sprintf("ending %q is not known: .csv, .yaml or .yml is wanted", ext)}}, Total: 1}
 	}
 }
 
@@ -140,7 +140,7 @@
 type reader struct {
 	name    string
 	o       Options
-	faults  Faults
+	faults  Diagnostics
 	servers []Server
 	ids     map[string]place
 	addrs   map[string]place
@@ -154,7 +154,7 @@
 }
 
 func (r *reader) fault(at place, format string, args ...any) {
-	r.faults.add(Fault{r.name, at.line, at.column, at.row, fmt.Sprintf(format, args...)})
+	r.faults.add(Diagnostic{r.name, at.line, at.column, at.row, fmt.Sprintf(format, args...)})
 }
 
 // field is the name of a column or key in our words, and whether it is one of ours.
@@ -212,7 +212,7 @@
 		}
 	case fieldAddress:
 		s.Address = text
-		if a, err := netip.ParseAddrPort(strings.TrimPrefix(text, SchemeCoap)); text != "" && (err != nil || a.Port() == 0) {
+		if a, err := netip.ParseAddrPort(strings.TrimPrefix(text, SchemeCoAP)); text != "" && (err != nil || a.Port() == 0) {
 			r.fault(v.at, "address %q is no IP address with a port: there is no name service", text)
 		}
 	case fieldZone:
@@ -281,14 +281,14 @@
 
 // list is the whole list, or the faults.
 func (r *reader) list(raw []byte) (List, error) {
-	if n := len(r.servers); r.faults.All == 0 && n < max(1, r.o.MinRows) {
+	if n := len(r.servers); r.faults.Total == 0 && n < max(1, r.o.MinRows) {
 		r.fault(place{}, "%d servers, at least %d are wanted", n, max(1, r.o.MinRows))
 	}
-	if r.faults.All > 0 {
+	if r.faults.Total > 0 {
 		sort.SliceStable(r.faults.First, func(i, j int) bool { return r.faults.First[i].Line < r.faults.First[j].Line })
 		return List{}, &r.faults
 	}
-	return List{Servers: r.servers, Sum: Sum(raw)}, nil
+	return List{Servers: r.servers, SHA256: SHA256(raw)}, nil
 }
 
 // trailer checks the last line, where one is asked for.
@@ -312,7 +312,7 @@
 }
 
 // Sum is the revision of a file's bytes.
-func Sum(raw []byte) string {
+func SHA256(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
@@ -322,5 +322,5 @@
 	if len(raw) <= MaxBytes {
 		return nil
 	}
-	return &Faults{First: []Fault{{File: name, Text: fmt.Sprintf("%d bytes, %d at most", len(raw), MaxBytes)}}, All: 1}
+	return &Diagnostics{First: []Diagnostic{{File: name, Message: fmt.Sprintf("%d bytes, %d at most", len(raw), MaxBytes)}}, Total: 1}
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -139,12 +139,12 @@
 		{"a.txt", "id\ns1\n", 0, "ending"},
 	} {
 		l, err := Parse(c.name, []byte(c.text), Options{})
-		var f *Faults
+		var f *Diagnostics
 		if !errors.As(err, &f) || len(l.Servers) > 0 {
 			t.Errorf("%.60q: %v, %d servers", c.text, err, len(l.Servers))
 			continue
 		}
-		if got := f.First[0]; c.line > 0 && got.Line != c.line || !strings.Contains(got.Text, c.want) || !strings.HasPrefix(got.String(), c.name) {
+		if got := f.First[0]; c.line > 0 && got.Line != c.line || !strings.Contains(got.Message, c.want) || !strings.HasPrefix(got.String(), c.name) {
 			t.Errorf("%.60q: %s, want line %d and %q", c.text, got, c.line, c.want)
 		}
 	}
@@ -160,8 +160,8 @@
 		text += fmt.Sprintf("s%d,x\n", i)
 	}
 	_, err := ParseCSV("a.csv", []byte(text), Options{})
-	var f *Faults
-	if !errors.As(err, &f) || f.All != 50 || len(f.First) != FaultsTold || !strings.Contains(err.Error(), "49 more") {
+	var f *Diagnostics
+	if !errors.As(err, &f) || f.Total != 50 || len(f.First) != MaxDiagnostics || !strings.Contains(err.Error(), "49 more") {
 		t.Errorf("%v", err)
 	}
 }
@@ -240,8 +240,8 @@
 func sound(t *testing.T, name string, raw []byte) {
 	l, err := Parse(name, raw, Options{})
 	if err != nil {
-		var f *Faults
-		if !errors.As(err, &f) || f.All == 0 || len(l.Servers) > 0 {
+		var f *Diagnostics
+		if !errors.As(err, &f) || f.Total == 0 || len(l.Servers) > 0 {
 			t.Fatalf("error %v with %d servers", err, len(l.Servers))
 		}
 		return
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -73,21 +73,21 @@
 
 // Options are what a member is.
 type Options struct {
-	Name    string
-	Address string // as others are to reach it
-	Cluster uint32 // messages of others are not taken
-	Start   uint64 // of this process; higher than that of the one before it where the clock has not been set back
-	Seed    uint64
-
-	Period    time.Duration // between two probes
-	Timeout   time.Duration // for a direct answer
-	Suspicion time.Duration // the least from the first missing answer to being taken out
-	Most      int           // members, lost ones included
-	Seeds     []string      // addresses to begin with
+	Name        string
+	Address     string // as others are to reach it
+	ClusterHash uint32 // messages of others are not taken
+	Generation  uint64 // of this process; higher than that of the one before it where the clock has not been set back
+	RandSeed    uint64
+
+	ProbeInterval    time.Duration // between two probes
+	ProbeTimeout     time.Duration // for a direct answer
+	SuspicionTimeout time.Duration // the least from the first missing answer to being taken out
+	MaxMembers       int           // members, lost ones included
+	SeedAddresses    []string      // addresses to begin with
 }
 
 // Send is a message for I/O to carry.
-type Send struct {
+type OutgoingMessage struct {
 	To      string // member; empty: only the address is known
 	Address string
 	Stream  bool // by a connection, whose answer is handed to Receive
@@ -95,22 +95,24 @@
 }
 
 // Condition is what a process makes of its own place.
-type Condition uint8
+type Connectivity uint8
 
 // The conditions. All but Whole, and Alone where there never was anybody else, are as good as cut off.
 const (
-	Whole    Condition = iota
-	Alone              // has not met anybody yet
-	Deaf               // hears nobody
-	Mute               // hears others, and nobody answers it
-	Outdated           // another process has its name: it takes no part any more
+	Connected    Connectivity = iota
+	NoPeers                   // has not met anybody yet
+	InboundLost               // hears nobody
+	OutboundLost              // hears others, and nobody answers it
+	Superseded                // another process has its name: it takes no part any more
 )
 
 // CutOff tells whether nothing may be concluded about others, and nothing taken that was theirs.
-func (c Condition) CutOff() bool { return c == Deaf || c == Mute || c == Outdated }
+func (c Connectivity) Isolated() bool {
+	return c == InboundLost || c == OutboundLost || c == Superseded
+}
 
 // Note is something for the log: changes of views and of the own condition, links, standstills.
-type Note struct {
+type Event struct {
 	Code string // view, condition, link, standstill, replaced, full
 	Text string
 	Args []any // keys and values
@@ -124,7 +126,7 @@
 	born     time.Duration
 	inc      uint32
 	state    State // Joining, Alive, Left or Replaced
-	cond     Condition
+	cond     Connectivity
 	health   int
 	heardAny time.Duration // a message of any member came, standstills taken out
 	ackAny   time.Duration // a sign that somebody heard this process, likewise
@@ -143,8 +145,8 @@
 	view     View
 	highest  uint64        // number of a view heard of
 	changeAt time.Duration // a change waits since then; -1: none
-	out      []Send
-	notes    []Note
+	out      []OutgoingMessage
+	notes    []Event
 	refused  int // members not taken for want of room
 	refuted  time.Duration
 }
@@ -170,7 +172,7 @@
 	outs          int           // times lost within flapSpan
 	outAt         time.Duration // last
 	backAt        time.Duration // damped until then
-	self          Condition     // as it says itself
+	self          Connectivity  // as it says itself
 	former        uint64        // start of the process before it, where it was replaced
 }
 
@@ -179,9 +181,9 @@
 
 // New makes a member that has met nobody yet.
 func New(o Options, now time.Duration) *Core {
-	c := &Core{o: o, rng: rand.New(rand.NewPCG(o.Seed, o.Start)), now: now, born: now, state: Joining, cond: Alone,
+	c := &Core{o: o, rng: rand.New(rand.NewPCG(o.RandSeed, o.Generation)), now: now, born: now, state: Joining, cond: NoPeers,
 		heardAny: now, ackAny: now, known: map[string]*entry{}, queue: map[slot]*rumour{}, changeAt: -1, refuted: never}
-	c.nextProbe, c.nextTry, c.nextSync = now+c.spread(o.Period), now, now+c.spread(syncEvery*o.Period)
+	c.nextProbe, c.nextTry, c.nextSync = now+c.spread(o.ProbeInterval), now, now+c.spread(syncEvery*o.ProbeInterval)
 	c.view = View{Number: 0, Members: []string{o.Name}, Hash: hash([]string{o.Name})}
 	return c
 }
@@ -192,14 +194,14 @@
 }
 
 // Take gives what is to be sent and noted since the last call.
-func (c *Core) Take() ([]Send, []Note) {
+func (c *Core) TakeOutput() ([]OutgoingMessage, []Event) {
 	out, notes := c.out, c.notes
 	c.out, c.notes = nil, nil
 	return out, notes
 }
 
 func (c *Core) note(code, text string, args ...any) {
-	c.notes = append(c.notes, Note{code, text, args})
+	c.notes = append(c.notes, Event{code, text, args})
 }
 
 // advance moves the time on. A gap between two calls is a standstill of this process: nothing that others did not do
@@ -210,7 +212,7 @@
 		return
 	}
 	c.now = now
-	if float64(gap) < gapOf*float64(c.o.Period) {
+	if float64(gap) < gapOf*float64(c.o.ProbeInterval) {
 		return
 	}
 	c.probes, c.relays = nil, nil
@@ -233,7 +235,7 @@
 	if c.state == Left || c.state == Replaced {
 		return
 	}
-	if c.state == Joining && c.now-c.born >= aloneAfter*c.o.Period {
+	if c.state == Joining && c.now-c.born >= aloneAfter*c.o.ProbeInterval {
 		c.joined()
 	}
 	c.judgeSelf()
@@ -252,8 +254,8 @@
 	c.rumour(c.selfItem(), c.now)
 }
 
-func (c *Core) selfItem() Item {
-	return Item{Name: c.o.Name, Start: c.o.Start, Inc: c.inc, State: c.state, Address: c.o.Address}
+func (c *Core) selfItem() Update {
+	return Update{Name: c.o.Name, Generation: c.o.Generation, Incarnation: c.inc, State: c.state, Address: c.o.Address}
 }
 
 // Leave says goodbye. What Take gives then is to be sent, twice if there is time.
@@ -263,8 +265,8 @@
 		return
 	}
 	c.state = Left
-	for _, e := range c.pick(c.o.Most, func(e *entry) bool { return e.state.in() }) {
-		c.send(e, Message{Kind: News, News: []Item{c.selfItem()}}, false)
+	for _, e := range c.pick(c.o.MaxMembers, func(e *entry) bool { return e.state.in() }) {
+		c.send(e, Message{Kind: Gossip, Updates: []Update{c.selfItem()}}, false)
 	}
 }
 
@@ -305,15 +307,15 @@
 func (c *Core) send(e *entry, m Message, stream bool) { c.sendTo(e.name, e.address, m, stream) }
 
 func (c *Core) sendTo(name, address string, m Message, stream bool) {
-	m.Version, m.Cluster, m.From, m.Start, m.Inc = WireVersion, c.o.Cluster, c.o.Name, c.o.Start, c.inc
-	m.Self, m.View, m.Address = uint8(c.cond), c.view.Number, c.o.Address
+	m.Version, m.ClusterHash, m.From, m.Generation, m.Incarnation = WireVersion, c.o.ClusterHash, c.o.Name, c.o.Generation, c.inc
+	m.Connectivity, m.ViewNumber, m.Address = uint8(c.cond), c.view.Number, c.o.Address
 	switch m.Kind {
-	case Full, FullReply:
-		m.News = c.everything()
+	case SyncRequest, SyncReply:
+		m.Updates = c.everything()
 	default:
-		m.News = c.fresh(name, m.News)
+		m.Updates = c.fresh(name, m.Updates)
 	}
-	c.out = append(c.out, Send{To: name, Address: address, Stream: stream, Message: m})
+	c.out = append(c.out, OutgoingMessage{To: name, Address: address, Stream: stream, Message: m})
 }
 
 // logOf is the logarithm that rounds of news and suspicions grow with, at least 1.
@@ -341,7 +343,7 @@
 
 // room makes place for one more member, at the cost of the one lost for longest.
 func (c *Core) room() bool {
-	if len(c.known) < c.o.Most-1 {
+	if len(c.known) < c.o.MaxMembers-1 {
 		return true
 	}
 	var oldest *entry
@@ -352,7 +354,7 @@
 	}
 	if oldest == nil {
 		if c.refused++; c.refused == 1 {
-			c.note("full", "there are as many members as may be, further ones are not taken", "most", c.o.Most)
+			c.note("full", "there are as many members as may be, further ones are not taken", "most", c.o.MaxMembers)
 		}
 		return false
 	}
--- a/internal/membership/detect.go
+++ b/internal/membership/detect.go
@@ -32,7 +32,7 @@
 	if c.now < c.nextProbe {
 		return
 	}
-	c.nextProbe = max(c.nextProbe+c.o.Period, c.now)
+	c.nextProbe = max(c.nextProbe+c.o.ProbeInterval, c.now)
 	c.ping(c.inTurn())
 	for _, e := range c.mostMissed() {
 		c.ping(e)
@@ -64,7 +64,7 @@
 	suspects := false
 	for _, e := range c.sorted() {
 		suspects = suspects || e.state == Suspect
-		if e.state.in() && c.now-e.probed > probeOf*c.o.Period {
+		if e.state.in() && c.now-e.probed > probeOf*c.o.ProbeInterval {
 			out = append(out, e)
 		}
 	}
@@ -84,26 +84,26 @@
 	c.probes = append(c.probes, &probe{e: e, start: e.start, seq: c.seq, at: c.now})
 	m := Message{Kind: Ping, Seq: c.seq}
 	if e.state == Suspect || e.state == Unreachable { // so that it can refute (Lifeguard's buddy)
-		m.News = append(m.News, Item{Name: e.name, Start: e.start, Inc: e.inc, State: Suspect, By: c.o.Name, Age: age(c.now - e.suspectAt)})
+		m.Updates = append(m.Updates, Update{Name: e.name, Generation: e.start, Incarnation: e.inc, State: Suspect, Reporter: c.o.Name, Age: age(c.now - e.suspectAt)})
 	}
 	c.send(e, m, false)
 }
 
 // checkProbes asks helpers where a direct answer is missing, and draws the conclusion where none has come at all.
 func (c *Core) checkProbes() {
-	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool { return c.now-r.at > c.patience(probeOf*c.o.Period) })
+	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool { return c.now-r.at > c.patience(probeOf*c.o.ProbeInterval) })
 	left := c.probes[:0]
 	for _, p := range c.probes {
 		switch {
 		case c.known[p.e.name] != p.e || p.e.start != p.start || p.e.state == Left:
 			continue
-		case c.now-p.at >= c.patience(probeOf*c.o.Period):
+		case c.now-p.at >= c.patience(probeOf*c.o.ProbeInterval):
 			c.missed(p)
 			continue
-		case !p.asked && c.now-p.at >= c.patience(c.o.Timeout):
+		case !p.asked && c.now-p.at >= c.patience(c.o.ProbeTimeout):
 			p.asked = true
 			for _, h := range c.pick(helpers, func(h *entry) bool { return h != p.e && h.state == Alive && h.broken < 0 }) {
-				c.send(h, Message{Kind: Relay, Seq: p.seq, Target: p.e.name}, false)
+				c.send(h, Message{Kind: PingRequest, Seq: p.seq, Target: p.e.name}, false)
 			}
 		}
 		left = append(left, p)
@@ -118,7 +118,7 @@
 	if c.heardAny < p.at {
 		c.distrust(1)
 	}
-	if e.state == Joining && c.now-e.since > c.o.Suspicion { // told of, and never met
+	if e.state == Joining && c.now-e.since > c.o.SuspicionTimeout { // told of, and never met
 		e.state, e.since, e.suspectAt = Unreachable, c.now, c.now
 	}
 	if !e.state.in() {
@@ -135,10 +135,10 @@
 		e.doubted = true
 		return
 	}
-	at := p.at + c.o.Timeout // an answer was due by then
+	at := p.at + c.o.ProbeTimeout // an answer was due by then
 	c.suspect(e, c.o.Name, at)
-	if !c.cond.CutOff() {
-		c.rumour(Item{Name: e.name, Start: e.start, Inc: e.inc, State: Suspect, By: c.o.Name}, at)
+	if !c.cond.Isolated() {
+		c.rumour(Update{Name: e.name, Generation: e.start, Incarnation: e.inc, State: Suspect, Reporter: c.o.Name}, at)
 	}
 }
 
@@ -160,7 +160,7 @@
 
 // suspicion is how long a member with so many confirmations is suspect before it is taken out.
 func (c *Core) suspicion(confirmed int) time.Duration {
-	least := float64(c.o.Suspicion) * logOf(float64(c.size()), sizeKnown) * (1 + float64(c.health)/8)
+	least := float64(c.o.SuspicionTimeout) * logOf(float64(c.size()), sizeKnown) * (1 + float64(c.health)/8)
 	open := 0.0 // nobody else could confirm it
 	if want := min(confirmers, c.size()-2); want > 0 {
 		open = 1 - math.Log(float64(max(0, min(confirmed, want)))+1)/math.Log(float64(want)+1)
@@ -184,7 +184,7 @@
 
 // verdicts takes out those whose suspicion has lasted. A member that hears nobody judges for itself alone.
 func (c *Core) verdicts() {
-	if doubt := c.o.Suspicion / 2; c.cond == Whole && (c.now-c.ackAny > doubt || c.now-c.heardAny > doubt) {
+	if doubt := c.o.SuspicionTimeout / 2; c.cond == Connected && (c.now-c.ackAny > doubt || c.now-c.heardAny > doubt) {
 		return // whether this process is cut off itself is about to be seen
 	}
 	var ask []*entry
@@ -207,8 +207,8 @@
 		}
 		e.outs, e.outAt = e.outs+1, c.now
 		c.changed()
-		if !c.cond.CutOff() {
-			c.rumour(Item{Name: e.name, Start: e.start, Inc: e.inc, State: Unreachable, By: c.o.Name}, e.suspectAt)
+		if !c.cond.Isolated() {
+			c.rumour(Update{Name: e.name, Generation: e.start, Incarnation: e.inc, State: Unreachable, Reporter: c.o.Name}, e.suspectAt)
 		}
 	}
 }
@@ -216,15 +216,15 @@
 // askAgain has some members say whether they hear suspects, while there is time: who knows better answers at once. Gossip
 // alone leaves one holder in a thousand out at a quarter of the links cut.
 func (c *Core) askAgain(suspects []*entry) {
-	var items []Item
+	var items []Update
 	for _, e := range suspects {
-		i := Item{Name: e.name, Start: e.start, Inc: e.inc, State: Suspect, By: c.o.Name, Age: age(c.now - e.suspectAt)}
-		c.send(e, Message{Kind: News, News: []Item{i}}, false)
+		i := Update{Name: e.name, Generation: e.start, Incarnation: e.inc, State: Suspect, Reporter: c.o.Name, Age: age(c.now - e.suspectAt)}
+		c.send(e, Message{Kind: Gossip, Updates: []Update{i}}, false)
 		items = append(items, i)
 	}
 	for part := range slices.Chunk(items, newsEach) {
 		for _, h := range c.pick(confirmers+1, func(h *entry) bool { return h.state == Alive }) {
-			c.send(h, Message{Kind: News, News: slices.Clone(part)}, false)
+			c.send(h, Message{Kind: Gossip, Updates: slices.Clone(part)}, false)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 			return
 		}
 		if e.outs > flapsFree {
-			e.backAt = c.now + min(flapLongest, c.o.Suspicion<<(e.outs-flapsFree))
+			e.backAt = c.now + min(flapLongest, c.o.SuspicionTimeout<<(e.outs-flapsFree))
 		}
 	case Joining:
 	default:
@@ -267,18 +267,18 @@
 	if c.now < c.nextTry {
 		return
 	}
-	c.nextTry = c.now + tryEvery*c.o.Period
+	c.nextTry = c.now + tryEvery*c.o.ProbeInterval
 	// Who left may have come back as a process that has found no seed.
 	for _, e := range c.pick(1, func(e *entry) bool { return e.state == Unreachable || e.state == Left }) {
 		c.ping(e)
 	}
-	if c.size() > 1 && c.now < c.nextSeed || len(c.o.Seeds) == 0 {
+	if c.size() > 1 && c.now < c.nextSeed || len(c.o.SeedAddresses) == 0 {
 		return
 	}
-	c.nextSeed = c.now + syncEvery*c.o.Period
+	c.nextSeed = c.now + syncEvery*c.o.ProbeInterval
 	tried := 0
-	for _, i := range c.rng.Perm(len(c.o.Seeds)) {
-		seed := c.o.Seeds[i]
+	for _, i := range c.rng.Perm(len(c.o.SeedAddresses)) {
+		seed := c.o.SeedAddresses[i]
 		if seed == c.o.Address || c.isIn(seed) {
 			continue
 		}
@@ -304,27 +304,27 @@
 	if c.now < c.nextSync {
 		return
 	}
-	c.nextSync = c.now + time.Duration(syncEvery*max(1, float64(c.size())/sizeKnown)*float64(c.o.Period)) // its size grows with the members
+	c.nextSync = c.now + time.Duration(syncEvery*max(1, float64(c.size())/sizeKnown)*float64(c.o.ProbeInterval)) // its size grows with the members
 	for _, e := range c.pick(1, func(e *entry) bool { return e.state == Alive && e.broken < 0 }) {
-		c.send(e, Message{Kind: Full}, true)
+		c.send(e, Message{Kind: SyncRequest}, true)
 	}
 }
 
 // judgeSelf finds out whether this process is heard and hears.
 func (c *Core) judgeSelf() {
 	// A dozen pings go out in that time: that nobody answered one of them is no chance.
-	patience := c.o.Suspicion
-	next := Whole
+	patience := c.o.SuspicionTimeout
+	next := Connected
 	switch {
 	case !c.met:
-		next = Alone
+		next = NoPeers
 	case c.now-c.heardAny > patience:
-		next = Deaf
+		next = InboundLost
 	case c.now-c.ackAny > patience*3/2:
-		next = Mute
+		next = OutboundLost
 	}
-	if next != Whole && !c.anyOther() { // all others said goodbye
-		next = Alone
+	if next != Connected && !c.anyOther() { // all others said goodbye
+		next = NoPeers
 	}
 	if next != c.cond {
 		c.note("condition", "this process's own place among the members", "was", c.cond.String(), "is", next.String())
--- a/internal/membership/determinism_test.go
+++ b/internal/membership/determinism_test.go
@@ -36,8 +36,8 @@
 		if seed%4 == 3 && start%5 == 0 {
 			start -= 3 // the clock was set back
 		}
-		return New(Options{Name: fmt.Sprintf("n%d", i), Address: address(i), Cluster: 1, Start: start, Seed: seed + uint64(i), Period: 250 * time.Millisecond,
-			Timeout: 150 * time.Millisecond, Suspicion: 1500 * time.Millisecond, Most: most, Seeds: []string{address(0), address(1)}}, now)
+		return New(Options{Name: fmt.Sprintf("n%d", i), Address: address(i), ClusterHash: 1, Generation: start, RandSeed: seed + uint64(i), ProbeInterval: 250 * time.Millisecond,
+			ProbeTimeout: 150 * time.Millisecond, SuspicionTimeout: 1500 * time.Millisecond, MaxMembers: most, SeedAddresses: []string{address(0), address(1)}}, now)
 	}
 	cores, down, still := make([]*Core, members), make([]bool, members), make([]int, members)
 	for i := range cores {
@@ -46,7 +46,7 @@
 	var cut [members][members]bool
 	var network []delivery
 	take := func(from int, now time.Duration) {
-		out, notes := cores[from].Take()
+		out, notes := cores[from].TakeOutput()
 		for _, n := range notes {
 			fmt.Fprintln(digest, now, from, n.Code, n.Args)
 		}
@@ -120,7 +120,7 @@
 
 func writeView(digest io.Writer, c *Core) {
 	v := c.View()
-	fmt.Fprintln(digest, v.Number, v.Hash, v.Members, c.Condition(), c.State())
+	fmt.Fprintln(digest, v.Number, v.Hash, v.Members, c.Connectivity(), c.State())
 	for _, m := range c.Status().Members {
 		fmt.Fprintln(digest, m)
 	}
--- a/internal/membership/message_gen.go
+++ b/internal/membership/message_gen.go
@@ -13,17 +13,17 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Item) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(7)
 	var zb0001Mask uint8 /* 7 bits */
 	_ = zb0001Mask
-	if z.Inc == 0 {
+	if z.Incarnation == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.By == "" {
+	if z.Reporter == "" {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -45,11 +45,11 @@
 		o = msgp.AppendString(o, z.Name)
 		// string "s"
 		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendUint64(o, z.Start)
+		o = msgp.AppendUint64(o, z.Generation)
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
 			// string "i"
 			o = append(o, 0xa1, 0x69)
-			o = msgp.AppendUint32(o, z.Inc)
+			o = msgp.AppendUint32(o, z.Incarnation)
 		}
 		// string "t"
 		o = append(o, 0xa1, 0x74)
@@ -57,7 +57,7 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "b"
 			o = append(o, 0xa1, 0x62)
-			o = msgp.AppendString(o, z.By)
+			o = msgp.AppendString(o, z.Reporter)
 		}
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "a"
@@ -74,7 +74,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Item) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -102,13 +102,13 @@
 				return
 			}
 		case "s":
-			z.Start, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Start")
 				return
 			}
 		case "i":
-			z.Inc, bts, err = msgp.ReadUint32Bytes(bts)
+			z.Incarnation, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Inc")
 				return
@@ -124,7 +124,7 @@
 				z.State = State(zb0002)
 			}
 		case "b":
-			z.By, bts, err = msgp.ReadStringBytes(bts)
+			z.Reporter, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "By")
 				return
@@ -154,8 +154,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Item) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.Uint64Size + 2 + msgp.Uint32Size + 2 + msgp.Uint8Size + 2 + msgp.StringPrefixSize + len(z.By) + 2 + msgp.Uint32Size + 2 + msgp.StringPrefixSize + len(z.Address)
+func (z *Update) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.Uint64Size + 2 + msgp.Uint32Size + 2 + msgp.Uint8Size + 2 + msgp.StringPrefixSize + len(z.Reporter) + 2 + msgp.Uint32Size + 2 + msgp.StringPrefixSize + len(z.Address)
 	return
 }
 
@@ -188,7 +188,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LoadItem) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(8)
@@ -202,11 +202,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.Tried == 0 {
+	if z.Attempts == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
-	if z.Won == 0 {
+	if z.Successes == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
@@ -220,7 +220,7 @@
 		o = msgp.AppendString(o, z.Name)
 		// string "s"
 		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendUint64(o, z.Start)
+		o = msgp.AppendUint64(o, z.Generation)
 		// string "t"
 		o = append(o, 0xa1, 0x74)
 		o = msgp.AppendUint64(o, z.At)
@@ -237,12 +237,12 @@
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "r"
 			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendUint64(o, z.Tried)
+			o = msgp.AppendUint64(o, z.Attempts)
 		}
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "w"
 			o = append(o, 0xa1, 0x77)
-			o = msgp.AppendUint64(o, z.Won)
+			o = msgp.AppendUint64(o, z.Successes)
 		}
 		// string "c"
 		o = append(o, 0xa1, 0x63)
@@ -255,7 +255,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LoadItem) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -283,7 +283,7 @@
 				return
 			}
 		case "s":
-			z.Start, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Start")
 				return
@@ -307,13 +307,13 @@
 				return
 			}
 		case "r":
-			z.Tried, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Attempts, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Tried")
 				return
 			}
 		case "w":
-			z.Won, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Successes, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Won")
 				return
@@ -354,7 +354,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LoadItem) Msgsize() (s int) {
+func (z *LoadReport) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint32Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize + (len(z.Counts) * (msgp.Uint64Size))
 	return
 }
@@ -366,11 +366,11 @@
 	zb0001Len := uint32(18)
 	var zb0001Mask uint32 /* 18 bits */
 	_ = zb0001Mask
-	if z.Least == 0 {
+	if z.MinVersion == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Inc == 0 {
+	if z.Incarnation == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
@@ -386,19 +386,19 @@
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
-	if z.Self == 0 {
+	if z.Connectivity == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
-	if z.View == 0 {
+	if z.ViewNumber == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
-	if z.For == 0 {
+	if z.ForGeneration == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
-	if z.Sum == 0 {
+	if z.MembersHash == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
@@ -410,11 +410,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x8000
 	}
-	if z.Loads == nil {
+	if z.LoadReports == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10000
 	}
-	if z.News == nil {
+	if z.Updates == nil {
 		zb0001Len--
 		zb0001Mask |= 0x20000
 	}
@@ -432,21 +432,21 @@
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
 			// string "l"
 			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendUint8(o, z.Least)
+			o = msgp.AppendUint8(o, z.MinVersion)
 		}
 		// string "c"
 		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendUint32(o, z.Cluster)
+		o = msgp.AppendUint32(o, z.ClusterHash)
 		// string "f"
 		o = append(o, 0xa1, 0x66)
 		o = msgp.AppendString(o, z.From)
 		// string "s"
 		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendUint64(o, z.Start)
+		o = msgp.AppendUint64(o, z.Generation)
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "i"
 			o = append(o, 0xa1, 0x69)
-			o = msgp.AppendUint32(o, z.Inc)
+			o = msgp.AppendUint32(o, z.Incarnation)
 		}
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
 			// string "a"
@@ -466,22 +466,22 @@
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "o"
 			o = append(o, 0xa1, 0x6f)
-			o = msgp.AppendUint8(o, z.Self)
+			o = msgp.AppendUint8(o, z.Connectivity)
 		}
 		if (zb0001Mask & 0x800) == 0 { // if not omitted
 			// string "w"
 			o = append(o, 0xa1, 0x77)
-			o = msgp.AppendUint64(o, z.View)
+			o = msgp.AppendUint64(o, z.ViewNumber)
 		}
 		if (zb0001Mask & 0x1000) == 0 { // if not omitted
 			// string "d"
 			o = append(o, 0xa1, 0x64)
-			o = msgp.AppendUint64(o, z.For)
+			o = msgp.AppendUint64(o, z.ForGeneration)
 		}
 		if (zb0001Mask & 0x2000) == 0 { // if not omitted
 			// string "m"
 			o = append(o, 0xa1, 0x6d)
-			o = msgp.AppendUint32(o, z.Sum)
+			o = msgp.AppendUint32(o, z.MembersHash)
 		}
 		if (zb0001Mask & 0x4000) == 0 { // if not omitted
 			// string "q"
@@ -496,9 +496,9 @@
 		if (zb0001Mask & 0x10000) == 0 { // if not omitted
 			// string "z"
 			o = append(o, 0xa1, 0x7a)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
-			for za0001 := range z.Loads {
-				o, err = z.Loads[za0001].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.LoadReports)))
+			for za0001 := range z.LoadReports {
+				o, err = z.LoadReports[za0001].MarshalMsg(o)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0001)
 					return
@@ -508,9 +508,9 @@
 		if (zb0001Mask & 0x20000) == 0 { // if not omitted
 			// string "e"
 			o = append(o, 0xa1, 0x65)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.News)))
-			for za0002 := range z.News {
-				o, err = z.News[za0002].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Updates)))
+			for za0002 := range z.Updates {
+				o, err = z.Updates[za0002].MarshalMsg(o)
 				if err != nil {
 					err = msgp.WrapError(err, "News", za0002)
 					return
@@ -560,13 +560,13 @@
 				return
 			}
 		case "l":
-			z.Least, bts, err = msgp.ReadUint8Bytes(bts)
+			z.MinVersion, bts, err = msgp.ReadUint8Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Least")
 				return
 			}
 		case "c":
-			z.Cluster, bts, err = msgp.ReadUint32Bytes(bts)
+			z.ClusterHash, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Cluster")
 				return
@@ -578,13 +578,13 @@
 				return
 			}
 		case "s":
-			z.Start, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Start")
 				return
 			}
 		case "i":
-			z.Inc, bts, err = msgp.ReadUint32Bytes(bts)
+			z.Incarnation, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Inc")
 				return
@@ -608,25 +608,25 @@
 				return
 			}
 		case "o":
-			z.Self, bts, err = msgp.ReadUint8Bytes(bts)
+			z.Connectivity, bts, err = msgp.ReadUint8Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Self")
 				return
 			}
 		case "w":
-			z.View, bts, err = msgp.ReadUint64Bytes(bts)
+			z.ViewNumber, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "View")
 				return
 			}
 		case "d":
-			z.For, bts, err = msgp.ReadUint64Bytes(bts)
+			z.ForGeneration, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "For")
 				return
 			}
 		case "m":
-			z.Sum, bts, err = msgp.ReadUint32Bytes(bts)
+			z.MembersHash, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Sum")
 				return
@@ -670,13 +670,13 @@
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Loads) >= int(zb0004) {
-				z.Loads = (z.Loads)[:zb0004]
+			if cap(z.LoadReports) >= int(zb0004) {
+				z.LoadReports = (z.LoadReports)[:zb0004]
 			} else {
-				z.Loads = make([]LoadItem, zb0004)
+				z.LoadReports = make([]LoadReport, zb0004)
 			}
-			for za0001 := range z.Loads {
-				bts, err = z.Loads[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.LoadReports {
+				bts, err = z.LoadReports[za0001].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0001)
 					return
@@ -693,13 +693,13 @@
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.News) >= int(zb0005) {
-				z.News = (z.News)[:zb0005]
+			if cap(z.Updates) >= int(zb0005) {
+				z.Updates = (z.Updates)[:zb0005]
 			} else {
-				z.News = make([]Item, zb0005)
+				z.Updates = make([]Update, zb0005)
 			}
-			for za0002 := range z.News {
-				bts, err = z.News[za0002].UnmarshalMsg(bts)
+			for za0002 := range z.Updates {
+				bts, err = z.Updates[za0002].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "News", za0002)
 					return
@@ -720,12 +720,12 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Message) Msgsize() (s int) {
 	s = 3 + 2 + msgp.Uint8Size + 2 + msgp.Uint8Size + 2 + msgp.Uint8Size + 2 + msgp.Uint32Size + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size + 2 + msgp.Uint32Size + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.Uint32Size + 2 + msgp.StringPrefixSize + len(z.Target) + 2 + msgp.Uint8Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint32Size + 2 + msgp.Uint32Size + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Loads {
-		s += z.Loads[za0001].Msgsize()
+	for za0001 := range z.LoadReports {
+		s += z.LoadReports[za0001].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.News {
-		s += z.News[za0002].Msgsize()
+	for za0002 := range z.Updates {
+		s += z.Updates[za0002].Msgsize()
 	}
 	return
 }
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -14,16 +14,16 @@
 	by    string // of a suspicion: those of several members confirm one another
 }
 
-func slotOf(i Item) slot {
+func slotOf(i Update) slot {
 	if i.State == Suspect {
-		return slot{name: i.Name, by: i.By}
+		return slot{name: i.Name, by: i.Reporter}
 	}
-	return slot{name: i.Name, vouch: i.State == Vouch}
+	return slot{name: i.Name, vouch: i.State == HeardFrom}
 }
 
 // rumour is news that is passed on.
 type rumour struct {
-	item Item
+	item Update
 	at   time.Duration // it was so, by this process's clock
 	sent int
 }
@@ -39,7 +39,7 @@
 func age(d time.Duration) uint32 { return uint32(min(max(0, d.Milliseconds()), math.MaxUint32)) }
 
 // rumour begins to pass news on.
-func (c *Core) rumour(item Item, at time.Duration) {
+func (c *Core) rumour(item Update, at time.Duration) {
 	if item.State == Alive || item.State == Left { // what was suspected before is out of date
 		for s := range c.queue {
 			if s.name == item.Name && s.by != "" {
@@ -51,7 +51,7 @@
 }
 
 // fresh are the news for a message: what is said already, what concerns the receiver, what has been told least.
-func (c *Core) fresh(to string, said []Item) []Item {
+func (c *Core) fresh(to string, said []Update) []Update {
 	if len(c.queue) == 0 {
 		return said
 	}
@@ -71,7 +71,7 @@
 			return 1
 		}
 		return cmp.Or(own(a)-own(b), a.sent-b.sent, cmp.Compare(a.item.Name, b.item.Name), int(a.item.State)-int(b.item.State),
-			cmp.Compare(a.item.By, b.item.By))
+			cmp.Compare(a.item.Reporter, b.item.Reporter))
 	})
 	most := c.sendings()
 	for _, r := range waiting {
@@ -91,29 +91,29 @@
 // sendings is how often a piece of news is passed on.
 func (c *Core) sendings() int { return int(math.Ceil(sendings * logOf(float64(c.size()), 9))) }
 
-func size(i Item) int { return itemMost + len(i.Name) + len(i.By) + len(i.Address) }
+func size(i Update) int { return itemMost + len(i.Name) + len(i.Reporter) + len(i.Address) }
 
 // tell spreads news for which there is no other message.
 func (c *Core) tell() {
 	if len(c.queue) == 0 || c.now < c.nextNews {
 		return
 	}
-	c.nextNews = c.now + c.o.Period
+	c.nextNews = c.now + c.o.ProbeInterval
 	for _, e := range c.pick(fanout, func(e *entry) bool { return e.state.in() }) {
-		c.send(e, Message{Kind: News}, false)
+		c.send(e, Message{Kind: Gossip}, false)
 	}
 }
 
 // everything is all that is known, for an exchange of full states.
-func (c *Core) everything() []Item {
-	out := []Item{c.selfItem()}
+func (c *Core) everything() []Update {
+	out := []Update{c.selfItem()}
 	for _, e := range c.sorted() {
-		i := Item{Name: e.name, Start: e.start, Inc: e.inc, State: e.state, Address: e.address, Age: age(c.now - e.since)}
+		i := Update{Name: e.name, Generation: e.start, Incarnation: e.inc, State: e.state, Address: e.address, Age: age(c.now - e.since)}
 		if e.state == Suspect || e.state == Unreachable {
-			if c.cond.CutOff() { // its verdicts are for itself alone
+			if c.cond.Isolated() { // its verdicts are for itself alone
 				i.State = Alive
 			}
-			i.By, i.Age = c.o.Name, age(c.now-e.suspectAt)
+			i.Reporter, i.Age = c.o.Name, age(c.now-e.suspectAt)
 		}
 		out = append(out, i)
 	}
@@ -123,12 +123,12 @@
 // Receive takes a message in. What it brings about is in Take; the reply to a Full is there for its stream.
 func (c *Core) Receive(now time.Duration, m *Message) {
 	c.advance(now)
-	if c.state == Left || c.state == Replaced || m.Cluster != c.o.Cluster || m.Least > WireVersion || m.From == "" {
+	if c.state == Left || c.state == Replaced || m.ClusterHash != c.o.ClusterHash || m.MinVersion > WireVersion || m.From == "" {
 		return
 	}
 	if m.From == c.o.Name {
-		if m.Start != c.o.Start {
-			c.aboutMe(Item{Name: m.From, Start: m.Start, Inc: m.Inc, State: Alive}, nil)
+		if m.Generation != c.o.Generation {
+			c.aboutMe(Update{Name: m.From, Generation: m.Generation, Incarnation: m.Incarnation, State: Alive}, nil)
 		}
 		return
 	}
@@ -137,29 +137,29 @@
 		return
 	}
 	c.heardAny, c.met = c.now, true
-	c.highest = max(c.highest, m.View)
+	c.highest = max(c.highest, m.ViewNumber)
 	c.heard(e, m)
-	for _, i := range m.News {
+	for _, i := range m.Updates {
 		c.learn(i, e)
 	}
 	switch m.Kind {
 	case Ping:
 		reply := Message{Kind: Ack, Seq: m.Seq}
 		if e.state == Suspect || e.state == Unreachable {
-			reply.News = []Item{{Name: e.name, Start: e.start, Inc: e.inc, State: Suspect, By: c.o.Name}}
+			reply.Updates = []Update{{Name: e.name, Generation: e.start, Incarnation: e.inc, State: Suspect, Reporter: c.o.Name}}
 		}
 		c.send(e, reply, false)
 	case Ack:
 		c.acked(e, m)
-	case Relay:
-		if t := c.known[m.Target]; t != nil && len(c.relays) < c.o.Most {
+	case PingRequest:
+		if t := c.known[m.Target]; t != nil && len(c.relays) < c.o.MaxMembers {
 			c.seq++
 			c.relays = append(c.relays, relay{c.seq, m.Seq, m.From, m.Target, c.now})
 			c.send(t, Message{Kind: Ping, Seq: c.seq}, false)
 		}
-	case Full:
-		c.send(e, Message{Kind: FullReply}, true)
-	case FullReply:
+	case SyncRequest:
+		c.send(e, Message{Kind: SyncReply}, true)
+	case SyncReply:
 		c.ackAny = c.now
 		c.entered()
 	}
@@ -173,12 +173,12 @@
 		if m.Address == "" || !c.room() {
 			return nil
 		}
-		e = c.add(Item{Name: m.From, Start: m.Start, Inc: m.Inc, State: Alive, Address: m.Address}, c.now)
-	case m.Start < e.start: // a process that has been replaced and does not know
-		c.sendTo(e.name, m.Address, Message{Kind: News, News: []Item{{Name: e.name, Start: e.start, Inc: e.inc, State: Alive, Address: e.address}}}, false)
+		e = c.add(Update{Name: m.From, Generation: m.Generation, Incarnation: m.Incarnation, State: Alive, Address: m.Address}, c.now)
+	case m.Generation < e.start: // a process that has been replaced and does not know
+		c.sendTo(e.name, m.Address, Message{Kind: Gossip, Updates: []Update{{Name: e.name, Generation: e.start, Incarnation: e.inc, State: Alive, Address: e.address}}}, false)
 		return nil
-	case m.Start > e.start:
-		c.replace(e, Item{Name: m.From, Start: m.Start, Inc: m.Inc, State: Alive, Address: m.Address})
+	case m.Generation > e.start:
+		c.replace(e, Update{Name: m.From, Generation: m.Generation, Incarnation: m.Incarnation, State: Alive, Address: m.Address})
 	case e.state == Left:
 		return nil
 	}
@@ -186,8 +186,8 @@
 }
 
 // add takes a new member in.
-func (c *Core) add(i Item, at time.Duration) *entry {
-	e := &entry{name: i.Name, address: i.Address, start: i.Start, inc: i.Inc, state: i.State, since: c.now, heard: never, seen: never,
+func (c *Core) add(i Update, at time.Duration) *entry {
+	e := &entry{name: i.Name, address: i.Address, start: i.Generation, inc: i.Incarnation, state: i.State, since: c.now, heard: never, seen: never,
 		reached: never, broken: -1, probed: never, outAt: never, witness: map[string]time.Duration{}, accusers: map[string]time.Duration{}}
 	c.known[i.Name], c.list = e, nil
 	// At a random place (SWIM, 4.3): in the order of a full state everybody would probe the same member at once.
@@ -203,8 +203,8 @@
 }
 
 // replace lets a new process have its name.
-func (c *Core) replace(e *entry, i Item) {
-	c.note("replaced", "another process has a member's name now", "member", e.name, "was", e.start, "is", i.Start, "state", e.state.String())
+func (c *Core) replace(e *entry, i Update) {
+	c.note("replaced", "another process has a member's name now", "member", e.name, "was", e.start, "is", i.Generation, "state", e.state.String())
 	former, outs, outAt, state := e.start, e.outs, e.outAt, e.state
 	c.drop(e)
 	if i.Address == "" {
@@ -219,21 +219,21 @@
 
 // heard notes that a member's own message has come.
 func (c *Core) heard(e *entry, m *Message) {
-	e.self = Condition(m.Self)
+	e.self = Connectivity(m.Connectivity)
 	if m.Address != "" {
 		e.address = m.Address
 	}
 	suspect, lost := e.state == Suspect, e.state == Unreachable
 	e.heard = c.now
-	if m.Inc > e.inc {
-		e.inc = m.Inc
+	if m.Incarnation > e.inc {
+		e.inc = m.Incarnation
 	}
 	c.lives(e, c.now)
 	if suspect || lost {
-		c.rumour(Item{Name: e.name, Start: e.start, Inc: e.inc, State: Vouch, By: c.o.Name}, c.now)
+		c.rumour(Update{Name: e.name, Generation: e.start, Incarnation: e.inc, State: HeardFrom, Reporter: c.o.Name}, c.now)
 	}
 	if lost { // what each side missed
-		c.send(e, Message{Kind: Full}, true)
+		c.send(e, Message{Kind: SyncRequest}, true)
 	}
 }
 
@@ -272,7 +272,7 @@
 		return
 	}
 	if m.Target == "" && c.state == Joining { // a seed has answered
-		c.send(e, Message{Kind: Full}, true)
+		c.send(e, Message{Kind: SyncRequest}, true)
 	} else if m.Target == "" && e.heard == c.now {
 		c.linkWhole(e) // late, and an answer all the same
 	}
@@ -301,7 +301,7 @@
 
 // learn takes one piece of news in. By SWIM a higher incarnation goes before a lower, and at the same one the worse state
 // goes first; here others' verdicts are accusations: each member waits its own suspicion out before it takes one out of its view.
-func (c *Core) learn(i Item, from *entry) {
+func (c *Core) learn(i Update, from *entry) {
 	at := c.now - time.Duration(i.Age)*time.Millisecond
 	if i.Name == c.o.Name {
 		c.aboutMe(i, from)
@@ -309,18 +309,18 @@
 	}
 	e := c.known[i.Name]
 	switch {
-	case i.Name == "" || i.State < Joining || i.State > Vouch || i.State == Replaced:
+	case i.Name == "" || i.State < Joining || i.State > HeardFrom || i.State == Replaced:
 		return
 	case e == nil:
-		if i.Address == "" || i.State == Vouch || !c.room() {
+		if i.Address == "" || i.State == HeardFrom || !c.room() {
 			return
 		}
 		c.add(i, at)
 		return
-	case i.Start < e.start:
+	case i.Generation < e.start:
 		return
-	case i.Start > e.start:
-		if i.State != Vouch && i.State != Suspect {
+	case i.Generation > e.start:
+		if i.State != HeardFrom && i.State != Suspect {
 			c.replace(e, i)
 		}
 		return
@@ -333,8 +333,8 @@
 		c.rumour(i, at)
 		c.changed()
 	case Alive, Joining:
-		if i.Inc > e.inc { // it refuted, at that moment or later
-			e.inc = i.Inc
+		if i.Incarnation > e.inc { // it refuted, at that moment or later
+			e.inc = i.Incarnation
 			c.lives(e, at)
 			if e.state == Suspect || e.state == Unreachable { // its clock and ours differ on what came first: it knows better
 				c.lives(e, c.now)
@@ -345,9 +345,9 @@
 		}
 	case Suspect, Unreachable:
 		c.accused(e, i, at, from)
-	case Vouch:
-		if news := at > e.seen+c.o.Period; i.By != "" {
-			c.witnessed(e, i.By, at)
+	case HeardFrom:
+		if news := at > e.seen+c.o.ProbeInterval; i.Reporter != "" {
+			c.witnessed(e, i.Reporter, at)
 			if news {
 				c.rumour(i, at)
 			}
@@ -356,23 +356,23 @@
 }
 
 // accused weighs what another member says against one.
-func (c *Core) accused(e *entry, i Item, at time.Duration, from *entry) {
-	if i.By == "" {
+func (c *Core) accused(e *entry, i Update, at time.Duration, from *entry) {
+	if i.Reporter == "" {
 		return
 	}
-	itself := from != nil && from.name == i.By // then it is answered, so that no gossip has to find it
-	if i.Inc < e.inc {
+	itself := from != nil && from.name == i.Reporter // then it is answered, so that no gossip has to find it
+	if i.Incarnation < e.inc {
 		if itself && e.state == Alive {
-			c.send(from, Message{Kind: News, News: []Item{{Name: e.name, Start: e.start, Inc: e.inc, State: Alive, Address: e.address,
+			c.send(from, Message{Kind: Gossip, Updates: []Update{{Name: e.name, Generation: e.start, Incarnation: e.inc, State: Alive, Address: e.address,
 				Age: age(c.now - max(e.seen, e.since))}}}, false)
 		}
 		return
 	}
-	e.inc = i.Inc
+	e.inc = i.Incarnation
 	switch e.state {
 	case Alive, Joining:
 		if e.seen > at { // somebody has heard it since
-			if i.By != c.o.Name {
+			if i.Reporter != c.o.Name {
 				by := c.o.Name
 				when := e.heard
 				for w, t := range e.witness {
@@ -380,10 +380,10 @@
 						by, when = w, t
 					}
 				}
-				vouch := Item{Name: e.name, Start: e.start, Inc: e.inc, State: Vouch, By: by}
+				vouch := Update{Name: e.name, Generation: e.start, Incarnation: e.inc, State: HeardFrom, Reporter: by}
 				c.rumour(vouch, e.seen)
 				if vouch.Age = age(c.now - e.seen); itself {
-					c.send(from, Message{Kind: News, News: []Item{vouch}}, false)
+					c.send(from, Message{Kind: Gossip, Updates: []Update{vouch}}, false)
 				}
 			}
 			return
@@ -391,11 +391,11 @@
 		if i.State == Unreachable { // half of the span is left for it to refute
 			at = max(at, c.now-c.suspicion(confirmers)/2)
 		}
-		c.suspect(e, i.By, at)
+		c.suspect(e, i.Reporter, at)
 		c.rumour(i, at)
 	case Suspect:
-		if _, known := e.accusers[i.By]; !known && len(e.accusers) < c.o.Most {
-			e.accusers[i.By] = at
+		if _, known := e.accusers[i.Reporter]; !known && len(e.accusers) < c.o.MaxMembers {
+			e.accusers[i.Reporter] = at
 			if len(e.accusers) <= confirmers+1 {
 				c.rumour(i, at)
 			}
@@ -404,32 +404,32 @@
 }
 
 // aboutMe refutes what is wrong about this process, and gives way to a later one of its name.
-func (c *Core) aboutMe(i Item, from *entry) {
+func (c *Core) aboutMe(i Update, from *entry) {
 	switch {
-	case i.State == Vouch:
-	case i.Start > c.o.Start && c.state == Joining: // the one before us had a clock that was ahead
-		c.o.Start = i.Start + 1
-	case i.Start > c.o.Start:
-		c.state, c.cond = Replaced, Outdated
+	case i.State == HeardFrom:
+	case i.Generation > c.o.Generation && c.state == Joining: // the one before us had a clock that was ahead
+		c.o.Generation = i.Generation + 1
+	case i.Generation > c.o.Generation:
+		c.state, c.cond = Replaced, Superseded
 		c.queue = map[slot]*rumour{}
 		c.note("outdated", "another process has this one's name; this one takes no part in the cluster any more, until it is restarted",
-			"own_start", c.o.Start, "its_start", i.Start)
-	case i.Start < c.o.Start:
+			"own_start", c.o.Generation, "its_start", i.Generation)
+	case i.Generation < c.o.Generation:
 		if i.State != Left {
 			c.rumour(c.selfItem(), c.now)
 		}
-	case (i.State == Suspect || i.State == Unreachable) && i.Inc >= c.inc:
-		c.inc = i.Inc + 1
+	case (i.State == Suspect || i.State == Unreachable) && i.Incarnation >= c.inc:
+		c.inc = i.Incarnation + 1
 		c.distrust(1)
 		c.rumour(c.selfItem(), c.now)
 		if from != nil {
-			c.send(from, Message{Kind: News}, false)
+			c.send(from, Message{Kind: Gossip}, false)
 		}
-		if c.now-c.refuted >= c.o.Period { // at once, not with the next ping
+		if c.now-c.refuted >= c.o.ProbeInterval { // at once, not with the next ping
 			c.refuted, c.nextNews = c.now, c.now
 			c.tell()
 		}
 	case i.State == Left:
-		c.inc = max(c.inc, i.Inc) + 1
+		c.inc = max(c.inc, i.Incarnation) + 1
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -34,13 +34,13 @@
 // publish makes a new view, once what belongs together has come together: losses of one cause fall due one after the
 // other, and each by itself would be a view.
 func (c *Core) publish() {
-	if c.changeAt < 0 || c.now-c.changeAt < quietOf*c.o.Period {
+	if c.changeAt < 0 || c.now-c.changeAt < quietOf*c.o.ProbeInterval {
 		return
 	}
 	waiting := c.now - c.changeAt
 	names, damped := []string{c.o.Name}, false
 	for _, e := range c.known {
-		if e.state == Suspect && waiting < longestQuiet*c.o.Period && c.now-e.suspectAt+2*c.o.Period > c.suspicion(len(e.accusers)-1) {
+		if e.state == Suspect && waiting < longestQuiet*c.o.ProbeInterval && c.now-e.suspectAt+2*c.o.ProbeInterval > c.suspicion(len(e.accusers)-1) {
 			return // about to be given up as well
 		}
 		if e.state.in() && c.now < e.backAt {
@@ -75,7 +75,7 @@
 }
 
 var stateNames = [...]string{Joining: "joining", Alive: "alive", Suspect: "suspect", Unreachable: "unreachable", Left: "left",
-	Replaced: "replaced", Vouch: "vouch"}
+	Replaced: "replaced", HeardFrom: "vouch"}
 
 // String is the state's name.
 func (s State) String() string {
@@ -88,10 +88,10 @@
 // MarshalText writes the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-var conditionNames = [...]string{Whole: "whole", Alone: "alone", Deaf: "hears nobody", Mute: "not heard", Outdated: "outdated"}
+var conditionNames = [...]string{Connected: "whole", NoPeers: "alone", InboundLost: "hears nobody", OutboundLost: "not heard", Superseded: "outdated"}
 
 // String is the condition's name.
-func (c Condition) String() string {
+func (c Connectivity) String() string {
 	if int(c) < len(conditionNames) {
 		return conditionNames[c]
 	}
@@ -99,45 +99,45 @@
 }
 
 // MarshalText writes the condition's name.
-func (c Condition) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
+func (c Connectivity) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
 // Status is all that a process holds, for whoever asks.
 type Status struct {
-	Name      string    `json:"name"`
-	Start     uint64    `json:"start"`
-	Inc       uint32    `json:"incarnation"`
-	State     State     `json:"state"`
-	Condition Condition `json:"condition"`
-	Health    int       `json:"distrust"` // of own verdicts, 0 to 4
-	View      View      `json:"view"`
-	Members   []Member  `json:"members"`
-	Refused   int       `json:"refused"` // members for which there was no room
+	Name            string       `json:"name"`
+	Generation      uint64       `json:"start"`
+	Incarnation     uint32       `json:"incarnation"`
+	State           State        `json:"state"`
+	Connectivity    Connectivity `json:"condition"`
+	LocalHealth     int          `json:"distrust"` // of own verdicts, 0 to 4
+	View            View         `json:"view"`
+	Members         []Member     `json:"members"`
+	RejectedMembers int          `json:"refused"` // members for which there was no room
 }
 
 // Member is another member with the evidence for its state. Ages are in milliseconds; -1: never.
 type Member struct {
-	Name      string           `json:"name"`
-	Address   string           `json:"address"`
-	Start     uint64           `json:"start"`
-	Inc       uint32           `json:"incarnation"`
-	State     State            `json:"state"`
-	For       int64            `json:"for_ms"`        // the state holds
-	Heard     int64            `json:"heard_ms"`      // its last message that came here
-	Reached   int64            `json:"reached_ms"`    // its last answer to this process
-	Seen      int64            `json:"seen_ms"`       // the last that anybody is known to have heard of it
-	Link      string           `json:"link"`          // whole, broken, one-way (heard, and does not answer), unknown
-	Self      Condition        `json:"own_condition"` // what it says of itself
-	Accusers  map[string]int64 `json:"missed_by,omitempty"`
-	Witnesses map[string]int64 `json:"heard_by,omitempty"`
-	Lost      int              `json:"lost_times"` // within a minute of each other
-	Damped    int64            `json:"damped_ms,omitempty"`
-	Former    uint64           `json:"replaced_start,omitempty"`
+	Name               string           `json:"name"`
+	Address            string           `json:"address"`
+	Generation         uint64           `json:"start"`
+	Incarnation        uint32           `json:"incarnation"`
+	State              State            `json:"state"`
+	StateAge           int64            `json:"for_ms"`        // the state holds
+	SinceReceived      int64            `json:"heard_ms"`      // its last message that came here
+	SinceAcked         int64            `json:"reached_ms"`    // its last answer to this process
+	SinceSeen          int64            `json:"seen_ms"`       // the last that anybody is known to have heard of it
+	Link               string           `json:"link"`          // whole, broken, one-way (heard, and does not answer), unknown
+	OwnConnectivity    Connectivity     `json:"own_condition"` // what it says of itself
+	SuspectedBy        map[string]int64 `json:"missed_by,omitempty"`
+	HeardBy            map[string]int64 `json:"heard_by,omitempty"`
+	LossCount          int              `json:"lost_times"` // within a minute of each other
+	DampedFor          int64            `json:"damped_ms,omitempty"`
+	PreviousGeneration uint64           `json:"replaced_start,omitempty"`
 }
 
 // Status tells everything at a moment.
 func (c *Core) Status() Status {
-	out := Status{Name: c.o.Name, Start: c.o.Start, Inc: c.inc, State: c.state, Condition: c.cond, Health: c.health, View: c.view,
-		Refused: c.refused, Members: []Member{}}
+	out := Status{Name: c.o.Name, Generation: c.o.Generation, Incarnation: c.inc, State: c.state, Connectivity: c.cond, LocalHealth: c.health, View: c.view,
+		RejectedMembers: c.refused, Members: []Member{}}
 	out.View.Members = slices.Clone(c.view.Members)
 	ago := func(at time.Duration) int64 {
 		if at <= never/2 {
@@ -146,17 +146,17 @@
 		return (c.now - at).Milliseconds()
 	}
 	for _, e := range c.sorted() {
-		m := Member{Name: e.name, Address: e.address, Start: e.start, Inc: e.inc, State: e.state, For: ago(e.since), Heard: ago(e.heard),
-			Reached: ago(e.reached), Seen: ago(e.seen), Self: e.self, Lost: e.outs, Former: e.former, Link: c.link(e),
-			Accusers: map[string]int64{}, Witnesses: map[string]int64{}}
+		m := Member{Name: e.name, Address: e.address, Generation: e.start, Incarnation: e.inc, State: e.state, StateAge: ago(e.since), SinceReceived: ago(e.heard),
+			SinceAcked: ago(e.reached), SinceSeen: ago(e.seen), OwnConnectivity: e.self, LossCount: e.outs, PreviousGeneration: e.former, Link: c.link(e),
+			SuspectedBy: map[string]int64{}, HeardBy: map[string]int64{}}
 		if c.now < e.backAt {
-			m.Damped = (e.backAt - c.now).Milliseconds()
+			m.DampedFor = (e.backAt - c.now).Milliseconds()
 		}
 		for n, at := range e.accusers {
-			m.Accusers[n] = ago(at)
+			m.SuspectedBy[n] = ago(at)
 		}
 		for n, at := range e.witness {
-			m.Witnesses[n] = ago(at)
+			m.HeardBy[n] = ago(at)
 		}
 		out.Members = append(out.Members, m)
 	}
@@ -179,7 +179,7 @@
 func (c *Core) View() View { return c.view }
 
 // Condition is this process's own.
-func (c *Core) Condition() Condition { return c.cond }
+func (c *Core) Connectivity() Connectivity { return c.cond }
 
 // UnmarshalText reads a state's name.
 func (s *State) UnmarshalText(text []byte) error {
@@ -188,8 +188,8 @@
 }
 
 // UnmarshalText reads a condition's name.
-func (c *Condition) UnmarshalText(text []byte) error {
-	*c = Condition(max(0, slices.Index(conditionNames[:], string(text))))
+func (c *Connectivity) UnmarshalText(text []byte) error {
+	*c = Connectivity(max(0, slices.Index(conditionNames[:], string(text))))
 	return nil
 }
 
@@ -197,7 +197,7 @@
 func (c *Core) State() State { return c.state }
 
 // Start is this process's number. It stays once it has joined.
-func (c *Core) Start() uint64 { return c.o.Start }
+func (c *Core) Generation() uint64 { return c.o.Generation }
 
 // Process is a member's process as last heard of, where it is held to be there.
 func (c *Core) Process(name string) (start uint64, address string, ok bool) {
@@ -209,14 +209,14 @@
 }
 
 // Direct queues a message of another subsystem to a member, where one is known.
-func (c *Core) Direct(name string, m Message) {
+func (c *Core) SendToMember(name string, m Message) {
 	if e := c.known[name]; e != nil && c.state == Alive {
 		c.send(e, m, false)
 	}
 }
 
 // Everyone queues a message of another subsystem to all in the view.
-func (c *Core) Everyone(m Message) {
+func (c *Core) SendToAll(m Message) {
 	for _, e := range c.sorted() {
 		if e.state.in() && c.state == Alive {
 			c.send(e, m, false)
@@ -225,7 +225,7 @@
 }
 
 // Some queues a message of another subsystem to some in the view.
-func (c *Core) Some(m Message) {
+func (c *Core) SendToSome(m Message) {
 	if c.state != Alive {
 		return
 	}
@@ -235,7 +235,7 @@
 }
 
 // Signed is a message as this process sends it, for I/O that sends it itself.
-func (c *Core) Signed(m Message) Message {
-	m.Version, m.Cluster, m.From, m.Start, m.Inc, m.Address = WireVersion, c.o.Cluster, c.o.Name, c.o.Start, c.inc, c.o.Address
+func (c *Core) WithSender(m Message) Message {
+	m.Version, m.ClusterHash, m.From, m.Generation, m.Incarnation, m.Address = WireVersion, c.o.ClusterHash, c.o.Name, c.o.Generation, c.inc, c.o.Address
 	return m
 }
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -19,7 +19,7 @@
 	faults = append(faults, edgeFaults(edge, err)...)
 	if len(faults) == 0 {
 		if _, err := balancer.New(c.Settings.Balancer, c.Seed); err != nil {
-			faults = append(faults, operator.Fault{File: getenv("ROUTER_CONFIG"), Key: "settings", Text: err.Error()})
+			faults = append(faults, operator.Diagnostic{File: getenv("ROUTER_CONFIG"), Key: "settings", Message: err.Error()})
 		}
 	}
 	if len(faults) > 0 {
@@ -33,15 +33,15 @@
 	return true
 }
 
-func edgeFaults(path string, err error) []operator.Fault {
-	var faults operator.Faults
+func edgeFaults(path string, err error) []operator.Diagnostic {
+	var faults operator.Diagnostics
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &faults):
 		return faults
 	}
-	return []operator.Fault{{File: path, Text: err.Error()}}
+	return []operator.Diagnostic{{File: path, Message: err.Error()}}
 }
 
 // describe prints the effective configuration.
@@ -71,7 +71,7 @@
 	for _, p := range Parts() {
 		o := file.Options(p.Section.Name)
 		if o == nil {
-			say("  [%s] off: %s", p.Section.Name, p.Section.About)
+			say("  [%s] off: %s", p.Section.Name, p.Section.Summary)
 			continue
 		}
 		say("  [%s] on: %s", p.Section.Name, strings.Join(operator.Describe(o), ", "))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,29 +72,29 @@
 	clock   clock.Clock
 	count   *counters.Counters
 	window  time.Duration
-	desk    *proxy.Desk
+	desk    *proxy.Handler
 	classes []balancer.Class
-	back    *back.Back
-	roster  *endpoints.Roster
-	catalog *discovery.Catalog
+	back    *back.Transport
+	roster  *endpoints.Directory
+	catalog *discovery.Client
 	pool    *upstream.Pool
 	engine  *engine.Engine
 	watch   *shadow.Evaluator // around the module
-	peers   *gossip.Link      // nil where nodes do not talk
+	peers   *gossip.Transport // nil where nodes do not talk
 	ingress *ingress.Server
-	door    *admin.Door // nil where staff have none
-	serving atomic.Bool // clients are taken in
+	door    *admin.Server // nil where staff have none
+	serving atomic.Bool   // clients are taken in
 	upgrade *upgrade
 	legacy  atomic.Pointer[balancer.State] // of the process before, until the list is told
 	each    int                            // connections on either side
 	ending  sync.WaitGroup
 
 	plan     drain.Plan       // of a planned stop
-	inFlight inflight.Account // the requests that were taken, whichever front has them
+	inFlight inflight.Tracker // the requests that were taken, whichever front has them
 
-	subsystems *subsystem.Set                 // what the operator file turns on
-	number     int                            // of the settings
-	carrier    atomic.Pointer[cluster.Teller] // of the module's messages; nil: peers, where there are any
+	subsystems *subsystem.Manager                  // what the operator file turns on
+	number     int                                 // of the settings
+	carrier    atomic.Pointer[cluster.Broadcaster] // of the module's messages; nil: peers, where there are any
 }
 
 func newNode(c config.Config, log *slog.Logger, count *counters.Counters) (*node, error) {
@@ -107,7 +107,7 @@
 	files := max(fewestFiles, c.Limits.Sockets/filesPer)
 	own := reserve + files
 	if c.Operator != "" {
-		own += admin.Most + 1
+		own += admin.MaxConnections + 1
 	}
 	each := (c.Limits.Sockets - own) / 2
 	count.Operations = counters.Operations{}
@@ -117,16 +117,16 @@
 	n := &node{name: c.Name, number: set.Node, each: each, known: c.Known, clock: clk, count: count, window: longestWindow(set),
 		plan: drain.NewPlan(longest(set))}
 	n.catalog = discovery.New(discovery.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.WatchEndpoints,
-		MustAsk: clock.Span(set.WatchDeadline), Grace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
+		MaxPollInterval: clock.Span(set.WatchDeadline), DrainGrace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
 	n.roster = endpoints.New(n.catalog, lateNews{n})
-	n.pool = upstream.New(upstream.Options{Addresses: n.roster, Connect: clock.Span(connect(set)),
-		Idle: clock.Span(c.Settings.ServerIdleTimeout), Probe: probeTime, Most: each, Each: max(4, int(float64(each)*eachShare)), Spare: spare(set.Nodes),
-		Gone: func(id balancer.ServerID) { n.engine.Post(balancer.ConnectionClosed{Server: id}) }, Reports: set.LoadReports, Waiting: c.Settings.QueuedIndex >= 0, Log: log, Count: count})
-	n.back = back.New(back.Options{Addresses: n.roster, NStart: nstart, Again: clock.Span(set.DrainGrace / 2),
-		ParseLoad: n.pool.Load, Log: log, Count: &count.CoapBack})
-	n.watch = shadow.New(module, c.Watch, log, &count.Watch)
+	n.pool = upstream.New(upstream.Options{Addresses: n.roster, ConnectTimeout: clock.Span(connect(set)),
+		IdleTimeout: clock.Span(c.Settings.ServerIdleTimeout), ProbeTimeout: probeTime, MaxConns: each, MaxConnsPerServer: max(4, int(float64(each)*eachShare)), MaxIdlePerServer: spare(set.Nodes),
+		OnIdleClosed: func(id balancer.ServerID) { n.engine.Post(balancer.ConnectionClosed{Server: id}) }, LoadReports: set.LoadReports, QueueReports: c.Settings.QueuedIndex >= 0, Log: log, Count: count})
+	n.back = back.New(back.Options{Resolver: n.roster, MaxExchanges: nstart, RetransmitWindow: clock.Span(set.DrainGrace / 2),
+		ParseLoad: n.pool.ParseLoad, Log: log, Count: &count.CoapServers})
+	n.watch = shadow.New(module, c.Watch, log, &count.Shadow)
 	if len(c.Peers) > 0 {
-		n.peers, err = gossip.Listen(gossip.Options{Node: set.Node, Nodes: c.Peers, To: lateNews{n}, Log: log, Count: &count.Peers})
+		n.peers, err = gossip.Listen(gossip.Options{Node: set.Node, Nodes: c.Peers, Receiver: lateNews{n}, Log: log, Counters: &count.Gossip})
 		if err != nil {
 			return nil, err
 		}
@@ -134,11 +134,11 @@
 	n.engine = engine.New(engine.Options{Module: n.watch, Clock: clk, Prober: n, EndpointWatcher: n.catalog, Broadcaster: n,
 		MaxAttempts: set.MaxAttempts, Log: log, Counters: count})
 	n.classes = set.Classes
-	bodies := body.New(os.Getenv("TMPDIR"), files, max(fewestFiles, int(c.Limits.MemoryMB*bodyShare*(1<<20))/body.Piece), &count.Bodies)
-	n.desk = proxy.NewDesk(proxy.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
-		Slack: c.Settings.ResponseSlack, Log: log, Count: count})
-	n.ingress = ingress.New(ingress.Options{Desk: n.desk, Bodies: bodies, Most: each, Aside: own / 2, InFlight: &n.inFlight, Log: log, Count: count,
-		Broken: func(l ingress.Listener, err error) {
+	bodies := body.New(os.Getenv("TMPDIR"), files, max(fewestFiles, int(c.Limits.MemoryMB*bodyShare*(1<<20))/body.BufferSize), &count.Bodies)
+	n.desk = proxy.NewHandler(proxy.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
+		DeadlineSlack: c.Settings.ResponseSlack, Log: log, Count: count})
+	n.ingress = ingress.New(ingress.Options{Handler: n.desk, Bodies: bodies, MaxConns: each, ReservedDescriptors: own / 2, InFlight: &n.inFlight, Log: log, Count: count,
+		OnListenerBroken: func(l ingress.Listener, err error) {
 			log.Error("the listener is broken, the node ends once all is answered", "code", "listener_broken", "error", err)
 			n.beginStop(n.plan.Start(time.Now()), l, "", log)
 		}})
@@ -146,7 +146,7 @@
 }
 
 func (n *node) send(server balancer.ServerID, c engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
-	if n.back.Speaks(server) {
+	if n.back.Handles(server) {
 		return n.back.Send(server, c, done)
 	}
 	return n.pool.Send(server, c, done)
@@ -154,7 +154,7 @@
 
 // Probe asks a server for a sign of life, over the protocol that it speaks.
 func (n *node) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
-	if n.back.Speaks(server) {
+	if n.back.Handles(server) {
 		n.back.Probe(server, probeTime, done)
 		return
 	}
@@ -196,37 +196,37 @@
 }
 
 // Ready tells staff whether this process serves clients and wants them.
-func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.Drained() }
+func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.AdminDrained() }
 
 // Figures are what staff are shown.
-func (n *node) Figures() []byte { return n.count.Figures() }
+func (n *node) Stats() []byte { return n.count.AdminSummary() }
 
 // Drain sends clients elsewhere, and Undrain welcomes them again; the process runs on.
 func (n *node) Drain() {
-	n.ingress.DrainByHand()
+	n.ingress.BeginAdminDrain()
 	n.upgrade.tellDrain(true)
 }
 
 // Undrain ends the drain by hand.
 func (n *node) Undrain() {
-	n.ingress.EndDrainByHand()
+	n.ingress.EndAdminDrain()
 	n.upgrade.tellDrain(false)
 }
 
 // Roster, Clock, Window and Counters are what the inventory needs.
-func (n *node) Roster() *endpoints.Roster { return n.roster }
+func (n *node) Endpoints() *endpoints.Directory { return n.roster }
 
 // Clock is the node's.
 func (n *node) Clock() clock.Clock { return n.clock }
 
 // Window is the longest time in which a keyed request's repeats are dropped.
-func (n *node) Window() time.Duration { return n.window }
+func (n *node) IdempotencyWindow() time.Duration { return n.window }
 
 // Number is the node's, by its settings.
 func (n *node) Number() int { return n.number }
 
 // Carry has the module's messages to other nodes go over a cluster's link, and with nil no longer.
-func (n *node) Carry(t cluster.Teller) {
+func (n *node) SetBroadcaster(t cluster.Broadcaster) {
 	if t == nil {
 		n.carrier.Store(nil)
 		return
@@ -253,7 +253,7 @@
 func (n *node) Succeeded() bool { return n.upgrade != nil && n.upgrade.succeeded.Load() }
 
 // Inform tells the module what concerns the fleet as one; with heeded it returns once that is in force.
-func (n *node) Inform(event balancer.Event, heeded bool) {
+func (n *node) ApplyEvent(event balancer.Event, heeded bool) {
 	n.engine.Post(event)
 	if heeded {
 		n.engine.RunBetweenSteps(func() {}) // after it in the mailbox
@@ -261,13 +261,13 @@
 }
 
 // Desk takes requests through the stages, whatever protocol they came by.
-func (n *node) Desk() front.Desk { return n.desk }
+func (n *node) Handler() front.Handler { return n.desk }
 
 // Classes are those of the settings.
 func (n *node) Classes() []balancer.Class { return n.classes }
 
 // InFlight accounts for the requests that the node has taken.
-func (n *node) InFlight() *inflight.Account { return &n.inFlight }
+func (n *node) InFlight() *inflight.Tracker { return &n.inFlight }
 
 // Name is the node's.
 func (n *node) Name() string { return n.name }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -38,7 +38,7 @@
 	if keys := running.NeedRestart(next); len(keys) > 0 {
 		log.Warn("these keys have changed and need a restart", "code", "reload_restart", "keys", keys)
 	}
-	n.catalog.Follow(next.Discovery)
+	n.catalog.SetAddress(next.Discovery)
 	n.watch.Follow(next.Watch)
 	log.Info("configuration read again", "code", "reload", "discovery", next.Discovery)
 }
@@ -59,18 +59,18 @@
 	file, err := loadEdge(path)
 	var change subsystem.Change
 	if err == nil {
-		change, err = n.subsystems.Take(ctx, file)
+		change, err = n.subsystems.Apply(ctx, file)
 	}
-	var faults operator.Faults
+	var faults operator.Diagnostics
 	switch {
 	case errors.As(err, &faults):
 		for _, f := range faults[:min(len(faults), faultsTold)] {
-			log.Error("fault in the operator file", "code", "edge_fault", "file", f.File, "line", f.Line, "key", f.Key, "error", f.Text)
+			log.Error("fault in the operator file", "code", "edge_fault", "file", f.File, "line", f.Line, "key", f.Key, "error", f.Message)
 		}
 		log.Error("the new operator file is not taken, the running one stands", "code", "edge_failed", "faults", len(faults))
 	case err != nil:
 		log.Error("the new operator file is not taken, the running one stands", "code", "edge_failed", "error", err)
 	default:
-		log.Info("operator file taken", "code", "edge", "file", path, "on", change.On, "off", change.Off, "changed", change.Changed)
+		log.Info("operator file taken", "code", "edge", "file", path, "on", change.Started, "off", change.Stopped, "changed", change.Restarted)
 	}
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -28,29 +28,29 @@
 // beginStop has all fronts follow the schedule.
 func (n *node) beginStop(schedule *drain.Schedule, l ingress.Listener, signal string, log *slog.Logger) {
 	n.serving.Store(false)
-	n.inFlight.BeginStop(schedule.Began)
-	n.desk.Stop(schedule)
+	n.inFlight.BeginShutdown(schedule.Began)
+	n.desk.Drain(schedule)
 	n.ingress.Drain(l, schedule)
 	log.Info("draining", "code", "drain", "signal", signal, "open", n.inFlight.Open(),
 		"close_idle_ms", schedule.CloseIdle.Milliseconds(),
 		"close_listener_ms", schedule.CloseListener.Milliseconds(),
 		"last_forward_ms", schedule.LastForward.Milliseconds(),
-		"last_answer_ms", schedule.LastAnswer.Milliseconds(),
+		"last_answer_ms", schedule.LastResponse.Milliseconds(),
 		"kill_ms", schedule.Kill.Milliseconds())
 }
 
 // logStopEnd leaves one line of what became of the requests of a planned stop.
 func (n *node) logStopEnd(log *slog.Logger) {
-	figures, ok := n.inFlight.StopFigures()
+	figures, ok := n.inFlight.ShutdownStats()
 	if !ok {
 		return
 	}
 	log.Info("drained", "code", "drain_end", "took_ms", time.Since(figures.Began).Milliseconds(),
-		"open_at_signal", figures.OpenThen, "read_since", figures.ReadSince,
+		"open_at_signal", figures.OpenAtStart, "read_since", figures.ReceivedSince,
 		"answered", figures.Outcomes[inflight.Answered],
-		"refused", figures.Outcomes[inflight.Refused],
-		"client_left", figures.Outcomes[inflight.ClientLeft],
+		"refused", figures.Outcomes[inflight.Rejected],
+		"client_left", figures.Outcomes[inflight.ClientDisconnected],
 		"unanswered", figures.Outcomes[inflight.Unanswered],
-		"latest_answer_ms", figures.Latest.Milliseconds(),
+		"latest_answer_ms", figures.LastAnswer.Milliseconds(),
 		"open", n.inFlight.Open(), "further_signals", n.count.Stop.Repeated.Get())
 }
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -41,8 +41,8 @@
 	n      *node
 	limits config.Limits
 	log    *slog.Logger
-	heir   *handover.Heir   // of the process before this one; nil at a plain start
-	keeper *handover.Keeper // for the next; nil where $TMPDIR has no place for it
+	heir   *handover.Successor   // of the process before this one; nil at a plain start
+	keeper *handover.Predecessor // for the next; nil where $TMPDIR has no place for it
 	out    chan handover.Message
 
 	succeeded atomic.Bool // the next process serves
@@ -72,13 +72,13 @@
 
 // takeOver gets the clients' listener: from the process that serves, where there is one, else anew. What the process
 // before told of the list replaces what the configuration knows.
-func takeOver(c *config.Config, log *slog.Logger) (*net.TCPListener, *handover.Heir, *legacy, error) {
+func takeOver(c *config.Config, log *slog.Logger) (*net.TCPListener, *handover.Successor, *legacy, error) {
 	who := identity(c)
 	heir, err := fromOld(c.Listen, who)
 	if err == nil {
 		holdSilentBack(heir.Listener, log)
 		from := &legacy{}
-		raw, serr := heir.State()
+		raw, serr := heir.RequestState()
 		if serr == nil {
 			serr = json.Unmarshal(raw, from)
 		}
@@ -86,7 +86,7 @@
 			log.Warn("the process before told nothing that can be read", "code", "handover_failed", "error", serr)
 			return heir.Listener, heir, nil, nil
 		}
-		if from.keepFor(heir.Before, who); heir.Before != who {
+		if from.keepFor(heir.PredecessorIdentity, who); heir.PredecessorIdentity != who {
 			log.Warn("the process before has other settings or another discovery: what hangs on them is not taken over",
 				"code", "handover_part", "list", len(from.List.Members) > 0, "records", len(from.Module.Servers) > 0)
 		}
@@ -95,13 +95,13 @@
 		}
 		return heir.Listener, heir, from, nil
 	}
-	if errors.Is(err, handover.ErrOther) { // nor may the address be shared with it
+	if errors.Is(err, handover.ErrOtherNode) { // nor may the address be shared with it
 		return nil, nil, nil, fmt.Errorf("ROUTER_LISTEN: %s: %w", c.Listen, err)
 	}
-	if !errors.Is(err, handover.ErrNone) {
+	if !errors.Is(err, handover.ErrNoPredecessor) {
 		log.Warn("nothing can be taken over, starting plainly", "code", "handover_failed", "error", err)
 	}
-	l, err := listen(c.Listen, !errors.Is(err, handover.ErrNone) && !errors.Is(err, handover.ErrGone))
+	l, err := listen(c.Listen, !errors.Is(err, handover.ErrNoPredecessor) && !errors.Is(err, handover.ErrPredecessorGone))
 	return l, nil, nil, err
 }
 
@@ -117,12 +117,12 @@
 	}
 }
 
-func fromOld(address string, who handover.Identity) (*handover.Heir, error) {
+func fromOld(address string, who handover.Identity) (*handover.Successor, error) {
 	dir := os.Getenv("TMPDIR")
 	if dir == "" {
-		return nil, handover.ErrNone
+		return nil, handover.ErrNoPredecessor
 	}
-	return handover.Take(dir, address, who)
+	return handover.TakeOver(dir, address, who)
 }
 
 // listen opens the clients' address. Beside a process that cannot hand over, both listen there for a while; without a
@@ -159,7 +159,7 @@
 	if u.heir == nil {
 		return
 	}
-	u.Beside(true)
+	u.SetSibling(true)
 	if from == nil {
 		return
 	}
@@ -167,7 +167,7 @@
 		u.n.legacy.Store(&from.Module)
 	}
 	if from.Drained {
-		u.n.ingress.DrainByHand()
+		u.n.ingress.BeginAdminDrain()
 	}
 }
 
@@ -175,13 +175,13 @@
 func (u *upgrade) serve(ctx context.Context, address string, who handover.Identity, clients *net.TCPListener) {
 	defer func() { u.n.ending.Go(func() { u.tell(ctx) }) }() // once both sides are known
 	if u.heir != nil {
-		if err := u.heir.Ready(); err != nil {
+		if err := u.heir.AnnounceReady(); err != nil {
 			u.log.Warn("the process before has gone", "code", "handover_failed", "error", err)
 			u.heir.Close()
-			u.Beside(false)
+			u.SetSibling(false)
 		} else {
 			u.log.Info("serving beside the process before", "code", "handover")
-			u.n.desk.TellIDs(u.tellID)
+			u.n.desk.PublishRequestIDs(u.tellID)
 			u.n.ending.Go(func() { u.hear(ctx) })
 		}
 	}
@@ -189,7 +189,7 @@
 	if dir == "" {
 		return
 	}
-	keeper, err := handover.Keep(dir, address, who, clients, u, u.log)
+	keeper, err := handover.Listen(dir, address, who, clients, u, u.log)
 	if err != nil {
 		u.log.Warn("the next version will not be able to take over", "code", "handover_failed", "error", err)
 		return
@@ -202,33 +202,33 @@
 func (u *upgrade) hear(ctx context.Context) {
 	stop := context.AfterFunc(ctx, u.heir.Close)
 	defer stop()
-	u.heir.Hear(u.Hear)
+	u.heir.ReceiveAll(u.HandleMessage)
 	if ctx.Err() == nil {
-		u.Beside(false)
+		u.SetSibling(false)
 		u.log.Info("the process before has ended", "code", "handover")
 	}
 }
 
 // Beside shares the node's limits and the module's parts with a second process, or has them whole again.
-func (u *upgrade) Beside(on bool) {
+func (u *upgrade) SetSibling(on bool) {
 	processes := 1
 	if on {
 		processes = 2
 	}
 	debug.SetMemoryLimit(memoryLimit(u.limits) / int64(processes))
-	u.n.ingress.SetMost(u.n.each / processes)
-	u.n.pool.Share(processes)
+	u.n.ingress.SetMaxConns(u.n.each / processes)
+	u.n.pool.SetProcessCount(processes)
 	u.n.engine.Post(balancer.SiblingProcesses{Count: processes})
 	if !on {
 		u.succeeded.Store(false)
-		u.n.ingress.Succeed(false)
-		u.n.desk.TellIDs(nil)
+		u.n.ingress.SetSuccessor(false)
+		u.n.desk.PublishRequestIDs(nil)
 	}
 }
 
 // State is what the next process gets.
 func (u *upgrade) State() (json.RawMessage, error) {
-	l := legacy{List: u.n.catalog.List(), Drained: u.n.ingress.Drained()}
+	l := legacy{List: u.n.catalog.List(), Drained: u.n.ingress.AdminDrained()}
 	if !u.n.engine.RunBetweenSteps(func() { l.Module = u.n.watch.Snapshot() }) {
 		return nil, errors.New("the engine has ended")
 	}
@@ -236,31 +236,31 @@
 }
 
 // Succeeded says that the next process serves.
-func (u *upgrade) Succeeded() {
+func (u *upgrade) SuccessorReady() {
 	u.succeeded.Store(true)
-	u.n.ingress.Succeed(true)
-	u.n.desk.TellIDs(u.tellID)
+	u.n.ingress.SetSuccessor(true)
+	u.n.desk.PublishRequestIDs(u.tellID)
 }
 
 // Hear takes what the other process tells.
-func (u *upgrade) Hear(m handover.Message) {
+func (u *upgrade) HandleMessage(m handover.Message) {
 	switch {
-	case m.Opened != "":
-		u.n.desk.HearID(m.Opened, true)
-	case m.Closed != "":
-		u.n.desk.HearID(m.Closed, false)
+	case m.RequestOpened != "":
+		u.n.desk.TrackSiblingRequestID(m.RequestOpened, true)
+	case m.RequestClosed != "":
+		u.n.desk.TrackSiblingRequestID(m.RequestClosed, false)
 	case m.Drained != nil && *m.Drained:
-		u.n.ingress.DrainByHand()
+		u.n.ingress.BeginAdminDrain()
 	case m.Drained != nil:
-		u.n.ingress.EndDrainByHand()
+		u.n.ingress.EndAdminDrain()
 	}
 }
 
 // tellID queues an id for the other process. It does not wait.
 func (u *upgrade) tellID(id string, open bool) {
-	m := handover.Message{Closed: id}
+	m := handover.Message{RequestClosed: id}
 	if open {
-		m = handover.Message{Opened: id}
+		m = handover.Message{RequestOpened: id}
 	}
 	u.queue(m)
 }
@@ -282,10 +282,10 @@
 		select {
 		case m := <-u.out:
 			// Without anyone there it reaches nobody; one that is ending is noticed by its reader.
-			if u.keeper != nil && u.keeper.Tell(m) == nil || u.heir == nil {
+			if u.keeper != nil && u.keeper.Send(m) == nil || u.heir == nil {
 				continue
 			}
-			_ = u.heir.Tell(m)
+			_ = u.heir.Send(m)
 		case <-ctx.Done():
 			return
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,24 +21,24 @@
 
 // Section is the part of the file that belongs to one subsystem.
 type Section struct {
-	Name  string // of the table
-	About string // one line
+	Name    string // of the table
+	Summary string // one line
 	// New gives a pointer to the options with their defaults. Keys are the fields' toml tags.
 	New func() any
 	// Check tells what cannot be, by keys within the section. It is given what New gave, filled in.
-	Check func(options any) []Fault
+	Check func(options any) []Diagnostic
 }
 
 // Fault is one thing that is wrong. Line is 0 where it is not known.
-type Fault struct {
-	File string
-	Line int
-	Key  string
-	Text string
+type Diagnostic struct {
+	File    string
+	Line    int
+	Key     string
+	Message string
 }
 
 // String is the fault as one line.
-func (f Fault) String() string {
+func (f Diagnostic) String() string {
 	out := f.File
 	if f.Line > 0 {
 		out += fmt.Sprintf(":%d", f.Line)
@@ -49,14 +49,14 @@
 	if f.Key != "" {
 		out += f.Key + ": "
 	}
-	return out + f.Text
+	return out + f.Message
 }
 
 // Faults are all faults of one file, by line.
-type Faults []Fault
+type Diagnostics []Diagnostic
 
 // Error tells the first fault, and how many there are.
-func (f Faults) Error() string {
+func (f Diagnostics) Error() string {
 	if len(f) == 1 {
 		return f[0].String()
 	}
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("operator file: %w", err)
 	}
 	if info.Size() > maxFile {
-		return nil, Faults{{File: path, Text: fmt.Sprintf("%d bytes are too many, %d at most", info.Size(), maxFile)}}
+		return nil, Diagnostics{{File: path, Message: fmt.Sprintf("%d bytes are too many, %d at most", info.Size(), maxFile)}}
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -111,7 +111,7 @@
 	tables := map[string]toml.Primitive{}
 	md, err := toml.Decode(text, &tables)
 	if err != nil {
-		return nil, Faults{p.unreadable(err)}
+		return nil, Diagnostics{p.unreadable(err)}
 	}
 	p.md = md
 	for name, table := range tables {
@@ -135,22 +135,22 @@
 	md     toml.MetaData
 	byName map[string]Section
 	out    map[string]any
-	faults Faults
+	faults Diagnostics
 	named  []string // keys that have a fault already
 }
 
 func (p *parser) fault(key, format string, args ...any) {
 	p.named = append(p.named, key)
-	p.faults = append(p.faults, Fault{p.path, p.lines.Of(key), key, fmt.Sprintf(format, args...)})
+	p.faults = append(p.faults, Diagnostic{p.path, p.lines.Line(key), key, fmt.Sprintf(format, args...)})
 }
 
 // unreadable is the fault of a text that is no TOML.
-func (p *parser) unreadable(err error) Fault {
+func (p *parser) unreadable(err error) Diagnostic {
 	var pe toml.ParseError
 	if errors.As(err, &pe) {
-		return Fault{p.path, pe.Position.Line, pe.LastKey, pe.Message}
+		return Diagnostic{p.path, pe.Position.Line, pe.LastKey, pe.Message}
 	}
-	return Fault{File: p.path, Text: err.Error()}
+	return Diagnostic{File: p.path, Message: err.Error()}
 }
 
 // section reads one table, key by key, so that one that is wrong does not hide the next.
@@ -185,7 +185,7 @@
 			if f.Key != "" {
 				key += "." + f.Key
 			}
-			p.fault(key, "%s", f.Text)
+			p.fault(key, "%s", f.Message)
 		}
 	}
 	p.out[name] = options
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,9 +19,9 @@
 }
 
 var sections = []Section{{Name: "alpha", New: func() any { return &options{Every: Duration(time.Second), Most: 3} },
-	Check: func(o any) []Fault {
+	Check: func(o any) []Diagnostic {
 		if o.(*options).Most < 1 {
-			return []Fault{{Key: "most", Text: "must be at least 1"}}
+			return []Diagnostic{{Key: "most", Message: "must be at least 1"}}
 		}
 		return nil
 	}}, {Name: "beta", New: func() any { return &options{} }}}
@@ -60,7 +60,7 @@
 most = "many"
 `
 	_, err := Parse("edge.toml", text, sections)
-	var faults Faults
+	var faults Diagnostics
 	if !errors.As(err, &faults) {
 		t.Fatalf("error %v", err)
 	}
@@ -70,11 +70,11 @@
 	}{{2, "alpha.every", "unit"}, {3, "alpha.room", "unit"}, {4, "alpha.mots", "every, lists, most, room"},
 		{8, "alpha.lists.pth", "no such key"}, {10, "gamma", "alpha, beta"}, {13, "beta.most", "integer"}}
 	if len(faults) != len(want) {
-		t.Fatalf("%d faults, want %d: %v", len(faults), len(want), []Fault(faults))
+		t.Fatalf("%d faults, want %d: %v", len(faults), len(want), []Diagnostic(faults))
 	}
 	for i, w := range want {
 		f := faults[i]
-		if f.Key != w.key || !strings.Contains(f.Text, w.text) || w.key != "alpha.lists.pth" && f.Line != w.line {
+		if f.Key != w.key || !strings.Contains(f.Message, w.text) || w.key != "alpha.lists.pth" && f.Line != w.line {
 			t.Errorf("fault %v, want line %d, key %s, and %q", f, w.line, w.key, w.text)
 		}
 		if !strings.HasPrefix(f.String(), "edge.toml:") {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -60,34 +60,34 @@
 
 // Class is a class of requests; each request is taken for the same work.
 type Class struct {
-	Name  string
-	Worth float64
+	Name     string
+	Priority float64
 }
 
 // Counts are what one process has counted since its start.
 type Counts struct {
-	Shed  uint64   // refused by the cut
-	Tried uint64   // attempts that have ended
-	Won   uint64   // of these, the ones that were served
-	Asked []uint64 // requests ended, by class
-	Done  []uint64 // of these, the ones that were not refused: what failed took its place at the servers too
+	Shed      uint64   // refused by the cut
+	Attempts  uint64   // attempts that have ended
+	Successes uint64   // of these, the ones that were served
+	Requested []uint64 // requests ended, by class
+	Accepted  []uint64 // of these, the ones that were not refused: what failed took its place at the servers too
 }
 
 // Summary is a process's counts at a moment of its own. A later one of the same process replaces an earlier, so that losing,
 // doubling and reordering count nothing twice; a process that starts anew begins from nothing.
 type Summary struct {
-	Name  string
-	Start uint64        // of the process
-	At    time.Duration // since then, by its own clock
-	Age   time.Duration // since then, on the way
+	Name       string
+	Generation uint64        // of the process
+	At         time.Duration // since then, by its own clock
+	Age        time.Duration // since then, on the way
 	Counts
 }
 
 // Options are one process's.
 type Options struct {
-	Name    string
-	Start   uint64
-	Classes []Class
+	Name       string
+	Generation uint64
+	Classes    []Class
 }
 
 // point is a summary as it was taken in.
@@ -105,7 +105,7 @@
 }
 
 // State is one process's.
-type State struct {
+type Controller struct {
 	o         Options
 	from      map[string]*source
 	order     []int // classes, the dearest first
@@ -117,36 +117,36 @@
 	tell      []string // reporters
 	noRetries float64
 	shares    []float64
-	figures   Figures
+	figures   FleetRates
 }
 
 // New makes the state.
-func New(o Options) *State {
-	s := &State{o: o, from: map[string]*source{}, shares: make([]float64, len(o.Classes)), calm: 1}
+func New(o Options) *Controller {
+	s := &Controller{o: o, from: map[string]*source{}, shares: make([]float64, len(o.Classes)), calm: 1}
 	for i := range o.Classes {
 		s.order = append(s.order, i)
 		s.shares[i] = 1
 	}
-	slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(o.Classes[b].Worth, o.Classes[a].Worth) })
+	slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(o.Classes[b].Priority, o.Classes[a].Priority) })
 	return s
 }
 
 // Observe takes this process's own counts, at a moment since its start.
-func (s *State) Observe(now, at time.Duration, c Counts) {
-	s.Merge(now, Summary{Name: s.o.Name, Start: s.o.Start, At: at, Counts: c})
+func (s *Controller) Observe(now, at time.Duration, c Counts) {
+	s.Merge(now, Summary{Name: s.o.Name, Generation: s.o.Generation, At: at, Counts: c})
 }
 
 // Merge takes a summary in, and tells whether it was news. Summaries may come in any order and any number of times.
-func (s *State) Merge(now time.Duration, m Summary) bool {
-	if len(m.Asked) != len(s.o.Classes) || len(m.Done) != len(s.o.Classes) || m.Age > oldest {
+func (s *Controller) Merge(now time.Duration, m Summary) bool {
+	if len(m.Requested) != len(s.o.Classes) || len(m.Accepted) != len(s.o.Classes) || m.Age > oldest {
 		return false
 	}
 	f := s.from[m.Name]
-	if f == nil || m.Start > f.start {
-		f = &source{start: m.Start}
+	if f == nil || m.Generation > f.start {
+		f = &source{start: m.Generation}
 		s.from[m.Name] = f
 	}
-	if m.Start < f.start {
+	if m.Generation < f.start {
 		return false
 	}
 	if n := len(f.points); n > 0 && (m.At <= f.points[n-1].at || !grown(f.points[n-1].c, m.Counts)) {
@@ -160,16 +160,16 @@
 }
 
 func grown(a, b Counts) bool {
-	for i := range a.Asked {
-		if b.Asked[i] < a.Asked[i] || b.Done[i] < a.Done[i] || b.Done[i] > b.Asked[i] {
+	for i := range a.Requested {
+		if b.Requested[i] < a.Requested[i] || b.Accepted[i] < a.Accepted[i] || b.Accepted[i] > b.Requested[i] {
 			return false
 		}
 	}
-	return b.Shed >= a.Shed && b.Tried >= a.Tried && b.Won >= a.Won
+	return b.Shed >= a.Shed && b.Attempts >= a.Attempts && b.Successes >= a.Successes
 }
 
 // Fresh are summaries to pass on: this process's own, and those of others that have been passed on least, n in all.
-func (s *State) Fresh(now time.Duration, n int) []Summary {
+func (s *Controller) NextSummaries(now time.Duration, n int) []Summary {
 	names := make([]string, 0, len(s.from))
 	for name, f := range s.from {
 		if now-f.points[len(f.points)-1].heard < oldest && slices.Contains(s.tell, name) {
@@ -190,21 +190,21 @@
 		f := s.from[name]
 		f.sent++
 		p := f.points[len(f.points)-1]
-		out = append(out, Summary{Name: name, Start: f.start, At: p.at, Age: now - p.heard, Counts: p.c})
+		out = append(out, Summary{Name: name, Generation: f.start, At: p.at, Age: now - p.heard, Counts: p.c})
 	}
 	return out
 }
 
 // Figures are what a decision rests on, a second, over the members heard of.
-type Figures struct {
-	Members int // heard of lately
-	Asked   []float64
-	Done    []float64
-	Shed    float64
-	Tried   float64
-	Won     float64
-	Limit   float64 // what may be let in; 0: all
-	Cover   float64 // share of the members that were heard of
+type FleetRates struct {
+	Members   int // heard of lately
+	Requested []float64
+	Accepted  []float64
+	Shed      float64
+	Attempts  float64
+	Successes float64
+	Limit     float64 // what may be let in; 0: all
+	Coverage  float64 // share of the members that were heard of
 }
 
 // Reporters are the members whose figures count: all, or so many by the hash of their names, the same at every node.
@@ -226,9 +226,9 @@
 }
 
 // rates adds up what all tell.
-func (s *State) rates(now time.Duration) Figures {
+func (s *Controller) rates(now time.Duration) FleetRates {
 	n := len(s.o.Classes)
-	f := Figures{Asked: make([]float64, n), Done: make([]float64, n)}
+	f := FleetRates{Requested: make([]float64, n), Accepted: make([]float64, n)}
 	var each []rate
 	for name, src := range s.from {
 		last := src.points[len(src.points)-1]
@@ -248,10 +248,10 @@
 			continue
 		}
 		r := rate{asked: make([]float64, n), done: make([]float64, n), shed: float64(last.c.Shed-first.c.Shed) / span,
-			tried: float64(last.c.Tried-first.c.Tried) / span, won: float64(last.c.Won-first.c.Won) / span}
+			tried: float64(last.c.Attempts-first.c.Attempts) / span, won: float64(last.c.Successes-first.c.Successes) / span}
 		for i := range n {
-			r.asked[i] = float64(last.c.Asked[i]-first.c.Asked[i]) / span
-			r.done[i] = float64(last.c.Done[i]-first.c.Done[i]) / span
+			r.asked[i] = float64(last.c.Requested[i]-first.c.Requested[i]) / span
+			r.done[i] = float64(last.c.Accepted[i]-first.c.Accepted[i]) / span
 		}
 		r.all = sum(r.asked)
 		each = append(each, r)
@@ -263,35 +263,35 @@
 			scale = most / r.all // it is mistaken, or lies: it counts for no more than a busy one could
 		}
 		for i := range n {
-			f.Asked[i] += r.asked[i] * scale
-			f.Done[i] += r.done[i] * scale
+			f.Requested[i] += r.asked[i] * scale
+			f.Accepted[i] += r.done[i] * scale
 		}
 		f.Shed += r.shed * scale
-		f.Tried, f.Won = f.Tried+r.tried*scale, f.Won+r.won*scale
+		f.Attempts, f.Successes = f.Attempts+r.tried*scale, f.Successes+r.won*scale
 	}
-	f.Cover = min(1, float64(f.Members)/float64(max(1, len(s.tell))))
+	f.Coverage = min(1, float64(f.Members)/float64(max(1, len(s.tell))))
 	return f
 }
 
 // Cut is what a node lets in.
-type Cut struct {
-	Active    bool
-	Shares    []float64 // of each class, from 0 to 1
-	NoRetries float64   // part of the retry budget that is held back
+type Admission struct {
+	Active        bool
+	Fractions     []float64 // of each class, from 0 to 1
+	RetryHoldback float64   // part of the retry budget that is held back
 }
 
 // Decide works out the cut from what is known, with these members in the view. It is called a few times a second.
-func (s *State) Decide(now time.Duration, members []string) Cut {
+func (s *Controller) Decide(now time.Duration, members []string) Admission {
 	s.tell = Reporters(members)
 	f := s.rates(now)
 	s.hold(f)
-	asked, done := sum(f.Asked), sum(f.Done)
+	asked, done := sum(f.Requested), sum(f.Accepted)
 	for i := range s.shares {
 		s.shares[i] = 1
 	}
 	if asked <= 0 {
 		s.active, s.unmet, s.roomy, s.figures = false, 0, 0, f
-		return Cut{Shares: s.shares, NoRetries: s.noRetries}
+		return Admission{Fractions: s.shares, RetryHoldback: s.noRetries}
 	}
 	if s.unmet++; done >= (1-begins)*asked {
 		s.unmet = 0
@@ -304,7 +304,7 @@
 			s.calm = done / asked
 		}
 		s.figures = f
-		return Cut{Shares: s.shares, NoRetries: s.noRetries}
+		return Admission{Fractions: s.shares, RetryHoldback: s.noRetries}
 	}
 	met := min(1, done/max(1e-9, asked-f.Shed)/s.calm)
 	grow := tight + (loose-tight)*min(1, max(0, met-doneLow)/(doneAt-doneLow))
@@ -322,34 +322,34 @@
 	}
 	s.figures = f
 	s.fill(f)
-	return Cut{Active: s.active, Shares: s.shares, NoRetries: s.noRetries}
+	return Admission{Active: s.active, Fractions: s.shares, RetryHoldback: s.noRetries}
 }
 
 // hold works out how much of the retry budget is held back: at once when attempts fail, given back gradually.
-func (s *State) hold(f Figures) {
+func (s *Controller) hold(f FleetRates) {
 	want := 0.0
-	if f.Tried >= triedLeast {
-		want = min(1, max(0, 1-f.Won/f.Tried-failFew)/(failMost-failFew))
+	if f.Attempts >= triedLeast {
+		want = min(1, max(0, 1-f.Successes/f.Attempts-failFew)/(failMost-failFew))
 	}
 	s.noRetries = max(want*s.strength(f), s.noRetries-retriesBack)
 }
 
 // strength is how much a decision counts: with part of the fleet unheard of less, and nothing at half of what must be heard.
-func (s *State) strength(f Figures) float64 { return min(1, max(0, 2*f.Cover/covered-1)) }
+func (s *Controller) strength(f FleetRates) float64 { return min(1, max(0, 2*f.Coverage/covered-1)) }
 
 // fill lets the dearest in first until the limit is reached.
-func (s *State) fill(f Figures) {
+func (s *Controller) fill(f FleetRates) {
 	left := f.Limit
-	for _, a := range f.Asked {
+	for _, a := range f.Requested {
 		left -= least * a
 	}
 	strength := s.strength(f)
 	for _, i := range s.order {
-		a := f.Asked[i] * (1 - least)
+		a := f.Requested[i] * (1 - least)
 		in := min(a, max(0, left))
 		left -= in
-		if f.Asked[i] > 0 {
-			s.shares[i] = 1 - strength*(1-least-in/f.Asked[i])
+		if f.Requested[i] > 0 {
+			s.shares[i] = 1 - strength*(1-least-in/f.Requested[i])
 		}
 	}
 }
@@ -363,4 +363,4 @@
 }
 
 // Figures are those of the last decision.
-func (s *State) Figures() Figures { return s.figures }
+func (s *Controller) Rates() FleetRates { return s.figures }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -17,9 +17,9 @@
 type node struct {
 	name   string
 	start  uint64
-	s      *State
+	s      *Controller
 	c      Counts
-	cut    Cut
+	cut    Admission
 	at     time.Duration
 	rest   [3][2]float64 // parts of requests
 	share  float64       // of all that is asked
@@ -53,8 +53,8 @@
 func (f *fleet) restart(i int) {
 	n := f.nodes[i]
 	n.start++
-	n.at, n.c, n.cut = 0, Counts{Asked: make([]uint64, 3), Done: make([]uint64, 3)}, Cut{Shares: []float64{1, 1, 1}}
-	n.s = New(Options{Name: n.name, Start: n.start, Classes: classes})
+	n.at, n.c, n.cut = 0, Counts{Requested: make([]uint64, 3), Accepted: make([]uint64, 3)}, Admission{Fractions: []float64{1, 1, 1}}
+	n.s = New(Options{Name: n.name, Generation: n.start, Classes: classes})
 }
 
 // step is a quarter of a second.
@@ -64,7 +64,7 @@
 	f.let = 0
 	for _, n := range f.nodes {
 		for i, m := range mix {
-			f.let += f.asked * n.share * m * n.cut.Shares[i]
+			f.let += f.asked * n.share * m * n.cut.Fractions[i]
 		}
 	}
 	part := min(1, f.capacity/max(1, f.let)) // what is let in is served in the order in which it comes
@@ -73,25 +73,25 @@
 		n.at += 250 * time.Millisecond
 		for i, m := range mix {
 			in := f.asked * n.share * m * dt
-			out := in * n.cut.Shares[i] * part
+			out := in * n.cut.Fractions[i] * part
 			f.served[i] += out / dt
 			n.rest[i][0], n.rest[i][1] = n.rest[i][0]+in, n.rest[i][1]+out
-			n.shed += in * (1 - n.cut.Shares[i])
-			n.c.Asked[i] += uint64(n.rest[i][0])
-			n.c.Done[i] = min(n.c.Asked[i], n.c.Done[i]+uint64(n.rest[i][1]))
+			n.shed += in * (1 - n.cut.Fractions[i])
+			n.c.Requested[i] += uint64(n.rest[i][0])
+			n.c.Accepted[i] = min(n.c.Requested[i], n.c.Accepted[i]+uint64(n.rest[i][1]))
 			n.rest[i][0] -= math.Floor(n.rest[i][0])
 			n.rest[i][1] -= math.Floor(n.rest[i][1])
 		}
 		n.c.Shed = uint64(n.shed)
-		n.s.Observe(f.now, n.at, Counts{Shed: n.c.Shed, Asked: append([]uint64{}, n.c.Asked...), Done: append([]uint64{}, n.c.Done...)})
+		n.s.Observe(f.now, n.at, Counts{Shed: n.c.Shed, Requested: append([]uint64{}, n.c.Requested...), Accepted: append([]uint64{}, n.c.Accepted...)})
 		n.cut = n.s.Decide(f.now, f.names)
-		n.cut.Shares = append([]float64{}, n.cut.Shares...)
+		n.cut.Fractions = append([]float64{}, n.cut.Fractions...)
 	}
 	for _, n := range f.nodes {
 		if n.silent {
 			continue
 		}
-		items := n.s.Fresh(f.now, 9)
+		items := n.s.NextSummaries(f.now, 9)
 		for range 3 {
 			to := f.nodes[f.rng.IntN(len(f.nodes))]
 			if f.rng.Float64() < f.loss || to.silent {
@@ -116,8 +116,8 @@
 		for _, i := range []int{1, 2, 0} { // all knowledge: the dearest first
 			in := min(f.asked*mix[i], left)
 			left -= in
-			best += in * classes[i].Worth
-			got += f.served[i] * classes[i].Worth
+			best += in * classes[i].Priority
+			got += f.served[i] * classes[i].Priority
 		}
 	}
 	return got / best
@@ -138,10 +138,10 @@
 			worth := f.run(20)
 			mean, off := 0.0, 0.0 // how much of the cheap is on the wrong side of the cut, by node
 			for _, x := range f.nodes {
-				mean += x.cut.Shares[0] / float64(n)
+				mean += x.cut.Fractions[0] / float64(n)
 			}
 			for _, x := range f.nodes {
-				off += math.Abs(x.cut.Shares[0]-mean) / float64(n)
+				off += math.Abs(x.cut.Fractions[0]-mean) / float64(n)
 			}
 			cheap := f.served[0] / (f.asked * mix[0])
 			f.capacity = 2000
@@ -185,7 +185,7 @@
 	}
 	f.run(6)
 	for _, n := range f.nodes {
-		if s := n.cut.Shares[0]; s < 0.999 {
+		if s := n.cut.Fractions[0]; s < 0.999 {
 			t.Errorf("%s lets in %.3f of the cheap while it hears of a quarter at most", n.name, s)
 		}
 	}
@@ -195,13 +195,13 @@
 	liar := f.nodes[0]
 	for range 40 {
 		f.step()
-		lie := Counts{Asked: []uint64{1 << 30, 1 << 30, 1 << 30}, Done: make([]uint64, 3)}
-		for i := range lie.Asked {
-			lie.Asked[i] += liar.c.Asked[i] * 1000
-			lie.Done[i] = liar.c.Done[i]
+		lie := Counts{Requested: []uint64{1 << 30, 1 << 30, 1 << 30}, Accepted: make([]uint64, 3)}
+		for i := range lie.Requested {
+			lie.Requested[i] += liar.c.Requested[i] * 1000
+			lie.Accepted[i] = liar.c.Accepted[i]
 		}
 		for _, n := range f.nodes[1:] {
-			n.s.Merge(f.now, Summary{Name: liar.name, Start: liar.start + 1, At: liar.at, Counts: lie})
+			n.s.Merge(f.now, Summary{Name: liar.name, Generation: liar.start + 1, At: liar.at, Counts: lie})
 		}
 	}
 	if w := f.run(5); w < 0.5 {
@@ -214,12 +214,12 @@
 	sums := []Summary{}
 	for start := range uint64(2) {
 		for k := range uint64(4) {
-			sums = append(sums, Summary{Name: "a", Start: start + 1, At: time.Duration(k+1) * time.Second, Counts: Counts{Asked: []uint64{10 * (k + 1), 0, 0}, Done: []uint64{k, 0, 0}}})
+			sums = append(sums, Summary{Name: "a", Generation: start + 1, At: time.Duration(k+1) * time.Second, Counts: Counts{Requested: []uint64{10 * (k + 1), 0, 0}, Accepted: []uint64{k, 0, 0}}})
 		}
 	}
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s := New(Options{Name: "b", Start: 1, Classes: classes})
+		s := New(Options{Name: "b", Generation: 1, Classes: classes})
 		for range 40 {
 			s.Merge(time.Second, sums[rng.IntN(len(sums))])
 		}
@@ -227,10 +227,10 @@
 			s.Merge(time.Second, m)
 		}
 		last := s.from["a"].points
-		if p := last[len(last)-1]; s.from["a"].start != 2 || p.c.Asked[0] != 40 || p.at != 4*time.Second {
+		if p := last[len(last)-1]; s.from["a"].start != 2 || p.c.Requested[0] != 40 || p.at != 4*time.Second {
 			t.Fatalf("seed %d: holds %+v", seed, s.from["a"])
 		}
-		if s.Merge(time.Second, sums[7]) || s.Merge(time.Second, Summary{Name: "a", Start: 2, At: 9 * time.Second, Counts: Counts{Asked: []uint64{1}}}) {
+		if s.Merge(time.Second, sums[7]) || s.Merge(time.Second, Summary{Name: "a", Generation: 2, At: 9 * time.Second, Counts: Counts{Requested: []uint64{1}}}) {
 			t.Fatal("a summary was taken twice, or one of other classes")
 		}
 	}
@@ -238,15 +238,15 @@
 
 // While most attempts of the fleet fail nothing is tried again, and the budget comes back gradually; few failures hold nothing.
 func TestRetriesAreHeldBack(t *testing.T) {
-	s := New(Options{Name: "a", Start: 1, Classes: classes})
-	c, now := Counts{Asked: make([]uint64, 3), Done: make([]uint64, 3)}, time.Duration(0)
+	s := New(Options{Name: "a", Generation: 1, Classes: classes})
+	c, now := Counts{Requested: make([]uint64, 3), Accepted: make([]uint64, 3)}, time.Duration(0)
 	run := func(seconds, fail float64) float64 {
 		held := 0.0
 		for range int(seconds * 4) {
 			now += 250 * time.Millisecond
-			c.Tried, c.Won = c.Tried+100, c.Won+uint64(100*(1-fail))
-			s.Observe(now, now, Counts{Tried: c.Tried, Won: c.Won, Asked: make([]uint64, 3), Done: make([]uint64, 3)})
-			held = s.Decide(now, []string{"a"}).NoRetries
+			c.Attempts, c.Successes = c.Attempts+100, c.Successes+uint64(100*(1-fail))
+			s.Observe(now, now, Counts{Attempts: c.Attempts, Successes: c.Successes, Requested: make([]uint64, 3), Accepted: make([]uint64, 3)})
+			held = s.Decide(now, []string{"a"}).RetryHoldback
 		}
 		return held
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -32,27 +32,27 @@
 	// LastRead is when its latest bytes came.
 	LastRead() time.Time
 	// Watch tells when the client leaves, until stop is called. Nothing is taken from the connection.
-	Watch() (left <-chan struct{}, stop func())
+	WatchDisconnect() (left <-chan struct{}, stop func())
 	// Left tells whether the client has gone already.
-	Left() bool
+	Disconnected() bool
 	// Ends gives the reason why the connection ends.
-	Ends(reason string)
+	SetCloseReason(reason string)
 }
 
 // Options are what a desk works with.
 type Options struct {
-	Router  Router
-	Send    Sender
-	Clock   clock.Clock
-	Bodies  *body.Store
-	Classes []balancer.Class
-	Slack   balancer.Millis // how late after its deadline an answer still counts
-	Log     *slog.Logger
-	Count   *counters.Counters
+	Router        Router
+	Send          Sender
+	Clock         clock.Clock
+	Bodies        *body.Store
+	Classes       []balancer.Class
+	DeadlineSlack balancer.Millis // how late after its deadline an answer still counts
+	Log           *slog.Logger
+	Count         *counters.Counters
 }
 
 // Desk takes requests through their stages.
-type Desk struct {
+type Handler struct {
 	o       Options
 	classes map[string]balancer.Class
 
@@ -66,8 +66,8 @@
 }
 
 // NewDesk makes a desk.
-func NewDesk(o Options) *Desk {
-	d := &Desk{o: o, classes: map[string]balancer.Class{}, open: map[string]struct{}{}, stopping: make(chan struct{})}
+func NewHandler(o Options) *Handler {
+	d := &Handler{o: o, classes: map[string]balancer.Class{}, open: map[string]struct{}{}, stopping: make(chan struct{})}
 	for _, c := range o.Classes {
 		d.classes[c.Name] = c
 	}
@@ -76,7 +76,7 @@
 
 // TellIDs has the ids of requests told as they open and close, those open now first; nil ends it. Tell does not wait.
 // The ids that were heard of from the other process are forgotten.
-func (d *Desk) TellIDs(tell func(id string, open bool)) {
+func (d *Handler) PublishRequestIDs(tell func(id string, open bool)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tell, d.beside = tell, map[string]struct{}{}
@@ -91,7 +91,7 @@
 const besideMost = 4096
 
 // HearID notes an id that the other process has opened or closed.
-func (d *Desk) HearID(id string, open bool) {
+func (d *Handler) TrackSiblingRequestID(id string, open bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !open {
@@ -105,15 +105,15 @@
 
 // Reasons with which an exchange ends its client's connection.
 const (
-	EndLeft  = "client_left"  // closed while its request was in hand
-	EndPanic = "panic"        // handling its request went wrong
-	EndAsked = "client_asked" // the request said that the connection was to close
-	EndBad   = "bad_request"  // what came is not in the protocol's form, or could not be read
+	ReasonClientLeft  = "client_left"  // closed while its request was in hand
+	ReasonPanic       = "panic"        // handling its request went wrong
+	ReasonClientAsked = "client_asked" // the request said that the connection was to close
+	ReasonBadRequest  = "bad_request"  // what came is not in the protocol's form, or could not be read
 )
 
 // request is one exchange on its way through the stages.
 type request struct {
-	desk    *Desk
+	desk    *Handler
 	client  Client
 	taken   taken
 	class   balancer.Class
@@ -130,7 +130,7 @@
 }
 
 // Serve takes one request through all stages. A panic in it ends this request and its connection only.
-func (d *Desk) Serve(ctx *fasthttp.RequestCtx, client Client) {
+func (d *Handler) Serve(ctx *fasthttp.RequestCtx, client Client) {
 	r := &request{desk: d, client: client, answer: make(chan engine.Response, 1)}
 	d.o.Count.Requests.Taken.Inc()
 	d.o.Count.Requests.Open.Inc()
@@ -142,9 +142,9 @@
 	}()
 	defer func() {
 		if p := recover(); p != nil {
-			d.o.Log.Error("panic in a request", "code", EndPanic, "panic", p, "stack", string(debug.Stack()))
+			d.o.Log.Error("panic in a request", "code", ReasonPanic, "panic", p, "stack", string(debug.Stack()))
 			r.drop()
-			client.Ends(EndPanic)
+			client.SetCloseReason(ReasonPanic)
 			ctx.SetConnectionClose()
 			r.book(ctx, ending{status: fasthttp.StatusBadGateway})
 		}
@@ -154,7 +154,7 @@
 		r.book(ctx, bad.ending())
 		if bad.status < fasthttp.StatusInternalServerError {
 			// The client is at fault: what else it has sent goes unread, and a flood ends with its first request.
-			client.Ends(EndBad)
+			client.SetCloseReason(ReasonBadRequest)
 			ctx.SetConnectionClose()
 		}
 		return
--- a/internal/proxy/pass.go
+++ b/internal/proxy/pass.go
@@ -51,11 +51,11 @@
 	if p.rest.Size() >= 0 {
 		w = p.to
 	}
-	b, err := p.store.Buffer()
+	b, err := p.store.AcquireBuffer()
 	if err != nil {
 		return 0, err
 	}
-	defer p.store.Return(b)
+	defer p.store.ReleaseBuffer(b)
 	for {
 		n, err := p.Read(b[:])
 		if n > 0 {
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -33,7 +33,7 @@
 // relay waits for the final answer. It ends early when the client leaves, and by a guard should the module
 // never answer: the client is owed an answer in time whatever happens here.
 func (r *request) relay(ctx *fasthttp.RequestCtx, client Client) ending {
-	left, stop := client.Watch()
+	left, stop := client.WatchDisconnect()
 	defer stop()
 	guard := time.NewTimer(r.guardIn())
 	defer guard.Stop()
@@ -62,7 +62,7 @@
 
 // gone tells how a request ended whose client had left before it was decided on, else nil. Nothing of it is sent on.
 func (r *request) gone(ctx *fasthttp.RequestCtx, client Client) *ending {
-	if !client.Left() {
+	if !client.Disconnected() {
 		return nil
 	}
 	e := leaves(ctx, client)
@@ -71,7 +71,7 @@
 
 // leaves ends the connection of a client that has left.
 func leaves(ctx *fasthttp.RequestCtx, client Client) ending {
-	client.Ends(EndLeft)
+	client.SetCloseReason(ReasonClientLeft)
 	ctx.SetConnectionClose()
 	return ending{status: statusLeft, left: true}
 }
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -65,4 +65,4 @@
 
 // wanted tells whether the client is still there. That it has gone reaches the engine behind whatever else has come: hundreds
 // may leave in one moment, and meanwhile a connection comes up or a try ends.
-func (r *request) wanted() bool { return !r.client.Left() }
+func (r *request) wanted() bool { return !r.client.Disconnected() }
--- a/internal/proxy/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -29,10 +29,10 @@
 
 func newClient() *client { return &client{left: make(chan struct{}), at: time.Now()} }
 
-func (c *client) LastRead() time.Time              { return c.at }
-func (c *client) Watch() (<-chan struct{}, func()) { return c.left, func() {} }
-func (c *client) Ends(reason string)               { c.ended = reason }
-func (c *client) Left() bool                       { return c.gone }
+func (c *client) LastRead() time.Time                        { return c.at }
+func (c *client) WatchDisconnect() (<-chan struct{}, func()) { return c.left, func() {} }
+func (c *client) SetCloseReason(reason string)               { c.ended = reason }
+func (c *client) Disconnected() bool                         { return c.gone }
 
 // broken is a router that fails.
 type broken struct{}
@@ -44,8 +44,8 @@
 
 func (module) Step(balancer.Millis, balancer.Event) []balancer.Action { return nil }
 
-func desk(r Router, count *counters.Counters) *Desk {
-	return NewDesk(Options{Router: r, Clock: clock.New(), Slack: 5, Count: count,
+func desk(r Router, count *counters.Counters) *Handler {
+	return NewHandler(Options{Router: r, Clock: clock.New(), DeadlineSlack: 5, Count: count,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Classes: []balancer.Class{{Name: "look"}}})
 }
 
@@ -65,7 +65,7 @@
 	count, c := &counters.Counters{}, newClient()
 	ctx := lookRequest(1000)
 	desk(broken{}, count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != 502 || c.ended != EndPanic || !ctx.Response.ConnectionClose() {
+	if ctx.Response.StatusCode() != 502 || c.ended != ReasonPanic || !ctx.Response.ConnectionClose() {
 		t.Errorf("status %d, connection ends by %q", ctx.Response.StatusCode(), c.ended)
 	}
 	if r := &count.Requests; r.Taken.Get() != 1 || r.Failed.Get() != 1 || r.Open.Get() != 0 {
@@ -101,7 +101,7 @@
 	close(c.left)
 	ctx := lookRequest(60_000)
 	desk(silentEngine(t, count), count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != statusLeft || c.ended != EndLeft || count.Requests.Left.Get() != 1 {
+	if ctx.Response.StatusCode() != statusLeft || c.ended != ReasonClientLeft || count.Requests.Left.Get() != 1 {
 		t.Errorf("status %d, ended %q, counted %s", ctx.Response.StatusCode(), c.ended, count.JSON())
 	}
 }
@@ -112,7 +112,7 @@
 	c.gone = true
 	ctx := lookRequest(60_000)
 	desk(broken{}, count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != statusLeft || c.ended != EndLeft || count.Requests.Left.Get() != 1 {
+	if ctx.Response.StatusCode() != statusLeft || c.ended != ReasonClientLeft || count.Requests.Left.Get() != 1 {
 		t.Errorf("status %d, ended %q, counted %s", ctx.Response.StatusCode(), c.ended, count.JSON())
 	}
 }
@@ -123,7 +123,7 @@
 	f.Add("POST", "/store", "1", "store", "480", "-1", "key")
 	f.Add("PUT", "//look", "", "look", "-1", "NaN", "")
 	classes := []balancer.Class{{Name: "look"}, {Name: "store", Idempotency: balancer.IdempotentWithKey}, {Name: "bill", Idempotency: balancer.NonIdempotent}}
-	d := NewDesk(Options{Clock: clock.New(), Classes: classes})
+	d := NewHandler(Options{Clock: clock.New(), Classes: classes})
 	f.Fuzz(func(t *testing.T, method, uri, id, class, deadline, hint, key string) {
 		var h fasthttp.RequestHeader
 		r := &request{desk: d, taken: taken{at: d.o.Clock.Now(), method: method, uri: []byte(uri), id: id, class: class,
@@ -194,7 +194,7 @@
 			r := &asked{to: silentEngine(t, count)}
 			d := desk(r, count)
 			d.classes["look"] = balancer.Class{Name: "look", Idempotency: balancer.NonIdempotent}
-			f, err := body.New(t.TempDir(), 1, 4, &count.Bodies).Begin(1)
+			f, err := body.New(t.TempDir(), 1, 4, &count.Bodies).Create(1)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -16,7 +16,7 @@
 
 // Stop begins a planned stop: no request is waited for beyond its last answer, and what is read after its last forward is
 // refused at once. A later call changes nothing.
-func (d *Desk) Stop(stop *drain.Schedule) {
+func (d *Handler) Drain(stop *drain.Schedule) {
 	if d.stop.CompareAndSwap(nil, stop) {
 		close(d.stopping)
 	}
@@ -24,7 +24,7 @@
 
 // tooLate refuses a request that was read after the planned stop's last forward; nil where it may go on. Nothing of it has
 // run, and another node has time for it.
-func (d *Desk) tooLate() *rejection {
+func (d *Handler) tooLate() *rejection {
 	stop := d.stop.Load()
 	if stop == nil || !stop.Reached(stop.LastForward, time.Now()) {
 		return nil
@@ -34,17 +34,17 @@
 
 // within gives the end of a request's time, no later than a planned stop allows: the guard must still come before the stop's
 // last answer.
-func (d *Desk) within(until balancer.Millis) balancer.Millis {
+func (d *Handler) within(until balancer.Millis) balancer.Millis {
 	stop := d.stop.Load()
 	if stop == nil {
 		return until
 	}
-	latest := d.o.Clock.At(stop.At(stop.LastAnswer)) - d.guardAfter()
+	latest := d.o.Clock.At(stop.At(stop.LastResponse)) - d.guardAfter()
 	return min(until, latest)
 }
 
 // guardAfter is how long after the end of a request's time the guard ends it, in milliseconds.
-func (d *Desk) guardAfter() balancer.Millis { return d.o.Slack + guardExtra }
+func (d *Handler) guardAfter() balancer.Millis { return d.o.DeadlineSlack + guardExtra }
 
 // shorten has a request that was in flight when a planned stop began end with it. It reports whether that is sooner than its
 // own deadline.
--- a/internal/proxy/takein.go
+++ b/internal/proxy/takein.go
@@ -47,7 +47,7 @@
 	kept := large(client)
 	return taken{
 		large:    kept.body(),
-		coming:   kept != nil && !kept.Whole(),
+		coming:   kept != nil && !kept.Complete(),
 		at:       c.At(client.LastRead()),
 		method:   string(h.Method()),
 		uri:      originForm(h.RequestURI()),
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -44,7 +44,7 @@
 	if !r.taken.coming {
 		return 0
 	}
-	return clock.Millis(body.Longest)
+	return clock.Millis(body.MaxTransferTime)
 }
 
 // upload reads what is still to come of a large body while the request is on its way. It tells how the request ended if its
@@ -57,7 +57,7 @@
 	status, code := client.(uploader).ReadBody(ctx, func() { early = len(r.answer) > 0 })
 	if code != "" {
 		r.drop() // no attempt has its last byte: nothing has run
-		client.Ends(EndBad)
+		client.SetCloseReason(ReasonBadRequest)
 		ctx.SetConnectionClose()
 		return &ending{status: status, rejected: code}
 	}
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -36,10 +36,10 @@
 
 // Options are one process's.
 type Options struct {
-	Name  string
-	All   map[string]string // addresses of all members that the whole is divided among, by name; the same everywhere
-	Start uint64            // of this process
-	Lease time.Duration     // how long a unit stays with its owner after the last grant
+	Name       string
+	Members    map[string]string // addresses of all members that the whole is divided among, by name; the same everywhere
+	Generation uint64            // of this process
+	LeaseTTL   time.Duration     // how long a unit stays with its owner after the last grant
 }
 
 // Kind is what a message asks.
@@ -52,19 +52,19 @@
 )
 
 // Out is a message to a member's process.
-type Out struct {
-	Kind Kind
-	To   string
-	For  uint64 // the process it is meant for; another one of that name drops it
-	Seq  uint32
+type OutgoingMessage struct {
+	Kind          Kind
+	To            string
+	ForGeneration uint64 // the process it is meant for; another one of that name drops it
+	Seq           uint32
 }
 
 // Share is what a process may use of the whole. Until is when the next lease runs out: from then on, if it is told nothing
 // newer, it may use After.
-type Share struct {
-	Value float64
-	Until time.Duration
-	After float64
+type Allocation struct {
+	Fraction      float64
+	ValidUntil    time.Duration
+	FractionAfter float64
 }
 
 // ask is a renewal under way.
@@ -96,7 +96,7 @@
 }
 
 // Shares is one process's state.
-type Shares struct {
+type Allocator struct {
 	o      Options
 	born   time.Duration
 	unit   float64
@@ -104,22 +104,22 @@
 	guards []*guard
 	owners []*owner
 	seq    uint32
-	out    []Out
+	out    []OutgoingMessage
 }
 
 // New makes the state of a process that has asked nobody yet, and therefore has nothing.
-func New(o Options, now time.Duration) *Shares {
-	all := slices.Sorted(maps.Keys(o.All))
+func New(o Options, now time.Duration) *Allocator {
+	all := slices.Sorted(maps.Keys(o.Members))
 	units := max(1, min(unitsMost, len(all)-1))
-	s := &Shares{o: o, born: now, unit: 1 / float64(len(all)*units), sum: Sum(o.All)}
+	s := &Allocator{o: o, born: now, unit: 1 / float64(len(all)*units), sum: MembersHash(o.Members)}
 	for _, name := range all {
 		if name == o.Name {
 			continue
 		}
-		if n := count(Guards(o.Name, all), name); n > 0 {
+		if n := count(Lessors(o.Name, all), name); n > 0 {
 			s.guards = append(s.guards, &guard{name: name, units: n, until: now, next: now})
 		}
-		if n := count(Guards(name, all), o.Name); n > 0 {
+		if n := count(Lessors(name, all), o.Name); n > 0 {
 			s.owners = append(s.owners, &owner{name: name, units: n})
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // Sum is a short name of a list of members: processes with different lists grant each other nothing.
-func Sum(all map[string]string) uint32 {
+func MembersHash(all map[string]string) uint32 {
 	d := xxhash.New()
 	for _, n := range slices.Sorted(maps.Keys(all)) {
 		_, _ = d.WriteString(n + "\x00" + all[n] + "\x00")
@@ -146,7 +146,7 @@
 }
 
 // Guards are the members that guard one's units, by rendezvous hashing: the same at every process.
-func Guards(name string, all []string) []string {
+func Lessors(name string, all []string) []string {
 	type ranked struct {
 		name string
 		at   uint64
@@ -166,7 +166,7 @@
 }
 
 // Partners are the members whose end this process wants to know, and who want to know its own.
-func (s *Shares) Partners() []string {
+func (s *Allocator) Peers() []string {
 	var out []string
 	for _, g := range s.guards {
 		out = append(out, g.name)
@@ -180,21 +180,21 @@
 
 // Seen says that a process of a member is there. It counts at the member's own address alone: the kernel gives that to one
 // process at a time, so that a later one there proves that the earlier has ended, and one elsewhere has no part in this.
-func (s *Shares) Seen(now time.Duration, name string, start uint64, address string) {
+func (s *Allocator) MemberSeen(now time.Duration, name string, start uint64, address string) {
 	for _, g := range s.guards {
-		if g.name != name || start <= g.seen || address != s.o.All[name] {
+		if g.name != name || start <= g.seen || address != s.o.Members[name] {
 			continue
 		}
 		g.seen, g.next = start, now
 		if g.bound != 0 && start > g.bound {
 			// It grants nothing before its own first lease is over; until it is asked, nothing changes hands.
-			g.sole, g.next = true, now+s.longLease()+s.o.Lease/renewals
+			g.sole, g.next = true, now+s.longLease()+s.o.LeaseTTL/renewals
 		}
 	}
 }
 
 // Ended says that a process has ended, by proof: its kernel closed the connection that it never closes itself.
-func (s *Shares) Ended(name string, start uint64) {
+func (s *Allocator) ProcessEnded(name string, start uint64) {
 	for _, g := range s.guards {
 		if g.name == name && g.bound == start {
 			g.sole = true
@@ -208,55 +208,55 @@
 }
 
 // longLease is the guard's span: the owner's, by a clock that may run faster.
-func (s *Shares) longLease() time.Duration {
-	return time.Duration(float64(s.o.Lease)*(1+drift)/(1-drift)) + time.Millisecond
+func (s *Allocator) longLease() time.Duration {
+	return time.Duration(float64(s.o.LeaseTTL)*(1+drift)/(1-drift)) + time.Millisecond
 }
 
 // mine tells whether this process may use the units of a guard.
 func (g *guard) mine(now time.Duration) bool { return g.sole || now < g.until }
 
 // mine tells whether this process may use the units of an owner.
-func (s *Shares) inherits(o *owner, now time.Duration) bool {
+func (s *Allocator) inherits(o *owner, now time.Duration) bool {
 	return o.session != 0 && (o.ended || now-o.granted > s.longLease())
 }
 
 // Tick asks for the leases that are due.
-func (s *Shares) Tick(now time.Duration) {
+func (s *Allocator) Tick(now time.Duration) {
 	for _, g := range s.guards {
 		if now < g.next || g.seen == 0 || g.sole && g.seen <= g.bound {
 			continue // nobody to ask
 		}
 		if g.sole { // from the first word to it on, the new process may count on what it hears from us, and no longer
-			g.sole, g.bound, g.until = false, 0, now+s.o.Lease
+			g.sole, g.bound, g.until = false, 0, now+s.o.LeaseTTL
 		}
-		g.next = now + s.o.Lease/renewals
+		g.next = now + s.o.LeaseTTL/renewals
 		s.seq++
 		if len(g.asks) == keptAsks {
 			g.asks = g.asks[1:]
 		}
 		g.asks = append(g.asks, ask{s.seq, now, g.seen})
-		s.out = append(s.out, Out{Renew, g.name, g.seen, s.seq})
+		s.out = append(s.out, OutgoingMessage{Renew, g.name, g.seen, s.seq})
 	}
 }
 
 // Renewed takes an owner's wish for a lease. Where it is granted, this process does not use the units from this moment on: what
 // Take gives may be sent only once Share has been heeded.
-func (s *Shares) Renewed(now time.Duration, name string, from uint64, address string, to uint64, seq, sum uint32) {
-	if to != s.o.Start || sum != s.sum || now-s.born <= s.longLease() {
+func (s *Allocator) HandleRenew(now time.Duration, name string, from uint64, address string, to uint64, seq, sum uint32) {
+	if to != s.o.Generation || sum != s.sum || now-s.born <= s.longLease() {
 		return // what the process before this one granted must have run out
 	}
 	for _, o := range s.owners {
-		if o.name != name || address != s.o.All[name] || from < o.session || from == o.session && o.ended {
+		if o.name != name || address != s.o.Members[name] || from < o.session || from == o.session && o.ended {
 			continue
 		}
 		o.session, o.granted, o.ended = from, now, false
-		s.out = append(s.out, Out{Grant, name, from, seq})
+		s.out = append(s.out, OutgoingMessage{Grant, name, from, seq})
 	}
 }
 
 // Granted takes a guard's grant.
-func (s *Shares) Granted(name string, from, to uint64, seq uint32) {
-	if to != s.o.Start {
+func (s *Allocator) HandleGrant(name string, from, to uint64, seq uint32) {
+	if to != s.o.Generation {
 		return
 	}
 	for _, g := range s.guards {
@@ -268,41 +268,41 @@
 			g.bound = from
 		}
 		if g.bound == from {
-			g.until = max(g.until, g.asks[at].at+s.o.Lease)
+			g.until = max(g.until, g.asks[at].at+s.o.LeaseTTL)
 		}
 		g.asks = slices.Delete(g.asks, at, at+1)
 	}
 }
 
 // Share is what this process may use at a moment.
-func (s *Shares) Share(now time.Duration) Share {
+func (s *Allocator) Allocation(now time.Duration) Allocation {
 	const forEver = time.Duration(1<<63 - 1)
-	out := Share{Until: forEver}
+	out := Allocation{ValidUntil: forEver}
 	for _, g := range s.guards {
 		part := float64(g.units) * s.unit
 		if g.mine(now) {
-			out.Value += part
+			out.Fraction += part
 		}
 		if g.sole {
-			out.After += part
+			out.FractionAfter += part
 		} else if g.mine(now) {
-			out.Until = min(out.Until, g.until)
+			out.ValidUntil = min(out.ValidUntil, g.until)
 		}
 	}
 	for _, o := range s.owners {
 		if s.inherits(o, now) {
-			out.Value += float64(o.units) * s.unit
-			out.After += float64(o.units) * s.unit
+			out.Fraction += float64(o.units) * s.unit
+			out.FractionAfter += float64(o.units) * s.unit
 		}
 	}
-	if out.Until == forEver {
-		out.After = out.Value
+	if out.ValidUntil == forEver {
+		out.FractionAfter = out.Fraction
 	}
 	return out
 }
 
 // Take gives what is to be sent since the last call.
-func (s *Shares) Take() []Out {
+func (s *Allocator) TakeOutput() []OutgoingMessage {
 	out := s.out
 	s.out = nil
 	return out
@@ -310,30 +310,30 @@
 
 // Status tells of how many units each kind are, for whoever asks.
 type Status struct {
-	Share     float64  `json:"share"`
-	Whole     int      `json:"members"`      // that the whole is divided among
-	Leased    int      `json:"units_leased"` // own, by a guard's lease
-	Sole      int      `json:"units_sole"`   // own, since their guard's process has ended
-	Lapsed    []string `json:"lapsed,omitempty"`
-	Inherited []string `json:"inherited,omitempty"` // members whose units this process has
+	Fraction      float64  `json:"share"`
+	Members       int      `json:"members"`      // that the whole is divided among
+	UnitsLeased   int      `json:"units_leased"` // own, by a guard's lease
+	UnitsSole     int      `json:"units_sole"`   // own, since their guard's process has ended
+	LapsedLessors []string `json:"lapsed,omitempty"`
+	InheritedFrom []string `json:"inherited,omitempty"` // members whose units this process has
 }
 
 // Status tells everything at a moment.
-func (s *Shares) Status(now time.Duration) Status {
-	out := Status{Share: s.Share(now).Value, Whole: len(s.o.All)}
+func (s *Allocator) Status(now time.Duration) Status {
+	out := Status{Fraction: s.Allocation(now).Fraction, Members: len(s.o.Members)}
 	for _, g := range s.guards {
 		switch {
 		case g.sole:
-			out.Sole += g.units
+			out.UnitsSole += g.units
 		case g.mine(now):
-			out.Leased += g.units
+			out.UnitsLeased += g.units
 		default:
-			out.Lapsed = append(out.Lapsed, g.name)
+			out.LapsedLessors = append(out.LapsedLessors, g.name)
 		}
 	}
 	for _, o := range s.owners {
 		if s.inherits(o, now) {
-			out.Inherited = append(out.Inherited, o.name)
+			out.InheritedFrom = append(out.InheritedFrom, o.name)
 		}
 	}
 	return out
--- a/internal/quota/shares_test.go
+++ b/internal/quota/shares_test.go
@@ -27,7 +27,7 @@
 type proc struct {
 	name, address string
 	start         uint64
-	s             *Shares
+	s             *Allocator
 	rate          float64 // of its clock
 	zero          time.Duration
 	up, stopped   bool
@@ -81,7 +81,7 @@
 func (w *world) start(name, address string) *proc {
 	p := &proc{name: name, address: address, start: uint64(len(w.procs) + 1), rate: 1 + (w.rng.Float64()-0.5)*drift, up: true,
 		zero: time.Duration(w.rng.Int64N(int64(time.Hour)))}
-	p.s = New(Options{Name: name, All: w.all, Start: p.start, Lease: lease}, p.now(w))
+	p.s = New(Options{Name: name, Members: w.all, Generation: p.start, LeaseTTL: lease}, p.now(w))
 	w.procs = append(w.procs, p)
 	w.tick(p)
 	for _, q := range w.procs { // each hears of the others, sooner or later, or never
@@ -102,7 +102,7 @@
 			w.meet(p, q)
 			return
 		}
-		w.hand(p, func() { p.s.Seen(p.now(w), q.name, q.start, q.address) })
+		w.hand(p, func() { p.s.MemberSeen(p.now(w), q.name, q.start, q.address) })
 	})
 }
 
@@ -121,12 +121,12 @@
 		return
 	}
 	do()
-	for _, o := range p.s.Take() {
+	for _, o := range p.s.TakeOutput() {
 		w.send(p, o)
 	}
 }
 
-func (w *world) send(p *proc, o Out) {
+func (w *world) send(p *proc, o OutgoingMessage) {
 	copies := 1
 	if w.rng.IntN(10) == 0 {
 		copies = 2
@@ -146,9 +146,9 @@
 				}
 				w.hand(q, func() {
 					if o.Kind == Renew {
-						q.s.Renewed(q.now(w), p.name, p.start, p.address, o.For, o.Seq, Sum(w.all))
+						q.s.HandleRenew(q.now(w), p.name, p.start, p.address, o.ForGeneration, o.Seq, MembersHash(w.all))
 					} else {
-						q.s.Granted(p.name, p.start, o.For, o.Seq)
+						q.s.HandleGrant(p.name, p.start, o.ForGeneration, o.Seq)
 					}
 				})
 			}
@@ -176,7 +176,7 @@
 		case w.cut[[2]string{p.name, q.name}]:
 			w.after(time.Second, func() { w.fin(p, q) })
 		default:
-			w.hand(q, func() { q.s.Ended(p.name, p.start) })
+			w.hand(q, func() { q.s.ProcessEnded(p.name, p.start) })
 		}
 	})
 }
@@ -194,7 +194,7 @@
 	out := 0.0
 	for _, p := range w.procs {
 		if p.up && !p.stopped {
-			out += p.s.Share(p.now(w)).Value
+			out += p.s.Allocation(p.now(w)).Fraction
 		}
 	}
 	return out
@@ -307,7 +307,7 @@
 			w.cut[[2]string{"n00", other}] = true
 		}
 		w.run(10*time.Second, func() {})
-		if own := w.current("n00").s; own.Status(w.current("n00").now(w)).Leased > 0 || w.sum() < 0.9 { // what it guards for others is granted and never arrives
+		if own := w.current("n00").s; own.Status(w.current("n00").now(w)).UnitsLeased > 0 || w.sum() < 0.9 { // what it guards for others is granted and never arrives
 			t.Errorf("cut off it has %+v, all together %.3f", own.Status(w.current("n00").now(w)), w.sum())
 		}
 	}
@@ -339,30 +339,30 @@
 func TestListsAndStandstills(t *testing.T) {
 	two := map[string]string{"a": "a:1", "b": "b:1"}
 	three := map[string]string{"a": "a:1", "b": "b:1", "c": "c:1"}
-	a := New(Options{Name: "a", All: two, Start: 1, Lease: lease}, 0)
-	b := New(Options{Name: "b", All: three, Start: 2, Lease: lease}, 0)
+	a := New(Options{Name: "a", Members: two, Generation: 1, LeaseTTL: lease}, 0)
+	b := New(Options{Name: "b", Members: three, Generation: 2, LeaseTTL: lease}, 0)
 	at := 10 * time.Second
-	a.Seen(at, "b", 2, "b:1")
+	a.MemberSeen(at, "b", 2, "b:1")
 	a.Tick(at)
-	out := a.Take()
+	out := a.TakeOutput()
 	if len(out) != 1 {
 		t.Fatalf("asked %v", out)
 	}
-	b.Renewed(at, "a", 1, "a:1", 2, out[0].Seq, Sum(two))
-	if got := b.Take(); len(got) > 0 {
+	b.HandleRenew(at, "a", 1, "a:1", 2, out[0].Seq, MembersHash(two))
+	if got := b.TakeOutput(); len(got) > 0 {
 		t.Errorf("granted %v to a member with another list", got)
 	}
-	b = New(Options{Name: "b", All: two, Start: 2, Lease: lease}, 0)
-	b.Renewed(at, "a", 1, "a:1", 2, out[0].Seq, Sum(two))
-	g := b.Take()
+	b = New(Options{Name: "b", Members: two, Generation: 2, LeaseTTL: lease}, 0)
+	b.HandleRenew(at, "a", 1, "a:1", 2, out[0].Seq, MembersHash(two))
+	g := b.TakeOutput()
 	if len(g) != 1 {
 		t.Fatalf("granted %v", g)
 	}
-	a.Granted("b", 2, g[0].For, g[0].Seq)
-	if s := a.Share(at + lease - 1); s.Value != 0.5 || s.Until != at+lease || s.After != 0 {
+	a.HandleGrant("b", 2, g[0].ForGeneration, g[0].Seq)
+	if s := a.Allocation(at + lease - 1); s.Fraction != 0.5 || s.ValidUntil != at+lease || s.FractionAfter != 0 {
 		t.Errorf("share %+v", s)
 	}
-	if s := a.Share(at + lease); s.Value != 0 {
+	if s := a.Allocation(at + lease); s.Fraction != 0 {
 		t.Errorf("share %+v once the lease is over", s)
 	}
 }
--- a/internal/shadow/watch.go
+++ b/internal/shadow/watch.go
@@ -39,12 +39,12 @@
 	module *balancer.Balancer
 	other  atomic.Pointer[balancer.Settings]
 	log    *slog.Logger
-	count  *counters.Watch
+	count  *counters.Shadow
 	seen   map[balancer.RequestID]uint // kinds counted, a bit each: one that is held is decided on again and again
 }
 
 // New watches a module; with no settings to watch it only passes on.
-func New(module *balancer.Balancer, other *balancer.Settings, log *slog.Logger, count *counters.Watch) *Evaluator {
+func New(module *balancer.Balancer, other *balancer.Settings, log *slog.Logger, count *counters.Shadow) *Evaluator {
 	w := &Evaluator{module: module, log: log, count: count, seen: map[balancer.RequestID]uint{}}
 	w.Follow(other)
 	return w
--- a/internal/shadow/watch_test.go
+++ b/internal/shadow/watch_test.go
@@ -108,7 +108,7 @@
 	same, other := settings(), settings()
 	other.ProbesAllowed, other.Classes[0].Idempotency, other.CrossZonePrice = false, balancer.NonIdempotent, 0.5
 	for name, set := range map[string]*balancer.Settings{"the same": &same, "others": &other, "none": nil} {
-		count := &counters.Watch{}
+		count := &counters.Shadow{}
 		if got := play(New(newModule(t, settings()), set, slog.Default(), count), steps); !reflect.DeepEqual(got, alone) {
 			t.Errorf("%s watched: another stream of actions", name)
 		}
@@ -137,7 +137,7 @@
 		Sent:            func(b, _ *balancer.Settings) { b.Classes[0].LatencyObjective = 30 },
 		Queued:          func(b, _ *balancer.Settings) { b.ProbesAllowed = false },
 	} {
-		base, other, count := settings(), settings(), &counters.Watch{}
+		base, other, count := settings(), settings(), &counters.Shadow{}
 		change(&base, &other)
 		play(New(newModule(t, base), &other, slog.Default(), count), 6000) // enough for the rarest kind to come up
 		if count.Differ.Get(kind) == 0 {
@@ -149,7 +149,7 @@
 
 // Guards against a class that the settings watched do not name, and against following others in mid-run.
 func TestOtherClassesAndAChange(t *testing.T) {
-	other, count := settings(), &counters.Watch{}
+	other, count := settings(), &counters.Shadow{}
 	other.Classes = other.Classes[1:]
 	w := New(newModule(t, settings()), nil, slog.Default(), count)
 	play(w, 500)
@@ -168,7 +168,7 @@
 	for name, set := range map[string]*balancer.Settings{"off": nil, "on": &same} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
-			play(New(newModule(b, settings()), set, slog.Default(), &counters.Watch{}), b.N)
+			play(New(newModule(b, settings()), set, slog.Default(), &counters.Shadow{}), b.N)
 		})
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -22,7 +22,7 @@
 }
 
 // Ended reports whether the peer's end has come or the connection has broken, whatever lies before it unread.
-func Ended(fd uintptr) bool {
+func PeerClosed(fd uintptr) bool {
 	return poll(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
@@ -56,13 +56,13 @@
 var broken = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 
 // IsLocal reports whether a connection did not come up for a reason of this machine's: it says nothing of who was called.
-func IsLocal(err error) bool { return IsShort(err) || is(err, noNetwork) }
+func IsLocalFailure(err error) bool { return IsResourceExhausted(err) || is(err, noNetwork) }
 
 // IsShort reports whether the system had no room for a call.
-func IsShort(err error) bool { return is(err, noResource) }
+func IsResourceExhausted(err error) bool { return is(err, noResource) }
 
 // IsBroken reports whether an error of accept(2) says that the listener is of no use any more.
-func IsBroken(err error) bool { return is(err, broken) }
+func IsListenerBroken(err error) bool { return is(err, broken) }
 
 func is(err error, any []syscall.Errno) bool {
 	var errno syscall.Errno
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -48,8 +48,8 @@
 	defer func() { _ = near.Close() }()
 	c := near.(*net.TCPConn)
 	descriptor(t, c, func(fd uintptr) {
-		if _, err := Peek(fd); !errors.Is(err, syscall.EAGAIN) || Ended(fd) {
-			t.Errorf("on a silent connection: %v, ended %v", err, Ended(fd))
+		if _, err := Peek(fd); !errors.Is(err, syscall.EAGAIN) || PeerClosed(fd) {
+			t.Errorf("on a silent connection: %v, ended %v", err, PeerClosed(fd))
 		}
 	})
 	_, werr := far.Write([]byte("x"))
@@ -62,7 +62,7 @@
 		}
 		descriptor(t, c, func(fd uintptr) {
 			n, err := Peek(fd)
-			seen = n == 1 && err == nil && Ended(fd)
+			seen = n == 1 && err == nil && PeerClosed(fd)
 		})
 	}
 }
@@ -81,11 +81,11 @@
 		{syscall.ECONNABORTED, false, false, false}, {syscall.EBADF, false, false, true},
 	} {
 		err := wrap(c.errno)
-		if IsLocal(err) != c.local || IsShort(err) != c.short || IsBroken(err) != c.broken {
-			t.Errorf("%v: local %v, short %v, broken %v", c.errno, IsLocal(err), IsShort(err), IsBroken(err))
+		if IsLocalFailure(err) != c.local || IsResourceExhausted(err) != c.short || IsListenerBroken(err) != c.broken {
+			t.Errorf("%v: local %v, short %v, broken %v", c.errno, IsLocalFailure(err), IsResourceExhausted(err), IsListenerBroken(err))
 		}
 	}
-	if IsLocal(errors.New("text alone")) {
+	if IsLocalFailure(errors.New("text alone")) {
 		t.Error("an error without a number is taken for one")
 	}
 }
--- a/internal/statefile/format_test.go
+++ b/internal/statefile/format_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("%s: read %q (%v, passed over %v), want %q", name, data, err, skipped, want)
 		}
 	}
-	if _, skipped, err := New(OS{}, dir, "other", 1).Load(); !errors.Is(err, ErrNone) || len(skipped) != 0 {
+	if _, skipped, err := New(OS{}, dir, "other", 1).Load(); !errors.Is(err, ErrNoState) || len(skipped) != 0 {
 		t.Errorf("another kind of state: %v, passed over %v", err, skipped)
 	}
 }
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -18,7 +18,7 @@
 
 // Keep is how many generations stay. Two would do for a kill at any moment; the third is for whoever wants to see what
 // was before.
-const Keep = 3
+const KeptGenerations = 3
 
 // maxBytes bounds what is read: a state of ten thousand servers has four megabytes.
 const maxBytes = 64 << 20
@@ -46,12 +46,12 @@
 }
 
 // ErrNone says that no generation could be used.
-var ErrNone = errors.New("no usable state")
+var ErrNoState = errors.New("no usable state")
 
 // Skipped is a generation that was passed over, and why.
 type Skipped struct {
 	File string
-	Why  error
+	Err  error
 }
 
 // New makes a store. States of another version are foreign.
@@ -79,7 +79,7 @@
 		}
 		skipped = append(skipped, Skipped{s.path(gen), err})
 	}
-	return nil, skipped, ErrNone
+	return nil, skipped, ErrNoState
 }
 
 // Save writes the next generation and takes the oldest away. After an error the generations before still stand.
@@ -108,7 +108,7 @@
 	if err != nil {
 		return
 	}
-	for _, gen := range gens[min(Keep, len(gens)):] {
+	for _, gen := range gens[min(KeptGenerations, len(gens)):] {
 		_ = s.fs.Remove(s.path(gen))
 	}
 }
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -131,10 +131,10 @@
 
 func TestForeignAndFailing(t *testing.T) {
 	dir := t.TempDir()
-	if _, _, err := New(OS{}, dir, "view", 1).Load(); !errors.Is(err, ErrNone) {
+	if _, _, err := New(OS{}, dir, "view", 1).Load(); !errors.Is(err, ErrNoState) {
 		t.Errorf("an empty folder: %v", err)
 	}
-	if _, _, err := New(OS{}, filepath.Join(dir, "none"), "view", 1).Load(); err == nil || errors.Is(err, ErrNone) {
+	if _, _, err := New(OS{}, filepath.Join(dir, "none"), "view", 1).Load(); err == nil || errors.Is(err, ErrNoState) {
 		t.Errorf("a missing folder: %v", err)
 	}
 	s := New(OS{}, dir, "view", 1)
@@ -144,16 +144,16 @@
 		}
 	}
 	names, _ := OS{}.ReadDir(dir)
-	if len(names) != Keep {
+	if len(names) != KeptGenerations {
 		t.Errorf("%d generations are kept: %v", len(names), names)
 	}
-	if _, skipped, err := New(OS{}, dir, "view", 2).Load(); !errors.Is(err, ErrNone) || len(skipped) != Keep {
+	if _, skipped, err := New(OS{}, dir, "view", 2).Load(); !errors.Is(err, ErrNoState) || len(skipped) != KeptGenerations {
 		t.Errorf("another version was taken: %v %v", skipped, err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "view.000000000099"), []byte("something else\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, skipped := load(t, dir); got != "5" || len(skipped) != 1 || !strings.Contains(skipped[0].Why.Error(), "foreign") {
+	if got, skipped := load(t, dir); got != "5" || len(skipped) != 1 || !strings.Contains(skipped[0].Err.Error(), "foreign") {
 		t.Errorf("beside a foreign file: %q %v", got, skipped)
 	}
 	full := New(&mortal{fail: errors.New("no space left on device")}, dir, "view", 1)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -139,7 +139,7 @@
 func (a *Attempt) exchange(c *conn, resp *fasthttp.Response) (answer, string, error) {
 	c.requests++
 	if err := a.write(c); err != nil {
-		a.unkept = errors.Is(err, body.ErrNoRoom) || errors.Is(err, body.ErrKeep) ||
+		a.unkept = errors.Is(err, body.ErrNoCapacity) || errors.Is(err, body.ErrStorage) ||
 			errors.Is(err, engine.ErrWriteDeadline) || errors.Is(err, engine.ErrClientGone)
 		a.mu.Lock()
 		a.writing = false // the last byte was never written: the server cannot have begun
@@ -237,5 +237,5 @@
 
 // isLimit tells whether nothing was sent for a reason of our own: our limits, our machine's, or a server that has just left.
 func isLimit(err error) bool {
-	return errors.Is(err, errRoom) || errors.Is(err, errAddress) || socket.IsLocal(err)
+	return errors.Is(err, errRoom) || errors.Is(err, errAddress) || socket.IsLocalFailure(err)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -29,18 +29,18 @@
 
 // Options are what a pool works with.
 type Options struct {
-	Addresses Addresses
-	Connect   time.Duration           // the settings' limit for a connection to come up
-	Idle      time.Duration           // the settings' idle time; 0: none stated
-	Probe     time.Duration           // a probe's time
-	Most      int                     // connections in all
-	Each      int                     // connections to one server
-	Spare     int                     // of these, idle ones; 0: as many as there are
-	Reports   bool                    // servers report their load
-	Waiting   bool                    // ... with the requests that wait
-	Gone      func(balancer.ServerID) // an idle connection to it is no more; called from any goroutine, may wait. Nil: nobody asks
-	Log       *slog.Logger
-	Count     *counters.Counters
+	Addresses         Addresses
+	ConnectTimeout    time.Duration           // the settings' limit for a connection to come up
+	IdleTimeout       time.Duration           // the settings' idle time; 0: none stated
+	ProbeTimeout      time.Duration           // a probe's time
+	MaxConns          int                     // connections in all
+	MaxConnsPerServer int                     // connections to one server
+	MaxIdlePerServer  int                     // of these, idle ones; 0: as many as there are
+	LoadReports       bool                    // servers report their load
+	QueueReports      bool                    // ... with the requests that wait
+	OnIdleClosed      func(balancer.ServerID) // an idle connection to it is no more; called from any goroutine, may wait. Nil: nobody asks
+	Log               *slog.Logger
+	Count             *counters.Counters
 }
 
 // Pool holds the connections.
@@ -57,12 +57,12 @@
 
 // New makes a pool.
 func New(o Options) *Pool {
-	return &Pool{o: o, dialer: net.Dialer{Timeout: o.Connect, KeepAlive: -1, Control: faults.Connect},
+	return &Pool{o: o, dialer: net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1, Control: faults.Connect},
 		parts: 1, idle: map[balancer.ServerID][]*conn{}, held: map[balancer.ServerID]int{}}
 }
 
 // Share has the limits shared by so many processes. What is open beyond it ends as it falls idle.
-func (p *Pool) Share(processes int) {
+func (p *Pool) SetProcessCount(processes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.parts = processes
@@ -119,7 +119,7 @@
 
 // stale tells whether an idle connection has stood so long that the server may close it.
 func (p *Pool) stale(c *conn) bool {
-	limit := time.Duration(float64(p.o.Idle) * idleShare)
+	limit := time.Duration(float64(p.o.IdleTimeout) * idleShare)
 	return limit > 0 && time.Since(c.idleSince) > limit
 }
 
@@ -151,12 +151,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[c.id] = append(p.idle[c.id], c)
-	if list := p.idle[c.id]; p.o.Spare > 0 && len(list) > p.o.Spare { // a server holds only so many, of all nodes together
+	if list := p.idle[c.id]; p.o.MaxIdlePerServer > 0 && len(list) > p.o.MaxIdlePerServer { // a server holds only so many, of all nodes together
 		p.idle[c.id] = append([]*conn(nil), list[1:]...)
 		go p.drop(list[0], endSpare, nil) // it takes the lock
 		return
 	}
-	if p.total <= p.o.Most/p.parts {
+	if p.total <= p.o.MaxConns/p.parts {
 		return
 	}
 	if victim := p.longestIdle(); victim != nil { // there is another process now
@@ -167,12 +167,12 @@
 // reserve makes room for a connection, at the cost of the one longest idle where the limit is reached.
 func (p *Pool) reserve(id balancer.ServerID) bool {
 	p.mu.Lock()
-	if p.held[id] >= max(1, p.o.Each/p.parts) {
+	if p.held[id] >= max(1, p.o.MaxConnsPerServer/p.parts) {
 		p.mu.Unlock()
 		return false
 	}
 	var victim *conn
-	if p.total >= p.o.Most/p.parts {
+	if p.total >= p.o.MaxConns/p.parts {
 		if victim = p.longestIdle(); victim == nil {
 			p.mu.Unlock()
 			return false
@@ -231,9 +231,9 @@
 	switch {
 	case ctx.Err() != nil:
 		return endGaveUp
-	case socket.IsShort(err):
+	case socket.IsResourceExhausted(err):
 		return endEvicted
-	case socket.IsLocal(err):
+	case socket.IsLocalFailure(err):
 		return endLocal
 	case errors.As(err, &ne) && ne.Timeout(): // the dialer's own error, not the one of a connection's deadline
 		return endNoConnect
@@ -252,8 +252,8 @@
 // drop ends a connection that was taken to stand open for the next request.
 func (p *Pool) drop(c *conn, reason string, err error) {
 	p.end(c, reason, err)
-	if p.o.Gone != nil {
-		p.o.Gone(c.id)
+	if p.o.OnIdleClosed != nil {
+		p.o.OnIdleClosed(c.id)
 	}
 }
 
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -23,7 +23,7 @@
 	defer p.recovered(func() {
 		done(engine.Completion{Outcome: balancer.ConnectionLost, Elapsed: clock.Millis(time.Since(began))})
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), p.o.Probe)
+	ctx, cancel := context.WithTimeout(context.Background(), p.o.ProbeTimeout)
 	defer cancel()
 	end := p.ask(ctx, server)
 	end.Elapsed = clock.Millis(time.Since(began))
@@ -110,7 +110,7 @@
 // probeBytes is the probe's request: with the load report where there are any.
 func (p *Pool) probeBytes(addr string) []byte {
 	path := "/ping"
-	if p.o.Reports {
+	if p.o.LoadReports {
 		path = "/_load"
 	}
 	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
--- a/internal/upstream/report.go
+++ b/internal/upstream/report.go
@@ -21,18 +21,18 @@
 var waitingNames = [][]byte{[]byte("queue"), []byte("depth")}
 
 // Load reads a report that came by another protocol.
-func (p *Pool) Load(text []byte) balancer.LoadReport { return p.load(text, false) }
+func (p *Pool) ParseLoad(text []byte) balancer.LoadReport { return p.load(text, false) }
 
 // load reads a report: an optional format word, then name=value pairs between commas. One that holds no figure
 // we know is counted, and counts as none. An answer need not carry one; a probe's body should.
 func (p *Pool) load(text []byte, expected bool) balancer.LoadReport {
-	if !p.o.Reports || len(text) == 0 && !expected {
+	if !p.o.LoadReports || len(text) == 0 && !expected {
 		return balancer.LoadReport{}
 	}
 	if n, ok := parseLoad(text); ok {
 		p.o.Count.Reports.Read.Inc()
 		load := balancer.LoadReport{Valid: true, InFlight: n}
-		if p.o.Waiting {
+		if p.o.QueueReports {
 			load.Queued, load.QueueKnown = figure(text, waitingNames)
 		}
 		return load
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -56,7 +56,7 @@
 func (s *Stream) due() time.Time {
 	now := time.Now()
 	at := now.Add(stallMost)
-	if s.until.IsZero() || s.size > body.Small || s.until.After(at) {
+	if s.until.IsZero() || s.size > body.MaxInMemory || s.until.After(at) {
 		return at
 	}
 	if late := now.Add(stallLate); late.After(s.until) {
@@ -79,7 +79,7 @@
 	n, err := s.body.Read(p)
 	s.got += int64(n)
 	switch {
-	case s.got > body.Most:
+	case s.got > body.MaxSize:
 		s.err = errLarge
 	case errors.Is(err, io.EOF):
 		s.end = true
@@ -138,13 +138,13 @@
 	if from == nil {
 		from, size = eof{}, 0
 	}
-	if size > body.Most {
+	if size > body.MaxSize {
 		return answer{}, endBadAnswer, errLarge
 	}
 	s := &Stream{pool: p, conn: c, resp: resp, body: from, size: max(-1, size)}
 	var a answer
 	var err error
-	if size > body.Small {
+	if size > body.MaxInMemory {
 		a.body = make([]byte, firstPiece)
 		var n int
 		if n, err = io.ReadAtLeast(s, a.body, 1); err != nil {
@@ -193,7 +193,7 @@
 		if began.IsZero() {
 			began = time.Now()
 		}
-		if s.size < 0 && (len(b) > body.Small || time.Since(began) > holdMost) {
+		if s.size < 0 && (len(b) > body.MaxInMemory || time.Since(began) > holdMost) {
 			return b, nil
 		}
 	}
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -36,7 +36,7 @@
 
 // FuzzAnswer holds what is read of an answer against the standard library: whatever is taken for whole must be so there.
 func FuzzAnswer(f *testing.F) {
-	big := bytes.Repeat([]byte("x"), body.Small+1)
+	big := bytes.Repeat([]byte("x"), body.MaxInMemory+1)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n0\r\nX: y\r\n\r\n"))
 	f.Add(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), big...))
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -141,8 +141,8 @@
 
 func testPool(a addresses, most, each int) (*Pool, *counters.Counters) {
 	count := &counters.Counters{}
-	return New(Options{Addresses: a, Connect: time.Second, Idle: time.Minute, Probe: time.Second, Most: most,
-		Each: each, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count}), count
+	return New(Options{Addresses: a, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ProbeTimeout: time.Second, MaxConns: most,
+		MaxConnsPerServer: each, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count}), count
 }
 
 func mustGet(t *testing.T, p *Pool, id balancer.ServerID) *conn {
@@ -479,7 +479,7 @@
 	for spare, want := range map[int]int64{0: 3, 1: 1, 2: 2} {
 		addr, _ := listener(t)
 		p, count := testPool(addresses{"s": addr}, 8, 8)
-		p.o.Spare = spare
+		p.o.MaxIdlePerServer = spare
 		var held []*conn
 		for range 3 {
 			held = append(held, mustGet(t, p, "s"))
@@ -503,7 +503,7 @@
 	addr, _ := listener(t)
 	p, _ := testPool(addresses{"s1": addr, "s2": addr}, 8, 8)
 	gone := map[balancer.ServerID]int{}
-	p.o.Gone = func(id balancer.ServerID) { gone[id]++ }
+	p.o.OnIdleClosed = func(id balancer.ServerID) { gone[id]++ }
 	one, two, three := mustGet(t, p, "s1"), mustGet(t, p, "s1"), mustGet(t, p, "s1")
 	for _, c := range []*conn{one, two, three} {
 		p.put(c)
--- a/lab/backend/writer.go
+++ b/lab/backend/writer.go
@@ -67,7 +67,7 @@
 	var out []inventory.Server
 	for _, m := range w.f.members(node) {
 		if w.f.coapAt(m.HostPort, node) {
-			m.HostPort = inventory.SchemeCoap + m.HostPort
+			m.HostPort = inventory.SchemeCoAP + m.HostPort
 		}
 		s := inventory.Server{ID: m.ID, Address: m.HostPort, Zone: m.Locality, Pod: fmt.Sprintf("pod-%03d", m.Cell), Size: m.Size,
 			Phase: inventory.Serving, Extra: map[string]string{"rewrite": fmt.Sprint(w.rng.IntN(1 << 30))}}
