--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -152,7 +152,7 @@
 					return
 				}
 				began := time.Now()
-				st, _, err := cluster.Ask(path)
+				st, _, err := cluster.QueryStatus(path)
 				if err == nil && time.Since(began) < answerIn {
 					r.mesh.sample(i, st, r.start)
 				}
@@ -164,7 +164,7 @@
 
 func (m *meshed) sample(node int, st cluster.Status, start time.Time) {
 	at := time.Since(start)
-	s := audit.MemberSample{At: at, Node: node, Start: st.Start, View: st.View.Number, Whole: st.Condition == membership.Whole}
+	s := audit.MemberSample{At: at, Node: node, Start: st.Generation, View: st.View.Number, Whole: st.Connectivity == membership.Connected}
 	for i := range 64 {
 		for _, name := range st.View.Members {
 			if name == "n"+strconv.Itoa(i) {
@@ -175,21 +175,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.samples = append(m.samples, s)
-	if st.Shares == nil {
+	if st.Quota == nil {
 		return
 	}
-	key := [2]uint64{uint64(node), st.Start}
-	for _, h := range st.Shares.Told {
+	key := [2]uint64{uint64(node), st.Generation}
+	for _, h := range st.Quota.Allocations {
 		if h.At <= m.told[key] {
 			continue
 		}
 		m.told[key] = h.At
 		until := audit.ForEver
-		if h.Until != math.MaxInt64 {
-			until = time.Duration(h.Until - start.UnixNano())
+		if h.ValidUntil != math.MaxInt64 {
+			until = time.Duration(h.ValidUntil - start.UnixNano())
 		}
-		m.shares = append(m.shares, audit.ShareTold{Node: node, Start: st.Start, At: time.Duration(h.At - start.UnixNano()), Value: h.Value,
-			Until: until, After: h.After})
+		m.shares = append(m.shares, audit.ShareTold{Node: node, Start: st.Generation, At: time.Duration(h.At - start.UnixNano()), Value: h.Fraction,
+			Until: until, After: h.FractionAfter})
 	}
 }
 
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -51,7 +51,7 @@
 	start   uint64
 	held    []func()      // what came while it stood still
 	offset  time.Duration // of its clock: each has its own zero
-	Notes   []membership.Note
+	Notes   []membership.Event
 }
 
 // heldMost is what a stopped process's socket holds.
@@ -110,14 +110,14 @@
 
 // introduce has everybody take everybody in, as after a full exchange.
 func (s *Sim) introduce() {
-	var news []membership.Item
+	var news []membership.Update
 	for i, n := range s.nodes {
-		news = append(news, membership.Item{Name: name(i), Start: n.start, State: membership.Alive, Address: address(i)})
+		news = append(news, membership.Update{Name: name(i), Generation: n.start, State: membership.Alive, Address: address(i)})
 	}
 	for i, n := range s.nodes {
 		from := (i + 1) % len(s.nodes)
-		n.Core.Receive(s.local(i), &membership.Message{Kind: membership.FullReply, Version: membership.WireVersion, Cluster: 1, From: name(from),
-			Start: s.nodes[from].start, Address: address(from), News: news})
+		n.Core.Receive(s.local(i), &membership.Message{Kind: membership.SyncReply, Version: membership.WireVersion, ClusterHash: 1, From: name(from),
+			Generation: s.nodes[from].start, Address: address(from), Updates: news})
 	}
 }
 
@@ -138,9 +138,9 @@
 	n.process++
 	n.start++
 	n.up, n.stopped, n.held = true, false, nil
-	n.Core = membership.New(membership.Options{Name: name(i), Address: address(i), Cluster: 1, Start: n.start, Seed: s.o.Seed<<16 + uint64(i),
-		Period: s.o.Period, Timeout: s.o.Timeout, Suspicion: s.o.Suspicion, Most: 1024,
-		Seeds: []string{address(0), address(1 % s.o.Members)}}, s.local(i))
+	n.Core = membership.New(membership.Options{Name: name(i), Address: address(i), ClusterHash: 1, Generation: n.start, RandSeed: s.o.Seed<<16 + uint64(i),
+		ProbeInterval: s.o.Period, ProbeTimeout: s.o.Timeout, SuspicionTimeout: s.o.Suspicion, MaxMembers: 1024,
+		SeedAddresses: []string{address(0), address(1 % s.o.Members)}}, s.local(i))
 	s.tick(i, n.process, time.Duration(s.rng.Int64N(int64(s.o.Period/5))))
 }
 
@@ -243,7 +243,7 @@
 // carry takes what a core wants sent.
 func (s *Sim) carry(i int) {
 	n := s.nodes[i]
-	out, notes := n.Core.Take()
+	out, notes := n.Core.TakeOutput()
 	n.Notes = append(n.Notes, notes...)
 	for _, send := range out {
 		to := index(send.Address)
@@ -262,7 +262,7 @@
 			}
 		}
 		if send.Stream { // a connection needs both ways, and loses nothing
-			if m.Kind == membership.Full && !s.IsCut(i, to) && !s.IsCut(to, i) || m.Kind == membership.FullReply {
+			if m.Kind == membership.SyncRequest && !s.IsCut(i, to) && !s.IsCut(to, i) || m.Kind == membership.SyncReply {
 				s.deliver(to, m, 3*s.o.Delay+s.jitter())
 			}
 			continue
@@ -285,7 +285,7 @@
 }
 
 func (s *Sim) deliver(to int, m membership.Message, in time.Duration) {
-	m.News = slices.Clone(m.News)
+	m.Updates = slices.Clone(m.Updates)
 	s.at(in, func() {
 		n := s.nodes[to]
 		if n.up {
--- a/lab/membersim/schedules_test.go
+++ b/lab/membersim/schedules_test.go
@@ -81,7 +81,7 @@
 	}
 	s.Run(8 * time.Second)
 	for i := range n {
-		if c := s.Node(i).Core.Condition(); s.Up(i) && c != membership.Whole && len(s.Node(i).Core.View().Members) > 1 {
+		if c := s.Node(i).Core.Connectivity(); s.Up(i) && c != membership.Connected && len(s.Node(i).Core.View().Members) > 1 {
 			return fmt.Errorf("member %d holds itself for %v once all is whole", i, c)
 		}
 	}
@@ -131,7 +131,7 @@
 					hears++
 				}
 			}
-			if 2*hears > n && s.Up(i) && s.nodes[j].up && !s.Holds(i, j) && !s.nodes[i].Core.Condition().CutOff() {
+			if 2*hears > n && s.Up(i) && s.nodes[j].up && !s.Holds(i, j) && !s.nodes[i].Core.Connectivity().Isolated() {
 				out++
 			}
 		}
@@ -214,7 +214,7 @@
 			switch {
 			case span < 5*time.Second:
 			case stopped == n-1: // the one that is left cannot tell: it holds itself for cut off
-				if c := s.Node(n - 1).Core.Condition(); c != membership.Deaf {
+				if c := s.Node(n - 1).Core.Connectivity(); c != membership.InboundLost {
 					t.Errorf("the only one that goes on holds itself for %v", c)
 				}
 			case s.Holds(n-1, 0):
@@ -245,11 +245,11 @@
 			}
 		}
 		s.Run(8 * time.Second)
-		want := membership.Mute
+		want := membership.OutboundLost
 		if deaf {
-			want = membership.Deaf
+			want = membership.InboundLost
 		}
-		if c := s.Node(0).Core.Condition(); c != want {
+		if c := s.Node(0).Core.Connectivity(); c != want {
 			t.Errorf("deaf %v: it holds itself for %v", deaf, c)
 		}
 		for i := 1; i < n; i++ {
