--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,33 +72,33 @@
 	clock   clock.Clock
 	count   *counters.Counters
 	window  time.Duration
-	desk    *proxy.Desk
+	desk    *proxy.Handler
 	classes []balancer.Class
-	back    *back.Back
-	roster  *endpoints.Roster
-	catalog *discovery.Catalog
+	back    *back.Transport
+	roster  *endpoints.Directory
+	catalog *discovery.Client
 	pool    *upstream.Pool
 	engine  *engine.Engine
-	watch   *shadow.Watch // around the module
-	peers   *gossip.Link  // nil where nodes do not talk
+	watch   *shadow.Evaluator // around the module
+	peers   *gossip.Transport // nil where nodes do not talk
 	ingress *ingress.Server
-	door    *admin.Door // nil where staff have none
-	serving atomic.Bool // clients are taken in
+	door    *admin.Server // nil where staff have none
+	serving atomic.Bool   // clients are taken in
 	upgrade *upgrade
 	legacy  atomic.Pointer[balancer.State] // of the process before, until the list is told
 	each    int                            // connections on either side
 	ending  sync.WaitGroup
 
 	plan     drain.Plan       // of a planned stop
-	inFlight inflight.Account // the requests that were taken, whichever front has them
+	inFlight inflight.Tracker // the requests that were taken, whichever front has them
 
-	subsystems *subsystem.Set                 // what the operator file turns on
-	number     int                            // of the settings
-	carrier    atomic.Pointer[cluster.Teller] // of the module's messages; nil: peers, where there are any
+	subsystems *subsystem.Manager                  // what the operator file turns on
+	number     int                                 // of the settings
+	carrier    atomic.Pointer[cluster.Broadcaster] // of the module's messages; nil: peers, where there are any
 }
 
 func newNode(c config.Config, log *slog.Logger, count *counters.Counters) (*node, error) {
-	set := c.Settings.Logic
+	set := c.Settings.Balancer
 	module, err := balancer.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -107,7 +107,7 @@
 	files := max(fewestFiles, c.Limits.Sockets/filesPer)
 	own := reserve + files
 	if c.Operator != "" {
-		own += admin.Most + 1
+		own += admin.MaxConnections + 1
 	}
 	each := (c.Limits.Sockets - own) / 2
 	count.Operations = counters.Operations{}
@@ -116,67 +116,67 @@
 	}
 	n := &node{name: c.Name, number: set.Node, each: each, known: c.Known, clock: clk, count: count, window: longestWindow(set),
 		plan: drain.NewPlan(longest(set))}
-	n.catalog = discovery.New(discovery.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.Subscribe,
-		MustAsk: clock.Span(set.MustAskIn), Grace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
+	n.catalog = discovery.New(discovery.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.WatchEndpoints,
+		MaxPollInterval: clock.Span(set.WatchDeadline), DrainGrace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
 	n.roster = endpoints.New(n.catalog, lateNews{n})
-	n.pool = upstream.New(upstream.Options{Addresses: n.roster, Connect: clock.Span(connect(set)),
-		Idle: clock.Span(c.Settings.ConnIdle), Probe: probeTime, Most: each, Each: max(4, int(float64(each)*eachShare)), Spare: spare(set.Nodes),
-		Gone: func(id balancer.ServerID) { n.engine.Tell(balancer.Disconnected{Server: id}) }, Reports: set.Reports, Waiting: c.Settings.WaitingAt >= 0, Log: log, Count: count})
-	n.back = back.New(back.Options{Addresses: n.roster, NStart: nstart, Again: clock.Span(set.DrainGrace / 2),
-		ParseLoad: n.pool.Load, Log: log, Count: &count.CoapBack})
-	n.watch = shadow.New(module, c.Watch, log, &count.Watch)
+	n.pool = upstream.New(upstream.Options{Addresses: n.roster, ConnectTimeout: clock.Span(connect(set)),
+		IdleTimeout: clock.Span(c.Settings.ServerIdleTimeout), ProbeTimeout: probeTime, MaxConns: each, MaxConnsPerServer: max(4, int(float64(each)*eachShare)), MaxIdlePerServer: spare(set.Nodes),
+		OnIdleClosed: func(id balancer.ServerID) { n.engine.Post(balancer.ConnectionClosed{Server: id}) }, LoadReports: set.LoadReports, QueueReports: c.Settings.QueuedIndex >= 0, Log: log, Count: count})
+	n.back = back.New(back.Options{Resolver: n.roster, MaxExchanges: nstart, RetransmitWindow: clock.Span(set.DrainGrace / 2),
+		ParseLoad: n.pool.ParseLoad, Log: log, Count: &count.CoapServers})
+	n.watch = shadow.New(module, c.Watch, log, &count.Shadow)
 	if len(c.Peers) > 0 {
-		n.peers, err = gossip.Listen(gossip.Options{Node: set.Node, Nodes: c.Peers, To: lateNews{n}, Log: log, Count: &count.Peers})
+		n.peers, err = gossip.Listen(gossip.Options{Node: set.Node, Nodes: c.Peers, Receiver: lateNews{n}, Log: log, Counters: &count.Gossip})
 		if err != nil {
 			return nil, err
 		}
 	}
-	n.engine = engine.New(engine.Options{Module: n.watch, Clock: clk, Prober: n, Watcher: n.catalog, Teller: n,
-		MaxAttempts: set.MaxAttempts, Log: log, Count: count})
+	n.engine = engine.New(engine.Options{Module: n.watch, Clock: clk, Prober: n, EndpointWatcher: n.catalog, Broadcaster: n,
+		MaxAttempts: set.MaxAttempts, Log: log, Counters: count})
 	n.classes = set.Classes
-	bodies := body.New(os.Getenv("TMPDIR"), files, max(fewestFiles, int(c.Limits.MemoryMB*bodyShare*(1<<20))/body.Piece), &count.Bodies)
-	n.desk = proxy.NewDesk(proxy.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
-		Slack: c.Settings.AnswerSlack, Log: log, Count: count})
-	n.ingress = ingress.New(ingress.Options{Desk: n.desk, Bodies: bodies, Most: each, Aside: own / 2, InFlight: &n.inFlight, Log: log, Count: count,
-		Broken: func(l ingress.Listener, err error) {
+	bodies := body.New(os.Getenv("TMPDIR"), files, max(fewestFiles, int(c.Limits.MemoryMB*bodyShare*(1<<20))/body.BufferSize), &count.Bodies)
+	n.desk = proxy.NewHandler(proxy.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
+		DeadlineSlack: c.Settings.ResponseSlack, Log: log, Count: count})
+	n.ingress = ingress.New(ingress.Options{Handler: n.desk, Bodies: bodies, MaxConns: each, ReservedDescriptors: own / 2, InFlight: &n.inFlight, Log: log, Count: count,
+		OnListenerBroken: func(l ingress.Listener, err error) {
 			log.Error("the listener is broken, the node ends once all is answered", "code", "listener_broken", "error", err)
 			n.beginStop(n.plan.Start(time.Now()), l, "", log)
 		}})
 	return n, nil
 }
 
-func (n *node) send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
-	if n.back.Speaks(server) {
+func (n *node) send(server balancer.ServerID, c engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
+	if n.back.Handles(server) {
 		return n.back.Send(server, c, done)
 	}
 	return n.pool.Send(server, c, done)
 }
 
 // Probe asks a server for a sign of life, over the protocol that it speaks.
-func (n *node) Probe(server balancer.ServerID, done func(engine.End)) {
-	if n.back.Speaks(server) {
+func (n *node) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
+	if n.back.Handles(server) {
 		n.back.Probe(server, probeTime, done)
 		return
 	}
-	n.pool.Probe(server, done)
+	n.pool.ProbeLoad(server, done)
 }
 
 // lateNews hands the roster's news to the engine, which is made after it.
 type lateNews struct{ n *node }
 
 // ListNews tells the module.
-func (l lateNews) ListNews(list balancer.ServerList) {
-	l.n.engine.ListNews(list)
-	if len(list.Entries) == 0 { // the list itself may not have been taken over
+func (l lateNews) UpdateEndpoints(list balancer.EndpointUpdate) {
+	l.n.engine.UpdateEndpoints(list)
+	if len(list.Endpoints) == 0 { // the list itself may not have been taken over
 		return
 	}
 	if from := l.n.legacy.Swap(nil); from != nil { // of servers that the module has heard of by now
-		l.n.engine.Tell(balancer.Inherited{State: *from})
+		l.n.engine.Post(balancer.StateTransferred{State: *from})
 	}
 }
 
 // Hear tells the module.
-func (l lateNews) Hear(m balancer.Told) { l.n.engine.Hear(m) }
+func (l lateNews) ReceiveGossip(m balancer.GossipReceived) { l.n.engine.ReceiveGossip(m) }
 
 // start sets the engine and the pool going.
 func (n *node) start(ctx context.Context) {
@@ -196,37 +196,37 @@
 }
 
 // Ready tells staff whether this process serves clients and wants them.
-func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.Drained() }
+func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.AdminDrained() }
 
 // Figures are what staff are shown.
-func (n *node) Figures() []byte { return n.count.Figures() }
+func (n *node) Stats() []byte { return n.count.AdminSummary() }
 
 // Drain sends clients elsewhere, and Undrain welcomes them again; the process runs on.
 func (n *node) Drain() {
-	n.ingress.DrainByHand()
+	n.ingress.BeginAdminDrain()
 	n.upgrade.tellDrain(true)
 }
 
 // Undrain ends the drain by hand.
 func (n *node) Undrain() {
-	n.ingress.EndDrainByHand()
+	n.ingress.EndAdminDrain()
 	n.upgrade.tellDrain(false)
 }
 
 // Roster, Clock, Window and Counters are what the inventory needs.
-func (n *node) Roster() *endpoints.Roster { return n.roster }
+func (n *node) Endpoints() *endpoints.Directory { return n.roster }
 
 // Clock is the node's.
 func (n *node) Clock() clock.Clock { return n.clock }
 
 // Window is the longest time in which a keyed request's repeats are dropped.
-func (n *node) Window() time.Duration { return n.window }
+func (n *node) IdempotencyWindow() time.Duration { return n.window }
 
 // Number is the node's, by its settings.
 func (n *node) Number() int { return n.number }
 
 // Carry has the module's messages to other nodes go over a cluster's link, and with nil no longer.
-func (n *node) Carry(t cluster.Teller) {
+func (n *node) SetBroadcaster(t cluster.Broadcaster) {
 	if t == nil {
 		n.carrier.Store(nil)
 		return
@@ -235,16 +235,16 @@
 }
 
 // Tell passes a message of the module's on to the other nodes. It does not wait.
-func (n *node) Tell(body []byte) {
+func (n *node) Broadcast(body []byte) {
 	if t := n.carrier.Load(); t != nil {
-		(*t).Tell(body)
+		(*t).Broadcast(body)
 	} else if n.peers != nil {
-		n.peers.Tell(body)
+		n.peers.Broadcast(body)
 	}
 }
 
 // Hear tells the module what another node told.
-func (n *node) Hear(m balancer.Told) { n.engine.Hear(m) }
+func (n *node) ReceiveGossip(m balancer.GossipReceived) { n.engine.ReceiveGossip(m) }
 
 // TookOver tells whether another process of this node ran when this one started.
 func (n *node) TookOver() bool { return n.upgrade != nil && n.upgrade.heir != nil }
@@ -253,21 +253,21 @@
 func (n *node) Succeeded() bool { return n.upgrade != nil && n.upgrade.succeeded.Load() }
 
 // Inform tells the module what concerns the fleet as one; with heeded it returns once that is in force.
-func (n *node) Inform(event balancer.Event, heeded bool) {
-	n.engine.Tell(event)
+func (n *node) ApplyEvent(event balancer.Event, heeded bool) {
+	n.engine.Post(event)
 	if heeded {
-		n.engine.Between(func() {}) // after it in the mailbox
+		n.engine.RunBetweenSteps(func() {}) // after it in the mailbox
 	}
 }
 
 // Desk takes requests through the stages, whatever protocol they came by.
-func (n *node) Desk() front.Desk { return n.desk }
+func (n *node) Handler() front.Handler { return n.desk }
 
 // Classes are those of the settings.
 func (n *node) Classes() []balancer.Class { return n.classes }
 
 // InFlight accounts for the requests that the node has taken.
-func (n *node) InFlight() *inflight.Account { return &n.inFlight }
+func (n *node) InFlight() *inflight.Tracker { return &n.inFlight }
 
 // Name is the node's.
 func (n *node) Name() string { return n.name }
@@ -296,8 +296,8 @@
 func longestWindow(set balancer.Settings) time.Duration {
 	most := 0.0
 	for _, c := range set.Classes {
-		if c.Effect == balancer.Keyed {
-			most = max(most, c.Window)
+		if c.Idempotency == balancer.IdempotentWithKey {
+			most = max(most, c.DedupWindow)
 		}
 	}
 	return clock.Span(most)
@@ -307,7 +307,7 @@
 func longest(set balancer.Settings) time.Duration {
 	most := 0.0
 	for _, c := range set.Classes {
-		most = max(most, c.HardLimit)
+		most = max(most, c.TotalTimeout)
 	}
 	return clock.Span(most)
 }
