--- a/cmd/tackhub/coap_test.go
+++ b/cmd/tackhub/coap_test.go
@@ -296,7 +296,7 @@
 	_, addr := withCoap(t, "", s)
 	var all sync.WaitGroup
 	for d := range 8 {
-		bad := netfault.Params{Loss: 0.2, Jitter: 5 * time.Millisecond}
+		bad := netfault.Impairment{Loss: 0.2, Jitter: 5 * time.Millisecond}
 		c, _, _ := device(t, addr, netfault.NewLink(bad, bad, uint64(d+1)), coap.Options{AckTimeout: 60 * time.Millisecond, MaxRetransmit: 9, Duplicates: 1})
 		all.Go(func() {
 			for i := range 12 {
--- a/cmd/tacklab/compare.go
+++ b/cmd/tacklab/compare.go
@@ -25,8 +25,8 @@
 	{"worst tenant", func(f experiment.Figures) float64 { return f.WorstTenant }},
 	{"p50 ms", func(f experiment.Figures) float64 { return f.P50 }},
 	{"p99 ms", func(f experiment.Figures) float64 { return f.P99 }},
-	{"refused", func(f experiment.Figures) float64 { return f.Refused }},
-	{"failed", func(f experiment.Figures) float64 { return f.Failed + f.Lost + f.Unplaced }},
+	{"refused", func(f experiment.Figures) float64 { return f.Rejected }},
+	{"failed", func(f experiment.Figures) float64 { return f.Failed + f.Lost + f.NotConnected }},
 	{"work times", func(f experiment.Figures) float64 { return f.WorkTimes }},
 	{"memory MB", func(f experiment.Figures) float64 { return f.MemoryMB }},
 	{"cpu cores", func(f experiment.Figures) float64 { return f.CPU }},
@@ -64,7 +64,7 @@
 				return err
 			}
 			got[side] = append(got[side], r.Figures)
-			for rule, n := range r.BreachesN {
+			for rule, n := range r.BreachesByRule {
 				breaches[side][rule] += n
 			}
 			fmt.Printf("%s %s\n", string("AB"[side]), verdict(r))
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	if r.Verdict == experiment.VerdictVoid {
-		return nil, fmt.Errorf("run %s of seed %d is void: %s", string("AB"[side]), seed, r.Void)
+		return nil, fmt.Errorf("run %s of seed %d is void: %s", string("AB"[side]), seed, r.VoidReason)
 	}
 	return r, nil
 }
@@ -113,7 +113,7 @@
 		d := stats.Paired(a, b, confidence)
 		out[m.name] = d
 		mark := ""
-		if d.Clear() {
+		if d.ExcludesZero() {
 			mark = "  clear"
 		}
 		fmt.Printf("%-13s %10.4f %10.4f %+12.4f  [%+.4f, %+.4f]%s\n", m.name, stats.Mean(a, confidence).Mean, stats.Mean(b, confidence).Mean,
@@ -165,7 +165,7 @@
 				return err
 			}
 			if r.Verdict == experiment.VerdictVoid {
-				return fmt.Errorf("%s=%s is void: %s", c.Key, v, r.Void)
+				return fmt.Errorf("%s=%s is void: %s", c.Key, v, r.VoidReason)
 			}
 			fmt.Printf("%s=%s %s\n", c.Key, v, verdict(r))
 			worth, p99 = append(worth, r.Figures.Worth), append(p99, r.Figures.P99)
--- a/cmd/tacklab/demo.go
+++ b/cmd/tacklab/demo.go
@@ -33,7 +33,7 @@
 	fmt.Println("worth: the share of the requests' worth answered within its aim; excluded: servers that a node leaves out")
 	r, err := play(ctx, s, arm{Program: c.Program}, lines(s), func(nodes []string) {
 		fmt.Printf("\nTry it yourself while it runs, from another terminal:\n  curl -i -H 'X-Request-Id: %s' -H 'X-Class: still' -H 'X-Tenant: t000' -H 'X-Deadline-Ms: 400' 'http://%s/still?w=20000'\n"+
-			"  curl -s http://%s/_counters\n\n", backend.ID(1<<40, 0), nodes[0], nodes[0])
+			"  curl -s http://%s/_counters\n\n", backend.AttemptID(1<<40, 0), nodes[0], nodes[0])
 	})
 	if err != nil {
 		return err
--- a/cmd/tacklab/members.go
+++ b/cmd/tacklab/members.go
@@ -40,7 +40,7 @@
 			}
 			d := membersim.Detect(o, c.Kills)
 			fmt.Println(d)
-			points = append(points, plotter.XY{X: d.P99.Seconds(), Y: d.False})
+			points = append(points, plotter.XY{X: d.P99.Seconds(), Y: d.FalsePositives})
 		}
 		l, s, err := plotter.NewLinePoints(points)
 		if err != nil {
@@ -56,7 +56,7 @@
 		o := base
 		o.Members = n
 		k := membersim.Costs(o)
-		fmt.Printf("| %d | %.0f | %.1f | %.0f | %.2f s | %.3f%% |\n", n, k.Calm, k.Datagrams, k.Herd, k.Known.Seconds(), k.CPU*100)
+		fmt.Printf("| %d | %.0f | %.1f | %.0f | %.2f s | %.3f%% |\n", n, k.SteadyBytes, k.Datagrams, k.MassFailureBytes, k.DetectedAfter.Seconds(), k.CPU*100)
 	}
 	if c.Plot == "" {
 		return nil
--- a/cmd/tacklab/program.go
+++ b/cmd/tacklab/program.go
@@ -26,9 +26,9 @@
 		}
 		argv = []string{self, "baseline", "--policy", s.Nodes.Kind}
 		about = "baseline " + s.Nodes.Kind
-		if s.Nodes.Break != "" {
-			argv = append(argv, "--break", s.Nodes.Break)
-			about += " broken by " + s.Nodes.Break
+		if s.Nodes.Defect != "" {
+			argv = append(argv, "--break", s.Nodes.Defect)
+			about += " broken by " + s.Nodes.Defect
 		}
 		return argv, about, clean, nil
 	}
--- a/cmd/tacklab/run.go
+++ b/cmd/tacklab/run.go
@@ -84,8 +84,8 @@
 	}
 	defer clean()
 	var env []string
-	if s.Nodes.Edge != "" {
-		env = append(env, "TACKHUB_EDGE="+s.Nodes.Edge)
+	if s.Nodes.OperatorFile != "" {
+		env = append(env, "TACKHUB_EDGE="+s.Nodes.OperatorFile)
 	}
 	if a.Logs != "" {
 		if err := os.MkdirAll(a.Logs, 0o755); err != nil {
@@ -104,8 +104,8 @@
 			fmt.Printf("%6s %7s %6s %8s %8s %8s %7s  %s\n", "s", "asked", "worth", "p50 ms", "p99 ms", "refused", "failed", "excluded, events")
 			head = true
 		}
-		sort.Strings(p.Excluded)
-		notes := append([]string(nil), p.Excluded...)
+		sort.Strings(p.Ejected)
+		notes := append([]string(nil), p.Ejected...)
 		if n := len(p.Events); n > 4 {
 			p.Events = append(p.Events[:3], fmt.Sprintf("and %d more", n-3))
 		}
@@ -116,7 +116,7 @@
 		if p.At < s.Warmup {
 			warm = "(warm-up) "
 		}
-		fmt.Printf("%6.1f %7d %6.3f %8.1f %8.1f %8d %7d  %s%s\n", p.At.Seconds(), p.Asked, p.Worth, p.P50, p.P99, p.Refused,
+		fmt.Printf("%6.1f %7d %6.3f %8.1f %8.1f %8d %7d  %s%s\n", p.At.Seconds(), p.Asked, p.Worth, p.P50, p.P99, p.Rejected,
 			p.Failed, warm, strings.Join(notes, " "))
 	}
 }
@@ -130,11 +130,11 @@
 		}
 		fmt.Printf("rule %s broken at %.3fs: %s\n", b.Rule, b.At.Seconds(), b.Text)
 	}
-	for _, s := range r.Short {
+	for _, s := range r.Unmet {
 		fmt.Printf("short: %s\n", s)
 	}
-	if r.Void != "" {
-		fmt.Printf("void: %s\n", r.Void)
+	if r.VoidReason != "" {
+		fmt.Printf("void: %s\n", r.VoidReason)
 	}
 	fmt.Println(verdict(r))
 	switch r.Verdict {
@@ -143,21 +143,21 @@
 	case experiment.VerdictShort:
 		return errShort
 	}
-	return fmt.Errorf("%s is void: %s", r.Scenario, r.Void)
+	return fmt.Errorf("%s is void: %s", r.Scenario, r.VoidReason)
 }
 
 // verdict is the closing line.
 func verdict(r *experiment.Result) string {
 	f := r.Figures
 	out := fmt.Sprintf("verdict: %s, %s seed %d: worth %.4f worst-window %.4f worst-tenant %.4f p50 %.1fms p99 %.1fms refused %.4f failed %.4f tries %.2f rate %.0f/s breaches %d node %.1fMB %d fds %.2f cores rig-late %.2fms",
-		r.Verdict, r.Scenario, r.Seed, f.Worth, f.WorstWindow, f.WorstTenant, f.P50, f.P99, f.Refused, f.Failed+f.Lost+f.Unplaced,
-		f.Tries, f.Rate, len(r.Breaches), f.MemoryMB, f.Sockets, f.CPU, f.RigLate)
+		r.Verdict, r.Scenario, r.Seed, f.Worth, f.WorstWindow, f.WorstTenant, f.P50, f.P99, f.Rejected, f.Failed+f.Lost+f.NotConnected,
+		f.Attempts, f.Rate, len(r.Breaches), f.MemoryMB, f.Sockets, f.CPU, f.RigLate)
 	if f.Recovered != nil {
 		out += fmt.Sprintf(" recovered-after %.1fs", *f.Recovered)
 	}
 	if m := r.Members; m != nil {
 		out += fmt.Sprintf(" members: %d samples, noticed within %.1fs, healed in %.1fs, %d views, shares %.3f at most, %.3f in the mean, mesh %.0f B/s, %.3f cores at most",
-			m.Samples, m.Noticed, m.Healed, m.Views, m.Shares, m.SharesMean, f.MeshBytes, f.MostCPU)
+			m.Samples, m.Detection, m.Convergence, m.ViewChanges, m.QuotaMax, m.QuotaMean, f.MeshBytes, f.MaxCPU)
 	}
 	return out
 }
--- a/lab/audit/members_test.go
+++ b/lab/audit/members_test.go
@@ -9,17 +9,17 @@
 const sec = time.Second
 
 // record is 20 s of three nodes that hold all that they should: node 2 is killed from 5 to 12 s, out of the views from 8 s on.
-func record() Members {
-	m := Members{Nodes: 3, From: sec, Until: 20 * sec, Downs: []Down{{Node: 2, From: 5 * sec, To: 12 * sec}}}
-	m.Shares = []ShareTold{{Node: 0, Start: 1, At: 0, Value: 0.5, Until: ForEver, After: 0.5},
+func record() MembershipRecord {
+	m := MembershipRecord{Nodes: 3, From: sec, Until: 20 * sec, Downtimes: []Downtime{{Node: 2, From: 5 * sec, To: 12 * sec}}}
+	m.Quotas = []QuotaGrant{{Node: 0, Start: 1, At: 0, Value: 0.5, Until: Forever, After: 0.5},
 		{Node: 0, Start: 1, At: 4 * sec, Value: 0.6, Until: 9 * sec, After: 0.1},
-		{Node: 1, Start: 1, At: 0, Value: 0.4, Until: ForEver, After: 0.4}, {Node: 1, Start: 1, At: 9 * sec, Value: 0.9, Until: ForEver, After: 0.9}}
-	for at := At(0); at < 20*sec; at += 100 * time.Millisecond {
+		{Node: 1, Start: 1, At: 0, Value: 0.4, Until: Forever, After: 0.4}, {Node: 1, Start: 1, At: 9 * sec, Value: 0.9, Until: Forever, After: 0.9}}
+	for at := Offset(0); at < 20*sec; at += 100 * time.Millisecond {
 		for i := range 3 {
 			if i == 2 && at >= 5*sec && at < 12*sec {
 				continue
 			}
-			s := MemberSample{At: at, Node: i, Start: 1, View: 1, Members: []int{0, 1, 2}, Whole: true}
+			s := MemberSample{At: at, Node: i, Start: 1, View: 1, Members: []int{0, 1, 2}, HasMajority: true}
 			if at >= 8*sec && at < 13*sec && i != 2 {
 				s.Members, s.View = []int{0, 1}, 2
 			}
@@ -43,42 +43,42 @@
 
 // A record without fault passes, and each fault put into it is found under its own rule.
 func TestMembersAreJudged(t *testing.T) {
-	limits := MemberLimits{Notice: 5 * sec, Heal: 5 * sec}
+	limits := MemberLimits{DetectWithin: 5 * sec, ConvergeWithin: 5 * sec}
 	out, f := record().Judge(limits)
-	if len(out) > 0 || f.Noticed < 2.5 || f.Noticed > 3.1 || f.Healed < 0.5 || f.Healed > 1.1 || f.Views != 2 {
+	if len(out) > 0 || f.Detection < 2.5 || f.Detection > 3.1 || f.Convergence < 0.5 || f.Convergence > 1.1 || f.ViewChanges != 2 {
 		t.Errorf("breaches %v, figures %+v", out, f)
 	}
-	for rule, spoil := range map[string]func(m *Members){
-		"members-taken-out": func(m *Members) { // node 1 leaves node 0's view for a moment
+	for rule, spoil := range map[string]func(m *MembershipRecord){
+		"members-taken-out": func(m *MembershipRecord) { // node 1 leaves node 0's view for a moment
 			for k := range m.Samples {
 				if s := &m.Samples[k]; s.Node == 0 && s.At == 3*sec {
 					s.Members = []int{0, 2}
 				}
 			}
 		},
-		"members-noticed": func(m *Members) {
+		"members-noticed": func(m *MembershipRecord) {
 			for k := range m.Samples {
 				if s := &m.Samples[k]; s.Node == 0 && s.At < 12*sec {
 					s.Members, s.View = []int{0, 1, 2}, 1
 				}
 			}
 		},
-		"members-view": func(m *Members) {
+		"members-view": func(m *MembershipRecord) {
 			for k := range m.Samples {
 				if s := &m.Samples[k]; s.Node == 1 && s.At > 15*sec {
 					s.View = 2
 				}
 			}
 		},
-		"members-healed": func(m *Members) {
+		"members-healed": func(m *MembershipRecord) {
 			for k := range m.Samples {
 				if s := &m.Samples[k]; s.Node == 2 && s.At > 18*sec {
-					s.Members, s.Whole = []int{2}, false
+					s.Members, s.HasMajority = []int{2}, false
 				}
 			}
 		},
-		"shares": func(m *Members) {
-			m.Shares[1].Until = 10 * sec // node 1 has the rest from 9 s on
+		"shares": func(m *MembershipRecord) {
+			m.Quotas[1].Until = 10 * sec // node 1 has the rest from 9 s on
 		},
 	} {
 		m := record()
@@ -91,9 +91,9 @@
 
 // A cut on one side asks nothing of who cannot hear, a cut of all ways does, and a short standstill must leave no trace.
 func TestMembersBehindCuts(t *testing.T) {
-	limits := MemberLimits{Notice: 5 * sec, Heal: 5 * sec}
+	limits := MemberLimits{DetectWithin: 5 * sec, ConvergeWithin: 5 * sec}
 	m := record()
-	m.Downs = nil
+	m.Downtimes = nil
 	for k := range m.Samples {
 		m.Samples[k].Members, m.Samples[k].View = []int{0, 1, 2}, 1
 	}
@@ -105,7 +105,7 @@
 	if out, _ := m.Judge(limits); !slices.Equal(rules(out), []string{"members-noticed"}) {
 		t.Errorf("no way left: %v", out)
 	}
-	m.Links, m.Downs = nil, []Down{{Node: 2, From: 4 * sec, To: 6 * sec, Stopped: true}}
+	m.Links, m.Downtimes = nil, []Downtime{{Node: 2, From: 4 * sec, To: 6 * sec, Suspended: true}}
 	for k := range m.Samples {
 		if s := &m.Samples[k]; s.Node == 0 && s.At == 5*sec {
 			s.Members = []int{0, 1}
--- a/lab/backend/agent.go
+++ b/lab/backend/agent.go
@@ -15,45 +15,45 @@
 )
 
 // Agent is one node's discovery: it has what has reached it, tells it at once, and is silent while discovery is down.
-type Agent struct {
-	f    *Fleet
-	node int
-	l    net.Listener
-	srv  *http.Server
-
-	mu       sync.Mutex
-	revision int64
-	list     []Member
-	changes  []change // since the start, for watches from an older revision
-	news     chan struct{}
-	down     bool
-	wrong    bool
-	hold     time.Duration // further delay, while what it tells is stale
-	told     []audit.Told
-	coming   []Member  // changes on their way
-	due      time.Time // when the last of them is there
+type DiscoveryServer struct {
+	fleet    *Fleet
+	node     int
+	listener net.Listener
+	server   *http.Server
+
+	mu         sync.Mutex
+	revision   int64
+	list       []Member
+	changes    []change // since the start, for watches from an older revision
+	changed    chan struct{}
+	down       bool
+	invalid    bool
+	extraDelay time.Duration // further delay, while what it tells is stale
+	updates    []audit.ListUpdate
+	pending    []Member  // changes on their way
+	lastDue    time.Time // when the last of them is there
 }
 
 type change struct {
 	revision int64
-	m        Member
+	member   Member
 }
 
 // longestHold is the longest that a watch is held, by the protocol.
-const longestHold = 60 * time.Second
+const maxHold = 60 * time.Second
 
-func newAgent(f *Fleet, node int) (*Agent, error) {
+func newDiscoveryServer(f *Fleet, node int) (*DiscoveryServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	up, down := Impairment(f.s.Links.Discovery)
-	a := &Agent{f: f, node: node, l: l, revision: 1, list: f.members(node), news: make(chan struct{})}
+	up, down := Impairments(f.scenario.Links.Discovery)
+	a := &DiscoveryServer{fleet: f, node: node, listener: l, revision: 1, list: f.members(node), changed: make(chan struct{})}
 	if !up.Clean() || !down.Clean() {
-		a.l = linked{l, netfault.NewLink(down, up, f.s.Seed+uint64(node))}
+		a.listener = linked{l, netfault.NewLink(down, up, f.scenario.Seed+uint64(node))}
 	}
-	a.srv = &http.Server{Handler: a, ReadHeaderTimeout: time.Minute}
-	go func() { _ = a.srv.Serve(a.l) }()
+	a.server = &http.Server{Handler: a, ReadHeaderTimeout: time.Minute}
+	go func() { _ = a.server.Serve(a.listener) }()
 	return a, nil
 }
 
@@ -78,32 +78,32 @@
 	if err != nil {
 		return err
 	}
-	go func() { _ = f.agents[node].srv.Serve(l) }()
+	go func() { _ = f.discoveries[node].server.Serve(l) }()
 	return nil
 }
 
 // Addr is where the agent listens.
-func (a *Agent) Addr() string { return a.l.Addr().String() }
+func (a *DiscoveryServer) Addr() string { return a.listener.Addr().String() }
 
 // change lets a changed entry reach the agent after the list's delay. None overtakes one before it.
-func (a *Agent) change(m Member) {
+func (a *DiscoveryServer) enqueue(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	due := time.Now().Add(a.f.s.Nodes.Push + a.hold)
-	if due.Before(a.due) {
-		due = a.due
+	due := time.Now().Add(a.fleet.scenario.Nodes.DiscoveryDelay + a.extraDelay)
+	if due.Before(a.lastDue) {
+		due = a.lastDue
 	}
-	a.due = due
-	a.coming = append(a.coming, m)
-	time.AfterFunc(time.Until(due), a.learn)
+	a.lastDue = due
+	a.pending = append(a.pending, m)
+	time.AfterFunc(time.Until(due), a.applyNext)
 }
 
 // learn takes the change that has waited longest: timers that fire together may do so in any order.
-func (a *Agent) learn() {
+func (a *DiscoveryServer) applyNext() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	m := a.coming[0]
-	a.coming = a.coming[1:]
+	m := a.pending[0]
+	a.pending = a.pending[1:]
 	a.revision++
 	a.changes = append(a.changes, change{a.revision, m})
 	at := -1
@@ -125,47 +125,47 @@
 	default:
 		a.list = append(a.list, m)
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
 // apply carries out a fault of discovery.
-func (a *Agent) apply(e scenario.Event) error {
+func (a *DiscoveryServer) apply(e scenario.Event) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch e.Kind {
 	case "discovery-down":
 		a.down = !e.Ends
 	case "discovery-wrong":
-		a.wrong = !e.Ends
+		a.invalid = !e.Ends
 	case "discovery-stale":
-		a.hold = e.Fault.Delay
+		a.extraDelay = e.Fault.Delay
 		if e.Ends {
-			a.hold = 0
+			a.extraDelay = 0
 		}
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 	return nil
 }
 
 // ServeHTTP answers in the protocol's form.
-func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	watch := err == nil
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	end := time.NewTimer(min(time.Duration(hold)*time.Millisecond, longestHold))
+	end := time.NewTimer(min(time.Duration(hold)*time.Millisecond, maxHold))
 	defer end.Stop()
 	for over := false; ; {
 		a.mu.Lock()
-		news := a.news
-		if a.wrong {
+		news := a.changed
+		if a.invalid {
 			a.mu.Unlock()
 			_, _ = w.Write([]byte(`{"revision":3,"complete":true,"members":[{"id":"","host_port":`))
 			return
 		}
 		if !a.down && (!watch || from != a.revision || over) {
-			out, told := a.tell(from, watch)
+			out, told := a.response(from, watch)
 			a.mu.Unlock()
 			if _, err := w.Write(out); err != nil {
 				return
@@ -173,7 +173,7 @@
 			if f, ok := w.(http.Flusher); ok {
 				f.Flush()
 			}
-			a.note(told)
+			a.recordSent(told)
 			return
 		}
 		a.mu.Unlock()
@@ -188,7 +188,7 @@
 }
 
 // tell is the answer, and what it tells. The caller holds the lock.
-func (a *Agent) tell(from int64, watch bool) ([]byte, []Member) {
+func (a *DiscoveryServer) response(from int64, watch bool) ([]byte, []Member) {
 	out := struct {
 		Revision int64    `json:"revision"`
 		Complete bool     `json:"complete"`
@@ -202,12 +202,12 @@
 			if c.revision <= from {
 				continue
 			}
-			if i, ok := last[c.m.ID]; ok {
-				out.Members[i] = c.m
+			if i, ok := last[c.member.ID]; ok {
+				out.Members[i] = c.member
 				continue
 			}
-			last[c.m.ID] = len(out.Members)
-			out.Members = append(out.Members, c.m)
+			last[c.member.ID] = len(out.Members)
+			out.Members = append(out.Members, c.member)
 		}
 	}
 	raw, err := json.Marshal(out)
@@ -215,17 +215,17 @@
 		return []byte("{}"), nil // plain figures and texts: it cannot happen
 	}
 	if out.Complete { // what a whole list leaves out is told as gone
-		return raw, append(out.Members, a.gone()...)
+		return raw, append(out.Members, a.removed()...)
 	}
 	return raw, out.Members
 }
 
 // gone are the servers that were listed once and are no more. The caller holds the lock.
-func (a *Agent) gone() []Member {
+func (a *DiscoveryServer) removed() []Member {
 	var out []Member
 	for _, c := range a.changes {
-		if !slices.ContainsFunc(a.list, func(m Member) bool { return m.ID == c.m.ID }) {
-			m := c.m
+		if !slices.ContainsFunc(a.list, func(m Member) bool { return m.ID == c.member.ID }) {
+			m := c.member
 			m.Phase = phaseGone
 			out = append(out, m)
 		}
@@ -234,18 +234,18 @@
 }
 
 // note keeps when the node was told what.
-func (a *Agent) note(told []Member) {
+func (a *DiscoveryServer) recordSent(told []Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range told {
-		a.told = append(a.told, audit.Told{Node: a.node, Server: m.ID, Closed: m.Phase != phaseServing, At: a.f.at(time.Now())})
+		a.updates = append(a.updates, audit.ListUpdate{Node: a.node, Server: m.ID, Withdrawn: m.Phase != phaseServing, At: a.fleet.at(time.Now())})
 	}
 }
 
-func (a *Agent) toldAll() []audit.Told {
+func (a *DiscoveryServer) sentUpdates() []audit.ListUpdate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]audit.Told(nil), a.told...)
+	return append([]audit.ListUpdate(nil), a.updates...)
 }
 
-func (a *Agent) close() { _ = a.srv.Close() }
+func (a *DiscoveryServer) close() { _ = a.server.Close() }
--- a/lab/backend/coap.go
+++ b/lab/backend/coap.go
@@ -17,41 +17,41 @@
 )
 
 // box is a stand-in server's CoAP side for one node: a careful server, which knows repeats and puts blocks together.
-type box struct {
-	s       *Server
-	node    int
-	conn    net.PacketConn
-	table   *dedup.Table
-	uploads *blocks.Store
+type coapServer struct {
+	server     *Server
+	node       int
+	conn       net.PacketConn
+	duplicates *dedup.Table
+	uploads    *blocks.Store
 }
 
 // SpeaksCoap tells whether a server is listed by the scheme coap://.
 func (f *Fleet) speaksCoap(server int) bool {
-	return float64(server%10) < f.s.Fleet.Coap*10
+	return float64(server%10) < f.scenario.Fleet.Coap*10
 }
 
 // listenCoap opens the datagram socket beside the TCP one, at the same address. The caller holds the lock.
 func (s *Server) listenCoap(node int) error {
-	if !s.f.speaksCoap(s.index) {
+	if !s.fleet.speaksCoap(s.index) {
 		return nil
 	}
 	conn, err := net.ListenPacket("udp", s.addrs[node])
 	if err != nil {
 		return err
 	}
-	if l := s.f.links[s.index][node]; l != nil {
+	if l := s.fleet.links[s.index][node]; l != nil {
 		conn = l.WrapPacket(conn)
 	}
 	s.packets = append(s.packets, conn)
 	many := 1 << 20
-	b := &box{s: s, node: node, conn: conn, table: dedup.New(dedup.Limits{MaxEntries: many, MaxBytes: many << 8, MaxPerEndpoint: many}),
+	b := &coapServer{server: s, node: node, conn: conn, duplicates: dedup.New(dedup.Limits{MaxEntries: many, MaxBytes: many << 8, MaxPerEndpoint: many}),
 		uploads: blocks.New(blocks.Limits{MaxTransfers: many, MaxPerEndpoint: many, MaxBytes: many << 6, MaxBodyBytes: 64 << 10, IdleTimeout: time.Minute})}
 	go b.run()
 	return nil
 }
 
 // run reads datagrams. Repeats and blocks are this goroutine's; a request is worked on by one of its own.
-func (b *box) run() {
+func (b *coapServer) run() {
 	type answer struct {
 		key  dedup.Key
 		data []byte
@@ -66,7 +66,7 @@
 		}
 		for len(answers) > 0 {
 			a := <-answers
-			b.table.Complete(a.key, a.data, false)
+			b.duplicates.Complete(a.key, a.data, false)
 		}
 		m, err := wire.Decode(bytes.Clone(buf[:n]))
 		if err != nil || m.Type != wire.Con {
@@ -77,14 +77,14 @@
 			_, _ = b.conn.WriteTo(wire.Empty(wire.Rst, key.ID), from)
 			continue
 		}
-		v, stored, _ := b.table.Receive(time.Since(b.s.f.start), dedup.Message{Key: key, Confirmable: true, Fingerprint: dedup.Fingerprint(buf[:n])})
+		v, stored, _ := b.duplicates.Receive(time.Since(b.server.fleet.start), dedup.Message{Key: key, Confirmable: true, Fingerprint: dedup.Fingerprint(buf[:n])})
 		switch {
 		case v == dedup.Replay:
 			_, _ = b.conn.WriteTo(stored, from)
 		case v == dedup.Fresh:
-			whole, more := b.body(&m, from)
+			whole, more := b.assembleBody(&m, from)
 			if more != nil {
-				b.table.Complete(key, more, false)
+				b.duplicates.Complete(key, more, false)
 				_, _ = b.conn.WriteTo(more, from)
 				continue
 			}
@@ -102,13 +102,13 @@
 }
 
 // body puts an upload together; more is the answer to a block before the last.
-func (b *box) body(m *message.Message, from net.Addr) (whole, more []byte) {
+func (b *coapServer) assembleBody(m *message.Message, from net.Addr) (whole, more []byte) {
 	block, there, err := wire.Block(m, message.Block1)
 	if !there || err != nil {
 		return m.Payload, nil
 	}
 	id, _ := wire.Bytes(m, back.OptRequestID)
-	v, body := b.uploads.Add(time.Since(b.s.f.start), blocks.Key{Endpoint: from.String(), Resource: dedup.Fingerprint(id)}, block, m.Payload)
+	v, body := b.uploads.Add(time.Since(b.server.fleet.start), blocks.Key{Endpoint: from.String(), Resource: dedup.Fingerprint(id)}, block, m.Payload)
 	code := codes.RequestEntityIncomplete
 	switch v {
 	case blocks.Complete:
@@ -122,7 +122,7 @@
 }
 
 // serve does a request and gives the answer's datagram.
-func (b *box) serve(m *message.Message, body []byte, first time.Time) []byte {
+func (b *coapServer) serve(m *message.Message, body []byte, first time.Time) []byte {
 	var req fasthttp.Request
 	uri := ""
 	for _, p := range wire.Strings(m, message.URIPath) {
@@ -138,13 +138,13 @@
 		}
 	}
 	req.SetBody(body)
-	a := b.s.do(&req, b.node, false, first)
+	a := b.server.execute(&req, b.node, false, first)
 	out := message.Message{Type: wire.Ack, Code: codes.Content, MessageID: m.MessageID, Token: m.Token}
 	switch {
-	case a.gone:
+	case a.died:
 		return nil
 	case a.status == fasthttp.StatusOK:
-		out.Payload = []byte("id=" + tryID(&req) + "&server=" + b.s.name() + answerTail)
+		out.Payload = []byte("id=" + attemptID(&req) + "&server=" + b.server.name() + bodyTail)
 	case a.status == fasthttp.StatusServiceUnavailable:
 		out.Code = codes.ServiceUnavailable
 	case a.status == fasthttp.StatusNotFound:
@@ -152,7 +152,7 @@
 	default:
 		out.Code = codes.InternalServerError
 	}
-	if report := b.s.report(); report != "" {
+	if report := b.server.report(); report != "" {
 		out.Options = out.Options.Add(message.Option{ID: back.OptLoad, Value: []byte(report)})
 	}
 	data, err := wire.Encode(out)
--- a/lab/backend/fleet.go
+++ b/lab/backend/fleet.go
@@ -18,21 +18,21 @@
 
 // Fleet is all servers and each node's discovery.
 type Fleet struct {
-	s       *scenario.Scenario
-	start   time.Time // of the run's time
-	effects map[string]audit.Effect
-	links   [][]*netfault.Link // by server and node; nil: a clean way
-	pods    []*pod
-	servers []*Server
-	agents  []*Agent
+	scenario    *scenario.Scenario
+	start       time.Time // of the run's time
+	effects     map[string]audit.Effect
+	links       [][]*netfault.Link // by server and node; nil: a clean way
+	pods        []*pod
+	servers     []*Server
+	discoveries []*DiscoveryServer
 
-	mu       sync.Mutex
-	runs     []audit.Run
-	receipts []audit.Receipt
-	falls    []audit.Fall
-	stalls   []audit.Stall
+	mu         sync.Mutex
+	executions []audit.Execution
+	receipts   []audit.Receipt
+	collapses  []audit.Collapse
+	stalls     []audit.Stall
 
-	work atomic.Int64 // microseconds of work begun
+	workStarted atomic.Int64 // microseconds of work begun
 }
 
 // pod guards the model of one pod: its servers share a limit and a memory of keys.
@@ -43,7 +43,7 @@
 
 // New starts all servers and one discovery for each node.
 func New(s *scenario.Scenario, speeds []float64, start time.Time) (*Fleet, error) {
-	f := &Fleet{s: s, start: start, effects: map[string]audit.Effect{}}
+	f := &Fleet{scenario: s, start: start, effects: map[string]audit.Effect{}}
 	for _, c := range s.Classes {
 		f.effects[c.Name] = map[string]audit.Effect{"safe": audit.Safe, "keyed": audit.Keyed, "unsafe": audit.Unsafe}[c.Effect]
 	}
@@ -57,7 +57,7 @@
 	for i := range s.Fleet.Servers {
 		f.links = append(f.links, make([]*netfault.Link, s.Nodes.Count))
 		for node := range s.Nodes.Count {
-			f.links[i][node] = f.way(i, node)
+			f.links[i][node] = f.newLink(i, node)
 		}
 		f.servers = append(f.servers, newServer(f, i, speeds[i]))
 	}
@@ -68,32 +68,32 @@
 		}
 	}
 	for node := range s.Nodes.Count {
-		a, err := newAgent(f, node)
+		a, err := newDiscoveryServer(f, node)
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.agents = append(f.agents, a)
+		f.discoveries = append(f.discoveries, a)
 	}
 	return f, nil
 }
 
 // way is the link from a node to a server: the zones' distance and what the scenario does to servers' links.
-func (f *Fleet) way(server, node int) *netfault.Link {
-	up, down := Impairment(f.s.Links.Servers)
-	if f.s.ZoneOf(server) != f.s.NodeZone(node) {
-		up.Delay += f.s.Fleet.ZoneDelay
-		down.Delay += f.s.Fleet.ZoneDelay
+func (f *Fleet) newLink(server, node int) *netfault.Link {
+	up, down := Impairments(f.scenario.Links.Servers)
+	if f.scenario.ZoneOf(server) != f.scenario.NodeZone(node) {
+		up.Delay += f.scenario.Fleet.ZoneDelay
+		down.Delay += f.scenario.Fleet.ZoneDelay
 	}
-	if up.Clean() && down.Clean() && !f.s.Stalls("servers-stall") {
+	if up.Clean() && down.Clean() && !f.scenario.HasFault("servers-stall") {
 		return nil
 	}
-	return netfault.NewLink(down, up, f.s.Seed<<20+uint64(server)<<8+uint64(node)) // the wrapped side writes what goes down
+	return netfault.NewLink(down, up, f.scenario.Seed<<20+uint64(server)<<8+uint64(node)) // the wrapped side writes what goes down
 }
 
 // Impairment gives both directions of a link as a scenario states it; up is to the node or server.
-func Impairment(i scenario.Impair) (up, down netfault.Params) {
-	p := netfault.Params{Loss: i.Loss, RTO: i.RTO, Delay: i.Delay, Jitter: i.Jitter, Bandwidth: i.Bandwidth}
+func Impairments(i scenario.Impairment) (up, down netfault.Impairment) {
+	p := netfault.Impairment{Loss: i.Loss, RTO: i.RTO, Delay: i.Delay, Jitter: i.Jitter, Bandwidth: i.Bandwidth}
 	if i.Direction != "down" {
 		up = p
 	}
@@ -106,13 +106,13 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // at is the run's time of a moment.
-func (f *Fleet) at(t time.Time) audit.At { return t.Sub(f.start) }
+func (f *Fleet) at(t time.Time) audit.Offset { return t.Sub(f.start) }
 
 // now is the run's time in the model's unit.
 func (f *Fleet) now() model.Millis { return millis(time.Since(f.start)) }
 
 // Discovery is the address of a node's discovery.
-func (f *Fleet) Discovery(node int) string { return f.agents[node].Addr() }
+func (f *Fleet) Discovery(node int) string { return f.discoveries[node].Addr() }
 
 // Known is the list as a node is to hold it at its start.
 func (f *Fleet) Known(node int) []Member { return f.members(node) }
@@ -129,23 +129,23 @@
 }
 
 // changed tells every discovery that a server has changed.
-func (f *Fleet) changed(srv *Server, gone ...Member) {
-	for node, a := range f.agents {
+func (f *Fleet) announce(srv *Server, gone ...Member) {
+	for node, a := range f.discoveries {
 		for _, m := range gone {
 			m.HostPort = ""
-			a.change(m)
+			a.enqueue(m)
 		}
-		a.change(srv.member(node))
+		a.enqueue(srv.member(node))
 	}
 }
 
 // Apply carries out one fault at a server or a discovery, or ends it. What it does is in docs/lab.md.
-func (f *Fleet) Apply(e scenario.Event) error {
+func (f *Fleet) ApplyFault(e scenario.Event) error {
 	if e.Server >= 0 {
 		return f.servers[e.Server].apply(e)
 	}
 	if e.Node >= 0 {
-		return f.agents[e.Node].apply(e)
+		return f.discoveries[e.Node].apply(e)
 	}
 	return fmt.Errorf("%s has no target", e.Kind)
 }
@@ -154,26 +154,26 @@
 func (f *Fleet) Record() audit.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := audit.Record{Runs: f.runs, Receipts: f.receipts, Falls: f.falls, Stalls: f.stalls}
-	for _, a := range f.agents {
-		r.Told = append(r.Told, a.toldAll()...)
+	r := audit.Record{Executions: f.executions, Receipts: f.receipts, Collapses: f.collapses, Stalls: f.stalls}
+	for _, a := range f.discoveries {
+		r.ListUpdates = append(r.ListUpdates, a.sentUpdates()...)
 	}
 	return r
 }
 
 // Load is one server's state at a moment.
-type Load struct {
-	ID      string  `json:"id"`
-	InHand  int     `json:"in_hand"`
-	Warmth  float64 `json:"warmth"`
-	Slow    bool    `json:"slow"`
-	Serving bool    `json:"serving"`
-	Begun   int64   `json:"begun"` // requests whose work has begun, since the run's start
+type ServerLoad struct {
+	ID           string  `json:"id"`
+	InFlight     int     `json:"in_hand"`
+	WarmupFactor float64 `json:"warmth"`
+	Slow         bool    `json:"slow"`
+	Serving      bool    `json:"serving"`
+	Started      int64   `json:"begun"` // requests whose work has begun, since the run's start
 }
 
 // Loads are the states of all servers.
-func (f *Fleet) Loads() []Load {
-	out := make([]Load, len(f.servers))
+func (f *Fleet) Loads() []ServerLoad {
+	out := make([]ServerLoad, len(f.servers))
 	for i, srv := range f.servers {
 		out[i] = srv.load()
 	}
@@ -181,26 +181,28 @@
 }
 
 // WorkBegun is all work that servers have begun, a second run of one request counted again.
-func (f *Fleet) WorkBegun() time.Duration { return time.Duration(f.work.Load()) * time.Microsecond }
+func (f *Fleet) WorkStarted() time.Duration {
+	return time.Duration(f.workStarted.Load()) * time.Microsecond
+}
 
 // Close ends all servers and discoveries.
 func (f *Fleet) Close() {
 	for _, srv := range f.servers {
 		srv.close()
 	}
-	for _, a := range f.agents {
+	for _, a := range f.discoveries {
 		a.close()
 	}
 }
 
-func (f *Fleet) received(r audit.Receipt) {
+func (f *Fleet) recordReceipt(r audit.Receipt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.receipts = append(f.receipts, r)
 }
 
 // stalled notes that a server's links begin to hold back what is on its way, or end to.
-func (f *Fleet) stalled(server string, ends bool) {
+func (f *Fleet) recordStall(server string, ends bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.at(time.Now())
@@ -217,20 +219,20 @@
 
 const (
 	// stallOpen is the end of a stall that has not ended yet.
-	stallOpen = audit.At(1<<63 - 1)
+	stallOpen = audit.Offset(1<<63 - 1)
 
 	// stallRest is how long after a stall's end what it held back may still be coming.
 	stallRest = 50 * time.Millisecond
 )
 
-func (f *Fleet) ran(r audit.Run) {
+func (f *Fleet) recordExecution(r audit.Execution) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.runs = append(f.runs, r)
+	f.executions = append(f.executions, r)
 }
 
-func (f *Fleet) fell(r audit.Fall) {
+func (f *Fleet) recordCollapse(r audit.Collapse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.falls = append(f.falls, r)
+	f.collapses = append(f.collapses, r)
 }
--- a/lab/backend/server.go
+++ b/lab/backend/server.go
@@ -39,55 +39,55 @@
 }
 
 // answerTail is what an answer's body is filled up with, so that a short read is seen.
-const answerTail = "&stills=0123456789abcdef0123456789abcdef"
+const bodyTail = "&stills=0123456789abcdef0123456789abcdef"
 
 // Server is one stand-in server over all its lives.
 type Server struct {
-	f     *Fleet
+	fleet *Fleet
 	index int
 	speed float64
 	pod   *pod
 	wake  chan struct{} // the model's next end may have moved
 
-	mu       sync.Mutex // before the pod's
-	life     int        // 0 for the first process, one more for each start
-	id       string
-	phase    string
-	upSince  int64 // Unix milliseconds; 0: long ago
-	model    *model.Server
-	listens  []*net.TCPListener
-	packets  []net.PacketConn // of its CoAP side
-	addrs    []string         // by node; kept over restarts
-	conns    map[net.Conn]struct{}
-	open1    int // connections open
-	pending  map[uint64]*pending
-	next     uint64
-	failing  float64 // share of requests that end with an error
-	mute     bool    // answers carry no report
-	vanished bool    // nothing that comes is read, nothing is answered
-	begun    int64
-	host     string
-	rng      *rand.Rand
-	ended    chan struct{}
+	mu           sync.Mutex // before the pod's
+	incarnation  int        // 0 for the first process, one more for each start
+	id           string
+	phase        string
+	upSince      int64 // Unix milliseconds; 0: long ago
+	model        *model.Server
+	listeners    []*net.TCPListener
+	packets      []net.PacketConn // of its CoAP side
+	addrs        []string         // by node; kept over restarts
+	conns        map[net.Conn]struct{}
+	openConns    int // connections open
+	pending      map[uint64]*pending
+	lastID       uint64
+	errorShare   float64 // share of requests that end with an error
+	hidesReports bool    // answers carry no report
+	unresponsive bool    // nothing that comes is read, nothing is answered
+	started      int64
+	host         string
+	rng          *rand.Rand
+	closed       chan struct{}
 }
 
 // pending is a request in hand with what its answer needs.
 type pending struct {
-	done   chan answer
-	try    audit.Run
-	broken bool
+	done      chan result
+	execution audit.Execution
+	fails     bool
 }
 
-type answer struct {
-	status int
-	notRun bool
-	gone   bool // the process died: no answer
+type result struct {
+	status      int
+	notExecuted bool
+	died        bool // the process died: no answer
 }
 
 func newServer(f *Fleet, index int, speed float64) *Server {
-	s := &Server{f: f, index: index, speed: speed, pod: f.pods[f.s.PodOf(index)], wake: make(chan struct{}, 1),
-		addrs: make([]string, f.s.Nodes.Count), pending: map[uint64]*pending{}, conns: map[net.Conn]struct{}{},
-		host: loopback.Next(), rng: rand.New(rand.NewPCG(f.s.Seed, uint64(1000+index))), ended: make(chan struct{})}
+	s := &Server{fleet: f, index: index, speed: speed, pod: f.pods[f.scenario.PodOf(index)], wake: make(chan struct{}, 1),
+		addrs: make([]string, f.scenario.Nodes.Count), pending: map[uint64]*pending{}, conns: map[net.Conn]struct{}{},
+		host: loopback.NextHost(), rng: rand.New(rand.NewPCG(f.scenario.Seed, uint64(1000+index))), closed: make(chan struct{})}
 	go s.work()
 	return s
 }
@@ -96,14 +96,14 @@
 func (s *Server) open(started model.Millis) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fl := s.f.s.Fleet
+	fl := s.fleet.scenario.Fleet
 	s.pod.mu.Lock()
 	s.model = model.NewServer(model.Params{Cores: fl.Cores, Speed: s.speed, QueueMax: fl.QueueMax,
-		CrowdDepth: fl.CrowdDepth, CrowdFor: millis(fl.CrowdFor), SlowTimes: fl.SlowTimes, RestFor: millis(fl.RestFor),
-		ColdFrom: fl.ColdFrom, ColdFor: millis(fl.ColdFor), FallMultiple: fl.FallMultiple, FallFor: millis(fl.FallFor),
+		CrowdDepth: fl.CrowdDepth, CrowdFor: millis(fl.CrowdFor), SlowFactor: fl.SlowFactor, RestFor: millis(fl.RestFor),
+		ColdSpeed: fl.ColdSpeed, ColdFor: millis(fl.ColdFor), CollapseMultiple: fl.CollapseMultiple, CollapseWindow: millis(fl.CollapseWindow),
 	}, s.pod.model, started)
 	s.pod.mu.Unlock()
-	s.upSince, s.phase, s.vanished, s.failing = 0, phaseServing, false, 0
+	s.upSince, s.phase, s.unresponsive, s.errorShare = 0, phaseServing, false, 0
 	if !math.IsInf(started, -1) {
 		s.upSince = time.Now().UnixMilli()
 	}
@@ -130,7 +130,7 @@
 	}
 	s.addrs[node] = l.Addr().String()
 	t := l.(*net.TCPListener)
-	s.listens = append(s.listens, t)
+	s.listeners = append(s.listeners, t)
 	go s.accept(t, node)
 	return s.listenCoap(node)
 }
@@ -142,14 +142,14 @@
 			return
 		}
 		s.mu.Lock()
-		if s.open1 >= s.f.s.Fleet.ConnMax*len(s.addrs) {
+		if s.openConns >= s.fleet.scenario.Fleet.MaxConns*len(s.addrs) {
 			s.mu.Unlock()
 			_ = c.SetLinger(0)
 			_ = c.Close()
 			continue
 		}
 		s.conns[c] = struct{}{}
-		s.open1++
+		s.openConns++
 		s.mu.Unlock()
 		go s.serve(c, node)
 	}
@@ -157,7 +157,7 @@
 
 func (s *Server) serve(raw *net.TCPConn, node int) {
 	var c net.Conn = raw
-	if l := s.f.links[s.index][node]; l != nil {
+	if l := s.fleet.links[s.index][node]; l != nil {
 		c = l.Wrap(raw)
 	}
 	defer func() {
@@ -165,7 +165,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, raw)
-		s.open1--
+		s.openConns--
 	}()
 	r := bufio.NewReaderSize(c, 4096)
 	w := bufio.NewWriterSize(c, 4096)
@@ -181,7 +181,7 @@
 		if req.ReadLimitBody(r, 64<<10) != nil {
 			return
 		}
-		s.stand()
+		s.waitResponsive()
 		resp.Reset()
 		resp.Header.DisableNormalizing()
 		if !s.answer(req, resp, node, fresh, first) {
@@ -196,17 +196,17 @@
 }
 
 // stand waits while the server's machine has vanished: nothing is read, nothing breaks.
-func (s *Server) stand() {
+func (s *Server) waitResponsive() {
 	for {
 		s.mu.Lock()
-		gone := s.vanished
+		gone := s.unresponsive
 		s.mu.Unlock()
 		if !gone {
 			return
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
-		case <-s.ended:
+		case <-s.closed:
 			return
 		}
 	}
@@ -215,26 +215,26 @@
 // answer acts on one request; false where the connection breaks instead.
 func (s *Server) answer(req *fasthttp.Request, resp *fasthttp.Response, node int, fresh bool, first time.Time) bool {
 	switch path := string(req.URI().Path()); {
-	case s.f.s.Fleet.Probes && (path == "/ping" || path == "/_load"):
+	case s.fleet.scenario.Fleet.Probes && (path == "/ping" || path == "/_load"):
 		resp.SetBodyString(s.report())
 		return true
 	case path == "/ping" || path == "/_load":
 		resp.SetStatusCode(fasthttp.StatusNotFound)
 		return true
 	}
-	a := s.do(req, node, fresh, first)
-	if a.gone {
+	a := s.execute(req, node, fresh, first)
+	if a.died {
 		return false
 	}
 	resp.SetStatusCode(a.status)
-	if a.notRun {
+	if a.notExecuted {
 		resp.Header.Set("X-Not-Run", "1")
 	}
 	if report := s.report(); report != "" {
 		resp.Header.Set("X-Load", report)
 	}
 	if a.status == fasthttp.StatusOK {
-		resp.SetBodyString("id=" + tryID(req) + "&server=" + s.name() + answerTail)
+		resp.SetBodyString("id=" + attemptID(req) + "&server=" + s.name() + bodyTail)
 	}
 	return true
 }
@@ -249,85 +249,85 @@
 func (s *Server) report() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.f.s.Fleet.Reports || s.mute {
+	if !s.fleet.scenario.Fleet.Reports || s.hidesReports {
 		return ""
 	}
 	s.pod.mu.Lock()
 	defer s.pod.mu.Unlock()
-	n, waits := s.model.InHand(), s.model.Waiting()
-	util := float64(n-waits) / float64(s.f.s.Fleet.Cores)
+	n, waits := s.model.InFlight(), s.model.Queued()
+	util := float64(n-waits) / float64(s.fleet.scenario.Fleet.Cores)
 	return "TEXT inflight=" + strconv.Itoa(n) + ", queue=" + strconv.Itoa(waits) + ", util=" + strconv.FormatFloat(util, 'f', 2, 64)
 }
 
 // do offers a request to the model and waits for what becomes of it.
-func (s *Server) do(req *fasthttp.Request, node int, fresh bool, first time.Time) answer {
-	id := tryID(req)
-	op, ok := OpOf(id)
+func (s *Server) execute(req *fasthttp.Request, node int, fresh bool, first time.Time) result {
+	id := attemptID(req)
+	op, ok := OperationOf(id)
 	if !ok {
-		return answer{status: fasthttp.StatusNotFound}
+		return result{status: fasthttp.StatusNotFound}
 	}
 	us, _ := strconv.Atoi(string(req.URI().QueryArgs().Peek("w")))
 	work := float64(us) / 1000
 	if fresh {
-		work += millis(s.f.s.Fleet.ConnCost)
+		work += millis(s.fleet.scenario.Fleet.ConnCost)
 	}
 	s.mu.Lock()
 	deadline, _ := strconv.Atoi(string(req.Header.Peek("X-Deadline-Ms")))
-	s.f.received(audit.Receipt{ID: id, Node: node, Server: s.id, At: s.f.at(first), Deadline: time.Duration(deadline) * time.Millisecond})
-	s.next++
-	p := &pending{done: make(chan answer, 1), broken: s.rng.Float64() < s.failing,
-		try: audit.Run{ID: id, Op: op, Effect: s.f.effects[string(req.Header.Peek("X-Class"))], Server: s.id, Pod: s.f.s.PodOf(s.index)}}
-	r := model.Request{ID: s.next, Work: work, Key: string(req.Header.Peek("Idempotency-Key"))}
+	s.fleet.recordReceipt(audit.Receipt{ID: id, Node: node, Server: s.id, At: s.fleet.at(first), Deadline: time.Duration(deadline) * time.Millisecond})
+	s.lastID++
+	p := &pending{done: make(chan result, 1), fails: s.rng.Float64() < s.errorShare,
+		execution: audit.Execution{ID: id, Operation: op, Effect: s.fleet.effects[string(req.Header.Peek("X-Class"))], Server: s.id, Pod: s.fleet.scenario.PodOf(s.index)}}
+	r := model.Request{ID: s.lastID, Work: work, Key: string(req.Header.Peek("Idempotency-Key"))}
 	s.pending[r.ID] = p
 	v := s.offer(r)
-	if v != model.Taken {
+	if v != model.Accepted {
 		delete(s.pending, r.ID)
 	}
 	s.mu.Unlock()
 	switch v {
-	case model.Taken:
-	case model.Repeat:
-		return answer{status: fasthttp.StatusOK}
-	case model.Down:
-		return answer{gone: true}
+	case model.Accepted:
+	case model.Duplicate:
+		return result{status: fasthttp.StatusOK}
+	case model.NotRunning:
+		return result{died: true}
 	default:
-		return answer{status: fasthttp.StatusServiceUnavailable, notRun: true}
+		return result{status: fasthttp.StatusServiceUnavailable, notExecuted: true}
 	}
-	s.poke()
+	s.wakeWorker()
 	return <-p.done
 }
 
 // offer puts a request before the model and takes what it says. The caller holds the lock.
 func (s *Server) offer(r model.Request) model.Verdict {
 	s.pod.mu.Lock()
-	now := s.f.now()
+	now := s.fleet.now()
 	done := s.model.Advance(now)
-	fell := s.model.Fell()
+	fell := s.model.Collapsed()
 	v := s.model.Arrive(now, r)
-	begun := s.model.TakeBegun()
-	pushed := s.model.Fell() && !fell
+	begun := s.model.TakeStarted()
+	pushed := s.model.Collapsed() && !fell
 	s.pod.mu.Unlock()
 	s.settle(done, begun)
 	if pushed {
-		s.f.fell(audit.Fall{Server: s.id, At: s.f.at(time.Now())})
-		s.fail()
+		s.fleet.recordCollapse(audit.Collapse{Server: s.id, At: s.fleet.at(time.Now())})
+		s.dropProcess()
 		s.phase = phaseGone
-		go s.f.changed(s)
+		go s.fleet.announce(s)
 	}
 	return v
 }
 
 // settle answers what was done and notes what was begun. The caller holds the lock.
-func (s *Server) settle(done []model.Done, begun []model.Request) {
+func (s *Server) settle(done []model.Completion, begun []model.Request) {
 	for _, r := range begun {
 		p := s.pending[r.ID]
 		if p == nil {
 			continue
 		}
-		p.try.At = s.f.at(time.Now())
-		s.begun++
-		s.f.work.Add(int64(r.Work * 1000))
-		s.f.ran(p.try)
+		p.execution.At = s.fleet.at(time.Now())
+		s.started++
+		s.fleet.workStarted.Add(int64(r.Work * 1000))
+		s.fleet.recordExecution(p.execution)
 	}
 	for _, d := range done {
 		p := s.pending[d.Request.ID]
@@ -335,15 +335,15 @@
 			continue
 		}
 		delete(s.pending, d.Request.ID)
-		a := answer{status: fasthttp.StatusOK}
-		if p.broken {
+		a := result{status: fasthttp.StatusOK}
+		if p.fails {
 			a.status = fasthttp.StatusInternalServerError
 		}
 		p.done <- a
 	}
 }
 
-func (s *Server) poke() {
+func (s *Server) wakeWorker() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -359,13 +359,13 @@
 		wait := time.Hour
 		if s.model != nil {
 			s.pod.mu.Lock()
-			done := s.model.Advance(s.f.now())
-			begun := s.model.TakeBegun()
-			at, ok := s.model.Next()
+			done := s.model.Advance(s.fleet.now())
+			begun := s.model.TakeStarted()
+			at, ok := s.model.NextCompletion()
 			s.pod.mu.Unlock()
 			s.settle(done, begun)
 			if ok {
-				wait = max(0, time.Duration((at-s.f.now())*float64(time.Millisecond)))
+				wait = max(0, time.Duration((at-s.fleet.now())*float64(time.Millisecond)))
 			}
 		}
 		s.mu.Unlock()
@@ -373,7 +373,7 @@
 		select {
 		case <-timer.C:
 		case <-s.wake:
-		case <-s.ended:
+		case <-s.closed:
 			return
 		}
 	}
@@ -387,30 +387,30 @@
 }
 
 func (s *Server) entry(node int) Member {
-	return Member{ID: s.id, HostPort: s.addrs[node], Locality: s.f.s.ZoneOf(s.index), Flavor: "lab",
-		Cell: s.f.s.PodOf(s.index), Phase: s.phase, Size: 1, UpSince: s.upSince}
+	return Member{ID: s.id, HostPort: s.addrs[node], Locality: s.fleet.scenario.ZoneOf(s.index), Flavor: "lab",
+		Cell: s.fleet.scenario.PodOf(s.index), Phase: s.phase, Size: 1, UpSince: s.upSince}
 }
 
-func (s *Server) load() Load {
+func (s *Server) load() ServerLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pod.mu.Lock()
 	defer s.pod.mu.Unlock()
-	return Load{ID: s.id, InHand: s.model.InHand(), Warmth: s.model.Warmth(s.f.now()), Slow: s.model.Slow(),
-		Serving: len(s.listens) > 0 && s.phase == phaseServing, Begun: s.begun}
+	return ServerLoad{ID: s.id, InFlight: s.model.InFlight(), WarmupFactor: s.model.WarmupFactor(s.fleet.now()), Slow: s.model.Slow(),
+		Serving: len(s.listeners) > 0 && s.phase == phaseServing, Started: s.started}
 }
 
 // fail loses the process: its connections are reset and new ones refused. The caller holds the lock.
-func (s *Server) fail() {
-	for _, l := range s.listens {
+func (s *Server) dropProcess() {
+	for _, l := range s.listeners {
 		_ = l.Close()
 	}
 	for _, p := range s.packets {
 		_ = p.Close()
 	}
-	s.listens, s.packets = nil, nil
+	s.listeners, s.packets = nil, nil
 	for _, p := range s.pending {
-		p.done <- answer{gone: true}
+		p.done <- result{died: true}
 	}
 	clear(s.pending)
 	for c := range s.conns {
@@ -422,8 +422,8 @@
 func (s *Server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fail()
-	close(s.ended)
+	s.dropProcess()
+	close(s.closed)
 }
 
 // apply carries out a fault at this server, or ends it.
@@ -431,29 +431,29 @@
 	switch e.Kind {
 	case "crash":
 		if e.Ends {
-			return s.comeBack(e.Fault.NewID)
+			return s.restart(e.Fault.NewID)
 		}
 		s.crash()
 	case "cold-return":
 		s.crash()
-		return s.comeBack(e.Fault.NewID)
+		return s.restart(e.Fault.NewID)
 	case "drain":
 		if e.Ends {
 			s.crash()
-			return s.comeBack(e.Fault.NewID)
+			return s.restart(e.Fault.NewID)
 		}
 		s.drain()
 	case "servers-stall":
-		s.f.stalled(s.name(), e.Ends)
-		for _, l := range s.f.links[s.index] { // the server's end is the wrapped one: up is what it reads
-			Mute(l, e, netfault.In, netfault.Out)
+		s.fleet.recordStall(s.name(), e.Ends)
+		for _, l := range s.fleet.links[s.index] { // the server's end is the wrapped one: up is what it reads
+			ApplyStall(l, e, netfault.In, netfault.Out)
 		}
 	case "servers-reset":
 		if !e.Ends {
 			s.reset()
 		}
 	default:
-		s.ail(e)
+		s.degrade(e)
 	}
 	return nil
 }
@@ -469,40 +469,40 @@
 }
 
 // Mute begins or ends a stall on a link, in the direction that the fault names.
-func Mute(l *netfault.Link, e scenario.Event, up, down netfault.Direction) {
-	if e.Fault.Way != "down" {
-		l.Mute(up, !e.Ends)
+func ApplyStall(l *netfault.Link, e scenario.Event, up, down netfault.Direction) {
+	if e.Fault.Direction != "down" {
+		l.StallDirection(up, !e.Ends)
 	}
-	if e.Fault.Way != "up" {
-		l.Mute(down, !e.Ends)
+	if e.Fault.Direction != "up" {
+		l.StallDirection(down, !e.Ends)
 	}
 }
 
 // ail carries out a fault after which the process goes on.
-func (s *Server) ail(e scenario.Event) {
+func (s *Server) degrade(e scenario.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pod.mu.Lock()
 	defer s.pod.mu.Unlock()
 	switch e.Kind {
 	case "vanish", "hang":
-		s.vanished = e.Kind == "vanish" && !e.Ends
-		s.model.Halt(s.f.now(), !e.Ends)
+		s.unresponsive = e.Kind == "vanish" && !e.Ends
+		s.model.SetSuspended(s.fleet.now(), !e.Ends)
 	case "slow":
-		times := e.Fault.Times
+		times := e.Fault.Factor
 		if e.Ends {
 			times = 1
 		}
-		s.model.SlowBy(times)
+		s.model.SetSlowdown(times)
 	case "errors":
-		s.failing = e.Fault.Share
+		s.errorShare = e.Fault.Share
 		if e.Ends {
-			s.failing = 0
+			s.errorShare = 0
 		}
 	case "reports-off":
-		s.mute = !e.Ends
+		s.hidesReports = !e.Ends
 	}
-	s.poke()
+	s.wakeWorker()
 }
 
 // crash ends the process. The list tells so after its delay.
@@ -511,28 +511,28 @@
 	s.pod.mu.Lock()
 	s.model.Crash()
 	s.pod.mu.Unlock()
-	s.fail()
+	s.dropProcess()
 	s.phase = phaseGone
 	s.mu.Unlock()
-	s.f.changed(s)
+	s.fleet.announce(s)
 }
 
 // comeBack starts a new, cold process, under the old id or a new one. Where two faults overlapped it may be there already.
-func (s *Server) comeBack(newID bool) error {
+func (s *Server) restart(newID bool) error {
 	s.mu.Lock()
-	if len(s.listens) > 0 {
+	if len(s.listeners) > 0 {
 		s.mu.Unlock()
 		return nil
 	}
-	s.life++
+	s.incarnation++
 	if newID {
-		s.id = fmt.Sprintf("s%03d-%d", s.index, s.life)
+		s.id = fmt.Sprintf("s%03d-%d", s.index, s.incarnation)
 	}
 	s.mu.Unlock()
-	if err := s.open(s.f.now()); err != nil {
+	if err := s.open(s.fleet.now()); err != nil {
 		return err
 	}
-	s.f.changed(s)
+	s.fleet.announce(s)
 	return nil
 }
 
@@ -541,11 +541,11 @@
 	s.mu.Lock()
 	s.phase = phaseDraining
 	s.mu.Unlock()
-	s.f.changed(s)
+	s.fleet.announce(s)
 }
 
 // tryID is the lab's own id of a try. Over CoAP the node makes the request's id, and the lab's goes in the query.
-func tryID(req *fasthttp.Request) string {
+func attemptID(req *fasthttp.Request) string {
 	if id := req.URI().QueryArgs().Peek("try"); len(id) > 0 {
 		return string(id)
 	}
@@ -553,7 +553,7 @@
 }
 
 // OpOf is the operation in a request's id: the lab's ids are operation and try, in hexadecimal.
-func OpOf(id string) (int, bool) {
+func OperationOf(id string) (int, bool) {
 	if len(id) < 13 {
 		return 0, false
 	}
@@ -562,4 +562,4 @@
 }
 
 // ID is the id of an operation's try.
-func ID(op, try int) string { return fmt.Sprintf("%012x%04x", op, try) }
+func AttemptID(op, try int) string { return fmt.Sprintf("%012x%04x", op, try) }
--- a/lab/backend/writer.go
+++ b/lab/backend/writer.go
@@ -16,7 +16,7 @@
 
 const (
 	// readWithin is how long after a good file is in place a node counts as told: its settle time and its poll.
-	readWithin = 400 * time.Millisecond
+	readDelay = 400 * time.Millisecond
 
 	// chunk and chunkPause are the pace of a tool that writes a file in place.
 	chunk      = 4096
@@ -24,29 +24,29 @@
 )
 
 // Writer keeps each node's file of servers as a configuration tool would, well and badly.
-type Writer struct {
-	f   *Fleet
-	dir string
-	rng *rand.Rand
-
-	mu     sync.Mutex
-	told   []audit.Told
-	closed []map[string]bool // by node: what the last good file took away or drains
-	Good   int               // files put in place whole
-	Bad    int
+type InventoryWriter struct {
+	fleet *Fleet
+	dir   string
+	rng   *rand.Rand
+
+	mu        sync.Mutex
+	updates   []audit.ListUpdate
+	withdrawn []map[string]bool // by node: what the last good file took away or drains
+	GoodFiles int               // files put in place whole
+	BadFiles  int
 }
 
 // NewWriter writes the first, good files and an operator file for each node.
-func NewWriter(f *Fleet, dir string) (*Writer, error) {
-	w := &Writer{f: f, dir: dir, rng: rand.New(rand.NewPCG(f.s.Seed, 77))}
-	for node := range f.s.Nodes.Count {
-		w.closed = append(w.closed, map[string]bool{})
+func NewInventoryWriter(f *Fleet, dir string) (*InventoryWriter, error) {
+	w := &InventoryWriter{fleet: f, dir: dir, rng: rand.New(rand.NewPCG(f.scenario.Seed, 77))}
+	for node := range f.scenario.Nodes.Count {
+		w.withdrawn = append(w.withdrawn, map[string]bool{})
 		if err := os.WriteFile(w.path(node), w.content(node), 0o600); err != nil {
 			return nil, err
 		}
 		edge := fmt.Sprintf("[inventory]\ndiscovery = false\npoll = \"200ms\"\nsettle = \"100ms\"\nremove_share = 0.5\n\n"+
 			"[[inventory.file]]\npath = %q\nname = \"tools\"\ntrailer = true\n", w.path(node))
-		if err := os.WriteFile(EdgePath(dir, node), []byte(edge), 0o600); err != nil {
+		if err := os.WriteFile(OperatorFilePath(dir, node), []byte(edge), 0o600); err != nil {
 			return nil, err
 		}
 	}
@@ -54,19 +54,19 @@
 }
 
 // EdgePath is a node's operator file in a folder.
-func EdgePath(dir string, node int) string {
+func OperatorFilePath(dir string, node int) string {
 	return filepath.Join(dir, fmt.Sprintf("edge%d.toml", node))
 }
 
-func (w *Writer) path(node int) string {
-	return filepath.Join(w.dir, fmt.Sprintf("servers%d.%s", node, w.f.s.Inventory.Form))
+func (w *InventoryWriter) path(node int) string {
+	return filepath.Join(w.dir, fmt.Sprintf("servers%d.%s", node, w.fleet.scenario.Inventory.Form))
 }
 
 // content is what is so now, as a node is to see it. A column that changes with each rewrite makes every file another one.
-func (w *Writer) content(node int) []byte {
+func (w *InventoryWriter) content(node int) []byte {
 	var out []inventory.Server
-	for _, m := range w.f.members(node) {
-		if w.f.coapAt(m.HostPort, node) {
+	for _, m := range w.fleet.members(node) {
+		if w.fleet.coapAt(m.HostPort, node) {
 			m.HostPort = inventory.SchemeCoAP + m.HostPort
 		}
 		s := inventory.Server{ID: m.ID, Address: m.HostPort, Zone: m.Locality, Pod: fmt.Sprintf("pod-%03d", m.Cell), Size: m.Size,
@@ -76,7 +76,7 @@
 		}
 		out = append(out, s)
 	}
-	if w.f.s.Inventory.Form == "yaml" {
+	if w.fleet.scenario.Inventory.Form == "yaml" {
 		return inventory.WriteYAML(out)
 	}
 	return inventory.WriteCSV(out)
@@ -93,8 +93,8 @@
 }
 
 // Run rewrites the files until the context ends.
-func (w *Writer) Run(ctx context.Context) error {
-	tick := time.NewTicker(w.f.s.Inventory.Every)
+func (w *InventoryWriter) Run(ctx context.Context) error {
+	tick := time.NewTicker(w.fleet.scenario.Inventory.Every)
 	defer tick.Stop()
 	for {
 		select {
@@ -102,7 +102,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		for node := range w.closed {
+		for node := range w.withdrawn {
 			if err := w.rewrite(node); err != nil {
 				return err
 			}
@@ -111,15 +111,15 @@
 }
 
 // rewrite puts one file in place: whole by a rename, whole but slowly in place, or bad.
-func (w *Writer) rewrite(node int) error {
+func (w *InventoryWriter) rewrite(node int) error {
 	good := w.content(node)
-	listed := w.f.members(node)
+	listed := w.fleet.members(node)
 	x := w.rng.Float64()
-	switch i := w.f.s.Inventory; {
+	switch i := w.fleet.scenario.Inventory; {
 	case x < i.Bad:
-		w.Bad++
-		return replace(w.path(node), w.spoil(good))
-	case x < i.Bad+i.Saving:
+		w.BadFiles++
+		return replace(w.path(node), w.corrupt(good))
+	case x < i.Bad+i.InPlace:
 		if err := inPlace(w.path(node), good); err != nil {
 			return err
 		}
@@ -128,13 +128,13 @@
 			return err
 		}
 	}
-	w.Good++
-	w.note(node, listed)
+	w.GoodFiles++
+	w.recordUpdates(node, listed)
 	return nil
 }
 
 // spoil makes a bad file of a good one.
-func (w *Writer) spoil(good []byte) []byte {
+func (w *InventoryWriter) corrupt(good []byte) []byte {
 	switch w.rng.IntN(4) {
 	case 0:
 		return good[:w.rng.IntN(len(good))]
@@ -173,15 +173,15 @@
 }
 
 // note keeps what a good file told of servers that were to get nothing more.
-func (w *Writer) note(node int, listed []Member) {
-	at := w.f.at(time.Now()) + readWithin
+func (w *InventoryWriter) recordUpdates(node int, listed []Member) {
+	at := w.fleet.at(time.Now()) + readDelay
 	now := map[string]bool{}
 	for _, m := range listed {
 		if m.Phase != phaseServing {
 			now[m.ID] = true
 		}
 	}
-	for _, srv := range w.f.servers {
+	for _, srv := range w.fleet.servers {
 		m := srv.member(node)
 		if m.Phase == phaseGone {
 			now[m.ID] = true
@@ -190,21 +190,21 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id := range now {
-		if !w.closed[node][id] {
-			w.told = append(w.told, audit.Told{Node: node, Server: id, Closed: true, At: at})
+		if !w.withdrawn[node][id] {
+			w.updates = append(w.updates, audit.ListUpdate{Node: node, Server: id, Withdrawn: true, At: at})
 		}
 	}
-	for id := range w.closed[node] {
+	for id := range w.withdrawn[node] {
 		if !now[id] {
-			w.told = append(w.told, audit.Told{Node: node, Server: id, At: at - readWithin})
+			w.updates = append(w.updates, audit.ListUpdate{Node: node, Server: id, At: at - readDelay})
 		}
 	}
-	w.closed[node] = now
+	w.withdrawn[node] = now
 }
 
 // Told is what the files told of drains.
-func (w *Writer) Told() []audit.Told {
+func (w *InventoryWriter) ListUpdates() []audit.ListUpdate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]audit.Told(nil), w.told...)
+	return append([]audit.ListUpdate(nil), w.updates...)
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -57,8 +57,8 @@
 	argv := []string{filepath.Join(programs, "tackhub")}
 	if s.Nodes.Kind != "tackhub" {
 		argv = []string{filepath.Join(programs, "tacklab"), "baseline", "--policy", s.Nodes.Kind}
-		if s.Nodes.Break != "" {
-			argv = append(argv, "--break", s.Nodes.Break)
+		if s.Nodes.Defect != "" {
+			argv = append(argv, "--break", s.Nodes.Defect)
 		}
 	}
 	r, err := Run(context.Background(), Options{Scenario: s, Command: argv, Build: "test"})
@@ -72,12 +72,12 @@
 func TestNodeHoldsTheRules(t *testing.T) {
 	r := playOut(t, small(t))
 	if r.Verdict != VerdictOK {
-		t.Errorf("verdict %s: short %v, void %q, breaches %v\nfigures %+v", r.Verdict, r.Short, r.Void, r.Breaches, r.Figures)
+		t.Errorf("verdict %s: short %v, void %q, breaches %v\nfigures %+v", r.Verdict, r.Unmet, r.VoidReason, r.Breaches, r.Figures)
 	}
 	if r.Figures.Asked < 400 || r.Figures.Crashes != 0 || r.Figures.MemoryMB == 0 || r.Figures.Sockets == 0 {
 		t.Errorf("figures %+v", r.Figures)
 	}
-	if sum := r.Figures.Served + r.Figures.Refused + r.Figures.Failed + r.Figures.Lost + r.Figures.Left + r.Figures.Unplaced; sum < 0.999 {
+	if sum := r.Figures.Served + r.Figures.Rejected + r.Figures.Failed + r.Figures.Lost + r.Figures.Cancelled + r.Figures.NotConnected; sum < 0.999 {
 		t.Errorf("the endings make %v of what was asked", sum)
 	}
 }
@@ -85,13 +85,13 @@
 // The auditor sees each defect that a balancer can be given, on sockets, under the rule that it breaks.
 func TestAuditorSeesBrokenNodes(t *testing.T) {
 	for defect, rule := range map[string]string{
-		"double-send":    audit.RuleTwice,
-		"lost-answer":    audit.RuleLost,
-		"swapped-answer": audit.RuleSwapped,
+		"double-send":    audit.RuleDuplicateExecution,
+		"lost-answer":    audit.RuleUnanswered,
+		"swapped-answer": audit.RuleWrongResponse,
 		"late-answer":    audit.RuleLate,
-		"refuse-run":     audit.RuleHarm,
+		"refuse-run":     audit.RuleRejectedThoughExecuted,
 		"late-drain":     audit.RuleDrain,
-		"cold-push":      audit.RuleCold,
+		"cold-push":      audit.RuleColdCollapse,
 	} {
 		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
@@ -105,8 +105,8 @@
 				over = append(over, "fault=[]")
 			}
 			r := playOut(t, small(t, over...))
-			if r.BreachesN[rule] == 0 || r.Verdict != VerdictShort {
-				t.Errorf("verdict %s, breaches %v, void %q, want %s among them", r.Verdict, r.BreachesN, r.Void, rule)
+			if r.BreachesByRule[rule] == 0 || r.Verdict != VerdictShort {
+				t.Errorf("verdict %s, breaches %v, void %q, want %s among them", r.Verdict, r.BreachesByRule, r.VoidReason, rule)
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 	pids := make(chan string, 1)
 	r, err := Run(ctx, Options{Scenario: s, Command: []string{filepath.Join(programs, "tackhub")},
 		Started: func(nodes []string) { pids <- nodes[0]; time.AfterFunc(200*time.Millisecond, cancel) }})
-	if err != nil || r.Verdict != VerdictVoid || r.Void != "cut off" {
+	if err != nil || r.Verdict != VerdictVoid || r.VoidReason != "cut off" {
 		t.Fatalf("%v, verdict %v", err, r)
 	}
 	cancel()
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -15,49 +15,49 @@
 
 // Figures are what a run came to. Shares are of the operations or the worth asked for in the time that counts.
 type Figures struct {
-	Asked       int                `json:"asked"`
-	Rate        float64            `json:"rate_per_s"`
-	Worth       float64            `json:"worth"`        // share served within its aim
-	WorstWindow float64            `json:"worst_window"` // the same in the worst window
-	ByClass     map[string]float64 `json:"worth_by_class"`
-	WorstTenant float64            `json:"worst_tenant"` // the same of the worst-served tenant with enough requests
-	Served      float64            `json:"served"`
-	Refused     float64            `json:"refused"`
-	Failed      float64            `json:"failed"`
-	Lost        float64            `json:"lost"`
-	Unplaced    float64            `json:"unplaced"`
-	Left        float64            `json:"left"`
-	Tries       float64            `json:"tries"`       // for each operation
-	WorkTimes   float64            `json:"work_times"`  // work begun by servers, over the work asked for
-	P50         float64            `json:"p50_ms"`      // of what was served, from the intended send
-	P90         float64            `json:"p90_ms"`      //
-	P99         float64            `json:"p99_ms"`      //
-	P999        float64            `json:"p999_ms"`     //
-	RigLate     float64            `json:"rig_p99_ms"`  // by how much the rig itself was late
-	RigMax      float64            `json:"rig_max_ms"`  //
-	MemoryMB    float64            `json:"memory_mb"`   // the most of any node
-	Sockets     int                `json:"descriptors"` // the most of any node
-	CPU         float64            `json:"cpu_cores"`   // the mean over all nodes
-	Crashes     int                `json:"crashes"`     // of nodes, that nobody asked for
-	Recovered   *float64           `json:"recovered_after_s,omitempty"`
-	Skew        float64            `json:"clock_skew_ms"`
-	MeshBytes   float64            `json:"mesh_bytes_per_s,omitempty"` // sent to other nodes, the most of any
-	MostCPU     float64            `json:"cpu_cores_max,omitempty"`    // of any node, with a mesh
+	Asked        int                `json:"asked"`
+	Rate         float64            `json:"rate_per_s"`
+	Worth        float64            `json:"worth"`        // share served within its aim
+	WorstWindow  float64            `json:"worst_window"` // the same in the worst window
+	ByClass      map[string]float64 `json:"worth_by_class"`
+	WorstTenant  float64            `json:"worst_tenant"` // the same of the worst-served tenant with enough requests
+	Served       float64            `json:"served"`
+	Rejected     float64            `json:"refused"`
+	Failed       float64            `json:"failed"`
+	Lost         float64            `json:"lost"`
+	NotConnected float64            `json:"unplaced"`
+	Cancelled    float64            `json:"left"`
+	Attempts     float64            `json:"tries"`       // for each operation
+	WorkTimes    float64            `json:"work_times"`  // work begun by servers, over the work asked for
+	P50          float64            `json:"p50_ms"`      // of what was served, from the intended send
+	P90          float64            `json:"p90_ms"`      //
+	P99          float64            `json:"p99_ms"`      //
+	P999         float64            `json:"p999_ms"`     //
+	RigLate      float64            `json:"rig_p99_ms"`  // by how much the rig itself was late
+	RigMax       float64            `json:"rig_max_ms"`  //
+	MemoryMB     float64            `json:"memory_mb"`   // the most of any node
+	Sockets      int                `json:"descriptors"` // the most of any node
+	CPU          float64            `json:"cpu_cores"`   // the mean over all nodes
+	Crashes      int                `json:"crashes"`     // of nodes, that nobody asked for
+	Recovered    *float64           `json:"recovered_after_s,omitempty"`
+	Skew         float64            `json:"clock_skew_ms"`
+	MeshBytes    float64            `json:"mesh_bytes_per_s,omitempty"` // sent to other nodes, the most of any
+	MaxCPU       float64            `json:"cpu_cores_max,omitempty"`    // of any node, with a mesh
 }
 
 // Second is one second of a run.
 type Second struct {
-	At      int     `json:"at_s"` // since the run's start, the warm-up included
-	Asked   int     `json:"asked"`
-	Worth   float64 `json:"worth"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
+	At       int     `json:"at_s"` // since the run's start, the warm-up included
+	Asked    int     `json:"asked"`
+	Worth    float64 `json:"worth"`
+	Rejected int     `json:"refused"`
+	Failed   int     `json:"failed"`
+	P50      float64 `json:"p50_ms"`
+	P99      float64 `json:"p99_ms"`
 }
 
 // enough requests of a tenant make its share one that chance does not rule.
-const enough = 30
+const minTenantRequests = 30
 
 // newHistogram holds latencies in microseconds up to a minute, within 0.1%.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
@@ -73,52 +73,52 @@
 }
 
 // worth is what an operation was worth and what of it was earned. A client that left asked for nothing in the end.
-func worth(s *scenario.Scenario, o load.Op) (asked, earned float64) {
+func worth(s *scenario.Scenario, o load.Operation) (asked, earned float64) {
 	c := s.Classes[o.Class]
-	if o.Ending == audit.Left || o.Ending == audit.Cut {
+	if o.Outcome == audit.Cancelled || o.Outcome == audit.LinkReset {
 		return 0, 0
 	}
-	if o.Ending == audit.Served && o.Ended-o.Intended <= c.Aim {
+	if o.Outcome == audit.Served && o.Ended-o.ScheduledAt <= c.Aim {
 		return c.Worth, c.Worth
 	}
 	return c.Worth, 0
 }
 
 // figures sums up the operations that count.
-func figures(s *scenario.Scenario, ops []load.Op) Figures {
+func figures(s *scenario.Scenario, ops []load.Operation) Figures {
 	f := Figures{ByClass: map[string]float64{}, WorstTenant: 1}
 	all, classes, tenants := tally{}, make([]tally, len(s.Classes)), make([]tally, s.Clients.Tenants)
 	asked := make([]int, s.Clients.Tenants)
-	ends := map[audit.Ending]float64{}
+	ends := map[audit.Outcome]float64{}
 	latency, late := newHistogram(), newHistogram()
 	tries := 0
 	for _, o := range ops {
-		if o.Intended < s.Warmup {
+		if o.ScheduledAt < s.Warmup {
 			continue
 		}
 		f.Asked++
-		ends[o.Ending]++
-		tries += o.Tries
+		ends[o.Outcome]++
+		tries += o.Attempts
 		a, e := worth(s, o)
 		for _, t := range []*tally{&all, &classes[o.Class], &tenants[o.Tenant]} {
 			t.asked += a
 			t.served += e
 		}
 		asked[o.Tenant]++
-		if o.Ending == audit.Served {
-			_ = latency.RecordValue(max(1, (o.Ended - o.Intended).Microseconds())) // above a minute: no deadline is
+		if o.Outcome == audit.Served {
+			_ = latency.RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds())) // above a minute: no deadline is
 		}
-		_ = late.RecordValue(max(1, o.Late.Microseconds()))
+		_ = late.RecordValue(max(1, o.SendDelay.Microseconds()))
 	}
 	n := math.Max(1, float64(f.Asked))
-	f.Rate, f.Worth, f.Tries = float64(f.Asked)/s.Duration.Seconds(), all.share(), float64(tries)/n
-	f.Served, f.Refused, f.Failed = ends[audit.Served]/n, ends[audit.Refused]/n, ends[audit.Failed]/n
-	f.Lost, f.Unplaced, f.Left = (ends[audit.Lost]+ends[audit.OnWay])/n, ends[audit.Unplaced]/n, ends[audit.Left]/n
+	f.Rate, f.Worth, f.Attempts = float64(f.Asked)/s.Duration.Seconds(), all.share(), float64(tries)/n
+	f.Served, f.Rejected, f.Failed = ends[audit.Served]/n, ends[audit.Rejected]/n, ends[audit.Failed]/n
+	f.Lost, f.NotConnected, f.Cancelled = (ends[audit.Lost]+ends[audit.InTransit])/n, ends[audit.NotConnected]/n, ends[audit.Cancelled]/n
 	for i, c := range s.Classes {
 		f.ByClass[c.Name] = classes[i].share()
 	}
 	for i, t := range tenants {
-		if asked[i] >= enough {
+		if asked[i] >= minTenantRequests {
 			f.WorstTenant = min(f.WorstTenant, t.share())
 		}
 	}
@@ -131,14 +131,14 @@
 }
 
 // worstWindow is the least share of worth in any window of the stated length, by steps of a fifth of it.
-func worstWindow(s *scenario.Scenario, ops []load.Op) float64 {
+func worstWindow(s *scenario.Scenario, ops []load.Operation) float64 {
 	step := s.Expect.Window / 5
 	cells := make([]tally, int((s.Warmup+s.Duration)/step)+1)
 	for _, o := range ops {
-		if o.Intended >= s.Warmup {
+		if o.ScheduledAt >= s.Warmup {
 			a, e := worth(s, o)
-			cells[o.Intended/step].asked += a
-			cells[o.Intended/step].served += e
+			cells[o.ScheduledAt/step].asked += a
+			cells[o.ScheduledAt/step].served += e
 		}
 	}
 	worst := 1.0
@@ -154,15 +154,15 @@
 }
 
 // recovered is how long after a moment worth is back at a share, over a whole window; false if it never is.
-func recovered(s *scenario.Scenario, ops []load.Op, r scenario.Recover) (time.Duration, bool) {
+func recovered(s *scenario.Scenario, ops []load.Operation, r scenario.Recover) (time.Duration, bool) {
 	step := s.Expect.Window / 5
-	sorted := append([]load.Op(nil), ops...)
-	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Intended < sorted[j].Intended })
+	sorted := append([]load.Operation(nil), ops...)
+	sort.Slice(sorted, func(i, j int) bool { return sorted[i].ScheduledAt < sorted[j].ScheduledAt })
 	for from := r.From; from+s.Expect.Window <= s.Warmup+s.Duration; from += step {
 		t := tally{}
-		at := sort.Search(len(sorted), func(i int) bool { return sorted[i].Intended >= from })
+		at := sort.Search(len(sorted), func(i int) bool { return sorted[i].ScheduledAt >= from })
 		for _, o := range sorted[at:] {
-			if o.Intended >= from+s.Expect.Window {
+			if o.ScheduledAt >= from+s.Expect.Window {
 				break
 			}
 			a, e := worth(s, o)
@@ -177,25 +177,25 @@
 }
 
 // seconds is the course of a run.
-func seconds(s *scenario.Scenario, ops []load.Op) []Second {
+func seconds(s *scenario.Scenario, ops []load.Operation) []Second {
 	n := int(math.Ceil((s.Warmup + s.Duration).Seconds()))
 	out, cells, hist := make([]Second, n), make([]tally, n), make([]*hdrhistogram.Histogram, n)
 	for _, o := range ops {
-		i := min(n-1, int(o.Intended.Seconds()))
+		i := min(n-1, int(o.ScheduledAt.Seconds()))
 		a, e := worth(s, o)
 		cells[i].asked += a
 		cells[i].served += e
 		out[i].Asked++
-		switch o.Ending {
-		case audit.Refused, audit.Unplaced:
-			out[i].Refused++
-		case audit.Failed, audit.Lost, audit.OnWay:
+		switch o.Outcome {
+		case audit.Rejected, audit.NotConnected:
+			out[i].Rejected++
+		case audit.Failed, audit.Lost, audit.InTransit:
 			out[i].Failed++
 		case audit.Served:
 			if hist[i] == nil {
 				hist[i] = newHistogram()
 			}
-			_ = hist[i].RecordValue(max(1, (o.Ended - o.Intended).Microseconds()))
+			_ = hist[i].RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds()))
 		}
 	}
 	for i := range out {
@@ -209,7 +209,7 @@
 }
 
 // short names the expectations that a run does not meet.
-func short(s *scenario.Scenario, f Figures) []string {
+func unmetExpectations(s *scenario.Scenario, f Figures) []string {
 	var out []string
 	say := func(bad bool, format string, args ...any) {
 		if bad {
@@ -227,8 +227,8 @@
 		ms := float64(*e.P99) / float64(time.Millisecond)
 		say(f.P99 > ms, "p99 %.1f ms, at most %.1f wanted", f.P99, ms)
 	}
-	if e.Refused != nil {
-		say(f.Refused > *e.Refused, "refused %.4f, at most %.4f wanted", f.Refused, *e.Refused)
+	if e.Rejected != nil {
+		say(f.Rejected > *e.Rejected, "refused %.4f, at most %.4f wanted", f.Rejected, *e.Rejected)
 	}
 	if e.Failed != nil {
 		say(f.Failed+f.Lost > *e.Failed, "failed or lost %.4f, at most %.4f wanted", f.Failed+f.Lost, *e.Failed)
@@ -250,7 +250,7 @@
 		say(f.MeshBytes > e.Mesh.Bytes, "%.0f bytes a second to other nodes, at most %.0f wanted", f.MeshBytes, e.Mesh.Bytes)
 	}
 	if e.Mesh != nil && e.Mesh.Cores > 0 {
-		say(f.MostCPU > e.Mesh.Cores, "%.4f cores at some node, at most %.4f wanted", f.MostCPU, e.Mesh.Cores)
+		say(f.MaxCPU > e.Mesh.Cores, "%.4f cores at some node, at most %.4f wanted", f.MaxCPU, e.Mesh.Cores)
 	}
 	say(f.Crashes > 0, "%d nodes crashed", f.Crashes)
 	return out
--- a/lab/experiment/members_test.go
+++ b/lab/experiment/members_test.go
@@ -21,11 +21,11 @@
 	t.Parallel()
 	// Other tests take the machine's cores beside this one: times are given more room than where members are measured.
 	r := playOut(t, membersCI(t, "expect.mesh.notice=8s", "expect.mesh.heal=6s"))
-	if r.Void == "" && (len(r.Breaches) > 0 || r.Members.Samples < 1000 || r.Members.Views < 3 || r.Members.SharesMean < 0.8) {
+	if r.VoidReason == "" && (len(r.Breaches) > 0 || r.Members.Samples < 1000 || r.Members.ViewChanges < 3 || r.Members.QuotaMean < 0.8) {
 		t.Errorf("breaches %v, members %+v", r.Breaches, r.Members)
 	}
-	if r.Void != "" {
-		t.Skipf("the machine was too busy, which proves nothing: %s", r.Void)
+	if r.VoidReason != "" {
+		t.Skipf("the machine was too busy, which proves nothing: %s", r.VoidReason)
 	}
 }
 
@@ -33,7 +33,7 @@
 func TestTheRigSeesAFalseVerdict(t *testing.T) {
 	t.Parallel()
 	r := playOut(t, membersCI(t, "duration=8s", "mesh.suspicion=1s", `fault=[{at="7s", for="2s", kind="node-stop", target="node:1"}]`))
-	if r.BreachesN["members-taken-out"] == 0 {
+	if r.BreachesByRule["members-taken-out"] == 0 {
 		t.Errorf("breaches %v, members %+v", r.Breaches, r.Members)
 	}
 }
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -25,34 +25,34 @@
 const membersEvery, answerIn = 50 * time.Millisecond, 200 * time.Millisecond
 
 // meshed is the part of a run that concerns the nodes among themselves.
-type meshed struct {
+type meshRun struct {
 	links *netfault.Mesh
 
-	mu      sync.Mutex
-	samples []audit.MemberSample
-	cuts    []audit.LinkEvent
-	others  []audit.At
-	shares  []audit.ShareTold
-	told    map[[2]uint64]int64 // the last share of each process that is noted
-	starts  []traffic           // by node, when what counts began
-	bytes   []float64           // a second, by node
+	mu             sync.Mutex
+	samples        []audit.MemberSample
+	linkEvents     []audit.LinkEvent
+	otherFaultEnds []audit.Offset
+	grants         []audit.QuotaGrant
+	lastGrant      map[[2]uint64]int64 // the last share of each process that is noted
+	starts         []trafficMark       // by node, when what counts began
+	bytes          []float64           // a second, by node
 }
 
 // traffic is what a node's counters say it has sent.
-type traffic struct {
+type trafficMark struct {
 	at    time.Time
 	bytes float64
 }
 
 // weave opens the links and has the nodes' operator files name them.
-func (r *run) weave(dir string) error {
-	s := r.o.Scenario
+func (r *run) openMesh(dir string) error {
+	s := r.options.Scenario
 	if s.Mesh == nil {
 		return nil
 	}
 	var listens []string
 	for range s.Nodes.Count {
-		addr, err := loopback.Free()
+		addr, err := loopback.FreeAddress()
 		if err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 	for i, addr := range listens {
 		all = append(all, fmt.Sprintf("n%d = %q", i, addr))
 	}
-	r.mesh = &meshed{links: links, told: map[[2]uint64]int64{}, starts: make([]traffic, s.Nodes.Count), bytes: make([]float64, s.Nodes.Count)}
+	r.mesh = &meshRun{links: links, lastGrant: map[[2]uint64]int64{}, starts: make([]trafficMark, s.Nodes.Count), bytes: make([]float64, s.Nodes.Count)}
 	for i := range s.Nodes.Count {
 		var seeds, book []string
 		for j := range s.Nodes.Count {
@@ -82,7 +82,7 @@
 		if s.Mesh.Overload {
 			text += "overload = true\n"
 		}
-		if s.Mesh.Shares {
+		if s.Mesh.Quotas {
 			text += fmt.Sprintf("shares = { %s }\n", strings.Join(all, ", "))
 		}
 		for key, d := range map[string]time.Duration{"period": s.Mesh.Period, "timeout": s.Mesh.Timeout, "suspicion": s.Mesh.Suspicion} {
@@ -90,7 +90,7 @@
 				text += fmt.Sprintf("%s = %q\n", key, d)
 			}
 		}
-		f, err := os.OpenFile(backend.EdgePath(dir, i), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+		f, err := os.OpenFile(backend.OperatorFilePath(dir, i), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -105,32 +105,32 @@
 }
 
 // applyLink carries out a fault of a link, or ends it.
-func (m *meshed) apply(e scenario.Event, at time.Duration) {
+func (m *meshRun) apply(e scenario.Event, at time.Duration) {
 	on := !e.Ends
-	m.links.Set(e.Node, e.Peer, func(w *netfault.Way) {
+	m.links.SetFaults(e.Node, e.Peer, func(w *netfault.PacketFaults) {
 		switch f := e.Fault; e.Kind {
 		case "cut":
 			w.Cut = on
 		case "loss":
-			w.Loss = f.Share * num(on)
+			w.Loss = f.Share * factor(on)
 		case "delay":
-			w.Delay, w.Jitter = f.Delay*time.Duration(num(on)), f.Jitter*time.Duration(num(on))
+			w.Delay, w.Jitter = f.Delay*time.Duration(factor(on)), f.Jitter*time.Duration(factor(on))
 		case "duplicate":
-			w.Double = f.Share * num(on)
+			w.Duplicate = f.Share * factor(on)
 		case "reorder":
-			w.Reorder, w.Back = f.Share*num(on), f.Delay
+			w.Reorder, w.ReorderDelay = f.Share*factor(on), f.Delay
 		}
 	})
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e.Kind == "cut" {
-		m.cuts = append(m.cuts, audit.LinkEvent{At: at, From: e.Node, To: e.Peer, Cut: on})
+		m.linkEvents = append(m.linkEvents, audit.LinkEvent{At: at, From: e.Node, To: e.Peer, Cut: on})
 	} else if e.Ends {
-		m.others = append(m.others, at)
+		m.otherFaultEnds = append(m.otherFaultEnds, at)
 	}
 }
 
-func num(on bool) float64 {
+func factor(on bool) float64 {
 	if on {
 		return 1
 	}
@@ -140,11 +140,11 @@
 // watch asks every process for its view until the run is done.
 func (r *run) watchMembers(done <-chan struct{}) {
 	var all sync.WaitGroup
-	for i := range r.o.Scenario.Nodes.Count {
+	for i := range r.options.Scenario.Nodes.Count {
 		all.Go(func() {
 			tick := time.NewTicker(membersEvery)
 			defer tick.Stop()
-			path := cluster.SocketPath(r.bank.Disk(i), "n"+strconv.Itoa(i))
+			path := cluster.SocketPath(r.nodes.DataDir(i), "n"+strconv.Itoa(i))
 			for {
 				select {
 				case <-tick.C:
@@ -162,9 +162,9 @@
 	all.Wait()
 }
 
-func (m *meshed) sample(node int, st cluster.Status, start time.Time) {
+func (m *meshRun) sample(node int, st cluster.Status, start time.Time) {
 	at := time.Since(start)
-	s := audit.MemberSample{At: at, Node: node, Start: st.Generation, View: st.View.Number, Whole: st.Connectivity == membership.Connected}
+	s := audit.MemberSample{At: at, Node: node, Start: st.Generation, View: st.View.Number, HasMajority: st.Connectivity == membership.Connected}
 	for i := range 64 {
 		for _, name := range st.View.Members {
 			if name == "n"+strconv.Itoa(i) {
@@ -180,23 +180,23 @@
 	}
 	key := [2]uint64{uint64(node), st.Generation}
 	for _, h := range st.Quota.Allocations {
-		if h.At <= m.told[key] {
+		if h.At <= m.lastGrant[key] {
 			continue
 		}
-		m.told[key] = h.At
-		until := audit.ForEver
+		m.lastGrant[key] = h.At
+		until := audit.Forever
 		if h.ValidUntil != math.MaxInt64 {
 			until = time.Duration(h.ValidUntil - start.UnixNano())
 		}
-		m.shares = append(m.shares, audit.ShareTold{Node: node, Start: st.Generation, At: time.Duration(h.At - start.UnixNano()), Value: h.Fraction,
+		m.grants = append(m.grants, audit.QuotaGrant{Node: node, Start: st.Generation, At: time.Duration(h.At - start.UnixNano()), Value: h.Fraction,
 			Until: until, After: h.FractionAfter})
 	}
 }
 
 // account begins, and with end finishes, the account of what each node sends to the others.
-func (r *run) account(end bool) {
+func (r *run) countTraffic(end bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for i, addr := range r.bank.Addrs() {
+	for i, addr := range r.nodes.Addresses() {
 		resp, err := client.Get("http://" + addr + "/_counters")
 		if err != nil {
 			continue // it is down or stands still just now
@@ -208,7 +208,7 @@
 		}
 		err = json.NewDecoder(resp.Body).Decode(&got)
 		_ = resp.Body.Close()
-		now := traffic{time.Now(), got.Cluster.Sent}
+		now := trafficMark{time.Now(), got.Cluster.Sent}
 		if was := r.mesh.starts[i]; err == nil && end && !was.at.IsZero() && now.bytes >= was.bytes {
 			r.mesh.bytes[i] = (now.bytes - was.bytes) / now.at.Sub(was.at).Seconds()
 		}
@@ -218,24 +218,24 @@
 
 // judgeMembers holds the views against what was really so.
 func (r *run) judgeMembers(out *Result) {
-	s := r.o.Scenario
-	limits := audit.MemberLimits{Notice: time.Hour, Heal: time.Hour}
+	s := r.options.Scenario
+	limits := audit.MemberLimits{DetectWithin: time.Hour, ConvergeWithin: time.Hour}
 	if e := s.Expect.Mesh; e != nil {
-		limits = audit.MemberLimits{Notice: e.Notice, Heal: e.Heal, Uneven: e.Uneven}
+		limits = audit.MemberLimits{DetectWithin: e.DetectWithin, ConvergeWithin: e.ConvergeWithin, IgnorePartial: e.IgnorePartial}
 	}
-	record := audit.Members{Nodes: s.Nodes.Count, From: r.lead + s.Warmup, Until: r.ended, Samples: r.mesh.samples, Links: r.mesh.cuts, Others: r.mesh.others, Shares: r.mesh.shares}
-	record.Downs = r.bank.Downs()
+	record := audit.MembershipRecord{Nodes: s.Nodes.Count, From: r.scheduleStart + s.Warmup, Until: r.ended, Samples: r.mesh.samples, Links: r.mesh.linkEvents, OtherFaultEnds: r.mesh.otherFaultEnds, Quotas: r.mesh.grants}
+	record.Downtimes = r.nodes.Downtimes()
 	breaches, figures := record.Judge(limits)
 	out.Members = &figures
 	out.Breaches = append(out.Breaches, breaches...)
 	for _, b := range breaches {
-		out.BreachesN[b.Rule]++
+		out.BreachesByRule[b.Rule]++
 	}
 	for i, n := range out.Nodes {
 		out.Figures.MeshBytes = max(out.Figures.MeshBytes, r.mesh.bytes[i])
 		if k := len(n.Samples); k > 1 {
 			first, last := n.Samples[0], n.Samples[k-1]
-			out.Figures.MostCPU = max(out.Figures.MostCPU, (last.CPU-first.CPU)/(last.At-first.At).Seconds())
+			out.Figures.MaxCPU = max(out.Figures.MaxCPU, (last.CPU-first.CPU)/(last.At-first.At).Seconds())
 		}
 	}
 }
--- a/lab/experiment/ops_test.go
+++ b/lab/experiment/ops_test.go
@@ -9,12 +9,12 @@
 )
 
 // opsOf are a hundred operations a second, served where a function says so.
-func opsOf(s *scenario.Scenario, served func(time.Duration) bool) []load.Op {
-	var out []load.Op
+func opsOf(s *scenario.Scenario, served func(time.Duration) bool) []load.Operation {
+	var out []load.Operation
 	for at := time.Duration(0); at < s.Warmup+s.Duration; at += 10 * time.Millisecond {
-		o := load.Op{Intended: at, Ended: at + 20*time.Millisecond, Ending: audit.Failed, Tries: 1}
+		o := load.Operation{ScheduledAt: at, Ended: at + 20*time.Millisecond, Outcome: audit.Failed, Attempts: 1}
 		if served(at) {
-			o.Ending = audit.Served
+			o.Outcome = audit.Served
 		}
 		out = append(out, o)
 	}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -34,10 +34,10 @@
 
 	// skewMost is how far the clocks of rig and node may lie apart. What is measured holds the way of a log line through
 	// a pipe as well, which takes milliseconds on a busy machine; a clock that is really off is off by more.
-	skewMost = 50 * time.Millisecond
+	maxClockSkew = 50 * time.Millisecond
 
 	// slack and sockets are the rule's: an answer may come 5 ms after the wait, and 50 ms more on sockets.
-	slack = 55 * time.Millisecond
+	responseSlack = 55 * time.Millisecond
 
 	// settle lets starting nodes have the list and their first connections before the first request.
 	settle = 300 * time.Millisecond
@@ -61,9 +61,9 @@
 	// Begin is called once the nodes are up. Times of tries count from start.
 	Begin(start time.Time, nodes []string)
 	// Stopping is called right after SIGTERM of a planned stop. It does not wait.
-	Stopping(node int, address string, at time.Time)
+	StopBegan(node int, address string, at time.Time)
 	// Tries ends what is still going on, and gives what was seen.
-	Tries() []audit.Try
+	Attempts() []audit.Attempt
 }
 
 // Progress is one second as it goes.
@@ -72,11 +72,11 @@
 	Asked    int
 	Worth    float64
 	P50, P99 float64
-	Refused  int
+	Rejected int
 	Failed   int
-	Excluded []string
+	Ejected  []string
 	Events   []string
-	Loads    []backend.Load
+	Loads    []backend.ServerLoad
 }
 
 // Mark is a fault as it was carried out.
@@ -87,30 +87,30 @@
 
 // Result is a whole run.
 type Result struct {
-	Scenario  string               `json:"scenario"`
-	About     string               `json:"about"`
-	Verdict   string               `json:"verdict"`
-	Short     []string             `json:"short,omitempty"`
-	Void      string               `json:"void,omitempty"`
-	Breaches  []audit.Breach       `json:"breaches,omitempty"`
-	BreachesN map[string]int       `json:"breaches_by_rule,omitempty"`
-	Figures   Figures              `json:"figures"`
-	Seconds   []Second             `json:"seconds"`
-	Marks     []Mark               `json:"marks"`
-	Nodes     []nodeproc.Report    `json:"nodes"`
-	Servers   [][]backend.Load     `json:"servers"` // by half second
-	Members   *audit.MemberFigures `json:"members,omitempty"`
-	Files     map[string]int       `json:"inventory_files,omitempty"` // rewritten well and badly, over all nodes
-	Seed      uint64               `json:"seed"`
-	Schedule  string               `json:"schedule"` // its hash
-	Build     string               `json:"build"`
-	Machine   string               `json:"machine"`
-	When      time.Time            `json:"when"`
-	Took      float64              `json:"took_s"`
-	Killed    int                  `json:"killed"` // planned stops that SIGKILL ended
-	Record    audit.Record         `json:"-"`
-	Began     time.Time            `json:"-"` // the zero of the record's times
-	Logs      []string             `json:"-"`
+	Scenario       string                 `json:"scenario"`
+	About          string                 `json:"about"`
+	Verdict        string                 `json:"verdict"`
+	Unmet          []string               `json:"short,omitempty"`
+	VoidReason     string                 `json:"void,omitempty"`
+	Breaches       []audit.Breach         `json:"breaches,omitempty"`
+	BreachesByRule map[string]int         `json:"breaches_by_rule,omitempty"`
+	Figures        Figures                `json:"figures"`
+	Seconds        []Second               `json:"seconds"`
+	Marks          []Mark                 `json:"marks"`
+	Nodes          []nodeproc.Report      `json:"nodes"`
+	Servers        [][]backend.ServerLoad `json:"servers"` // by half second
+	Members        *audit.MemberFigures   `json:"members,omitempty"`
+	Files          map[string]int         `json:"inventory_files,omitempty"` // rewritten well and badly, over all nodes
+	Seed           uint64                 `json:"seed"`
+	Schedule       string                 `json:"schedule"` // its hash
+	Build          string                 `json:"build"`
+	Machine        string                 `json:"machine"`
+	When           time.Time              `json:"when"`
+	Took           float64                `json:"took_s"`
+	KilledStops    int                    `json:"killed"` // planned stops that SIGKILL ended
+	Record         audit.Record           `json:"-"`
+	Began          time.Time              `json:"-"` // the zero of the record's times
+	Logs           []string               `json:"-"`
 }
 
 // Run plays a scenario. The error says that it could not be run at all.
@@ -120,46 +120,46 @@
 		return nil, err
 	}
 	began := time.Now()
-	r := &run{o: o, sched: sched, start: began}
+	r := &run{options: o, sched: sched, start: began}
 	out := &Result{Began: began, Scenario: o.Scenario.Name, About: o.Scenario.About, Seed: o.Scenario.Seed, Schedule: sched.Hash(),
 		Build: o.Build, Machine: machine(), When: began.UTC().Truncate(time.Second)}
 	if r.fleet, err = backend.New(o.Scenario, sched.Speeds, began); err != nil {
 		return nil, err
 	}
 	defer r.fleet.Close()
-	edge, clean, err := r.edges()
+	edge, clean, err := r.writeOperatorFiles()
 	if err != nil {
 		return nil, err
 	}
 	defer clean()
 	var stopping func(int, string, time.Time)
 	if o.Companion != nil {
-		stopping = o.Companion.Stopping
+		stopping = o.Companion.StopBegan
 	}
-	if r.bank, err = nodeproc.Start(nodeproc.Options{Stopping: stopping, Scenario: o.Scenario, Command: o.Command, Env: o.Env, Fleet: r.fleet,
-		Start: began, Edge: edge, Dir: o.Dir}); err != nil {
+	if r.nodes, err = nodeproc.Start(nodeproc.Options{OnStop: stopping, Scenario: o.Scenario, Command: o.Command, Env: o.Env, Backends: r.fleet,
+		RunStart: began, OperatorFile: edge, Dir: o.Dir}); err != nil {
 		return nil, err
 	}
-	defer r.bank.Close()
+	defer r.nodes.Close()
 	if o.Started != nil {
-		o.Started(r.bank.Addrs())
+		o.Started(r.nodes.Addresses())
 	}
 	if o.Companion != nil {
-		o.Companion.Begin(began, r.bank.Addrs())
+		o.Companion.Begin(began, r.nodes.Addresses())
 	}
-	r.lead = time.Since(began) + settle // the schedule's zero, in the run's time
-	r.load = load.New(load.Options{Scenario: o.Scenario, Schedule: sched, Nodes: r.bank.Addrs(), Start: began.Add(r.lead),
-		Alive: r.bank.Alive, Leaving: r.bank.Leaving, Coap: r.coap})
+	r.scheduleStart = time.Since(began) + settle // the schedule's zero, in the run's time
+	r.load = load.New(load.Options{Scenario: o.Scenario, Schedule: sched, Nodes: r.nodes.Addresses(), Start: began.Add(r.scheduleStart),
+		Alive: r.nodes.Alive, StoppingFor: r.nodes.StoppingFor, CoapAddresses: r.coap})
 	err = r.play(ctx)
-	time.Sleep(slack) // what is sent after its answer would come now
-	r.sum(out, err)
+	time.Sleep(responseSlack) // what is sent after its answer would come now
+	r.summarize(out, err)
 	out.Took = time.Since(began).Seconds()
 	return out, nil
 }
 
 // edges write the nodes' operator files, where the scenario turns subsystems on.
-func (r *run) edges() (edge func(int) string, clean func(), err error) {
-	s := r.o.Scenario
+func (r *run) writeOperatorFiles() (edge func(int) string, clean func(), err error) {
+	s := r.options.Scenario
 	if s.Inventory == nil && s.Clients.Coap == 0 && s.Mesh == nil {
 		return nil, func() {}, nil
 	}
@@ -173,29 +173,29 @@
 			r.mesh.links.Close()
 		}
 	}
-	if err = errors.Join(r.writeEdges(dir), r.weave(dir)); err != nil {
+	if err = errors.Join(r.writeInventoryAndCoap(dir), r.openMesh(dir)); err != nil {
 		clean()
 		return nil, nil, err
 	}
-	return func(node int) string { return backend.EdgePath(dir, node) }, clean, nil
+	return func(node int) string { return backend.OperatorFilePath(dir, node) }, clean, nil
 }
 
-func (r *run) writeEdges(dir string) (err error) {
-	if r.o.Scenario.Inventory != nil {
-		if r.writer, err = backend.NewWriter(r.fleet, dir); err != nil {
+func (r *run) writeInventoryAndCoap(dir string) (err error) {
+	if r.options.Scenario.Inventory != nil {
+		if r.writer, err = backend.NewInventoryWriter(r.fleet, dir); err != nil {
 			return err
 		}
 	}
-	if r.o.Scenario.Clients.Coap == 0 {
+	if r.options.Scenario.Clients.Coap == 0 {
 		return nil
 	}
-	for node := range r.o.Scenario.Nodes.Count {
-		addr, err := loopback.Free() // a TCP port that is free on a host of its own: UDP's is too
+	for node := range r.options.Scenario.Nodes.Count {
+		addr, err := loopback.FreeAddress() // a TCP port that is free on a host of its own: UDP's is too
 		if err != nil {
 			return err
 		}
 		r.coap = append(r.coap, addr)
-		f, err := os.OpenFile(backend.EdgePath(dir, node), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+		f, err := os.OpenFile(backend.OperatorFilePath(dir, node), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -209,24 +209,24 @@
 
 // run is a run on its way.
 type run struct {
-	o     Options
-	sched *scenario.Schedule
-	start time.Time
-	lead  time.Duration
-	fleet *backend.Fleet
-	bank  *nodeproc.Bank
-	load  *load.Load
+	options       Options
+	sched         *scenario.Schedule
+	start         time.Time
+	scheduleStart time.Duration
+	fleet         *backend.Fleet
+	nodes         *nodeproc.Group
+	load          *load.Generator
 
-	coap   []string        // the nodes' CoAP addresses
-	writer *backend.Writer // nil: discovery alone lists the servers
-	mesh   *meshed         // nil: the nodes do not know of one another
-	ended  time.Duration   // the last moment that is judged
+	coap   []string                 // the nodes' CoAP addresses
+	writer *backend.InventoryWriter // nil: discovery alone lists the servers
+	mesh   *meshRun                 // nil: the nodes do not know of one another
+	ended  time.Duration            // the last moment that is judged
 
-	mu      sync.Mutex
-	marks   []Mark
-	news    []string
-	failed  error
-	servers [][]backend.Load
+	mu           sync.Mutex
+	marks        []Mark
+	recentEvents []string
+	faultErr     error
+	servers      [][]backend.ServerLoad
 }
 
 // play sends the load while faults come and nodes are measured.
@@ -239,7 +239,7 @@
 	beside.Go(func() { r.measure(done) })
 	if r.mesh != nil {
 		beside.Go(func() { r.watchMembers(done) })
-		r.account(false)
+		r.countTraffic(false)
 	}
 	var written error
 	if r.writer != nil {
@@ -247,13 +247,13 @@
 	}
 	err := r.load.Run(ctx)
 	if r.mesh != nil {
-		r.account(true)
+		r.countTraffic(true)
 	}
 	r.ended = time.Since(r.start)
 	close(done)
 	cancel()
 	beside.Wait()
-	return errors.Join(err, written, r.failed)
+	return errors.Join(err, written, r.faultErr)
 }
 
 // faults carries out the timeline. One event does not hold up the next: a planned restart takes seconds.
@@ -261,7 +261,7 @@
 	var open sync.WaitGroup
 	defer open.Wait()
 	for _, e := range r.sched.Events {
-		wait := time.NewTimer(time.Until(r.start.Add(r.lead + e.At)))
+		wait := time.NewTimer(time.Until(r.start.Add(r.scheduleStart + e.At)))
 		select {
 		case <-wait.C:
 		case <-ctx.Done():
@@ -272,7 +272,7 @@
 		open.Go(func() {
 			if err := r.apply(e); err != nil {
 				r.mu.Lock()
-				r.failed = errors.Join(r.failed, fmt.Errorf("%s: %w", e.Kind, err))
+				r.faultErr = errors.Join(r.faultErr, fmt.Errorf("%s: %w", e.Kind, err))
 				r.mu.Unlock()
 			}
 		})
@@ -281,20 +281,20 @@
 
 func (r *run) apply(e scenario.Event) error {
 	switch {
-	case scenario.OfLink(e.Kind):
+	case scenario.IsLinkFault(e.Kind):
 		r.mesh.apply(e, time.Since(r.start))
 		return nil
 	case strings.HasPrefix(e.Kind, "node-") || e.Kind == "disk-lost":
-		return r.bank.Apply(e)
+		return r.nodes.ApplyFault(e)
 	case strings.HasPrefix(e.Kind, "clients-"):
 		r.load.Apply(e)
 		return nil
 	}
-	if err := r.fleet.Apply(e); err != nil {
+	if err := r.fleet.ApplyFault(e); err != nil {
 		return err
 	}
 	if e.Server >= 0 && (e.Ends || e.Kind == "cold-return") {
-		r.bank.Forget(r.fleet.Loads()[e.Server].ID)
+		r.nodes.ForgetServer(r.fleet.Loads()[e.Server].ID)
 	}
 	return nil
 }
@@ -313,7 +313,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.news = append(r.news, what+" "+target)
+	r.recentEvents = append(r.recentEvents, what+" "+target)
 	at := e.At.Seconds()
 	if n := len(r.marks); n > 0 && at-r.marks[n-1].At < 0.5 && strings.HasPrefix(r.marks[n-1].Text, what+" ") {
 		r.marks[n-1].Text += ", " + target
@@ -334,58 +334,58 @@
 			return
 		}
 		ticks++
-		r.bank.Sample()
+		r.nodes.Sample()
 		if ticks%2 == 0 {
 			r.servers = append(r.servers, r.fleet.Loads())
 		}
-		if ticks%4 == 0 && r.o.Progress != nil {
-			ops := r.load.Since(seen)
+		if ticks%4 == 0 && r.options.Progress != nil {
+			ops := r.load.CompletedSince(seen)
 			seen += len(ops)
-			r.tell(ops)
+			r.reportProgress(ops)
 		}
 	}
 }
 
-func (r *run) tell(ops []load.Op) {
-	p := Progress{At: time.Since(r.start) - r.lead, Asked: len(ops), Excluded: r.bank.Excluded(), Loads: r.fleet.Loads()}
+func (r *run) reportProgress(ops []load.Operation) {
+	p := Progress{At: time.Since(r.start) - r.scheduleStart, Asked: len(ops), Ejected: r.nodes.Ejected(), Loads: r.fleet.Loads()}
 	t, hist := tally{}, newHistogram()
 	for _, o := range ops {
-		a, e := worth(r.o.Scenario, o)
+		a, e := worth(r.options.Scenario, o)
 		t.asked += a
 		t.served += e
-		switch o.Ending {
-		case audit.Refused, audit.Unplaced:
-			p.Refused++
-		case audit.Failed, audit.Lost, audit.OnWay:
+		switch o.Outcome {
+		case audit.Rejected, audit.NotConnected:
+			p.Rejected++
+		case audit.Failed, audit.Lost, audit.InTransit:
 			p.Failed++
 		case audit.Served:
-			_ = hist.RecordValue(max(1, (o.Ended - o.Intended).Microseconds()))
+			_ = hist.RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds()))
 		}
 	}
 	p.Worth, p.P50, p.P99 = t.share(), float64(hist.ValueAtQuantile(50))/1000, float64(hist.ValueAtQuantile(99))/1000
 	r.mu.Lock()
-	p.Events, r.news = r.news, nil
+	p.Events, r.recentEvents = r.recentEvents, nil
 	r.mu.Unlock()
-	r.o.Progress(p)
+	r.options.Progress(p)
 }
 
 // sum works out what the run came to.
-func (r *run) sum(out *Result, err error) {
-	s := r.o.Scenario
+func (r *run) summarize(out *Result, err error) {
+	s := r.options.Scenario
 	tries, ops := r.load.Results()
 	record := r.record(tries)
-	if r.o.Companion != nil {
-		record.Tries = append(record.Tries, r.o.Companion.Tries()...)
+	if r.options.Companion != nil {
+		record.Attempts = append(record.Attempts, r.options.Companion.Attempts()...)
 	}
-	out.Record, out.Killed = record, r.bank.Killed()
-	out.Breaches = record.Judge(audit.Limits{Grace: s.Nodes.Grace, Late: slack, Way: way(s)})
-	out.BreachesN = map[string]int{}
+	out.Record, out.KilledStops = record, r.nodes.KilledStops()
+	out.Breaches = record.Judge(audit.Limits{DrainGrace: s.Nodes.DrainGrace, ResponseSlack: responseSlack, LinkDelay: maxLinkDelay(s)})
+	out.BreachesByRule = map[string]int{}
 	for _, b := range out.Breaches {
-		out.BreachesN[b.Rule]++
+		out.BreachesByRule[b.Rule]++
 	}
 	out.Figures, out.Seconds, out.Marks, out.Servers = figures(s, ops), seconds(s, ops), r.marks, r.servers
-	out.Nodes = r.bank.Reports()
-	r.costs(&out.Figures, out.Nodes)
+	out.Nodes = r.nodes.Reports()
+	r.sumNodeCosts(&out.Figures, out.Nodes)
 	if r.mesh != nil {
 		r.judgeMembers(out)
 	}
@@ -399,19 +399,19 @@
 	for _, a := range r.sched.Arrivals {
 		asked += a.Work
 	}
-	out.Figures.WorkTimes = r.fleet.WorkBegun().Seconds() / math.Max(1e-9, asked.Seconds())
+	out.Figures.WorkTimes = r.fleet.WorkStarted().Seconds() / math.Max(1e-9, asked.Seconds())
 	for i := range out.Nodes {
-		out.Logs = append(out.Logs, r.bank.Log(i))
+		out.Logs = append(out.Logs, r.nodes.Log(i))
 	}
 	if r.writer != nil {
-		out.Files = map[string]int{"good": r.writer.Good, "bad": r.writer.Bad}
+		out.Files = map[string]int{"good": r.writer.GoodFiles, "bad": r.writer.BadFiles}
 	}
-	out.Short = short(s, out.Figures)
-	out.Void = r.void(out.Figures, err)
+	out.Unmet = unmetExpectations(s, out.Figures)
+	out.VoidReason = r.voidReason(out.Figures, err)
 	switch {
-	case out.Void != "":
+	case out.VoidReason != "":
 		out.Verdict = VerdictVoid
-	case len(out.Breaches) > 0 || len(out.Short) > 0:
+	case len(out.Breaches) > 0 || len(out.Unmet) > 0:
 		out.Verdict = VerdictShort
 	default:
 		out.Verdict = VerdictOK
@@ -419,9 +419,9 @@
 }
 
 // void says why a run proves nothing; empty where it does.
-func (r *run) void(f Figures, err error) string {
-	late := float64(r.o.Scenario.RigLate) / float64(time.Millisecond)
-	skew := float64(skewMost) / float64(time.Millisecond)
+func (r *run) voidReason(f Figures, err error) string {
+	late := float64(r.options.Scenario.RigLate) / float64(time.Millisecond)
+	skew := float64(maxClockSkew) / float64(time.Millisecond)
 	switch {
 	case errors.Is(err, context.Canceled):
 		return "cut off"
@@ -438,23 +438,23 @@
 }
 
 // record puts together what all saw. Clients' times count from the schedule's zero, the servers' from the run's.
-func (r *run) record(tries []audit.Try) audit.Record {
+func (r *run) record(tries []audit.Attempt) audit.Record {
 	record := r.fleet.Record()
-	record.Outages, record.Pauses = r.bank.Outages(), r.bank.Pauses()
+	record.Outages, record.Pauses = r.nodes.Outages(), r.nodes.Pauses()
 	if r.writer != nil { // the nodes listen to their files alone
-		record.Told = r.writer.Told()
+		record.ListUpdates = r.writer.ListUpdates()
 	}
 	for _, t := range tries {
-		t.Sent, t.Expires, t.Ended = t.Sent+r.lead, t.Expires+r.lead, t.Ended+r.lead
-		record.Tries = append(record.Tries, t)
+		t.Sent, t.Deadline, t.Ended = t.Sent+r.scheduleStart, t.Deadline+r.scheduleStart, t.Ended+r.scheduleStart
+		record.Attempts = append(record.Attempts, t)
 	}
 	return record
 }
 
 // way is the most that the lab's links delay one message between node and server: four losses of one segment in a row
 // at most, which is one in ten thousand at a loss of a tenth.
-func way(s *scenario.Scenario) time.Duration {
-	most := func(l scenario.Impair) time.Duration {
+func maxLinkDelay(s *scenario.Scenario) time.Duration {
+	most := func(l scenario.Impairment) time.Duration {
 		d := l.Delay + l.Jitter
 		if l.Loss > 0 {
 			d += 4 * max(l.RTO, 200*time.Millisecond)
@@ -465,7 +465,7 @@
 }
 
 // costs sums up the nodes' measurements.
-func (r *run) costs(f *Figures, nodes []nodeproc.Report) {
+func (r *run) sumNodeCosts(f *Figures, nodes []nodeproc.Report) {
 	for _, n := range nodes {
 		f.Crashes += n.Crashes
 		for _, s := range n.Samples {
@@ -477,7 +477,7 @@
 			f.CPU += (last.CPU - first.CPU) / (last.At - first.At).Seconds() / float64(len(nodes))
 		}
 	}
-	f.Skew = r.bank.Skew()
+	f.Skew = r.nodes.ClockSkew()
 }
 
 func machine() string {
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -27,13 +27,13 @@
 }
 
 // openDevices opens the devices' sockets. One that cannot be opened is missing; the others carry its load.
-func (l *Load) openDevices() {
-	s := l.o.Scenario
-	if s.Clients.Coap == 0 || len(l.o.Coap) == 0 {
+func (l *Generator) openDevices() {
+	s := l.options.Scenario
+	if s.Clients.Coap == 0 || len(l.options.CoapAddresses) == 0 {
 		return
 	}
-	up, down := backend.Impairment(s.Links.Clients)
-	for node, addr := range l.o.Coap {
+	up, down := backend.Impairments(s.Links.Clients)
+	for node, addr := range l.options.CoapAddresses {
 		free := make(chan *device, s.Clients.Devices)
 		to, err := net.ResolveUDPAddr("udp", addr)
 		for i := 0; i < s.Clients.Devices && err == nil; i++ {
@@ -44,14 +44,14 @@
 			if !up.Clean() || !down.Clean() {
 				conn = netfault.NewLink(up, down, s.Seed<<16+uint64(node)<<10+uint64(i)).WrapPacket(conn)
 			}
-			free <- &device{conn, coap.New(conn, to, coap.Options{AckTimeout: ackTimeout, MaxRetransmit: 6, Duplicates: s.Clients.Dup})}
+			free <- &device{conn, coap.New(conn, to, coap.Options{AckTimeout: ackTimeout, MaxRetransmit: 6, Duplicates: s.Clients.Duplicates})}
 		}
-		l.boxes = append(l.boxes, free)
+		l.freeDevices = append(l.freeDevices, free)
 	}
 }
 
-func (l *Load) closeDevices() {
-	for _, free := range l.boxes {
+func (l *Generator) closeDevices() {
+	for _, free := range l.freeDevices {
 		for len(free) > 0 {
 			_ = (<-free).conn.Close()
 		}
@@ -59,23 +59,23 @@
 }
 
 // overCoap tells whether an operation is asked over CoAP: decided by its own chance, so the same in each run.
-func (l *Load) overCoap(a scenario.Arrival) bool {
-	return len(l.boxes) > 0 && float64(a.Pick>>40)/float64(1<<24) < l.o.Scenario.Clients.Coap
+func (l *Generator) usesCoap(a scenario.Arrival) bool {
+	return len(l.freeDevices) > 0 && float64(a.Random>>40)/float64(1<<24) < l.options.Scenario.Clients.Coap
 }
 
 // tryCoap sends one request from a free device of some node.
-func (l *Load) tryCoap(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) reply {
-	node := int((a.Pick>>8 + uint64(n)) % uint64(len(l.boxes)))
-	c := l.o.Scenario.Classes[a.Class]
+func (l *Generator) attemptCoap(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) response {
+	node := int((a.Random>>8 + uint64(n)) % uint64(len(l.freeDevices)))
+	c := l.options.Scenario.Classes[a.Class]
 	var d *device
 	select {
-	case d = <-l.boxes[node]:
+	case d = <-l.freeDevices[node]:
 	case <-time.After(left):
-		return reply{ending: audit.Unplaced}
+		return response{outcome: audit.NotConnected}
 	}
-	defer func() { l.boxes[node] <- d }()
-	id := backend.ID(op, n)
-	t := audit.Try{ID: id, Op: op, Node: node, Sent: l.now(), Expires: l.now() + left,
+	defer func() { l.freeDevices[node] <- d }()
+	id := backend.AttemptID(op, n)
+	t := audit.Attempt{ID: id, Operation: op, Node: node, Sent: l.now(), Deadline: l.now() + left,
 		Effect: map[string]audit.Effect{"safe": audit.Safe, "keyed": audit.Keyed, "unsafe": audit.Unsafe}[c.Effect]}
 	req := coap.Request{Code: codes.GET, Path: c.Name, Query: []string{"try=" + id, fmt.Sprintf("w=%d", a.Work.Microseconds()),
 		fmt.Sprintf("tenant=t%03d", a.Tenant), fmt.Sprintf("wait=%d", max(1, left.Milliseconds()))}}
@@ -85,38 +85,38 @@
 	if c.Effect == "keyed" {
 		req.Query = append(req.Query, fmt.Sprintf("key=k%012x", op))
 	}
-	if n > 0 && l.o.Scenario.Clients.MarksRetry {
+	if n > 0 && l.options.Scenario.Clients.MarksRetry {
 		req.Query = append(req.Query, "retry=1")
 	}
-	until, cancel := context.WithDeadline(ctx, time.Now().Add(left+linger))
+	until, cancel := context.WithDeadline(ctx, time.Now().Add(left+lateWindow))
 	defer cancel()
 	got, err := d.c.Do(until, req)
-	r := l.coapReply(got, err)
-	if l.o.Scenario.Links.Clients.Loss > 0 && l.now() > t.Expires { // lost on the way and asked for again: the stored answer
-		r.ending = audit.OnWay
+	r := l.coapResponse(got, err)
+	if l.options.Scenario.Links.Clients.Loss > 0 && l.now() > t.Deadline { // lost on the way and asked for again: the stored answer
+		r.outcome = audit.InTransit
 	}
-	t.Ended, t.Ending, t.Answers, t.Body, t.Status = l.now(), r.ending, r.answers, r.body, int(got.Code)
+	t.Ended, t.Outcome, t.Responses, t.BodyID, t.Status = l.now(), r.outcome, r.count, r.body, int(got.Code)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tries = append(l.tries, t)
+	l.attempts = append(l.attempts, t)
 	return r
 }
 
 // coapReply reads an answer. None at all is the link's doing where it loses datagrams: then nobody can tell whether the node
 // answered, and the auditor looks at effects alone.
-func (l *Load) coapReply(got coap.Response, err error) reply {
-	impaired := l.o.Scenario.Links.Clients.Loss > 0
+func (l *Generator) coapResponse(got coap.Response, err error) response {
+	impaired := l.options.Scenario.Links.Clients.Loss > 0
 	switch {
 	case err != nil && impaired:
-		return reply{ending: audit.OnWay}
+		return response{outcome: audit.InTransit}
 	case err != nil && errors.Is(err, context.Canceled):
-		return reply{ending: audit.Left}
+		return response{outcome: audit.Cancelled}
 	case err != nil:
-		return reply{ending: audit.Lost}
+		return response{outcome: audit.Lost}
 	case got.Code>>5 == 2:
-		return reply{ending: audit.Served, status: 200, answers: 1, body: bodyID(got.Body)}
+		return response{outcome: audit.Served, status: 200, count: 1, body: bodyID(got.Body)}
 	case got.Code == codes.ServiceUnavailable:
-		return reply{ending: audit.Refused, status: 503, answers: 1, advised: true, retryAfter: time.Duration(got.MaxAge) * time.Second}
+		return response{outcome: audit.Rejected, status: 503, count: 1, hasRetryAfter: true, retryAfter: time.Duration(got.MaxAge) * time.Second}
 	}
-	return reply{ending: audit.Failed, status: 502, answers: 1}
+	return response{outcome: audit.Failed, status: 502, count: 1}
 }
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -15,76 +15,76 @@
 
 const (
 	// noticeAfter is how long the front keeps clients away from a node whose connections were refused.
-	noticeAfter = 500 * time.Millisecond
+	excludeFor = 500 * time.Millisecond
 
 	// idleMost is how long a client keeps an idle connection: shorter than the node does, so that a close seldom
 	// crosses a request.
-	idleMost = 2 * time.Second
+	maxIdle = 2 * time.Second
 
-	dialTime = time.Second
+	dialTimeout = time.Second
 
 	// dealFor is how long connections go on being dealt out to a node that ends as planned: 0.4 s at the most.
-	dealFor = 400 * time.Millisecond
+	sendWhileStopping = 400 * time.Millisecond
 )
 
 // front deals out connections among the nodes.
-type front struct {
-	nodes   []string
-	links   []*netfault.Link             // by node; nil: a clean way
-	leaving func(node int) time.Duration // for how long a node's planned stop has been going on; nil: not known
+type connPool struct {
+	nodes       []string
+	links       []*netfault.Link             // by node; nil: a clean way
+	stoppingFor func(node int) time.Duration // for how long a node's planned stop has been going on; nil: not known
 
-	mu    sync.Mutex
-	down  []time.Time // until when a node is left out
-	idle  [][]*conn
-	open  map[*conn]struct{}
-	ended bool
+	mu            sync.Mutex
+	excludedUntil []time.Time // until when a node is left out
+	idle          [][]*conn
+	open          map[*conn]struct{}
+	ended         bool
 }
 
 // conn is one client's connection.
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	node  int
-	used  bool
-	since time.Time // idle
-	cut   bool      // broken by the lab
+	r         *bufio.Reader
+	node      int
+	used      bool
+	idleSince time.Time // idle
+	reset     bool      // broken by the lab
 }
 
 // mark, delay and underWay ask the link, where the connection is on one.
-func (c *conn) mark() {
+func (c *conn) resetDelay() {
 	if l, ok := c.Conn.(*netfault.Conn); ok {
-		l.Mark()
+		l.ResetMaxDelay()
 	}
 }
 
-func (c *conn) delay() time.Duration {
+func (c *conn) linkDelay() time.Duration {
 	if l, ok := c.Conn.(*netfault.Conn); ok {
-		return l.Delay()
+		return l.MaxDelay()
 	}
 	return 0
 }
 
-func (c *conn) underWay() bool {
+func (c *conn) inTransit() bool {
 	l, ok := c.Conn.(*netfault.Conn)
-	return ok && l.UnderWay()
+	return ok && l.InFlight()
 }
 
 var errNoNode = errors.New("no node takes connections")
 
-func newFront(nodes []string, links []*netfault.Link) *front {
-	return &front{nodes: nodes, links: links, down: make([]time.Time, len(nodes)), idle: make([][]*conn, len(nodes)),
+func newConnPool(nodes []string, links []*netfault.Link) *connPool {
+	return &connPool{nodes: nodes, links: links, excludedUntil: make([]time.Time, len(nodes)), idle: make([][]*conn, len(nodes)),
 		open: map[*conn]struct{}{}}
 }
 
 // choose is the first node from a random place on that is not left out.
-func (f *front) choose(pick uint64, not map[int]bool) (int, bool) {
+func (f *connPool) choose(pick uint64, not map[int]bool) (int, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	n := uint64(len(f.nodes))
 	for i := range n {
 		node := int((pick + i) % n)
-		if !not[node] && now.After(f.down[node]) && (f.leaving == nil || f.leaving(node) < dealFor) {
+		if !not[node] && now.After(f.excludedUntil[node]) && (f.stoppingFor == nil || f.stoppingFor(node) < sendWhileStopping) {
 			return node, true
 		}
 	}
@@ -92,7 +92,7 @@
 }
 
 // get gives a connection to some node: an idle one unless a fresh one is asked for.
-func (f *front) get(pick uint64, fresh bool) (*conn, error) {
+func (f *connPool) get(pick uint64, fresh bool) (*conn, error) {
 	tried := map[int]bool{}
 	for {
 		node, ok := f.choose(pick, tried)
@@ -110,13 +110,13 @@
 		}
 		tried[node] = true
 		f.mu.Lock()
-		f.down[node] = time.Now().Add(noticeAfter)
+		f.excludedUntil[node] = time.Now().Add(excludeFor)
 		f.mu.Unlock()
 	}
 }
 
-func (f *front) dial(node int) (*conn, error) {
-	nc, err := net.DialTimeout("tcp", f.nodes[node], dialTime)
+func (f *connPool) dial(node int) (*conn, error) {
+	nc, err := net.DialTimeout("tcp", f.nodes[node], dialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -134,13 +134,13 @@
 	return c, nil
 }
 
-func (f *front) take(node int) *conn {
+func (f *connPool) take(node int) *conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for n := len(f.idle[node]); n > 0; n = len(f.idle[node]) {
 		c := f.idle[node][n-1]
 		f.idle[node] = f.idle[node][:n-1]
-		if time.Since(c.since) < idleMost && !c.cut {
+		if time.Since(c.idleSince) < maxIdle && !c.reset {
 			return c
 		}
 		delete(f.open, c)
@@ -149,19 +149,19 @@
 	return nil
 }
 
-func (f *front) put(c *conn) {
+func (f *connPool) put(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.cut || f.ended {
+	if c.reset || f.ended {
 		delete(f.open, c)
 		_ = c.Close()
 		return
 	}
-	c.since, c.used = time.Now(), true
+	c.idleSince, c.used = time.Now(), true
 	f.idle[c.node] = append(f.idle[c.node], c)
 }
 
-func (f *front) drop(c *conn) {
+func (f *connPool) drop(c *conn) {
 	_ = c.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,19 +169,19 @@
 }
 
 // wasCut tells whether the lab itself broke the connection.
-func (f *front) wasCut(c *conn) bool {
+func (f *connPool) wasReset(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return c.cut
+	return c.reset
 }
 
 // reset breaks all connections to a node, as a link does that comes back with another address.
-func (f *front) reset(node int) {
+func (f *connPool) reset(node int) {
 	f.mu.Lock()
 	var hit []*conn
 	for c := range f.open {
 		if c.node == node {
-			c.cut = true
+			c.reset = true
 			hit = append(hit, c)
 		}
 	}
@@ -199,7 +199,7 @@
 
 // halfClose ends the sending on all connections to a node; what is still to be answered on them can be. A request that is
 // sent on one later finds that it cannot, as one that crosses a close does.
-func (f *front) halfClose(node int) {
+func (f *connPool) halfClose(node int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.open {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (f *front) close() {
+func (f *connPool) close() {
 	f.mu.Lock()
 	f.ended = true
 	open := f.open
--- a/lab/membersim/figures.go
+++ b/lab/membersim/figures.go
@@ -13,16 +13,16 @@
 // Detection is how long losses take to be known, and how often somebody alive is taken out, at one setting.
 type Detection struct {
 	Options
-	Kills    int
-	P50, P99 time.Duration // from a kill until it is out of every other view
-	Foretold time.Duration // by SWIM's formula, see Foretell
-	False    float64       // live members taken out of somebody's view, for each member in an hour
+	Kills          int
+	P50, P99       time.Duration // from a kill until it is out of every other view
+	Expected       time.Duration // by SWIM's formula, see Foretell
+	FalsePositives float64       // live members taken out of somebody's view, for each member in an hour
 }
 
 // Foretell is the mean time by SWIM's analysis (Das and others, 2002, section 3): each member is probed by somebody in a period
 // with a chance of 1-1/e, so the first probe of a lost one comes after e/(e-1) periods; then its time, the suspicion with all
 // confirmations, and a period until the view is made.
-func Foretell(o Options) time.Duration {
+func ExpectedDetection(o Options) time.Duration {
 	first := float64(o.Period) * math.E / (math.E - 1)
 	return time.Duration(first) + o.Timeout + o.Suspicion + o.Period
 }
@@ -30,13 +30,13 @@
 // Detect plays clusters with one member killed in each, and calm ones of the same kind with pauses of up to a second, on all
 // cores. The same options give the same figures.
 func Detect(o Options, kills int) Detection {
-	out := Detection{Options: o, Kills: kills, Foretold: Foretell(o)}
+	out := Detection{Options: o, Kills: kills, Expected: ExpectedDetection(o)}
 	took := make([]time.Duration, kills)
 	var mu sync.Mutex
 	lost, hours := 0, 0.0
 	each(kills, func(i int) {
 		q := o
-		q.Seed, q.Met = o.Seed+uint64(i), true
+		q.Seed, q.Introduced = o.Seed+uint64(i), true
 		s, rng := New(q), rand.New(rand.NewPCG(q.Seed, 11))
 		s.Run(5 * time.Second)
 		gone, was := 0, make([]bool, q.Members*q.Members)
@@ -44,14 +44,14 @@
 		const calm = 60 * time.Second
 		for end := s.Now() + calm; s.Now() < end; s.Run(50 * time.Millisecond) {
 			for j := range q.Members {
-				if s.Up(j) && rng.IntN(600) == 0 { // each stands still twice a minute
-					s.Stop(j)
+				if s.Running(j) && rng.IntN(600) == 0 { // each stands still twice a minute
+					s.Suspend(j)
 					until[j] = s.Now() + time.Duration(rng.Int64N(int64(time.Second)))
-				} else if !s.Up(j) && s.Now() >= until[j] {
-					s.Wake(j)
+				} else if !s.Running(j) && s.Now() >= until[j] {
+					s.Resume(j)
 				}
 				for k := range q.Members {
-					out := s.Up(k) && !s.Holds(k, j)
+					out := s.Running(k) && !s.HasMember(k, j)
 					if out && !was[k*q.Members+j] {
 						gone++
 					}
@@ -60,12 +60,12 @@
 			}
 		}
 		for j := range q.Members {
-			s.Wake(j)
+			s.Resume(j)
 		}
 		s.Run(5 * time.Second)
 		s.Kill(q.Members - 1)
 		began := s.Now()
-		for !s.Agreed() && s.Now()-began < time.Minute {
+		for !s.Converged() && s.Now()-began < time.Minute {
 			s.Run(25 * time.Millisecond)
 		}
 		mu.Lock()
@@ -75,47 +75,47 @@
 		hours += calm.Hours() * float64(q.Members)
 	})
 	slices.Sort(took)
-	out.P50, out.P99, out.False = took[kills/2], took[min(kills-1, kills*99/100)], float64(lost)/hours
+	out.P50, out.P99, out.FalsePositives = took[kills/2], took[min(kills-1, kills*99/100)], float64(lost)/hours
 	return out
 }
 
 // Cost is what a member sends, and how long a process's core takes for it on one core of this machine.
 type Cost struct {
-	Members   int
-	Calm      float64 // bytes a second for each member
-	Herd      float64 // the same in the ten seconds after six in ten are lost, for each that is left
-	CPU       float64 // share of a core for each member while calm, the simulated network included
-	Known     time.Duration
-	Datagrams float64 // a second for each member while calm
-	Largest   int     // datagram, in bytes
+	Members          int
+	SteadyBytes      float64 // bytes a second for each member
+	MassFailureBytes float64 // the same in the ten seconds after six in ten are lost, for each that is left
+	CPU              float64 // share of a core for each member while calm, the simulated network included
+	DetectedAfter    time.Duration
+	Datagrams        float64 // a second for each member while calm
+	Largest          int     // datagram, in bytes
 }
 
 // Costs measures one size of cluster.
 func Costs(o Options) Cost {
-	o.Met = true
+	o.Introduced = true
 	s := New(o)
 	s.Run(15 * time.Second)
-	s.Count()
+	s.ResetTraffic()
 	const calm = 10 * time.Second
 	began := time.Now()
 	s.Run(calm)
 	n := float64(o.Members)
-	c := Cost{Members: o.Members, Calm: float64(s.Bytes) / calm.Seconds() / n, Datagrams: float64(s.Sent) / calm.Seconds() / n,
+	c := Cost{Members: o.Members, SteadyBytes: float64(s.Bytes) / calm.Seconds() / n, Datagrams: float64(s.Sent) / calm.Seconds() / n,
 		CPU: time.Since(began).Seconds() / calm.Seconds() / n}
 	killed := o.Members * 6 / 10
 	for i := range killed {
 		s.Kill(o.Members - 1 - i)
 	}
-	s.Count()
+	s.ResetTraffic()
 	at := s.Now()
 	for s.Now()-at < 10*time.Second {
 		s.Run(50 * time.Millisecond)
-		if c.Known == 0 && s.Agreed() {
-			c.Known = s.Now() - at
+		if c.DetectedAfter == 0 && s.Converged() {
+			c.DetectedAfter = s.Now() - at
 		}
 	}
 	c.Largest = s.Largest
-	c.Herd = float64(s.Bytes) / 10 / (n - float64(killed))
+	c.MassFailureBytes = float64(s.Bytes) / 10 / (n - float64(killed))
 	return c
 }
 
@@ -140,5 +140,5 @@
 // String is one line of a table.
 func (d Detection) String() string {
 	return fmt.Sprintf("| %d | %v | %v | %.0f%%, %v | %.2f s | %.2f s | %.2f s | %.2f |", d.Members, d.Period, d.Suspicion, d.Loss*100, d.Jitter,
-		d.P50.Seconds(), d.P99.Seconds(), d.Foretold.Seconds(), d.False)
+		d.P50.Seconds(), d.P99.Seconds(), d.Expected.Seconds(), d.FalsePositives)
 }
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -15,16 +15,16 @@
 
 // Options are one cluster.
 type Options struct {
-	Members   int
-	Seed      uint64
-	Period    time.Duration
-	Timeout   time.Duration
-	Suspicion time.Duration
-	Loss      float64
-	Delay     time.Duration // one way
-	Jitter    time.Duration // added evenly between 0 and it
-	Double    float64       // share of the datagrams that come twice
-	Met       bool          // everybody knows everybody at the start
+	Members    int
+	Seed       uint64
+	Period     time.Duration
+	Timeout    time.Duration
+	Suspicion  time.Duration
+	Loss       float64
+	Delay      time.Duration // one way
+	Jitter     time.Duration // added evenly between 0 and it
+	Duplicate  float64       // share of the datagrams that come twice
+	Introduced bool          // everybody knows everybody at the start
 }
 
 // Sim is a cluster on its way.
@@ -51,7 +51,7 @@
 	start   uint64
 	held    []func()      // what came while it stood still
 	offset  time.Duration // of its clock: each has its own zero
-	Notes   []membership.Event
+	Events  []membership.Event
 }
 
 // heldMost is what a stopped process's socket holds.
@@ -91,7 +91,7 @@
 	for i := range s.nodes {
 		s.Restart(i)
 	}
-	if o.Met {
+	if o.Introduced {
 		s.introduce()
 	}
 	return s
@@ -127,7 +127,7 @@
 func (s *Sim) Node(i int) *Node { return s.nodes[i] }
 
 // Up tells whether a member's process runs and is not stopped.
-func (s *Sim) Up(i int) bool { return s.nodes[i].up && !s.nodes[i].stopped }
+func (s *Sim) Running(i int) bool { return s.nodes[i].up && !s.nodes[i].stopped }
 
 // Now is the time since the start.
 func (s *Sim) Now() time.Duration { return s.now }
@@ -173,7 +173,7 @@
 
 // Leave ends it as planned; one that is stopped cannot.
 func (s *Sim) Leave(i int) {
-	if !s.Up(i) {
+	if !s.Running(i) {
 		return
 	}
 	s.nodes[i].Core.Leave(s.local(i))
@@ -182,10 +182,10 @@
 }
 
 // Stop is SIGSTOP, Wake SIGCONT.
-func (s *Sim) Stop(i int) { s.nodes[i].stopped = true }
+func (s *Sim) Suspend(i int) { s.nodes[i].stopped = true }
 
 // Wake lets it go on.
-func (s *Sim) Wake(i int) {
+func (s *Sim) Resume(i int) {
 	n := s.nodes[i]
 	if !n.stopped {
 		return
@@ -210,7 +210,7 @@
 // Heal makes all links whole, and takes loss and delay away.
 func (s *Sim) Heal() {
 	clear(s.cut)
-	s.o.Loss, s.o.Double, s.o.Jitter = 0, 0, 0
+	s.o.Loss, s.o.Duplicate, s.o.Jitter = 0, 0, 0
 }
 
 // IsCut tells whether a link is cut.
@@ -218,11 +218,11 @@
 
 // Impair sets what every link does.
 func (s *Sim) Impair(loss float64, jitter time.Duration, double float64) {
-	s.o.Loss, s.o.Jitter, s.o.Double = loss, jitter, double
+	s.o.Loss, s.o.Jitter, s.o.Duplicate = loss, jitter, double
 }
 
 // Count begins a new account of traffic.
-func (s *Sim) Count() { s.Sent, s.Bytes, s.Largest, s.counted = 0, 0, 0, true }
+func (s *Sim) ResetTraffic() { s.Sent, s.Bytes, s.Largest, s.counted = 0, 0, 0, true }
 
 func (s *Sim) at(in time.Duration, do func()) {
 	s.seq++
@@ -244,7 +244,7 @@
 func (s *Sim) carry(i int) {
 	n := s.nodes[i]
 	out, notes := n.Core.TakeOutput()
-	n.Notes = append(n.Notes, notes...)
+	n.Events = append(n.Events, notes...)
 	for _, send := range out {
 		to := index(send.Address)
 		if to < 0 || to >= len(s.nodes) {
@@ -271,7 +271,7 @@
 			continue
 		}
 		s.deliver(to, m, s.o.Delay+s.jitter())
-		if s.rng.Float64() < s.o.Double {
+		if s.rng.Float64() < s.o.Duplicate {
 			s.deliver(to, m, s.o.Delay+s.jitter())
 		}
 	}
@@ -303,7 +303,7 @@
 func (s *Sim) Views() map[int]membership.View {
 	out := map[int]membership.View{}
 	for i, n := range s.nodes {
-		if s.Up(i) {
+		if s.Running(i) {
 			out[i] = n.Core.View()
 		}
 	}
@@ -311,10 +311,10 @@
 }
 
 // Agreed tells whether all that run hold exactly those that run.
-func (s *Sim) Agreed() bool {
+func (s *Sim) Converged() bool {
 	var want []string
 	for i := range s.nodes {
-		if s.Up(i) {
+		if s.Running(i) {
 			want = append(want, name(i))
 		}
 	}
@@ -327,4 +327,6 @@
 }
 
 // Holds tells whether a member's view holds another.
-func (s *Sim) Holds(i, j int) bool { return slices.Contains(s.nodes[i].Core.View().Members, name(j)) }
+func (s *Sim) HasMember(i, j int) bool {
+	return slices.Contains(s.nodes[i].Core.View().Members, name(j))
+}
--- a/lab/membersim/membersim_test.go
+++ b/lab/membersim/membersim_test.go
@@ -14,7 +14,7 @@
 func (s *Sim) agree(t *testing.T, what string, most time.Duration) time.Duration {
 	t.Helper()
 	for began := s.Now(); s.Now()-began < most; s.Run(50 * time.Millisecond) {
-		if s.Agreed() {
+		if s.Converged() {
 			return s.Now() - began
 		}
 	}
@@ -44,7 +44,7 @@
 		s.Run(8 * time.Second)
 		for i := range n {
 			for j := range n {
-				if s.Holds(i, j) != (i%2 == j%2) {
+				if s.HasMember(i, j) != (i%2 == j%2) {
 					t.Fatalf("%d members: %d's view is %v in halves", n, i, s.Node(i).Core.View().Members)
 				}
 			}
--- a/lab/membersim/schedules_test.go
+++ b/lab/membersim/schedules_test.go
@@ -40,9 +40,9 @@
 		case 2, 3:
 			s.Restart(i)
 		case 4, 5:
-			s.Stop(i)
+			s.Suspend(i)
 		case 6:
-			s.Wake(i)
+			s.Resume(i)
 		case 7: // one-sided, a fifth of all
 			for k := range n {
 				for l := range n {
@@ -65,13 +65,13 @@
 	}
 	s.Heal()
 	for i := range n {
-		s.Wake(i)
+		s.Resume(i)
 	}
-	if !s.Up(0) && !s.Up(1) { // without a seed a new process has no way in
+	if !s.Running(0) && !s.Running(1) { // without a seed a new process has no way in
 		s.Restart(0)
 	}
 	// Those that were lost three times within a minute stay out for 30 s after their return.
-	for end := s.Now() + 50*time.Second; !s.Agreed(); s.Run(200 * time.Millisecond) {
+	for end := s.Now() + 50*time.Second; !s.Converged(); s.Run(200 * time.Millisecond) {
 		if s.Now() > end {
 			return fmt.Errorf("no agreement 50 s after all was healed")
 		}
@@ -81,11 +81,11 @@
 	}
 	s.Run(8 * time.Second)
 	for i := range n {
-		if c := s.Node(i).Core.Connectivity(); s.Up(i) && c != membership.Connected && len(s.Node(i).Core.View().Members) > 1 {
+		if c := s.Node(i).Core.Connectivity(); s.Running(i) && c != membership.Connected && len(s.Node(i).Core.View().Members) > 1 {
 			return fmt.Errorf("member %d holds itself for %v once all is whole", i, c)
 		}
 	}
-	if !s.Agreed() {
+	if !s.Converged() {
 		return fmt.Errorf("agreement did not last")
 	}
 	return nil
@@ -131,7 +131,7 @@
 					hears++
 				}
 			}
-			if 2*hears > n && s.Up(i) && s.nodes[j].up && !s.Holds(i, j) && !s.nodes[i].Core.Connectivity().Isolated() {
+			if 2*hears > n && s.Running(i) && s.nodes[j].up && !s.HasMember(i, j) && !s.nodes[i].Core.Connectivity().Isolated() {
 				out++
 			}
 		}
@@ -171,16 +171,16 @@
 				for s.Now() < 50*time.Second {
 					for i := range n {
 						if what == "starved" {
-							if s.Wake(i); i < max(1, n/5) && rng.IntN(3) > 0 {
-								s.Stop(i)
+							if s.Resume(i); i < max(1, n/5) && rng.IntN(3) > 0 {
+								s.Suspend(i)
 							}
 							continue
 						}
-						if fault == nil && s.Up(i) && rng.IntN(160) == 0 {
-							s.Stop(i)
+						if fault == nil && s.Running(i) && rng.IntN(160) == 0 {
+							s.Suspend(i)
 							until[i] = s.Now() + 2*time.Second
-						} else if !s.Up(i) && s.Now() >= until[i] {
-							s.Wake(i)
+						} else if !s.Running(i) && s.Now() >= until[i] {
+							s.Resume(i)
 						}
 					}
 					s.Run(50 * time.Millisecond)
@@ -202,11 +202,11 @@
 			s := New(options(n, uint64(span)))
 			s.Run(10 * time.Second)
 			for i := range stopped {
-				s.Stop(i)
+				s.Suspend(i)
 			}
 			s.Run(min(span, 2400*time.Millisecond))
 			for i := range stopped {
-				if !s.Holds(n-1, i) {
+				if !s.HasMember(n-1, i) {
 					t.Fatalf("%d stopped for %v: %d is out after 2.4 s", stopped, span, i)
 				}
 			}
@@ -217,12 +217,12 @@
 				if c := s.Node(n - 1).Core.Connectivity(); c != membership.InboundLost {
 					t.Errorf("the only one that goes on holds itself for %v", c)
 				}
-			case s.Holds(n-1, 0):
+			case s.HasMember(n-1, 0):
 				t.Errorf("%d stopped for %v: still in the view", stopped, span)
 			}
 			for i := range stopped {
-				s.Wake(i)
-				if i > 0 && !s.Holds(0, i) {
+				s.Resume(i)
+				if i > 0 && !s.HasMember(0, i) {
 					t.Errorf("%d stopped for %v: one woken took another out", stopped, span)
 				}
 			}
@@ -253,11 +253,11 @@
 			t.Errorf("deaf %v: it holds itself for %v", deaf, c)
 		}
 		for i := 1; i < n; i++ {
-			if s.Holds(i, 0) != deaf {
+			if s.HasMember(i, 0) != deaf {
 				t.Errorf("deaf %v: member %d holds %v", deaf, i, s.Node(i).Core.View().Members)
 			}
 			for j := 1; j < n; j++ {
-				if !s.Holds(i, j) {
+				if !s.HasMember(i, j) {
 					t.Errorf("deaf %v: member %d lost %d, which is whole", deaf, i, j)
 				}
 			}
@@ -272,7 +272,7 @@
 	for _, n := range []int{5, 16, 64, 300} {
 		c := Costs(options(n, 2))
 		t.Logf("%+v", c)
-		if c.Calm > 1000 || c.Largest > 1200 || c.Known == 0 {
+		if c.SteadyBytes > 1000 || c.Largest > 1200 || c.DetectedAfter == 0 {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -18,15 +18,15 @@
 	// slower until nothing has waited for RestFor.
 	CrowdDepth float64 // 0: never
 	CrowdFor   Millis
-	SlowTimes  float64
+	SlowFactor float64
 	RestFor    Millis
 
 	// A cold server begins at ColdFrom of its speed and is warm, linearly, after ColdFor. Offered more than FallMultiple
 	// of what it can do during FallFor, it falls over.
-	ColdFrom     float64
-	ColdFor      Millis
-	FallMultiple float64
-	FallFor      Millis
+	ColdSpeed        float64
+	ColdFor          Millis
+	CollapseMultiple float64
+	CollapseWindow   Millis
 
 	Window Millis // how long the pod remembers a key
 }
@@ -44,19 +44,19 @@
 
 // The verdicts.
 const (
-	Taken    Verdict = iota // it will be done
-	Repeat                  // the pod has seen its key: answered at once, nothing runs
-	Full                    // turned away: the queue is full
-	Limited                 // turned away: the pod is at its shared limit
-	Draining                // turned away: the server drains
-	Down                    // nobody is there
+	Accepted   Verdict = iota // it will be done
+	Duplicate                 // the pod has seen its key: answered at once, nothing runs
+	QueueFull                 // turned away: the queue is full
+	PodLimited                // turned away: the pod is at its shared limit
+	Draining                  // turned away: the server drains
+	NotRunning                // nobody is there
 )
 
 // Done is a request that was worked off.
-type Done struct {
+type Completion struct {
 	Request Request
 	Arrived Millis
-	Began   Millis
+	Started Millis
 	At      Millis
 }
 
@@ -65,186 +65,186 @@
 	Limit  int // requests in hand in all its servers; 0: none
 	Window Millis
 
-	inHand int
-	seen   map[string]Millis // key: when it is forgotten
-	order  []string          // keys by age: they are forgotten in order
+	inFlight  int
+	keyExpiry map[string]Millis // key: when it is forgotten
+	order     []string          // keys by age: they are forgotten in order
 }
 
 // NewPod makes a pod.
 func NewPod(limit int, window Millis) *Pod {
-	return &Pod{Limit: limit, Window: window, seen: map[string]Millis{}}
+	return &Pod{Limit: limit, Window: window, keyExpiry: map[string]Millis{}}
 }
 
 // repeat notes a key and tells whether it was known.
-func (p *Pod) repeat(now Millis, key string) bool {
-	for len(p.order) > 0 && p.seen[p.order[0]] <= now {
-		delete(p.seen, p.order[0])
+func (p *Pod) isDuplicate(now Millis, key string) bool {
+	for len(p.order) > 0 && p.keyExpiry[p.order[0]] <= now {
+		delete(p.keyExpiry, p.order[0])
 		p.order = p.order[1:]
 	}
-	if _, ok := p.seen[key]; ok {
+	if _, ok := p.keyExpiry[key]; ok {
 		return true
 	}
-	p.seen[key] = now + p.Window
+	p.keyExpiry[key] = now + p.Window
 	p.order = append(p.order, key)
 	return false
 }
 
 // Server is one server's state.
 type Server struct {
-	p       Params
-	pod     *Pod
-	started Millis // -Inf: long ago
-	slowBy  float64
-	halted  bool // it holds what it has and does nothing
-	drains  bool
-	down    bool
-
-	waiting []job
-	running []job
-	slow    bool
-	crowded Millis // since when too many wait; NaN: they do not
-	rested  Millis // since when nothing waits; NaN: something does
-
-	begun []Request // whose work has begun since TakeBegun
-
-	offered meter // work that came while it was cold
-	bears   meter // work that it could have done
-	metered Millis
-	fell    bool
+	params    Params
+	pod       *Pod
+	started   Millis // -Inf: long ago
+	slowdown  float64
+	suspended bool // it holds what it has and does nothing
+	draining  bool
+	down      bool
+
+	queue        []job
+	running      []job
+	slow         bool
+	crowdedSince Millis // since when too many wait; NaN: they do not
+	idleSince    Millis // since when nothing waits; NaN: something does
+
+	justStarted []Request // whose work has begun since TakeBegun
+
+	offered   meter // work that came while it was cold
+	possible  meter // work that it could have done
+	meteredAt Millis
+	collapsed bool
 }
 
 type job struct {
-	r       Request
+	request Request
 	arrived Millis
-	began   Millis
+	started Millis
 	ends    Millis
 }
 
 // NewServer makes a server that started at a time; math.Inf(-1) for one that is warm.
 func NewServer(p Params, pod *Pod, started Millis) *Server {
-	s := &Server{p: p, pod: pod, started: started, slowBy: 1, crowded: math.NaN(), rested: 0, metered: started}
-	s.offered.span, s.bears.span = p.FallFor, p.FallFor
+	s := &Server{params: p, pod: pod, started: started, slowdown: 1, crowdedSince: math.NaN(), idleSince: 0, meteredAt: started}
+	s.offered.span, s.possible.span = p.CollapseWindow, p.CollapseWindow
 	return s
 }
 
 // Warmth is the share of its speed that the server has at a time.
-func (s *Server) Warmth(now Millis) float64 {
+func (s *Server) WarmupFactor(now Millis) float64 {
 	age := now - s.started
-	if math.IsInf(s.started, -1) || age >= s.p.ColdFor || s.p.ColdFor <= 0 {
+	if math.IsInf(s.started, -1) || age >= s.params.ColdFor || s.params.ColdFor <= 0 {
 		return 1
 	}
-	return s.p.ColdFrom + (1-s.p.ColdFrom)*max(0, age)/s.p.ColdFor
+	return s.params.ColdSpeed + (1-s.params.ColdSpeed)*max(0, age)/s.params.ColdFor
 }
 
 // capacity is the work that all cores together do in a millisecond.
 func (s *Server) capacity(now Millis) float64 {
-	v := float64(s.p.Cores) * s.p.Speed * s.Warmth(now) / s.slowBy
+	v := float64(s.params.Cores) * s.params.Speed * s.WarmupFactor(now) / s.slowdown
 	if s.slow {
-		v /= s.p.SlowTimes
+		v /= s.params.SlowFactor
 	}
 	return v
 }
 
 // InHand is the number of requests that the server holds; Waiting those that no core has begun.
-func (s *Server) InHand() int { return len(s.waiting) + len(s.running) }
+func (s *Server) InFlight() int { return len(s.queue) + len(s.running) }
 
 // Waiting is the number of requests that no core has begun.
-func (s *Server) Waiting() int { return len(s.waiting) }
+func (s *Server) Queued() int { return len(s.queue) }
 
 // Slow tells whether crowding has made the server slow.
 func (s *Server) Slow() bool { return s.slow }
 
 // Fell tells whether the server was pushed over while it was cold.
-func (s *Server) Fell() bool { return s.fell }
+func (s *Server) Collapsed() bool { return s.collapsed }
 
 // Arrive offers a request. Advance must have been called for the time before.
 func (s *Server) Arrive(now Millis, r Request) Verdict {
 	if s.down {
-		return Down
+		return NotRunning
 	}
-	s.press(now, r.Work)
+	s.recordOffered(now, r.Work)
 	switch {
 	case s.down:
-		return Down
-	case s.drains:
+		return NotRunning
+	case s.draining:
 		return Draining
-	case s.p.QueueMax > 0 && len(s.waiting) >= s.p.QueueMax:
-		return Full
-	case s.pod.Limit > 0 && s.pod.inHand >= s.pod.Limit:
-		return Limited
-	case r.Key != "" && s.pod.repeat(now, r.Key):
-		return Repeat
+	case s.params.QueueMax > 0 && len(s.queue) >= s.params.QueueMax:
+		return QueueFull
+	case s.pod.Limit > 0 && s.pod.inFlight >= s.pod.Limit:
+		return PodLimited
+	case r.Key != "" && s.pod.isDuplicate(now, r.Key):
+		return Duplicate
 	}
-	s.pod.inHand++
-	s.waiting = append(s.waiting, job{r: r, arrived: now})
-	s.begin(now)
-	s.judge(now)
-	return Taken
+	s.pod.inFlight++
+	s.queue = append(s.queue, job{request: r, arrived: now})
+	s.startQueued(now)
+	s.updateSlowMode(now)
+	return Accepted
 }
 
 // press notes the work offered to a cold server, and lets it fall over where that was too much for too long.
-func (s *Server) press(now Millis, work Millis) {
-	if s.p.FallMultiple <= 0 || s.Warmth(now) >= 1 {
+func (s *Server) recordOffered(now Millis, work Millis) {
+	if s.params.CollapseMultiple <= 0 || s.WarmupFactor(now) >= 1 {
 		return
 	}
-	gap := min(now-s.metered, s.p.FallFor) // what it could have done before the window does not count
-	s.bears.add(now, gap*float64(s.p.Cores)*s.p.Speed*(s.Warmth(s.metered)+s.Warmth(now))/2)
-	s.metered = now
+	gap := min(now-s.meteredAt, s.params.CollapseWindow) // what it could have done before the window does not count
+	s.possible.add(now, gap*float64(s.params.Cores)*s.params.Speed*(s.WarmupFactor(s.meteredAt)+s.WarmupFactor(now))/2)
+	s.meteredAt = now
 	s.offered.add(now, work)
-	if now-s.started >= s.p.FallFor && s.offered.sum > s.p.FallMultiple*s.bears.sum {
-		s.fell, s.down = true, true
-		s.pod.inHand -= s.InHand()
-		s.waiting, s.running = nil, nil
+	if now-s.started >= s.params.CollapseWindow && s.offered.sum > s.params.CollapseMultiple*s.possible.sum {
+		s.collapsed, s.down = true, true
+		s.pod.inFlight -= s.InFlight()
+		s.queue, s.running = nil, nil
 	}
 }
 
 // begin lets idle cores take what waits. A request's speed is that of the moment at which its work begins.
-func (s *Server) begin(now Millis) {
-	for !s.halted && !s.down && len(s.waiting) > 0 && len(s.running) < s.p.Cores {
-		j := s.waiting[0]
-		s.waiting = s.waiting[1:]
-		j.began = now
-		j.ends = now + j.r.Work*float64(s.p.Cores)/s.capacity(now)
+func (s *Server) startQueued(now Millis) {
+	for !s.suspended && !s.down && len(s.queue) > 0 && len(s.running) < s.params.Cores {
+		j := s.queue[0]
+		s.queue = s.queue[1:]
+		j.started = now
+		j.ends = now + j.request.Work*float64(s.params.Cores)/s.capacity(now)
 		s.running = append(s.running, j)
-		s.begun = append(s.begun, j.r)
+		s.justStarted = append(s.justStarted, j.request)
 	}
 }
 
 // TakeBegun gives the requests whose work has begun since the last call: from then on they may have had an effect.
-func (s *Server) TakeBegun() []Request {
-	out := s.begun
-	s.begun = nil
+func (s *Server) TakeStarted() []Request {
+	out := s.justStarted
+	s.justStarted = nil
 	return out
 }
 
 // judge follows crowding and rest, for the slow mode.
-func (s *Server) judge(now Millis) {
-	if s.p.CrowdDepth <= 0 {
+func (s *Server) updateSlowMode(now Millis) {
+	if s.params.CrowdDepth <= 0 {
 		return
 	}
-	if float64(len(s.waiting)) > s.p.CrowdDepth*float64(s.p.Cores) {
-		if math.IsNaN(s.crowded) {
-			s.crowded = now
+	if float64(len(s.queue)) > s.params.CrowdDepth*float64(s.params.Cores) {
+		if math.IsNaN(s.crowdedSince) {
+			s.crowdedSince = now
 		}
-		if now-s.crowded >= s.p.CrowdFor {
+		if now-s.crowdedSince >= s.params.CrowdFor {
 			s.slow = true
 		}
 	} else {
-		s.crowded = math.NaN()
+		s.crowdedSince = math.NaN()
 	}
 	switch {
-	case len(s.waiting) > 0:
-		s.rested = math.NaN()
-	case math.IsNaN(s.rested):
-		s.rested = now
-	case s.slow && now-s.rested >= s.p.RestFor:
+	case len(s.queue) > 0:
+		s.idleSince = math.NaN()
+	case math.IsNaN(s.idleSince):
+		s.idleSince = now
+	case s.slow && now-s.idleSince >= s.params.RestFor:
 		s.slow = false
 	}
 }
 
 // Next is when the next request will be done; false where none is being worked on.
-func (s *Server) Next() (Millis, bool) {
-	if s.halted || len(s.running) == 0 {
+func (s *Server) NextCompletion() (Millis, bool) {
+	if s.suspended || len(s.running) == 0 {
 		return 0, false
 	}
 	at := s.running[0].ends
@@ -255,39 +255,39 @@
 }
 
 // Advance works until a time and gives what was done, in order.
-func (s *Server) Advance(now Millis) []Done {
-	var out []Done
+func (s *Server) Advance(now Millis) []Completion {
+	var out []Completion
 	for {
-		at, ok := s.Next()
+		at, ok := s.NextCompletion()
 		if !ok || at > now {
-			s.judge(now)
+			s.updateSlowMode(now)
 			return out
 		}
 		for i, j := range s.running {
 			if j.ends == at {
 				s.running = append(s.running[:i], s.running[i+1:]...)
-				out = append(out, Done{Request: j.r, Arrived: j.arrived, Began: j.began, At: at})
-				s.pod.inHand--
+				out = append(out, Completion{Request: j.request, Arrived: j.arrived, Started: j.started, At: at})
+				s.pod.inFlight--
 				break
 			}
 		}
-		s.judge(at)
-		s.begin(at)
+		s.updateSlowMode(at)
+		s.startQueued(at)
 	}
 }
 
 // Drain turns away what comes from now on; what is in hand is finished.
-func (s *Server) Drain(on bool) { s.drains = on }
+func (s *Server) SetDraining(on bool) { s.draining = on }
 
 // SlowBy makes what begins from now on take so many times as long.
-func (s *Server) SlowBy(times float64) { s.slowBy = max(times, 1e-3) }
+func (s *Server) SetSlowdown(times float64) { s.slowdown = max(times, 1e-3) }
 
 // Halt stops all work at a time, and lets it go on later where it stood.
-func (s *Server) Halt(now Millis, on bool) {
-	if s.halted == on {
+func (s *Server) SetSuspended(now Millis, on bool) {
+	if s.suspended == on {
 		return
 	}
-	s.halted = on
+	s.suspended = on
 	for i := range s.running { // what is left of a job is kept in ends while the server stands
 		if on {
 			s.running[i].ends -= now
@@ -296,16 +296,16 @@
 		}
 	}
 	if !on {
-		s.begin(now)
+		s.startQueued(now)
 	}
 }
 
 // Crash loses what is in hand, and gives how much it was.
 func (s *Server) Crash() int {
-	n := s.InHand()
+	n := s.InFlight()
 	s.down = true
-	s.pod.inHand -= n
-	s.waiting, s.running = nil, nil
+	s.pod.inFlight -= n
+	s.queue, s.running = nil, nil
 	return n
 }
 
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -15,10 +15,10 @@
 	for i := range 1_000_000 {
 		now += rng.ExpFloat64() / rho
 		for _, d := range s.Advance(now) {
-			sum += d.Began - d.Arrived
+			sum += d.Started - d.Arrived
 			n++
 		}
-		if v := s.Arrive(now, Request{ID: uint64(i), Work: work(rng)}); v != Taken {
+		if v := s.Arrive(now, Request{ID: uint64(i), Work: work(rng)}); v != Accepted {
 			t.Fatalf("verdict %v", v)
 		}
 	}
@@ -47,10 +47,10 @@
 }
 
 func TestColdServer(t *testing.T) {
-	p := Params{Cores: 1, Speed: 1, ColdFrom: 0.25, ColdFor: 4000, FallMultiple: 3, FallFor: 1000}
+	p := Params{Cores: 1, Speed: 1, ColdSpeed: 0.25, ColdFor: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 	s := NewServer(p, NewPod(0, 0), 1000)
 	for at, want := range map[float64]float64{1000: 0.25, 3000: 0.625, 5000: 1, 9000: 1} {
-		if got := s.Warmth(at); math.Abs(got-want) > 1e-9 {
+		if got := s.WarmupFactor(at); math.Abs(got-want) > 1e-9 {
 			t.Errorf("warmth at %v is %v, want %v", at, got, want)
 		}
 	}
@@ -66,18 +66,18 @@
 		times float64
 		falls bool
 	}{{2.7, false}, {3.6, true}} {
-		p := Params{Cores: 1, Speed: 1, ColdFrom: 0.25, ColdFor: 4000, FallMultiple: 3, FallFor: 1000}
+		p := Params{Cores: 1, Speed: 1, ColdSpeed: 0.25, ColdFor: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 		s := NewServer(p, NewPod(0, 0), 0)
 		fell := math.NaN()
 		for now := 0.0; now < 3900; now += 10 {
 			s.Advance(now)
-			if s.Arrive(now, Request{Work: 10 * c.times * s.Warmth(now)}) == Down {
+			if s.Arrive(now, Request{Work: 10 * c.times * s.WarmupFactor(now)}) == NotRunning {
 				fell = now
 				break
 			}
 		}
-		if s.Fell() != c.falls {
-			t.Errorf("offered %v times its capacity: fell %v at %v", c.times, s.Fell(), fell)
+		if s.Collapsed() != c.falls {
+			t.Errorf("offered %v times its capacity: fell %v at %v", c.times, s.Collapsed(), fell)
 		}
 		if c.falls && (fell < 1000 || fell > 1200) {
 			t.Errorf("fell at %v, want soon after the stated second", fell)
@@ -86,7 +86,7 @@
 }
 
 func TestSlowModeAfterCrowding(t *testing.T) {
-	p := Params{Cores: 1, Speed: 1, CrowdDepth: 2, CrowdFor: 100, SlowTimes: 3, RestFor: 50}
+	p := Params{Cores: 1, Speed: 1, CrowdDepth: 2, CrowdFor: 100, SlowFactor: 3, RestFor: 50}
 	s := NewServer(p, NewPod(0, 0), math.Inf(-1))
 	for i := range 6 {
 		s.Arrive(0, Request{ID: uint64(i), Work: 60})
@@ -99,7 +99,7 @@
 	if !s.Slow() {
 		t.Fatal("not slow after the crowd")
 	}
-	if at, _ := s.Next(); at != 180 && at != 300 {
+	if at, _ := s.NextCompletion(); at != 180 && at != 300 {
 		t.Errorf("next end at %v", at)
 	}
 	s.Advance(5000) // all done long ago, nothing waited since
@@ -118,7 +118,7 @@
 		at   Millis
 		s    *Server
 		want Verdict
-	}{{0, a, Taken}, {400, b, Repeat}, {450, other, Taken}, {600, b, Taken}, {650, a, Repeat}} {
+	}{{0, a, Accepted}, {400, b, Duplicate}, {450, other, Accepted}, {600, b, Accepted}, {650, a, Duplicate}} {
 		c.s.Advance(c.at)
 		if v := c.s.Arrive(c.at, Request{Work: 1, Key: "k"}); v != c.want {
 			t.Errorf("at %v: %v, want %v", c.at, v, c.want)
@@ -132,31 +132,31 @@
 	b := NewServer(Params{Cores: 1, Speed: 1}, pod, math.Inf(-1))
 	verdicts := []Verdict{a.Arrive(0, Request{Work: 10}), a.Arrive(0, Request{Work: 10}), a.Arrive(0, Request{Work: 10}),
 		b.Arrive(0, Request{Work: 10}), b.Arrive(0, Request{Work: 10})}
-	for i, want := range []Verdict{Taken, Taken, Full, Taken, Limited} {
+	for i, want := range []Verdict{Accepted, Accepted, QueueFull, Accepted, PodLimited} {
 		if verdicts[i] != want {
 			t.Errorf("arrival %d: %v, want %v", i, verdicts[i], want)
 		}
 	}
-	a.Halt(4, true)
+	a.SetSuspended(4, true)
 	if d := a.Advance(100); len(d) != 0 {
 		t.Errorf("a halted server finished %v", d)
 	}
-	a.Halt(100, false)
+	a.SetSuspended(100, false)
 	if d := a.Advance(106); len(d) != 1 || d[0].At != 106 {
 		t.Errorf("after the halt: %+v, want one done at 106", d)
 	}
 	if n := a.Crash(); n != 1 {
 		t.Errorf("the crash lost %d, want 1", n)
 	}
-	if a.Arrive(200, Request{}) != Down {
+	if a.Arrive(200, Request{}) != NotRunning {
 		t.Error("a crashed server took a request")
 	}
-	b.Drain(true)
+	b.SetDraining(true)
 	if b.Arrive(200, Request{}) != Draining {
 		t.Error("a draining server took a request")
 	}
 	b.Advance(200)
-	if pod.inHand != 0 {
-		t.Errorf("the pod still counts %d in hand", pod.inHand)
+	if pod.inFlight != 0 {
+		t.Errorf("the pod still counts %d in hand", pod.inFlight)
 	}
 }
--- a/lab/netfault/conn.go
+++ b/lab/netfault/conn.go
@@ -10,21 +10,21 @@
 )
 
 // queueBytes bounds what is under way in one direction; who sends more waits, as on a full socket.
-const queueBytes = 256 << 10
+const maxInFlightBytes = 256 << 10
 
 // Link is the way between two parties, with all connections on it.
 type Link struct {
-	up, down Params // up: what the wrapped side writes; down: what it reads
-	seed     uint64
-	made     atomic.Uint64
+	up, down  Impairment // up: what the wrapped side writes; down: what it reads
+	seed      uint64
+	connCount atomic.Uint64
 
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
-	silent [2]chan struct{} // by direction: not nil while nothing passes; closed at the end of the silence
+	stalls [2]chan struct{} // by direction: not nil while nothing passes; closed at the end of the silence
 }
 
 // Impair changes what is done to connections that begin from now on.
-func (l *Link) Impair(up, down Params) {
+func (l *Link) Impair(up, down Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up, l.down = up, down
@@ -40,33 +40,33 @@
 )
 
 // NewLink makes a link.
-func NewLink(up, down Params, seed uint64) *Link {
+func NewLink(up, down Impairment, seed uint64) *Link {
 	return &Link{up: up, down: down, seed: seed, conns: map[*Conn]struct{}{}}
 }
 
 // Silence stops all that is under way, in both directions, until it is ended.
-func (l *Link) Silence(on bool) {
-	l.Mute(Out, on)
-	l.Mute(In, on)
+func (l *Link) Stall(on bool) {
+	l.StallDirection(Out, on)
+	l.StallDirection(In, on)
 }
 
 // Mute stops what is under way in one direction until it is ended.
-func (l *Link) Mute(d Direction, on bool) {
+func (l *Link) StallDirection(d Direction, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case on && l.silent[d] == nil:
-		l.silent[d] = make(chan struct{})
-	case !on && l.silent[d] != nil:
-		close(l.silent[d])
-		l.silent[d] = nil
+	case on && l.stalls[d] == nil:
+		l.stalls[d] = make(chan struct{})
+	case !on && l.stalls[d] != nil:
+		close(l.stalls[d])
+		l.stalls[d] = nil
 	}
 }
 
-func (l *Link) silence(d Direction) chan struct{} {
+func (l *Link) stallEnd(d Direction) chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silent[d]
+	return l.stalls[d]
 }
 
 // Reset breaks all connections and gives how many there were.
@@ -85,7 +85,7 @@
 
 // Wrap puts a TCP connection on the link.
 func (l *Link) Wrap(nc net.Conn) *Conn {
-	n := l.made.Add(1)
+	n := l.connCount.Add(1)
 	l.mu.Lock()
 	c := &Conn{Conn: nc, link: l, began: time.Now(), ended: make(chan struct{}),
 		out: newPipe(NewShaper(l.up, l.seed, 2*n)), in: newPipe(NewShaper(l.down, l.seed, 2*n+1))}
@@ -128,33 +128,33 @@
 func (c *Conn) Read(b []byte) (int, error) { return c.in.read(b) }
 
 // SetReadDeadline bounds reads from what has arrived.
-func (c *Conn) SetReadDeadline(t time.Time) error { c.in.deadline(t); return nil }
+func (c *Conn) SetReadDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
 // SetDeadline bounds reads; writes are bounded by Close.
-func (c *Conn) SetDeadline(t time.Time) error { c.in.deadline(t); return nil }
+func (c *Conn) SetDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
 // Mark begins a new account of delays.
-func (c *Conn) Mark() {
+func (c *Conn) ResetMaxDelay() {
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
-		p.worst = 0
+		p.maxDelay = 0
 		p.mu.Unlock()
 	}
 }
 
 // Delay is what the link has added since Mark: the worst delay of either direction, summed.
-func (c *Conn) Delay() time.Duration {
+func (c *Conn) MaxDelay() time.Duration {
 	sum := time.Duration(0)
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
-		sum += p.worst
+		sum += p.maxDelay
 		p.mu.Unlock()
 	}
 	return sum
 }
 
 // UnderWay tells whether the link still holds bytes of either direction.
-func (c *Conn) UnderWay() bool {
+func (c *Conn) InFlight() bool {
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
 		n := p.bytes
@@ -198,11 +198,11 @@
 	for {
 		p, err := c.out.next()
 		if err == nil || errors.Is(err, io.EOF) { // the end passes a silent link no sooner than bytes do
-			err = errors.Join(err, c.wait(Out, p.at))
+			err = errors.Join(err, c.waitUntilDue(Out, p.at))
 		}
 		if err == nil {
 			_, err = c.Conn.Write(p.b)
-			c.out.gone(len(p.b))
+			c.out.delivered(len(p.b))
 		}
 		switch {
 		case err == nil:
@@ -210,7 +210,7 @@
 			if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 				_ = t.CloseWrite()
 			}
-			c.out.closed() // what the other side still sends is read until then
+			c.out.waitFailed() // what the other side still sends is read until then
 			c.end()
 			return
 		default:
@@ -241,7 +241,7 @@
 }
 
 // wait sleeps until a moment of the connection, and as long as the link is silent.
-func (c *Conn) wait(d Direction, at time.Duration) error {
+func (c *Conn) waitUntilDue(d Direction, at time.Duration) error {
 	if span := at - time.Since(c.began); span > 0 {
 		t := time.NewTimer(span)
 		defer t.Stop()
@@ -251,7 +251,7 @@
 			return net.ErrClosed
 		}
 	}
-	for s := c.link.silence(d); s != nil; s = c.link.silence(d) {
+	for s := c.link.stallEnd(d); s != nil; s = c.link.stallEnd(d) {
 		select {
 		case <-s:
 		case <-c.ended:
@@ -262,26 +262,26 @@
 }
 
 // parcel is what arrives together.
-type parcel struct {
+type chunk struct {
 	at time.Duration
 	b  []byte
 }
 
 // pipe is one direction: parcels in order, each with its time.
 type pipe struct {
-	mu     sync.Mutex
-	cond   *sync.Cond
-	shaper *Shaper
-	queue  []parcel
-	bytes  int
-	worst  time.Duration // delay since Mark
-	done   error         // no more comes; what is queued still passes
-	failed error         // nothing passes any more
-	timer  *time.Timer
-	late   bool     // the read deadline has passed
-	ready  [][]byte // due, not yet read
-	rest   []byte
-	over   error // what follows the last parcel that was due
+	mu             sync.Mutex
+	cond           *sync.Cond
+	shaper         *Shaper
+	queue          []chunk
+	bytes          int
+	maxDelay       time.Duration // delay since Mark
+	done           error         // no more comes; what is queued still passes
+	failed         error         // nothing passes any more
+	timer          *time.Timer
+	deadlinePassed bool     // the read deadline has passed
+	ready          [][]byte // due, not yet read
+	rest           []byte
+	end            error // what follows the last parcel that was due
 }
 
 func newPipe(s *Shaper) *pipe {
@@ -293,7 +293,7 @@
 func (p *pipe) put(now time.Duration, b []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.bytes > queueBytes && p.failed == nil && p.done == nil {
+	for p.bytes > maxInFlightBytes && p.failed == nil && p.done == nil {
 		p.cond.Wait()
 	}
 	if p.failed != nil {
@@ -302,16 +302,16 @@
 	if p.done != nil {
 		return net.ErrClosed
 	}
-	at := p.shaper.Segment(now, len(b))
-	p.worst = max(p.worst, at-now)
-	p.queue = append(p.queue, parcel{at, append([]byte(nil), b...)})
+	at := p.shaper.SegmentArrival(now, len(b))
+	p.maxDelay = max(p.maxDelay, at-now)
+	p.queue = append(p.queue, chunk{at, append([]byte(nil), b...)})
 	p.bytes += len(b)
 	p.cond.Broadcast()
 	return nil
 }
 
 // next waits for the next parcel; its bytes count as under way until gone.
-func (p *pipe) next() (parcel, error) {
+func (p *pipe) next() (chunk, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.queue) == 0 && p.done == nil && p.failed == nil {
@@ -319,16 +319,16 @@
 	}
 	switch {
 	case p.failed != nil:
-		return parcel{}, p.failed
+		return chunk{}, p.failed
 	case len(p.queue) == 0:
-		return parcel{}, p.done
+		return chunk{}, p.done
 	}
 	out := p.queue[0]
 	p.queue = p.queue[1:]
 	return out, nil
 }
 
-func (p *pipe) gone(n int) {
+func (p *pipe) delivered(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.bytes -= n
@@ -346,7 +346,7 @@
 }
 
 // closed waits until the connection is closed, after its sending has ended.
-func (p *pipe) closed() {
+func (p *pipe) waitFailed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for p.failed == nil && errors.Is(p.done, io.EOF) {
@@ -363,21 +363,21 @@
 	p.cond.Broadcast()
 }
 
-func (p *pipe) deadline(t time.Time) {
+func (p *pipe) setDeadline(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.timer != nil {
 		p.timer.Stop()
 		p.timer = nil
 	}
-	p.late = false
+	p.deadlinePassed = false
 	if t.IsZero() {
 		return
 	}
 	p.timer = time.AfterFunc(time.Until(t), func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.late = true
+		p.deadlinePassed = true
 		p.cond.Broadcast()
 	})
 }
--- a/lab/netfault/mesh.go
+++ b/lab/netfault/mesh.go
@@ -11,11 +11,11 @@
 // Mesh is a link for each directed pair of nodes, for datagrams and for connections. A node reaches each other node by an
 // address that belongs to the link, so loopback and an address book are all it needs.
 type Mesh struct {
-	n     int
+	size  int
 	pairs map[[2]int]*pair
 
-	mu  sync.Mutex
-	way map[[2]int]Way // as set, by direction
+	mu     sync.Mutex
+	faults map[[2]int]PacketFaults // as set, by direction
 }
 
 // pair is how one node reaches another: datagrams go its way alone, connections need both.
@@ -28,7 +28,7 @@
 
 // NewMesh opens a link for each pair of the addresses at which the nodes listen.
 func NewMesh(nodes []string, seed uint64) (*Mesh, error) {
-	m := &Mesh{n: len(nodes), pairs: map[[2]int]*pair{}, way: map[[2]int]Way{}}
+	m := &Mesh{size: len(nodes), pairs: map[[2]int]*pair{}, faults: map[[2]int]PacketFaults{}}
 	for i := range nodes {
 		for j, to := range nodes {
 			if i == j {
@@ -46,9 +46,9 @@
 }
 
 func open(to string, seed uint64) (*pair, error) {
-	p := &pair{link: NewLink(Params{}, Params{}, seed)}
+	p := &pair{link: NewLink(Impairment{}, Impairment{}, seed)}
 	var err error
-	if p.streams, err = NewRelay(net.JoinHostPort(loopback.Next(), "0"), to, p.link); err != nil {
+	if p.streams, err = NewRelay(net.JoinHostPort(loopback.NextHost(), "0"), to, p.link); err != nil {
 		return nil, err
 	}
 	p.address = p.streams.Addr()
@@ -63,31 +63,33 @@
 func (m *Mesh) Address(from, to int) string { return m.pairs[[2]int{from, to}].address }
 
 // Set changes what the link from one node to another does.
-func (m *Mesh) Set(from, to int, change func(*Way)) {
+func (m *Mesh) SetFaults(from, to int, change func(*PacketFaults)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := [2]int{from, to}
-	w := m.way[key]
+	w := m.faults[key]
 	change(&w)
-	m.way[key] = w
-	m.pairs[key].packets.Set(w)
+	m.faults[key] = w
+	m.pairs[key].packets.SetFaults(w)
 	// On a connection that the first node opened the link's Out leads to that node, In comes from it.
 	for _, k := range [][2]int{key, {to, from}} {
-		there, back := m.way[k], m.way[[2]int{k[1], k[0]}]
-		m.pairs[k].link.Impair(back.Params, there.Params)
-		m.pairs[k].link.Mute(In, there.Cut)
-		m.pairs[k].link.Mute(Out, back.Cut)
+		there, back := m.faults[k], m.faults[[2]int{k[1], k[0]}]
+		m.pairs[k].link.Impair(back.Impairment, there.Impairment)
+		m.pairs[k].link.StallDirection(In, there.Cut)
+		m.pairs[k].link.StallDirection(Out, back.Cut)
 	}
 }
 
 // Cut cuts the link from one node to another, or makes it whole.
-func (m *Mesh) Cut(from, to int, on bool) { m.Set(from, to, func(w *Way) { w.Cut = on }) }
+func (m *Mesh) Cut(from, to int, on bool) {
+	m.SetFaults(from, to, func(w *PacketFaults) { w.Cut = on })
+}
 
 // IsCut tells whether it is cut.
 func (m *Mesh) IsCut(from, to int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.way[[2]int{from, to}].Cut
+	return m.faults[[2]int{from, to}].Cut
 }
 
 // Counts are the datagrams that one node's links have passed on and lost.
--- a/lab/netfault/netfault_test.go
+++ b/lab/netfault/netfault_test.go
@@ -15,14 +15,14 @@
 
 // The delay of segments follows from loss and time-out; the order is kept; the same seed gives the same delays.
 func TestShaper(t *testing.T) {
-	p := Params{Loss: 0.1, RTO: 300 * time.Millisecond, Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond}
+	p := Impairment{Loss: 0.1, RTO: 300 * time.Millisecond, Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond}
 	a, b := NewShaper(p, 3, 1), NewShaper(p, 3, 1)
 	late, last := 0, time.Duration(0)
 	const n = 20000
 	for i := range n {
 		now := time.Duration(i) * 10 * time.Second // far enough apart for no segment to wait behind another
-		at := a.Segment(now, 100)
-		if at != b.Segment(now, 100) {
+		at := a.SegmentArrival(now, 100)
+		if at != b.SegmentArrival(now, 100) {
 			t.Fatal("one seed gave two schedules")
 		}
 		if at < last {
@@ -40,18 +40,18 @@
 	}
 	lost := 0
 	for range n {
-		if _, gone := a.Datagram(0, 100); gone {
+		if _, gone := a.DatagramArrival(0, 100); gone {
 			lost++
 		}
 	}
 	if share := float64(lost) / n; math.Abs(share-p.Loss) > 0.01 {
 		t.Errorf("%v of the datagrams were lost, want %v", share, p.Loss)
 	}
-	narrow := NewShaper(Params{Bandwidth: 10_000}, 1, 1)
-	if at := narrow.Segment(0, 5000); at != 500*time.Millisecond {
+	narrow := NewShaper(Impairment{Bandwidth: 10_000}, 1, 1)
+	if at := narrow.SegmentArrival(0, 5000); at != 500*time.Millisecond {
 		t.Errorf("5,000 bytes at 10,000 a second are there after %v", at)
 	}
-	if at := narrow.Segment(0, 5000); at != time.Second {
+	if at := narrow.SegmentArrival(0, 5000); at != time.Second {
 		t.Errorf("what follows waits for the line: %v, want 1s", at)
 	}
 }
@@ -88,7 +88,7 @@
 
 // Bytes come whole and in order both ways over a bad link, and each half-close comes once, after them.
 func TestRelayKeepsBytesAndHalfCloses(t *testing.T) {
-	p := Params{Delay: 5 * time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.01}
+	p := Impairment{Delay: 5 * time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.01}
 	client, server := relayed(t, NewLink(p, p, 1))
 	up, down := bytes.Repeat([]byte("upwards "), 20_000), bytes.Repeat([]byte("down "), 30_000)
 	go func() {
@@ -109,7 +109,7 @@
 }
 
 func TestDelayAndSilence(t *testing.T) {
-	l := NewLink(Params{Delay: 60 * time.Millisecond}, Params{Delay: 60 * time.Millisecond}, 1)
+	l := NewLink(Impairment{Delay: 60 * time.Millisecond}, Impairment{Delay: 60 * time.Millisecond}, 1)
 	client, server := relayed(t, l)
 	ask := func() time.Duration {
 		began := time.Now()
@@ -127,13 +127,13 @@
 	if d := ask(); d < 120*time.Millisecond {
 		t.Errorf("there and back took %v, the link alone takes 120ms", d)
 	}
-	l.Silence(true)
+	l.Stall(true)
 	_, _ = client.Write([]byte("ping"))
 	_ = server.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if n, err := server.Read(make([]byte, 4)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a silent link passed %d bytes, %v", n, err)
 	}
-	l.Silence(false)
+	l.Stall(false)
 	_ = server.SetReadDeadline(time.Now().Add(patience))
 	if _, err := io.ReadFull(server, make([]byte, 4)); err != nil {
 		t.Errorf("what was sent in the silence never came: %v", err)
@@ -141,7 +141,7 @@
 }
 
 func TestResetBreaksWhatIsOpen(t *testing.T) {
-	l := NewLink(Params{Delay: time.Millisecond}, Params{}, 1)
+	l := NewLink(Impairment{Delay: time.Millisecond}, Impairment{}, 1)
 	client, server := relayed(t, l)
 	_, _ = client.Write([]byte("x"))
 	if _, err := io.ReadFull(server, make([]byte, 1)); err != nil {
@@ -165,11 +165,11 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = a.Close(); _ = b.Close() }()
-	w := NewLink(Params{Loss: 0.5, Delay: 30 * time.Millisecond}, Params{}, 5).WrapPacket(a)
-	want, shaper := 0, NewShaper(Params{Loss: 0.5, Delay: 30 * time.Millisecond}, 5, 2)
+	w := NewLink(Impairment{Loss: 0.5, Delay: 30 * time.Millisecond}, Impairment{}, 5).WrapPacket(a)
+	want, shaper := 0, NewShaper(Impairment{Loss: 0.5, Delay: 30 * time.Millisecond}, 5, 2)
 	began := time.Now()
 	for range 200 {
-		if _, lost := shaper.Datagram(0, 1); !lost {
+		if _, lost := shaper.DatagramArrival(0, 1); !lost {
 			want++
 		}
 		if _, err := w.WriteTo([]byte("x"), b.LocalAddr()); err != nil {
--- a/lab/netfault/packet.go
+++ b/lab/netfault/packet.go
@@ -14,15 +14,15 @@
 // PacketConn is a socket for datagrams on a link: some vanish, some come late, and one may overtake another.
 type PacketConn struct {
 	net.PacketConn
-	link  *Link
-	began time.Time
-	mu    sync.Mutex // guards the shapers and the deadline
-	out   *Shaper
-	in    *Shaper
-	until time.Time
-	ready chan datagram
-	once  sync.Once
-	ended chan struct{}
+	link     *Link
+	began    time.Time
+	mu       sync.Mutex // guards the shapers and the deadline
+	out      *Shaper
+	in       *Shaper
+	deadline time.Time
+	ready    chan datagram
+	once     sync.Once
+	ended    chan struct{}
 }
 
 type datagram struct {
@@ -32,7 +32,7 @@
 
 // WrapPacket puts a socket for datagrams on the link.
 func (l *Link) WrapPacket(pc net.PacketConn) *PacketConn {
-	n := l.made.Add(1)
+	n := l.connCount.Add(1)
 	p := &PacketConn{PacketConn: pc, link: l, began: time.Now(), out: NewShaper(l.up, l.seed, 2*n),
 		in: NewShaper(l.down, l.seed, 2*n+1), ready: make(chan datagram, packetQueue), ended: make(chan struct{})}
 	go p.pull()
@@ -43,17 +43,17 @@
 func (p *PacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	p.mu.Lock()
 	now := time.Since(p.began)
-	at, lost := p.out.Datagram(now, len(b))
+	at, lost := p.out.DatagramArrival(now, len(b))
 	p.mu.Unlock()
-	if lost || p.link.silence(Out) != nil {
+	if lost || p.link.stallEnd(Out) != nil {
 		return len(b), nil
 	}
 	copied := append([]byte(nil), b...)
-	p.later(at-now, func() { _, _ = p.PacketConn.WriteTo(copied, to) }) // a socket that is gone loses it like the link
+	p.after(at-now, func() { _, _ = p.PacketConn.WriteTo(copied, to) }) // a socket that is gone loses it like the link
 	return len(b), nil
 }
 
-func (p *PacketConn) later(d time.Duration, do func()) {
+func (p *PacketConn) after(d time.Duration, do func()) {
 	if d <= 0 {
 		do()
 		return
@@ -71,13 +71,13 @@
 		}
 		p.mu.Lock()
 		now := time.Since(p.began)
-		at, lost := p.in.Datagram(now, n)
+		at, lost := p.in.DatagramArrival(now, n)
 		p.mu.Unlock()
-		if lost || p.link.silence(In) != nil {
+		if lost || p.link.stallEnd(In) != nil {
 			continue
 		}
 		d := datagram{append([]byte(nil), buf[:n]...), from}
-		p.later(at-now, func() {
+		p.after(at-now, func() {
 			select {
 			case p.ready <- d:
 			default: // nobody reads: the socket's buffer is full
@@ -90,14 +90,14 @@
 func (p *PacketConn) SetReadDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.until = t
+	p.deadline = t
 	return nil
 }
 
 // ReadFrom gives the next datagram that has arrived.
 func (p *PacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	p.mu.Lock()
-	until := p.until
+	until := p.deadline
 	p.mu.Unlock()
 	var late <-chan time.Time
 	if !until.IsZero() {
--- a/lab/netfault/packetrelay.go
+++ b/lab/netfault/packetrelay.go
@@ -9,16 +9,16 @@
 )
 
 // Way is what a PacketRelay does to datagrams besides its Params.
-type Way struct {
-	Params
-	Cut     bool
-	Double  float64       // share that comes twice, the second after a delay of its own
-	Reorder float64       // share that is held back, so that later ones overtake it
-	Back    time.Duration // for how long
+type PacketFaults struct {
+	Impairment
+	Cut          bool
+	Duplicate    float64       // share that comes twice, the second after a delay of its own
+	Reorder      float64       // share that is held back, so that later ones overtake it
+	ReorderDelay time.Duration // for how long
 }
 
 // mostUnderWay bounds the datagrams that a relay holds back; beyond it they are lost, as in a full queue.
-const mostUnderWay = 4096
+const maxInFlightPackets = 4096
 
 // PacketRelay carries datagrams one way: what comes to its socket goes on to another address, from that socket.
 type PacketRelay struct {
@@ -26,12 +26,12 @@
 	to   netip.AddrPort
 
 	mu       sync.Mutex
-	way      Way
+	faults   PacketFaults
 	shaper   *Shaper
 	seed     uint64
 	began    time.Time
-	underWay int
-	ending   sync.WaitGroup
+	inFlight int
+	running  sync.WaitGroup
 
 	Passed, Lost int // guarded by mu; read them by Counts
 }
@@ -50,20 +50,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &PacketRelay{conn: conn, to: target, seed: seed, began: time.Now(), shaper: NewShaper(Params{}, seed, 0)}
-	r.ending.Go(r.run)
+	r := &PacketRelay{conn: conn, to: target, seed: seed, began: time.Now(), shaper: NewShaper(Impairment{}, seed, 0)}
+	r.running.Go(r.run)
 	return r, nil
 }
 
 // Set changes what is done to datagrams from now on. Those under way arrive as they were to.
-func (r *PacketRelay) Set(w Way) {
+func (r *PacketRelay) SetFaults(w PacketFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w.Params != r.way.Params {
-		r.shaper = NewShaper(w.Params, r.seed, uint64(time.Since(r.began)))
+	if w.Impairment != r.faults.Impairment {
+		r.shaper = NewShaper(w.Impairment, r.seed, uint64(time.Since(r.began)))
 		r.began = time.Now()
 	}
-	r.way = w
+	r.faults = w
 }
 
 // Counts are the datagrams that were passed on and those that were not.
@@ -80,7 +80,7 @@
 		if err != nil {
 			return
 		}
-		for _, in := range r.fate(n) {
+		for _, in := range r.arrivals(n) {
 			if in <= 0 {
 				_, _ = r.conn.WriteToUDPAddrPort(buf[:n], r.to) // whose port is closed loses it
 				continue
@@ -89,7 +89,7 @@
 			time.AfterFunc(in, func() {
 				_, _ = r.conn.WriteToUDPAddrPort(b, r.to)
 				r.mu.Lock()
-				r.underWay--
+				r.inFlight--
 				r.mu.Unlock()
 			})
 		}
@@ -97,27 +97,27 @@
 }
 
 // fate is when the copies of a datagram arrive, after now.
-func (r *PacketRelay) fate(n int) []time.Duration {
+func (r *PacketRelay) arrivals(n int) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []time.Duration
 	copies := 1
-	if r.shaper.rng.Float64() < r.way.Double {
+	if r.shaper.rng.Float64() < r.faults.Duplicate {
 		copies = 2
 	}
 	for range copies {
 		now := time.Since(r.began)
-		at, lost := r.shaper.Datagram(now, n)
+		at, lost := r.shaper.DatagramArrival(now, n)
 		at -= now
-		if r.shaper.rng.Float64() < r.way.Reorder {
-			at += r.way.Back
+		if r.shaper.rng.Float64() < r.faults.Reorder {
+			at += r.faults.ReorderDelay
 		}
-		if lost || r.way.Cut || at > 0 && r.underWay >= mostUnderWay {
+		if lost || r.faults.Cut || at > 0 && r.inFlight >= maxInFlightPackets {
 			r.Lost++
 			continue
 		}
 		if at > 0 {
-			r.underWay++
+			r.inFlight++
 		}
 		r.Passed++
 		out = append(out, at)
@@ -128,5 +128,5 @@
 // Close ends the relay.
 func (r *PacketRelay) Close() {
 	_ = r.conn.Close()
-	r.ending.Wait()
+	r.running.Wait()
 }
--- a/lab/netfault/read.go
+++ b/lab/netfault/read.go
@@ -14,13 +14,13 @@
 		switch {
 		case p.failed != nil:
 			return 0, p.failed
-		case p.late:
+		case p.deadlinePassed:
 			return 0, os.ErrDeadlineExceeded
 		case len(p.ready) > 0:
 			p.rest = p.ready[0]
 			p.ready = p.ready[1:]
-		case p.over != nil:
-			return 0, p.over
+		case p.end != nil:
+			return 0, p.end
 		default:
 			p.cond.Wait()
 		}
@@ -37,13 +37,13 @@
 	for {
 		q, err := c.in.next()
 		if werr := error(nil); err == nil || errors.Is(err, io.EOF) { // the end passes a silent link no sooner than bytes do
-			if werr = c.wait(In, q.at); werr != nil {
+			if werr = c.waitUntilDue(In, q.at); werr != nil {
 				err = werr
 			}
 		}
 		c.in.mu.Lock()
 		if err != nil {
-			c.in.over = err
+			c.in.end = err
 		} else {
 			c.in.ready = append(c.in.ready, q.b)
 		}
--- a/lab/netfault/relay.go
+++ b/lab/netfault/relay.go
@@ -9,14 +9,14 @@
 // Relay carries TCP connections between two parties neither of which is the lab's own, over a link. Each half-close is
 // passed on once, after what was sent before it.
 type Relay struct {
-	l    net.Listener
-	to   string
-	link *Link
+	listener net.Listener
+	to       string
+	link     *Link
 
-	mu     sync.Mutex
-	closed bool
-	conns  map[net.Conn]struct{}
-	ending sync.WaitGroup
+	mu      sync.Mutex
+	closed  bool
+	conns   map[net.Conn]struct{}
+	running sync.WaitGroup
 }
 
 // NewRelay listens on an address and carries what comes to another.
@@ -25,26 +25,26 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{l: l, to: to, link: link, conns: map[net.Conn]struct{}{}}
-	r.ending.Go(r.accept)
+	r := &Relay{listener: l, to: to, link: link, conns: map[net.Conn]struct{}{}}
+	r.running.Go(r.accept)
 	return r, nil
 }
 
 // Addr is where the relay listens.
-func (r *Relay) Addr() string { return r.l.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.ending.Go(func() { r.carry(c) })
+		r.running.Go(func() { r.carry(c) })
 	}
 }
 
 // hold notes a connection, so that Close ends it; false where the relay has closed.
-func (r *Relay) hold(c net.Conn) bool {
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -55,7 +55,7 @@
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) untrack(c net.Conn) {
 	_ = c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,10 +63,10 @@
 }
 
 func (r *Relay) carry(c net.Conn) {
-	if !r.hold(c) {
+	if !r.track(c) {
 		return
 	}
-	defer r.drop(c)
+	defer r.untrack(c)
 	to, err := net.Dial("tcp", r.to)
 	if err != nil { // who connected sees a reset, the nearest to the refusal that a relay can give
 		if t, ok := c.(*net.TCPConn); ok {
@@ -74,23 +74,23 @@
 		}
 		return
 	}
-	if !r.hold(to) {
+	if !r.track(to) {
 		return
 	}
-	defer r.drop(to)
+	defer r.untrack(to)
 	near := r.link.Wrap(c)
 	defer func() { // what is still under way on the link passes first
 		_ = near.Close()
 		<-near.ended
 	}()
 	var both sync.WaitGroup
-	both.Go(func() { pass(to, near) })
-	both.Go(func() { pass(near, to) })
+	both.Go(func() { copyUntilEOF(to, near) })
+	both.Go(func() { copyUntilEOF(near, to) })
 	both.Wait()
 }
 
 // pass carries one direction, and its end.
-func pass(to, from net.Conn) {
+func copyUntilEOF(to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	if err != nil {
 		_ = to.Close()
@@ -104,7 +104,7 @@
 
 // Close ends the relay and all it carries.
 func (r *Relay) Close() {
-	_ = r.l.Close()
+	_ = r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
 	open := make([]net.Conn, 0, len(r.conns))
@@ -116,5 +116,5 @@
 		_ = c.Close()
 	}
 	r.link.Reset()
-	r.ending.Wait()
+	r.running.Wait()
 }
--- a/lab/nodeproc/bank.go
+++ b/lab/nodeproc/bank.go
@@ -27,58 +27,58 @@
 )
 
 const (
-	startTime = 15 * time.Second // from the start of a process to its good health
-	stopTime  = 6 * time.Second  // from SIGTERM to the exit: the longest deadline, and as much again
+	startTimeout = 15 * time.Second // from the start of a process to its good health
+	stopTimeout  = 6 * time.Second  // from SIGTERM to the exit: the longest deadline, and as much again
 
 	// logKept bounds what is kept of each node's log.
-	logKept = 4 << 20
+	maxLogBytes = 4 << 20
 )
 
 // Options are what the nodes are.
 type Options struct {
-	Scenario *scenario.Scenario
-	Command  []string // the program and its arguments
-	Env      []string
-	Fleet    *backend.Fleet
-	Start    time.Time
-	Edge     func(node int) string // a node's operator file; nil: as the environment says
+	Scenario     *scenario.Scenario
+	Command      []string // the program and its arguments
+	Env          []string
+	Backends     *backend.Fleet
+	RunStart     time.Time
+	OperatorFile func(node int) string // a node's operator file; nil: as the environment says
 	// Stopping is told of each planned stop, right after SIGTERM; nil: nobody asks.
-	Stopping func(node int, address string, at time.Time)
-	Dir      string // for configurations and logs; empty: a folder that is removed at the end
+	OnStop func(node int, address string, at time.Time)
+	Dir    string // for configurations and logs; empty: a folder that is removed at the end
 }
 
 // Bank is all nodes of a run.
-type Bank struct {
-	o     Options
-	dir   string
-	temp  bool
-	nodes []*Node
+type Group struct {
+	options Options
+	dir     string
+	temp    bool
+	nodes   []*Node
 }
 
 // Node is one node over all its processes.
 type Node struct {
-	b     *Bank
-	index int
-	addr  string
-	env   []string
-	disk  string // its own folder, with a mesh
-
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	done     chan struct{}
-	wanted   bool // an end of the process is not a crash
-	outages  []audit.Outage
-	downs    []audit.Down // of its processes, planned ones too
-	pauses   []audit.Pause
-	killed   int // planned stops that SIGKILL had to end
-	crashes  int
-	excluded map[string]bool
-	log      bytes.Buffer
-	samples  []Sample
-	cpuWas   float64 // seconds of earlier processes
-	up       atomic.Bool
-	leaving  atomic.Int64  // when its planned stop began, as the run's time; 0: none
-	skew     time.Duration // the least that a line of the log was old when it was read; -1: no line told its time
+	group   *Group
+	index   int
+	addr    string
+	env     []string
+	dataDir string // its own folder, with a mesh
+
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exitedCh      chan struct{}
+	exitExpected  bool // an end of the process is not a crash
+	outages       []audit.Outage
+	downtimes     []audit.Downtime // of its processes, planned ones too
+	pauses        []audit.Pause
+	killedStops   int // planned stops that SIGKILL had to end
+	crashes       int
+	ejected       map[string]bool
+	log           bytes.Buffer
+	samples       []Sample
+	earlierCPU    float64 // seconds of earlier processes
+	healthy       atomic.Bool
+	stoppingSince atomic.Int64  // when its planned stop began, as the run's time; 0: none
+	minLogAge     time.Duration // the least that a line of the log was old when it was read; -1: no line told its time
 }
 
 // Sample is a node's cost at a moment.
@@ -90,8 +90,8 @@
 }
 
 // Start starts all nodes and waits until each says that it is healthy.
-func Start(o Options) (*Bank, error) {
-	b := &Bank{o: o, dir: o.Dir}
+func Start(o Options) (*Group, error) {
+	b := &Group{options: o, dir: o.Dir}
 	if b.dir == "" {
 		dir, err := os.MkdirTemp("", "tacklab")
 		if err != nil {
@@ -100,7 +100,7 @@
 		b.dir, b.temp = dir, true
 	}
 	for i := range o.Scenario.Nodes.Count {
-		n, err := b.node(i)
+		n, err := b.newNode(i)
 		if err == nil {
 			err = n.start()
 		}
@@ -112,12 +112,12 @@
 	return b, nil
 }
 
-func (b *Bank) node(i int) (*Node, error) {
-	addr, err := loopback.Free()
+func (b *Group) newNode(i int) (*Node, error) {
+	addr, err := loopback.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{b: b, index: i, addr: addr, excluded: map[string]bool{}, skew: -1}
+	n := &Node{group: b, index: i, addr: addr, ejected: map[string]bool{}, minLogAge: -1}
 	conf, err := json.MarshalIndent(b.configuration(i, addr), "", " ")
 	if err != nil {
 		return nil, err
@@ -127,28 +127,28 @@
 		return nil, err
 	}
 	n.env = append(append(os.Environ(), "ROUTER_NAME=n"+strconv.Itoa(i), "ROUTER_LISTEN="+addr,
-		"ROUTER_DISCOVERY="+b.o.Fleet.Discovery(i), "ROUTER_CONFIG="+path), b.o.Env...)
-	if b.o.Edge != nil {
-		n.env = append(n.env, "TACKHUB_EDGE="+b.o.Edge(i))
+		"ROUTER_DISCOVERY="+b.options.Backends.Discovery(i), "ROUTER_CONFIG="+path), b.options.Env...)
+	if b.options.OperatorFile != nil {
+		n.env = append(n.env, "TACKHUB_EDGE="+b.options.OperatorFile(i))
 	}
-	if b.o.Scenario.Mesh != nil { // a folder of its own, as on a machine of its own
-		n.disk = b.Disk(i)
-		if err := os.MkdirAll(n.disk, 0o700); err != nil {
+	if b.options.Scenario.Mesh != nil { // a folder of its own, as on a machine of its own
+		n.dataDir = b.DataDir(i)
+		if err := os.MkdirAll(n.dataDir, 0o700); err != nil {
 			return nil, err
 		}
-		n.env = append(n.env, "TMPDIR="+n.disk)
+		n.env = append(n.env, "TMPDIR="+n.dataDir)
 	}
 	b.nodes = append(b.nodes, n)
 	return n, nil
 }
 
 // configuration is a node's file, in the operators' words.
-func (b *Bank) configuration(node int, addr string) map[string]any {
-	s := b.o.Scenario
-	return map[string]any{"name": "n" + strconv.Itoa(node), "listen": addr, "discovery": b.o.Fleet.Discovery(node),
+func (b *Group) configuration(node int, addr string) map[string]any {
+	s := b.options.Scenario
+	return map[string]any{"name": "n" + strconv.Itoa(node), "listen": addr, "discovery": b.options.Backends.Discovery(node),
 		"seed":   fmt.Sprintf("%016x", s.Seed<<8+uint64(node)+1),
 		"limits": map[string]any{"cores": s.Nodes.Cores, "memory_mb": s.Nodes.MemoryMB, "sockets": s.Nodes.Sockets},
-		"known":  map[string]any{"revision": 0, "complete": true, "members": b.o.Fleet.Known(node)}, "settings": Settings(s, node)}
+		"known":  map[string]any{"revision": 0, "complete": true, "members": b.options.Backends.Known(node)}, "settings": Settings(s, node)}
 }
 
 // Settings is the settings object of a scenario for one node.
@@ -164,7 +164,7 @@
 			"dedup_window_ms": ms(c.Window), "effect": map[string]string{"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}[c.Effect],
 			"group": group, "late_share": 0, "streamed": false, "worth": c.Worth})
 	}
-	realms, shares := []map[string]any{}, s.Shares()
+	realms, shares := []map[string]any{}, s.TenantShares()
 	for i, share := range shares {
 		if s.Clients.Quota > 0 {
 			realms = append(realms, map[string]any{"name": fmt.Sprintf("t%03d", i), "quota_per_s": share * s.Clients.Quota, "share": share})
@@ -177,8 +177,8 @@
 	return map[string]any{"classes": classes, "client_habits": map[string]any{"marks_retry": s.Clients.MarksRetry},
 		"counted_by": "request", "discovery": "automatic", "fleet_size": s.Nodes.Count, "me": node,
 		"goal": map[string]any{"whole": 0.6, "worst_window": 0.4},
-		"obligations": map[string]any{"answer_slack_ms": 5, "cold_from": s.Fleet.ColdFrom, "cold_ms": ms(s.Fleet.ColdFor),
-			"fall_ms": ms(s.Fleet.FallFor), "fall_multiple": s.Fleet.FallMultiple, "stop_sending_within_ms": ms(s.Nodes.Grace)},
+		"obligations": map[string]any{"answer_slack_ms": 5, "cold_from": s.Fleet.ColdSpeed, "cold_ms": ms(s.Fleet.ColdFor),
+			"fall_ms": ms(s.Fleet.CollapseWindow), "fall_multiple": s.Fleet.CollapseMultiple, "stop_sending_within_ms": ms(s.Nodes.DrainGrace)},
 		"policy_limits": map[string]any{"attempts_cap": s.Nodes.Attempts, "conn_idle_ms": 60000, "connect_timeout_ms": 150,
 			"may_cancel": true, "probes": s.Fleet.Probes, "retry_after": true, "max_retry_after_ms": 2000, "second_copies": false},
 		"report": map[string]any{"how": how, "names": []string{"concurrent", "queue", "util"}}, "tick_ms": 1,
@@ -187,7 +187,7 @@
 
 // start starts a process and waits for its health.
 func (n *Node) start() error {
-	cmd := exec.Command(n.b.o.Command[0], n.b.o.Command[1:]...)
+	cmd := exec.Command(n.group.options.Command[0], n.group.options.Command[1:]...)
 	cmd.Env = n.env
 	// The node goes when the rig goes, however it goes: a run that is cut off leaves no process behind.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
@@ -195,42 +195,42 @@
 	if err != nil {
 		return err
 	}
-	if err := startLocked(cmd); err != nil {
+	if err := startOnLastingThread(cmd); err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
 	}
 	done := make(chan struct{})
 	n.mu.Lock()
-	n.cmd, n.done, n.wanted = cmd, done, false
-	clear(n.excluded)
+	n.cmd, n.exitedCh, n.exitExpected = cmd, done, false
+	clear(n.ejected)
 	n.mu.Unlock()
-	go n.follow(cmd, stderr, done)
-	err = n.healthy(done)
-	n.down(false, false)
+	go n.waitForExit(cmd, stderr, done)
+	err = n.waitHealthy(done)
+	n.recordDowntime(false, false)
 	return err
 }
 
 // down notes that there is no process any more, or that it stands still; or that there is one again and it goes on.
-func (n *Node) down(begins, stopped bool) {
+func (n *Node) recordDowntime(begins, stopped bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	last := len(n.downs) - 1
-	switch open := last >= 0 && n.downs[last].To == forEver; {
+	last := len(n.downtimes) - 1
+	switch open := last >= 0 && n.downtimes[last].To == stillOpen; {
 	case begins && !open:
-		n.downs = append(n.downs, audit.Down{Node: n.index, From: n.b.at(), To: forEver, Stopped: stopped})
+		n.downtimes = append(n.downtimes, audit.Downtime{Node: n.index, From: n.group.now(), To: stillOpen, Suspended: stopped})
 	case !begins && open:
-		n.downs[last].To = n.b.at()
+		n.downtimes[last].To = n.group.now()
 	}
 }
 
 // forEver is the end of what has not ended yet.
-const forEver = time.Duration(1<<63 - 1)
+const stillOpen = time.Duration(1<<63 - 1)
 
 // Downs are the times in which nodes had no process, or one that stood still.
-func (b *Bank) Downs() []audit.Down {
-	var out []audit.Down
+func (b *Group) Downtimes() []audit.Downtime {
+	var out []audit.Downtime
 	for _, n := range b.nodes {
 		n.mu.Lock()
-		out = append(out, n.downs...)
+		out = append(out, n.downtimes...)
 		n.mu.Unlock()
 	}
 	return out
@@ -238,78 +238,78 @@
 
 // parents holds a thread that never ends: the kernel sends a process its parent's death when the thread that started
 // it ends, and Go ends threads.
-var parents = make(chan func())
-var startParents = sync.OnceFunc(func() { go holdThread() })
+var starts = make(chan func())
+var startOnce = sync.OnceFunc(func() { go runStarts() })
 
-func startLocked(cmd *exec.Cmd) error {
-	startParents()
+func startOnLastingThread(cmd *exec.Cmd) error {
+	startOnce()
 	out := make(chan error, 1)
-	parents <- func() { out <- cmd.Start() }
+	starts <- func() { out <- cmd.Start() }
 	return <-out
 }
 
-func (n *Node) follow(cmd *exec.Cmd, stderr io.Reader, done chan struct{}) {
+func (n *Node) waitForExit(cmd *exec.Cmd, stderr io.Reader, done chan struct{}) {
 	lines := bufio.NewScanner(stderr)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		n.line(lines.Bytes())
+		n.readLogLine(lines.Bytes())
 	}
 	_, _ = io.Copy(io.Discard, stderr)
 	_ = cmd.Wait()
 	n.mu.Lock()
-	if !n.wanted {
+	if !n.exitExpected {
 		n.crashes++
 	}
 	if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-		n.cpuWas += time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
+		n.earlierCPU += time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 	}
-	n.up.Store(false)
+	n.healthy.Store(false)
 	n.mu.Unlock()
 	close(done)
 }
 
 var (
-	sawExcluded = regexp.MustCompile(`"msg":"excluded ([^:"]+):`)
-	sawBack     = regexp.MustCompile(`"msg":"readmitted ([^ "]+) after`)
+	ejectedPattern    = regexp.MustCompile(`"msg":"excluded ([^:"]+):`)
+	readmittedPattern = regexp.MustCompile(`"msg":"readmitted ([^ "]+) after`)
 )
 
 // line keeps a line of the log and learns from it who is excluded.
-func (n *Node) line(line []byte) {
+func (n *Node) readLogLine(line []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.log.Len() < logKept {
+	if n.log.Len() < maxLogBytes {
 		n.log.Write(line)
 		n.log.WriteByte('\n')
 	}
-	n.compare(line)
-	if m := sawExcluded.FindSubmatch(line); m != nil {
-		n.excluded[string(m[1])] = true
-	} else if m := sawBack.FindSubmatch(line); m != nil {
-		delete(n.excluded, string(m[1]))
+	n.compareClocks(line)
+	if m := ejectedPattern.FindSubmatch(line); m != nil {
+		n.ejected[string(m[1])] = true
+	} else if m := readmittedPattern.FindSubmatch(line); m != nil {
+		delete(n.ejected, string(m[1]))
 	}
 }
 
 // compare holds the node's clock against the rig's: a line cannot be read before it was written, and the freshest one
 // is read within a millisecond or so.
-func (n *Node) compare(line []byte) {
+func (n *Node) compareClocks(line []byte) {
 	var head struct {
 		Time time.Time `json:"time"`
 	}
 	if json.Unmarshal(line, &head) != nil || head.Time.IsZero() {
 		return
 	}
-	if age := time.Since(head.Time); n.skew == -1 || age < n.skew {
-		n.skew = age
+	if age := time.Since(head.Time); n.minLogAge == -1 || age < n.minLogAge {
+		n.minLogAge = age
 	}
 }
 
 // Skew is how far the clocks of rig and nodes may lie apart, in milliseconds; 0 where no node tells its time.
-func (b *Bank) Skew() float64 {
+func (b *Group) ClockSkew() float64 {
 	most := 0.0
 	for _, n := range b.nodes {
 		n.mu.Lock()
-		if n.skew != -1 {
-			if ms := float64(n.skew) / float64(time.Millisecond); ms < 0 || ms > most {
+		if n.minLogAge != -1 {
+			if ms := float64(n.minLogAge) / float64(time.Millisecond); ms < 0 || ms > most {
 				most = ms
 			}
 		}
@@ -319,9 +319,9 @@
 }
 
 // healthy waits for a good answer to the health call.
-func (n *Node) healthy(done chan struct{}) error {
+func (n *Node) waitHealthy(done chan struct{}) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(startTime); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-done:
 			return fmt.Errorf("node %d ended at its start: %s", n.index, n.lastLine())
@@ -333,11 +333,11 @@
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			n.up.Store(true)
+			n.healthy.Store(true)
 			return nil
 		}
 	}
-	return fmt.Errorf("node %d is not healthy %v after its start: %s", n.index, startTime, n.lastLine())
+	return fmt.Errorf("node %d is not healthy %v after its start: %s", n.index, startTimeout, n.lastLine())
 }
 
 func (n *Node) lastLine() string {
@@ -348,7 +348,7 @@
 }
 
 // Addrs are the nodes' addresses.
-func (b *Bank) Addrs() []string {
+func (b *Group) Addresses() []string {
 	out := make([]string, len(b.nodes))
 	for i, n := range b.nodes {
 		out[i] = n.addr
@@ -357,40 +357,40 @@
 }
 
 // Alive tells whether a node's process runs, as far as the lab knows.
-func (b *Bank) Alive(node int) bool { return b.nodes[node].up.Load() }
+func (b *Group) Alive(node int) bool { return b.nodes[node].healthy.Load() }
 
-func (b *Bank) at() time.Duration { return time.Since(b.o.Start) }
+func (b *Group) now() time.Duration { return time.Since(b.options.RunStart) }
 
 // Disk is the folder of a node's own, where the scenario has a mesh.
-func (b *Bank) Disk(node int) string { return filepath.Join(b.dir, "t"+strconv.Itoa(node)) }
+func (b *Group) DataDir(node int) string { return filepath.Join(b.dir, "t"+strconv.Itoa(node)) }
 
 // Apply carries out a fault at a node, or ends it.
-func (b *Bank) Apply(e scenario.Event) error {
+func (b *Group) ApplyFault(e scenario.Event) error {
 	n := b.nodes[e.Node]
 	switch {
 	case e.Kind == "disk-lost" && !e.Ends:
-		n.outage(true)
-		return errors.Join(n.kill(), os.RemoveAll(n.disk))
+		n.recordOutage(true)
+		return errors.Join(n.kill(), os.RemoveAll(n.dataDir))
 	case e.Kind == "node-kill" && !e.Ends:
-		n.outage(true)
+		n.recordOutage(true)
 		return n.kill()
 	case e.Kind == "node-kill" || e.Kind == "disk-lost":
 		var err error
-		if n.disk != "" {
-			err = os.MkdirAll(n.disk, 0o700)
+		if n.dataDir != "" {
+			err = os.MkdirAll(n.dataDir, 0o700)
 		}
 		err = errors.Join(err, n.start())
-		n.outage(false)
+		n.recordOutage(false)
 		return err
 	case e.Kind == "node-stop" && !e.Ends:
-		n.outage(true)
+		n.recordOutage(true)
 		return n.signal(syscall.SIGSTOP)
 	case e.Kind == "node-stop":
 		err := n.signal(syscall.SIGCONT)
-		n.outage(false)
+		n.recordOutage(false)
 		return err
 	case e.Kind == "node-replace" && !e.Ends:
-		return n.replace(e.Fault.Again)
+		return n.replace(e.Fault.FollowUpSignals)
 	case e.Kind == "node-pause" && !e.Ends:
 		return n.pause(e.Fault.For)
 	case e.Kind == "node-restart" && !e.Ends: // planned: nothing may be lost, so it is no outage
@@ -403,32 +403,32 @@
 }
 
 // outage notes that a node begins or ends to be unable to act. What ends is left half a second to get into step.
-func (n *Node) outage(begins bool) {
+func (n *Node) recordOutage(begins bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if begins {
-		n.up.Store(false)
-		n.outages = append(n.outages, audit.Outage{Node: n.index, From: n.b.at(), To: time.Hour})
+		n.healthy.Store(false)
+		n.outages = append(n.outages, audit.Outage{Node: n.index, From: n.group.now(), To: time.Hour})
 		return
 	}
-	n.up.Store(true)
+	n.healthy.Store(true)
 	if i := len(n.outages) - 1; i >= 0 {
-		n.outages[i].To = n.b.at() + 500*time.Millisecond
+		n.outages[i].To = n.group.now() + 500*time.Millisecond
 	}
 }
 
 func (n *Node) signal(sig syscall.Signal) error {
 	switch sig {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		n.down(true, false)
+		n.recordDowntime(true, false)
 	case syscall.SIGSTOP:
-		n.down(true, true)
+		n.recordDowntime(true, true)
 	case syscall.SIGCONT:
-		n.down(false, false)
+		n.recordDowntime(false, false)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.wanted = n.wanted || sig == syscall.SIGKILL || sig == syscall.SIGTERM
+	n.exitExpected = n.exitExpected || sig == syscall.SIGKILL || sig == syscall.SIGTERM
 	return n.cmd.Process.Signal(sig)
 }
 
@@ -436,14 +436,14 @@
 	if err := n.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	<-n.ending()
+	<-n.exited()
 	return nil
 }
 
-func (n *Node) ending() chan struct{} {
+func (n *Node) exited() chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.done
+	return n.exitedCh
 }
 
 // stop ends a process by SIGTERM, and by force where it takes too long.
@@ -452,16 +452,16 @@
 		return err
 	}
 	select {
-	case <-n.ending():
+	case <-n.exited():
 		return nil
-	case <-time.After(stopTime):
+	case <-time.After(stopTimeout):
 		_ = n.kill()
-		return fmt.Errorf("node %d did not end within %v of SIGTERM", n.index, stopTime)
+		return fmt.Errorf("node %d did not end within %v of SIGTERM", n.index, stopTimeout)
 	}
 }
 
 // againEvery is the time between the signals of a series.
-const againEvery = 120 * time.Millisecond
+const signalInterval = 120 * time.Millisecond
 
 // signals are those of a series, by their names in a scenario.
 var signals = map[string]syscall.Signal{"TERM": syscall.SIGTERM, "INT": syscall.SIGINT, "HUP": syscall.SIGHUP, "USR1": syscall.SIGUSR1}
@@ -472,15 +472,15 @@
 		return err
 	}
 	at := time.Now()
-	n.leaving.Store(int64(n.b.at()))
-	defer n.leaving.Store(0)
-	if n.b.o.Stopping != nil {
-		n.b.o.Stopping(n.index, n.addr, at)
+	n.stoppingSince.Store(int64(n.group.now()))
+	defer n.stoppingSince.Store(0)
+	if n.group.options.OnStop != nil {
+		n.group.options.OnStop(n.index, n.addr, at)
 	}
-	done := n.ending()
-	kill := time.NewTimer(time.Until(at.Add(n.b.o.Scenario.KillAfter())))
+	done := n.exited()
+	kill := time.NewTimer(time.Until(at.Add(n.group.options.Scenario.KillAfter())))
 	defer kill.Stop()
-	series := time.NewTicker(againEvery)
+	series := time.NewTicker(signalInterval)
 	defer series.Stop()
 	for {
 		select {
@@ -488,7 +488,7 @@
 			return n.start()
 		case <-kill.C:
 			n.mu.Lock()
-			n.killed++
+			n.killedStops++
 			n.mu.Unlock()
 			return errors.Join(n.kill(), n.start())
 		case <-series.C:
@@ -505,7 +505,7 @@
 	n.mu.Lock()
 	process := n.cmd.Process
 	n.mu.Unlock()
-	from := n.b.at()
+	from := n.group.now()
 	if process.Signal(syscall.SIGSTOP) != nil {
 		return nil // it has ended
 	}
@@ -513,21 +513,21 @@
 	_ = process.Signal(syscall.SIGCONT) // it may have been killed meanwhile
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.pauses = append(n.pauses, audit.Pause{Node: n.index, From: from, To: n.b.at()})
+	n.pauses = append(n.pauses, audit.Pause{Node: n.index, From: from, To: n.group.now()})
 	return nil
 }
 
 // Leaving is for how long a node's planned stop has been going on; 0: none is.
-func (b *Bank) Leaving(node int) time.Duration {
-	since := b.nodes[node].leaving.Load()
+func (b *Group) StoppingFor(node int) time.Duration {
+	since := b.nodes[node].stoppingSince.Load()
 	if since == 0 {
 		return 0
 	}
-	return b.at() - time.Duration(since)
+	return b.now() - time.Duration(since)
 }
 
 // Pauses are the times for which nodes were held up with the rules in force.
-func (b *Bank) Pauses() []audit.Pause {
+func (b *Group) Pauses() []audit.Pause {
 	var out []audit.Pause
 	for _, n := range b.nodes {
 		n.mu.Lock()
@@ -538,23 +538,23 @@
 }
 
 // Killed is how many planned stops SIGKILL had to end.
-func (b *Bank) Killed() int {
+func (b *Group) KilledStops() int {
 	sum := 0
 	for _, n := range b.nodes {
 		n.mu.Lock()
-		sum += n.killed
+		sum += n.killedStops
 		n.mu.Unlock()
 	}
 	return sum
 }
 
 // Sample measures every node that runs.
-func (b *Bank) Sample() {
+func (b *Group) Sample() {
 	for _, n := range b.nodes {
 		n.mu.Lock()
 		s, err := measure(n.cmd.Process.Pid)
 		if err == nil && n.cmd.ProcessState == nil {
-			s.At, s.CPU = b.at(), s.CPU+n.cpuWas
+			s.At, s.CPU = b.now(), s.CPU+n.earlierCPU
 			n.samples = append(n.samples, s)
 		}
 		n.mu.Unlock()
@@ -600,7 +600,7 @@
 }
 
 // Reports are all nodes' measurements.
-func (b *Bank) Reports() []Report {
+func (b *Group) Reports() []Report {
 	out := make([]Report, len(b.nodes))
 	for i, n := range b.nodes {
 		n.mu.Lock()
@@ -611,7 +611,7 @@
 }
 
 // Outages are the times in which nodes could not act.
-func (b *Bank) Outages() []audit.Outage {
+func (b *Group) Outages() []audit.Outage {
 	var out []audit.Outage
 	for _, n := range b.nodes {
 		n.mu.Lock()
@@ -622,11 +622,11 @@
 }
 
 // Excluded are the servers that some node has excluded now, by the nodes' own logs.
-func (b *Bank) Excluded() []string {
+func (b *Group) Ejected() []string {
 	seen := map[string]bool{}
 	for _, n := range b.nodes {
 		n.mu.Lock()
-		for id := range n.excluded {
+		for id := range n.ejected {
 			seen[id] = true
 		}
 		n.mu.Unlock()
@@ -639,16 +639,16 @@
 }
 
 // Forget takes a server off the excluded ones: its process is another now, and nodes begin with it anew without a word.
-func (b *Bank) Forget(server string) {
+func (b *Group) ForgetServer(server string) {
 	for _, n := range b.nodes {
 		n.mu.Lock()
-		delete(n.excluded, server)
+		delete(n.ejected, server)
 		n.mu.Unlock()
 	}
 }
 
 // Log is what a node has written.
-func (b *Bank) Log(node int) string {
+func (b *Group) Log(node int) string {
 	n := b.nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -656,10 +656,10 @@
 }
 
 // Close ends all nodes: first politely, all at once, then by force.
-func (b *Bank) Close() {
+func (b *Group) Close() {
 	var all sync.WaitGroup
 	for _, n := range b.nodes {
-		if n.ending() == nil {
+		if n.exited() == nil {
 			continue
 		}
 		all.Go(func() {
--- a/lab/nodeproc/thread.go
+++ b/lab/nodeproc/thread.go
@@ -3,9 +3,9 @@
 import "runtime"
 
 // holdThread starts processes from one thread that is never given back.
-func holdThread() {
+func runStarts() {
 	runtime.LockOSThread()
-	for start := range parents {
+	for start := range starts {
 		start()
 	}
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -119,7 +119,7 @@
 	asked, refused, failed := plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	for _, s := range r.Seconds {
 		asked = append(asked, plotter.XY{X: float64(s.At), Y: float64(s.Asked)})
-		refused = append(refused, plotter.XY{X: float64(s.At), Y: float64(s.Refused)})
+		refused = append(refused, plotter.XY{X: float64(s.At), Y: float64(s.Rejected)})
 		failed = append(failed, plotter.XY{X: float64(s.At), Y: float64(s.Failed)})
 	}
 	return []line{{"asked", asked}, {"refused", refused}, {"failed", failed}}
@@ -133,9 +133,9 @@
 		in := make([]float64, 0, len(loads))
 		young, seen := 0.0, false
 		for _, l := range loads {
-			in = append(in, float64(l.InHand))
-			if l.Warmth < 1 {
-				young, seen = max(young, float64(l.InHand)), true
+			in = append(in, float64(l.InFlight))
+			if l.WarmupFactor < 1 {
+				young, seen = max(young, float64(l.InFlight)), true
 			}
 		}
 		sort.Float64s(in)
