--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -14,24 +14,24 @@
 	Period    time.Duration `toml:"period"`
 	Timeout   time.Duration `toml:"timeout"`
 	Suspicion time.Duration `toml:"suspicion"`
-	Shares    bool          `toml:"shares"`   // of what the whole fleet may use together
+	Quotas    bool          `toml:"shares"`   // of what the whole fleet may use together
 	Overload  bool          `toml:"overload"` // the fleet sheds as one
 }
 
 // MeshExpect is what the views must show.
 type MeshExpect struct {
-	Notice time.Duration `toml:"notice"`      // who is gone, or cannot be heard on any way, is out of every view within it
-	Heal   time.Duration `toml:"heal"`        // after the last fault all hold the same view within it
-	Bytes  float64       `toml:"bytes_max"`   // a second, sent by any node on the mesh
-	Cores  float64       `toml:"cpu_max"`     // of any node
-	Uneven bool          `toml:"uneven_only"` // nothing is asked of members that only some can hear
+	DetectWithin   time.Duration `toml:"notice"`      // who is gone, or cannot be heard on any way, is out of every view within it
+	ConvergeWithin time.Duration `toml:"heal"`        // after the last fault all hold the same view within it
+	Bytes          float64       `toml:"bytes_max"`   // a second, sent by any node on the mesh
+	Cores          float64       `toml:"cpu_max"`     // of any node
+	IgnorePartial  bool          `toml:"uneven_only"` // nothing is asked of members that only some can hear
 }
 
 // linkKinds are the faults of the mesh's links.
 var linkKinds = []string{"cut", "loss", "delay", "duplicate", "reorder"}
 
 // OfLink tells whether a kind of fault concerns the mesh's links.
-func OfLink(kind string) bool { return slices.Contains(linkKinds, kind) }
+func IsLinkFault(kind string) bool { return slices.Contains(linkKinds, kind) }
 
 // checkMesh names the first thing about the mesh that cannot be.
 func (s *Scenario) checkMesh() error {
@@ -40,7 +40,7 @@
 	}
 	if m := s.Mesh; m != nil {
 		switch {
-		case s.Nodes.Kind != "tackhub" || s.Nodes.Edge != "":
+		case s.Nodes.Kind != "tackhub" || s.Nodes.OperatorFile != "":
 			return fmt.Errorf("mesh: it needs nodes of kind tackhub, and writes their operator files itself")
 		case s.Nodes.Count < 2:
 			return fmt.Errorf("mesh: one node has nobody to talk to")
@@ -49,7 +49,7 @@
 		}
 	}
 	for i, f := range s.Faults {
-		of := OfLink(f.Kind)
+		of := IsLinkFault(f.Kind)
 		switch {
 		case !of && f.Kind != "disk-lost":
 		case s.Mesh == nil:
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -28,7 +28,7 @@
 	Load     []Step        `toml:"load"`
 	Faults   []Fault       `toml:"fault"`
 	Links    Links         `toml:"link"`
-	Expect   Expect        `toml:"expect"`
+	Expect   Expectations  `toml:"expect"`
 
 	Inventory *Inventory `toml:"inventory"` // nil: discovery alone lists the servers
 	Mesh      *Mesh      `toml:"mesh"`      // nil: the nodes do not know of one another
@@ -36,51 +36,51 @@
 
 // Inventory lists the servers in a file for each node, which a tool rewrites well and badly. Discovery is not used then.
 type Inventory struct {
-	Form   string        `toml:"form"` // csv or yaml
-	Every  time.Duration `toml:"every"`
-	Bad    float64       `toml:"bad"`    // share of the rewrites that no node may take
-	Saving float64       `toml:"saving"` // share that is written slowly, in place
+	Form    string        `toml:"form"` // csv or yaml
+	Every   time.Duration `toml:"every"`
+	Bad     float64       `toml:"bad"`    // share of the rewrites that no node may take
+	InPlace float64       `toml:"saving"` // share that is written slowly, in place
 }
 
 // Fleet is the servers.
 type Fleet struct {
-	Servers      int           `toml:"servers"`
-	Zones        []string      `toml:"zones"`
-	ZoneDelay    time.Duration `toml:"zone_delay"` // one way, between two zones
-	PodSize      int           `toml:"pod_size"`
-	PodLimit     int           `toml:"pod_limit"` // requests in hand in all servers of a pod; 0: none
-	Cores        int           `toml:"cores"`
-	Speed        float64       `toml:"speed"`
-	SpeedSpread  float64       `toml:"speed_spread"` // speeds lie evenly within this share around Speed
-	QueueMax     int           `toml:"queue_max"`
-	CrowdDepth   float64       `toml:"crowd_depth"`
-	CrowdFor     time.Duration `toml:"crowd_for"`
-	SlowTimes    float64       `toml:"slow_times"`
-	RestFor      time.Duration `toml:"rest_for"`
-	ColdFrom     float64       `toml:"cold_from"`
-	ColdFor      time.Duration `toml:"cold_for"`
-	FallMultiple float64       `toml:"fall_multiple"`
-	FallFor      time.Duration `toml:"fall_for"`
-	ConnCost     time.Duration `toml:"connection_cost"` // on the first request of a connection
-	ConnMax      int           `toml:"connections_max"`
-	Reports      bool          `toml:"reports"`
-	Probes       bool          `toml:"probes"`
-	Coap         float64       `toml:"coap"` // share of the servers that speak CoAP, in tenths; needs an inventory
+	Servers          int           `toml:"servers"`
+	Zones            []string      `toml:"zones"`
+	ZoneDelay        time.Duration `toml:"zone_delay"` // one way, between two zones
+	PodSize          int           `toml:"pod_size"`
+	PodLimit         int           `toml:"pod_limit"` // requests in hand in all servers of a pod; 0: none
+	Cores            int           `toml:"cores"`
+	Speed            float64       `toml:"speed"`
+	SpeedSpread      float64       `toml:"speed_spread"` // speeds lie evenly within this share around Speed
+	QueueMax         int           `toml:"queue_max"`
+	CrowdDepth       float64       `toml:"crowd_depth"`
+	CrowdFor         time.Duration `toml:"crowd_for"`
+	SlowFactor       float64       `toml:"slow_times"`
+	RestFor          time.Duration `toml:"rest_for"`
+	ColdSpeed        float64       `toml:"cold_from"`
+	ColdFor          time.Duration `toml:"cold_for"`
+	CollapseMultiple float64       `toml:"fall_multiple"`
+	CollapseWindow   time.Duration `toml:"fall_for"`
+	ConnCost         time.Duration `toml:"connection_cost"` // on the first request of a connection
+	MaxConns         int           `toml:"connections_max"`
+	Reports          bool          `toml:"reports"`
+	Probes           bool          `toml:"probes"`
+	Coap             float64       `toml:"coap"` // share of the servers that speak CoAP, in tenths; needs an inventory
 }
 
 // Nodes are the balancers under test.
 type Nodes struct {
-	Count    int           `toml:"count"`
-	Kind     string        `toml:"kind"`  // tackhub, random or least; empty: tackhub
-	Break    string        `toml:"break"` // a defect put into a baseline on purpose
-	Program  string        `toml:"program"`
-	Edge     string        `toml:"edge"` // operator file
-	Cores    float64       `toml:"cores"`
-	MemoryMB float64       `toml:"memory_mb"`
-	Sockets  int           `toml:"sockets"`
-	Grace    time.Duration `toml:"drain_grace"`
-	Attempts int           `toml:"attempts"`
-	Push     time.Duration `toml:"discovery_delay"` // from a change to its being told
+	Count          int           `toml:"count"`
+	Kind           string        `toml:"kind"`  // tackhub, random or least; empty: tackhub
+	Defect         string        `toml:"break"` // a defect put into a baseline on purpose
+	Program        string        `toml:"program"`
+	OperatorFile   string        `toml:"edge"` // operator file
+	Cores          float64       `toml:"cores"`
+	MemoryMB       float64       `toml:"memory_mb"`
+	Sockets        int           `toml:"sockets"`
+	DrainGrace     time.Duration `toml:"drain_grace"`
+	Attempts       int           `toml:"attempts"`
+	DiscoveryDelay time.Duration `toml:"discovery_delay"` // from a change to its being told
 }
 
 // Class is one class of request.
@@ -101,17 +101,17 @@
 
 // Clients are how clients behave.
 type Clients struct {
-	Tenants    int           `toml:"tenants"`
-	Zipf       float64       `toml:"zipf"`  // tenants' shares fall with this power of their rank
-	Retry      string        `toml:"retry"` // none, now, backoff, follow or ignore
-	Retries    int           `toml:"retries"`
-	Backoff    time.Duration `toml:"backoff"`
-	MarksRetry bool          `toml:"marks_retry"`
-	Leave      float64       `toml:"leave"`   // share that leaves before the deadline
-	Coap       float64       `toml:"coap"`    // share of the operations asked over CoAP instead of HTTP
-	Devices    int           `toml:"devices"` // CoAP sockets to each node; each has one request in hand at a time
-	Dup        int           `toml:"dup"`     // every CoAP message is sent so many times more
-	Quota      float64       `toml:"quota"`   // over all tenants, requests a second; 0: none
+	Tenants     int           `toml:"tenants"`
+	Zipf        float64       `toml:"zipf"`  // tenants' shares fall with this power of their rank
+	Retry       string        `toml:"retry"` // none, now, backoff, follow or ignore
+	Retries     int           `toml:"retries"`
+	Backoff     time.Duration `toml:"backoff"`
+	MarksRetry  bool          `toml:"marks_retry"`
+	CancelShare float64       `toml:"leave"`   // share that leaves before the deadline
+	Coap        float64       `toml:"coap"`    // share of the operations asked over CoAP instead of HTTP
+	Devices     int           `toml:"devices"` // CoAP sockets to each node; each has one request in hand at a time
+	Duplicates  int           `toml:"dup"`     // every CoAP message is sent so many times more
+	Quota       float64       `toml:"quota"`   // over all tenants, requests a second; 0: none
 }
 
 // Step is the rate from a moment on; with a ramp it is reached linearly over that span. A burst adds so many requests
@@ -126,22 +126,22 @@
 
 // Fault is one thing that goes wrong, or is set right.
 type Fault struct {
-	At     time.Duration `toml:"at"`
-	For    time.Duration `toml:"for"` // when it ends; 0: it stays
-	Kind   string        `toml:"kind"`
-	Target string        `toml:"target"` // "25%", "3" servers, "zone:b", "server:s004", "node:0", "all"
-	Over   time.Duration `toml:"over"`   // the targets are hit one by one over this span
-	Times  float64       `toml:"times"`  // slow
-	Share  float64       `toml:"share"`  // errors; loss, duplicate and reorder on a link
-	NewID  bool          `toml:"new_id"` // what comes back has another id
-	Delay  time.Duration `toml:"delay"`  // discovery; delay and reorder on a link
-	Jitter time.Duration `toml:"jitter"` // delay on a link: added evenly between 0 and it
-	Again  []string      `toml:"again"`  // of a node-replace: the signals that follow SIGTERM, TERM, INT, HUP or USR1
-	Way    string        `toml:"way"`    // of a stall: both, up (to the node or server) or down; empty: both
+	At              time.Duration `toml:"at"`
+	For             time.Duration `toml:"for"` // when it ends; 0: it stays
+	Kind            string        `toml:"kind"`
+	Target          string        `toml:"target"` // "25%", "3" servers, "zone:b", "server:s004", "node:0", "all"
+	Spread          time.Duration `toml:"over"`   // the targets are hit one by one over this span
+	Factor          float64       `toml:"times"`  // slow
+	Share           float64       `toml:"share"`  // errors; loss, duplicate and reorder on a link
+	NewID           bool          `toml:"new_id"` // what comes back has another id
+	Delay           time.Duration `toml:"delay"`  // discovery; delay and reorder on a link
+	Jitter          time.Duration `toml:"jitter"` // delay on a link: added evenly between 0 and it
+	FollowUpSignals []string      `toml:"again"`  // of a node-replace: the signals that follow SIGTERM, TERM, INT, HUP or USR1
+	Direction       string        `toml:"way"`    // of a stall: both, up (to the node or server) or down; empty: both
 }
 
 // Impair is what a link does to what passes it.
-type Impair struct {
+type Impairment struct {
 	Loss      float64       `toml:"loss"` // share of segments that have to be sent again, or datagrams lost
 	RTO       time.Duration `toml:"rto"`  // the first retransmission time-out
 	Delay     time.Duration `toml:"delay"`
@@ -152,18 +152,18 @@
 
 // Links are the impairments between the parties.
 type Links struct {
-	Clients   Impair `toml:"clients"`
-	Servers   Impair `toml:"servers"`
-	Discovery Impair `toml:"discovery"`
+	Clients   Impairment `toml:"clients"`
+	Servers   Impairment `toml:"servers"`
+	Discovery Impairment `toml:"discovery"`
 }
 
 // Expect is what the run must show besides keeping the rules. What is not stated is not asked.
-type Expect struct {
+type Expectations struct {
 	Worth      *float64       `toml:"worth_min"`        // share of the worth asked for
 	WorstShare *float64       `toml:"worst_window_min"` // the same in the worst window of Window
 	Window     time.Duration  `toml:"window"`
 	P99        *time.Duration `toml:"p99_max"` // of what was served, from the intended send
-	Refused    *float64       `toml:"refused_max"`
+	Rejected   *float64       `toml:"refused_max"`
 	Failed     *float64       `toml:"failed_max"`
 	MemoryMB   *float64       `toml:"memory_mb_max"` // of any node
 	Sockets    *int           `toml:"sockets_max"`
@@ -242,12 +242,12 @@
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, Warmup: 2 * time.Second, Duration: 10 * time.Second, RigLate: 5 * time.Millisecond,
-		Fleet: Fleet{Servers: 12, Zones: []string{"a", "b"}, PodSize: 3, Cores: 1, Speed: 1, QueueMax: 64, SlowTimes: 1,
-			ColdFrom: 0.3, ColdFor: 6 * time.Second, FallMultiple: 3, FallFor: time.Second, ConnMax: 256, Reports: true},
-		Nodes: Nodes{Count: 2, Kind: "tackhub", Cores: 1, MemoryMB: 192, Sockets: 1024, Grace: 1500 * time.Millisecond,
-			Attempts: 4, Push: 200 * time.Millisecond},
+		Fleet: Fleet{Servers: 12, Zones: []string{"a", "b"}, PodSize: 3, Cores: 1, Speed: 1, QueueMax: 64, SlowFactor: 1,
+			ColdSpeed: 0.3, ColdFor: 6 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second, MaxConns: 256, Reports: true},
+		Nodes: Nodes{Count: 2, Kind: "tackhub", Cores: 1, MemoryMB: 192, Sockets: 1024, DrainGrace: 1500 * time.Millisecond,
+			Attempts: 4, DiscoveryDelay: 200 * time.Millisecond},
 		Clients: Clients{Tenants: 8, Zipf: 1, Retry: "none", Backoff: 50 * time.Millisecond, MarksRetry: true, Devices: 64},
-		Expect:  Expect{Window: 2 * time.Second},
+		Expect:  Expectations{Window: 2 * time.Second},
 	}
 }
 
@@ -270,7 +270,7 @@
 )
 
 // PauseMost is the longest that a node may be held up with all rules still in force.
-const PauseMost = 150 * time.Millisecond
+const MaxPause = 150 * time.Millisecond
 
 // KillAfter is how long after SIGTERM SIGKILL may come at the earliest: the longest deadline, counted as 3 s at most, and 0.7 s.
 func (s *Scenario) KillAfter() time.Duration {
@@ -298,32 +298,32 @@
 		{f.Cores < 1, "fleet.cores", "must be at least 1"},
 		{f.Speed <= 0, "fleet.speed", "must be above 0"},
 		{f.SpeedSpread < 0 || f.SpeedSpread >= 1, "fleet.speed_spread", "must be 0 to 1"},
-		{f.ColdFrom <= 0 || f.ColdFrom > 1, "fleet.cold_from", "must be above 0 and at most 1"},
-		{f.SlowTimes < 1, "fleet.slow_times", "must be at least 1"},
+		{f.ColdSpeed <= 0 || f.ColdSpeed > 1, "fleet.cold_from", "must be above 0 and at most 1"},
+		{f.SlowFactor < 1, "fleet.slow_times", "must be at least 1"},
 		{n.Count < 1 || n.Count > 64, "nodes.count", "must be 1 to 64"},
 		{!slices.Contains(kinds, n.Kind), "nodes.kind", "must be one of " + strings.Join(kinds, ", ")},
-		{!slices.Contains(Defects, n.Break), "nodes.break", "must be one of " + strings.Join(Defects[1:], ", ")},
-		{n.Break != "" && n.Kind == "tackhub", "nodes.break", "goes with a baseline only"},
+		{!slices.Contains(Defects, n.Defect), "nodes.break", "must be one of " + strings.Join(Defects[1:], ", ")},
+		{n.Defect != "" && n.Kind == "tackhub", "nodes.break", "goes with a baseline only"},
 		{len(s.Classes) == 0, "class", "needs at least one class"},
 		{len(s.Load) == 0, "load", "needs at least one step"},
 		{s.Clients.Tenants < 1, "clients.tenants", "must be at least 1"},
 		{!slices.Contains(retries, s.Clients.Retry), "clients.retry", "must be one of " + strings.Join(retries, ", ")},
 		{s.Clients.Coap < 0 || s.Clients.Coap > 1, "clients.coap", "must be 0 to 1"},
 		{s.Clients.Devices < 1 || s.Clients.Devices > 1000, "clients.devices", "must be 1 to 1000"},
-		{s.Clients.Dup < 0 || s.Clients.Dup > 8, "clients.dup", "must be 0 to 8"},
+		{s.Clients.Duplicates < 0 || s.Clients.Duplicates > 8, "clients.dup", "must be 0 to 8"},
 		{f.Coap < 0 || f.Coap > 1, "fleet.coap", "must be 0 to 1"},
 		{f.Coap > 0 && s.Inventory == nil, "fleet.coap", "needs an [inventory]: discovery lists HTTP servers alone"},
-		{s.Clients.Leave < 0 || s.Clients.Leave > 1, "clients.leave", "must be 0 to 1"},
+		{s.Clients.CancelShare < 0 || s.Clients.CancelShare > 1, "clients.leave", "must be 0 to 1"},
 		{s.Expect.Window <= 0, "expect.window", "must be above 0"},
 	} {
 		if c.bad {
 			return fmt.Errorf("%s %s", c.key, c.why)
 		}
 	}
-	if i := s.Inventory; i != nil && (i.Form != "csv" && i.Form != "yaml" || i.Every <= 0 || i.Bad < 0 || i.Saving < 0 || i.Bad+i.Saving > 1) {
+	if i := s.Inventory; i != nil && (i.Form != "csv" && i.Form != "yaml" || i.Every <= 0 || i.Bad < 0 || i.InPlace < 0 || i.Bad+i.InPlace > 1) {
 		return fmt.Errorf("inventory: a form of csv or yaml, a time between rewrites, and shares from 0 to 1 are needed")
 	}
-	for name, l := range map[string]Impair{"clients": s.Links.Clients, "servers": s.Links.Servers, "discovery": s.Links.Discovery} {
+	for name, l := range map[string]Impairment{"clients": s.Links.Clients, "servers": s.Links.Servers, "discovery": s.Links.Discovery} {
 		if l.Loss < 0 || l.Loss >= 1 || l.Delay < 0 || l.Jitter < 0 || l.Bandwidth < 0 || !slices.Contains(directions, l.Direction) {
 			return fmt.Errorf("link.%s: a loss of 0 to 1, no negative figure, and a direction of both, up or down are needed", name)
 		}
@@ -384,13 +384,13 @@
 			return fmt.Errorf("fault[%d].kind %q is not one of %s", i, f.Kind, strings.Join(FaultKinds, ", "))
 		case f.At < 0 || f.At >= end:
 			return fmt.Errorf("fault[%d].at lies outside the run of %v", i, end)
-		case f.Kind == "slow" && f.Times <= 0:
+		case f.Kind == "slow" && f.Factor <= 0:
 			return fmt.Errorf("fault[%d].times must be above 0", i)
-		case f.Kind == "node-pause" && (f.For <= 0 || f.For > PauseMost):
-			return fmt.Errorf("fault[%d].for must be above 0 and at most %v", i, PauseMost)
-		case slices.ContainsFunc(f.Again, func(name string) bool { return !slices.Contains(signals, name) }):
+		case f.Kind == "node-pause" && (f.For <= 0 || f.For > MaxPause):
+			return fmt.Errorf("fault[%d].for must be above 0 and at most %v", i, MaxPause)
+		case slices.ContainsFunc(f.FollowUpSignals, func(name string) bool { return !slices.Contains(signals, name) }):
 			return fmt.Errorf("fault[%d].again may name %s", i, strings.Join(signals, ", "))
-		case !slices.Contains(directions, f.Way):
+		case !slices.Contains(directions, f.Direction):
 			return fmt.Errorf("fault[%d].way must be both, up or down", i)
 		case f.Kind == "errors" && (f.Share <= 0 || f.Share > 1):
 			return fmt.Errorf("fault[%d].share must be above 0 and at most 1", i)
@@ -403,7 +403,7 @@
 }
 
 // Stalls tells whether some fault of a kind is among them: then the links it acts on must be there from the start.
-func (s *Scenario) Stalls(kind string) bool {
+func (s *Scenario) HasFault(kind string) bool {
 	for _, f := range s.Faults {
 		if f.Kind == kind {
 			return true
--- a/lab/scenario/schedule.go
+++ b/lab/scenario/schedule.go
@@ -16,12 +16,12 @@
 
 // Arrival is one request that a client intends to send.
 type Arrival struct {
-	At     time.Duration // from the start of the run
-	Class  int
-	Tenant int
-	Work   time.Duration
-	Leaves time.Duration // after the send; 0: the client stays
-	Pick   uint64        // chance for what is not scheduled: which node, which back-off
+	At          time.Duration // from the start of the run
+	Class       int
+	Tenant      int
+	Work        time.Duration
+	CancelAfter time.Duration // after the send; 0: the client stays
+	Random      uint64        // chance for what is not scheduled: which node, which back-off
 }
 
 // Event is one fault at one target, or its end.
@@ -43,7 +43,7 @@
 }
 
 // ErrTooMany says that a schedule would not fit into the rig.
-var ErrTooMany = errors.New("more than 20 million arrivals")
+var ErrTooManyArrivals = errors.New("more than 20 million arrivals")
 
 const maxArrivals = 20_000_000
 
@@ -113,7 +113,7 @@
 		top = max(top, step.Rate, step.Times*s.Capacity())
 	}
 	if top*end.Seconds() > maxArrivals {
-		return nil, ErrTooMany
+		return nil, ErrTooManyArrivals
 	}
 	pick := newPicker(s)
 	var out []Arrival
@@ -164,11 +164,11 @@
 }
 
 func (p *picker) arrival(rng *rand.Rand, at time.Duration) Arrival {
-	a := Arrival{At: at, Class: draw(rng, p.classes), Tenant: draw(rng, p.tenants), Pick: rng.Uint64()}
+	a := Arrival{At: at, Class: draw(rng, p.classes), Tenant: draw(rng, p.tenants), Random: rng.Uint64()}
 	c := p.s.Classes[a.Class]
 	a.Work = time.Duration(float64(c.Work) * factor(rng, c))
-	if rng.Float64() < p.s.Clients.Leave {
-		a.Leaves = max(1, time.Duration(rng.Float64()*float64(c.Deadline)))
+	if rng.Float64() < p.s.Clients.CancelShare {
+		a.CancelAfter = max(1, time.Duration(rng.Float64()*float64(c.Deadline)))
 	}
 	return a
 }
@@ -190,14 +190,14 @@
 	hit := func(i, of, server, node, peer int) {
 		at := f.At
 		if of > 1 {
-			at += f.Over * time.Duration(i) / time.Duration(of)
+			at += f.Spread * time.Duration(i) / time.Duration(of)
 		}
 		out = append(out, Event{At: at, Kind: f.Kind, Server: server, Node: node, Peer: peer, Fault: f})
 		if f.For > 0 {
 			out = append(out, Event{At: at + f.For, Kind: f.Kind, Ends: true, Server: server, Node: node, Peer: peer, Fault: f})
 		}
 	}
-	if OfLink(f.Kind) {
+	if IsLinkFault(f.Kind) {
 		links, err := s.links(f.Target, rng)
 		if err != nil {
 			return nil, err
@@ -312,7 +312,7 @@
 func (s *Schedule) Bytes() []byte {
 	out := make([]byte, 0, 48*len(s.Arrivals)+64*len(s.Events))
 	for _, a := range s.Arrivals {
-		for _, n := range []uint64{uint64(a.At), uint64(a.Class), uint64(a.Tenant), uint64(a.Work), uint64(a.Leaves), a.Pick} {
+		for _, n := range []uint64{uint64(a.At), uint64(a.Class), uint64(a.Tenant), uint64(a.Work), uint64(a.CancelAfter), a.Random} {
 			out = binary.BigEndian.AppendUint64(out, n)
 		}
 	}
@@ -329,7 +329,7 @@
 func (s *Schedule) Hash() string { return fmt.Sprintf("%016x", xxhash.Sum64(s.Bytes())) }
 
 // Shares are the tenants' shares of the requests.
-func (s *Scenario) Shares() []float64 {
+func (s *Scenario) TenantShares() []float64 {
 	out, sum := make([]float64, s.Clients.Tenants), 0.0
 	for i := range out {
 		out[i] = math.Pow(float64(i+1), -s.Clients.Zipf)
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -52,14 +52,14 @@
 	working sync.WaitGroup
 	op      atomic.Int64
 
-	mu      sync.Mutex
-	tries   []audit.Try
-	stops   []StopSeen
-	crossed int
+	mu          sync.Mutex
+	tries       []audit.Attempt
+	stops       []ObservedStop
+	racedCloses int
 }
 
 // StopSeen is a planned stop as the clients saw it.
-type StopSeen struct {
+type ObservedStop struct {
 	Node int
 	At   time.Duration
 }
@@ -81,7 +81,7 @@
 }
 
 // Stopping has the clients of a stop come.
-func (c *Clients) Stopping(node int, address string, at time.Time) {
+func (c *Clients) StopBegan(node int, address string, at time.Time) {
 	c.mu.Lock()
 	select {
 	case <-c.quit: // the run is over
@@ -91,7 +91,7 @@
 	}
 	defer c.mu.Unlock()
 	number := uint64(len(c.stops))
-	c.stops = append(c.stops, StopSeen{Node: node, At: at.Sub(c.start)})
+	c.stops = append(c.stops, ObservedStop{Node: node, At: at.Sub(c.start)})
 	rng := rand.New(rand.NewPCG(c.s.Seed, 1<<32+number))
 	until := at.Add(c.s.KillAfter())
 	for range stragglers {
@@ -119,7 +119,7 @@
 }
 
 // Tries ends what is going on and gives what was seen.
-func (c *Clients) Tries() []audit.Try {
+func (c *Clients) Attempts() []audit.Attempt {
 	c.mu.Lock()
 	select {
 	case <-c.quit:
@@ -132,10 +132,10 @@
 }
 
 // Stops are the planned stops that were seen, and Crossed how many requests crossed the end of their connection.
-func (c *Clients) Stops() []StopSeen { return c.stops }
+func (c *Clients) ObservedStops() []ObservedStop { return c.stops }
 
 // Crossed is how many requests crossed the end of their connection unread.
-func (c *Clients) Crossed() int { return c.crossed }
+func (c *Clients) RacedCloses() int { return c.racedCloses }
 
 // over waits until a time, and tells whether the run ended before.
 func (c *Clients) over(until time.Time) bool {
@@ -272,21 +272,21 @@
 		more += fmt.Sprintf("Idempotency-Key: k%012x\r\n", op)
 	}
 	raw = fmt.Sprintf("%s /%s?w=%d HTTP/1.1\r\nHost: lab\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t000\r\nX-Deadline-Ms: %d\r\n%s\r\n%s",
-		method, class.Name, class.Work.Microseconds(), backend.ID(op, 0), class.Name, class.Deadline.Milliseconds(), more, body)
+		method, class.Name, class.Work.Microseconds(), backend.AttemptID(op, 0), class.Name, class.Deadline.Milliseconds(), more, body)
 	return class, raw
 }
 
 // finish writes the end of a request and reads its answer. The class does not matter for how long is listened: all have one
 // deadline.
 func (c *Clients) finish(conn *connection, node, op int, raw string) bool {
-	t := audit.Try{ID: backend.ID(op, 0), Op: op, Node: node, Effect: audit.Safe}
+	t := audit.Attempt{ID: backend.AttemptID(op, 0), Operation: op, Node: node, Effect: audit.Safe}
 	_ = conn.SetWriteDeadline(time.Now().Add(dialWait))
 	if _, err := io.WriteString(conn, raw); err != nil {
 		return false // the end had come before it was whole
 	}
 	wait := c.s.Classes[0].Deadline
 	t.Sent = time.Since(c.start)
-	t.Expires = t.Sent + wait
+	t.Deadline = t.Sent + wait
 	_ = conn.SetReadDeadline(time.Now().Add(wait + listen))
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -298,26 +298,26 @@
 
 // note keeps a try. One whose connection ended shortly after it was written may have crossed the end: it is left to the servers'
 // records whether the node had read it.
-func (c *Clients) note(t audit.Try, resp *fasthttp.Response, err error) {
+func (c *Clients) note(t audit.Attempt, resp *fasthttp.Response, err error) {
 	switch status := resp.StatusCode(); {
 	case err != nil && t.Ended-t.Sent < crossedMost:
-		t.Ending = audit.Crossed
+		t.Outcome = audit.RacedClose
 	case err != nil:
-		t.Ending = audit.Lost
+		t.Outcome = audit.Lost
 	case status == fasthttp.StatusOK:
-		t.Ending, t.Answers = audit.Served, 1
+		t.Outcome, t.Responses = audit.Served, 1
 		id, _, _ := strings.Cut(strings.TrimPrefix(string(resp.Body()), "id="), "&")
-		t.Body = id
+		t.BodyID = id
 	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
-		t.Ending, t.Answers = audit.Refused, 1
+		t.Outcome, t.Responses = audit.Rejected, 1
 	default:
-		t.Ending, t.Answers = audit.Failed, 1
+		t.Outcome, t.Responses = audit.Failed, 1
 	}
 	t.Status = resp.StatusCode()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.Ending == audit.Crossed {
-		c.crossed++
+	if t.Outcome == audit.RacedClose {
+		c.racedCloses++
 	}
 	c.tries = append(c.tries, t)
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -53,15 +53,15 @@
 		Name: fmt.Sprintf("soak-%d", o.Seed), About: "planned stops under faults", Seed: o.Seed,
 		Warmup: warmup, Duration: max(o.Duration, 10*time.Second), RigLate: time.Second,
 		Fleet: scenario.Fleet{Servers: 6 + rng.IntN(7), Zones: []string{"a", "b"}, PodSize: 3, Cores: 1, Speed: 1, SpeedSpread: 0.2,
-			QueueMax: 32, SlowTimes: 1, ColdFrom: 0.3, ColdFor: 4 * time.Second, FallMultiple: 3, FallFor: time.Second,
-			ConnMax: 256, Reports: rng.IntN(2) == 0, Probes: rng.IntN(2) == 0},
+			QueueMax: 32, SlowFactor: 1, ColdSpeed: 0.3, ColdFor: 4 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
+			MaxConns: 256, Reports: rng.IntN(2) == 0, Probes: rng.IntN(2) == 0},
 		Nodes: scenario.Nodes{Count: []int{2, 2, 3, 5, 12}[rng.IntN(5)], Kind: "tackhub", Cores: []float64{0.25, 1}[rng.IntN(2)],
-			MemoryMB: 128, Sockets: 512, Grace: pick(500*time.Millisecond, 1500*time.Millisecond), Attempts: 4,
-			Push: pick(50*time.Millisecond, 300*time.Millisecond)},
+			MemoryMB: 128, Sockets: 512, DrainGrace: pick(500*time.Millisecond, 1500*time.Millisecond), Attempts: 4,
+			DiscoveryDelay: pick(50*time.Millisecond, 300*time.Millisecond)},
 		Clients: scenario.Clients{Tenants: 4, Zipf: 1, Retry: []string{"none", "now", "backoff"}[rng.IntN(3)], Retries: 3,
-			Backoff: 30 * time.Millisecond, MarksRetry: rng.IntN(2) == 0, Leave: 0.02, Devices: 8},
+			Backoff: 30 * time.Millisecond, MarksRetry: rng.IntN(2) == 0, CancelShare: 0.02, Devices: 8},
 		Load:   []scenario.Step{{Times: 0.3 + 0.3*rng.Float64()}},
-		Expect: scenario.Expect{Window: 2 * time.Second},
+		Expect: scenario.Expectations{Window: 2 * time.Second},
 	}
 	if o.Nodes > 0 {
 		s.Nodes.Count = o.Nodes
@@ -92,7 +92,7 @@
 	}
 	for at, node := s.Warmup+300*time.Millisecond, 0; at < end-s.KillAfter(); at, node = at+stopEvery, node+1 {
 		target := fmt.Sprintf("node:%d", node%s.Nodes.Count)
-		add(scenario.Fault{At: at, Kind: "node-replace", Target: target, Again: series(rng)})
+		add(scenario.Fault{At: at, Kind: "node-replace", Target: target, FollowUpSignals: series(rng)})
 		for range rng.IntN(3) {
 			add(scenario.Fault{At: at + within(s.KillAfter()), Kind: "node-pause", Target: target,
 				For: pauseLeast + within(pauseMost-pauseLeast)})
@@ -103,7 +103,7 @@
 		case "errors":
 			add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Share: 0.2 + 0.6*rng.Float64()})
 		case "slow":
-			add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Times: 2 + 4*rng.Float64()})
+			add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Factor: 2 + 4*rng.Float64()})
 		case "servers-reset":
 			for range 3 {
 				add(scenario.Fault{At: at + within(s.KillAfter()), Kind: kind, Target: share})
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -37,8 +37,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.Void != "" {
-		return nil, fmt.Errorf("%s is void: %s", s.Name, r.Void)
+	if r.VoidReason != "" {
+		return nil, fmt.Errorf("%s is void: %s", s.Name, r.VoidReason)
 	}
 	return &Outcome{Scenario: s, Result: r, Figures: Sum(r, clients, s.KillAfter())}, nil
 }
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -67,8 +67,8 @@
 
 // Sum gives the figures of one run.
 func Sum(r *experiment.Result, clients *Clients, kill time.Duration) Figures {
-	f := Figures{Runs: 1, Stops: len(clients.Stops()), Killed: r.Killed, Crossed: clients.Crossed(), Tries: len(r.Record.Tries),
-		Crashes: r.Figures.Crashes, Breaches: r.BreachesN}
+	f := Figures{Runs: 1, Stops: len(clients.ObservedStops()), Killed: r.KilledStops, Crossed: clients.RacedCloses(), Tries: len(r.Record.Attempts),
+		Crashes: r.Figures.Crashes, Breaches: r.BreachesByRule}
 	for _, d := range drains(r.Logs) {
 		f.OpenThen += d.OpenThen
 		f.ReadSince += d.ReadSince
@@ -130,11 +130,11 @@
 		lines = append(lines, entry{at, fmt.Sprintf(format, args...)})
 	}
 	node := -1
-	for _, t := range r.Record.Tries {
+	for _, t := range r.Record.Attempts {
 		if t.ID == id {
 			node = t.Node
-			add(t.Sent, "client: %s written to node %d, waits until %.3f", t.ID, t.Node, t.Expires.Seconds())
-			add(t.Ended, "client: %s ended: %v, status %d", t.ID, t.Ending, t.Status)
+			add(t.Sent, "client: %s written to node %d, waits until %.3f", t.ID, t.Node, t.Deadline.Seconds())
+			add(t.Ended, "client: %s ended: %v, status %d", t.ID, t.Outcome, t.Status)
 		}
 	}
 	for _, c := range r.Record.Receipts {
@@ -142,7 +142,7 @@
 			add(c.At, "server %s: got %s from node %d, told to work for %v", c.Server, c.ID, c.Node, c.Deadline)
 		}
 	}
-	for _, run := range r.Record.Runs {
+	for _, run := range r.Record.Executions {
 		if run.ID == id {
 			add(run.At, "server %s: began %s", run.Server, run.ID)
 		}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Result.BreachesN[audit.RuleLost] == 0 || !o.Broke() || o.Figures.Stops == 0 {
+	if o.Result.BreachesByRule[audit.RuleUnanswered] == 0 || !o.Broke() || o.Figures.Stops == 0 {
 		t.Errorf("a node that drops its requests is not caught: %s", o.Figures)
 	}
 }
--- a/lab/stats/stats.go
+++ b/lab/stats/stats.go
@@ -42,4 +42,4 @@
 }
 
 // Clear tells whether the interval leaves zero out.
-func (i Interval) Clear() bool { return i.N > 1 && (i.Low > 0 || i.High < 0) }
+func (i Interval) ExcludesZero() bool { return i.N > 1 && (i.Low > 0 || i.High < 0) }
--- a/lab/stats/stats_test.go
+++ b/lab/stats/stats_test.go
@@ -27,10 +27,10 @@
 }
 
 func TestFewFiguresProveNothing(t *testing.T) {
-	if got := Paired([]float64{1}, []float64{5}, 0.95); got.Clear() || got.Mean != 4 {
+	if got := Paired([]float64{1}, []float64{5}, 0.95); got.ExcludesZero() || got.Mean != 4 {
 		t.Errorf("one pair gave %+v", got)
 	}
-	if got := Paired([]float64{1, 2, 3}, []float64{5, 6.1, 6.9}, 0.95); !got.Clear() {
+	if got := Paired([]float64{1, 2, 3}, []float64{5, 6.1, 6.9}, 0.95); !got.ExcludesZero() {
 		t.Errorf("a plain difference is not clear: %+v", got)
 	}
 }
