--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -42,6 +42,17 @@
 	Unsafe
 )
 
+// EffectOf is the effect that a scenario names: safe, keyed or unsafe. An unknown name counts as safe.
+func EffectOf(name string) Effect {
+	switch name {
+	case "keyed":
+		return Keyed
+	case "unsafe":
+		return Unsafe
+	}
+	return Safe
+}
+
 // Try is one request that a client sent to a node: a retry is another try of the same operation.
 type Attempt struct {
 	ID        string // X-Request-Id
--- a/lab/backend/coap.go
+++ b/lab/backend/coap.go
@@ -16,7 +16,8 @@
 	"tackhub.example/tackhub/internal/coap/wire"
 )
 
-// box is a stand-in server's CoAP side for one node: a careful server, which knows repeats and puts blocks together.
+// coapServer is a stand-in server's CoAP side for one node. It recognizes duplicate messages and assembles block-wise
+// uploads.
 type coapServer struct {
 	server     *Server
 	node       int
@@ -25,12 +26,12 @@
 	uploads    *blocks.Store
 }
 
-// SpeaksCoap tells whether a server is listed by the scheme coap://.
+// speaksCoap tells whether a server is listed by the scheme coap://.
 func (f *Fleet) speaksCoap(server int) bool {
 	return float64(server%10) < f.scenario.Fleet.Coap*10
 }
 
-// listenCoap opens the datagram socket beside the TCP one, at the same address. The caller holds the lock.
+// listenCoap opens the datagram socket at the address of the TCP listener. The caller holds the lock.
 func (s *Server) listenCoap(node int) error {
 	if !s.fleet.speaksCoap(s.index) {
 		return nil
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// run reads datagrams. Repeats and blocks are this goroutine's; a request is worked on by one of its own.
+// run reads datagrams. Duplicates and blocks belong to this goroutine; each request is executed by one of its own.
 func (b *coapServer) run() {
 	type answer struct {
 		key  dedup.Key
@@ -101,7 +102,7 @@
 	}
 }
 
-// body puts an upload together; more is the answer to a block before the last.
+// assembleBody assembles an upload. more is the response to a block before the last; it is nil once the body is whole.
 func (b *coapServer) assembleBody(m *message.Message, from net.Addr) (whole, more []byte) {
 	block, there, err := wire.Block(m, message.Block1)
 	if !there || err != nil {
@@ -121,7 +122,7 @@
 	return nil, out
 }
 
-// serve does a request and gives the answer's datagram.
+// serve executes a request and returns the response's datagram; nil where the process died with it.
 func (b *coapServer) serve(m *message.Message, body []byte, first time.Time) []byte {
 	var req fasthttp.Request
 	uri := ""
--- /dev/null
+++ b/lab/backend/faults.go
@@ -0,0 +1,129 @@
+package backend
+
+import (
+	"fmt"
+	"net"
+
+	"tackhub.example/tackhub/lab/netfault"
+	"tackhub.example/tackhub/lab/scenario"
+)
+
+// apply begins or ends a fault of this server.
+func (s *Server) apply(e scenario.Event) error {
+	switch e.Kind {
+	case "crash":
+		if e.Ends {
+			return s.restart(e.Fault.NewID)
+		}
+		s.crash()
+	case "cold-return":
+		s.crash()
+		return s.restart(e.Fault.NewID)
+	case "drain":
+		if e.Ends {
+			s.crash()
+			return s.restart(e.Fault.NewID)
+		}
+		s.drain()
+	case "servers-stall":
+		s.fleet.recordStall(s.name(), e.Ends)
+		for _, l := range s.fleet.links[s.index] { // the server's end is the wrapped one: up is what it reads
+			ApplyStall(l, e, netfault.In, netfault.Out)
+		}
+	case "servers-reset":
+		if !e.Ends {
+			s.reset()
+		}
+	default:
+		s.degrade(e)
+	}
+	return nil
+}
+
+// reset breaks all connections; the process goes on.
+func (s *Server) reset() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		_ = c.(*net.TCPConn).SetLinger(0)
+		_ = c.Close()
+	}
+}
+
+// ApplyStall begins or ends a stall on a link, in the directions that the fault names. up and down are the link's
+// directions to and from the node or server.
+func ApplyStall(l *netfault.Link, e scenario.Event, up, down netfault.Direction) {
+	if e.Fault.Direction != "down" {
+		l.StallDirection(up, !e.Ends)
+	}
+	if e.Fault.Direction != "up" {
+		l.StallDirection(down, !e.Ends)
+	}
+}
+
+// degrade begins or ends a fault after which the process goes on.
+func (s *Server) degrade(e scenario.Event) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pod.mu.Lock()
+	defer s.pod.mu.Unlock()
+	switch e.Kind {
+	case "vanish", "hang":
+		s.unresponsive = e.Kind == "vanish" && !e.Ends
+		s.model.SetSuspended(s.fleet.now(), !e.Ends)
+	case "slow":
+		times := e.Fault.Factor
+		if e.Ends {
+			times = 1
+		}
+		s.model.SetSlowdown(times)
+	case "errors":
+		s.errorShare = e.Fault.Share
+		if e.Ends {
+			s.errorShare = 0
+		}
+	case "reports-off":
+		s.hidesReports = !e.Ends
+	}
+	s.wakeWorker()
+}
+
+// crash ends the process. Discovery announces it after its delay.
+func (s *Server) crash() {
+	s.mu.Lock()
+	s.pod.mu.Lock()
+	s.model.Crash()
+	s.pod.mu.Unlock()
+	s.dropProcess()
+	s.phase = phaseGone
+	s.mu.Unlock()
+	s.fleet.announce(s)
+}
+
+// restart starts a new, cold process, under the old id or a new one. Where two faults overlap it may be running
+// already; then it does nothing.
+func (s *Server) restart(newID bool) error {
+	s.mu.Lock()
+	if len(s.listeners) > 0 {
+		s.mu.Unlock()
+		return nil
+	}
+	s.incarnation++
+	if newID {
+		s.id = fmt.Sprintf("s%03d-%d", s.index, s.incarnation)
+	}
+	s.mu.Unlock()
+	if err := s.open(s.fleet.now()); err != nil {
+		return err
+	}
+	s.fleet.announce(s)
+	return nil
+}
+
+// drain lists the server as draining. It goes on to serve what still comes.
+func (s *Server) drain() {
+	s.mu.Lock()
+	s.phase = phaseDraining
+	s.mu.Unlock()
+	s.fleet.announce(s)
+}
--- a/lab/backend/fleet.go
+++ b/lab/backend/fleet.go
@@ -1,6 +1,6 @@
-// Package backend is the servers and the discovery that a node serves, as stand-ins on loopback sockets: hundreds of
-// servers in one process, each a model.Server with sockets around it. A server listens once for every node, so that it
-// knows who sends, and the way from each node can be given a delay of its own.
+// Package backend is the servers and the discovery that the nodes use, as stand-ins on loopback sockets: hundreds of
+// servers in one process, each a model.Server behind real sockets. A server has a listener for each node, so it knows
+// which node sends, and each node's link to it can have a delay of its own.
 package backend
 
 import (
@@ -32,22 +32,22 @@
 	collapses  []audit.Collapse
 	stalls     []audit.Stall
 
-	workStarted atomic.Int64 // microseconds of work begun
+	workStarted atomic.Int64 // microseconds of work
 }
 
-// pod guards the model of one pod: its servers share a limit and a memory of keys.
+// pod guards the model of one pod: its servers share a limit and remember the same idempotency keys.
 type pod struct {
 	mu    sync.Mutex
 	model *model.Pod
 }
 
-// New starts all servers and one discovery for each node.
+// New starts all servers and one discovery for each node. start is the zero of the run's time.
 func New(s *scenario.Scenario, speeds []float64, start time.Time) (*Fleet, error) {
 	f := &Fleet{scenario: s, start: start, effects: map[string]audit.Effect{}}
 	for _, c := range s.Classes {
-		f.effects[c.Name] = map[string]audit.Effect{"safe": audit.Safe, "keyed": audit.Keyed, "unsafe": audit.Unsafe}[c.Effect]
+		f.effects[c.Name] = audit.EffectOf(c.Effect)
 	}
-	window := time.Duration(0)
+	window := time.Duration(0) // the longest in which a keyed request's duplicates are dropped
 	for _, c := range s.Classes {
 		window = max(window, c.Window)
 	}
@@ -68,17 +68,18 @@
 		}
 	}
 	for node := range s.Nodes.Count {
-		a, err := newDiscoveryServer(f, node)
+		d, err := newDiscoveryServer(f, node)
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.discoveries = append(f.discoveries, a)
+		f.discoveries = append(f.discoveries, d)
 	}
 	return f, nil
 }
 
-// way is the link from a node to a server: the zones' distance and what the scenario does to servers' links.
+// newLink is the link from a node to a server: the delay between their zones and the scenario's impairment. It is nil
+// where nothing is done to it.
 func (f *Fleet) newLink(server, node int) *netfault.Link {
 	up, down := Impairments(f.scenario.Links.Servers)
 	if f.scenario.ZoneOf(server) != f.scenario.NodeZone(node) {
@@ -91,7 +92,7 @@
 	return netfault.NewLink(down, up, f.scenario.Seed<<20+uint64(server)<<8+uint64(node)) // the wrapped side writes what goes down
 }
 
-// Impairment gives both directions of a link as a scenario states it; up is to the node or server.
+// Impairments are the two directions of a link as a scenario states it; up is to the node or server.
 func Impairments(i scenario.Impairment) (up, down netfault.Impairment) {
 	p := netfault.Impairment{Loss: i.Loss, RTO: i.RTO, Delay: i.Delay, Jitter: i.Jitter, Bandwidth: i.Bandwidth}
 	if i.Direction != "down" {
@@ -114,10 +115,10 @@
 // Discovery is the address of a node's discovery.
 func (f *Fleet) Discovery(node int) string { return f.discoveries[node].Addr() }
 
-// Known is the list as a node is to hold it at its start.
+// Known is the list that a node's configuration holds at its start.
 func (f *Fleet) Known(node int) []Member { return f.members(node) }
 
-// members is the list as it is for one node.
+// members is the current list for one node.
 func (f *Fleet) members(node int) []Member {
 	out := make([]Member, 0, len(f.servers))
 	for _, srv := range f.servers {
@@ -128,18 +129,14 @@
 	return out
 }
 
-// changed tells every discovery that a server has changed.
-func (f *Fleet) announce(srv *Server, gone ...Member) {
-	for node, a := range f.discoveries {
-		for _, m := range gone {
-			m.HostPort = ""
-			a.enqueue(m)
-		}
-		a.enqueue(srv.member(node))
+// announce sends a server's changed entry to every discovery.
+func (f *Fleet) announce(srv *Server) {
+	for node, d := range f.discoveries {
+		d.enqueue(srv.member(node))
 	}
 }
 
-// Apply carries out one fault at a server or a discovery, or ends it. What it does is in docs/lab.md.
+// ApplyFault begins or ends one fault of a server or a discovery. The kinds are described in docs/lab.md.
 func (f *Fleet) ApplyFault(e scenario.Event) error {
 	if e.Server >= 0 {
 		return f.servers[e.Server].apply(e)
@@ -155,20 +152,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := audit.Record{Executions: f.executions, Receipts: f.receipts, Collapses: f.collapses, Stalls: f.stalls}
-	for _, a := range f.discoveries {
-		r.ListUpdates = append(r.ListUpdates, a.sentUpdates()...)
+	for _, d := range f.discoveries {
+		r.ListUpdates = append(r.ListUpdates, d.sentUpdates()...)
 	}
 	return r
 }
 
-// Load is one server's state at a moment.
+// ServerLoad is one server's state at a moment.
 type ServerLoad struct {
 	ID           string  `json:"id"`
 	InFlight     int     `json:"in_hand"`
 	WarmupFactor float64 `json:"warmth"`
 	Slow         bool    `json:"slow"`
 	Serving      bool    `json:"serving"`
-	Started      int64   `json:"begun"` // requests whose work has begun, since the run's start
+	Started      int64   `json:"begun"` // requests whose work has started, since the run's start
 }
 
 // Loads are the states of all servers.
@@ -180,7 +177,7 @@
 	return out
 }
 
-// WorkBegun is all work that servers have begun, a second run of one request counted again.
+// WorkStarted is all work that servers have started; a request that is executed twice counts twice.
 func (f *Fleet) WorkStarted() time.Duration {
 	return time.Duration(f.workStarted.Load()) * time.Microsecond
 }
@@ -190,8 +187,8 @@
 	for _, srv := range f.servers {
 		srv.close()
 	}
-	for _, a := range f.discoveries {
-		a.close()
+	for _, d := range f.discoveries {
+		d.close()
 	}
 }
 
@@ -201,7 +198,7 @@
 	f.receipts = append(f.receipts, r)
 }
 
-// stalled notes that a server's links begin to hold back what is on its way, or end to.
+// recordStall records the begin or the end of a stall on a server's links.
 func (f *Fleet) recordStall(server string, ends bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/backend/writer.go
+++ b/lab/backend/inventory.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// readWithin is how long after a good file is in place a node counts as told: its settle time and its poll.
+	// readDelay is how long after a good file is in place a node counts as notified: its settle time and its poll.
 	readDelay = 400 * time.Millisecond
 
 	// chunk and chunkPause are the pace of a tool that writes a file in place.
@@ -23,7 +23,7 @@
 	chunkPause = time.Millisecond
 )
 
-// Writer keeps each node's file of servers as a configuration tool would, well and badly.
+// InventoryWriter keeps each node's inventory file as a configuration tool would, well and badly.
 type InventoryWriter struct {
 	fleet *Fleet
 	dir   string
@@ -36,7 +36,7 @@
 	BadFiles  int
 }
 
-// NewWriter writes the first, good files and an operator file for each node.
+// NewInventoryWriter writes the first, good files and an operator file for each node.
 func NewInventoryWriter(f *Fleet, dir string) (*InventoryWriter, error) {
 	w := &InventoryWriter{fleet: f, dir: dir, rng: rand.New(rand.NewPCG(f.scenario.Seed, 77))}
 	for node := range f.scenario.Nodes.Count {
@@ -53,7 +53,7 @@
 	return w, nil
 }
 
-// EdgePath is a node's operator file in a folder.
+// OperatorFilePath is where a node's operator file lies in a folder.
 func OperatorFilePath(dir string, node int) string {
 	return filepath.Join(dir, fmt.Sprintf("edge%d.toml", node))
 }
@@ -62,7 +62,8 @@
 	return filepath.Join(w.dir, fmt.Sprintf("servers%d.%s", node, w.fleet.scenario.Inventory.Form))
 }
 
-// content is what is so now, as a node is to see it. A column that changes with each rewrite makes every file another one.
+// content is a node's file for the current list. A column that changes with each rewrite makes every file a new
+// revision.
 func (w *InventoryWriter) content(node int) []byte {
 	var out []inventory.Server
 	for _, m := range w.fleet.members(node) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// rewrite puts one file in place: whole by a rename, whole but slowly in place, or bad.
+// rewrite puts one file in place: whole by a rename, whole but slowly in place, or corrupted.
 func (w *InventoryWriter) rewrite(node int) error {
 	good := w.content(node)
 	listed := w.fleet.members(node)
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// spoil makes a bad file of a good one.
+// corrupt makes a bad file of a good one: cut off, empty, with a contradiction, or not a list at all.
 func (w *InventoryWriter) corrupt(good []byte) []byte {
 	switch w.rng.IntN(4) {
 	case 0:
@@ -172,7 +173,7 @@
 	return err
 }
 
-// note keeps what a good file told of servers that were to get nothing more.
+// recordUpdates records which servers a good file withdraws or puts back in service.
 func (w *InventoryWriter) recordUpdates(node int, listed []Member) {
 	at := w.fleet.at(time.Now()) + readDelay
 	now := map[string]bool{}
@@ -202,7 +203,7 @@
 	w.withdrawn[node] = now
 }
 
-// Told is what the files told of drains.
+// ListUpdates are what the good files said of withdrawn servers.
 func (w *InventoryWriter) ListUpdates() []audit.ListUpdate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -76,7 +76,7 @@
 	defer func() { l.freeDevices[node] <- d }()
 	id := backend.AttemptID(op, n)
 	t := audit.Attempt{ID: id, Operation: op, Node: node, Sent: l.now(), Deadline: l.now() + left,
-		Effect: map[string]audit.Effect{"safe": audit.Safe, "keyed": audit.Keyed, "unsafe": audit.Unsafe}[c.Effect]}
+		Effect: audit.EffectOf(c.Effect)}
 	req := coap.Request{Code: codes.GET, Path: c.Name, Query: []string{"try=" + id, fmt.Sprintf("w=%d", a.Work.Microseconds()),
 		fmt.Sprintf("tenant=t%03d", a.Tenant), fmt.Sprintf("wait=%d", max(1, left.Milliseconds()))}}
 	if c.Effect != "safe" {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -226,8 +226,7 @@
 	}
 	id := backend.AttemptID(op, n)
 	c := l.options.Scenario.Classes[a.Class]
-	t := audit.Attempt{ID: id, Operation: op, Effect: map[string]audit.Effect{"safe": audit.Safe, "keyed": audit.Keyed,
-		"unsafe": audit.Unsafe}[c.Effect]}
+	t := audit.Attempt{ID: id, Operation: op, Effect: audit.EffectOf(c.Effect)}
 	expires := l.now() + left
 	for fresh := false; ; fresh = true {
 		conn, err := l.pool.get(a.Random>>8+uint64(n), fresh)
--- a/lab/nodeproc/process.go
+++ b/lab/nodeproc/process.go
@@ -31,7 +31,7 @@
 
 	mu           sync.Mutex // guards what follows
 	cmd          *exec.Cmd
-	done     chan struct{} // closed when the process has ended
+	done         chan struct{} // closed when the process has ended
 	exitExpected bool          // the end of the process is not a crash
 	crashes      int
 	killedStops  int // planned stops that SIGKILL had to end
--- a/lab/nodeproc/sample.go
+++ b/lab/nodeproc/sample.go
@@ -1,7 +1,6 @@
 package nodeproc
 
 import (
-	"encoding/json"
 	"errors"
 	"os"
 	"strconv"
@@ -63,9 +62,8 @@
 
 // Report is what was measured of one node.
 type Report struct {
-	Samples []Sample        `json:"samples"`
-	Crashes int             `json:"crashes"`
-	Counts  json.RawMessage `json:"counters,omitempty"`
+	Samples []Sample `json:"samples"`
+	Crashes int      `json:"crashes"`
 }
 
 // Reports are all nodes' measurements.
