--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"fmt"
 	"math"
 	"sort"
 	"time"
@@ -13,7 +12,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// Figures are what a run came to. Shares are of the operations or the worth asked for in the time that counts.
+// Figures are what a run came to. Shares are of the operations, or of their worth, in the time that counts.
 type Figures struct {
 	Asked        int                `json:"asked"`
 	Rate         float64            `json:"rate_per_s"`
@@ -56,7 +55,7 @@
 	P99      float64 `json:"p99_ms"`
 }
 
-// enough requests of a tenant make its share one that chance does not rule.
+// minTenantRequests is how many requests a tenant needs for its share to be more than chance.
 const minTenantRequests = 30
 
 // newHistogram holds latencies in microseconds up to a minute, within 0.1%.
@@ -72,7 +71,8 @@
 	return t.served / t.asked
 }
 
-// worth is what an operation was worth and what of it was earned. A client that left asked for nothing in the end.
+// worth is what an operation was worth and what of it was earned. One whose client cancelled it, or whose connection
+// the lab reset, counts for nothing.
 func worth(s *scenario.Scenario, o load.Operation) (asked, earned float64) {
 	c := s.Classes[o.Class]
 	if o.Outcome == audit.Cancelled || o.Outcome == audit.LinkReset {
@@ -130,7 +130,7 @@
 	return f
 }
 
-// worstWindow is the least share of worth in any window of the stated length, by steps of a fifth of it.
+// worstWindow is the smallest share of worth in any window of the stated length, in steps of a fifth of it.
 func worstWindow(s *scenario.Scenario, ops []load.Operation) float64 {
 	step := s.Expect.Window / 5
 	cells := make([]tally, int((s.Warmup+s.Duration)/step)+1)
@@ -153,7 +153,7 @@
 	return worst
 }
 
-// recovered is how long after a moment worth is back at a share, over a whole window; false if it never is.
+// recovered is how long after a moment the share of worth is back, over a whole window; false if it never is.
 func recovered(s *scenario.Scenario, ops []load.Operation, r scenario.Recover) (time.Duration, bool) {
 	step := s.Expect.Window / 5
 	sorted := append([]load.Operation(nil), ops...)
@@ -207,51 +207,3 @@
 	}
 	return out
 }
-
-// short names the expectations that a run does not meet.
-func unmetExpectations(s *scenario.Scenario, f Figures) []string {
-	var out []string
-	say := func(bad bool, format string, args ...any) {
-		if bad {
-			out = append(out, fmt.Sprintf(format, args...))
-		}
-	}
-	e := s.Expect
-	if e.Worth != nil {
-		say(f.Worth < *e.Worth, "worth %.3f, at least %.3f wanted", f.Worth, *e.Worth)
-	}
-	if e.WorstShare != nil {
-		say(f.WorstWindow < *e.WorstShare, "worst window %.3f, at least %.3f wanted", f.WorstWindow, *e.WorstShare)
-	}
-	if e.P99 != nil {
-		ms := float64(*e.P99) / float64(time.Millisecond)
-		say(f.P99 > ms, "p99 %.1f ms, at most %.1f wanted", f.P99, ms)
-	}
-	if e.Rejected != nil {
-		say(f.Rejected > *e.Rejected, "refused %.4f, at most %.4f wanted", f.Rejected, *e.Rejected)
-	}
-	if e.Failed != nil {
-		say(f.Failed+f.Lost > *e.Failed, "failed or lost %.4f, at most %.4f wanted", f.Failed+f.Lost, *e.Failed)
-	}
-	if e.MemoryMB != nil {
-		say(f.MemoryMB > *e.MemoryMB, "memory %.1f MB, at most %.1f wanted", f.MemoryMB, *e.MemoryMB)
-	}
-	if e.Sockets != nil {
-		say(f.Sockets > *e.Sockets, "%d descriptors, at most %d wanted", f.Sockets, *e.Sockets)
-	}
-	if e.Recover != nil {
-		if f.Recovered == nil {
-			out = append(out, fmt.Sprintf("worth never came back to %.2f", e.Recover.To))
-		} else {
-			say(*f.Recovered > e.Recover.Within.Seconds(), "back after %.1f s, within %.1f s wanted", *f.Recovered, e.Recover.Within.Seconds())
-		}
-	}
-	if e.Mesh != nil && e.Mesh.Bytes > 0 {
-		say(f.MeshBytes > e.Mesh.Bytes, "%.0f bytes a second to other nodes, at most %.0f wanted", f.MeshBytes, e.Mesh.Bytes)
-	}
-	if e.Mesh != nil && e.Mesh.Cores > 0 {
-		say(f.MaxCPU > e.Mesh.Cores, "%.4f cores at some node, at most %.4f wanted", f.MaxCPU, e.Mesh.Cores)
-	}
-	say(f.Crashes > 0, "%d nodes crashed", f.Crashes)
-	return out
-}
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"sync"
@@ -14,37 +13,41 @@
 	"tackhub.example/tackhub/internal/cluster"
 	"tackhub.example/tackhub/internal/membership"
 	"tackhub.example/tackhub/lab/audit"
-	"tackhub.example/tackhub/lab/backend"
 	"tackhub.example/tackhub/lab/loopback"
 	"tackhub.example/tackhub/lab/netfault"
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// membersEvery is how often each process is asked for its view, answerIn how fresh an answer must be to count: one that a
-// process gave after a standstill tells of another moment.
-const membersEvery, answerIn = 50 * time.Millisecond, 200 * time.Millisecond
+const (
+	// viewInterval is the time between two questions to a process for its view.
+	viewInterval = 50 * time.Millisecond
 
-// meshed is the part of a run that concerns the nodes among themselves.
+	// maxViewAge is how long an answer may take to count: one that a process gave after it was suspended tells of another
+	// moment.
+	maxViewAge = 200 * time.Millisecond
+)
+
+// meshRun is the part of a run that concerns the nodes among themselves.
 type meshRun struct {
 	links *netfault.Mesh
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards what follows
 	samples        []audit.MemberSample
 	linkEvents     []audit.LinkEvent
 	otherFaultEnds []audit.Offset
 	grants         []audit.QuotaGrant
-	lastGrant      map[[2]uint64]int64 // the last share of each process that is noted
-	starts         []trafficMark       // by node, when what counts began
+	lastGrant      map[[2]uint64]int64 // when the last recorded quota of each process was granted
+	starts         []trafficMark       // by node, at the start of what counts
 	bytes          []float64           // a second, by node
 }
 
-// traffic is what a node's counters say it has sent.
+// trafficMark is what a node's counters say it has sent up to a moment.
 type trafficMark struct {
 	at    time.Time
 	bytes float64
 }
 
-// weave opens the links and has the nodes' operator files name them.
+// openMesh opens a link for each directed pair of nodes and writes the nodes' [cluster] sections.
 func (r *run) openMesh(dir string) error {
 	s := r.options.Scenario
 	if s.Mesh == nil {
@@ -62,49 +65,56 @@
 	if err != nil {
 		return err
 	}
-	var all []string
-	for i, addr := range listens {
-		all = append(all, fmt.Sprintf("n%d = %q", i, addr))
+	r.mesh = &meshRun{
+		links:     links,
+		lastGrant: map[[2]uint64]int64{},
+		starts:    make([]trafficMark, s.Nodes.Count),
+		bytes:     make([]float64, s.Nodes.Count),
 	}
-	r.mesh = &meshRun{links: links, lastGrant: map[[2]uint64]int64{}, starts: make([]trafficMark, s.Nodes.Count), bytes: make([]float64, s.Nodes.Count)}
 	for i := range s.Nodes.Count {
-		var seeds, book []string
-		for j := range s.Nodes.Count {
-			if i == j {
-				continue
-			}
-			if len(seeds) < 2 {
-				seeds = append(seeds, strconv.Quote(links.Address(i, j)))
-			}
-			book = append(book, fmt.Sprintf("n%d = %q", j, links.Address(i, j)))
-		}
-		text := fmt.Sprintf("\n[cluster]\nlisten = %q\nseeds = [%s]\naddresses = { %s }\n", listens[i], strings.Join(seeds, ", "), strings.Join(book, ", "))
-		if s.Mesh.Overload {
-			text += "overload = true\n"
-		}
-		if s.Mesh.Quotas {
-			text += fmt.Sprintf("shares = { %s }\n", strings.Join(all, ", "))
-		}
-		for key, d := range map[string]time.Duration{"period": s.Mesh.Period, "timeout": s.Mesh.Timeout, "suspicion": s.Mesh.Suspicion} {
-			if d > 0 {
-				text += fmt.Sprintf("%s = %q\n", key, d)
-			}
-		}
-		f, err := os.OpenFile(backend.OperatorFilePath(dir, i), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
-		if err != nil {
+		if err := appendOperatorFile(dir, i, r.clusterSection(i, listens)); err != nil {
 			return err
 		}
-		if _, err = f.WriteString(text); err != nil {
-			return err
+	}
+	return nil
+}
+
+// maxSeeds is how many other nodes a node is configured to contact first.
+const maxSeeds = 2
+
+// clusterSection is the [cluster] section of a node's operator file. It reaches each other node by the address of the link
+// to it.
+func (r *run) clusterSection(node int, listens []string) string {
+	s := r.options.Scenario
+	var seeds, addresses, all []string
+	for j, listen := range listens {
+		all = append(all, fmt.Sprintf("n%d = %q", j, listen))
+		if node == j {
+			continue
 		}
-		if err = f.Close(); err != nil {
-			return err
+		address := r.mesh.links.Address(node, j)
+		if len(seeds) < maxSeeds {
+			seeds = append(seeds, strconv.Quote(address))
 		}
+		addresses = append(addresses, fmt.Sprintf("n%d = %q", j, address))
 	}
-	return nil
+	text := fmt.Sprintf("\n[cluster]\nlisten = %q\nseeds = [%s]\naddresses = { %s }\n", listens[node], strings.Join(seeds, ", "),
+		strings.Join(addresses, ", "))
+	if s.Mesh.Overload {
+		text += "overload = true\n"
+	}
+	if s.Mesh.Quotas {
+		text += fmt.Sprintf("shares = { %s }\n", strings.Join(all, ", "))
+	}
+	for key, d := range map[string]time.Duration{"period": s.Mesh.Period, "timeout": s.Mesh.Timeout, "suspicion": s.Mesh.Suspicion} {
+		if d > 0 {
+			text += fmt.Sprintf("%s = %q\n", key, d)
+		}
+	}
+	return text
 }
 
-// applyLink carries out a fault of a link, or ends it.
+// apply begins or ends a fault of a link.
 func (m *meshRun) apply(e scenario.Event, at time.Duration) {
 	on := !e.Ends
 	m.links.SetFaults(e.Node, e.Peer, func(w *netfault.PacketFaults) {
@@ -114,11 +124,13 @@
 		case "loss":
 			w.Loss = f.Share * factor(on)
 		case "delay":
-			w.Delay, w.Jitter = f.Delay*time.Duration(factor(on)), f.Jitter*time.Duration(factor(on))
+			w.Delay = f.Delay * time.Duration(factor(on))
+			w.Jitter = f.Jitter * time.Duration(factor(on))
 		case "duplicate":
 			w.Duplicate = f.Share * factor(on)
 		case "reorder":
-			w.Reorder, w.ReorderDelay = f.Share*factor(on), f.Delay
+			w.Reorder = f.Share * factor(on)
+			w.ReorderDelay = f.Delay
 		}
 	})
 	m.mu.Lock()
@@ -130,6 +142,7 @@
 	}
 }
 
+// factor is 1 where a fault begins and 0 where it ends.
 func factor(on bool) float64 {
 	if on {
 		return 1
@@ -137,12 +150,12 @@
 	return 0
 }
 
-// watch asks every process for its view until the run is done.
+// watchMembers asks every process for its view until the run is done.
 func (r *run) watchMembers(done <-chan struct{}) {
 	var all sync.WaitGroup
 	for i := range r.options.Scenario.Nodes.Count {
 		all.Go(func() {
-			tick := time.NewTicker(membersEvery)
+			tick := time.NewTicker(viewInterval)
 			defer tick.Stop()
 			path := cluster.SocketPath(r.nodes.DataDir(i), "n"+strconv.Itoa(i))
 			for {
@@ -153,7 +166,7 @@
 				}
 				began := time.Now()
 				st, _, err := cluster.QueryStatus(path)
-				if err == nil && time.Since(began) < answerIn {
+				if err == nil && time.Since(began) < maxViewAge {
 					r.mesh.sample(i, st, r.start)
 				}
 			}
@@ -162,6 +175,7 @@
 	all.Wait()
 }
 
+// sample records what a node's process says of its view and its quotas.
 func (m *meshRun) sample(node int, st cluster.Status, start time.Time) {
 	at := time.Since(start)
 	s := audit.MemberSample{At: at, Node: node, Start: st.Generation, View: st.View.Number, HasMajority: st.Connectivity == membership.Connected}
@@ -193,7 +207,7 @@
 	}
 }
 
-// account begins, and with end finishes, the account of what each node sends to the others.
+// countTraffic marks what each node has sent to the others; with end it works out the rate since the mark before.
 func (r *run) countTraffic(end bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for i, addr := range r.nodes.Addresses() {
@@ -216,15 +230,23 @@
 	}
 }
 
-// judgeMembers holds the views against what was really so.
+// judgeMembers compares the nodes' views with what really happened.
 func (r *run) judgeMembers(out *Result) {
 	s := r.options.Scenario
 	limits := audit.MemberLimits{DetectWithin: time.Hour, ConvergeWithin: time.Hour}
 	if e := s.Expect.Mesh; e != nil {
 		limits = audit.MemberLimits{DetectWithin: e.DetectWithin, ConvergeWithin: e.ConvergeWithin, IgnorePartial: e.IgnorePartial}
 	}
-	record := audit.MembershipRecord{Nodes: s.Nodes.Count, From: r.scheduleStart + s.Warmup, Until: r.ended, Samples: r.mesh.samples, Links: r.mesh.linkEvents, OtherFaultEnds: r.mesh.otherFaultEnds, Quotas: r.mesh.grants}
-	record.Downtimes = r.nodes.Downtimes()
+	record := audit.MembershipRecord{
+		Nodes:          s.Nodes.Count,
+		From:           r.scheduleStart + s.Warmup,
+		Until:          r.ended,
+		Samples:        r.mesh.samples,
+		Links:          r.mesh.linkEvents,
+		OtherFaultEnds: r.mesh.otherFaultEnds,
+		Quotas:         r.mesh.grants,
+		Downtimes:      r.nodes.Downtimes(),
+	}
 	breaches, figures := record.Judge(limits)
 	out.Members = &figures
 	out.Breaches = append(out.Breaches, breaches...)
