--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -228,8 +228,8 @@
 </head><body>
 <h1>{{.R.Scenario}}: <span class="{{.R.Verdict}}">{{.R.Verdict}}</span></h1>
 <p>{{.R.About}}</p>
-{{with .R.Void}}<p class="void">Void: {{.}}</p>{{end}}
-{{range .R.Short}}<p class="short">Short: {{.}}</p>{{end}}
+{{with .R.VoidReason}}<p class="void">Void: {{.}}</p>{{end}}
+{{range .R.Unmet}}<p class="short">Short: {{.}}</p>{{end}}
 <table>
 <tr><th>build</th><td>{{.R.Build}}</td></tr>
 <tr><th>seed, schedule</th><td>{{.R.Seed}}, {{.R.Schedule}}</td></tr>
--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -14,23 +14,23 @@
 	Period    time.Duration `toml:"period"`
 	Timeout   time.Duration `toml:"timeout"`
 	Suspicion time.Duration `toml:"suspicion"`
-	Quotas    bool          `toml:"shares"`   // of what the whole fleet may use together
-	Overload  bool          `toml:"overload"` // the fleet sheds as one
+	Quotas    bool          `toml:"shares"`   // quotas of what the whole fleet may use together
+	Overload  bool          `toml:"overload"` // the fleet sheds load together
 }
 
-// MeshExpect is what the views must show.
+// MeshExpect is what the nodes' views must show.
 type MeshExpect struct {
-	DetectWithin   time.Duration `toml:"notice"`      // who is gone, or cannot be heard on any way, is out of every view within it
+	DetectWithin   time.Duration `toml:"notice"`      // a node that is gone or unreachable is out of every view within it
 	ConvergeWithin time.Duration `toml:"heal"`        // after the last fault all hold the same view within it
 	Bytes          float64       `toml:"bytes_max"`   // a second, sent by any node on the mesh
 	Cores          float64       `toml:"cpu_max"`     // of any node
-	IgnorePartial  bool          `toml:"uneven_only"` // nothing is asked of members that only some can hear
+	IgnorePartial  bool          `toml:"uneven_only"` // nothing is expected of members that only some can hear
 }
 
 // linkKinds are the faults of the mesh's links.
 var linkKinds = []string{"cut", "loss", "delay", "duplicate", "reorder"}
 
-// OfLink tells whether a kind of fault concerns the mesh's links.
+// IsLinkFault tells whether a kind of fault concerns the mesh's links.
 func IsLinkFault(kind string) bool { return slices.Contains(linkKinds, kind) }
 
 // checkMesh names the first thing about the mesh that cannot be.
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// links are the directed pairs of nodes that a target names: all, a share of all ("25%"), half (the first half of the nodes
-// and the second do not hear each other), ring (each node to the next), or sets of nodes, "node:0->node:3", "zone:a<->zone:b",
-// "node:2->rest".
+// links are the directed pairs of nodes that a target names: all, a share of all ("25%"), half (the first half of the
+// nodes and the second do not hear each other), ring (each node to the next), or sets of nodes, "node:0->node:3",
+// "zone:a<->zone:b", "node:2->rest".
 func (s *Scenario) links(target string, rng *rand.Rand) ([][2]int, error) {
 	n := s.Nodes.Count
 	var every [][2]int
@@ -91,7 +91,7 @@
 	if !both {
 		var one bool
 		if from, to, one = strings.Cut(target, "->"); !one {
-			k, err := count(target, len(every))
+			k, err := parseCount(target, len(every))
 			if err != nil {
 				return nil, fmt.Errorf("%q is no link: all, half, ring, a share, or sets of nodes such as node:0->node:3", target)
 			}
@@ -110,10 +110,10 @@
 		return nil, err
 	}
 	if to == "rest" {
-		b = slices.DeleteFunc(span(n), func(i int) bool { return slices.Contains(a, i) })
+		b = slices.DeleteFunc(indexes(n), func(i int) bool { return slices.Contains(a, i) })
 	}
 	if from == "rest" {
-		a = slices.DeleteFunc(span(n), func(i int) bool { return slices.Contains(b, i) })
+		a = slices.DeleteFunc(indexes(n), func(i int) bool { return slices.Contains(b, i) })
 	}
 	out := keep(func(p [2]int) bool {
 		return slices.Contains(a, p[0]) && slices.Contains(b, p[1]) || both && slices.Contains(a, p[1]) && slices.Contains(b, p[0])
@@ -124,14 +124,14 @@
 	return out, nil
 }
 
-// nodeSet are the nodes of one side of a link; rest is worked out by whoever knows the other side.
+// nodeSet are the nodes on one side of a link; rest is worked out by the caller, who knows the other side.
 func (s *Scenario) nodeSet(text string) ([]int, error) {
 	what, name, _ := strings.Cut(text, ":")
 	switch what {
 	case "rest":
 		return nil, nil
 	case "all":
-		return span(s.Nodes.Count), nil
+		return indexes(s.Nodes.Count), nil
 	case "node":
 		i, err := strconv.Atoi(name)
 		if err != nil || i < 0 || i >= s.Nodes.Count {
--- /dev/null
+++ b/lab/scenario/parse.go
@@ -0,0 +1,86 @@
+package scenario
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/BurntSushi/toml"
+)
+
+// Load reads and checks a scenario file. An override is key=value, as in Parse.
+func Load(path string, overrides ...string) (*Scenario, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	s, err := Parse(string(raw), overrides...)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return s, nil
+}
+
+// Parse reads and checks a scenario. An override is key=value with the key in dotted form, and wins over the text.
+func Parse(text string, overrides ...string) (*Scenario, error) {
+	s := defaults()
+	for _, o := range overrides {
+		if key, _, ok := strings.Cut(o, "="); !ok || strings.TrimSpace(key) == "" {
+			return nil, fmt.Errorf("override %q is not key=value", o)
+		}
+	}
+	if err := decode(text, s); err != nil {
+		return nil, err
+	}
+	for _, o := range overrides {
+		if err := override(o, s); err != nil {
+			return nil, fmt.Errorf("override %q: %w", o, err)
+		}
+	}
+	return s, s.check()
+}
+
+// decode reads TOML into a scenario; a key that a scenario does not have is an error.
+func decode(text string, s *Scenario) error {
+	md, err := toml.Decode(text, s)
+	if err != nil {
+		return err
+	}
+	if rest := md.Undecoded(); len(rest) > 0 {
+		return fmt.Errorf("%s is no key of a scenario", rest[0])
+	}
+	return nil
+}
+
+// override sets one key. A value that TOML does not accept as it stands is taken for a string.
+func override(o string, s *Scenario) error {
+	key, value, _ := strings.Cut(o, "=")
+	switch strings.TrimSpace(key) { // a list is replaced whole: the decoder would fill the new one into the old entries
+	case "fault":
+		s.Faults = nil
+	case "load":
+		s.Load = nil
+	case "class":
+		s.Classes = nil
+	}
+	line := key + " = " + value
+	if err := decode(line, s); err == nil {
+		return nil
+	}
+	return decode(key+" = "+strconv.Quote(value), s)
+}
+
+// defaults are the values of keys that a scenario leaves out.
+func defaults() *Scenario {
+	return &Scenario{
+		Seed: 1, Warmup: 2 * time.Second, Duration: 10 * time.Second, RigLate: 5 * time.Millisecond,
+		Fleet: Fleet{Servers: 12, Zones: []string{"a", "b"}, PodSize: 3, Cores: 1, Speed: 1, QueueMax: 64, SlowFactor: 1,
+			ColdSpeed: 0.3, ColdFor: 6 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second, MaxConns: 256, Reports: true},
+		Nodes: Nodes{Count: 2, Kind: "tackhub", Cores: 1, MemoryMB: 192, Sockets: 1024, DrainGrace: 1500 * time.Millisecond,
+			Attempts: 4, DiscoveryDelay: 200 * time.Millisecond},
+		Clients: Clients{Tenants: 8, Zipf: 1, Retry: "none", Backoff: 50 * time.Millisecond, MarksRetry: true, Devices: 64},
+		Expect:  Expectations{Window: 2 * time.Second},
+	}
+}
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -80,6 +80,24 @@
 	}
 }
 
+// Runs of different versions are compared by their schedules' hashes, and the journal names them. When Go fields of a fault
+// were renamed once, every hash of a scenario with faults changed, though the same things happened at the same times.
+func TestScheduleHashStaysBetweenVersions(t *testing.T) {
+	for file, want := range map[string]string{"links": "b1691d3b36c8e0aa", "small": "fa5dc9e59a8ac100", "steady": "6bae9dff22b7940a"} {
+		s, err := Load("../scenarios/" + file + ".toml")
+		if err != nil {
+			t.Fatal(err)
+		}
+		sched, err := s.Schedule()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := sched.Hash(); got != want {
+			t.Errorf("%s: schedule %s, the version before had %s", file, got, want)
+		}
+	}
+}
+
 func TestArrivalsFollowTheLoad(t *testing.T) {
 	s := mustParse(t, small, "warmup=0s", "duration=60s")
 	sched := mustSchedule(t, s)
--- a/lab/scenario/schedule.go
+++ b/lab/scenario/schedule.go
@@ -42,19 +42,20 @@
 	Speeds   []float64 // of the servers
 }
 
-// ErrTooMany says that a schedule would not fit into the rig.
+// ErrTooManyArrivals says that a schedule would not fit into memory.
 var ErrTooManyArrivals = errors.New("more than 20 million arrivals")
 
 const maxArrivals = 20_000_000
 
-// streams of chance: each use has its own, so that one more fault does not move the arrivals.
+// Streams of random numbers: each use has its own, so that a further fault does not move the arrivals.
 const (
 	streamArrivals = iota + 1
 	streamFaults
 	streamSpeeds
 )
 
-// Schedule works out the schedule from the scenario and its seed.
+// Schedule works out the schedule from the scenario and its seed. The error is ErrTooManyArrivals, or says which target
+// names nothing.
 func (s *Scenario) Schedule() (*Schedule, error) {
 	out := &Schedule{Speeds: s.speeds()}
 	var err error
@@ -73,6 +74,7 @@
 	return out, nil
 }
 
+// speeds are the servers' speeds.
 func (s *Scenario) speeds() []float64 {
 	rng := rand.New(rand.NewPCG(s.Seed, streamSpeeds))
 	out := make([]float64, s.Fleet.Servers)
@@ -82,7 +84,7 @@
 	return out
 }
 
-// Rate is the intended arrivals a second at a moment.
+// Rate is the intended rate at a moment, in requests a second.
 func (s *Scenario) Rate(at time.Duration) float64 {
 	rate := 0.0
 	for _, step := range s.Load {
@@ -105,7 +107,7 @@
 	return rate
 }
 
-// arrivals are a Poisson process whose rate follows the steps (by thinning), and the bursts.
+// arrivals are a Poisson process whose rate follows the steps, by thinning, and the bursts.
 func (s *Scenario) arrivals() ([]Arrival, error) {
 	rng := rand.New(rand.NewPCG(s.Seed, streamArrivals))
 	end, top := s.Warmup+s.Duration, 0.0
@@ -115,7 +117,7 @@
 	if top*end.Seconds() > maxArrivals {
 		return nil, ErrTooManyArrivals
 	}
-	pick := newPicker(s)
+	pick := newArrivalSource(s)
 	var out []Arrival
 	for at := 0.0; top > 0; {
 		at += rng.ExpFloat64() / top
@@ -136,15 +138,16 @@
 	return out, nil
 }
 
-// picker draws what one request is.
-type picker struct {
+// arrivalSource draws what one request is.
+type arrivalSource struct {
 	s       *Scenario
 	classes []float64 // cumulated shares
 	tenants []float64
 }
 
-func newPicker(s *Scenario) *picker {
-	p := &picker{s: s}
+// newArrivalSource works out the shares that requests are drawn by.
+func newArrivalSource(s *Scenario) *arrivalSource {
+	p := &arrivalSource{s: s}
 	sum := 0.0
 	for _, c := range s.Classes {
 		sum += c.Share
@@ -158,23 +161,25 @@
 	return p
 }
 
-func draw(rng *rand.Rand, cumulated []float64) int {
+// drawIndex draws an index by cumulated shares.
+func drawIndex(rng *rand.Rand, cumulated []float64) int {
 	x := rng.Float64() * cumulated[len(cumulated)-1]
 	return min(sort.SearchFloat64s(cumulated, x), len(cumulated)-1)
 }
 
-func (p *picker) arrival(rng *rand.Rand, at time.Duration) Arrival {
-	a := Arrival{At: at, Class: draw(rng, p.classes), Tenant: draw(rng, p.tenants), Random: rng.Uint64()}
+// arrival draws one request.
+func (p *arrivalSource) arrival(rng *rand.Rand, at time.Duration) Arrival {
+	a := Arrival{At: at, Class: drawIndex(rng, p.classes), Tenant: drawIndex(rng, p.tenants), Random: rng.Uint64()}
 	c := p.s.Classes[a.Class]
-	a.Work = time.Duration(float64(c.Work) * factor(rng, c))
+	a.Work = time.Duration(float64(c.Work) * workFactor(rng, c))
 	if rng.Float64() < p.s.Clients.CancelShare {
 		a.CancelAfter = max(1, time.Duration(rng.Float64()*float64(c.Deadline)))
 	}
 	return a
 }
 
-// factor is a request's work as a multiple of its class's mean.
-func factor(rng *rand.Rand, c Class) float64 {
+// workFactor is a request's work as a multiple of its class's mean.
+func workFactor(rng *rand.Rand, c Class) float64 {
 	switch c.Dist {
 	case "exponential":
 		return rng.ExpFloat64()
@@ -184,7 +189,7 @@
 	return 1
 }
 
-// targets are the events of one fault. Without chance it only checks.
+// targets are the events of one fault. With a nil rng it only checks the target.
 func (s *Scenario) targets(f Fault, rng *rand.Rand) ([]Event, error) {
 	var out []Event
 	hit := func(i, of, server, node, peer int) {
@@ -207,7 +212,7 @@
 		}
 		return out, nil
 	}
-	servers, nodes, err := s.named(f, rng)
+	servers, nodes, err := s.targetsOf(f, rng)
 	if err != nil {
 		return nil, err
 	}
@@ -220,14 +225,14 @@
 	return out, nil
 }
 
-// named are the servers and nodes that a target names.
-func (s *Scenario) named(f Fault, rng *rand.Rand) (servers, nodes []int, err error) {
+// targetsOf are the servers and nodes that a target names.
+func (s *Scenario) targetsOf(f Fault, rng *rand.Rand) (servers, nodes []int, err error) {
 	what, name, _ := strings.Cut(f.Target, ":")
 	ofNode := f.Kind == "disk-lost" || strings.HasPrefix(f.Kind, "node-") || strings.HasPrefix(f.Kind, "discovery-") || strings.HasPrefix(f.Kind, "clients-")
 	if ofNode {
 		switch {
 		case f.Target == "" || f.Target == "all":
-			return nil, span(s.Nodes.Count), nil
+			return nil, indexes(s.Nodes.Count), nil
 		case what == "node":
 			n, err := strconv.Atoi(name)
 			if err != nil || n < 0 || n >= s.Nodes.Count {
@@ -235,17 +240,17 @@
 			}
 			return nil, []int{n}, nil
 		}
-		n, err := count(f.Target, s.Nodes.Count)
+		n, err := parseCount(f.Target, s.Nodes.Count)
 		if err != nil {
 			return nil, nil, fmt.Errorf("%q: a fault of kind %s needs node:N, all, or a number or share of the nodes", f.Target, f.Kind)
 		}
-		nodes = span(s.Nodes.Count)
+		nodes = indexes(s.Nodes.Count)
 		if rng != nil {
 			rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 		}
 		return nil, nodes[:n], nil
 	}
-	all := span(s.Fleet.Servers)
+	all := indexes(s.Fleet.Servers)
 	switch {
 	case f.Target == "all":
 		return all, nil, nil
@@ -266,7 +271,7 @@
 		}
 		return servers, nil, nil
 	}
-	n, err := count(f.Target, len(all))
+	n, err := parseCount(f.Target, len(all))
 	if err != nil || rng == nil {
 		return nil, nil, err
 	}
@@ -274,7 +279,8 @@
 	return all[:n], nil, nil
 }
 
-func count(text string, of int) (int, error) {
+// parseCount is a number of things, given as it stands or as a share ("25%").
+func parseCount(text string, of int) (int, error) {
 	if share, ok := strings.CutSuffix(text, "%"); ok {
 		x, err := strconv.ParseFloat(share, 64)
 		if err != nil || !(x > 0) || x > 100 {
@@ -289,7 +295,8 @@
 	return n, nil
 }
 
-func span(n int) []int {
+// indexes are 0 to n-1.
+func indexes(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -317,7 +324,7 @@
 		}
 	}
 	for _, e := range s.Events {
-		out = fmt.Appendf(out, "%d %s %v %d %d %d %+v\n", e.At, e.Kind, e.Ends, e.Server, e.Node, e.Peer, e.Fault)
+		out = fmt.Appendf(out, "%d %s %v %d %d %d %s\n", e.At, e.Kind, e.Ends, e.Server, e.Node, e.Peer, faultText(e.Fault))
 	}
 	for _, v := range s.Speeds {
 		out = binary.BigEndian.AppendUint64(out, math.Float64bits(v))
@@ -325,10 +332,17 @@
 	return out
 }
 
+// faultText is a fault in the schedule's form. Its words are part of every schedule's hash, by which runs of different
+// versions are compared, so they stay when a Go field is renamed.
+func faultText(f Fault) string {
+	return fmt.Sprintf("{At:%v For:%v Kind:%s Target:%s Over:%v Times:%v Share:%v NewID:%v Delay:%v Jitter:%v Again:%v Way:%s}",
+		f.At, f.For, f.Kind, f.Target, f.Spread, f.Factor, f.Share, f.NewID, f.Delay, f.Jitter, f.FollowUpSignals, f.Direction)
+}
+
 // Hash is a short name of the schedule.
 func (s *Schedule) Hash() string { return fmt.Sprintf("%016x", xxhash.Sum64(s.Bytes())) }
 
-// Shares are the tenants' shares of the requests.
+// TenantShares are the tenants' shares of the requests; they add up to 1.
 func (s *Scenario) TenantShares() []float64 {
 	out, sum := make([]float64, s.Clients.Tenants), 0.0
 	for i := range out {
