--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -98,7 +98,7 @@
 	both := []int{0, 1}
 	b.views("both to meet", both, "m0", "m1")
 	before := b.status(0).View.Number
-	b.links.Cut(1, 0, true)
+	cut(b.links, 1, 0, true)
 	b.views("m0 to lose m1", []int{0}, "m0")
 	eventually(t, "the verdict with its evidence", func() bool {
 		m := b.status(0).Members
@@ -110,7 +110,7 @@
 	if !strings.Contains(b.nodes[1].log.String(), `"is":"not heard"`) {
 		t.Error("m1 does not say in its log that it is not heard")
 	}
-	b.links.Cut(1, 0, false)
+	cut(b.links, 1, 0, false)
 	b.views("one view again", both, "m0", "m1")
 	eventually(t, "both to be whole", func() bool {
 		return b.status(0).Connectivity == swim.Connected && b.status(1).Connectivity == swim.Connected
@@ -300,3 +300,8 @@
 	b.nodes[0].reload("edge")
 	b.views("it to be back", []int{0, 1}, "m0", "m1")
 }
+
+// cut cuts the link from one node to another, or ends the cut.
+func cut(links *netfault.Mesh, from, to int, on bool) {
+	links.SetFaults(from, to, func(f *netfault.PacketFaults) { f.Cut = on })
+}
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// At is a moment of the run: a span since its start.
+// Offset is a moment of the run: a span since its start.
 type Offset = time.Duration
 
-// Ending is what a client saw of one try.
+// Outcome is what a client saw of one try.
 type Outcome int
 
 // The endings of a try.
@@ -53,7 +53,7 @@
 	return Safe
 }
 
-// Try is one request that a client sent to a node: a retry is another try of the same operation.
+// Attempt is one request that a client sent to a node: a retry is another try of the same operation.
 type Attempt struct {
 	ID        string // X-Request-Id
 	Operation int    // the operation it belongs to
@@ -69,7 +69,7 @@
 	LinkDelay time.Duration // what the lab's link added to this try, there and back
 }
 
-// Run is one beginning of work at a server.
+// Execution is one beginning of work at a server.
 type Execution struct {
 	ID        string
 	Operation int
@@ -94,7 +94,7 @@
 	From, To Offset
 }
 
-// Told is a change of the list as a node was told it.
+// ListUpdate is a change of the list as a node was told it.
 type ListUpdate struct {
 	Node      int
 	Server    string
@@ -102,7 +102,7 @@
 	At        Offset
 }
 
-// Fall is a cold server that was pushed over.
+// Collapse is a cold server that was pushed over.
 type Collapse struct {
 	Server string
 	At     Offset
@@ -163,7 +163,7 @@
 }
 
 const (
-	// goneSlack is how long after a client has left an attempt for it may begin.
+	// cancelSlack is how long after a client has left an attempt for it may begin.
 	cancelSlack = 100 * time.Millisecond
 
 	// deadlineSlack is by how much the time that a server is told may exceed what its client has left.
@@ -196,7 +196,7 @@
 	j.breaches = append(j.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// outage tells whether a node could not act at some time between two moments.
+// hadOutage tells whether a node could not act at some time between two moments.
 func (j *auditor) hadOutage(node int, from, to Offset) bool {
 	for _, o := range j.record.Outages {
 		if o.Node == node && o.From <= to && o.To >= from {
@@ -211,7 +211,7 @@
 	return max(0, min(to1, to2)-max(from1, from2))
 }
 
-// paused is how long a node was held up between two moments.
+// pausedFor is how long a node was held up between two moments.
 func (j *auditor) pausedFor(node int, from, to Offset) time.Duration {
 	sum := time.Duration(0)
 	for _, p := range j.record.Pauses {
@@ -222,7 +222,7 @@
 	return sum
 }
 
-// stalled is for how long the lab held back what was on its way to a server between two moments.
+// stalledFor is for how long the lab held back what was on its way to a server between two moments.
 func (j *auditor) stalledFor(server string, from, to Offset) time.Duration {
 	sum := time.Duration(0)
 	for _, s := range j.record.Stalls {
@@ -233,7 +233,7 @@
 	return sum
 }
 
-// gone checks that no attempt begins once its client has left.
+// checkSentAfterCancel checks that no attempt begins once its client has left.
 func (j *auditor) checkSentAfterCancel() {
 	left := map[string]*Attempt{}
 	for i := range j.record.Attempts {
@@ -252,7 +252,7 @@
 	}
 }
 
-// deadlines checks that no server is told more time than its client has left.
+// checkDeadlines checks that no server is told more time than its client has left.
 func (j *auditor) checkDeadlines() {
 	tries := make(map[string]*Attempt, len(j.record.Attempts))
 	for i := range j.record.Attempts {
@@ -270,7 +270,7 @@
 	}
 }
 
-// tries checks that every try has one whole answer of its own, in time.
+// checkResponses checks that every try has one whole answer of its own, in time.
 func (j *auditor) checkResponses() {
 	for i := range j.record.Attempts {
 		t := &j.record.Attempts[i]
@@ -293,7 +293,7 @@
 	}
 }
 
-// effects checks that nothing ran twice that must not, and that refusals were harmless.
+// checkExecutions checks that nothing ran twice that must not, and that refusals were harmless.
 func (j *auditor) checkExecutions() {
 	first := map[int]*Execution{}
 	byID := map[string]*Execution{}
@@ -318,7 +318,7 @@
 	}
 }
 
-// after checks that nothing is sent for a request that has its final answer.
+// checkSentAfterResponse checks that nothing is sent for a request that has its final answer.
 func (j *auditor) checkSentAfterResponse() {
 	ended := make(map[string]*Attempt, len(j.record.Attempts))
 	forwarded := map[string]bool{}
@@ -343,7 +343,7 @@
 	}
 }
 
-// drains checks that no server got anything new later than the grace after a node was told that it drains or is gone.
+// checkDrains checks that no server got anything new later than the grace after a node was told that it drains or is gone.
 func (j *auditor) checkDrains() {
 	type key struct {
 		node   int
--- a/lab/audit/members.go
+++ b/lab/audit/members.go
@@ -25,14 +25,14 @@
 	Cut      bool
 }
 
-// Down is a time in which a node's process was not there, or stood still.
+// Downtime is a time in which a node's process was not there, or stood still.
 type Downtime struct {
 	Node      int
 	From, To  Offset
 	Suspended bool // it stood still, and what it knew is still there
 }
 
-// Members is what was really so, and what the processes said.
+// MembershipRecord is what was really so, and what the processes said.
 type MembershipRecord struct {
 	Nodes          int
 	From           Offset // when all had started; what came before is not judged
@@ -44,7 +44,7 @@
 	OtherFaultEnds []Offset // when further faults of links ended, such as loss
 }
 
-// ShareTold is what a process might use of the whole from a moment on; from Until on it is After.
+// QuotaGrant is what a process might use of the whole from a moment on; from Until on it is After.
 type QuotaGrant struct {
 	Node  int
 	Start uint64
@@ -54,7 +54,7 @@
 	After float64
 }
 
-// ForEver is the end of what has none.
+// Forever is the end of what has none.
 const Forever = Offset(1<<63 - 1)
 
 // MemberLimits are how views are judged.
@@ -71,15 +71,15 @@
 	Convergence float64 `json:"healed_s"`      // after the last fault, until all held the same; -1: not seen
 	ViewChanges uint64  `json:"views_max"`     // changes of view at any process
 	QuotaMax    float64 `json:"shares_max"`    // the most that all had together at any instant
-	// SharesMean is what they had on average while it was judged.
+	// QuotaMean is what they had on average while it was judged.
 	QuotaMean float64 `json:"shares_mean"`
 }
 
-// back is how long one that was really gone for others has, once it is there again, before its absence counts: it has to be
+// rejoinTime is how long one that was really gone for others has, once it is there again, before its absence counts: it has to be
 // heard, and news of it to go round.
 const rejoinTime = 5 * time.Second
 
-// times is the truth at each moment at which it changed.
+// groundTruth is the truth at each moment at which it changed.
 type groundTruth struct {
 	record    MembershipRecord
 	cuts      [][2]int
@@ -121,7 +121,7 @@
 
 func (t *groundTruth) hears(to, from int) bool { return !slices.Contains(t.cuts, [2]int{from, to}) }
 
-// most tells whether most of the others that run hear a node.
+// heardByMajority tells whether most of the others that run hear a node.
 func (t *groundTruth) heardByMajority(node int) bool {
 	hear, of := 0, 0
 	for k := range t.record.Nodes {
@@ -136,7 +136,7 @@
 	return 2*hear > of
 }
 
-// way tells whether anything from one node can come to another, through others that run.
+// reaches tells whether anything from one node can come to another, through others that run.
 func (t *groundTruth) reaches(from, to int) bool {
 	seen, next := map[int]bool{from: true}, []int{from}
 	for len(next) > 0 {
@@ -219,7 +219,7 @@
 	return out, f
 }
 
-// together is the most that all processes might use at one instant, when that was, and the mean. A process that stands still
+// combinedQuota is the most that all processes might use at one instant, when that was, and the mean. A process that stands still
 // uses nothing; what one that was killed did after it was last asked is not known, and is left out.
 func (m MembershipRecord) combinedQuota() (most float64, when Offset, mean float64) {
 	type process struct {
@@ -277,7 +277,7 @@
 	return most, when, mean
 }
 
-// marks are the moments at which the truth changes.
+// changeTimes are the moments at which the truth changes.
 func (m MembershipRecord) changeTimes() []Offset {
 	out := []Offset{0}
 	for _, d := range m.Downtimes {
@@ -290,7 +290,7 @@
 	return slices.Compact(out)
 }
 
-// absent tells whether a node has had no process, or no way to the sample's, and for how long without a break.
+// absentFor tells whether a node has had no process, or no way to the sample's, and for how long without a break.
 func (m MembershipRecord) absentFor(truths []*groundTruth, marks []Offset, k int, s MemberSample, j int) (time.Duration, bool) {
 	since := Offset(-1)
 	for ; k >= 0; k-- {
@@ -309,7 +309,7 @@
 	return s.At - since, true
 }
 
-// there tells whether a node has been there, heard by most and with a way to the sample's, for as long as it takes to be
+// present tells whether a node has been there, heard by most and with a way to the sample's, for as long as it takes to be
 // back. Standing still for a while is being there.
 func (m MembershipRecord) present(truths []*groundTruth, marks []Offset, k int, s MemberSample, j int) bool {
 	for ; k >= 0; k-- {
@@ -325,22 +325,22 @@
 	return true
 }
 
-// stopped tells whether a node stands still at a moment.
+// suspended tells whether a node stands still at a moment.
 func (m MembershipRecord) suspended(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool { return d.Node == node && d.Suspended && d.From <= at && at < d.To })
 }
 
-// long tells whether a node stands still for longer than a suspicion lasts at a moment.
+// suspendedTooLong tells whether a node stands still for longer than a suspicion lasts at a moment.
 func (m MembershipRecord) suspendedTooLong(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool {
 		return d.Node == node && d.Suspended && d.From <= at && at < d.To && d.To-d.From > maxUnnoticedSuspension
 	})
 }
 
-// mostStop is the longest standstill that must leave no trace in views: the least suspicion less a probe's way.
+// maxUnnoticedSuspension is the longest standstill that must leave no trace in views: the least suspicion less a probe's way.
 const maxUnnoticedSuspension = 2100 * time.Millisecond
 
-// healed is how long after the last fault all held the same, and a breach where that was too long.
+// convergence is how long after the last fault all held the same, and a breach where that was too long.
 func (m MembershipRecord) convergence(truths []*groundTruth, marks []Offset, l MemberLimits, breach func(Offset, string, string, string, ...any)) float64 {
 	last := m.From
 	for _, at := range append(slices.Clone(marks), m.OtherFaultEnds...) {
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -58,12 +58,12 @@
 	}
 }
 
-// overCoap tells whether an operation is asked over CoAP: decided by its own chance, so the same in each run.
+// usesCoap tells whether an operation is asked over CoAP: decided by its own chance, so the same in each run.
 func (l *Generator) usesCoap(a scenario.Arrival) bool {
 	return len(l.freeDevices) > 0 && float64(a.Random>>40)/float64(1<<24) < l.options.Scenario.Clients.Coap
 }
 
-// tryCoap sends one request from a free device of some node.
+// attemptCoap sends one request from a free device of some node.
 func (l *Generator) attemptCoap(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) response {
 	node := int((a.Random>>8 + uint64(n)) % uint64(len(l.freeDevices)))
 	c := l.options.Scenario.Classes[a.Class]
@@ -102,7 +102,7 @@
 	return r
 }
 
-// coapReply reads an answer. None at all is the link's doing where it loses datagrams: then nobody can tell whether the node
+// coapResponse reads an answer. None at all is the link's doing where it loses datagrams: then nobody can tell whether the node
 // answered, and the auditor looks at effects alone.
 func (l *Generator) coapResponse(got coap.Response, err error) response {
 	impaired := l.options.Scenario.Links.Clients.Loss > 0
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// noticeAfter is how long the front keeps clients away from a node whose connections were refused.
+	// excludeFor is how long the front keeps clients away from a node whose connections were refused.
 	excludeFor = 500 * time.Millisecond
 
-	// idleMost is how long a client keeps an idle connection: shorter than the node does, so that a close seldom
+	// maxIdle is how long a client keeps an idle connection: shorter than the node does, so that a close seldom
 	// crosses a request.
 	maxIdle = 2 * time.Second
 
 	dialTimeout = time.Second
 
-	// dealFor is how long connections go on being dealt out to a node that ends as planned: 0.4 s at the most.
+	// sendWhileStopping is how long connections go on being dealt out to a node that ends as planned: 0.4 s at the most.
 	sendWhileStopping = 400 * time.Millisecond
 )
 
-// front deals out connections among the nodes.
+// connPool deals out connections among the nodes.
 type connPool struct {
 	nodes       []string
 	links       []*netfault.Link             // by node; nil: a clean way
@@ -50,7 +50,7 @@
 	reset     bool      // broken by the lab
 }
 
-// mark, delay and underWay ask the link, where the connection is on one.
+// resetDelay, delay and underWay ask the link, where the connection is on one.
 func (c *conn) resetDelay() {
 	if l, ok := c.Conn.(*netfault.Conn); ok {
 		l.ResetMaxDelay()
@@ -168,7 +168,7 @@
 	delete(f.open, c)
 }
 
-// wasCut tells whether the lab itself broke the connection.
+// wasReset tells whether the lab itself broke the connection.
 func (f *connPool) wasReset(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -25,16 +25,16 @@
 )
 
 const (
-	// linger is how long a client listens beyond its wait, to tell a late answer from none. The rule counts from the
+	// lateWindow is how long a client listens beyond its wait, to tell a late answer from none. The rule counts from the
 	// wait; what comes in this time is late.
 	lateWindow = 300 * time.Millisecond
 
-	// mostOpen bounds the requests in hand of the whole rig: beyond it the system is not being loaded but buried, and
+	// maxInFlight bounds the requests in hand of the whole rig: beyond it the system is not being loaded but buried, and
 	// the run is void.
 	maxInFlight = 50_000
 )
 
-// Op is one operation as its client saw it, over all its tries.
+// Operation is one operation as its client saw it, over all its tries.
 type Operation struct {
 	Class, Tenant int
 	ScheduledAt   time.Duration // when it was to be sent
@@ -55,7 +55,7 @@
 	CoapAddresses []string                     // the nodes' CoAP addresses, where the scenario asks over it
 }
 
-// Load is the clients of one run.
+// Generator is the clients of one run.
 type Generator struct {
 	options     Options
 	pool        *connPool
@@ -86,7 +86,7 @@
 	return l
 }
 
-// ErrBuried says that the rig holds more requests than it can.
+// ErrOverloaded says that the rig holds more requests than it can.
 var ErrOverloaded = errors.New("the rig holds too many open requests")
 
 // Run sends every arrival at its time and waits for the last ending.
@@ -130,9 +130,6 @@
 	}
 }
 
-// Open is the number of operations in hand.
-func (l *Generator) Open() int64 { return l.inFlight.Load() }
-
 // Results are all tries and operations that have ended.
 func (l *Generator) Results() ([]audit.Attempt, []Operation) {
 	l.mu.Lock()
@@ -140,7 +137,7 @@
 	return l.attempts, l.operations
 }
 
-// Since gives the operations that ended after the first n.
+// CompletedSince gives the operations that ended after the first n.
 func (l *Generator) CompletedSince(n int) []Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +146,7 @@
 
 func (l *Generator) now() time.Duration { return time.Since(l.options.Start) }
 
-// reply is what came for one try.
+// response is what came for one try.
 type response struct {
 	outcome       audit.Outcome
 	status        int
@@ -160,7 +157,7 @@
 	hasRetryAfter bool
 }
 
-// operate plays one operation with its tries.
+// runOperation plays one operation with its tries.
 func (l *Generator) runOperation(ctx context.Context, op int, a scenario.Arrival) {
 	c := l.options.Scenario.Classes[a.Class]
 	out := Operation{Class: a.Class, Tenant: a.Tenant, ScheduledAt: a.At, SendDelay: l.now() - a.At}
@@ -190,7 +187,7 @@
 	l.operations = append(l.operations, out)
 }
 
-// again tells whether this client tries again, and after what wait. What failed and may have run is tried again only
+// retryDelay tells whether this client tries again, and after what wait. What failed and may have run is tried again only
 // where the class is safe to repeat: that is the client's part of the rules.
 func (l *Generator) retryDelay(c scenario.Class, r response, try int, rng *rand.Rand) (time.Duration, bool) {
 	h := l.options.Scenario.Clients
@@ -218,7 +215,7 @@
 	return backoff, true
 }
 
-// try sends one request and waits for its answer. By the protocol, one that finds its kept connection closed before
+// attempt sends one request and waits for its answer. By the protocol, one that finds its kept connection closed before
 // any byte of an answer is sent once more on a new one.
 func (l *Generator) attempt(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) response {
 	if ctx.Err() != nil {
@@ -299,7 +296,7 @@
 	return b
 }
 
-// await reads the answer; crossed says that the connection ended before any byte of one.
+// readResponse reads the answer; crossed says that the connection ended before any byte of one.
 func (l *Generator) readResponse(c *conn, a scenario.Arrival, t audit.Attempt) (r response, crossed bool) {
 	until := l.options.Start.Add(t.Deadline + lateWindow)
 	if a.CancelAfter > 0 {
@@ -338,7 +335,7 @@
 	return r, false
 }
 
-// surplus counts the further answers that stand in the connection's buffer: bytes nobody asked for.
+// extraResponses counts the further answers that stand in the connection's buffer: bytes nobody asked for.
 func extraResponses(r *bufio.Reader) int {
 	if r.Buffered() == 0 {
 		return 0
--- a/lab/loopback/hosts.go
+++ b/lab/loopback/hosts.go
@@ -11,14 +11,14 @@
 
 var handed atomic.Int64
 
-// Next is a host that this process has not handed out before; two processes' hosts are seldom the same, and then their
+// NextHost is a host that this process has not handed out before; two processes' hosts are seldom the same, and then their
 // ports differ.
 func NextHost() string {
 	n := handed.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, 1+n/200%250, 1+n%200)
 }
 
-// Free is an address on which nobody listens.
+// FreeAddress is an address on which nobody listens.
 func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", NextHost()+":0")
 	if err != nil {
--- a/lab/membersim/figures.go
+++ b/lab/membersim/figures.go
@@ -19,7 +19,7 @@
 	FalsePositives float64       // live members taken out of somebody's view, for each member in an hour
 }
 
-// Foretell is the mean time by SWIM's analysis (Das and others, 2002, section 3): each member is probed by somebody in a period
+// ExpectedDetection is the mean time by SWIM's analysis (Das and others, 2002, section 3): each member is probed by somebody in a period
 // with a chance of 1-1/e, so the first probe of a lost one comes after e/(e-1) periods; then its time, the suspicion with all
 // confirmations, and a period until the view is made.
 func ExpectedDetection(o Options) time.Duration {
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -126,7 +126,7 @@
 // Node gives a member.
 func (s *Sim) Node(i int) *Node { return s.nodes[i] }
 
-// Up tells whether a member's process runs and is not stopped.
+// Running tells whether a member's process runs and is not stopped.
 func (s *Sim) Running(i int) bool { return s.nodes[i].up && !s.nodes[i].stopped }
 
 // Now is the time since the start.
@@ -181,10 +181,10 @@
 	s.nodes[i].up = false
 }
 
-// Stop is SIGSTOP, Wake SIGCONT.
+// Suspend is SIGSTOP, Wake SIGCONT.
 func (s *Sim) Suspend(i int) { s.nodes[i].stopped = true }
 
-// Wake lets it go on.
+// Resume lets it go on.
 func (s *Sim) Resume(i int) {
 	n := s.nodes[i]
 	if !n.stopped {
@@ -221,7 +221,7 @@
 	s.o.Loss, s.o.Jitter, s.o.Duplicate = loss, jitter, double
 }
 
-// Count begins a new account of traffic.
+// ResetTraffic begins a new account of traffic.
 func (s *Sim) ResetTraffic() { s.Sent, s.Bytes, s.Largest, s.counted = 0, 0, 0, true }
 
 func (s *Sim) at(in time.Duration, do func()) {
@@ -310,7 +310,7 @@
 	return out
 }
 
-// Agreed tells whether all that run hold exactly those that run.
+// Converged tells whether all that run hold exactly those that run.
 func (s *Sim) Converged() bool {
 	var want []string
 	for i := range s.nodes {
@@ -326,7 +326,7 @@
 	return true
 }
 
-// Holds tells whether a member's view holds another.
+// HasMember tells whether a member's view holds another.
 func (s *Sim) HasMember(i, j int) bool {
 	return slices.Contains(s.nodes[i].Core.View().Members, name(j))
 }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -52,7 +52,7 @@
 	NotRunning                // nobody is there
 )
 
-// Done is a request that was worked off.
+// Completion is a request that was worked off.
 type Completion struct {
 	Request Request
 	Arrived Millis
@@ -75,7 +75,7 @@
 	return &Pod{Limit: limit, Window: window, keyExpiry: map[string]Millis{}}
 }
 
-// repeat notes a key and tells whether it was known.
+// isDuplicate notes a key and tells whether it was known.
 func (p *Pod) isDuplicate(now Millis, key string) bool {
 	for len(p.order) > 0 && p.keyExpiry[p.order[0]] <= now {
 		delete(p.keyExpiry, p.order[0])
@@ -127,7 +127,7 @@
 	return s
 }
 
-// Warmth is the share of its speed that the server has at a time.
+// WarmupFactor is the share of its speed that the server has at a time.
 func (s *Server) WarmupFactor(now Millis) float64 {
 	age := now - s.started
 	if math.IsInf(s.started, -1) || age >= s.params.ColdFor || s.params.ColdFor <= 0 {
@@ -145,16 +145,16 @@
 	return v
 }
 
-// InHand is the number of requests that the server holds; Waiting those that no core has begun.
+// InFlight is the number of requests that the server holds; Waiting those that no core has begun.
 func (s *Server) InFlight() int { return len(s.queue) + len(s.running) }
 
-// Waiting is the number of requests that no core has begun.
+// Queued is the number of requests that no core has begun.
 func (s *Server) Queued() int { return len(s.queue) }
 
 // Slow tells whether crowding has made the server slow.
 func (s *Server) Slow() bool { return s.slow }
 
-// Fell tells whether the server was pushed over while it was cold.
+// Collapsed tells whether the server was pushed over while it was cold.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
 // Arrive offers a request. Advance must have been called for the time before.
@@ -182,7 +182,7 @@
 	return Accepted
 }
 
-// press notes the work offered to a cold server, and lets it fall over where that was too much for too long.
+// recordOffered notes the work offered to a cold server, and lets it fall over where that was too much for too long.
 func (s *Server) recordOffered(now Millis, work Millis) {
 	if s.params.CollapseMultiple <= 0 || s.WarmupFactor(now) >= 1 {
 		return
@@ -198,7 +198,7 @@
 	}
 }
 
-// begin lets idle cores take what waits. A request's speed is that of the moment at which its work begins.
+// startQueued lets idle cores take what waits. A request's speed is that of the moment at which its work begins.
 func (s *Server) startQueued(now Millis) {
 	for !s.suspended && !s.down && len(s.queue) > 0 && len(s.running) < s.params.Cores {
 		j := s.queue[0]
@@ -210,14 +210,14 @@
 	}
 }
 
-// TakeBegun gives the requests whose work has begun since the last call: from then on they may have had an effect.
+// TakeStarted gives the requests whose work has begun since the last call: from then on they may have had an effect.
 func (s *Server) TakeStarted() []Request {
 	out := s.justStarted
 	s.justStarted = nil
 	return out
 }
 
-// judge follows crowding and rest, for the slow mode.
+// updateSlowMode follows crowding and rest, for the slow mode.
 func (s *Server) updateSlowMode(now Millis) {
 	if s.params.CrowdDepth <= 0 {
 		return
@@ -242,7 +242,7 @@
 	}
 }
 
-// Next is when the next request will be done; false where none is being worked on.
+// NextCompletion is when the next request will be done; false where none is being worked on.
 func (s *Server) NextCompletion() (Millis, bool) {
 	if s.suspended || len(s.running) == 0 {
 		return 0, false
@@ -276,13 +276,13 @@
 	}
 }
 
-// Drain turns away what comes from now on; what is in hand is finished.
+// SetDraining turns away what comes from now on; what is in hand is finished.
 func (s *Server) SetDraining(on bool) { s.draining = on }
 
-// SlowBy makes what begins from now on take so many times as long.
+// SetSlowdown makes what begins from now on take so many times as long.
 func (s *Server) SetSlowdown(times float64) { s.slowdown = max(times, 1e-3) }
 
-// Halt stops all work at a time, and lets it go on later where it stood.
+// SetSuspended stops all work at a time, and lets it go on later where it stood.
 func (s *Server) SetSuspended(now Millis, on bool) {
 	if s.suspended == on {
 		return
--- a/lab/netfault/conn.go
+++ b/lab/netfault/conn.go
@@ -5,84 +5,9 @@
 	"io"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
-// queueBytes bounds what is under way in one direction; who sends more waits, as on a full socket.
-const maxInFlightBytes = 256 << 10
-
-// Link is the way between two parties, with all connections on it.
-type Link struct {
-	up, down  Impairment // up: what the wrapped side writes; down: what it reads
-	seed      uint64
-	connCount atomic.Uint64
-
-	mu     sync.Mutex
-	conns  map[*Conn]struct{}
-	stalls [2]chan struct{} // by direction: not nil while nothing passes; closed at the end of the silence
-}
-
-// Impair changes what is done to connections that begin from now on.
-func (l *Link) Impair(up, down Impairment) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.up, l.down = up, down
-}
-
-// Direction is one way of a link, as the wrapped side sees it.
-type Direction int
-
-// The directions.
-const (
-	Out Direction = iota // what the wrapped side writes
-	In                   // what it reads
-)
-
-// NewLink makes a link.
-func NewLink(up, down Impairment, seed uint64) *Link {
-	return &Link{up: up, down: down, seed: seed, conns: map[*Conn]struct{}{}}
-}
-
-// Silence stops all that is under way, in both directions, until it is ended.
-func (l *Link) Stall(on bool) {
-	l.StallDirection(Out, on)
-	l.StallDirection(In, on)
-}
-
-// Mute stops what is under way in one direction until it is ended.
-func (l *Link) StallDirection(d Direction, on bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	switch {
-	case on && l.stalls[d] == nil:
-		l.stalls[d] = make(chan struct{})
-	case !on && l.stalls[d] != nil:
-		close(l.stalls[d])
-		l.stalls[d] = nil
-	}
-}
-
-func (l *Link) stallEnd(d Direction) chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.stalls[d]
-}
-
-// Reset breaks all connections and gives how many there were.
-func (l *Link) Reset() int {
-	l.mu.Lock()
-	open := make([]*Conn, 0, len(l.conns))
-	for c := range l.conns {
-		open = append(open, c)
-	}
-	l.mu.Unlock()
-	for _, c := range open {
-		c.Reset()
-	}
-	return len(open)
-}
-
 // Wrap puts a TCP connection on the link.
 func (l *Link) Wrap(nc net.Conn) *Conn {
 	n := l.connCount.Add(1)
@@ -97,8 +22,8 @@
 	return c
 }
 
-// Conn is a connection on a link. Reads and writes pass through the link's shapers; the order is kept, and the end of
-// sending comes after what was sent before.
+// Conn is a TCP connection on a link. Reads and writes pass through the link's shapers; the order is kept, and a
+// half-close comes after what was written before.
 type Conn struct {
 	net.Conn
 	link  *Link
@@ -110,7 +35,7 @@
 	ended chan struct{}
 }
 
-// Write hands bytes to the link. It waits while too much is under way.
+// Write hands bytes to the link. It waits while too many are in flight.
 func (c *Conn) Write(b []byte) (int, error) {
 	for n := 0; n < len(b); n += segmentBytes {
 		part := b[n:min(len(b), n+segmentBytes)]
@@ -121,19 +46,19 @@
 	return len(b), nil
 }
 
-// CloseWrite ends the sending once what was sent has passed.
+// CloseWrite half-closes the connection once what was written has passed.
 func (c *Conn) CloseWrite() error { return c.out.finish(io.EOF) }
 
-// Read gives what has arrived.
+// Read returns what has arrived.
 func (c *Conn) Read(b []byte) (int, error) { return c.in.read(b) }
 
-// SetReadDeadline bounds reads from what has arrived.
+// SetReadDeadline sets the deadline of Read.
 func (c *Conn) SetReadDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
-// SetDeadline bounds reads; writes are bounded by Close.
+// SetDeadline sets the deadline of Read; a blocked Write ends with Close.
 func (c *Conn) SetDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
-// Mark begins a new account of delays.
+// ResetMaxDelay begins a new measurement for MaxDelay.
 func (c *Conn) ResetMaxDelay() {
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
@@ -142,7 +67,7 @@
 	}
 }
 
-// Delay is what the link has added since Mark: the worst delay of either direction, summed.
+// MaxDelay is what the link has added since ResetMaxDelay: the largest delay of each direction, summed.
 func (c *Conn) MaxDelay() time.Duration {
 	sum := time.Duration(0)
 	for _, p := range []*pipe{c.out, c.in} {
@@ -153,7 +78,7 @@
 	return sum
 }
 
-// UnderWay tells whether the link still holds bytes of either direction.
+// InFlight tells whether the link still holds bytes of either direction.
 func (c *Conn) InFlight() bool {
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
@@ -166,13 +91,13 @@
 	return false
 }
 
-// Close lets what was sent pass, then closes.
+// Close closes the connection once what was written has passed.
 func (c *Conn) Close() error {
 	c.in.fail(net.ErrClosed)
 	return c.out.finish(net.ErrClosed)
 }
 
-// Reset breaks the connection at once; what is under way is lost.
+// Reset breaks the connection at once; what is in flight is lost.
 func (c *Conn) Reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -180,7 +105,7 @@
 	c.end()
 }
 
-// end closes the socket and all that waits on it.
+// end closes the socket and unblocks whoever waits.
 func (c *Conn) end() {
 	c.once.Do(func() {
 		close(c.ended)
@@ -193,7 +118,7 @@
 	})
 }
 
-// push writes what is under way to the socket when it is due.
+// push writes chunks to the socket when they are due.
 func (c *Conn) push() {
 	for {
 		p, err := c.out.next()
@@ -220,7 +145,7 @@
 	}
 }
 
-// pull reads from the socket, and lets it be read when it is due.
+// pull reads from the socket into the incoming pipe.
 func (c *Conn) pull() {
 	buf := make([]byte, segmentBytes)
 	for {
@@ -240,7 +165,30 @@
 	}
 }
 
-// wait sleeps until a moment of the connection, and as long as the link is silent.
+// deliver makes incoming chunks readable when they are due.
+func (c *Conn) deliver() {
+	for {
+		q, err := c.in.next()
+		if werr := error(nil); err == nil || errors.Is(err, io.EOF) { // the end passes a silent link no sooner than bytes do
+			if werr = c.waitUntilDue(In, q.at); werr != nil {
+				err = werr
+			}
+		}
+		c.in.mu.Lock()
+		if err != nil {
+			c.in.end = err
+		} else {
+			c.in.ready = append(c.in.ready, q.b)
+		}
+		c.in.cond.Broadcast()
+		c.in.mu.Unlock()
+		if err != nil {
+			return
+		}
+	}
+}
+
+// waitUntilDue waits until a moment of the connection, and until the end of a stall.
 func (c *Conn) waitUntilDue(d Direction, at time.Duration) error {
 	if span := at - time.Since(c.began); span > 0 {
 		t := time.NewTimer(span)
@@ -260,124 +208,3 @@
 	}
 	return nil
 }
-
-// parcel is what arrives together.
-type chunk struct {
-	at time.Duration
-	b  []byte
-}
-
-// pipe is one direction: parcels in order, each with its time.
-type pipe struct {
-	mu             sync.Mutex
-	cond           *sync.Cond
-	shaper         *Shaper
-	queue          []chunk
-	bytes          int
-	maxDelay       time.Duration // delay since Mark
-	done           error         // no more comes; what is queued still passes
-	failed         error         // nothing passes any more
-	timer          *time.Timer
-	deadlinePassed bool     // the read deadline has passed
-	ready          [][]byte // due, not yet read
-	rest           []byte
-	end            error // what follows the last parcel that was due
-}
-
-func newPipe(s *Shaper) *pipe {
-	p := &pipe{shaper: s}
-	p.cond = sync.NewCond(&p.mu)
-	return p
-}
-
-func (p *pipe) put(now time.Duration, b []byte) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for p.bytes > maxInFlightBytes && p.failed == nil && p.done == nil {
-		p.cond.Wait()
-	}
-	if p.failed != nil {
-		return p.failed
-	}
-	if p.done != nil {
-		return net.ErrClosed
-	}
-	at := p.shaper.SegmentArrival(now, len(b))
-	p.maxDelay = max(p.maxDelay, at-now)
-	p.queue = append(p.queue, chunk{at, append([]byte(nil), b...)})
-	p.bytes += len(b)
-	p.cond.Broadcast()
-	return nil
-}
-
-// next waits for the next parcel; its bytes count as under way until gone.
-func (p *pipe) next() (chunk, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for len(p.queue) == 0 && p.done == nil && p.failed == nil {
-		p.cond.Wait()
-	}
-	switch {
-	case p.failed != nil:
-		return chunk{}, p.failed
-	case len(p.queue) == 0:
-		return chunk{}, p.done
-	}
-	out := p.queue[0]
-	p.queue = p.queue[1:]
-	return out, nil
-}
-
-func (p *pipe) delivered(n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.bytes -= n
-	p.cond.Broadcast()
-}
-
-func (p *pipe) finish(err error) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.done == nil || errors.Is(p.done, io.EOF) {
-		p.done = err
-	}
-	p.cond.Broadcast()
-	return nil
-}
-
-// closed waits until the connection is closed, after its sending has ended.
-func (p *pipe) waitFailed() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for p.failed == nil && errors.Is(p.done, io.EOF) {
-		p.cond.Wait()
-	}
-}
-
-func (p *pipe) fail(err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.failed == nil {
-		p.failed = err
-	}
-	p.cond.Broadcast()
-}
-
-func (p *pipe) setDeadline(t time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.timer != nil {
-		p.timer.Stop()
-		p.timer = nil
-	}
-	p.deadlinePassed = false
-	if t.IsZero() {
-		return
-	}
-	p.timer = time.AfterFunc(time.Until(t), func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.deadlinePassed = true
-		p.cond.Broadcast()
-	})
-}
--- a/lab/netfault/mesh.go
+++ b/lab/netfault/mesh.go
@@ -11,14 +11,13 @@
 // Mesh is a link for each directed pair of nodes, for datagrams and for connections. A node reaches each other node by an
 // address that belongs to the link, so loopback and an address book are all it needs.
 type Mesh struct {
-	size  int
 	pairs map[[2]int]*pair
 
 	mu     sync.Mutex
 	faults map[[2]int]PacketFaults // as set, by direction
 }
 
-// pair is how one node reaches another: datagrams go its way alone, connections need both.
+// pair is how one node reaches another: datagrams go this direction alone, connections need both.
 type pair struct {
 	address string
 	packets *PacketRelay
@@ -26,9 +25,9 @@
 	streams *Relay
 }
 
-// NewMesh opens a link for each pair of the addresses at which the nodes listen.
+// NewMesh opens a link for each directed pair of the addresses at which the nodes listen.
 func NewMesh(nodes []string, seed uint64) (*Mesh, error) {
-	m := &Mesh{size: len(nodes), pairs: map[[2]int]*pair{}, faults: map[[2]int]PacketFaults{}}
+	m := &Mesh{pairs: map[[2]int]*pair{}, faults: map[[2]int]PacketFaults{}}
 	for i := range nodes {
 		for j, to := range nodes {
 			if i == j {
@@ -45,6 +44,7 @@
 	return m, nil
 }
 
+// open makes the relays of one pair.
 func open(to string, seed uint64) (*pair, error) {
 	p := &pair{link: NewLink(Impairment{}, Impairment{}, seed)}
 	var err error
@@ -59,18 +59,18 @@
 	return p, nil
 }
 
-// Address is how one node reaches another.
+// Address is the address at which one node reaches another.
 func (m *Mesh) Address(from, to int) string { return m.pairs[[2]int{from, to}].address }
 
-// Set changes what the link from one node to another does.
+// SetFaults changes what the link from one node to another does.
 func (m *Mesh) SetFaults(from, to int, change func(*PacketFaults)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := [2]int{from, to}
-	w := m.faults[key]
-	change(&w)
-	m.faults[key] = w
-	m.pairs[key].packets.SetFaults(w)
+	f := m.faults[key]
+	change(&f)
+	m.faults[key] = f
+	m.pairs[key].packets.SetFaults(f)
 	// On a connection that the first node opened the link's Out leads to that node, In comes from it.
 	for _, k := range [][2]int{key, {to, from}} {
 		there, back := m.faults[k], m.faults[[2]int{k[1], k[0]}]
@@ -80,29 +80,6 @@
 	}
 }
 
-// Cut cuts the link from one node to another, or makes it whole.
-func (m *Mesh) Cut(from, to int, on bool) {
-	m.SetFaults(from, to, func(w *PacketFaults) { w.Cut = on })
-}
-
-// IsCut tells whether it is cut.
-func (m *Mesh) IsCut(from, to int) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.faults[[2]int{from, to}].Cut
-}
-
-// Counts are the datagrams that one node's links have passed on and lost.
-func (m *Mesh) Counts(from int) (passed, lost int) {
-	for k, p := range m.pairs {
-		if k[0] == from {
-			a, b := p.packets.Counts()
-			passed, lost = passed+a, lost+b
-		}
-	}
-	return passed, lost
-}
-
 // Close ends all links.
 func (m *Mesh) Close() {
 	var all sync.WaitGroup
--- a/lab/netfault/packet.go
+++ b/lab/netfault/packet.go
@@ -11,7 +11,7 @@
 // packetQueue bounds the datagrams that have arrived and were not read: beyond it they are lost, as in a socket.
 const packetQueue = 1024
 
-// PacketConn is a socket for datagrams on a link: some vanish, some come late, and one may overtake another.
+// PacketConn is a datagram socket on a link: some datagrams are lost, some arrive late, and one may overtake another.
 type PacketConn struct {
 	net.PacketConn
 	link     *Link
@@ -30,7 +30,7 @@
 	from net.Addr
 }
 
-// WrapPacket puts a socket for datagrams on the link.
+// WrapPacket puts a datagram socket on the link.
 func (l *Link) WrapPacket(pc net.PacketConn) *PacketConn {
 	n := l.connCount.Add(1)
 	p := &PacketConn{PacketConn: pc, link: l, began: time.Now(), out: NewShaper(l.up, l.seed, 2*n),
@@ -39,7 +39,7 @@
 	return p
 }
 
-// WriteTo sends a datagram on its way. One that is lost is told as sent, as on a real link.
+// WriteTo sends a datagram. One that is lost is reported as sent, as on a real link.
 func (p *PacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	p.mu.Lock()
 	now := time.Since(p.began)
@@ -53,6 +53,7 @@
 	return len(b), nil
 }
 
+// after does something after a delay; at once where there is none.
 func (p *PacketConn) after(d time.Duration, do func()) {
 	if d <= 0 {
 		do()
@@ -61,6 +62,7 @@
 	time.AfterFunc(d, do)
 }
 
+// pull reads datagrams from the socket and makes them readable when they are due.
 func (p *PacketConn) pull() {
 	defer p.once.Do(func() { close(p.ended) })
 	buf := make([]byte, 64<<10)
@@ -86,7 +88,8 @@
 	}
 }
 
-// SetReadDeadline bounds ReadFrom. The socket itself is read on: what comes later is there for the next call.
+// SetReadDeadline sets the deadline of ReadFrom. The socket itself is read on: what arrives later is there for the next
+// call.
 func (p *PacketConn) SetReadDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +97,7 @@
 	return nil
 }
 
-// ReadFrom gives the next datagram that has arrived.
+// ReadFrom returns the next datagram that has arrived.
 func (p *PacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	p.mu.Lock()
 	until := p.deadline
--- a/lab/netfault/packetrelay.go
+++ b/lab/netfault/packetrelay.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Way is what a PacketRelay does to datagrams besides its Params.
+// PacketFaults are what a PacketRelay does to datagrams.
 type PacketFaults struct {
 	Impairment
 	Cut          bool
 	Duplicate    float64       // share that comes twice, the second after a delay of its own
-	Reorder      float64       // share that is held back, so that later ones overtake it
-	ReorderDelay time.Duration // for how long
+	Reorder      float64       // share that is delayed, so that later ones overtake it
+	ReorderDelay time.Duration // of those
 }
 
-// mostUnderWay bounds the datagrams that a relay holds back; beyond it they are lost, as in a full queue.
+// maxInFlightPackets bounds the datagrams that a relay delays at a time; beyond it they are lost, as in a full queue.
 const maxInFlightPackets = 4096
 
 // PacketRelay carries datagrams one way: what comes to its socket goes on to another address, from that socket.
@@ -32,8 +32,6 @@
 	began    time.Time
 	inFlight int
 	running  sync.WaitGroup
-
-	Passed, Lost int // guarded by mu; read them by Counts
 }
 
 // NewPacketRelay listens on an address and carries what comes to another.
@@ -55,24 +53,18 @@
 	return r, nil
 }
 
-// Set changes what is done to datagrams from now on. Those under way arrive as they were to.
-func (r *PacketRelay) SetFaults(w PacketFaults) {
+// SetFaults changes what is done to datagrams from now on. Those in flight arrive as planned.
+func (r *PacketRelay) SetFaults(f PacketFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w.Impairment != r.faults.Impairment {
-		r.shaper = NewShaper(w.Impairment, r.seed, uint64(time.Since(r.began)))
+	if f.Impairment != r.faults.Impairment {
+		r.shaper = NewShaper(f.Impairment, r.seed, uint64(time.Since(r.began)))
 		r.began = time.Now()
 	}
-	r.faults = w
-}
-
-// Counts are the datagrams that were passed on and those that were not.
-func (r *PacketRelay) Counts() (passed, lost int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.Passed, r.Lost
+	r.faults = f
 }
 
+// run carries datagrams until the relay is closed.
 func (r *PacketRelay) run() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -82,7 +74,7 @@
 		}
 		for _, in := range r.arrivals(n) {
 			if in <= 0 {
-				_, _ = r.conn.WriteToUDPAddrPort(buf[:n], r.to) // whose port is closed loses it
+				_, _ = r.conn.WriteToUDPAddrPort(buf[:n], r.to) // a closed port loses it
 				continue
 			}
 			b := append([]byte(nil), buf[:n]...)
@@ -96,7 +88,7 @@
 	}
 }
 
-// fate is when the copies of a datagram arrive, after now.
+// arrivals are when the copies of a datagram of n bytes arrive, from now; none where it is lost.
 func (r *PacketRelay) arrivals(n int) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,20 +104,19 @@
 		if r.shaper.rng.Float64() < r.faults.Reorder {
 			at += r.faults.ReorderDelay
 		}
-		if lost || r.faults.Cut || at > 0 && r.inFlight >= maxInFlightPackets {
-			r.Lost++
+		queueFull := at > 0 && r.inFlight >= maxInFlightPackets
+		if lost || r.faults.Cut || queueFull {
 			continue
 		}
 		if at > 0 {
 			r.inFlight++
 		}
-		r.Passed++
 		out = append(out, at)
 	}
 	return out
 }
 
-// Close ends the relay.
+// Close ends the relay. Datagrams in flight are lost.
 func (r *PacketRelay) Close() {
 	_ = r.conn.Close()
 	r.running.Wait()
--- a/lab/netfault/relay.go
+++ b/lab/netfault/relay.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Relay carries TCP connections between two parties neither of which is the lab's own, over a link. Each half-close is
+// Relay carries TCP connections over a link between two parties neither of which is the lab's own. Each half-close is
 // passed on once, after what was sent before it.
 type Relay struct {
 	listener net.Listener
@@ -33,6 +33,7 @@
 // Addr is where the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
+// accept carries connections until the relay is closed.
 func (r *Relay) accept() {
 	for {
 		c, err := r.listener.Accept()
@@ -43,7 +44,7 @@
 	}
 }
 
-// hold notes a connection, so that Close ends it; false where the relay has closed.
+// track remembers a connection so that Close ends it; false where the relay is closed already.
 func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,6 +56,7 @@
 	return true
 }
 
+// untrack closes a connection and forgets it.
 func (r *Relay) untrack(c net.Conn) {
 	_ = c.Close()
 	r.mu.Lock()
@@ -62,6 +64,7 @@
 	delete(r.conns, c)
 }
 
+// carry connects to the other side and copies both directions.
 func (r *Relay) carry(c net.Conn) {
 	if !r.track(c) {
 		return
@@ -89,7 +92,7 @@
 	both.Wait()
 }
 
-// pass carries one direction, and its end.
+// copyUntilEOF copies one direction and passes on its half-close. An error closes both connections.
 func copyUntilEOF(to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	if err != nil {
@@ -102,7 +105,7 @@
 	}
 }
 
-// Close ends the relay and all it carries.
+// Close ends the relay and all its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
--- a/lab/netfault/shaper.go
+++ b/lab/netfault/shaper.go
@@ -1,6 +1,7 @@
-// Package netfault makes the link between two parties worse than loopback: delay, jitter, loss, a narrow line, silence,
-// resets. What happens to each segment or datagram is worked out by a Shaper, which is pure and draws chance from its
-// seed alone; Conn, PacketConn and Relay carry it out on sockets.
+// Package netfault makes the link between two parties worse than loopback: delay, jitter, loss, low bandwidth, stalls,
+// resets. What happens to each segment or datagram is worked out by a Shaper, which is pure and takes its random
+// numbers from its seed alone. Conn, PacketConn, Relay and PacketRelay carry it out on sockets, and Mesh connects many
+// nodes by such links.
 package netfault
 
 import (
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// Params are what one direction of a link does.
+// Impairment is what one direction of a link does. The zero value does nothing.
 type Impairment struct {
 	Loss      float64       // share of segments that must be sent again (TCP), or of datagrams that vanish (UDP)
 	RTO       time.Duration // the first retransmission time-out; it doubles with each loss of one segment
@@ -26,10 +27,10 @@
 	// segmentBytes is what a TCP segment carries over Ethernet: 1,500 less the two headers.
 	segmentBytes = 1460
 
-	// leastRTO is the floor of the retransmission time-out that Linux keeps; RFC 6298 would have it at 1 s.
+	// minRTO is the floor of the retransmission time-out that Linux keeps; RFC 6298 would have it at 1 s.
 	minRTO = 200 * time.Millisecond
 
-	// mostLosses of one segment in a row are played: at a loss of a half the next one is less likely than a thousandth.
+	// maxRetransmissions of one segment in a row are played: at a loss of a half the next one is less likely than a thousandth.
 	maxRetransmissions = 10
 )
 
@@ -37,11 +38,12 @@
 type Shaper struct {
 	impairment  Impairment
 	rng         *rand.Rand
-	lineFree    time.Duration // when the line has put out what came before
-	lastArrival time.Duration // when what came before is there: TCP keeps the order
+	lineFree    time.Duration // when the line has sent what came before
+	lastArrival time.Duration // of what came before: TCP keeps the order
 }
 
-// NewShaper makes a shaper whose chance comes from the seed and the stream alone.
+// NewShaper makes a shaper whose random numbers depend on the seed and the stream alone. A retransmission timeout below
+// minRTO is raised to it.
 func NewShaper(p Impairment, seed, stream uint64) *Shaper {
 	if p.RTO < minRTO {
 		p.RTO = minRTO
@@ -49,7 +51,7 @@
 	return &Shaper{impairment: p, rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// Segment tells when n bytes that are handed over now arrive on a TCP connection. A lost segment comes after its
+// SegmentArrival is when n bytes that are written now arrive on a TCP connection. A lost segment arrives after its
 // retransmission, and what follows waits behind it.
 func (s *Shaper) SegmentArrival(now time.Duration, n int) time.Duration {
 	at := s.transmitted(now, n) + s.propagation()
@@ -62,13 +64,13 @@
 	return s.lastArrival
 }
 
-// Datagram tells when a datagram arrives, if it does. A later one may overtake it.
+// DatagramArrival is when a datagram arrives, if it does. A later one may overtake it.
 func (s *Shaper) DatagramArrival(now time.Duration, n int) (at time.Duration, lost bool) {
 	at = s.transmitted(now, n) + s.propagation()
 	return at, s.rng.Float64() < s.impairment.Loss
 }
 
-// onLine is when the line has put n bytes out.
+// transmitted is when the line has sent n bytes.
 func (s *Shaper) transmitted(now time.Duration, n int) time.Duration {
 	s.lineFree = max(s.lineFree, now)
 	if s.impairment.Bandwidth > 0 {
@@ -77,6 +79,7 @@
 	return s.lineFree
 }
 
+// propagation is the delay from the line to the other end.
 func (s *Shaper) propagation() time.Duration {
 	d := s.impairment.Delay
 	if s.impairment.Jitter > 0 {
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -58,7 +58,7 @@
 	racedCloses int
 }
 
-// StopSeen is a planned stop as the clients saw it.
+// ObservedStop is a planned stop as the clients saw it.
 type ObservedStop struct {
 	Node int
 	At   time.Duration
@@ -80,7 +80,7 @@
 	}
 }
 
-// Stopping has the clients of a stop come.
+// StopBegan has the clients of a stop come.
 func (c *Clients) StopBegan(node int, address string, at time.Time) {
 	c.mu.Lock()
 	select {
@@ -118,7 +118,7 @@
 	return time.Duration(rng.Int64N(int64(max(1, most))))
 }
 
-// Tries ends what is going on and gives what was seen.
+// Attempts ends what is going on and gives what was seen.
 func (c *Clients) Attempts() []audit.Attempt {
 	c.mu.Lock()
 	select {
@@ -131,10 +131,10 @@
 	return c.tries
 }
 
-// Stops are the planned stops that were seen, and Crossed how many requests crossed the end of their connection.
+// ObservedStops are the planned stops that were seen, and Crossed how many requests crossed the end of their connection.
 func (c *Clients) ObservedStops() []ObservedStop { return c.stops }
 
-// Crossed is how many requests crossed the end of their connection unread.
+// RacedCloses is how many requests crossed the end of their connection unread.
 func (c *Clients) RacedCloses() int { return c.racedCloses }
 
 // over waits until a time, and tells whether the run ended before.
