--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -27,13 +27,13 @@
 }
 
 // openDevices opens the devices' sockets. One that cannot be opened is missing; the others carry its load.
-func (l *Generator) openDevices() {
-	s := l.options.Scenario
-	if s.Clients.Coap == 0 || len(l.options.CoapAddresses) == 0 {
+func (g *Generator) openDevices() {
+	s := g.options.Scenario
+	if s.Clients.Coap == 0 || len(g.options.CoapAddresses) == 0 {
 		return
 	}
 	up, down := backend.Impairments(s.Links.Clients)
-	for node, addr := range l.options.CoapAddresses {
+	for node, addr := range g.options.CoapAddresses {
 		free := make(chan *device, s.Clients.Devices)
 		to, err := net.ResolveUDPAddr("udp", addr)
 		for i := 0; i < s.Clients.Devices && err == nil; i++ {
@@ -46,66 +46,85 @@
 			}
 			free <- &device{conn, coap.New(conn, to, coap.Options{AckTimeout: ackTimeout, MaxRetransmit: 6, Duplicates: s.Clients.Duplicates})}
 		}
-		l.freeDevices = append(l.freeDevices, free)
+		g.freeDevices = append(g.freeDevices, free)
 	}
 }
 
-func (l *Generator) closeDevices() {
-	for _, free := range l.freeDevices {
+// closeDevices closes the devices' sockets.
+func (g *Generator) closeDevices() {
+	for _, free := range g.freeDevices {
 		for len(free) > 0 {
 			_ = (<-free).conn.Close()
 		}
 	}
 }
 
-// usesCoap tells whether an operation is asked over CoAP: decided by its own chance, so the same in each run.
-func (l *Generator) usesCoap(a scenario.Arrival) bool {
-	return len(l.freeDevices) > 0 && float64(a.Random>>40)/float64(1<<24) < l.options.Scenario.Clients.Coap
+// usesCoap tells whether an operation is requested over CoAP. That depends on its own random number, so it is the same
+// in each run.
+func (g *Generator) usesCoap(a scenario.Arrival) bool {
+	return len(g.freeDevices) > 0 && float64(a.Random>>40)/float64(1<<24) < g.options.Scenario.Clients.Coap
 }
 
 // attemptCoap sends one request from a free device of some node.
-func (l *Generator) attemptCoap(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) response {
-	node := int((a.Random>>8 + uint64(n)) % uint64(len(l.freeDevices)))
-	c := l.options.Scenario.Classes[a.Class]
+func (g *Generator) attemptCoap(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) response {
+	node := int((a.Random>>8 + uint64(n)) % uint64(len(g.freeDevices)))
+	c := g.options.Scenario.Classes[a.Class]
 	var d *device
 	select {
-	case d = <-l.freeDevices[node]:
+	case d = <-g.freeDevices[node]:
 	case <-time.After(left):
 		return response{outcome: audit.NotConnected}
 	}
-	defer func() { l.freeDevices[node] <- d }()
+	defer func() { g.freeDevices[node] <- d }()
 	id := backend.AttemptID(op, n)
-	t := audit.Attempt{ID: id, Operation: op, Node: node, Sent: l.now(), Deadline: l.now() + left,
-		Effect: audit.EffectOf(c.Effect)}
-	req := coap.Request{Code: codes.GET, Path: c.Name, Query: []string{"try=" + id, fmt.Sprintf("w=%d", a.Work.Microseconds()),
-		fmt.Sprintf("tenant=t%03d", a.Tenant), fmt.Sprintf("wait=%d", max(1, left.Milliseconds()))}}
-	if c.Effect != "safe" {
-		req.Code, req.Body = codes.POST, make([]byte, c.Body)
-	}
-	if c.Effect == "keyed" {
-		req.Query = append(req.Query, fmt.Sprintf("key=k%012x", op))
-	}
-	if n > 0 && l.options.Scenario.Clients.MarksRetry {
-		req.Query = append(req.Query, "retry=1")
+	t := audit.Attempt{
+		ID:        id,
+		Operation: op,
+		Node:      node,
+		Sent:      g.now(),
+		Deadline:  g.now() + left,
+		Effect:    audit.EffectOf(c.Effect),
 	}
+	req := g.coapRequest(id, op, n, a, left)
 	until, cancel := context.WithDeadline(ctx, time.Now().Add(left+lateWindow))
 	defer cancel()
 	got, err := d.c.Do(until, req)
-	r := l.coapResponse(got, err)
-	if l.options.Scenario.Links.Clients.Loss > 0 && l.now() > t.Deadline { // lost on the way and asked for again: the stored answer
+	r := g.coapResponse(got, err)
+	if g.options.Scenario.Links.Clients.Loss > 0 && g.now() > t.Deadline { // lost, and the stored response came for a repeat
 		r.outcome = audit.InTransit
 	}
-	t.Ended, t.Outcome, t.Responses, t.BodyID, t.Status = l.now(), r.outcome, r.count, r.body, int(got.Code)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.attempts = append(l.attempts, t)
+	t.Ended = g.now()
+	r.status = int(got.Code)
+	g.record(t, r)
 	return r
 }
 
-// coapResponse reads an answer. None at all is the link's doing where it loses datagrams: then nobody can tell whether the node
-// answered, and the auditor looks at effects alone.
-func (l *Generator) coapResponse(got coap.Response, err error) response {
-	impaired := l.options.Scenario.Links.Clients.Loss > 0
+// coapRequest is one attempt over CoAP. Its id, work and tenant go in the query.
+func (g *Generator) coapRequest(id string, op, n int, a scenario.Arrival, left time.Duration) coap.Request {
+	c := g.options.Scenario.Classes[a.Class]
+	req := coap.Request{Code: codes.GET, Path: c.Name, Query: []string{
+		"try=" + id,
+		fmt.Sprintf("w=%d", a.Work.Microseconds()),
+		fmt.Sprintf("tenant=t%03d", a.Tenant),
+		fmt.Sprintf("wait=%d", max(1, left.Milliseconds())),
+	}}
+	if c.Effect != "safe" {
+		req.Code = codes.POST
+		req.Body = make([]byte, c.Body)
+	}
+	if c.Effect == "keyed" {
+		req.Query = append(req.Query, fmt.Sprintf("key=k%012x", op))
+	}
+	if n > 0 && g.options.Scenario.Clients.MarksRetry {
+		req.Query = append(req.Query, "retry=1")
+	}
+	return req
+}
+
+// coapResponse reads a response. Where the link loses datagrams a missing one may be the link's doing: then nobody can
+// tell whether the node answered, and the auditor looks at executions alone.
+func (g *Generator) coapResponse(got coap.Response, err error) response {
+	impaired := g.options.Scenario.Links.Clients.Loss > 0
 	switch {
 	case err != nil && impaired:
 		return response{outcome: audit.InTransit}
--- a/lab/loopback/hosts.go
+++ b/lab/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback hands out addresses of the loopback range, each with a host of its own: a listener that comes back at its
-// old address then never finds the port taken by some connection's own end, since those lie on 127.0.0.1.
+// Package loopback hands out addresses of the loopback range, each with a host of its own. Connections' own ends lie on
+// 127.0.0.1, so a listener that comes back at its old address never finds the port taken by one of them.
 package loopback
 
 import (
--- a/lab/membersim/figures.go
+++ b/lab/membersim/figures.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Detection is how long losses take to be known, and how often somebody alive is taken out, at one setting.
+// Detection is how long failures take to be detected, and how often a live member is removed, at one setting.
 type Detection struct {
 	Options
 	Kills          int
@@ -19,16 +19,16 @@
 	FalsePositives float64       // live members taken out of somebody's view, for each member in an hour
 }
 
-// ExpectedDetection is the mean time by SWIM's analysis (Das and others, 2002, section 3): each member is probed by somebody in a period
-// with a chance of 1-1/e, so the first probe of a lost one comes after e/(e-1) periods; then its time, the suspicion with all
-// confirmations, and a period until the view is made.
+// ExpectedDetection is the mean time by SWIM's analysis (Das and others, 2002, section 3): each member is probed by
+// some other in a period with a chance of 1-1/e, so the first probe of a failed one comes after e/(e-1) periods; then
+// the probe's timeout, the suspicion with all confirmations, and a period until the view is made.
 func ExpectedDetection(o Options) time.Duration {
 	first := float64(o.Period) * math.E / (math.E - 1)
 	return time.Duration(first) + o.Timeout + o.Suspicion + o.Period
 }
 
-// Detect plays clusters with one member killed in each, and calm ones of the same kind with pauses of up to a second, on all
-// cores. The same options give the same figures.
+// Detect plays clusters in which one member is killed, each after a minute without failures in which members are
+// suspended for up to a second, on all cores. The same options give the same figures.
 func Detect(o Options, kills int) Detection {
 	out := Detection{Options: o, Kills: kills, Expected: ExpectedDetection(o)}
 	took := make([]time.Duration, kills)
@@ -79,7 +79,7 @@
 	return out
 }
 
-// Cost is what a member sends, and how long a process's core takes for it on one core of this machine.
+// Cost is what a member sends, and what its core computes on one CPU of this machine.
 type Cost struct {
 	Members          int
 	SteadyBytes      float64 // bytes a second for each member
@@ -119,7 +119,7 @@
 	return c
 }
 
-// each does something n times on all cores.
+// each does something n times on all CPUs.
 func each(n int, do func(int)) {
 	work := make(chan int)
 	var all sync.WaitGroup
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -1,6 +1,7 @@
-// Package membersim plays many cores of internal/membership on one virtual clock, over a network that cuts directed links,
-// loses, delays, doubles and reorders messages, and stops, kills and restarts members. All chance is from one seed. It
-// stands beside the tests with real processes, for numbers of members and of schedules that no machine runs.
+// Package membersim plays many cores of internal/membership on one virtual clock, over a network that cuts directed
+// links, loses, delays, duplicates and reorders messages, and suspends, kills and restarts members. All random numbers
+// come from one seed. It stands beside the tests with real processes, for numbers of members and of schedules that no
+// machine runs.
 package membersim
 
 import (
@@ -13,7 +14,7 @@
 	"tackhub.example/tackhub/internal/membership"
 )
 
-// Options are one cluster.
+// Options describe one cluster.
 type Options struct {
 	Members    int
 	Seed       uint64
@@ -27,7 +28,7 @@
 	Introduced bool          // everybody knows everybody at the start
 }
 
-// Sim is a cluster on its way.
+// Sim is a simulated cluster.
 type Sim struct {
 	o       Options
 	rng     *rand.Rand
@@ -42,7 +43,7 @@
 	Largest     int   // datagram
 }
 
-// Node is one member's processes.
+// Node is one member over all its processes.
 type Node struct {
 	Core    *membership.Core
 	up      bool
@@ -66,9 +67,11 @@
 type events []event
 
 func (e events) Len() int { return len(e) }
+
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
+
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push is container/heap's.
@@ -97,7 +100,8 @@
 	return s
 }
 
-func name(i int) string    { return fmt.Sprintf("n%03d", i) }
+func name(i int) string { return fmt.Sprintf("n%03d", i) }
+
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250) }
 
 func index(address string) int {
@@ -108,7 +112,7 @@
 	return a*250 + b
 }
 
-// introduce has everybody take everybody in, as after a full exchange.
+// introduce has every member know every other, as after a full exchange.
 func (s *Sim) introduce() {
 	var news []membership.Update
 	for i, n := range s.nodes {
@@ -123,10 +127,10 @@
 
 func (s *Sim) local(i int) time.Duration { return s.now + s.nodes[i].offset }
 
-// Node gives a member.
+// Node returns a member.
 func (s *Sim) Node(i int) *Node { return s.nodes[i] }
 
-// Running tells whether a member's process runs and is not stopped.
+// Running tells whether a member's process runs and is not suspended.
 func (s *Sim) Running(i int) bool { return s.nodes[i].up && !s.nodes[i].stopped }
 
 // Now is the time since the start.
@@ -155,7 +159,7 @@
 	})
 }
 
-// hand has a process do something now, or when it is woken.
+// hand has a process do something now, or when it is resumed.
 func (s *Sim) hand(i int, do func()) {
 	n := s.nodes[i]
 	if n.stopped {
@@ -168,10 +172,10 @@
 	s.carry(i)
 }
 
-// Kill ends a process without a word.
+// Kill ends a process without a message.
 func (s *Sim) Kill(i int) { s.nodes[i].up, s.nodes[i].stopped, s.nodes[i].held = false, false, nil }
 
-// Leave ends it as planned; one that is stopped cannot.
+// Leave ends a process as planned; one that is suspended cannot.
 func (s *Sim) Leave(i int) {
 	if !s.Running(i) {
 		return
@@ -181,10 +185,10 @@
 	s.nodes[i].up = false
 }
 
-// Suspend is SIGSTOP, Wake SIGCONT.
+// Suspend suspends a process, as SIGSTOP does.
 func (s *Sim) Suspend(i int) { s.nodes[i].stopped = true }
 
-// Resume lets it go on.
+// Resume resumes a process, as SIGCONT does. What came meanwhile is received then.
 func (s *Sim) Resume(i int) {
 	n := s.nodes[i]
 	if !n.stopped {
@@ -198,7 +202,7 @@
 	}
 }
 
-// Cut cuts the link from one member to another, or makes it whole.
+// Cut begins or ends a cut of the link from one member to another.
 func (s *Sim) Cut(from, to int, on bool) {
 	if on {
 		s.cut[[2]int{from, to}] = true
@@ -207,7 +211,7 @@
 	}
 }
 
-// Heal makes all links whole, and takes loss and delay away.
+// Heal ends all cuts, and takes loss, duplication and jitter away.
 func (s *Sim) Heal() {
 	clear(s.cut)
 	s.o.Loss, s.o.Duplicate, s.o.Jitter = 0, 0, 0
@@ -221,9 +225,10 @@
 	s.o.Loss, s.o.Jitter, s.o.Duplicate = loss, jitter, double
 }
 
-// ResetTraffic begins a new account of traffic.
+// ResetTraffic begins a new measurement of traffic.
 func (s *Sim) ResetTraffic() { s.Sent, s.Bytes, s.Largest, s.counted = 0, 0, 0, true }
 
+// at does something after a span.
 func (s *Sim) at(in time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.events, event{s.now + in, s.seq, do})
@@ -240,7 +245,7 @@
 	s.now = end
 }
 
-// carry takes what a core wants sent.
+// carry sends what a core wants sent.
 func (s *Sim) carry(i int) {
 	n := s.nodes[i]
 	out, notes := n.Core.TakeOutput()
@@ -299,7 +304,7 @@
 	})
 }
 
-// Views are the views of those that run.
+// Views are the views of the members that run.
 func (s *Sim) Views() map[int]membership.View {
 	out := map[int]membership.View{}
 	for i, n := range s.nodes {
@@ -310,7 +315,7 @@
 	return out
 }
 
-// Converged tells whether all that run hold exactly those that run.
+// Converged tells whether all that run have exactly those that run in their views.
 func (s *Sim) Converged() bool {
 	var want []string
 	for i := range s.nodes {
@@ -326,7 +331,7 @@
 	return true
 }
 
-// HasMember tells whether a member's view holds another.
+// HasMember tells whether a member's view has another.
 func (s *Sim) HasMember(i, j int) bool {
 	return slices.Contains(s.nodes[i].Core.View().Members, name(j))
 }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -1,6 +1,6 @@
-// Package model is the lab's server as a calculation: a queue before some cores, warmth, crowding, a pod that drops
-// repeats. It is pure: time and requests come in, answers go out; sockets are put around it by package fleet. What it
-// does is written down in docs/lab.md, so that small cases can be worked out on paper.
+// Package model is the lab's server as a calculation: a queue before some cores, warming up, slow mode under a crowd, a
+// pod that drops duplicates. It is pure: time and requests come in, completions go out; package backend puts sockets
+// around it. docs/lab.md describes what it does, so that small cases can be worked out on paper.
 package model
 
 import "math"
@@ -52,7 +52,7 @@
 	NotRunning                // nobody is there
 )
 
-// Completion is a request that was worked off.
+// Completion is a request that was executed.
 type Completion struct {
 	Request Request
 	Arrived Millis
@@ -60,7 +60,7 @@
 	At      Millis
 }
 
-// Pod is a group of servers that drops repeats together and may share a limit.
+// Pod is a group of servers that drop duplicates together and may share a limit.
 type Pod struct {
 	Limit  int // requests in hand in all its servers; 0: none
 	Window Millis
@@ -70,12 +70,13 @@
 	order     []string          // keys by age: they are forgotten in order
 }
 
-// NewPod makes a pod.
+// NewPod makes a pod. limit bounds the requests in flight in all its servers, 0 for none; window is how long a key is
+// remembered.
 func NewPod(limit int, window Millis) *Pod {
 	return &Pod{Limit: limit, Window: window, keyExpiry: map[string]Millis{}}
 }
 
-// isDuplicate notes a key and tells whether it was known.
+// isDuplicate remembers a key and tells whether it was known.
 func (p *Pod) isDuplicate(now Millis, key string) bool {
 	for len(p.order) > 0 && p.keyExpiry[p.order[0]] <= now {
 		delete(p.keyExpiry, p.order[0])
@@ -113,6 +114,7 @@
 	collapsed bool
 }
 
+// job is an accepted request.
 type job struct {
 	request Request
 	arrived Millis
@@ -145,16 +147,16 @@
 	return v
 }
 
-// InFlight is the number of requests that the server holds; Waiting those that no core has begun.
+// InFlight is the number of requests that the server holds, queued or executed.
 func (s *Server) InFlight() int { return len(s.queue) + len(s.running) }
 
-// Queued is the number of requests that no core has begun.
+// Queued is the number of requests that no core has started.
 func (s *Server) Queued() int { return len(s.queue) }
 
-// Slow tells whether crowding has made the server slow.
+// Slow tells whether a crowd has made the server slow.
 func (s *Server) Slow() bool { return s.slow }
 
-// Collapsed tells whether the server was pushed over while it was cold.
+// Collapsed tells whether the server was overloaded while it was cold until it fell over.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
 // Arrive offers a request. Advance must have been called for the time before.
@@ -182,7 +184,7 @@
 	return Accepted
 }
 
-// recordOffered notes the work offered to a cold server, and lets it fall over where that was too much for too long.
+// recordOffered measures the work offered to a cold server. It collapses where that was too much for too long.
 func (s *Server) recordOffered(now Millis, work Millis) {
 	if s.params.CollapseMultiple <= 0 || s.WarmupFactor(now) >= 1 {
 		return
@@ -198,7 +200,7 @@
 	}
 }
 
-// startQueued lets idle cores take what waits. A request's speed is that of the moment at which its work begins.
+// startQueued lets idle cores take queued requests. A request's speed is that of the moment at which its work starts.
 func (s *Server) startQueued(now Millis) {
 	for !s.suspended && !s.down && len(s.queue) > 0 && len(s.running) < s.params.Cores {
 		j := s.queue[0]
@@ -210,14 +212,15 @@
 	}
 }
 
-// TakeStarted gives the requests whose work has begun since the last call: from then on they may have had an effect.
+// TakeStarted returns the requests whose work has started since the last call: from then on they may have had an
+// effect.
 func (s *Server) TakeStarted() []Request {
 	out := s.justStarted
 	s.justStarted = nil
 	return out
 }
 
-// updateSlowMode follows crowding and rest, for the slow mode.
+// updateSlowMode begins slow mode after a long crowd and ends it after a long rest.
 func (s *Server) updateSlowMode(now Millis) {
 	if s.params.CrowdDepth <= 0 {
 		return
@@ -242,7 +245,7 @@
 	}
 }
 
-// NextCompletion is when the next request will be done; false where none is being worked on.
+// NextCompletion is when the next request will be completed; false where none is being executed.
 func (s *Server) NextCompletion() (Millis, bool) {
 	if s.suspended || len(s.running) == 0 {
 		return 0, false
@@ -254,7 +257,7 @@
 	return at, true
 }
 
-// Advance works until a time and gives what was done, in order.
+// Advance executes until a time and returns what was completed, in order.
 func (s *Server) Advance(now Millis) []Completion {
 	var out []Completion
 	for {
@@ -276,13 +279,13 @@
 	}
 }
 
-// SetDraining turns away what comes from now on; what is in hand is finished.
+// SetDraining has the server reject what comes from now on; what is in flight is completed.
 func (s *Server) SetDraining(on bool) { s.draining = on }
 
-// SetSlowdown makes what begins from now on take so many times as long.
+// SetSlowdown makes what starts from now on take so many times as long.
 func (s *Server) SetSlowdown(times float64) { s.slowdown = max(times, 1e-3) }
 
-// SetSuspended stops all work at a time, and lets it go on later where it stood.
+// SetSuspended stops all execution at a time, and lets it continue later where it stopped.
 func (s *Server) SetSuspended(now Millis, on bool) {
 	if s.suspended == on {
 		return
@@ -300,7 +303,7 @@
 	}
 }
 
-// Crash loses what is in hand, and gives how much it was.
+// Crash loses what is in flight, and returns how much it was.
 func (s *Server) Crash() int {
 	n := s.InFlight()
 	s.down = true
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -41,8 +41,8 @@
 	dialWait = time.Second
 )
 
-// Clients are those that use what a stopping node leaves open: kept connections until they are ended, connections that were
-// opened late and ask later still, half requests, silent ones, crowds.
+// Clients use what a stopping node leaves open: kept connections until they are closed, connections that were opened
+// late and send a request later still, half requests, silent connections, crowds.
 type Clients struct {
 	s     *scenario.Scenario
 	crowd bool
@@ -80,7 +80,7 @@
 	}
 }
 
-// StopBegan has the clients of a stop come.
+// StopBegan starts the clients of one planned stop. It does not wait.
 func (c *Clients) StopBegan(node int, address string, at time.Time) {
 	c.mu.Lock()
 	select {
@@ -118,7 +118,7 @@
 	return time.Duration(rng.Int64N(int64(max(1, most))))
 }
 
-// Attempts ends what is going on and gives what was seen.
+// Attempts ends what is going on and returns what was seen.
 func (c *Clients) Attempts() []audit.Attempt {
 	c.mu.Lock()
 	select {
@@ -131,10 +131,10 @@
 	return c.tries
 }
 
-// ObservedStops are the planned stops that were seen, and Crossed how many requests crossed the end of their connection.
+// ObservedStops are the planned stops that were seen. Call it after Attempts.
 func (c *Clients) ObservedStops() []ObservedStop { return c.stops }
 
-// RacedCloses is how many requests crossed the end of their connection unread.
+// RacedCloses is how many requests were sent while their connection was being closed, unread. Call it after Attempts.
 func (c *Clients) RacedCloses() int { return c.racedCloses }
 
 // over waits until a time, and tells whether the run ended before.
@@ -149,7 +149,7 @@
 	}
 }
 
-// keep asks now and then on one connection for as long as it stays open, and then on the next.
+// keep sends a request now and then on one connection for as long as it stays open, and then on the next.
 func (c *Clients) keep(rng *rand.Rand, node int, address string) {
 	var conn *connection
 	for !c.over(time.Now().Add(rand64(rng, 120*time.Millisecond))) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// straggle opens a connection early in a stop and asks on it late.
+// straggle opens a connection early in a stop and sends requests on it late.
 func (c *Clients) straggle(rng *rand.Rand, node int, address string, opens, asks time.Time) {
 	conn := c.openAt(address, opens)
 	if conn == nil {
@@ -213,7 +213,7 @@
 	_ = c.over(until)
 }
 
-// openAt opens a connection at a time; nil where the run ended before, or nobody takes it.
+// openAt opens a connection at a time; nil where the run ended before, or no node accepts it.
 func (c *Clients) openAt(address string, opens time.Time) *connection {
 	if c.over(opens) {
 		return nil
@@ -225,7 +225,7 @@
 	return conn
 }
 
-// connection is one client's.
+// connection is one client's connection.
 type connection struct {
 	net.Conn
 	r *bufio.Reader
@@ -241,7 +241,7 @@
 
 func (c *connection) close() { _ = c.Close() }
 
-// answered tells whether something has come on a connection on which nothing was asked, or its end.
+// answered tells whether something has come on a connection on which nothing was requested, or its end.
 func answered(c *connection) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
@@ -250,7 +250,7 @@
 	return !ok || !timeout.Timeout()
 }
 
-// ask sends one request and reads its answer. It tells whether the connection can be used again.
+// ask sends one request and reads its response. It tells whether the connection can be used again.
 func (c *Clients) ask(rng *rand.Rand, conn *connection, node int) bool {
 	if answered(conn) {
 		return false
@@ -260,7 +260,7 @@
 	return c.finish(conn, node, op, raw)
 }
 
-// request is one in the protocol's form, of a class that is drawn.
+// request is one in the protocol's form, of a random class.
 func (c *Clients) request(rng *rand.Rand, op int) (class scenario.Class, raw string) {
 	class = c.s.Classes[rng.IntN(len(c.s.Classes))]
 	method, more, body := "GET", "", ""
@@ -276,7 +276,7 @@
 	return class, raw
 }
 
-// finish writes the end of a request and reads its answer. The class does not matter for how long is listened: all have one
+// finish writes the end of a request and reads its response. It listens equally long for every class: all have one
 // deadline.
 func (c *Clients) finish(conn *connection, node, op int, raw string) bool {
 	t := audit.Attempt{ID: backend.AttemptID(op, 0), Operation: op, Node: node, Effect: audit.Safe}
@@ -296,8 +296,8 @@
 	return err == nil && !resp.ConnectionClose()
 }
 
-// note keeps a try. One whose connection ended shortly after it was written may have crossed the end: it is left to the servers'
-// records whether the node had read it.
+// note records an attempt. One whose connection ended shortly after it was written may have raced with the close: the
+// servers' records tell whether the node had read it.
 func (c *Clients) note(t audit.Attempt, resp *fasthttp.Response, err error) {
 	switch status := resp.StatusCode(); {
 	case err != nil && t.Ended-t.Sent < crossedMost:
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -1,5 +1,5 @@
 // Package soak plays seeded runs of built nodes under faults, with the weight on planned stops, and audits them. A run is a
-// scenario that is worked out from its seed alone, so that it can be printed, replayed and made smaller, and clients beside it
+// scenario that is worked out from its seed alone, so that it can be printed, replayed and shrunk, and clients beside it
 // that use what a stopping node leaves open.
 package soak
 
--- a/lab/stats/stats.go
+++ b/lab/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats holds the few statistics by which two arms of an experiment are compared. It is pure.
+// Package stats has the few statistics by which two arms of an experiment are compared. It is pure.
 package stats
 
 import (
@@ -17,7 +17,7 @@
 	SD   float64 `json:"sd"`
 }
 
-// Mean gives the mean of some runs' figures with the interval that holds the true mean at a level such as 0.95, by
+// Mean is the mean of some runs' figures with the interval that holds the true mean at a level such as 0.95, by
 // Student's t. With fewer than two figures the interval is without bounds.
 func Mean(x []float64, level float64) Interval {
 	out := Interval{N: len(x), Mean: stat.Mean(x, nil), Low: math.Inf(-1), High: math.Inf(1)}
@@ -31,7 +31,7 @@
 	return out
 }
 
-// Paired gives the mean difference b - a of runs that were made in pairs, so that what both arms had in common, such as
+// Paired is the mean difference b - a of runs that were made in pairs, so that what both arms had in common, such as
 // the seed and the hour, drops out.
 func Paired(a, b []float64, level float64) Interval {
 	d := make([]float64, min(len(a), len(b)))
