--- a/lab/backend/fleet.go
+++ b/lab/backend/fleet.go
@@ -21,7 +21,7 @@
 	scenario    *scenario.Scenario
 	start       time.Time // of the run's time
 	effects     map[string]audit.Effect
-	links       [][]*netfault.Link // by server and node; nil: a clean way
+	links       [][]*netfault.Link // by server and node; nil: nothing is done to it
 	pods        []*pod
 	servers     []*Server
 	discoveries []*DiscoveryServer
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -213,7 +213,7 @@
 	for i, addr := range r.nodes.Addresses() {
 		resp, err := client.Get("http://" + addr + "/_counters")
 		if err != nil {
-			continue // it is down or stands still just now
+			continue // it is down or suspended at the moment
 		}
 		var got struct {
 			Cluster struct {
--- a/lab/membersim/figures.go
+++ b/lab/membersim/figures.go
@@ -44,7 +44,7 @@
 		const calm = 60 * time.Second
 		for end := s.Now() + calm; s.Now() < end; s.Run(50 * time.Millisecond) {
 			for j := range q.Members {
-				if s.Running(j) && rng.IntN(600) == 0 { // each stands still twice a minute
+				if s.Running(j) && rng.IntN(600) == 0 { // each is suspended twice a minute
 					s.Suspend(j)
 					until[j] = s.Now() + time.Duration(rng.Int64N(int64(time.Second)))
 				} else if !s.Running(j) && s.Now() >= until[j] {
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -12,7 +12,7 @@
 type Params struct {
 	Cores    int     // requests worked on at once
 	Speed    float64 // work done in a millisecond by one core; 1 is the yardstick
-	QueueMax int     // waiting requests beyond which new ones are turned away; 0: no limit
+	QueueMax int     // queued requests beyond which new ones are rejected; 0: no limit
 
 	// Slow mode: more than CrowdDepth requests wait for each core during CrowdFor, and every core then runs SlowTimes
 	// slower until nothing has waited for RestFor.
@@ -46,9 +46,9 @@
 const (
 	Accepted   Verdict = iota // it will be done
 	Duplicate                 // the pod has seen its key: answered at once, nothing runs
-	QueueFull                 // turned away: the queue is full
-	PodLimited                // turned away: the pod is at its shared limit
-	Draining                  // turned away: the server drains
+	QueueFull                 // rejected: the queue is full
+	PodLimited                // rejected: the pod is at its shared limit
+	Draining                  // rejected: the server drains
 	NotRunning                // nobody is there
 )
 
@@ -62,7 +62,7 @@
 
 // Pod is a group of servers that drop duplicates together and may share a limit.
 type Pod struct {
-	Limit  int // requests in hand in all its servers; 0: none
+	Limit  int // requests in flight in all its servers; 0: none
 	Window Millis
 
 	inFlight  int
--- a/lab/netfault/relay.go
+++ b/lab/netfault/relay.go
@@ -82,7 +82,7 @@
 	}
 	defer r.untrack(to)
 	near := r.link.Wrap(c)
-	defer func() { // what is still under way on the link passes first
+	defer func() { // what is still in flight on the link passes first
 		_ = near.Close()
 		<-near.ended
 	}()
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -18,7 +18,7 @@
 	// stopEvery is the time between two planned stops.
 	stopEvery = 2200 * time.Millisecond
 
-	// pauseLeast and pauseMost bound how long a node is held up: with the rig's own lateness it stays under what is allowed.
+	// pauseLeast and pauseMost bound how long a node is suspended: with the lab's own delay it stays under what is allowed.
 	pauseLeast, pauseMost = 20 * time.Millisecond, 130 * time.Millisecond
 
 	// lastFault is how long before the end of a run the last fault begins.
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -43,7 +43,7 @@
 	return &Outcome{Scenario: s, Result: r, Figures: Sum(r, clients, s.KillAfter())}, nil
 }
 
-// Shrink takes away one fault after the other for as long as what is left still breaks a rule, and gives the smallest plan
+// Shrink removes one fault after the other for as long as what is left still breaks a rule, and gives the smallest plan
 // found. Breaks that depend on chance in the system may come back only in some plays.
 func Shrink(s *scenario.Scenario, breaks func(*scenario.Scenario) (bool, error)) (*scenario.Scenario, error) {
 	for i := len(s.Faults) - 1; i >= 0; i-- {
