--- /dev/null
+++ b/cmd/tackhub/backend_test.go
@@ -0,0 +1,244 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+)
+
+// respondRaw writes a response as it stands and keeps the connection open; %s is the request's id.
+func respondRaw(text string) behavior {
+	return func(c net.Conn, g receivedRequest) bool {
+		_, err := io.WriteString(c, strings.ReplaceAll(text, "%s", g.header.Get("X-Request-Id")))
+		return err == nil
+	}
+}
+
+// respondWithID responds with the request's id, so that another request's response shows.
+var respondWithID = respondRaw("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n%s")
+
+// respondEndlessly announces 3 GB and sends until the node closes the connection.
+func respondEndlessly(c net.Conn, _ receivedRequest) bool {
+	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
+	for part := make([]byte, 64<<10); err == nil; {
+		_, err = c.Write(part)
+	}
+	return false
+}
+
+// receivedRequest is one request as a server read it.
+type receivedRequest struct {
+	line   string // as it came
+	header http.Header
+	body   []byte
+}
+
+// behavior responds to one request; it tells whether the connection goes on.
+type behavior func(c net.Conn, g receivedRequest) bool
+
+// backend is a small stand-in server: it reads whole requests and responds as its behavior says.
+type backend struct {
+	id         string
+	addr       string
+	l          net.Listener
+	alsoCounts *backend // requests there count as well
+
+	mu       sync.Mutex
+	behavior behavior
+	received []receivedRequest
+	probes   int
+	conns    map[net.Conn]bool
+	closed   atomic.Int64 // connections that the node has closed
+}
+
+func startBackend(t *testing.T, id string, act behavior) *backend {
+	t.Helper()
+	return startBackendAt(t, id, "127.0.0.1:0", act)
+}
+
+// startServerAt starts it at an address.
+func startBackendAt(t *testing.T, id, addr string, act behavior) *backend {
+	t.Helper()
+	l, err := net.Listen("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &backend{id: id, addr: l.Addr().String(), l: l, behavior: act, conns: map[net.Conn]bool{}}
+	t.Cleanup(s.stop)
+	go s.accept()
+	return s
+}
+
+func (s *backend) accept() {
+	for {
+		c, err := s.l.Accept()
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		s.conns[c] = true
+		s.mu.Unlock()
+		go s.serve(c)
+	}
+}
+
+func (s *backend) stop() {
+	_ = s.l.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		_ = c.Close()
+	}
+}
+
+func (s *backend) serve(c net.Conn) {
+	defer func() { _ = c.Close() }()
+	r := bufio.NewReader(c)
+	for {
+		g, err := readRequest(r)
+		if err != nil {
+			s.closed.Add(1)
+			return
+		}
+		s.mu.Lock()
+		act := s.behavior
+		if path := g.line; path == "GET /_load HTTP/1.1" || path == "GET /ping HTTP/1.1" {
+			s.probes++
+			act = respond(200, "TEXT inflight=0, queue=0, util=0.1")
+		} else {
+			s.received = append(s.received, g)
+		}
+		s.mu.Unlock()
+		if !act(c, g) {
+			return
+		}
+	}
+}
+
+// readRequest reads one request and keeps its first line byte for byte.
+func readRequest(r *bufio.Reader) (receivedRequest, error) {
+	var raw bytes.Buffer
+	for {
+		line, err := r.ReadBytes('\n')
+		if err != nil {
+			return receivedRequest{}, err
+		}
+		raw.Write(line)
+		if len(bytes.TrimSpace(line)) == 0 {
+			break
+		}
+	}
+	line, _, _ := bytes.Cut(raw.Bytes(), []byte("\r\n"))
+	g := receivedRequest{line: string(line)}
+	req, err := http.ReadRequest(bufio.NewReader(io.MultiReader(&raw)))
+	if err != nil {
+		return receivedRequest{}, err
+	}
+	g.header = req.Header
+	if n, _ := strconv.Atoi(req.Header.Get("Content-Length")); n > 0 {
+		g.body = make([]byte, n)
+		if _, err := io.ReadFull(r, g.body); err != nil {
+			return receivedRequest{}, err
+		}
+	}
+	return g, nil
+}
+
+func (s *backend) setBehavior(act behavior) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.behavior = act
+}
+
+func (s *backend) requests() []receivedRequest {
+	if s.alsoCounts != nil {
+		return append(s.own(), s.alsoCounts.own()...)
+	}
+	return s.own()
+}
+
+func (s *backend) own() []receivedRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]receivedRequest(nil), s.received...)
+}
+
+func (s *backend) probeCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.probes
+}
+
+// respond responds with a status, further header lines and a body.
+func respond(status int, body string, header ...string) behavior {
+	return func(c net.Conn, _ receivedRequest) bool {
+		head := "HTTP/1.1 " + strconv.Itoa(status) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
+		for _, h := range header {
+			head += h + "\r\n"
+		}
+		_, err := io.WriteString(c, head+"\r\n"+body)
+		return err == nil
+	}
+}
+
+// resetConn resets the connection once the request was read.
+func resetConn(c net.Conn, _ receivedRequest) bool {
+	_ = c.(*net.TCPConn).SetLinger(0)
+	return false
+}
+
+// respondTruncated ends the connection in the middle of a response.
+func respondTruncated(c net.Conn, _ receivedRequest) bool {
+	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
+	return false
+}
+
+// respondGarbage writes what is not HTTP.
+func respondGarbage(c net.Conn, _ receivedRequest) bool {
+	_, _ = io.WriteString(c, "this is not HTTP\r\n\r\n")
+	return false
+}
+
+// neverRespond waits until the node closes the connection.
+func neverRespond(c net.Conn, _ receivedRequest) bool {
+	_, _ = io.Copy(io.Discard, c)
+	return false
+}
+
+// respondAfter responds once the gate is closed.
+func respondAfter(gate <-chan struct{}, then behavior) behavior {
+	return func(c net.Conn, g receivedRequest) bool {
+		<-gate
+		return then(c, g)
+	}
+}
+
+// member is one entry of discovery's list.
+type member struct {
+	ID       string  `json:"id"`
+	HostPort string  `json:"host_port"`
+	Locality string  `json:"locality"`
+	Cell     int     `json:"cell"`
+	Phase    string  `json:"phase"`
+	Size     float64 `json:"size"`
+	UpSince  int64   `json:"up_since_ms"`
+}
+
+func (s *backend) member() member {
+	return member{ID: s.id, HostPort: s.addr, Locality: "a", Phase: "SERVING", Size: 1}
+}
+
+func members(servers ...*backend) []member {
+	out := []member{}
+	for _, s := range servers {
+		out = append(out, s.member())
+	}
+	return out
+}
--- a/cmd/tackhub/noend_test.go
+++ b/cmd/tackhub/brokenresponse_test.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// untold is the head of an answer whose end only the connection's end tells.
-const untold = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+// headWithoutLength begins a response whose end is the connection's end.
+const headWithoutLength = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
-// cutShort writes a part of an answer and resets the connection, once the gate is closed where there is one.
-func cutShort(part string, gate <-chan struct{}) reply {
-	return func(c net.Conn, g got) bool {
+// respondThenReset writes a part of a response and resets the connection, once the gate is closed where there is one.
+func respondThenReset(part string, gate <-chan struct{}) behavior {
+	return func(c net.Conn, g receivedRequest) bool {
 		_, _ = io.WriteString(c, part)
 		if gate != nil {
 			<-gate
 		}
-		return reset(c, g)
+		return resetConn(c, g)
 	}
 }
 
-// TestAResetIsNoEnd: an answer with no length is whole where its server ends its sending, and cut short where the connection
-// is reset. The kernel tells of a reset once, and of an end from then on.
-func TestAResetIsNoEnd(t *testing.T) {
+// A response without a length ends with its connection, and a reset in its place means that it is cut off. The kernel
+// reports a reset once and an end of file from then on, so a second read would take the response for whole.
+func TestResetIsNotEndOfResponse(t *testing.T) {
 	for name, part := range map[string]string{
-		"behind the head":      untold,
-		"behind a few bytes":   untold + "half an ans",
-		"behind a large piece": untold + string(large(200<<10)),
+		"behind the head":      headWithoutLength,
+		"behind a few bytes":   headWithoutLength + "half an ans",
+		"behind a large piece": headWithoutLength + string(largeBody(200<<10)),
 		"within a chunk":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\nhalf",
 		"between chunks":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 		"before a length":      "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf",
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(name+" to HTTP/"+version, func(t *testing.T) {
-				s := startServer(t, "s1", cutShort(part, nil))
-				p, _ := startWith(t, "", s)
-				a, err := p.ask(strings.Replace(request("bill", 1400), "HTTP/1.1", "HTTP/"+version, 1))
+				s := startBackend(t, "s1", respondThenReset(part, nil))
+				p, _ := startWithBackends(t, "", s)
+				a, err := p.do(strings.Replace(request("bill", 1400), "HTTP/1.1", "HTTP/"+version, 1))
 				if err == nil && a.status != 502 {
 					t.Errorf("%d with %d bytes passed for whole", a.status, len(a.body))
 				}
@@ -54,34 +54,34 @@
 	}
 }
 
-// TestAResetIsTriedAgainWhereHarmless: what is cut short before anything of it was passed on is had from another server.
-func TestAResetIsTriedAgainWhereHarmless(t *testing.T) {
-	bad := startServer(t, "s1", cutShort(untold+"half an ans", nil))
-	good := startServer(t, "s2", func(c net.Conn, _ got) bool {
-		_, _ = io.WriteString(c, untold+"a whole answer")
+// A server's response is cut off before any of it was forwarded. A safe request is retried on another server.
+func TestResetIsRetriedWhereSafe(t *testing.T) {
+	bad := startBackend(t, "s1", respondThenReset(headWithoutLength+"half an ans", nil))
+	good := startBackend(t, "s2", func(c net.Conn, _ receivedRequest) bool {
+		_, _ = io.WriteString(c, headWithoutLength+"a whole answer")
 		return false
 	})
-	p, _ := startWith(t, "", bad, good)
+	p, _ := startWithBackends(t, "", bad, good)
 	for len(bad.requests()) == 0 {
-		if a := p.mustAsk(request("look", 1400)); a.status != 200 || a.body != "a whole answer" {
+		if a := p.mustDo(request("look", 1400)); a.status != 200 || a.body != "a whole answer" {
 			t.Errorf("%d %q", a.status, a.body)
 		}
 	}
 }
 
-// TestAResetOfWhatIsPassedOnShows: the client has the first bytes when its answer is cut short. It must be able to tell, and
-// nothing more may come on its connection.
-func TestAResetOfWhatIsPassedOnShows(t *testing.T) {
+// A response is cut off after its first bytes were forwarded. The client must be able to tell, and nothing more may
+// come on its connection.
+func TestResetOfStreamedResponseIsVisible(t *testing.T) {
 	for name, part := range map[string]string{
-		"no length": untold + "half an ans",
+		"no length": headWithoutLength + "half an ans",
 		"chunks":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nhalf an ans\r\n",
 		"length":    fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhalf an ans", 100<<10),
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(name+" to HTTP/"+version, func(t *testing.T) {
 				gate := make(chan struct{})
-				s := startServer(t, "s1", cutShort(part, gate))
-				p, _ := startWith(t, "", s)
+				s := startBackend(t, "s1", respondThenReset(part, gate))
+				p, _ := startWithBackends(t, "", s)
 				c := p.connect()
 				c.write(strings.Replace(request("look", 1400), "HTTP/1.1", "HTTP/"+version, 1))
 				resp, err := http.ReadResponse(c.r, nil)
@@ -108,21 +108,21 @@
 	}
 }
 
-// TestAnAnswerThatStandsStillEndsInTime: the server hangs in the middle of an answer that is passed on already. Its client
-// must see within half a second of its deadline that no more comes; it took 5 s. Two seconds leave room for a busy machine.
-func TestAnAnswerThatStandsStillEndsInTime(t *testing.T) {
+// A server hangs in the middle of a response that is being forwarded. The client must see within half a second of its
+// deadline that no more comes; it once took 5 s. Two seconds leave room for a busy machine.
+func TestStalledResponseEndsInTime(t *testing.T) {
 	for name, part := range map[string]string{
-		"no length":           untold + "half an ans",
+		"no length":           headWithoutLength + "half an ans",
 		"chunks":              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nhalf an ans\r\n",
-		"large, of no length": untold + string(large(200<<10)),
+		"large, of no length": headWithoutLength + string(largeBody(200<<10)),
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(name+" to HTTP/"+version, func(t *testing.T) {
-				s := startServer(t, "s1", func(c net.Conn, g got) bool {
+				s := startBackend(t, "s1", func(c net.Conn, g receivedRequest) bool {
 					_, _ = io.WriteString(c, part)
-					return silence(c, g)
+					return neverRespond(c, g)
 				})
-				p, _ := startWith(t, "", s)
+				p, _ := startWithBackends(t, "", s)
 				c := p.connect()
 				began := time.Now()
 				c.write(strings.Replace(request("bill", 600), "HTTP/1.1", "HTTP/"+version, 1))
@@ -139,20 +139,20 @@
 	}
 }
 
-// TestALateAnswerThatIsStillGivenIsPassedOn: over 64 KiB the first bytes are timed alone. Cutting such answers off 0.4 s after their
-// deadline, or those of untold size at it, lost a hundred requests of one day.
-func TestALateAnswerThatIsStillGivenIsPassedOn(t *testing.T) {
-	piece := large(1 << 10)
+// For a response above 64 KiB only the first bytes have a deadline. Cutting such responses off 0.4 s after it, or those
+// of unknown length at it, once lost a hundred requests in a day.
+func TestSlowResponseIsForwardedPastDeadline(t *testing.T) {
+	piece := largeBody(1 << 10)
 	for name, c := range map[string]struct {
 		head   string
 		pieces int
 		pause  time.Duration // between them: so all ends long after the deadline
 	}{
 		"of told size, with a long pause":    {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 70<<10), 70, 20 * time.Millisecond},
-		"of untold size, a little at a time": {untold, 10, 100 * time.Millisecond},
+		"of untold size, a little at a time": {headWithoutLength, 10, 100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startServer(t, "s1", func(conn net.Conn, _ got) bool {
+			s := startBackend(t, "s1", func(conn net.Conn, _ receivedRequest) bool {
 				_, err := io.WriteString(conn, c.head)
 				for i := 0; err == nil && i < c.pieces; i++ {
 					if i == 1 && c.pieces > 50 {
@@ -163,8 +163,8 @@
 				}
 				return false
 			})
-			p, _ := startWith(t, "", s)
-			if a, err := p.ask(request("bill", 300)); err != nil || a.status != 200 || len(a.body) != c.pieces<<10 {
+			p, _ := startWithBackends(t, "", s)
+			if a, err := p.do(request("bill", 300)); err != nil || a.status != 200 || len(a.body) != c.pieces<<10 {
 				t.Errorf("%d, %d bytes of %d, %v", a.status, len(a.body), c.pieces<<10, err)
 			}
 		})
--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -17,21 +17,21 @@
 	"tackhub.example/tackhub/lab/netfault"
 )
 
-// bank is several processes of the program that are a cluster, with a link of its own for each directed pair.
-type bank struct {
+// testCluster is several nodes that are a cluster, with a link of its own for each directed pair.
+type testCluster struct {
 	t     *testing.T
 	dir   string
 	links *netfault.Mesh
-	nodes []*process
-	start func(i int) *process
-	setup func(i int) setup
+	nodes []*nodeProcess
+	start func(i int) *nodeProcess
+	setup func(i int) nodeOptions
 
 	listens   []string
 	discovery string
 }
 
-// startBank starts n members named m0, m1 and so on; the first two are the seeds.
-func startBank(t *testing.T, n int) *bank {
+// startTestCluster starts n members named m0, m1 and so on; the first two are the seeds.
+func startTestCluster(t *testing.T, n int) *testCluster {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "th") // short: local sockets' paths are bounded
 	if err != nil {
@@ -47,9 +47,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(links.Close)
-	d := startDiscovery(t, nil)
-	b := &bank{t: t, dir: dir, links: links, listens: listens, discovery: d.addr}
-	b.setup = func(i int) setup {
+	d := startDiscoveryServer(t, nil)
+	b := &testCluster{t: t, dir: dir, links: links, listens: listens, discovery: d.addr}
+	b.setup = func(i int) nodeOptions {
 		edge := filepath.Join(dir, fmt.Sprintf("m%d.toml", i))
 		text := fmt.Sprintf("[cluster]\nname = \"m%d\"\nlisten = %q\n", i, listens[i])
 		seeds, book := []string{}, []string{}
@@ -64,17 +64,17 @@
 		}
 		text += "seeds = [" + strings.Join(seeds, ", ") + "]\naddresses = { " + strings.Join(book, ", ") + " }\n"
 		writeFile(t, edge, text)
-		return setup{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}}
+		return nodeOptions{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}}
 	}
-	b.start = func(i int) *process { return startNode(t, b.setup(i)) }
+	b.start = func(i int) *nodeProcess { return startNode(t, b.setup(i)) }
 	for i := range n {
 		b.nodes = append(b.nodes, b.start(i))
 	}
 	return b
 }
 
-// status is what a member holds; nothing where it does not answer.
-func (b *bank) status(i int) cluster.Status {
+// status is what a member reports; the zero value where it does not answer.
+func (b *testCluster) status(i int) cluster.Status {
 	s, _, err := cluster.QueryStatus(cluster.SocketPath(b.dir, fmt.Sprintf("m%d", i)))
 	if err != nil {
 		return cluster.Status{}
@@ -82,24 +82,24 @@
 	return s
 }
 
-// views waits until each of some members holds exactly what is wanted.
-func (b *bank) views(what string, of []int, want ...string) {
+// waitViews waits until each of some members has exactly the wanted ones in its view.
+func (b *testCluster) waitViews(what string, of []int, want ...string) {
 	b.t.Helper()
 	eventually(b.t, what, func() bool {
 		return !slices.ContainsFunc(of, func(i int) bool { return !slices.Equal(b.status(i).View.Members, want) })
 	})
 }
 
-// Two processes, one cut, one verdict each; whole again, one view again. The cut goes one way: the member that is not heard
-// has to find that out too.
-func TestTwoMembersAndACut(t *testing.T) {
+// One of two members cannot be heard by the other, but hears it. Both must notice: the first removes the silent one,
+// and that one must learn that it is not heard. After the partition they have one view again.
+func TestOneWayPartition(t *testing.T) {
 	t.Parallel()
-	b := startBank(t, 2)
+	b := startTestCluster(t, 2)
 	both := []int{0, 1}
-	b.views("both to meet", both, "m0", "m1")
+	b.waitViews("both to meet", both, "m0", "m1")
 	before := b.status(0).View.Number
 	cut(b.links, 1, 0, true)
-	b.views("m0 to lose m1", []int{0}, "m0")
+	b.waitViews("m0 to lose m1", []int{0}, "m0")
 	eventually(t, "the verdict with its evidence", func() bool {
 		m := b.status(0).Members
 		return len(m) == 1 && m[0].State == swim.Unreachable && m[0].SuspectedBy["m0"] > 0
@@ -111,14 +111,14 @@
 		t.Error("m1 does not say in its log that it is not heard")
 	}
 	cut(b.links, 1, 0, false)
-	b.views("one view again", both, "m0", "m1")
+	b.waitViews("one view again", both, "m0", "m1")
 	eventually(t, "both to be whole", func() bool {
 		return b.status(0).Connectivity == swim.Connected && b.status(1).Connectivity == swim.Connected
 	})
 	if after := b.status(0).View.Number; after <= before {
 		t.Errorf("the view's number went from %d to %d", before, after)
 	}
-	out, code := tackhub(t, []string{"TMPDIR=" + b.dir}, "members", "--name", "m0")
+	out, code := runTackhub(t, []string{"TMPDIR=" + b.dir}, "members", "--name", "m0")
 	if code != 0 || !strings.Contains(out, "m1 ") || !strings.Contains(out, "2 members: m0 m1") {
 		t.Errorf("exit code %d:\n%s", code, out)
 	}
@@ -132,11 +132,11 @@
 	})
 }
 
-// An upgrade is the same member: the next process waits for the address, and nobody else's view ever lacks the member.
-func TestUpgradeOfAMember(t *testing.T) {
+// A member is upgraded: the next process waits for the member's address. No other member's view may lack it meanwhile.
+func TestUpgradeKeepsMembership(t *testing.T) {
 	t.Parallel()
-	b := startBank(t, 2)
-	b.views("both to meet", []int{0, 1}, "m0", "m1")
+	b := startTestCluster(t, 2)
+	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
 	before, watching, stop := b.status(0).Generation, make(chan bool), make(chan struct{})
 	go func() { // until the upgrade is over
 		lost := false
@@ -166,18 +166,18 @@
 	if <-watching {
 		t.Error("m1's view lacked m0 during its upgrade")
 	}
-	b.views("both still there", []int{0, 1}, "m0", "m1")
+	b.waitViews("both still there", []int{0, 1}, "m0", "m1")
 }
 
-// Two processes of one name: on one machine the second is refused with a line that says so; elsewhere the later one wins
-// and the earlier says that it takes no part any more.
-func TestTwoMembersOfOneName(t *testing.T) {
+// Two processes have one member name. On one machine the second fails to start with a line that says why; on another
+// machine the later one wins, and the earlier one reports that it is superseded.
+func TestDuplicateMemberName(t *testing.T) {
 	t.Parallel()
-	b := startBank(t, 2)
-	b.views("both to meet", []int{0, 1}, "m0", "m1")
+	b := startTestCluster(t, 2)
+	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
 	s := b.setup(0)
 	s.discovery = b.discovery
-	out, code := tackhub(t, append(environment(t, freeAddress(t), s), s.env...))
+	out, code := runTackhub(t, append(environment(t, freeAddress(t), s), s.env...))
 	if code != 1 || !strings.Contains(out, "address already in use") || !strings.Contains(out, "[cluster]") {
 		t.Errorf("exit code %d: %s", code, out)
 	}
@@ -188,7 +188,7 @@
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	edge := filepath.Join(dir, "edge.toml")
 	writeFile(t, edge, fmt.Sprintf("[cluster]\nname = \"m0\"\nlisten = %q\nseeds = [%q]\n", freeAddress(t), b.links.Address(0, 1)))
-	second := startNode(t, setup{discovery: b.discovery, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}})
+	second := startNode(t, nodeOptions{discovery: b.discovery, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}})
 	eventually(t, "the first to say so", func() bool { return strings.Contains(b.nodes[0].log.String(), "cluster_outdated") })
 	eventually(t, "it to hold itself for outdated", func() bool { return b.status(0).Connectivity == swim.Superseded })
 	eventually(t, "m1 to hold the second", func() bool {
@@ -200,10 +200,11 @@
 	}
 }
 
-// Members of another version of the wire form, and of another cluster: what is not known is passed over, what is foreign dropped.
-func TestOtherVersionsAndClusters(t *testing.T) {
+// Messages come from another version of the protocol and from another cluster. Unknown fields are ignored; what would
+// be misunderstood or is foreign is dropped and counted.
+func TestForeignVersionsAndClusters(t *testing.T) {
 	t.Parallel()
-	b := startBank(t, 1)
+	b := startTestCluster(t, 1)
 	conn, err := net.Dial("udp", b.listens[0])
 	if err != nil {
 		t.Fatal(err)
@@ -222,7 +223,7 @@
 	name := uint32(xxhash.Sum64String("tackhub"))
 	later := swim.Message{Kind: swim.Ping, Version: 9, ClusterHash: name, From: "x9", Generation: 1, Address: conn.LocalAddr().String(), Seq: 7}
 	say(later, 0xa2, 'z', 'z', 0x92, 1, 2) // "zz": [1, 2]
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	buf, reply := make([]byte, 1500), swim.Message{}
 	for reply.Kind != swim.Ack {
 		n, err := conn.Read(buf)
@@ -249,11 +250,11 @@
 	}
 }
 
-// Seeds that are all down keep nobody from serving; once one is there it is found.
-func TestSeedsDownAtTheStart(t *testing.T) {
+// All seeds are down when a member starts. It serves alone, and joins once a seed is there.
+func TestAllSeedsDownAtStart(t *testing.T) {
 	t.Parallel()
-	b := startBank(t, 2)
-	b.views("both to meet", []int{0, 1}, "m0", "m1")
+	b := startTestCluster(t, 2)
+	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
 	for _, n := range b.nodes {
 		n.terminate()
 		n.exit()
@@ -261,15 +262,15 @@
 	b.nodes[0] = b.start(0)
 	eventually(t, "it to go on alone", func() bool { s := b.status(0); return s.State == swim.Alive && s.Connectivity == swim.NoPeers })
 	b.nodes[1] = b.start(1)
-	b.views("both to meet again", []int{0, 1}, "m0", "m1")
+	b.waitViews("both to meet again", []int{0, 1}, "m0", "m1")
 }
 
-// Bad options are refused with file, line and key, and a start with them fails.
+// The [cluster] section is invalid. Each fault is reported with file, line and key.
 func TestClusterOptionsAreChecked(t *testing.T) {
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "[cluster]\nlisten = \"0.0.0.0:7946\"\nseeds = [\"here\"]\nperiod = \"1s\"\ntimeout = \"2s\"\nsuspicion = \"3s\"\nlease = \"1s\"\n"+
 		"accept = [\"10/8\"]\nname = \"a b\"\nshares = { n0 = \"x\" }\n")
-	out, code := tackhub(t, environment(t, "127.0.0.1:8081", setup{discovery: "127.0.0.1:8500"}), "check", "--edge", edge)
+	out, code := runTackhub(t, environment(t, "127.0.0.1:8081", nodeOptions{discovery: "127.0.0.1:8500"}), "check", "--edge", edge)
 	for _, want := range []string{"cluster.advertise", ":3: cluster.seeds", ":5: cluster.timeout", ":6: cluster.suspicion", ":7: cluster.lease",
 		":8: cluster.accept", ":9: cluster.name", "cluster.shares"} {
 		if code != 1 || !strings.Contains(out, want) {
@@ -278,11 +279,12 @@
 	}
 }
 
-// Turned off by SIGHUP a member says goodbye, and turned on again it is back; its keys cannot be changed while it runs.
-func TestClusterOffAndOn(t *testing.T) {
+// SIGHUP disables the cluster and enables it again. The member leaves, and then rejoins. A change of its keys while it
+// runs is rejected.
+func TestClusterDisabledAndEnabled(t *testing.T) {
 	t.Parallel()
-	b := startBank(t, 2)
-	b.views("both to meet", []int{0, 1}, "m0", "m1")
+	b := startTestCluster(t, 2)
+	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
 	edge := filepath.Join(b.dir, "m0.toml")
 	on, err := os.ReadFile(edge)
 	if err != nil {
@@ -298,10 +300,10 @@
 	})
 	writeFile(t, edge, string(on))
 	b.nodes[0].reload("edge")
-	b.views("it to be back", []int{0, 1}, "m0", "m1")
+	b.waitViews("it to be back", []int{0, 1}, "m0", "m1")
 }
 
-// cut cuts the link from one node to another, or ends the cut.
+// cut begins or ends a cut of the link from one node to another.
 func cut(links *netfault.Mesh, from, to int, on bool) {
 	links.SetFaults(from, to, func(f *netfault.PacketFaults) { f.Cut = on })
 }
--- a/cmd/tackhub/coapback_test.go
+++ b/cmd/tackhub/coapbackend_test.go
@@ -18,8 +18,8 @@
 	"tackhub.example/tackhub/lab/netfault"
 )
 
-// coapServer is a small CoAP backend that acts as it is told on each datagram.
-type coapServer struct {
+// coapBackend is a small CoAP server that responds to each datagram as its test says.
+type coapBackend struct {
 	addr string
 	conn net.PacketConn
 
@@ -29,13 +29,14 @@
 	at   []time.Time
 }
 
-func startCoapServer(t *testing.T, l *netfault.Link, act func(int, *message.Message) []message.Message) *coapServer {
+// startCoapBackend starts one, on a link where one is given.
+func startCoapBackend(t *testing.T, l *netfault.Link, act func(int, *message.Message) []message.Message) *coapBackend {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &coapServer{addr: conn.LocalAddr().String(), conn: conn, act: act}
+	s := &coapBackend{addr: conn.LocalAddr().String(), conn: conn, act: act}
 	t.Cleanup(func() { _ = conn.Close() })
 	if l != nil {
 		s.conn = l.WrapPacket(conn)
@@ -44,7 +45,7 @@
 	return s
 }
 
-func (s *coapServer) run() {
+func (s *coapBackend) run() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := s.conn.ReadFrom(buf)
@@ -67,8 +68,8 @@
 	}
 }
 
-// messages gives what came, and the different ids among them.
-func (s *coapServer) messages() (all, different int) {
+// messages are how many datagrams came, and how many different message ids they had.
+func (s *coapBackend) messages() (all, different int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := map[int32]bool{}
@@ -78,14 +79,14 @@
 	return len(s.seen), len(ids)
 }
 
-// reply is an answer in the acknowledgement.
+// piggyback is a response in the acknowledgement.
 func piggyback(m *message.Message, code codes.Code, body string) []message.Message {
 	return []message.Message{{Type: wire.Ack, Code: code, MessageID: m.MessageID, Token: m.Token, Payload: []byte(body),
 		Options: message.Options{}.Add(message.Option{ID: back.OptLoad, Value: []byte("inflight=2")})}}
 }
 
-// withCoapServers starts a node whose servers stand in its operator file.
-func withCoapServers(t *testing.T, addrs ...string) *process {
+// startWithCoapBackends starts a node whose servers stand in its operator file.
+func startWithCoapBackends(t *testing.T, addrs ...string) *nodeProcess {
 	t.Helper()
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	text := "[inventory]\ndiscovery = false\n"
@@ -93,11 +94,13 @@
 		text += fmt.Sprintf("[[inventory.static]]\nid = \"c%d\"\naddress = %q\npod = \"p%d\"\n", i, a, i)
 	}
 	writeFile(t, edge, text)
-	p := startNode(t, setup{discovery: freeAddress(t), settings: withReports(), env: []string{"TACKHUB_EDGE=" + edge}})
+	p := startNode(t, nodeOptions{discovery: freeAddress(t), settings: withReports(), env: []string{"TACKHUB_EDGE=" + edge}})
 	return p
 }
 
-// An HTTP client's request reaches a CoAP server as its message, and each outcome becomes the answer that HTTP's would.
+// An HTTP request reaches a CoAP server. Each of the server's outcomes, lost and reordered messages included, becomes
+// the HTTP response that an HTTP server's outcome would; a retransmission must be the same message, and come early
+// enough for a drain.
 func TestCoapServerOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
@@ -132,9 +135,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startCoapServer(t, nil, c.act)
-			p := withCoapServers(t, back.Scheme+s.addr)
-			a := p.mustAsk(request(c.class, 900))
+			s := startCoapBackend(t, nil, c.act)
+			p := startWithCoapBackends(t, back.Scheme+s.addr)
+			a := p.mustDo(request(c.class, 900))
 			if a.status != c.status || a.status == 200 && a.body != "done" {
 				t.Errorf("status %d %q, want %d", a.status, a.body, c.status)
 			}
@@ -158,25 +161,25 @@
 	}
 }
 
-// Where nobody listens any more, an unsafe request is not tried at another server: the kernel does not tell whether an
-// earlier copy got there. A safe one is.
-func TestCoapServerGone(t *testing.T) {
-	gone := startCoapServer(t, nil, nil)
+// A CoAP server's port is closed. The kernel does not tell whether an earlier copy arrived, so only a safe request may
+// be retried on another server.
+func TestCoapServerUnreachable(t *testing.T) {
+	gone := startCoapBackend(t, nil, nil)
 	_ = gone.conn.Close()
-	good := startCoapServer(t, nil, func(_ int, m *message.Message) []message.Message { return piggyback(m, codes.Content, "done") })
-	p := withCoapServers(t, back.Scheme+gone.addr, back.Scheme+good.addr)
+	good := startCoapBackend(t, nil, func(_ int, m *message.Message) []message.Message { return piggyback(m, codes.Content, "done") })
+	p := startWithCoapBackends(t, back.Scheme+gone.addr, back.Scheme+good.addr)
 	for range 20 {
-		if a := p.mustAsk(request("look", 900)); a.status != 200 {
+		if a := p.mustDo(request("look", 900)); a.status != 200 {
 			t.Errorf("status %d", a.status)
 		}
 	}
 }
 
-// Long bodies go in blocks both ways.
-func TestCoapServerBlocks(t *testing.T) {
+// Large bodies are transferred block-wise to and from a CoAP server.
+func TestCoapServerBlockTransfer(t *testing.T) {
 	long := bytes.Repeat([]byte("0123456789abcdef"), 300)
 	var body []byte
-	s := startCoapServer(t, nil, func(_ int, m *message.Message) []message.Message {
+	s := startCoapBackend(t, nil, func(_ int, m *message.Message) []message.Message {
 		if b, there, _ := wire.Block(m, message.Block1); there {
 			body = append(body, m.Payload...)
 			if b.More {
@@ -187,11 +190,11 @@
 		part, out, _ := blocks.Block{Num: b.Num, SZX: 5}.Slice(long)
 		return []message.Message{{Type: wire.Ack, Code: codes.Changed, MessageID: m.MessageID, Token: m.Token, Payload: part, Options: wire.AddUint(nil, message.Block2, out.Value())}}
 	})
-	p := withCoapServers(t, back.Scheme+s.addr)
+	p := startWithCoapBackends(t, back.Scheme+s.addr)
 	send := bytes.Repeat([]byte("cover"), 1000)
 	raw := fmt.Sprintf("POST /bill HTTP/1.1\r\nHost: x\r\nX-Request-Id: abc%d\r\nX-Class: bill\r\nX-Tenant: acme\r\nX-Deadline-Ms: 1200\r\nContent-Length: %d\r\n\r\n%s",
-		ids.Add(1), len(send), send)
-	if a := p.mustAsk(raw); a.status != 200 || a.body != string(long) {
+		requestCount.Add(1), len(send), send)
+	if a := p.mustDo(raw); a.status != 200 || a.body != string(long) {
 		t.Errorf("status %d, %d bytes of %d", a.status, len(a.body), len(long))
 	}
 	s.mu.Lock()
--- a/cmd/tackhub/coap_test.go
+++ b/cmd/tackhub/coapfrontend_test.go
@@ -32,15 +32,15 @@
 	return c.LocalAddr().String()
 }
 
-// withCoap starts a node with a CoAP front beside its HTTP one.
-func withCoap(t *testing.T, more string, servers ...*server) (p *process, addr string) {
+// startWithCoap starts a node with a CoAP listener beside its HTTP one.
+func startWithCoap(t *testing.T, more string, servers ...*backend) (p *nodeProcess, addr string) {
 	t.Helper()
-	d := startDiscovery(t, members(servers...))
+	d := startDiscoveryServer(t, members(servers...))
 	addr = freeUDP(t)
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "[coap]\nlisten = \""+addr+"\"\n"+more)
-	p = startNode(t, setup{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge}})
-	eventually(t, "watch", func() bool { return d.watched() > 0 })
+	p = startNode(t, nodeOptions{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge}})
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
 	return p, addr
 }
 
@@ -62,9 +62,10 @@
 	return coap.New(conn, to, o), conn, to
 }
 
-func do(t *testing.T, c *coap.Client, r coap.Request) coap.Response {
+// coapDo sends one request and returns its response.
+func coapDo(t *testing.T, c *coap.Client, r coap.Request) coap.Response {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	got, err := c.Do(ctx, r)
 	if err != nil {
@@ -73,10 +74,11 @@
 	return got
 }
 
-// Every class by its method, what is no call by its code, and the answers' codes.
+// CoAP requests map to classes by path and method. Each class, each malformed request and each outcome has its response
+// code.
 func TestCoapMapping(t *testing.T) {
-	s := startServer(t, "s1", func(c net.Conn, g got) bool { return say(200, "got "+g.line+" "+string(g.body))(c, g) })
-	p, addr := withCoap(t, "", s)
+	s := startBackend(t, "s1", func(c net.Conn, g receivedRequest) bool { return respond(200, "got "+g.line+" "+string(g.body))(c, g) })
+	p, addr := startWithCoap(t, "", s)
 	c, _, _ := device(t, addr, nil, coap.Options{})
 	for _, x := range []struct {
 		r    coap.Request
@@ -91,7 +93,7 @@
 		{coap.Request{Code: codes.DELETE, Path: "look"}, codes.MethodNotAllowed, "DELETE on look"},
 		{coap.Request{Code: codes.GET, Path: "look", Query: []string{"wait=soon"}}, codes.BadRequest, ""},
 	} {
-		if got := do(t, c, x.r); got.Code != x.code || string(got.Body) != x.body {
+		if got := coapDo(t, c, x.r); got.Code != x.code || string(got.Body) != x.body {
 			t.Errorf("%+v: %v %q, want %v %q", x.r, got.Code, got.Body, x.code, x.body)
 		}
 	}
@@ -100,31 +102,31 @@
 			t.Errorf("a server got %+v", g.header)
 		}
 	}
-	s.behave(say(503, "", "X-Not-Run: 1"))
-	if got := do(t, c, coap.Request{Code: codes.GET, Path: "look", Query: []string{"wait=200"}}); got.Code != codes.ServiceUnavailable || got.MaxAge < 1 {
+	s.setBehavior(respond(503, "", "X-Not-Run: 1"))
+	if got := coapDo(t, c, coap.Request{Code: codes.GET, Path: "look", Query: []string{"wait=200"}}); got.Code != codes.ServiceUnavailable || got.MaxAge < 1 {
 		t.Errorf("a refusal is %v with Max-Age %d", got.Code, got.MaxAge)
 	}
-	s.behave(reset)
-	if got := do(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("x")}); got.Code != codes.BadGateway {
+	s.setBehavior(resetConn)
+	if got := coapDo(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("x")}); got.Code != codes.BadGateway {
 		t.Errorf("a failure that may have run is %v", got.Code)
 	}
 	p.counts().addUp(t)
 }
 
-// Bodies go block by block, both ways, up to the bound.
-func TestCoapBlocks(t *testing.T) {
+// Bodies are transferred block-wise in both directions, up to the limit.
+func TestCoapBlockTransfer(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 2000)
-	s := startServer(t, "s1", say(200, long))
-	_, addr := withCoap(t, "", s)
+	s := startBackend(t, "s1", respond(200, long))
+	_, addr := startWithCoap(t, "", s)
 	for _, szx := range []uint8{2, 6} {
 		c, _, _ := device(t, addr, nil, coap.Options{SZX: szx})
-		do(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("proves its address")})
-		if got := do(t, c, coap.Request{Code: codes.GET, Path: "look"}); got.Code != codes.Content || string(got.Body) != long {
+		coapDo(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("proves its address")})
+		if got := coapDo(t, c, coap.Request{Code: codes.GET, Path: "look"}); got.Code != codes.Content || string(got.Body) != long {
 			t.Errorf("fetched %v with %d bytes of %d", got.Code, len(got.Body), len(long))
 		}
 		body := bytes.Repeat([]byte("cover"), 3000)
 		before := len(s.requests())
-		if got := do(t, c, coap.Request{Code: codes.PUT, Path: "store", Query: []string{"key=k"}, Body: body}); got.Code != codes.Changed {
+		if got := coapDo(t, c, coap.Request{Code: codes.PUT, Path: "store", Query: []string{"key=k"}, Body: body}); got.Code != codes.Changed {
 			t.Errorf("an upload of %d bytes got %v", len(body), got.Code)
 		}
 		seen := s.requests()[before:]
@@ -133,21 +135,22 @@
 		}
 	}
 	c, _, _ := device(t, addr, nil, coap.Options{})
-	do(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("proves its address")})
-	if got := do(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: make([]byte, 64<<10+1)}); got.Code != codes.RequestEntityTooLarge {
+	coapDo(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("proves its address")})
+	if got := coapDo(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: make([]byte, 64<<10+1)}); got.Code != codes.RequestEntityTooLarge {
 		t.Errorf("a body above the bound got %v", got.Code)
 	}
 }
 
-// roundTrip sends one datagram and gives what comes back within a while.
+// roundTrip sends one datagram and returns the next one that comes.
 func roundTrip(t *testing.T, conn net.PacketConn, to net.Addr, b []byte) *message.Message {
 	t.Helper()
 	if _, err := conn.WriteTo(b, to); err != nil {
 		t.Fatal(err)
 	}
-	return receive(t, conn, patience)
+	return receive(t, conn, waitTimeout)
 }
 
+// receive returns the next datagram; nil where none comes in time.
 func receive(t *testing.T, conn net.PacketConn, wait time.Duration) *message.Message {
 	t.Helper()
 	buf := make([]byte, 64<<10)
@@ -163,6 +166,7 @@
 	return &m
 }
 
+// encode is a message's datagram.
 func encode(t *testing.T, m message.Message) []byte {
 	t.Helper()
 	b, err := wire.Encode(m)
@@ -172,7 +176,8 @@
 	return b
 }
 
-func billing(id int32, token string, echo []byte) message.Message {
+// billingMessage is an unsafe request, with an Echo option where one is given.
+func billingMessage(id int32, token string, echo []byte) message.Message {
 	m := message.Message{Type: wire.Con, Code: codes.POST, MessageID: id, Token: []byte(token), Payload: []byte("amount"),
 		Options: message.Options{}.Add(message.Option{ID: message.URIPath, Value: []byte("bill")})}
 	if echo != nil {
@@ -181,19 +186,20 @@
 	return m
 }
 
-// A duplicate of an answered bill gets the stored answer and runs nothing; one in hand is joined; a rebooted device under
-// the same id is another; an Echo of another process is not run and not promised to be harmless.
-func TestCoapDuplicatesRunOnce(t *testing.T) {
+// A network duplicates the messages of an unsafe request. A duplicate of a completed request gets the stored response;
+// a duplicate of one in flight joins it; a rebooted device that uses the same message id is a new request. An Echo that
+// another process issued is neither executed nor rejected as harmless.
+func TestCoapDuplicatesExecuteOnce(t *testing.T) {
 	gate := make(chan struct{})
-	s := startServer(t, "s1", say(200, "billed"))
-	_, addr := withCoap(t, "", s)
+	s := startBackend(t, "s1", respond(200, "billed"))
+	_, addr := startWithCoap(t, "", s)
 	_, conn, to := device(t, addr, nil, coap.Options{})
-	challenge := roundTrip(t, conn, to, encode(t, billing(1, "t1", nil)))
+	challenge := roundTrip(t, conn, to, encode(t, billingMessage(1, "t1", nil)))
 	echo, there := wire.Bytes(challenge, message.Echo)
 	if challenge.Code != codes.Unauthorized || !there || len(s.requests()) != 0 {
 		t.Fatalf("without an Echo: %v, %d requests at the server", challenge, len(s.requests()))
 	}
-	bill := encode(t, billing(2, "t2", echo))
+	bill := encode(t, billingMessage(2, "t2", echo))
 	first := roundTrip(t, conn, to, bill)
 	for range 5 {
 		if again := roundTrip(t, conn, to, bill); again.Code != codes.Changed || again.MessageID != first.MessageID || again.Type != wire.Ack ||
@@ -204,23 +210,23 @@
 	if n := len(s.requests()); n != 1 {
 		t.Errorf("%d requests at the server", n)
 	}
-	if m := roundTrip(t, conn, to, encode(t, billing(2, "t9", echo))); m.Code != codes.Changed || string(m.Token) != "t9" || len(s.requests()) != 2 {
+	if m := roundTrip(t, conn, to, encode(t, billingMessage(2, "t9", echo))); m.Code != codes.Changed || string(m.Token) != "t9" || len(s.requests()) != 2 {
 		t.Errorf("a rebooted device got %v, %d at the server", m, len(s.requests()))
 	}
-	s.behave(after(gate, say(200, "late")))
-	slow := encode(t, billing(3, "t3", echo))
+	s.setBehavior(respondAfter(gate, respond(200, "late")))
+	slow := encode(t, billingMessage(3, "t3", echo))
 	for range 4 {
 		if _, err := conn.WriteTo(slow, to); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m := receive(t, conn, patience) // its answer takes longer than an acknowledgement may
+	m := receive(t, conn, waitTimeout) // its answer takes longer than an acknowledgement may
 	if m == nil || m.Type != wire.Ack || m.Code != codes.Empty {
 		t.Fatalf("no empty acknowledgement: %v", m)
 	}
 	close(gate)
 	for m.Code == codes.Empty {
-		if m = receive(t, conn, patience); m == nil {
+		if m = receive(t, conn, waitTimeout); m == nil {
 			t.Fatal("no separate answer")
 		}
 	}
@@ -231,10 +237,10 @@
 		t.Fatal(err)
 	}
 	if n := len(s.requests()); n != 3 {
-		t.Errorf("%d requests at the server after four copies of one in hand", n)
+		t.Errorf("%d requests at the server after four copies of one in flight", n)
 	}
-	s.behave(say(200, "billed"))
-	_, other := withCoap(t, "", s) // another node of the bank, or this one after a restart
+	s.setBehavior(respond(200, "billed"))
+	_, other := startWithCoap(t, "", s) // another node of the bank, or this one after a restart
 	_, conn2, to2 := device(t, other, nil, coap.Options{})
 	before := len(s.requests())
 	if m := roundTrip(t, conn2, to2, bill); m.Code != codes.BadGateway || len(s.requests()) != before {
@@ -242,10 +248,10 @@
 	}
 }
 
-// What is no request is answered as the standard says, and nothing that is cut, forged or long harms the node.
-func TestCoapOddMessages(t *testing.T) {
-	s := startServer(t, "s1", say(200, strings.Repeat("x", 2000)))
-	p, addr := withCoap(t, "", s)
+// Datagrams are cut, forged or too long. What the standard has a response for gets it, and nothing harms the node.
+func TestCoapMalformedMessages(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, strings.Repeat("x", 2000)))
+	p, addr := startWithCoap(t, "", s)
 	_, conn, to := device(t, addr, nil, coap.Options{})
 	if m := roundTrip(t, conn, to, []byte{0x40, 0, 1, 2}); m.Type != wire.Rst || m.MessageID != 0x0102 {
 		t.Errorf("a ping got %v", m)
@@ -273,27 +279,27 @@
 	}
 	_, _ = conn.WriteTo(append([]byte{0x40, 1, 9, 9}, bytes.Repeat([]byte{0xff}, 60_000)...), to)
 	c, _, _ := device(t, addr, nil, coap.Options{})
-	s.behave(say(200, "short"))
-	if got := do(t, c, coap.Request{Code: codes.GET, Path: "look"}); string(got.Body) != "short" {
+	s.setBehavior(respond(200, "short"))
+	if got := coapDo(t, c, coap.Request{Code: codes.GET, Path: "look"}); string(got.Body) != "short" {
 		t.Errorf("after the junk: %v", got)
 	}
-	if p.mustAsk(request("look", 1000)).status != 200 {
+	if p.mustDo(request("look", 1000)).status != 200 {
 		t.Error("HTTP is not served beside it")
 	}
 }
 
-// With a fifth of the datagrams lost both ways and every one sent twice, each device's requests get one answer each, and
-// no bill runs twice.
+// A fifth of the datagrams are lost in each direction, and each is sent twice. Every request gets one response, and no
+// unsafe one is executed twice.
 func TestCoapOverLossAndDuplicates(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
-	s := startServer(t, "s1", func(c net.Conn, g got) bool {
+	s := startBackend(t, "s1", func(c net.Conn, g receivedRequest) bool {
 		mu.Lock()
 		ran[string(g.body)]++
 		mu.Unlock()
-		return say(200, "done "+string(g.body))(c, g)
+		return respond(200, "done "+string(g.body))(c, g)
 	})
-	_, addr := withCoap(t, "", s)
+	_, addr := startWithCoap(t, "", s)
 	var all sync.WaitGroup
 	for d := range 8 {
 		bad := netfault.Impairment{Loss: 0.2, Jitter: 5 * time.Millisecond}
@@ -301,7 +307,7 @@
 		all.Go(func() {
 			for i := range 12 {
 				text := fmt.Sprintf("d%d-%d", d, i)
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 				got, err := c.Do(ctx, coap.Request{Code: codes.POST, Path: "bill", Body: []byte(text)})
 				for err == nil && got.Code == codes.ServiceUnavailable { // refused at the start: trying again is harmless
 					got, err = c.Do(ctx, coap.Request{Code: codes.POST, Path: "bill", Body: []byte(text)})
@@ -327,25 +333,25 @@
 	}
 }
 
-// A planned stop answers what is in hand, takes nothing new, and exits 0.
+// A planned stop completes the CoAP request in flight and exits with 0.
 func TestCoapDrain(t *testing.T) {
 	gate := make(chan struct{})
-	s := startServer(t, "s1", after(gate, say(200, "last")))
-	p, addr := withCoap(t, "", s)
+	s := startBackend(t, "s1", respondAfter(gate, respond(200, "last")))
+	p, addr := startWithCoap(t, "", s)
 	c, _, _ := device(t, addr, nil, coap.Options{})
 	answered := make(chan coap.Response, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		got, _ := c.Do(ctx, coap.Request{Code: codes.GET, Path: "look"})
 		answered <- got
 	}()
 	eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
 	p.terminate()
-	eventually(t, "drain", func() bool { return p.says(`"code":"drain"`) > 0 })
+	eventually(t, "drain", func() bool { return p.logCount(`"code":"drain"`) > 0 })
 	close(gate)
 	if got := <-answered; string(got.Body) != "last" {
-		t.Errorf("what was in hand got %v", got)
+		t.Errorf("what was in flight got %v", got)
 	}
 	if code := p.exit(); code != 0 {
 		t.Errorf("exit code %d", code)
--- /dev/null
+++ b/cmd/tackhub/counters_test.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"encoding/json"
+	"io"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// counts are the node's counters.
+func (p *nodeProcess) counts() counts {
+	p.t.Helper()
+	c := p.connect()
+	defer func() { _ = c.Close() }()
+	got, ok := p.countsOn(c)
+	if !ok {
+		p.t.Fatal("no counters")
+	}
+	return got
+}
+
+// countsOn reads the counters on a connection that is open already.
+func (p *nodeProcess) countsOn(c *client) (got counts, ok bool) {
+	if _, err := io.WriteString(c, "GET /_counters HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+		return got, false
+	}
+	a, err := c.read()
+	if err != nil {
+		return got, false
+	}
+	err = json.Unmarshal([]byte(a.body), &got)
+	return got, err == nil
+}
+
+// counts is the part of the counters that the tests read.
+type counts struct {
+	Requests   map[string]int `json:"requests"`
+	Attempts   map[string]int `json:"attempts"`
+	Outcomes   map[string]int `json:"outcomes"`
+	Rejections map[string]int `json:"rejections"`
+	Reports    map[string]int `json:"reports"`
+	Probes     map[string]int `json:"probes"`
+	Clients    map[string]int `json:"client_connections"`
+	ClientEnds map[string]int `json:"client_connection_ends"`
+	Servers    map[string]int `json:"server_connections"`
+	ServerEnds map[string]int `json:"server_connection_ends"`
+	List       map[string]int `json:"list"`
+	Inventory  map[string]int `json:"inventory"`
+	Log        map[string]int `json:"log_lines"`
+	Bodies     map[string]int `json:"large_bodies"`
+	Watch      struct {
+		Steps  int            `json:"steps"`
+		Differ map[string]int `json:"differ"`
+	} `json:"watch"`
+	Peers   struct{ Sent, Taken int } `json:"peers"`
+	Cluster struct {
+		Drops map[string]int `json:"drops"`
+	} `json:"cluster"`
+}
+
+// addUp checks that every received request has one ending.
+func (c counts) addUp(t *testing.T) {
+	t.Helper()
+	r := c.Requests
+	if sum := r["served"] + r["refused"] + r["failed"] + r["rejected"] + r["left"] + r["open"]; sum != r["taken"] {
+		t.Errorf("taken %d, but endings and open make %d: %v", r["taken"], sum, r)
+	}
+}
+
+// The counters are logged on SIGUSR1 and at the end.
+func TestCountersOnRequestAndAtExit(t *testing.T) {
+	p := startNode(t, nodeOptions{discovery: freeAddress(t)})
+	said := func() int { return strings.Count(p.log.String(), `"code":"counters"`) }
+	if err := p.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "counters on request", func() bool { return said() == 1 })
+	p.terminate()
+	if code := p.exit(); code != 0 || said() != 2 {
+		t.Errorf("exit code %d, counters said %d times", code, said())
+	}
+}
--- a/cmd/tackhub/deploy_test.go
+++ b/cmd/tackhub/deploy_test.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// TestDeployedNodeIsLinkedDynamically builds the node as deploy/balancer.toml says. It guards against a build line without
-// external linking: Go then makes a static program, which the fleet trial's library can't be loaded into.
+// The deployed node was once built without external linking. Go then makes a static program, into which the fleet
+// trial's library cannot be loaded. The test builds the node as deploy/balancer.toml says.
 func TestDeployedNodeIsLinkedDynamically(t *testing.T) {
 	var deploy struct {
 		Build, Run string
@@ -51,7 +51,7 @@
 	t.Error("the built node has no interpreter: it is linked statically")
 }
 
-// TestKnownRedIsReadStrictly: a list of tests that may fail must not hide any other, nor grow.
+// The list of tests that may fail must not hide any other test, nor grow.
 func TestKnownRedIsReadStrictly(t *testing.T) {
 	one := "TestKnownRedIsReadStrictly, a cause, issue 1\n"
 	for text, want := range map[string]struct {
--- a/cmd/tackhub/harness_test.go
+++ b/cmd/tackhub/harness_test.go
@@ -1,16 +1,15 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -20,7 +19,7 @@
 	"unsafe"
 )
 
-// testSettings are the operators' settings in their own words: one class of each effect.
+// testSettings is a settings object in the operators' form, with one class of each effect.
 const testSettings = `{"classes":[
  {"aim_ms":400,"dedup_window_ms":500,"effect":"free","group":"all","hard_limit_ms":1500,"late_share":0,"name":"look","streamed":false,"worth":1},
  {"aim_ms":400,"dedup_window_ms":800,"effect":"guarded","group":"cell","hard_limit_ms":1500,"late_share":0,"name":"store","streamed":false,"worth":2},
@@ -33,25 +32,25 @@
  "report":{"how":"none","names":["concurrent"]},"tick_ms":1,"weights":"none","zone":"a","zones":["a"],
  "realms":[{"name":"acme","quota_per_s":500,"share":1}]}`
 
-// withReports are the same where servers report their load and may be probed.
+// withReports are the same settings where servers report their load and may be probed.
 func withReports() string {
 	s := strings.Replace(testSettings, `"how":"none"`, `"how":"answers"`, 1)
 	return strings.Replace(s, `"probes":false`, `"probes":true`, 1)
 }
 
-// setup is what a node is told.
-type setup struct {
-	discovery string
-	settings  string
-	known     []member
-	sockets   int
-	peers     []string  // all nodes' addresses for messages
+// nodeOptions say how a node is started.
+type nodeOptions struct {
+	discovery string    // address
+	settings  string    // empty: testSettings
+	known     []member  // the list in the configuration
+	sockets   int       // 0: 256
+	peers     []string  // all nodes' addresses for gossip
 	env       []string  // further variables
-	stderr    io.Writer // nil: kept for the test
+	stderr    io.Writer // nil: the test's log buffer
 }
 
-// process is a running node.
-type process struct {
+// nodeProcess is a running node.
+type nodeProcess struct {
 	t      *testing.T
 	addr   string
 	config string // the configuration file
@@ -61,7 +60,7 @@
 	err    error
 }
 
-// logBuffer keeps what a node writes.
+// logBuffer keeps what a node writes to its log.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -80,13 +79,13 @@
 }
 
 // hosts counts the loopback addresses handed out.
-var hosts atomic.Int64
+var hostCount atomic.Int64
 
-// freeAddress is an address that nobody listens on and nobody else will: each has a host of its own in the
-// loopback range, so that no stand-in, no client and no test beside this one can be given its port.
+// freeAddress is an address that nobody listens on and nobody else will: each has a host of its own in the loopback
+// range, so that no stand-in, no client and no test beside this one can get its port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	n := hosts.Add(1)
+	n := hostCount.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, 1+n/200, 1+n%200)
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -96,8 +95,8 @@
 	return l.Addr().String()
 }
 
-// environment writes the configuration and gives the variables.
-func environment(t *testing.T, addr string, s setup) []string {
+// environment writes the configuration and returns the variables.
+func environment(t *testing.T, addr string, s nodeOptions) []string {
 	t.Helper()
 	if s.settings == "" {
 		s.settings = testSettings
@@ -123,27 +122,27 @@
 		"ROUTER_CONFIG=" + path}
 }
 
-// startNode starts the program and waits until its health is good.
-func startNode(t *testing.T, s setup) *process {
+// startNode starts the program and waits until it is healthy.
+func startNode(t *testing.T, s nodeOptions) *nodeProcess {
 	t.Helper()
 	return startNodeAt(t, freeAddress(t), s)
 }
 
-// startNodeAt starts it under an address.
-func startNodeAt(t *testing.T, addr string, s setup) *process {
+// startNodeAt starts it at an address.
+func startNodeAt(t *testing.T, addr string, s nodeOptions) *nodeProcess {
 	t.Helper()
 	p := launch(t, addr, s)
 	eventually(t, "health", func() bool {
-		a, err := p.ask("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		a, err := p.do("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		return err == nil && a.status == 200
 	})
 	return p
 }
 
-// launch starts the program and waits for nothing.
-func launch(t *testing.T, addr string, s setup) *process {
+// launch starts the program without waiting for its health.
+func launch(t *testing.T, addr string, s nodeOptions) *nodeProcess {
 	t.Helper()
-	p := &process{t: t, addr: addr, log: &logBuffer{}, done: make(chan struct{})}
+	p := &nodeProcess{t: t, addr: addr, log: &logBuffer{}, done: make(chan struct{})}
 	p.cmd = exec.Command(program)
 	p.cmd.Env = append(environment(t, p.addr, s), s.env...)
 	p.config = strings.TrimPrefix(p.cmd.Env[3], "ROUTER_CONFIG=")
@@ -171,132 +170,77 @@
 	return p
 }
 
-// startWith starts servers' discovery and a node that has heard of them all.
-func startWith(t *testing.T, settings string, servers ...*server) (*process, *discovery) {
+// startWithBackends starts a discovery with some servers and a node that has polled it.
+func startWithBackends(t *testing.T, settings string, servers ...*backend) (*nodeProcess, *discoveryServer) {
 	t.Helper()
-	d := startDiscovery(t, members(servers...))
-	p := startNode(t, setup{discovery: d.addr, settings: settings})
-	eventually(t, "watch", func() bool { return d.watched() > 0 })
+	d := startDiscoveryServer(t, members(servers...))
+	p := startNode(t, nodeOptions{discovery: d.addr, settings: settings})
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
 	return p, d
 }
 
-// answer is one answer of the node.
-type answer struct {
-	status int
-	header http.Header
-	body   string
-	last   bool // the node said that it closes the connection
-	took   time.Duration
-}
-
-// client is one client's connection.
-type client struct {
-	t *testing.T
-	net.Conn
-	r *bufio.Reader
-}
-
-func (p *process) dial() (*client, error) {
-	c, err := net.DialTimeout("tcp", p.addr, patience)
-	if err != nil {
-		return nil, err
-	}
-	p.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(2 * patience))
-	return &client{t: p.t, Conn: c, r: bufio.NewReader(c)}, nil
-}
-
-func (p *process) connect() *client {
+// terminate sends SIGTERM.
+func (p *nodeProcess) terminate() {
 	p.t.Helper()
-	c, err := p.dial()
-	if err != nil {
+	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		p.t.Fatal(err)
 	}
-	return c
 }
 
-func (c *client) write(raw string) {
-	c.t.Helper()
-	if _, err := io.WriteString(c, raw); err != nil {
-		c.t.Fatal(err)
+// exit waits for the end and returns the exit code.
+func (p *nodeProcess) exit() int {
+	p.t.Helper()
+	select {
+	case <-p.done:
+	case <-time.After(waitTimeout):
+		p.t.Fatal("the node does not end")
 	}
+	return p.cmd.ProcessState.ExitCode()
 }
 
-func (c *client) read() (answer, error) {
-	began := time.Now()
-	resp, err := http.ReadResponse(c.r, nil)
+// suspended tells whether all threads of the process are stopped.
+func (p *nodeProcess) suspended() bool {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
-		return answer{}, err
+		p.t.Fatal(err)
 	}
-	body, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, string(body), resp.Close, time.Since(began)}, err
+	_, state, _ := strings.Cut(string(stat), ") ")
+	return strings.HasPrefix(state, "T")
 }
 
-func (p *process) ask(raw string) (answer, error) {
-	c, err := p.dial()
-	if err != nil {
-		return answer{}, err
-	}
-	defer func() { _ = c.Close() }()
-	if _, err := io.WriteString(c, raw); err != nil {
-		return answer{}, err
-	}
-	return c.read()
-}
+func (p *nodeProcess) logCount(text string) int { return strings.Count(p.log.String(), text) }
 
-func (p *process) mustAsk(raw string) answer {
+func (p *nodeProcess) waitLog(text string, n int) {
 	p.t.Helper()
-	a, err := p.ask(raw)
-	if err != nil {
-		p.t.Fatalf("no answer: %v", err)
-	}
-	return a
-}
-
-// ids counts the requests: each has an id of its own.
-var ids atomic.Int64
-
-// request is a request of a class, in the protocol's form.
-func request(class string, deadline int, more ...string) string {
-	head, body := "GET", ""
-	if class != "look" {
-		head, body = "POST", "amount=12"
-		more = append(more, fmt.Sprintf("Content-Length: %d", len(body)))
-	}
-	if class == "store" {
-		more = append(more, "Idempotency-Key: 5c0f6e1a2b3d4c59")
-	}
-	head += " /" + class + " HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: " + fmt.Sprintf("9b1f%012x", ids.Add(1)) + "\r\nX-Class: " + class +
-		"\r\nX-Tenant: acme\r\nX-Deadline-Ms: " + fmt.Sprint(deadline) + "\r\n"
-	for _, m := range more {
-		head += m + "\r\n"
-	}
-	return head + "\r\n" + body
+	eventually(p.t, text, func() bool { return p.logCount(text) >= n })
 }
 
-// counts are the node's counters.
-func (p *process) counts() counts {
+// residentMB is the memory that the process holds, in MB.
+func (p *nodeProcess) residentMB() float64 {
 	p.t.Helper()
-	c := p.connect()
-	defer func() { _ = c.Close() }()
-	got, ok := p.countsOn(c)
-	if !ok {
-		p.t.Fatal("no counters")
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	_, rest, _ := strings.Cut(string(status), "VmRSS:")
+	kb, err := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+	if err != nil {
+		p.t.Fatal(err)
 	}
-	return got
+	return kb / 1024
 }
 
-// countsOn asks for the counters on a connection that is there already.
-func (p *process) countsOn(c *client) (got counts, ok bool) {
-	if _, err := io.WriteString(c, "GET /_counters HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
-		return got, false
-	}
-	a, err := c.read()
+// residentKB is a process's memory in kB.
+func residentKB(t *testing.T, pid int) (kb int) {
+	t.Helper()
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return got, false
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(raw)) {
+		_, _ = fmt.Sscanf(line, "VmRSS: %d kB", &kb)
 	}
-	err = json.Unmarshal([]byte(a.body), &got)
-	return got, err == nil
+	return kb
 }
 
 // prlimit sets the descriptors that a running process may hold.
@@ -309,56 +253,58 @@
 	return nil
 }
 
-// counts is the part of the counters that the tests read.
-type counts struct {
-	Requests   map[string]int `json:"requests"`
-	Attempts   map[string]int `json:"attempts"`
-	Outcomes   map[string]int `json:"outcomes"`
-	Rejections map[string]int `json:"rejections"`
-	Reports    map[string]int `json:"reports"`
-	Probes     map[string]int `json:"probes"`
-	Clients    map[string]int `json:"client_connections"`
-	ClientEnds map[string]int `json:"client_connection_ends"`
-	Servers    map[string]int `json:"server_connections"`
-	ServerEnds map[string]int `json:"server_connection_ends"`
-	List       map[string]int `json:"list"`
-	Inventory  map[string]int `json:"inventory"`
-	Log        map[string]int `json:"log_lines"`
-	Bodies     map[string]int `json:"large_bodies"`
-	Watch      struct {
-		Steps  int            `json:"steps"`
-		Differ map[string]int `json:"differ"`
-	} `json:"watch"`
-	Peers   struct{ Sent, Taken int } `json:"peers"`
-	Cluster struct {
-		Drops map[string]int `json:"drops"`
-	} `json:"cluster"`
+// waitTimeout bounds every wait for a condition; only a broken node uses it up.
+const waitTimeout = 10 * time.Second
+
+// eventually waits for a condition.
+func eventually(t *testing.T, what string, cond func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if cond() {
+			return
+		}
+	}
+	t.Fatalf("never came: %s", what)
 }
 
-// addUp checks that every request taken has one ending.
-func (c counts) addUp(t *testing.T) {
+// writeFile replaces a file in one step.
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
-	r := c.Requests
-	if sum := r["served"] + r["refused"] + r["failed"] + r["rejected"] + r["left"] + r["open"]; sum != r["taken"] {
-		t.Errorf("taken %d, but endings and open make %d: %v", r["taken"], sum, r)
+	if err := os.WriteFile(path+".next", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".next", path); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// terminate sends SIGTERM.
-func (p *process) terminate() {
-	p.t.Helper()
-	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		p.t.Fatal(err)
+func writeTempFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
 	}
+	return path
 }
 
-// exit waits for the end and gives the exit code.
-func (p *process) exit() int {
-	p.t.Helper()
-	select {
-	case <-p.done:
-	case <-time.After(patience):
-		p.t.Fatal("the node does not end")
+// runTackhub runs the program to its end and returns its output and exit code.
+func runTackhub(t *testing.T, env []string, args ...string) (string, int) {
+	t.Helper()
+	cmd := exec.Command(program, args...)
+	cmd.Env = append(os.Environ(), env...)
+	out, err := cmd.CombinedOutput()
+	if _, ok := err.(*exec.ExitError); err != nil && !ok {
+		t.Fatal(err)
 	}
-	return p.cmd.ProcessState.ExitCode()
+	return string(out), cmd.ProcessState.ExitCode()
+}
+
+// listen opens a listener on a free port.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
 }
--- a/cmd/tackhub/edge_test.go
+++ b/cmd/tackhub/operatorfile_test.go
@@ -1,38 +1,15 @@
 package main
 
 import (
-	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 )
 
-// tackhub runs the program with arguments until it ends.
-func tackhub(t *testing.T, env []string, args ...string) (string, int) {
-	t.Helper()
-	cmd := exec.Command(program, args...)
-	cmd.Env = append(os.Environ(), env...)
-	out, err := cmd.CombinedOutput()
-	if _, ok := err.(*exec.ExitError); err != nil && !ok {
-		t.Fatal(err)
-	}
-	return string(out), cmd.ProcessState.ExitCode()
-}
-
-func writeFile(t *testing.T, path, text string) {
-	t.Helper()
-	if err := os.WriteFile(path+".next", []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Rename(path+".next", path); err != nil {
-		t.Fatal(err)
-	}
-}
-
+// Each command of the program has its output and exit code, and a check names every fault with file, line and key.
 func TestCommandLine(t *testing.T) {
-	env := environment(t, "127.0.0.1:8081", setup{discovery: "127.0.0.1:8500"})
+	env := environment(t, "127.0.0.1:8081", nodeOptions{discovery: "127.0.0.1:8500"})
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "[vitals]\nevery = \"30s\"\n")
 	bad := filepath.Join(t.TempDir(), "bad.toml")
@@ -59,7 +36,7 @@
 		{"version", nil, []string{"version"}, 0, []string{"tackhub ", "go1."}},
 		{"help", nil, []string{"--help"}, 0, []string{"check", "SIGHUP", "Exit codes"}},
 	} {
-		out, code := tackhub(t, c.env, c.args...)
+		out, code := runTackhub(t, c.env, c.args...)
 		if code != c.code {
 			t.Errorf("%s: exit code %d, want %d:\n%s", c.name, code, c.code, out)
 		}
@@ -71,13 +48,14 @@
 	}
 }
 
-// A new operator file is taken whole or not at all while the node serves, and the last good one stands.
+// A running node gets a new operator file, a faulty one, and an empty one. A faulty file changes nothing and is
+// reported; the last good one stays in force.
 func TestOperatorFileOnReload(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	d := startDiscovery(t, members(s))
+	s := startBackend(t, "s1", respond(200, "done"))
+	d := startDiscoveryServer(t, members(s))
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "")
-	p := startNode(t, setup{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge}})
+	p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge}})
 	said := func(text string) int { return strings.Count(p.log.String(), text) }
 	if said(`"code":"vitals"`) > 0 {
 		t.Error("a subsystem runs that the file does not name")
@@ -98,7 +76,7 @@
 	if said(`"off":["vitals"]`) != 1 {
 		t.Error("the subsystem was not turned off")
 	}
-	if a := p.mustAsk(request("look", 1000)); a.status != 200 {
+	if a := p.mustDo(request("look", 1000)); a.status != 200 {
 		t.Errorf("status %d after the reloads", a.status)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/tackhub/reload_test.go
+++ b/cmd/tackhub/reload_test.go
@@ -10,7 +10,7 @@
 )
 
 // configure changes one key of the running node's configuration file.
-func (p *process) configure(key string, value any) {
+func (p *nodeProcess) configure(key string, value any) {
 	p.t.Helper()
 	raw, err := os.ReadFile(p.config)
 	if err != nil {
@@ -27,8 +27,8 @@
 	p.replace(string(raw))
 }
 
-// replace puts another configuration file in place of the one that is there.
-func (p *process) replace(raw string) {
+// replace replaces the configuration file.
+func (p *nodeProcess) replace(raw string) {
 	p.t.Helper()
 	next := p.config + ".next"
 	if err := os.WriteFile(next, []byte(raw), 0o600); err != nil {
@@ -40,7 +40,7 @@
 }
 
 // reload sends SIGHUP and waits for the log line that it leaves.
-func (p *process) reload(code string) {
+func (p *nodeProcess) reload(code string) {
 	p.t.Helper()
 	said := func() int { return strings.Count(p.log.String(), `"code":"`+code+`"`) }
 	before := said()
@@ -50,72 +50,73 @@
 	eventually(p.t, code, func() bool { return said() > before })
 }
 
-// TestReloadFollowsDiscovery moves discovery twice. At the new address the revisions are lower, which must not keep
-// the new list out, and the old one holds the node's watch, which must not keep it either.
+// Discovery moves to another address and back. The revisions at the new address are lower, and the old one still holds
+// the node's watch; neither may keep the new list out.
 func TestReloadFollowsDiscovery(t *testing.T) {
-	s1, s2 := startServer(t, "s1", say(200, "one")), startServer(t, "s2", say(200, "two"))
-	p, d := startWith(t, "", s1)
+	s1, s2 := startBackend(t, "s1", respond(200, "one")), startBackend(t, "s2", respond(200, "two"))
+	p, d := startWithBackends(t, "", s1)
 	for range 5 {
-		before := d.watched()
-		d.tell(s1.member())
-		eventually(t, "a higher revision", func() bool { return d.watched() > before })
+		before := d.watchCount()
+		d.announce(s1.member())
+		eventually(t, "a higher revision", func() bool { return d.watchCount() > before })
 	}
-	next := startDiscovery(t, members(s2))
+	next := startDiscoveryServer(t, members(s2))
 	p.configure("discovery", next.addr)
 	p.reload("reload")
-	eventually(t, "the new watch", func() bool { return next.watched() > 0 })
-	if a := p.mustAsk(request("look", 1000)); a.body != "two" {
+	eventually(t, "the new watch", func() bool { return next.watchCount() > 0 })
+	if a := p.mustDo(request("look", 1000)); a.body != "two" {
 		t.Errorf("%d %q after the move", a.status, a.body)
 	}
 	if n := p.counts().List["failed"]; n != 0 {
 		t.Errorf("%d failed calls: the move was taken for an outage", n)
 	}
-	eventually(t, "the end of the old watch", func() bool { return d.ended() > 0 })
-	old := d.watched()
+	eventually(t, "the end of the old watch", func() bool { return d.endedWatches() > 0 })
+	old := d.watchCount()
 	p.configure("discovery", d.addr)
 	p.reload("reload")
-	eventually(t, "the watch at the first address", func() bool { return d.watched() > old })
-	if a := p.mustAsk(request("look", 1000)); a.body != "one" {
+	eventually(t, "the watch at the first address", func() bool { return d.watchCount() > old })
+	if a := p.mustDo(request("look", 1000)); a.body != "one" {
 		t.Errorf("%d %q after moving back", a.status, a.body)
 	}
 }
 
-// TestReloadKeepsServersMeanwhile moves discovery to where nobody answers: the servers that are known stay.
-func TestReloadKeepsServersMeanwhile(t *testing.T) {
-	s := startServer(t, "s1", say(200, "one"))
-	p, _ := startWith(t, "", s)
+// Discovery moves to an address at which nobody answers. The known servers stay.
+func TestReloadKeepsServersWhileDiscoveryIsDown(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, "one"))
+	p, _ := startWithBackends(t, "", s)
 	p.configure("discovery", freeAddress(t))
 	p.reload("reload")
 	eventually(t, "a failed call", func() bool { return p.counts().List["failed"] > 0 })
-	if a := p.mustAsk(request("bill", 1000)); a.status != 200 {
+	if a := p.mustDo(request("bill", 1000)); a.status != 200 {
 		t.Errorf("status %d while discovery does not answer", a.status)
 	}
 }
 
-// TestReloadOfAListThatMustBeAskedFor needs no second asking.
-func TestReloadOfAListThatMustBeAskedFor(t *testing.T) {
+// A subscribed discovery moves. The node polls the new one without being asked.
+func TestReloadWithSubscribedDiscovery(t *testing.T) {
 	settings := strings.Replace(testSettings, `"discovery":"automatic"`, `"discovery":"subscribe"`, 1)
 	settings = strings.Replace(settings, `"cold_from"`, `"must_ask_in_ms":10000,"cold_from"`, 1)
-	s1, s2 := startServer(t, "s1", say(200, "one")), startServer(t, "s2", say(200, "two"))
-	p, _ := startWith(t, settings, s1)
-	next := startDiscovery(t, members(s2))
+	s1, s2 := startBackend(t, "s1", respond(200, "one")), startBackend(t, "s2", respond(200, "two"))
+	p, _ := startWithBackends(t, settings, s1)
+	next := startDiscoveryServer(t, members(s2))
 	p.configure("discovery", next.addr)
 	p.reload("reload")
-	eventually(t, "the new watch", func() bool { return next.watched() > 0 })
-	if a := p.mustAsk(request("look", 1000)); a.body != "two" {
+	eventually(t, "the new watch", func() bool { return next.watchCount() > 0 })
+	if a := p.mustDo(request("look", 1000)); a.body != "two" {
 		t.Errorf("%d %q after the move", a.status, a.body)
 	}
 }
 
-// TestBadReloadChangesNothing tries files that can't be taken, each of which names another discovery as well.
-func TestBadReloadChangesNothing(t *testing.T) {
-	s := startServer(t, "s1", say(200, "one"))
-	p, d := startWith(t, "", s)
+// The configuration file is invalid in one of several ways and names another discovery as well. Nothing of it is
+// applied, a log line names the key, and a good file is applied later.
+func TestInvalidReloadChangesNothing(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, "one"))
+	p, d := startWithBackends(t, "", s)
 	raw, err := os.ReadFile(p.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	elsewhere := startDiscovery(t, members())
+	elsewhere := startDiscoveryServer(t, members())
 	good := strings.ReplaceAll(string(raw), d.addr, elsewhere.addr)
 	for _, c := range []struct{ name, key, file string }{
 		{"half written", "ROUTER_CONFIG", good[:len(good)/2]},
@@ -136,7 +137,7 @@
 		t.Fatal(err)
 	}
 	p.reload("reload_failed")
-	if a := p.mustAsk(request("look", 1000)); a.status != 200 || elsewhere.answered.Load() != 0 {
+	if a := p.mustDo(request("look", 1000)); a.status != 200 || elsewhere.answered.Load() != 0 {
 		t.Errorf("status %d, %d calls to another discovery", a.status, elsewhere.answered.Load())
 	}
 	p.replace(good)
@@ -144,27 +145,27 @@
 	eventually(t, "the good file at last", func() bool { return elsewhere.answered.Load() > 0 })
 }
 
-// TestReloadNamesWhatNeedsARestart changes a limit beside discovery.
-func TestReloadNamesWhatNeedsARestart(t *testing.T) {
-	p := startNode(t, setup{discovery: freeAddress(t)})
+// A reload changes a limit that needs a restart. A log line names the key.
+func TestReloadNamesKeysThatNeedRestart(t *testing.T) {
+	p := startNode(t, nodeOptions{discovery: freeAddress(t)})
 	p.configure("limits", map[string]any{"cores": 1, "memory_mb": 128, "sockets": 256})
 	p.reload("reload_restart")
 	eventually(t, "the key", func() bool { return strings.Contains(p.log.String(), `"keys":["limits"]`) })
 }
 
-// TestReloadDuringADrain must not end the node with a request in hand.
-func TestReloadDuringADrain(t *testing.T) {
+// SIGHUP comes during a shutdown. It must not end the node while a request is in flight.
+func TestReloadDuringShutdown(t *testing.T) {
 	gate := make(chan struct{})
-	s := startServer(t, "s1", after(gate, say(200, "done")))
-	p, _ := startWith(t, "", s)
-	inHand := p.send(request("bill", 1500))
+	s := startBackend(t, "s1", respondAfter(gate, respond(200, "done")))
+	p, _ := startWithBackends(t, "", s)
+	inFlight := p.send(request("bill", 1500))
 	eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
 	p.terminate()
 	eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
 	p.reload("reload")
 	close(gate)
-	if a := wait(t, "in hand", inHand); a.status != 200 {
-		t.Errorf("in hand: %d", a.status)
+	if a := await(t, "in flight", inFlight); a.status != 200 {
+		t.Errorf("in flight: %d", a.status)
 	}
 	if code := p.exit(); code != 0 {
 		t.Errorf("exit code %d", code)
--- a/cmd/tackhub/savedstate_test.go
+++ b/cmd/tackhub/savedstate_test.go
@@ -67,29 +67,29 @@
 	return l.Addr().String()
 }
 
-// A new version is installed while discovery is down and the inventory file is missing. All it has is the state folder that
-// the version before it wrote. If it could not read that folder, or read a field under another name, it would have no
-// servers, send requests to a draining one, or lose a server's pod.
+// A new version is installed while discovery is down and the inventory file is missing. All it has is the state folder
+// that the version before it wrote. If it could not read that folder, or read a field under another name, it would have
+// no servers, send requests to a draining one, or lose a server's pod.
 func TestNodeServesFromStateOfPreviousVersion(t *testing.T) {
 	for name, discoveryAddress := range map[string]func(*testing.T) string{"discovery absent": freeAddress, "discovery silent": silentAddress} {
 		t.Run(name, func(t *testing.T) {
 			// The addresses stand in the fixture. They lie outside of the ranges that the other tests use.
-			s1 := startServerAt(t, "s1", "127.201.7.1:21871", say(200, "one"))
-			draining := startServerAt(t, "s2", "127.201.7.2:21872", say(200, "two"))
-			s3 := startServerAt(t, "s3", "127.201.7.3:21873", say(200, "three"))
-			retired := startServerAt(t, "retired", "127.201.7.4:21874", say(200, "retired"))
+			s1 := startBackendAt(t, "s1", "127.201.7.1:21871", respond(200, "one"))
+			draining := startBackendAt(t, "s2", "127.201.7.2:21872", respond(200, "two"))
+			s3 := startBackendAt(t, "s3", "127.201.7.3:21873", respond(200, "three"))
+			retired := startBackendAt(t, "retired", "127.201.7.4:21874", respond(200, "retired"))
 			folder := copyFolder(t, savedStateFixture)
 			list, edge := filepath.Join(t.TempDir(), "servers.csv"), filepath.Join(t.TempDir(), "edge.toml")
 			writeFile(t, edge, "[inventory]\nsave_every = \"20ms\"\nstate_dir = \""+folder+"\"\npoll = \"20ms\"\n[[inventory.file]]\npath = \""+list+
 				"\"\nname = \"tools\"\ntrailer = true\n")
 
-			p := startNode(t, setup{discovery: discoveryAddress(t), env: []string{"TACKHUB_EDGE=" + edge}})
-			p.waits(`"code":"inventory_stale"`, 1)
-			if p.says(`"code":"state_skipped"`) > 0 {
+			p := startNode(t, nodeOptions{discovery: discoveryAddress(t), env: []string{"TACKHUB_EDGE=" + edge}})
+			p.waitLog(`"code":"inventory_stale"`, 1)
+			if p.logCount(`"code":"state_skipped"`) > 0 {
 				t.Error("a generation of the version before was passed over")
 			}
 			for range 60 {
-				if a := p.mustAsk(request("look", 1000)); a.status != 200 {
+				if a := p.mustDo(request("look", 1000)); a.status != 200 {
 					t.Fatalf("status %d from the saved list", a.status)
 				}
 			}
@@ -113,7 +113,7 @@
 // checkSavedAgain checks that the node saves its next generation, which has one member more, in the same form: each other
 // member with all its keys and values. The sources of the fields may differ: a field that came from discovery now comes from
 // the saved state.
-func checkSavedAgain(t *testing.T, p *process, folder string) {
+func checkSavedAgain(t *testing.T, p *nodeProcess, folder string) {
 	t.Helper()
 	_, before := savedMembers(t, savedStateFixture)
 	var file string
--- a/cmd/tackhub/drain_test.go
+++ b/cmd/tackhub/shutdown_test.go
@@ -2,47 +2,20 @@
 
 import (
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 )
 
-// outcome is what a client that works in the background got.
-type outcome struct {
-	a   answer
-	err error
-}
-
-// send asks in the background.
-func (p *process) send(raw string) <-chan outcome {
-	out := make(chan outcome, 1)
-	go func() {
-		a, err := p.ask(raw)
-		out <- outcome{a, err}
-	}()
-	return out
-}
-
-func wait(t *testing.T, what string, from <-chan outcome) answer {
-	t.Helper()
-	select {
-	case o := <-from:
-		if o.err != nil {
-			t.Fatalf("%s: %v", what, o.err)
-		}
-		return o.a
-	case <-time.After(patience):
-		t.Fatalf("%s: nothing came", what)
-	}
-	return answer{}
-}
-
-func TestPlannedStopLosesNothing(t *testing.T) {
+// SIGTERM comes while requests are in flight, and the platform's front still opens connections. Requests in flight and
+// late ones are served, health turns to 503, idle connections are closed, and the exit code is 0.
+func TestShutdownLosesNoRequest(t *testing.T) {
 	gate := make(chan struct{})
-	var servers []*server
+	var servers []*backend
 	for _, id := range []string{"s1", "s2", "s3", "s4", "s5"} {
-		servers = append(servers, startServer(t, id, after(gate, say(200, "done"))))
+		servers = append(servers, startBackend(t, id, respondAfter(gate, respond(200, "done"))))
 	}
-	p, _ := startWith(t, "", servers...)
+	p, _ := startWithBackends(t, "", servers...)
 	sent := func(n int) func() bool {
 		return func() bool {
 			got := 0
@@ -54,21 +27,21 @@
 	}
 	idle, kept := p.connect(), p.connect()
 	kept.write(request("bill", 1500))
-	inHand := p.send(request("look", 1500))
-	eventually(t, "requests in hand", sent(2))
+	inFlight := p.send(request("look", 1500))
+	eventually(t, "requests in flight", sent(2))
 	p.terminate()
 	eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
 	late := p.send(request("look", 1500)) // the front goes on dealing connections out
 	eventually(t, "the late request", sent(3))
-	if a := p.mustAsk("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); a.status != 503 {
+	if a := p.mustDo("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); a.status != 503 {
 		t.Errorf("health is %d while draining", a.status)
 	}
 	close(gate)
-	if a := wait(t, "in hand", inHand); a.status != 200 {
-		t.Errorf("in hand: %d", a.status)
+	if a := await(t, "in flight", inFlight); a.status != 200 {
+		t.Errorf("in flight: %d", a.status)
 	}
-	if a := wait(t, "late", late); a.status != 200 || !a.last {
-		t.Errorf("late: %d, last %v", a.status, a.last)
+	if a := await(t, "late", late); a.status != 200 || !a.closesConn {
+		t.Errorf("late: %d, last %v", a.status, a.closesConn)
 	}
 	if a, err := kept.read(); err != nil || a.status != 200 {
 		t.Errorf("kept: %v %v", a, err)
@@ -84,12 +57,12 @@
 	}
 }
 
-// TestStopUnderLoad goes on connecting while the node ends: whoever got a connection gets an answer.
-func TestStopUnderLoad(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	p, _ := startWith(t, "", s)
+// Clients go on connecting while the node shuts down. Whoever gets a connection gets a response.
+func TestShutdownUnderLoad(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, "done"))
+	p, _ := startWithBackends(t, "", s)
 	stop := make(chan struct{})
-	results := make(chan outcome, 10_000)
+	results := make(chan asyncResult, 10_000)
 	for range 4 {
 		go func() {
 			for {
@@ -102,8 +75,8 @@
 				if err != nil {
 					return // refused: the node never took it
 				}
-				a, err := outcomeOf(c)
-				results <- outcome{a, err}
+				a, err := doOn(c)
+				results <- asyncResult{a, err}
 				_ = c.Close()
 			}
 		}()
@@ -121,21 +94,15 @@
 	}
 }
 
-func outcomeOf(c *client) (answer, error) {
-	if _, err := c.Write([]byte(request("look", 1000))); err != nil {
-		return answer{}, err
-	}
-	return c.read()
-}
-
-func TestStopWithSilentServerEndsInTime(t *testing.T) {
-	s := startServer(t, "s1", silence)
-	p, _ := startWith(t, "", s)
+// A server does not respond while the node shuts down. The client gets 504 at its deadline, and the node exits in time.
+func TestShutdownWithSilentServer(t *testing.T) {
+	s := startBackend(t, "s1", neverRespond)
+	p, _ := startWithBackends(t, "", s)
 	pending := p.send(request("bill", 400))
 	eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
 	began := time.Now()
 	p.terminate()
-	if a := wait(t, "pending", pending); a.status != 504 {
+	if a := await(t, "pending", pending); a.status != 504 {
 		t.Errorf("status %d", a.status)
 	}
 	if code := p.exit(); code != 0 {
@@ -146,9 +113,11 @@
 	}
 }
 
-func TestKeptConnectionsEndBetweenRequests(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	p, _ := startWith(t, "", s)
+// A client goes on using its connection during a shutdown. Its request is served with a notice that the connection
+// ends.
+func TestShutdownEndsConnectionsBetweenRequests(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, "done"))
+	p, _ := startWithBackends(t, "", s)
 	c := p.connect()
 	c.write(request("look", 1000))
 	if a, err := c.read(); err != nil || a.status != 200 {
@@ -157,7 +126,7 @@
 	p.terminate()
 	eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
 	c.write(request("bill", 1000)) // clients go on using what they have
-	if a, err := c.read(); err != nil || a.status != 200 || !a.last {
+	if a, err := c.read(); err != nil || a.status != 200 || !a.closesConn {
 		t.Fatalf("%v %v", a, err)
 	}
 	if code := p.exit(); code != 0 {
@@ -165,9 +134,10 @@
 	}
 }
 
-func TestStopWithHalfARequestEndsInTime(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	p, _ := startWith(t, "", s)
+// A client has sent a part of a request that never becomes whole. It must not delay the shutdown.
+func TestShutdownWithPartialRequest(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, "done"))
+	p, _ := startWithBackends(t, "", s)
 	c := p.connect()
 	c.write(request("look", 1000)[:30]) // it will never be whole, so it is not taken
 	watch := p.connect()
@@ -185,11 +155,11 @@
 	}
 }
 
-// TestStopTellsHalfRequests: what is not whole when its time could no longer be kept is refused, while its client can still
-// go elsewhere. It was left until the process ended: a last byte that came before that was taken and never answered.
-func TestStopTellsHalfRequests(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	p, d := startWith(t, "", s)
+// A partial request at shutdown was once left until the process ended, so its last byte could arrive, be accepted and
+// never be answered. It must be rejected while the client can still go to another node.
+func TestShutdownRejectsPartialRequests(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, "done"))
+	p, d := startWithBackends(t, "", s)
 	big := strings.Repeat("x", 200<<10)
 	for name, raw := range map[string]string{
 		"head":       request("look", 1500)[:30],
@@ -197,7 +167,7 @@
 		"large body": strings.Replace(request("bill", 1500), "Content-Length: 9\r\n\r\namount=12", "Content-Length: 204800\r\n\r\n"+big[:100<<10], 1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := startNode(t, setup{discovery: d.addr, env: []string{"TMPDIR=" + t.TempDir()}})
+			p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TMPDIR=" + t.TempDir()}})
 			c := p.connect()
 			c.write(raw)
 			watch := p.connect()
@@ -206,7 +176,7 @@
 				return ok && got.Clients["open"] == 2
 			})
 			p.terminate()
-			if a, err := c.read(); err != nil || a.status != 503 || !a.last {
+			if a, err := c.read(); err != nil || a.status != 503 || !a.closesConn {
 				t.Errorf("%v, %v: want a refusal that ends the connection", a, err)
 			}
 			if code := p.exit(); code != 0 {
@@ -220,3 +190,32 @@
 		t.Errorf("%d requests went on", n)
 	}
 }
+
+// Further signals come during a shutdown, as from an impatient supervisor. They must take nothing from the request in
+// flight.
+func TestRepeatedSignalsDuringShutdown(t *testing.T) {
+	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1} {
+		t.Run(sig.String(), func(t *testing.T) {
+			gate := make(chan struct{})
+			s := startBackend(t, "s1", respondAfter(gate, respond(200, "done")))
+			p, _ := startWithBackends(t, "", s)
+			pending := p.send(request("bill", 1400))
+			eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
+			p.terminate()
+			eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
+			for range 3 {
+				if err := p.cmd.Process.Signal(sig); err != nil {
+					t.Fatal(err)
+				}
+				time.Sleep(10 * time.Millisecond)
+			}
+			close(gate)
+			if a := await(t, "pending", pending); a.status != 200 {
+				t.Errorf("status %d", a.status)
+			}
+			if code := p.exit(); code != 0 {
+				t.Errorf("exit code %d", code)
+			}
+		})
+	}
+}
--- a/cmd/tackhub/stop_test.go
+++ b/cmd/tackhub/shutdownload_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 )
@@ -20,7 +19,7 @@
 
 	// crossingTime is how shortly before a connection's end a request may have been written and still count as one that
 	// crossed the end unread.
-	crossingTime = 20 * time.Millisecond
+	raceTime = 20 * time.Millisecond
 )
 
 // shortSettings are the test settings with short deadlines, as in the incident.
@@ -39,17 +38,17 @@
 
 // lost tells whether the node had taken the request and never answered it: its end came too long after its last byte for the
 // two to have crossed.
-func (r sentRequest) lost() bool { return r.status == 0 && r.ended.Sub(r.sent) > crossingTime }
+func (r sentRequest) wasLost() bool { return r.status == 0 && r.ended.Sub(r.sent) > raceTime }
 
-// stopClients collects what the clients of a stop test saw.
-type stopClients struct {
+// shutdownClients collects what the clients of a shutdown test saw.
+type shutdownClients struct {
 	mu   sync.Mutex
 	seen []sentRequest
 	all  sync.WaitGroup
 }
 
 // exchange sends one request on a connection and notes how it ended. It reports whether the connection can be used again.
-func (s *stopClients) exchange(c *client, class string) bool {
+func (s *shutdownClients) exchange(c *client, class string) bool {
 	if closedAlready(c) {
 		return false
 	}
@@ -67,51 +66,51 @@
 	s.mu.Lock()
 	s.seen = append(s.seen, r)
 	s.mu.Unlock()
-	return err == nil && !a.last
+	return err == nil && !a.closesConn
 }
 
 // closedAlready reports whether the node has ended a connection on which nothing is expected.
 func closedAlready(c *client) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	timeout, ok := err.(net.Error)
 	return !ok || !timeout.Timeout()
 }
 
 // lost are the requests that the node took and did not answer.
-func (s *stopClients) lost() []sentRequest {
+func (s *shutdownClients) lost() []sentRequest {
 	s.all.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []sentRequest
 	for _, r := range s.seen {
-		if r.lost() {
+		if r.wasLost() {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// TestStopAnswersLateFirstRequests reproduces the incident: servers hang, clients keep the node busy, and connections that were
-// opened shortly after the signal send their first request 0.5 to 1.05 s after it. The process ended by itself at the longest
-// deadline plus 0.65 s and left what it had read late unanswered.
-func TestStopAnswersLateFirstRequests(t *testing.T) {
-	var servers []*server
+// An incident: servers hang, clients keep the node busy, and connections that were opened shortly after SIGTERM send
+// their first request 0.5 to 1.05 s after it. The process once exited by itself at the longest deadline plus 0.65 s and
+// left what it had read late unanswered.
+func TestShutdownAnswersLateFirstRequests(t *testing.T) {
+	var servers []*backend
 	for i := range 6 {
-		act := say(200, "done")
+		act := respond(200, "done")
 		if i%2 == 0 {
-			act = silence
+			act = neverRespond
 		}
-		servers = append(servers, startServer(t, fmt.Sprintf("s%d", i+1), act))
+		servers = append(servers, startBackend(t, fmt.Sprintf("s%d", i+1), act))
 	}
-	d := startDiscovery(t, members(servers...))
+	d := startDiscoveryServer(t, members(servers...))
 	for stop := range 4 {
-		p := startNode(t, setup{discovery: d.addr, settings: shortSettings(), known: members(servers...)})
-		clients := &stopClients{}
+		p := startNode(t, nodeOptions{discovery: d.addr, settings: shortSettings(), known: members(servers...)})
+		clients := &shutdownClients{}
 		quit := make(chan struct{})
 		for range 12 {
-			clients.all.Go(func() { keepAsking(p, clients, quit) })
+			clients.all.Go(func() { keepRequesting(p, clients, quit) })
 		}
 		eventually(t, "traffic", func() bool {
 			clients.mu.Lock()
@@ -143,7 +142,7 @@
 }
 
 // keepAsking sends requests one after the other, on one connection for as long as the node keeps it.
-func keepAsking(p *process, clients *stopClients, quit <-chan struct{}) {
+func keepRequesting(p *nodeProcess, clients *shutdownClients, quit <-chan struct{}) {
 	var c *client
 	for {
 		select {
@@ -165,7 +164,7 @@
 }
 
 // endOrKill waits until a process ends by itself and kills it at the given time. It reports whether it had to.
-func endOrKill(p *process, at time.Time) bool {
+func endOrKill(p *nodeProcess, at time.Time) bool {
 	select {
 	case <-p.done:
 		return false
@@ -175,46 +174,3 @@
 	<-p.done
 	return true
 }
-
-// TestSecondSignalTakesNothingAway sends further signals of each kind while requests are in hand.
-func TestSecondSignalTakesNothingAway(t *testing.T) {
-	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1} {
-		t.Run(sig.String(), func(t *testing.T) {
-			gate := make(chan struct{})
-			s := startServer(t, "s1", after(gate, say(200, "done")))
-			p, _ := startWith(t, "", s)
-			pending := p.send(request("bill", 1400))
-			eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
-			p.terminate()
-			eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
-			for range 3 {
-				if err := p.cmd.Process.Signal(sig); err != nil {
-					t.Fatal(err)
-				}
-				time.Sleep(10 * time.Millisecond)
-			}
-			close(gate)
-			if a := wait(t, "pending", pending); a.status != 200 {
-				t.Errorf("status %d", a.status)
-			}
-			if code := p.exit(); code != 0 {
-				t.Errorf("exit code %d", code)
-			}
-		})
-	}
-}
-
-// TestAnswerBeforeHalfOfTheNext: a client sends the head and a part of the body of its next request behind the first. The first
-// one's answer does not wait for the rest.
-func TestAnswerBeforeHalfOfTheNext(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	p, _ := startWith(t, "", s)
-	c := p.connect()
-	c.write(request("look", 1000) + strings.TrimSuffix(request("bill", 1000), "12"))
-	if err := c.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
-		t.Fatal(err)
-	}
-	if a, err := c.read(); err != nil || a.status != 200 {
-		t.Errorf("%v, %v: want the answer before the rest of the next request", a, err)
-	}
-}
--- a/cmd/tackhub/upgrade_test.go
+++ b/cmd/tackhub/upgrade_test.go
@@ -16,39 +16,39 @@
 	"tackhub.example/tackhub/internal/handover"
 )
 
-// pairOf is a node that can be upgraded: where its processes meet, and what the next one is told.
-type pairOf struct {
-	t    *testing.T
-	dir  string
-	d    *discovery
-	old  *process
-	door string
+// upgradeTest is a node that can be upgraded: where its processes meet, and what the next one is configured with.
+type upgradeTest struct {
+	t         *testing.T
+	dir       string
+	discovery *discoveryServer
+	old       *nodeProcess
+	admin     string
 }
 
-func upgradable(t *testing.T, servers ...*server) *pairOf {
+func newUpgradeTest(t *testing.T, servers ...*backend) *upgradeTest {
 	t.Helper()
-	u := &pairOf{t: t, dir: t.TempDir(), d: startDiscovery(t, members(servers...)), door: freeAddress(t)}
-	u.old = startNode(t, u.setup(u.door))
-	eventually(t, "watch", func() bool { return u.d.watched() > 0 })
+	u := &upgradeTest{t: t, dir: t.TempDir(), discovery: startDiscoveryServer(t, members(servers...)), admin: freeAddress(t)}
+	u.old = startNode(t, u.setup(u.admin))
+	eventually(t, "watch", func() bool { return u.discovery.watchCount() > 0 })
 	return u
 }
 
-func (u *pairOf) setup(door string) setup {
-	return setup{discovery: u.d.addr, env: []string{"TMPDIR=" + u.dir, "ROUTER_OPERATOR=" + door}}
+func (u *upgradeTest) setup(admin string) nodeOptions {
+	return nodeOptions{discovery: u.discovery.addr, env: []string{"TMPDIR=" + u.dir, "ROUTER_OPERATOR=" + admin}}
 }
 
-// next starts the next version and waits for its yes.
-func (u *pairOf) next() (p *process, door string) {
+// next starts the next process and waits until its admin listener reports it healthy.
+func (u *upgradeTest) next() (p *nodeProcess, admin string) {
 	u.t.Helper()
-	door = freeAddress(u.t)
-	p = launch(u.t, u.old.addr, u.setup(door))
-	eventually(u.t, "the new process's yes", func() bool { return healthy(door) == 200 })
-	return p, door
+	admin = freeAddress(u.t)
+	p = launch(u.t, u.old.addr, u.setup(admin))
+	eventually(u.t, "the new process's yes", func() bool { return adminHealth(admin) == 200 })
+	return p, admin
 }
 
-// healthy is a door's answer to the health question, or 0.
-func healthy(door string) int {
-	c, err := net.DialTimeout("tcp", door, patience)
+// adminHealth is an admin listener's status for a health check; 0 where there is none.
+func adminHealth(admin string) int {
+	c, err := net.DialTimeout("tcp", admin, waitTimeout)
 	if err != nil {
 		return 0
 	}
@@ -63,10 +63,11 @@
 	return status
 }
 
-// TestUpgradeLosesNothing has clients on new and on kept connections through a whole upgrade.
-func TestUpgradeLosesNothing(t *testing.T) {
-	s1, s2 := startServer(t, "s1", say(200, "done")), startServer(t, "s2", say(200, "done"))
-	u := upgradable(t, s1, s2)
+// A node is upgraded while clients use new and kept connections. No request may be lost, and the new process can be
+// upgraded in turn.
+func TestUpgradeLosesNoRequest(t *testing.T) {
+	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", respond(200, "done"))
+	u := newUpgradeTest(t, s1, s2)
 	var failed, asked atomic.Int64
 	stop, clients := make(chan struct{}), sync.WaitGroup{}
 	for i := range 8 {
@@ -93,7 +94,7 @@
 					t.Logf("asked and got %+v, %v", a, err)
 					failed.Add(1)
 				}
-				if err != nil || a.last || i%2 == 0 {
+				if err != nil || a.closesConn || i%2 == 0 {
 					_ = kept.Close()
 					kept = nil
 				}
@@ -101,7 +102,7 @@
 		})
 	}
 	eventually(t, "traffic", func() bool { return asked.Load() > 200 })
-	p, door := u.next()
+	p, admin := u.next()
 	both := asked.Load()
 	eventually(t, "traffic at both", func() bool { return asked.Load() > both+200 })
 	u.old.terminate()
@@ -116,34 +117,35 @@
 		t.Errorf("%d of %d requests lost", n, asked.Load())
 	}
 	eventually(t, "the end noticed", func() bool { return strings.Contains(p.log.String(), "the process before has ended") })
-	if f := stats(t, door); f.Operations["look"]["fulfilled"] == 0 || f.Entries != 2 {
+	if f := queryAdminStats(t, admin); f.Operations["look"]["fulfilled"] == 0 || f.Entries != 2 {
 		t.Errorf("the new process's figures: %+v", f)
 	}
-	if _, door := u.next(); healthy(door) != 200 { // the new one can be followed as well
+	if _, admin := u.next(); adminHealth(admin) != 200 { // the new one can be followed as well
 		t.Error("no second upgrade")
 	}
 }
 
-// TestUpgradeKnowsWhatTheOldOneKnew has the old process exclude a server, with discovery silent since.
-func TestUpgradeKnowsWhatTheOldOneKnew(t *testing.T) {
-	s1, s2 := startServer(t, "s1", say(200, "done")), startServer(t, "s2", say(200, "done"))
-	u := upgradable(t, s1, s2)
+// The old process has ejected a server, and discovery has been silent since. The new process must know the list and the
+// ejection, and send that server nothing.
+func TestUpgradeTransfersState(t *testing.T) {
+	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", respond(200, "done"))
+	u := newUpgradeTest(t, s1, s2)
 	for range 20 {
-		u.old.mustAsk(request("look", 1400))
+		u.old.mustDo(request("look", 1400))
 	}
-	s2.behave(reset)
+	s2.setBehavior(resetConn)
 	eventually(t, "exclusion", func() bool {
-		u.old.mustAsk(request("look", 1400))
-		return stats(t, u.door).Avoided == 1
+		u.old.mustDo(request("look", 1400))
+		return queryAdminStats(t, u.admin).Ejected == 1
 	})
-	u.d.babble("noise")
-	p, door := u.next()
-	eventually(t, "what was known", func() bool { f := stats(t, door); return f.Entries == 2 && f.Avoided == 1 })
+	u.discovery.respondWith("noise")
+	p, admin := u.next()
+	eventually(t, "what was known", func() bool { f := queryAdminStats(t, admin); return f.Entries == 2 && f.Ejected == 1 })
 	u.old.terminate()
 	u.old.exit()
 	before := len(s2.requests())
 	for range 30 {
-		if a := p.mustAsk(request("look", 1400)); a.status != 200 {
+		if a := p.mustDo(request("look", 1400)); a.status != 200 {
 			t.Errorf("status %d", a.status)
 		}
 	}
@@ -152,57 +154,60 @@
 	}
 }
 
+// Two processes of one node serve during an upgrade. A request id in flight at one must be known to the other, and a
+// drain at one must hold for both, also after the old one has ended.
 func TestUpgradeSharesIDsAndDrains(t *testing.T) {
 	gate := make(chan struct{})
-	u := upgradable(t, startServer(t, "s1", after(gate, say(200, "done"))))
+	u := newUpgradeTest(t, startBackend(t, "s1", respondAfter(gate, respond(200, "done"))))
 	open := request("look", 1400)
 	first := u.old.send(open)
-	eventually(t, "a request in hand", func() bool { return stats(t, u.door).Open == 1 })
-	p, door := u.next()
+	eventually(t, "a request in flight", func() bool { return queryAdminStats(t, u.admin).Open == 1 })
+	p, admin := u.next()
 	// Both processes take connections: the one that does not have the request must know of it as well.
 	for range 8 {
-		if a := p.mustAsk(open); a.status != 409 {
-			t.Errorf("an id in hand: status %d", a.status)
+		if a := p.mustDo(open); a.status != 409 {
+			t.Errorf("an id in flight: status %d", a.status)
 		}
 	}
 	close(gate)
-	if a := wait(t, "the request in hand", first); a.status != 200 {
-		t.Errorf("the request in hand: %d", a.status)
+	if a := await(t, "the request in flight", first); a.status != 200 {
+		t.Errorf("the request in flight: %d", a.status)
 	}
-	call(t, door, "PUT", "/healthcheck/fail")
-	eventually(t, "both drained", func() bool { return healthy(u.door) == 503 && healthy(door) == 503 })
-	call(t, u.door, "PUT", "/healthcheck/ok")
-	eventually(t, "the end of the drain at both", func() bool { return healthy(u.door) == 200 && healthy(door) == 200 })
-	call(t, u.door, "PUT", "/healthcheck/fail")
+	adminCall(t, admin, "PUT", "/healthcheck/fail")
+	eventually(t, "both drained", func() bool { return adminHealth(u.admin) == 503 && adminHealth(admin) == 503 })
+	adminCall(t, u.admin, "PUT", "/healthcheck/ok")
+	eventually(t, "the end of the drain at both", func() bool { return adminHealth(u.admin) == 200 && adminHealth(admin) == 200 })
+	adminCall(t, u.admin, "PUT", "/healthcheck/fail")
 	u.old.terminate()
 	u.old.exit()
-	if healthy(door) != 503 {
+	if adminHealth(admin) != 503 {
 		t.Error("the drain ended with the old process")
 	}
-	call(t, door, "PUT", "/healthcheck/ok")
-	if healthy(door) != 200 {
+	adminCall(t, admin, "PUT", "/healthcheck/ok")
+	if adminHealth(admin) != 200 {
 		t.Error("no yes after the drain")
 	}
 }
 
-// TestUpgradeFallsBack has a new process start where nothing can be taken over.
+// A new process starts where nothing can be taken over: the old one was killed or hangs, a foreign file is in its
+// place, or it speaks another version. The new one starts as without an upgrade.
 func TestUpgradeFallsBack(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	for name, act := range map[string]func(t *testing.T, u *pairOf, path string){
-		"killed": func(t *testing.T, u *pairOf, _ string) {
+	s := startBackend(t, "s1", respond(200, "done"))
+	for name, act := range map[string]func(t *testing.T, u *upgradeTest, path string){
+		"killed": func(t *testing.T, u *upgradeTest, _ string) {
 			_ = u.old.cmd.Process.Kill()
 			<-u.old.done
 		},
-		"hangs": func(t *testing.T, u *pairOf, _ string) {
+		"hangs": func(t *testing.T, u *upgradeTest, _ string) {
 			_ = u.old.cmd.Process.Signal(syscall.SIGSTOP)
-			eventually(t, "standstill", u.old.stopped)
+			eventually(t, "the suspension", u.old.suspended)
 		},
-		"foreign file": func(t *testing.T, u *pairOf, path string) {
+		"foreign file": func(t *testing.T, u *upgradeTest, path string) {
 			if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte("mine"), 0o600)); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"another version": func(t *testing.T, u *pairOf, path string) {
+		"another version": func(t *testing.T, u *upgradeTest, path string) {
 			if err := os.Remove(path); err != nil {
 				t.Fatal(err)
 			}
@@ -223,18 +228,18 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := upgradable(t, s)
+			u := newUpgradeTest(t, s)
 			path := handover.SocketPath(u.dir, u.old.addr)
 			eventually(t, "the meeting place", func() bool { _, err := os.Stat(path); return err == nil })
 			act(t, u, path)
-			p, door := u.next()
-			eventually(t, "the list", func() bool { return stats(t, door).Entries == 1 })
+			p, admin := u.next()
+			eventually(t, "the list", func() bool { return queryAdminStats(t, admin).Entries == 1 })
 			if n := strings.Count(p.log.String(), `"code":"handover_failed"`); n < 1 || n > 2 {
 				t.Errorf("%d lines of the failure, want one, and one more where the place is taken", n)
 			}
 			_ = u.old.cmd.Process.Kill()
 			<-u.old.done
-			if a := p.mustAsk(request("look", 1400)); a.status != 200 {
+			if a := p.mustDo(request("look", 1400)); a.status != 200 {
 				t.Errorf("status %d", a.status)
 			}
 			if raw, err := os.ReadFile(path); name == "foreign file" && (err != nil || string(raw) != "mine") {
@@ -244,18 +249,18 @@
 	}
 }
 
-// TestAnotherCustomersProcessGivesNothing has a process of another customer serve at the same address with the same $TMPDIR:
-// by name, or by its discovery and settings. Taking its listener would mix the clients of both.
-func TestAnotherCustomersProcessGivesNothing(t *testing.T) {
-	s := startServer(t, "s1", say(200, "done"))
-	for name, change := range map[string]func(*setup){
-		"name": func(s *setup) { s.env = append(s.env, "ROUTER_NAME=n9") },
-		"discovery and settings": func(s *setup) {
-			s.discovery, s.settings = startDiscovery(t, nil).addr, strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1)
+// A process of another customer serves at the same address with the same $TMPDIR, known by its name or by its discovery
+// and settings. Taking its listener over would mix the clients of both.
+func TestForeignProcessHandsNothingOver(t *testing.T) {
+	s := startBackend(t, "s1", respond(200, "done"))
+	for name, change := range map[string]func(*nodeOptions){
+		"name": func(s *nodeOptions) { s.env = append(s.env, "ROUTER_NAME=n9") },
+		"discovery and settings": func(s *nodeOptions) {
+			s.discovery, s.settings = startDiscoveryServer(t, nil).addr, strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := upgradable(t, s)
+			u := newUpgradeTest(t, s)
 			eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.old.addr)); return err == nil })
 			other := u.setup(freeAddress(t))
 			change(&other)
@@ -263,54 +268,55 @@
 			if code := p.exit(); code == 0 || !strings.Contains(p.log.String(), "ROUTER_LISTEN") {
 				t.Errorf("exit %d, log %s", code, p.log)
 			}
-			if a := u.old.mustAsk(request("look", 1400)); a.status != 200 || stats(t, u.door).Open != 0 {
+			if a := u.old.mustDo(request("look", 1400)); a.status != 200 || queryAdminStats(t, u.admin).Open != 0 {
 				t.Errorf("the process that serves: %d", a.status)
 			}
-			if p, door := u.next(); healthy(door) != 200 || !strings.Contains(p.log.String(), `"code":"handover"`) {
+			if p, admin := u.next(); adminHealth(admin) != 200 || !strings.Contains(p.log.String(), `"code":"handover"`) {
 				t.Error("its own next version cannot take over any more")
 			}
 		})
 	}
 }
 
-// TestChangedSettingsTakeNoRecords: in an upgrade of one node the class "look" becomes another one, and the list another
-// discovery's. What was counted for the one must not count for the other.
-func TestChangedSettingsTakeNoRecords(t *testing.T) {
-	s1, s2 := startServer(t, "s1", say(200, "done")), startServer(t, "s2", say(200, "done"))
-	for name, change := range map[string]func(*setup){
-		"settings":  func(s *setup) { s.settings = strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1) },
-		"discovery": func(s *setup) { s.discovery = startDiscovery(t, members(s2)).addr },
+// An upgrade changes a class in the settings, or the discovery. What was measured for the old one must not count for
+// the new one.
+func TestChangedSettingsDropRecords(t *testing.T) {
+	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", respond(200, "done"))
+	for name, change := range map[string]func(*nodeOptions){
+		"settings":  func(s *nodeOptions) { s.settings = strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1) },
+		"discovery": func(s *nodeOptions) { s.discovery = startDiscoveryServer(t, members(s2)).addr },
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := upgradable(t, s1, s2)
+			u := newUpgradeTest(t, s1, s2)
 			for range 20 {
-				u.old.mustAsk(request("look", 1400))
+				u.old.mustDo(request("look", 1400))
 			}
-			s2.behave(reset)
-			defer s2.behave(say(200, "done"))
+			s2.setBehavior(resetConn)
+			defer s2.setBehavior(respond(200, "done"))
 			eventually(t, "exclusion", func() bool {
-				u.old.mustAsk(request("look", 1400))
-				return stats(t, u.door).Avoided == 1
+				u.old.mustDo(request("look", 1400))
+				return queryAdminStats(t, u.admin).Ejected == 1
 			})
-			door := freeAddress(t)
-			next := u.setup(door)
+			admin := freeAddress(t)
+			next := u.setup(admin)
 			change(&next)
 			p := launch(t, u.old.addr, next)
-			eventually(t, "the new process's yes", func() bool { return healthy(door) == 200 })
+			eventually(t, "the new process's yes", func() bool { return adminHealth(admin) == 200 })
 			entries := map[string]int{"settings": 2, "discovery": 1}[name]
-			eventually(t, "its list", func() bool { return stats(t, door).Entries == entries })
+			eventually(t, "its list", func() bool { return queryAdminStats(t, admin).Entries == entries })
 			avoided := map[string]int{"settings": 0, "discovery": 1}[name] // the same settings' records of a server that both list
-			eventually(t, "its records", func() bool { return stats(t, door).Avoided >= avoided })
-			if f := stats(t, door); f.Avoided != avoided || !strings.Contains(p.log.String(), `"code":"handover_part"`) {
-				t.Errorf("avoids %d of %d servers, want %d", f.Avoided, f.Entries, avoided)
+			eventually(t, "its records", func() bool { return queryAdminStats(t, admin).Ejected >= avoided })
+			if f := queryAdminStats(t, admin); f.Ejected != avoided || !strings.Contains(p.log.String(), `"code":"handover_part"`) {
+				t.Errorf("avoids %d of %d servers, want %d", f.Ejected, f.Entries, avoided)
 			}
 		})
 	}
 }
 
-// TestAddressOfOneKilledIsNotShared: what a killed process left in $TMPDIR says nothing of who listens there now.
-func TestAddressOfOneKilledIsNotShared(t *testing.T) {
-	u := upgradable(t, startServer(t, "s1", say(200, "done")))
+// A killed process left its socket in $TMPDIR, and another program now listens at its address. The socket says nothing
+// about that program, so the address must not be shared with it.
+func TestAddressOfKilledProcessIsNotShared(t *testing.T) {
+	u := newUpgradeTest(t, startBackend(t, "s1", respond(200, "done")))
 	eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.old.addr)); return err == nil })
 	_ = u.old.cmd.Process.Kill()
 	<-u.old.done
