--- a/internal/endpoints/format_test.go
+++ b/internal/endpoints/format_test.go
@@ -50,7 +50,7 @@
 
 func TestSavedStateIsRead(t *testing.T) {
 	var out strings.Builder
-	got, err := saved(&out, filepath.Join("testdata", "state"))
+	got, err := readSavedState(&out, filepath.Join("testdata", "state"))
 	if err != nil || out.Len() > 0 {
 		t.Fatalf("%v; printed %q", err, out.String())
 	}
@@ -92,8 +92,8 @@
 	if err := os.WriteFile(filepath.Join(dir, formatFile), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := newDesk()
-	d.start(t, "[inventory]\nstate_dir=\""+dir+"\"\n[[inventory.file]]\npath=\"/nowhere/hosts.csv\"\n")
+	node := newFakeNode()
+	node.start(t, "[inventory]\nstate_dir=\""+dir+"\"\n[[inventory.file]]\npath=\"/nowhere/hosts.csv\"\n")
 	want := balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: []balancer.Endpoint{
 		{ID: "d5", State: balancer.Ready, Zone: "c", Cell: 1, Capacity: 0.5, Started: 1764588000456.5},
 		{ID: "fixed", State: balancer.Ready, Zone: "a", Cell: 2, Capacity: 1},
@@ -102,12 +102,12 @@
 		{ID: "s3", State: balancer.Ready, Zone: "b", Cell: 4, Capacity: 1},
 		{ID: "s4", State: balancer.Ready, Zone: "b", Cell: 4, Capacity: 1},
 	}}
-	if got := d.next(t); !reflect.DeepEqual(got, want) {
-		t.Errorf("the module heard %+v\nwant %+v", got, want)
+	if got := node.nextUpdate(t); !reflect.DeepEqual(got, want) {
+		t.Errorf("the balancer got %+v\nwant %+v", got, want)
 	}
 	for id, want := range map[balancer.ServerID]string{"d5": "[fd00::5]:80", "fixed": "10.9.9.9:80", "s1": "10.0.1.1:80", "s2": "",
 		"s3": "10.0.0.3:80", "s4": "10.0.0.4:80"} {
-		if got, ok := d.roster.Address(id); got != want || ok != (want != "") {
+		if got, ok := node.directory.Address(id); got != want || ok != (want != "") {
 			t.Errorf("%s is at %q (%v), want %q", id, got, ok, want)
 		}
 	}
@@ -129,13 +129,13 @@
 		t.Errorf("wrote %q (%v), want %q", raw, err, sum+"\n")
 	}
 	f := &File{Path: path, Checksum: true}
-	if got := confirmed(f); got != sum {
+	if got := confirmedSHA256(f); got != sum {
 		t.Errorf("confirmed %q, want %q", got, sum)
 	}
 	if err := os.WriteFile(path+".sha256", []byte(strings.ToUpper(sum)+"  hosts.csv\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := checksum(f, list); err != nil {
+	if err := verifyChecksum(f, list); err != nil {
 		t.Errorf("a checksum file as sha256sum writes it: %v", err)
 	}
 }
