--- a/internal/endpoints/command.go
+++ b/internal/endpoints/command.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	file, err := operator.ParseSection(edge, string(raw), Part().Section)
+	file, err := operator.ParseSection(edge, string(raw), Subsystem().Section)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/endpoints/fake_test.go
+++ b/internal/endpoints/fake_test.go
@@ -66,12 +66,12 @@
 // start builds and starts the subsystem from the text of an operator file.
 func (n *fakeNode) start(t testing.TB, text string) subsystem.Instance {
 	t.Helper()
-	f, err := operator.Parse("edge.toml", text, []operator.Section{Part().Section})
+	f, err := operator.Parse("edge.toml", text, []operator.Section{Subsystem().Section})
 	if err != nil {
 		t.Fatal(err)
 	}
 	host := subsystem.Host{Node: n, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-	running, err := Part().Build(host, f.Options("inventory"), nil)
+	running, err := Subsystem().Build(host, f.Options("inventory"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/endpoints/format_test.go
+++ b/internal/endpoints/format_test.go
@@ -171,7 +171,7 @@
 pod = "p"
 size = 1.5
 `
-	f, err := operator.Parse("edge.toml", text, []operator.Section{Part().Section})
+	f, err := operator.Parse("edge.toml", text, []operator.Section{Subsystem().Section})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -37,8 +37,8 @@
 	Counters() *counters.Counters
 }
 
-// Part declares the subsystem.
-func Part() subsystem.Definition {
+// Subsystem declares the subsystem.
+func Subsystem() subsystem.Definition {
 	return subsystem.Definition{
 		Section: operator.Section{
 			Name:    "inventory",
--- a/internal/endpoints/inventory_test.go
+++ b/internal/endpoints/inventory_test.go
@@ -65,11 +65,11 @@
 	if l := node.nextUpdate(t); describe(l) != "s" || time.Since(began) < firstListTimeout/2 {
 		t.Errorf("%+v after %v", l, time.Since(began))
 	}
-	f, err := operator.Parse("edge.toml", "[inventory]\nstate_dir=\"/proc/none\"\n", []operator.Section{Part().Section})
+	f, err := operator.Parse("edge.toml", "[inventory]\nstate_dir=\"/proc/none\"\n", []operator.Section{Subsystem().Section})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Part().Build(subsystem.Host{Node: node}, f.Options("inventory"), nil); err == nil {
+	if _, err := Subsystem().Build(subsystem.Host{Node: node}, f.Options("inventory"), nil); err == nil {
 		t.Error("a folder that cannot be made is no error")
 	}
 }
--- a/internal/endpoints/validate_test.go
+++ b/internal/endpoints/validate_test.go
@@ -20,7 +20,7 @@
 		"[inventory]\npoll = \"1ms\"\n":                                          "inventory.poll",
 		"[inventory]\nstate_dirs = \"x\"\n":                                      "no such key",
 	} {
-		if _, err := operator.Parse("edge.toml", text, []operator.Section{Part().Section}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := operator.Parse("edge.toml", text, []operator.Section{Subsystem().Section}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -12,7 +12,7 @@
 // package and one line here.
 func Parts() []subsystem.Definition {
 	return []subsystem.Definition{
-		endpoints.Part(),
+		endpoints.Subsystem(),
 		front.Subsystem(),
 		cluster.Subsystem(),
 		resourceusage.Subsystem(),
