--- /dev/null
+++ b/internal/endpointmerge/conflict.go
@@ -0,0 +1,49 @@
+package endpointmerge
+
+import (
+	"fmt"
+	"sort"
+)
+
+// maxConflicts bounds the conflicts that are remembered, which would else grow with the number of servers.
+const maxConflicts = 1000
+
+// String is the conflict as one line.
+func (c Conflict) String() string {
+	return fmt.Sprintf("%s: %s is %q by %s, not %q by %s", c.ID, c.Field, c.Chosen, c.ChosenSource, c.Rejected, c.RejectedSource)
+}
+
+func conflictKey(id, field string) string { return id + " " + field }
+
+// noteConflict remembers a conflict and reports it if it is new.
+func (v *View) noteConflict(c Conflict, out *Outcome) {
+	key := conflictKey(c.ID, c.Field)
+	before, known := v.conflicts[key]
+	if known && before == c {
+		return
+	}
+	if known || len(v.conflicts) < maxConflicts {
+		v.conflicts[key] = c
+		out.Conflicts = append(out.Conflicts, c)
+	}
+}
+
+// clearConflicts forgets the conflicts about a server.
+func (v *View) clearConflicts(id string) {
+	for _, field := range Fields {
+		delete(v.conflicts, conflictKey(id, field))
+	}
+}
+
+// Conflicts are those that exist now, by id and field.
+func (v *View) Conflicts() []Conflict {
+	conflicts := make([]Conflict, 0, len(v.conflicts))
+	for _, c := range v.conflicts {
+		conflicts = append(conflicts, c)
+	}
+	sort.Slice(conflicts, func(i, j int) bool {
+		a, b := conflicts[i], conflicts[j]
+		return conflictKey(a.ID, a.Field) < conflictKey(b.ID, b.Field)
+	})
+	return conflicts
+}
--- /dev/null
+++ b/internal/endpointmerge/helper_test.go
@@ -0,0 +1,54 @@
+package endpointmerge
+
+import (
+	"fmt"
+	"testing"
+
+	"tackhub.example/tackhub/internal/inventory"
+)
+
+func testSettings() Settings {
+	return Settings{Sources: []string{"file", "discovery"}, FieldPrecedence: map[string][]string{FieldAddress: {"discovery", "file"}},
+		GuardedSources: []string{"file"}, MaxRemovedShare: 0.3, MinHeldRemovals: 2, PodHold: 2000, MaxMovingShare: 0.5, TombstoneTTL: 60_000}
+}
+
+func server(id, pod string) inventory.Server {
+	return inventory.Server{ID: id, Address: "10.0.0." + id[1:] + ":80", Zone: "a", Pod: pod, Phase: inventory.Serving}
+}
+
+func servers(pod string, n int) []inventory.Server {
+	var out []inventory.Server
+	for i := range n {
+		out = append(out, server(fmt.Sprintf("s%d", i+1), pod))
+	}
+	return out
+}
+
+// sequence plays events and compares the changes of each, as text: the ids with the numbers of their pods, ~ for a server that
+// drains and - for one that was removed.
+type sequence struct {
+	t *testing.T
+	v *View
+}
+
+func (s sequence) step(now Millis, e Event, want string) Outcome {
+	s.t.Helper()
+	out := s.v.Step(now, e)
+	got := ""
+	for _, p := range out.Changes {
+		got += " " + p.ID
+		switch {
+		case p.Removed:
+			got += "-"
+		case p.Draining:
+			got += "~"
+		}
+		if !p.Removed {
+			got += fmt.Sprint("@", p.Cell)
+		}
+	}
+	if got != want {
+		s.t.Errorf("at %v %T: changed%s, want%s", now, e, got, want)
+	}
+	return out
+}
--- a/internal/endpointmerge/merge.go
+++ b/internal/endpointmerge/merge.go
@@ -1,415 +1,215 @@
 package endpointmerge
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"strconv"
 
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// order is the precedence of sources for a field.
-func (v *View) order(field string) []string {
-	var out []string
-	for _, name := range v.set.FieldPrecedence[field] {
-		if v.sources[name] != nil && !contains(out, name) {
-			out = append(out, name)
-		}
-	}
-	for _, name := range v.set.Sources {
-		if !contains(out, name) {
-			out = append(out, name)
-		}
-	}
-	return append(out, SourceRestored)
+// member is a member with what its moves to other groups need.
+type member struct {
+	Member
+	cell int
+	move move
 }
 
-// listed tells whether a server is a member by what sources say, addresses aside.
-func (v *View) listed(id string) bool {
-	any := false
-	for _, s := range v.sources {
-		if _, ok := s.servers[id]; ok {
-			any = true
-		}
-	}
-	if !any {
-		delete(v.tombs, id)
-		return false
-	}
-	for _, name := range v.set.RequiredSources {
-		if s := v.sources[name]; s != nil && s.spoken {
-			if _, ok := s.servers[id]; !ok {
-				return false
-			}
-		}
-	}
-	for by, at := range v.tombs[id] {
-		if !v.overruled(id, by, at) {
-			return false
-		}
-	}
-	return true
-}
-
-// overruled tells whether another source has spoken of a server after a tombstone's time: then its word is newer than the
-// removal. Until then it is taken for stale.
-func (v *View) overruled(id, by string, at Millis) bool {
-	for name, s := range v.sources {
-		if _, ok := s.servers[id]; ok && name != by && name != SourceRestored && s.at[id] >= at+v.set.TombstoneTTL {
-			return true
-		}
-	}
-	return false
-}
-
-// merge works out the members among the ids that something was said of, and those that want the same addresses.
-func (v *View) merge(dirty map[string]bool, out *Outcome) {
+// merge works out anew the members that an event may have changed, and those that want the same addresses.
+func (v *View) merge(changed idSet, out *Outcome) {
 	candidates := map[string]*member{}
-	addresses := map[string]bool{}
-	for id := range dirty {
+	contested := map[string]bool{} // addresses whose owner may have changed
+	for id := range changed {
 		if m := v.members[id]; m != nil {
-			addresses[m.Address] = true
+			contested[m.Address] = true
 		}
 		c := v.candidate(id, out)
 		candidates[id] = c
-		v.claim(id, c, addresses)
+		v.addresses.claim(id, c, contested)
 	}
-	for address := range addresses { // who else wants it is to be looked at as well
-		for id := range v.claims[address] {
-			if _, ok := candidates[id]; !ok {
+	for address := range contested {
+		for id := range v.addresses.claimants[address] {
+			if _, known := candidates[id]; !known {
 				candidates[id] = v.candidate(id, out)
 			}
 		}
 	}
-	for _, id := range sortedKeys(candidates) {
+	for _, id := range slices.Sorted(maps.Keys(candidates)) {
 		c := candidates[id]
-		if c != nil && v.owner(c.Address, candidates) != id {
+		if c != nil && v.addressOwner(c.Address, candidates) != id {
 			c = nil
 		}
-		v.settle(id, c, out)
-	}
-}
-
-// claim notes which address a candidate wants, and gives up what it wanted before.
-func (v *View) claim(id string, c *member, addresses map[string]bool) {
-	if old, ok := v.wants[id]; ok && (c == nil || old != c.Address) {
-		addresses[old] = true
-		delete(v.wants, id)
-		delete(v.claims[old], id)
-		if len(v.claims[old]) == 0 {
-			delete(v.claims, old)
-		}
-	}
-	if c == nil {
-		return
-	}
-	if v.claims[c.Address] == nil {
-		v.claims[c.Address] = map[string]bool{}
+		v.settle(id, c)
 	}
-	v.wants[id], v.claims[c.Address][id], addresses[c.Address] = c.Address, true, true
 }
 
-// candidate merges one server's fields; nil where it is no member.
+// candidate merges what the sources say of one server; nil if it is no member, or nobody knows its address.
 func (v *View) candidate(id string, out *Outcome) *member {
 	if !v.listed(id) {
-		v.noConflicts(id)
+		v.clearConflicts(id)
 		return nil
 	}
-	m := &member{Member: Member{Server: inventory.Server{ID: id, Phase: inventory.Serving}, FieldSources: map[string]string{}}}
-	m.Address = v.pick(m, FieldAddress, func(s inventory.Server) string { return s.Address }, out)
-	m.Zone = v.pick(m, FieldZone, func(s inventory.Server) string { return s.Zone }, out)
-	m.Pod = v.pick(m, FieldPod, func(s inventory.Server) string { return s.Pod }, out)
-	size := v.pick(m, FieldSize, func(s inventory.Server) string {
-		if s.Size == 0 {
-			return ""
-		}
-		return strconv.FormatFloat(s.Size, 'g', -1, 64)
-	}, out)
-	m.Size, _ = strconv.ParseFloat(size, 64) // it was written from a number
-	for _, name := range v.orders[""] {
-		s, ok := v.sources[name].servers[id]
-		if !ok {
-			continue
-		}
-		if s.Phase == inventory.Draining {
-			m.Phase, m.FieldSources["phase"] = inventory.Draining, name
-		}
-		if m.Tags == nil && len(s.Tags) > 0 {
-			m.Tags, m.FieldSources["tags"] = s.Tags, name
-		}
-		for k, text := range s.Extra {
-			if m.Extra == nil {
-				m.Extra = map[string]string{}
-			}
-			if _, had := m.Extra[k]; !had {
-				m.Extra[k] = text
-			}
-		}
-	}
-	for _, name := range v.orders[FieldAddress] { // who knows the address knows the process
-		if s, ok := v.sources[name].servers[id]; ok && s.Started > 0 {
-			m.Started, m.FieldSources["started"] = s.Started, name
-			break
-		}
-	}
-	if m.Address == "" {
+	c := &member{Member: Member{
+		Server:       inventory.Server{ID: id, Phase: inventory.Serving},
+		FieldSources: map[string]string{},
+	}}
+	c.Address = v.choose(c, FieldAddress, out)
+	c.Zone = v.choose(c, FieldZone, out)
+	c.Pod = v.choose(c, FieldPod, out)
+	c.Size, _ = strconv.ParseFloat(v.choose(c, FieldSize, out), 64) // written by fieldText, or empty for 0
+	for _, name := range v.precedence[""] {
+		if s := v.sources[name]; s.lists(id) {
+			c.addOtherFields(s.servers[id], name)
+		}
+	}
+	v.setStarted(c)
+	if c.Address == "" {
 		return nil
 	}
-	return m
+	return c
 }
 
-// pick is a field's value by the first source that speaks of it, and notes who differs.
-func (v *View) pick(m *member, field string, of func(inventory.Server) string, out *Outcome) string {
-	taken, from := "", ""
-	key := m.ID + " " + field
-	found := false
-	for _, name := range v.orders[field] {
-		s, ok := v.sources[name].servers[m.ID]
-		if !ok || of(s) == "" {
-			continue
-		}
-		switch {
-		case from == "":
-			taken, from = of(s), name
-		case of(s) != taken && name != SourceRestored && !found:
-			found = true
-			c := Conflict{m.ID, field, taken, of(s), from, name}
-			if v.conflicts[key] != c {
-				if _, had := v.conflicts[key]; had || len(v.conflicts) < conflictsKept {
-					v.conflicts[key] = c
-					out.Conflicts = append(out.Conflicts, c)
-				}
-			}
-		}
+// addOtherFields merges the fields without a precedence of their own: any drain counts, and the first word on the others.
+func (m *member) addOtherFields(s inventory.Server, source string) {
+	if s.Phase == inventory.Draining {
+		m.Phase = inventory.Draining
+		m.FieldSources[fieldPhase] = source
 	}
-	if !found {
-		delete(v.conflicts, key)
+	if m.Tags == nil && len(s.Tags) > 0 {
+		m.Tags = s.Tags
+		m.FieldSources[fieldTags] = source
 	}
-	if from != "" {
-		m.FieldSources[field] = from
+	for key, text := range s.Extra {
+		if m.Extra == nil {
+			m.Extra = map[string]string{}
+		}
+		if _, known := m.Extra[key]; !known {
+			m.Extra[key] = text
+		}
 	}
-	return taken
 }
 
-func (v *View) noConflicts(id string) {
-	for _, f := range Fields {
-		delete(v.conflicts, id+" "+f)
+// setStarted sets the time of the process's start by the precedence for addresses: who knows the address knows the process.
+func (v *View) setStarted(m *member) {
+	for _, name := range v.precedence[FieldAddress] {
+		s, listed := v.sources[name].servers[m.ID]
+		if listed && s.Started > 0 {
+			m.Started = s.Started
+			m.FieldSources[fieldStarted] = name
+			return
+		}
 	}
 }
 
-// owner is the one of those who want an address that gets it: by the precedence of the source that says so, then the one
-// that started later, then by id. Two servers at one address cannot both be; a new process there is another server.
-func (v *View) owner(address string, fresh map[string]*member) string {
-	best, bestRank, bestStarted := "", 0, 0.0
-	order := v.orders[FieldAddress]
-	for id := range v.claims[address] {
-		m := fresh[id]
-		if m == nil {
+// choose is a field's value by the first source that has one. It notes the first other source that differs.
+func (v *View) choose(m *member, field string, out *Outcome) string {
+	chosen, chosenSource := "", ""
+	conflicting := false
+	for _, name := range v.precedence[field] {
+		s, listed := v.sources[name].servers[m.ID]
+		text := fieldText(s, field)
+		if !listed || text == "" {
 			continue
 		}
-		rank := 0
-		for i, name := range order {
-			if name == m.FieldSources[FieldAddress] {
-				rank = i
-			}
+		if chosenSource == "" {
+			chosen = text
+			chosenSource = name
+			continue
 		}
-		better := best == "" || rank < bestRank || rank == bestRank && (m.Started > bestStarted ||
-			m.Started == bestStarted && id < best)
-		if better {
-			best, bestRank, bestStarted = id, rank, m.Started
+		differs := text != chosen && name != SourceRestored
+		if differs && !conflicting {
+			conflicting = true
+			v.noteConflict(Conflict{ID: m.ID, Field: field, Chosen: chosen, Rejected: text, ChosenSource: chosenSource, RejectedSource: name}, out)
 		}
 	}
-	return best
-}
-
-// settle makes a candidate the member, or takes the member out.
-func (v *View) settle(id string, c *member, out *Outcome) {
-	was := v.members[id]
-	v.touched[id] = true
-	switch {
-	case c == nil && was == nil:
-		return
-	case c == nil:
-		if was.until > 0 {
-			v.moving--
-		}
-		delete(v.members, id)
-		delete(v.movers, id)
-		return
-	case was == nil:
-		c.cell = v.cellOf(c.Pod)
-		if v.settled && c.Started == 0 && c.FieldSources[FieldAddress] != SourceRestored {
-			c.Started = v.now // nobody tells when it started: new to us, it is taken for cold
-		}
-		v.members[id] = c
-		return
+	if !conflicting {
+		delete(v.conflicts, conflictKey(m.ID, field))
 	}
-	if c.Started == 0 {
-		c.Started = was.Started
-		if c.Address != was.Address && v.settled {
-			c.Started = v.now // another process
-		}
-	}
-	c.cell, c.until, c.queue, c.next = was.cell, was.until, was.queue, was.next
-	v.regroup(c, was)
-	v.members[id] = c
-	if delete(v.movers, id); c.queue || c.until > 0 {
-		v.movers[id] = c
+	if chosenSource != "" {
+		m.FieldSources[field] = chosenSource
 	}
+	return chosen
 }
 
-// regroup lets a member whose group is to change keep its old one for now.
-func (v *View) regroup(c, was *member) {
-	want, have := group{c.Zone, c.Pod}, group{was.Zone, was.Pod}
-	c.Zone, c.Pod = have.zone, have.pod
-	switch {
-	case want == have:
-		if c.until > 0 { // back before it moved: nothing new went there meanwhile
-			v.moving--
+// fieldText is a field with a precedence, as text; empty where the source does not set it.
+func fieldText(s inventory.Server, field string) string {
+	switch field {
+	case FieldAddress:
+		return s.Address
+	case FieldZone:
+		return s.Zone
+	case FieldPod:
+		return s.Pod
+	case FieldSize:
+		if s.Size != 0 {
+			return strconv.FormatFloat(s.Size, 'g', -1, 64)
 		}
-		c.until, c.queue, c.next, c.MovingTo = 0, false, group{}, ""
-	case v.set.PodHold <= 0:
-		c.Zone, c.Pod, c.cell = want.zone, want.pod, v.cellOf(want.pod)
-	default:
-		c.next, c.MovingTo = want, want.zone+"/"+want.pod
-		c.queue = c.until == 0
 	}
+	return ""
 }
 
-// move carries groups' changes on: names that change while the groups stay, holds that are over, and the next in turn.
-func (v *View) move(out *Outcome) {
-	var waits []*member
-	for _, m := range v.movers {
-		if m.until > 0 && v.now >= m.until {
-			v.moving--
-			v.arrive(m)
-		}
-		if m.queue {
-			waits = append(waits, m)
-		}
-		if m.until > 0 && (out.NextTick == 0 || m.until < out.NextTick) {
-			out.NextTick = m.until
+// precedenceOf is the order of sources for a field: the one that is set for it, then the others in theirs.
+func (v *View) precedenceOf(field string) []string {
+	var order []string
+	for _, name := range v.settings.FieldPrecedence[field] {
+		if v.sources[name] != nil && !slices.Contains(order, name) {
+			order = append(order, name)
 		}
 	}
-	if len(waits) == 0 {
-		return
-	}
-	sort.Slice(waits, func(i, j int) bool { return waits[i].ID < waits[j].ID })
-	waits = v.rename(waits)
-	most := max(1, int(v.set.MaxMovingShare*float64(len(v.members))))
-	for _, m := range waits {
-		if v.moving >= most {
-			break
-		}
-		m.queue, m.until = false, v.now+v.set.PodHold
-		v.touched[m.ID] = true
-		v.moving++
-		out.MovesStarted++
-		if out.NextTick == 0 || m.until < out.NextTick {
-			out.NextTick = m.until
+	for _, name := range v.settings.Sources {
+		if !slices.Contains(order, name) {
+			order = append(order, name)
 		}
 	}
+	return append(order, SourceRestored)
 }
 
-func (v *View) arrive(m *member) {
-	m.Zone, m.Pod, m.cell = m.next.zone, m.next.pod, v.cellOf(m.next.pod)
-	m.until, m.queue, m.next, m.MovingTo = 0, false, group{}, ""
-	v.touched[m.ID] = true
-	delete(v.movers, m.ID)
-}
-
-// rename finds pods that all their members leave together for a name that nobody else has: the pod is the same, so
-// nothing needs to be held. It gives those that really move.
-func (v *View) rename(waits []*member) []*member {
-	size, names := map[group]int{}, map[string]int{} // members of a group, and of a name in all zones
-	for _, m := range v.members {
-		size[group{m.Zone, m.Pod}]++
-		names[m.Pod]++
-	}
-	leaving, joins := map[group]map[group]int{}, map[string]int{}
-	for _, m := range v.movers {
-		joins[m.next.pod]++
-	}
-	for _, m := range waits {
-		from := group{m.Zone, m.Pod}
-		if leaving[from] == nil {
-			leaving[from] = map[group]int{}
-		}
-		leaving[from][m.next]++
-	}
-	same := map[group]bool{}
-	for from, to := range leaving {
-		for next, n := range to {
-			same[from] = n == size[from] && n == names[from.pod] && joins[next.pod] == n && names[next.pod] == 0 && next.zone == from.zone
-		}
-	}
-	var out []*member
-	for _, m := range waits {
-		if !same[group{m.Zone, m.Pod}] {
-			out = append(out, m)
-			continue
-		}
-		if old := m.Pod; v.cells[old] == m.cell { // a pod that takes the old name later is another
-			delete(v.cells, old)
-		}
-		v.cells[m.next.pod], v.podOf[m.cell] = m.cell, m.next.pod
-		m.Pod = m.next.pod
-		m.queue, m.next, m.MovingTo = false, group{}, ""
-		delete(v.movers, m.ID)
+// settle makes a candidate the member, or removes the member if there is no candidate.
+func (v *View) settle(id string, c *member) {
+	before := v.members[id]
+	v.touched[id] = true
+	switch {
+	case c == nil && before == nil:
+	case c == nil:
+		v.removeMember(before)
+	case before == nil:
+		v.addMember(c)
+	default:
+		v.updateMember(c, before)
 	}
-	return out
 }
 
-// cellOf is the number of a pod.
-func (v *View) cellOf(pod string) int {
-	if n, ok := v.cells[pod]; ok && v.podOf[n] == pod {
-		return n
+func (v *View) removeMember(m *member) {
+	if m.move.started() {
+		v.moving--
 	}
-	v.nextCell++
-	v.cells[pod], v.podOf[v.nextCell] = v.nextCell, pod
-	return v.nextCell
+	delete(v.members, m.ID)
+	delete(v.relocating, m.ID)
 }
 
-// push gives what differs from what was pushed before.
-func (v *View) push(out *Outcome) {
-	for id := range v.touched {
-		m, was := v.members[id], v.pushed[id]
-		if m == nil {
-			if was.ID != "" {
-				delete(v.pushed, id)
-				was.Removed = true
-				out.Changes = append(out.Changes, was)
-			}
-			continue
-		}
-		e := Entry{ID: id, Address: m.Address, Zone: m.Zone, Cell: m.cell, Size: m.Size, Started: m.Started,
-			Draining: m.Phase == inventory.Draining || m.until > 0}
-		if e.Size == 0 {
-			e.Size = 1
-		}
-		if was != e {
-			v.pushed[id] = e
-			out.Changes = append(out.Changes, e)
-		}
+// addMember adds a new member. If no source says when it started and the first list is complete, it has just started.
+func (v *View) addMember(c *member) {
+	c.cell = v.pods.number(c.Pod)
+	if v.settled && c.Started == 0 && c.FieldSources[FieldAddress] != SourceRestored {
+		c.Started = v.now
 	}
-	clear(v.touched)
-	sort.Slice(out.Changes, func(i, j int) bool { return out.Changes[i].ID < out.Changes[j].ID })
+	v.members[c.ID] = c
 }
 
-// Pushed is everything as it was pushed last, by id.
-func (v *View) Published() []Entry {
-	out := make([]Entry, 0, len(v.pushed))
-	for _, e := range v.pushed {
-		out = append(out, e)
+// updateMember replaces a member. One at another address is another process, which has just started.
+func (v *View) updateMember(c, before *member) {
+	if c.Started == 0 {
+		c.Started = before.Started
+		if c.Address != before.Address && v.settled {
+			c.Started = v.now
+		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
-	return out
-}
-
-func sortedKeys(m map[string]*member) []string {
-	out := make([]string, 0, len(m))
-	for k := range m {
-		out = append(out, k)
+	c.cell = before.cell
+	c.move = before.move
+	v.planMove(c, before.group())
+	v.members[c.ID] = c
+	delete(v.relocating, c.ID)
+	if c.move.pending() {
+		v.relocating[c.ID] = c
 	}
-	sort.Strings(out)
-	return out
 }
