--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,25 +1,98 @@
 package balancer
 
-// Admission is the fleet's cut: which part of each class's requests is let in while there is more work than the servers can do.
-// Classes that are not named are let in whole; an empty one ends the cut. NoRetries is the part of the budget for further
-// attempts that is held back, from 0 to 1, while most attempts of the whole fleet fail.
-type FleetAdmission struct {
-	AdmittedFraction map[string]float64
-	RetryReduction   float64
+const (
+	// maxRecentRejections bounds the rejections that are remembered: seconds of a busy node.
+	maxRecentRejections = 4096
+	// samplingMarkBits of a request's sampling mark make a number from 0 to 1.
+	samplingMarkBits = 53
+)
+
+// rejection is a rejected request whose client may retry it.
+type rejection struct {
+	objectiveAt Millis
+	until       Millis // a request of the same identity is taken for the retry until then
+}
+
+// handleArrival takes a new request in: rejects it at once, or queues it and tries to place it.
+func (b *Balancer) handleArrival(e Arrival) {
+	class := b.classes[e.Class]
+	if b.requests[e.ID] != nil {
+		return
+	}
+	if class == nil {
+		b.emit(Reject{ID: e.ID, Reason: UnknownClass})
+		return
+	}
+	r := b.newRequest(e, class)
+	b.requests[r.id] = r
+	b.setObjective(r, e.IsRetry)
+	r.expectBody(e.UploadTimeout)
+	b.recognizeRetry(r)
+	b.accountArrival(r, e.IsRetry)
+	if reason, rejected := b.rejectedOnArrival(r, e.SamplingMark); rejected {
+		b.rejectOrFail(r, reason)
+		return
+	}
+	b.enqueue(r)
+	b.sendLoadProbes(r)
+	b.dispatchQueue()
 }
 
-func (FleetAdmission) event() {}
+func (b *Balancer) newRequest(e Arrival, class *classState) *request {
+	r := &request{
+		id:       e.ID,
+		identity: requestIdentity{e.Key, class},
+		class:    class,
+		tenant:   b.tenants[e.Tenant],
+		arrived:  b.now,
+		deadline: e.Deadline,
+		work:     1,
+	}
+	if b.settings.KeyAffinity && e.Key != "" {
+		r.affinityKey = stableHash(e.Key)
+	}
+	if e.WorkHint > 0 {
+		r.work = b.workFromHint(e.WorkHint)
+	}
+	return r
+}
 
-// fleetNews is what a node is told of the fleet as one: Share and Admission.
-type fleetNews interface{ apply(l *Balancer) }
+// recognizeRetry takes a request that comes soon after a rejection of the same key for its retry,
+// where clients don't mark retries: its latency objective then counts from the first attempt.
+func (b *Balancer) recognizeRetry(r *request) {
+	rejected, found := b.recentRejections[r.identity]
+	if !found || b.now >= rejected.until {
+		return
+	}
+	delete(b.recentRejections, r.identity)
+	r.objectiveAt = rejected.objectiveAt
+	r.late = rejected.objectiveAt <= b.now
+}
+
+// rejectedOnArrival tells whether a request is rejected before any server is considered, and why.
+func (b *Balancer) rejectedOnArrival(r *request, mark uint64) (RejectReason, bool) {
+	if r.late && r.class.LateFraction <= 0 { // worth nothing by now: work on it would make others late as well
+		return LateRetry, true
+	}
+	if b.shedByFleet(r.class, mark) {
+		return FleetOverload, true
+	}
+	return 0, false
+}
 
-func (e FleetQuota) apply(l *Balancer) { l.fleetShare = &e }
-func (e FleetAdmission) apply(l *Balancer) {
-	l.admission, l.noRetries = e.AdmittedFraction, e.RetryReduction
+// shedByFleet tells whether the fleet has no capacity for a request. Its sampling mark decides,
+// which is the same at whichever node it arrives.
+func (b *Balancer) shedByFleet(class *classState, mark uint64) bool {
+	admitted, limited := b.fleet.admittedFraction[class.Name]
+	return limited && float64(mark>>(64-samplingMarkBits))/(1<<samplingMarkBits) >= admitted
 }
 
-// cut tells whether the fleet has no room for a request. The mark decides, which is the same at whichever node it arrives.
-func (l *Balancer) cut(c *classState, mark uint64) bool {
-	share, is := l.admission[c.Name]
-	return is && float64(mark>>11)/(1<<53) >= share
+// rememberRejection keeps a rejection, so that an unmarked retry is recognized.
+func (b *Balancer) rememberRejection(r *request) {
+	if len(b.recentRejections) >= maxRecentRejections {
+		clear(b.recentRejections)
+	}
+	if r.identity.key != "" && !b.settings.ClientsMarkRetries {
+		b.recentRejections[r.identity] = rejection{r.objectiveAt, b.now + r.class.LatencyObjective}
+	}
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -28,9 +28,9 @@
 		t.Error("not the marked part of the classes that are cut")
 	}
 	whole := func() float64 {
-		b.l.retries.left = 0
+		b.l.retryBudget.left = 0
 		b.arrive("read", 1000)
-		return b.l.retries.left
+		return b.l.retryBudget.left
 	}
 	rate := whole()
 	if b.step(FleetAdmission{RetryReduction: 0.75}); rate <= 0 || whole() < rate*0.249 || whole() > rate*0.251 {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,44 +1,75 @@
 package balancer
 
-// This file takes in how attempts ended.
+// startAttempt sends a request to a server.
+func (b *Balancer) startAttempt(r *request, s *server) {
+	s.slowStart.budget.left -= r.work
+	b.gossip.changed = true
+	r.attempts = append(r.attempts, attempt{
+		server:        s,
+		sentAt:        b.attemptStart(r, s),
+		serviceRounds: max(1, b.serviceRounds(b.estimatedRequests(s), r.work)),
+		expected:      b.expectedTime(s, r),
+		open:          true,
+	})
+	r.queued = false
+	r.openAttempts++
+	s.attempts.inFlight++
+	s.attempts.requests = append(s.attempts.requests, r)
+	s.idleConnections = max(0, s.idleConnections-1)
+	s.estimate.at = estimateOutdated
+	b.openAttempts++
+	b.emit(StartAttempt{ID: r.id, Server: s.ID, Deadline: r.deadline, WriteDeadline: r.dedupUntil})
+	b.scheduleSweep()
+}
 
-func (l *Balancer) attemptEnd(e AttemptCompleted) {
-	r := l.requests[e.ID]
+func (b *Balancer) handleAttemptCompleted(e AttemptCompleted) {
+	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
 		return
 	}
 	a := &r.attempts[e.Attempt]
 	s := a.server
-	l.settle(a)
-	a.open, l.changed = false, true
-	r.open--
-	l.outstanding--
-	s.inflight--
-	s.connection(e.Outcome)
-	s.lookedAt = -1
-	if a.lost {
-		s.lost--
-	}
-	s.drop(r)
-	l.report(s, e.Report)
-	if e.Outcome == OK { // a report that missed it was older than it
-		l.lag += lagGain * (a.missed - l.lag)
+	b.closeAttempt(r, a, e.Outcome)
+	b.recordLoadReport(s, e.Report)
+	if e.Outcome == OK { // a report that lacked this attempt was older than it
+		b.estimate.reportLag += reportLagSmoothing * (a.missingAfter - b.estimate.reportLag)
 	}
-	l.observe(s, r, a, e.Outcome, e.Elapsed)
-	if e.Outcome != Overloaded && e.Outcome != Unreachable && e.Outcome != NotSent {
-		r.ran(a)
+	b.recordAttemptOutcome(s, r, a, e.Outcome, e.Elapsed)
+	if e.Outcome.mayHaveRun() {
+		r.markMayHaveRun(a)
 	}
 	switch {
 	case r.done:
-		l.forget(r)
+		b.forgetIfFinished(r)
 	case e.Closed || e.Outcome == OK:
-		if e.Outcome == OK && l.now <= r.aimAt {
-			l.book(r, func(s *share, w float64) { s.served += w })
+		if e.Outcome == OK && b.now <= r.objectiveAt {
+			b.addToShares(r, func(s *servedShare, weight float64) { s.served += weight })
 		}
-		l.finish(r)
-	case r.open > 0 || r.held:
-	default:
-		l.again(r, e.Outcome)
+		b.finishRequest(r)
+	case r.openAttempts == 0 && !r.queued:
+		b.retryOrGiveUp(r, e.Outcome)
+	}
+	b.dispatchQueue()
+}
+
+// closeAttempt takes an attempt off its request and its server.
+func (b *Balancer) closeAttempt(r *request, a *attempt, outcome Outcome) {
+	s := a.server
+	b.bodyDelivered(a)
+	a.open = false
+	r.openAttempts--
+	b.openAttempts--
+	b.gossip.changed = true
+	s.attempts.inFlight--
+	s.recordConnection(outcome)
+	s.estimate.at = estimateOutdated
+	if a.missing {
+		s.attempts.missing--
 	}
-	l.dispatch()
+	s.removeRequest(r)
+}
+
+// mayHaveRun tells whether the server may have begun the request.
+func (o Outcome) mayHaveRun() bool {
+	return o != Overloaded && o != Unreachable && o != NotSent
 }
--- /dev/null
+++ b/balancer/balancer.go
@@ -0,0 +1,173 @@
+package balancer
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+const (
+	// seedMix makes the second half of the generator's seed.
+	seedMix = 0x9e3779b97f4a7c15
+	// objectiveUnits: until a unit time is measured, so many requests' times are taken to make the
+	// shortest latency objective.
+	objectiveUnits = 4
+	// initialWarmCapacity is what warming servers are taken to have of the capacity that they may
+	// lack, until they answer.
+	initialWarmCapacity = 0.5
+)
+
+// Balancer decides for one node. Time comes in through Step, random numbers come from New's seed.
+// It is not safe for concurrent use.
+type Balancer struct {
+	settings Settings
+	now      Millis   // of the event that is being handled
+	actions  []Action // that it has brought about so far
+	started  bool
+
+	randomSource *rand.PCG // kept for Clone
+	rng          *rand.Rand
+
+	servers  serverSet
+	polling  endpointPolling
+	scoredAt Millis
+	estimate fleetEstimate
+	probing  loadProbing
+	outliers outlierDetector
+	zones    map[string]*failureRate
+
+	classes            map[string]*classState
+	tenants            map[string]*tenantState
+	meanPriorityWeight float64 // over the classes
+
+	requests         map[RequestID]*request
+	queue            requestQueue
+	openAttempts     int
+	candidateBuffer  []*server // scratch space
+	retryBudget      tokenBucket
+	explorations     tokenBucket
+	recentRejections map[requestIdentity]rejection
+
+	gossip gossipState
+	fleet  fleetLimits
+}
+
+// New makes the balancer of one node. Its error names the setting that makes deciding impossible.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := validate(settings); err != nil {
+		return nil, err
+	}
+	source := rand.NewPCG(seed, seed^seedMix)
+	b := &Balancer{
+		settings:         settings,
+		randomSource:     source,
+		rng:              rand.New(source),
+		servers:          serverSet{byID: map[ServerID]*server{}},
+		polling:          endpointPolling{overdueSince: math.Inf(1), backoff: initialPollBackoff},
+		estimate:         initialEstimate(),
+		probing:          loadProbing{tokens: tokenBucket{left: probesPerRequest}, acceptance: 1},
+		outliers:         outlierDetector{trialIdempotency: NonIdempotent},
+		zones:            map[string]*failureRate{},
+		classes:          map[string]*classState{},
+		tenants:          map[string]*tenantState{},
+		requests:         map[RequestID]*request{},
+		retryBudget:      tokenBucket{left: retryBurst},
+		recentRejections: map[requestIdentity]rejection{},
+		gossip:           gossipState{heardFrom: map[int]Millis{}, reportedBy: map[gossipSource][]*server{}},
+		fleet:            fleetLimits{processes: 1},
+	}
+	b.explorations.left = b.rng.Float64()
+	for i, class := range settings.Classes {
+		b.addClass(class, i)
+	}
+	b.estimate.initialUnitTime = b.estimate.unitTime
+	for _, tenant := range settings.Tenants {
+		b.tenants[tenant.Name] = &tenantState{Tenant: tenant}
+	}
+	return b, nil
+}
+
+// initialEstimate is the estimate before any answer; addClass bounds its unit time.
+func initialEstimate() fleetEstimate {
+	return fleetEstimate{
+		unitTime:     math.Inf(1),
+		pace:         1,
+		parallelism:  1,
+		warmCapacity: initialWarmCapacity,
+	}
+}
+
+func (b *Balancer) addClass(class Class, index int) {
+	protected := shortestMoreUrgentObjective(b.settings, class)
+	b.classes[class.Name] = &classState{Class: class, index: index, protectedObjective: protected}
+	b.estimate.unitTime = min(b.estimate.unitTime, class.LatencyObjective/objectiveUnits)
+	b.outliers.trialIdempotency = min(b.outliers.trialIdempotency, class.Idempotency)
+	b.meanPriorityWeight += class.PriorityWeight / float64(len(b.settings.Classes))
+}
+
+// Step takes one event at the given time and returns what is to be done, in order.
+func (b *Balancer) Step(now Millis, event Event) []Action {
+	b.now = now
+	b.actions = nil
+	if !b.started {
+		b.begin()
+	}
+	switch e := event.(type) {
+	case Arrival:
+		b.handleArrival(e)
+	case BodyReceived:
+		b.handleBodyReceived(e)
+	case ClientCancelled:
+		b.handleClientCancelled(e)
+	case AttemptCompleted:
+		b.handleAttemptCompleted(e)
+	case LoadProbeCompleted:
+		b.handleLoadProbeCompleted(e)
+	case ConnectionClosed:
+		b.handleConnectionClosed(e)
+	case TimerFired:
+		b.handleTimer(e.Token)
+	case EndpointUpdate:
+		b.handleEndpointUpdate(e)
+	case GossipReceived:
+		b.handleGossip(e)
+	case FleetQuota:
+		b.fleet.quota = &e
+	case FleetAdmission:
+		b.fleet.admittedFraction = e.AdmittedFraction
+		b.fleet.retryReduction = e.RetryReduction
+	case SiblingProcesses:
+		b.setProcesses(e.Count)
+	case StateTransferred:
+		b.restore(e.State)
+	case ResponseStarted: // nothing rests on it
+	}
+	b.broadcastGossip()
+	return b.actions
+}
+
+func (b *Balancer) begin() {
+	b.started = true
+	b.explorations.refilledAt = b.now
+	b.startPolling()
+}
+
+func (b *Balancer) handleTimer(token string) {
+	switch token {
+	case timerSweep:
+		b.queue.sweepScheduled = false
+		b.dispatchQueue()
+	case timerProbes:
+		b.dispatchQueue()
+	case timerPoll:
+		b.handlePollTimer()
+	}
+}
+
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
+
+func (b *Balancer) logf(format string, args ...any) { b.emit(Log{fmt.Sprintf(format, args...)}) }
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -11,7 +11,7 @@
 	for _, servers := range []int{60, 200, 350, 500, 1024} {
 		b.Run(fmt.Sprintf("%d servers", servers), func(b *testing.B) {
 			set := settings()
-			set.Nodes, set.LoadReports, set.ProbesAllowed, set.ProbePrice = 350, true, true, 0.002
+			set.Nodes, set.LoadReports, set.ProbesAllowed, set.Prices.Probe = 350, true, true, 0.002
 			l, err := New(set, 7)
 			if err != nil {
 				b.Fatal(err)
@@ -45,7 +45,7 @@
 				carry(l.Step(now, Arrival{ID: id, Class: "read", Deadline: now + 2000}))
 			}
 			b.ReportMetric(float64(served)/float64(id), "served/op")
-			b.ReportMetric(float64(len(l.heldQueue)), "held")
+			b.ReportMetric(float64(len(l.queue.waiting)), "held")
 		})
 	}
 }
--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -140,8 +140,8 @@
 	set.CancelAllowed, set.RetryAfterAllowed = p.flip(), p.flip()
 	set.ConnectTimeout, set.Tick = 300, []float64{0, 1, 5}[p.rng.IntN(3)]
 	set.MaxAttempts = 1 + p.rng.IntN(5)
-	set.LateFailurePrice, set.CrossZonePrice = 0.1, 0.02*float64(p.rng.IntN(2))
-	set.ProbePrice, set.HandshakePrice, set.GossipPrice = 0.002, 0.01*float64(p.rng.IntN(2)), 0.0001
+	set.Prices.CrossZone = 0.02 * float64(p.rng.IntN(2))
+	set.Prices.Probe, set.Prices.Handshake, set.Prices.Gossip = 0.002, 0.01*float64(p.rng.IntN(2)), 0.0001
 	set.CPUPerRequest = float64(p.rng.IntN(2) * 500)
 	return set
 }
@@ -356,7 +356,7 @@
 func (p *sequencePlayer) message() {
 	body := []byte{0x10 | byte(p.rng.IntN(3))}
 	for range p.rng.IntN(5) {
-		name := uint16(hash(string(p.servers[p.rng.IntN(len(p.servers))].ID)))
+		name := uint16(stableHash(string(p.servers[p.rng.IntN(len(p.servers))].ID)))
 		body = append(body, byte(name>>8), byte(name), byte(p.rng.IntN(9)))
 		if body[0] == 0x11 {
 			body = append(body, byte(p.rng.IntN(9)))
@@ -369,7 +369,7 @@
 func (p *sequencePlayer) handOver() {
 	if p.flip() {
 		set := p.set
-		set.Nodes = p.l.set.Nodes // counts the processes of this node, as the copy goes on doing
+		set.Nodes = p.l.settings.Nodes // counts the processes of this node, as the copy goes on doing
 		c, err := p.l.Clone(set)
 		if err != nil {
 			p.t.Fatal(err)
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -1,125 +1,172 @@
 package balancer
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 )
 
-// Clone is a copy that decides on the same state by other settings, its chance included; nothing is shared with the
-// original. A class or tenant that the other settings do not name is dropped, and its requests with it.
-func (l *Balancer) Clone(set Settings) (*Balancer, error) {
-	c, err := New(set, 0)
+// Clone is a copy that decides on the same state by other settings, with the same random numbers to
+// come; it shares nothing with the original. A class or tenant that the other settings don't name
+// is dropped, and its requests with it. It fails where New does.
+func (b *Balancer) Clone(settings Settings) (*Balancer, error) {
+	fresh, err := New(settings, 0)
 	if err != nil {
 		return nil, err
 	}
-	fresh, source := *c, *l.source
-	*c = *l
-	c.set, c.source, c.rng, c.out, c.pool = set, &source, rand.New(&source), nil, nil
-	c.classes, c.tenants, c.trialBy, c.meanWorth = fresh.classes, fresh.tenants, fresh.trialBy, fresh.meanWorth
-	for name, k := range c.classes {
-		if o := l.classes[name]; o != nil {
-			k.share, k.longestTry = o.share, o.longestTry
+	source := *b.randomSource
+	clone := *b
+	clone.settings = settings
+	clone.randomSource = &source
+	clone.rng = rand.New(&source)
+	clone.actions = nil
+	clone.candidateBuffer = nil
+	clone.classes = fresh.classes
+	clone.tenants = fresh.tenants
+	clone.outliers.trialIdempotency = fresh.outliers.trialIdempotency
+	clone.meanPriorityWeight = fresh.meanPriorityWeight
+	c := copier{from: b, to: &clone, servers: map[*server]*server{}, requests: map[*request]*request{}}
+	c.copyShares()
+	c.copyZones()
+	c.copyServers()
+	c.copyRequests()
+	c.copyGossip()
+	c.copyRejections()
+	return &clone, nil
+}
+
+// copier copies one balancer's state into another, which has classes and tenants of its own.
+type copier struct {
+	from, to *Balancer
+	servers  map[*server]*server
+	requests map[*request]*request
+}
+
+func (c *copier) copyShares() {
+	for name, class := range c.to.classes {
+		if old := c.from.classes[name]; old != nil {
+			class.servedShare = old.servedShare
+			class.longestTimeout = old.longestTimeout
 		}
 	}
-	for name, t := range c.tenants {
-		if o := l.tenants[name]; o != nil {
-			t.share, t.rate, t.rateAt, t.quota = o.share, o.rate, o.rateAt, o.quota
+	for name, tenant := range c.to.tenants {
+		if old := c.from.tenants[name]; old != nil {
+			tenant.servedShare = old.servedShare
+			tenant.rate = old.rate
+			tenant.rateAt = old.rateAt
+			tenant.quota = old.quota
 		}
 	}
-	c.zones = make(map[string]*classHealth, len(l.zones))
-	for name, h := range l.zones {
-		*c.zone(name) = *h
-	}
-	c.servers, c.requests = make(map[ServerID]*server, len(l.servers)), make(map[RequestID]*request, len(l.requests))
-	servers := make(map[*server]*server, len(l.known))
-	take := func(s *server) {
-		if s != nil && servers[s] == nil {
-			servers[s] = s.copy(l, c)
-		}
-	}
-	for _, s := range l.known {
-		take(s)
-		c.servers[s.ID] = servers[s]
+}
+
+func (c *copier) copyZones() {
+	c.to.zones = make(map[string]*failureRate, len(c.from.zones))
+	for name, record := range c.from.zones {
+		*c.to.zoneRecord(name) = *record
 	}
-	for _, r := range l.requests { // also those that started anew since, and are known no more
-		for _, s := range []*server{r.anchor, r.first, r.second} {
-			take(s)
+}
+
+// copyServers copies the servers that are known, and those that only requests still refer to: they
+// have started anew since.
+func (c *copier) copyServers() {
+	for _, s := range c.from.servers.known {
+		c.addServer(s)
+	}
+	for _, r := range c.from.requests {
+		for _, s := range []*server{r.dedupServer, r.affinity.first, r.affinity.second} {
+			c.addServer(s)
 		}
 		for i := range r.attempts {
-			take(r.attempts[i].server)
+			c.addServer(r.attempts[i].server)
 		}
 	}
-	requests := make(map[*request]*request, len(l.requests))
-	for id, r := range l.requests {
-		if n := r.copy(c, servers); n.class != nil {
-			c.requests[id], requests[r] = n, n
-		}
-	}
-	for _, s := range servers {
-		s.open = others(s.open, requests)
-	}
-	c.known, c.list, c.heldQueue = others(l.known, servers), others(l.list, servers), others(l.heldQueue, requests)
-	c.named = make(map[uint16]*server, len(l.named))
-	for name, s := range l.named {
-		c.named[name] = servers[s]
-	}
-	c.said, c.heardFrom, c.refused = map[speaker][]*server{}, map[int]Millis{}, map[subject]comingBack{}
-	for who, said := range l.said {
-		c.said[who] = others(said, servers)
-	}
-	for from, at := range l.heardFrom {
-		c.heardFrom[from] = at
+	c.to.servers.byID = make(map[ServerID]*server, len(c.from.servers.byID))
+	for _, s := range c.from.servers.known {
+		c.to.servers.byID[s.ID] = c.servers[s]
 	}
-	for what, back := range l.refused {
-		if k := c.classes[what.class.Name]; k != nil {
-			c.refused[subject{what.key, k}] = back
-		}
-	}
-	return c, nil
+	c.to.servers.known = copiesOf(c.from.servers.known, c.servers)
+	c.to.servers.ready = copiesOf(c.from.servers.ready, c.servers)
 }
 
-// others are the copies of what has one.
-func others[T any](from []*T, copies map[*T]*T) []*T {
-	out := make([]*T, 0, len(from))
-	for _, x := range from {
-		if n := copies[x]; n != nil {
-			out = append(out, n)
+func (c *copier) addServer(s *server) {
+	if s == nil || c.servers[s] != nil {
+		return
+	}
+	n := *s
+	n.estimate.at = estimateOutdated // by other settings it may be another one
+	n.zoneFailures = c.to.zoneRecord(s.Zone)
+	n.gossipReports = slices.Clone(s.gossipReports)
+	n.classFailures = nil
+	for name, class := range c.to.classes { // the order of classes may be another
+		if old := c.from.classes[name]; old != nil && old.index < len(s.classFailures) {
+			*n.classFailure(class) = s.classFailures[old.index]
 		}
 	}
-	return out
+	c.servers[s] = &n
 }
 
-func (s *server) copy(from, to *Balancer) *server {
-	n := *s
-	n.lookedAt = -1 // by other settings it may be judged otherwise
-	n.reach = to.zone(s.Zone)
-	n.told, n.open, n.classes = slices.Clone(s.told), slices.Clone(s.open), nil
-	for name, k := range to.classes { // the order of classes may be another
-		if o := from.classes[name]; o != nil && o.index < len(s.classes) {
-			*n.class(k) = s.classes[o.index]
+func (c *copier) copyRequests() {
+	c.to.requests = make(map[RequestID]*request, len(c.from.requests))
+	for id, r := range c.from.requests {
+		n := c.copyRequest(r)
+		if n.class == nil {
+			continue
 		}
+		c.to.requests[id] = n
+		c.requests[r] = n
 	}
-	return &n
+	for _, s := range c.servers {
+		s.attempts.requests = copiesOf(s.attempts.requests, c.requests)
+	}
+	c.to.queue.waiting = copiesOf(c.from.queue.waiting, c.requests)
 }
 
-func (r *request) copy(to *Balancer, servers map[*server]*server) *request {
+func (c *copier) copyRequest(r *request) *request {
 	n := *r
-	n.class, n.tenant, n.anchor = to.classes[r.class.Name], nil, servers[r.anchor]
+	n.class = c.to.classes[r.class.Name]
+	n.identity.class = n.class
+	n.tenant = nil
 	if r.tenant != nil {
-		n.tenant = to.tenants[r.tenant.Name]
+		n.tenant = c.to.tenants[r.tenant.Name]
 	}
-	n.subject.class, n.first, n.second = n.class, servers[r.first], servers[r.second]
+	n.dedupServer = c.servers[r.dedupServer]
+	n.affinity.first = c.servers[r.affinity.first]
+	n.affinity.second = c.servers[r.affinity.second]
 	n.attempts = slices.Clone(r.attempts)
 	for i := range n.attempts {
-		n.attempts[i].server = servers[n.attempts[i].server]
+		n.attempts[i].server = c.servers[n.attempts[i].server]
 	}
 	return &n
 }
 
-// Zone is a server's, empty where it is not known.
-func (l *Balancer) ZoneOf(id ServerID) string {
-	if s := l.servers[id]; s != nil {
-		return s.Zone
+func (c *copier) copyGossip() {
+	c.to.gossip.heardFrom = maps.Clone(c.from.gossip.heardFrom)
+	c.to.gossip.serversByTag = make(map[uint16]*server, len(c.from.gossip.serversByTag))
+	for tag, s := range c.from.gossip.serversByTag {
+		c.to.gossip.serversByTag[tag] = c.servers[s]
+	}
+	c.to.gossip.reportedBy = make(map[gossipSource][]*server, len(c.from.gossip.reportedBy))
+	for source, reported := range c.from.gossip.reportedBy {
+		c.to.gossip.reportedBy[source] = copiesOf(reported, c.servers)
 	}
-	return ""
+}
+
+func (c *copier) copyRejections() {
+	c.to.recentRejections = make(map[requestIdentity]rejection, len(c.from.recentRejections))
+	for identity, rejected := range c.from.recentRejections {
+		if class := c.to.classes[identity.class.Name]; class != nil {
+			c.to.recentRejections[requestIdentity{identity.key, class}] = rejected
+		}
+	}
+}
+
+// copiesOf are the copies of those that have one.
+func copiesOf[T any](from []*T, copies map[*T]*T) []*T {
+	out := make([]*T, 0, len(from))
+	for _, x := range from {
+		if n := copies[x]; n != nil {
+			out = append(out, n)
+		}
+	}
+	return out
 }
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -8,7 +8,7 @@
 // coldFleet is many modules, each a node of its own, with one server that has just started.
 type coldFleet struct {
 	set   Settings
-	nodes []*bed
+	nodes []*testNode
 	unit  Millis
 	began Millis
 	sent  []coldCall // to the cold server, by all
@@ -24,7 +24,7 @@
 	t.Helper()
 	f := &coldFleet{set: settings(), began: 100000}
 	f.set.Nodes, f.set.Classes = nodes, f.set.Classes[:1]
-	f.unit = f.set.OverloadFactor * f.set.InitialCapacity * f.set.OverloadWindow / allowed
+	f.unit = f.set.SlowStart.OverloadFactor * f.set.SlowStart.InitialCapacity * f.set.SlowStart.OverloadWindow / allowed
 	f.set.Classes[0].LatencyObjective = 40 * f.unit // long enough that the budget alone holds anything back
 	for i := range nodes {
 		f.nodes = append(f.nodes, f.start(t, i, seed*10000+i))
@@ -32,20 +32,20 @@
 	return f
 }
 
-func (f *coldFleet) start(t *testing.T, node, seed int) *bed {
+func (f *coldFleet) start(t *testing.T, node, seed int) *testNode {
 	return f.startAt(t, node, seed, f.began)
 }
 
 // startAt starts a node that hears of the cold server then.
-func (f *coldFleet) startAt(t *testing.T, node, seed int, now Millis) *bed {
+func (f *coldFleet) startAt(t *testing.T, node, seed int, now Millis) *testNode {
 	set := f.set
 	set.Node = node
 	l, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.unit, l.guess, l.hintMean = f.unit, f.unit, 10 // as after many requests
-	b := &bed{t: t, l: l, now: now}
+	l.estimate.unitTime, l.estimate.initialUnitTime, l.estimate.meanWorkHint = f.unit, f.unit, 10 // as after many requests
+	b := &testNode{t: t, l: l, now: now}
 	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(4)})
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
 	return b
@@ -53,19 +53,19 @@
 
 // budget is what the settings allow the server in a window that begins then.
 func (f *coldFleet) budget(at Millis) float64 {
-	share := min(1, f.set.InitialCapacity+(1-f.set.InitialCapacity)*(at-f.began)/f.set.SlowStartDuration)
-	return f.set.OverloadFactor * share * f.set.OverloadWindow / f.unit
+	share := min(1, f.set.SlowStart.InitialCapacity+(1-f.set.SlowStart.InitialCapacity)*(at-f.began)/f.set.SlowStart.Duration)
+	return f.set.SlowStart.OverloadFactor * share * f.set.SlowStart.OverloadWindow / f.unit
 }
 
 // rush has requests come to all nodes for a span, every so many ms, with only the cold server left.
 func (f *coldFleet) rush(from, span, every Millis, cost func(int) float64) {
 	costs := map[RequestID]float64{}
-	var carry func(b *bed, acts []Action)
-	carry = func(b *bed, acts []Action) {
+	var carry func(b *testNode, acts []Action)
+	carry = func(b *testNode, acts []Action) {
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok && s.Server == "cold" {
 				f.sent = append(f.sent, coldCall{b.now, costs[s.ID]})
-				b.l.retries.left, b.l.servers["cold"].excluded = 0, false
+				b.l.retryBudget.left, b.l.servers.byID["cold"].outlier.ejected = 0, false
 				carry(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // refused work counts too
 			}
 		}
@@ -78,7 +78,7 @@
 			b.now += every * (0.5 + float64((i*7+k)%11)/10)
 			b.next++
 			costs[b.next] = cost(i + k)
-			carry(b, b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + f.set.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
+			carry(b, b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + f.set.SlowStart.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
 			carry(b, b.step(TimerFired{"sweep"}))
 		}
 	}
@@ -90,7 +90,7 @@
 	for _, from := range f.sent {
 		sum, allowed := 0.0, f.budget(from.at)
 		for _, c := range f.sent {
-			if c.at >= from.at && c.at < from.at+f.set.OverloadWindow {
+			if c.at >= from.at && c.at < from.at+f.set.SlowStart.OverloadWindow {
 				sum += c.cost
 			}
 		}
@@ -107,8 +107,8 @@
 // budget, however slowly each bucket refills. What all modules send together in any window stays within the server's budget of N
 // calls and 2 x root of N + 2 for chance.
 func TestAllNodesTogetherKeepAColdServersBudget(t *testing.T) {
-	saved := func(f *coldFleet) Millis { return f.began + 0.3*f.set.SlowStartDuration } // by then each node has had time to save its part
-	span, every := 1.5*settings().OverloadWindow, settings().OverloadWindow/40
+	saved := func(f *coldFleet) Millis { return f.began + 0.3*f.set.SlowStart.Duration } // by then each node has had time to save its part
+	span, every := 1.5*settings().SlowStart.OverloadWindow, settings().SlowStart.OverloadWindow/40
 	heavy := func(k int) float64 { // the mean is one
 		if k%10 == 0 {
 			return 4
@@ -167,9 +167,9 @@
 		used, allowed := 0.0, 0.0
 		for seed := range 10 {
 			f := newColdFleet(t, nodes, 60, seed)
-			f.rush(f.began, f.set.SlowStartDuration/2, f.set.OverloadWindow/40, one)
-			for at := f.began; at < f.began+f.set.SlowStartDuration/2; at += f.set.OverloadWindow {
-				allowed += f.budget(at + f.set.OverloadWindow/2)
+			f.rush(f.began, f.set.SlowStart.Duration/2, f.set.SlowStart.OverloadWindow/40, one)
+			for at := f.began; at < f.began+f.set.SlowStart.Duration/2; at += f.set.SlowStart.OverloadWindow {
+				allowed += f.budget(at + f.set.SlowStart.OverloadWindow/2)
 			}
 			used += float64(len(f.sent))
 		}
--- /dev/null
+++ b/balancer/doc.go
@@ -0,0 +1,39 @@
+// Package balancer decides, for one node, which server gets each request and what becomes of it.
+//
+// The package is pure: New makes a Balancer, and Step takes one event at a given time and returns
+// the actions to carry out. It reads no clock, does no I/O, starts no goroutine and draws random
+// numbers from its seed alone, so the same events give the same actions. Whoever carries the
+// actions out (internal/engine in a node, internal/simadapter under the simulator) owns all I/O.
+//
+// Each mechanism has a file with its state, its constants and its rules:
+//
+//	balancer.go       New and Step: what can happen, and who handles it
+//	settings.go       what a node is told once, at its start
+//	events.go         what the balancer is told
+//	actions.go        what it asks for, and the reasons for rejecting or failing a request
+//
+//	endpointlist.go   following the endpoint list: polling, backoff, staleness, new and removed servers
+//	server.go         what is known of one server
+//	outcomewindow.go  the outcomes of the last ten seconds
+//	healthscore.go    scores from latency, errors and recent outcomes; unit times
+//	failurerate.go    failures of one class at a server, and of a zone
+//	outlier.go        ejection of servers that fail, and their readmission
+//	slowstart.go      the budget of a server that has just started
+//	loadestimate.go   how many requests a server holds, by its reports and by gossip
+//	loadprobe.go      probes of servers' load, and their budget
+//	estimate.go       estimates of one server and of the fleet
+//
+//	admission.go      arrival of a request; what is rejected at once
+//	objective.go      latency objective, priority weight and work of a request
+//	fairness.go       served shares of classes and tenants; the order of the queue
+//	quota.go          quotas of tenants, and this node's part of the fleet's budgets
+//	queue.go          requests that wait for a server; when one is rejected for lack of capacity
+//	picker.go         who may be chosen, and who is
+//	attempts.go       start and end of an attempt
+//	retry.go          when a retry is allowed, and the final answer where it is not
+//
+//	gossip.go         what nodes tell each other, and what is made of it
+//	gossipmessage.go  the form of these messages
+//	statetransfer.go  the state that is handed over in an upgrade
+//	clone.go          a copy that decides by other settings
+package balancer
--- a/balancer/fairness.go
+++ b/balancer/fairness.go
@@ -2,52 +2,96 @@
 
 import "math"
 
-// This file decides who is served when not all can be: the worth of classes and the shares of tenants.
+const (
+	// servedShareMemory, in ms, is the time constant of the served shares of classes and tenants.
+	servedShareMemory = 30000.0
+	// lateRequestDiscount orders late requests after all that can still be in time.
+	lateRequestDiscount = 1e6
+)
 
-// countArrival books a first try to its class and tenant, and tells whether the tenant is over its share.
-// A node that sees more than its part of all traffic scales the quotas alike.
-func (l *Balancer) countArrival(r *request, retry bool) {
-	if retry && l.set.ClientsMarkRetries {
+// servedShare follows the weight that was asked for and the weight that was served in time,
+// forgetting slowly.
+type servedShare struct {
+	asked, served float64
+	at            Millis
+}
+
+func (s *servedShare) decay(now Millis) {
+	kept := math.Exp(-(now - s.at) / servedShareMemory)
+	s.asked *= kept
+	s.served *= kept
+	s.at = now
+}
+
+// ratio is the share of what was asked for that was served in time; 1 if nothing was asked for.
+func (s *servedShare) ratio() float64 {
+	if s.asked <= 0 {
+		return 1
+	}
+	return s.served / s.asked
+}
+
+// addToShares adds a request's weight to the shares of its class and, inside its quota, of its tenant.
+func (b *Balancer) addToShares(r *request, add func(*servedShare, float64)) {
+	weight := b.priorityWeight(r)
+	r.class.decay(b.now)
+	add(&r.class.servedShare, weight)
+	if r.tenant != nil && !r.overQuota {
+		r.tenant.decay(b.now)
+		add(&r.tenant.servedShare, weight)
+	}
+}
+
+// accountArrival records a first attempt for its class and its tenant, and earns what it allows to
+// spend on retries, gossip and probes.
+func (b *Balancer) accountArrival(r *request, isRetry bool) {
+	if isRetry && b.settings.ClientsMarkRetries {
 		return
 	}
-	l.retries.refill(l.retries.at+1, retryShare*(1-l.noRetries), retryBurst)
-	l.tellings.refill(l.tellings.at+1, tellSpend, tellBurst*tellSpend)
-	hands := l.crowd + float64(l.outstanding)/max(1, float64(len(l.list)))
-	spend := l.ease * probeSpend * min(1, hands/math.Round(l.width)) // little is gained by asking idle servers
-	l.probes.left = min(3*probeWidth, l.probes.left+spend/max(1e-9, l.set.ProbePrice))
-	if t := r.tenant; t != nil && t.Quota > 0 {
-		quota := t.Quota * l.quotaScale()
-		t.quota.refill(l.now, quota/1000, quota)
-		k := math.Exp(-(l.now - t.rateAt) / rateMemory)
-		t.rate = t.rate*k + 1000/rateMemory
-		t.rateAt = l.now
-		r.overQuo = !t.quota.take()
-	}
-	l.book(r, func(s *share, w float64) { s.asked += w })
-}
-
-// marginalWorth is what serving a request adds to the operator's goal for each unit of work: its worth in
-// the whole, and more where its class or its tenant is the worst served.
-func (l *Balancer) marginalWorth(r *request) float64 {
+	b.earnRetries()
+	b.earnGossip()
+	b.earnProbes()
+	if r.tenant != nil && r.tenant.Quota > 0 {
+		r.overQuota = b.overQuota(r.tenant)
+	}
+	b.addToShares(r, func(s *servedShare, weight float64) { s.asked += weight })
+}
+
+// marginalValue is what serving a request adds to the operator's objective for each unit of work:
+// its weight in the whole, and more where its class or its tenant is the worst served. The queue is
+// worked off in this order.
+func (b *Balancer) marginalValue(r *request) float64 {
 	if r.late {
-		return r.class.LateFraction * l.worth(r) / r.cost / 1e6 // after all that can still be in time
+		return r.class.LateFraction * b.priorityWeight(r) / r.work / lateRequestDiscount
 	}
-	total, worstClass, worstTenant := 0.0, 1.0, 1.0
-	for _, c := range l.set.Classes {
-		st := l.classes[c.Name]
-		total += st.asked
-		worstClass = min(worstClass, st.ratio())
+	total, worstClass := b.classShares()
+	goal := b.settings.Goal
+	gain := (goal.Overall + goal.WorstWindow + goal.TailLatency + goal.Availability) / max(minShare, total)
+	if r.class.ratio() <= worstClass {
+		gain += goal.WorstClass / max(minShare, r.class.asked)
 	}
-	for _, t := range l.set.Tenants {
-		worstTenant = min(worstTenant, l.tenants[t.Name].ratio())
+	if r.tenant != nil && !r.overQuota && r.tenant.ratio() <= b.worstTenantRatio() {
+		gain += goal.WorstTenant / max(minShare, r.tenant.asked)
 	}
-	g := l.set.Goal
-	gain := (g.Overall + g.WorstWindow + g.TailLatency + g.Availability) / max(1e-9, total)
-	if r.class.ratio() <= worstClass {
-		gain += g.WorstClass / max(1e-9, r.class.asked)
+	return gain * b.priorityWeight(r) / r.work
+}
+
+// classShares are the weight asked for over all classes, and the served ratio of the worst one.
+func (b *Balancer) classShares() (total, worst float64) {
+	worst = 1
+	for _, class := range b.settings.Classes {
+		state := b.classes[class.Name]
+		total += state.asked
+		worst = min(worst, state.ratio())
 	}
-	if r.tenant != nil && !r.overQuo && r.tenant.ratio() <= worstTenant {
-		gain += g.WorstTenant / max(1e-9, r.tenant.asked)
+	return total, worst
+}
+
+// worstTenantRatio is the served ratio of the worst served tenant.
+func (b *Balancer) worstTenantRatio() float64 {
+	worst := 1.0
+	for _, tenant := range b.settings.Tenants {
+		worst = min(worst, b.tenants[tenant.Name].ratio())
 	}
-	return gain * l.worth(r) / r.cost
+	return worst
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -11,7 +11,7 @@
 // fleet are settings of one of hundreds of nodes, with probes at a price.
 func fleet(probe float64) Settings {
 	set := settings()
-	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ProbePrice = 300, true, true, probe
+	set.Nodes, set.ProbesAllowed, set.LoadReports, set.Prices.Probe = 300, true, true, probe
 	return set
 }
 
@@ -20,11 +20,11 @@
 func TestABlindNodeSendsAtOnce(t *testing.T) {
 	sent := func(set Settings, crowd float64) bool {
 		b := newBed(t, set, server3(40)...)
-		b.l.crowd, b.l.probes.left = crowd, 0
+		b.l.estimate.othersLoad, b.l.probing.tokens.left = crowd, 0
 		_, acts := b.arrive("read", 2000)
 		return sentTo(acts) != ""
 	}
-	dear, cheap := fleet(10*probeSpend), fleet(probeSpend/10)
+	dear, cheap := fleet(10*probeBudgetShare), fleet(probeBudgetShare/10)
 	if !sent(dear, 1) {
 		t.Error("a request is held although no news can come")
 	}
@@ -40,7 +40,7 @@
 	}
 	dear.LoadReports = false
 	b := newBed(t, dear, server3(1)...)
-	if b.l.look(b.l.servers["s0"]); b.l.servers["s0"].doubt != 0 {
+	if b.l.refreshEstimate(b.l.servers.byID["s0"]); b.l.servers.byID["s0"].estimate.doubt != 0 {
 		t.Error("where servers report nothing there is no doubt to be had of them")
 	}
 }
@@ -48,14 +48,14 @@
 // Guards against taking a server whose load was just reported for one of which nothing is known.
 func TestDoubtGrowsWithTheReportsAge(t *testing.T) {
 	b := newBed(t, fleet(0.1), server3(2)...)
-	s := b.l.servers["s0"]
+	s := b.l.servers.byID["s0"]
 	b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 2}})
-	b.l.look(s)
-	fresh := s.doubt
-	b.now += 20 * b.l.unit
+	b.l.refreshEstimate(s)
+	fresh := s.estimate.doubt
+	b.now += 20 * b.l.estimate.unitTime
 	b.step(TimerFired{"sweep"})
-	if b.l.look(s); fresh > 0.1 || s.doubt < 0.9 {
-		t.Errorf("doubt %v right after a report, %v long after it", fresh, s.doubt)
+	if b.l.refreshEstimate(s); fresh > 0.1 || s.estimate.doubt < 0.9 {
+		t.Errorf("doubt %v right after a report, %v long after it", fresh, s.estimate.doubt)
 	}
 }
 
@@ -64,16 +64,16 @@
 func TestALateListPrefersServersThatJustTookRequests(t *testing.T) {
 	b := newBed(t, settings(), server3(20)...)
 	b.step(EndpointUpdate{Kind: UpdateOverdue})
-	b.now += b.l.set.DrainGrace / 4
+	b.now += b.l.settings.DrainGrace / 4
 	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates within the grace, want all 20", n)
 	}
 	b.serve("read", 10, allOK)
 	for i := 0; i < 50; i++ {
-		b.now += b.l.set.DrainGrace / 10
+		b.now += b.l.settings.DrainGrace / 10
 		id, acts := b.arrive("read", 2000)
 		s := sentTo(acts)
-		if i > 10 && b.l.uncertain(b.l.servers[s]) {
+		if i > 10 && b.l.mayBeDraining(b.l.servers.byID[s]) {
 			t.Fatalf("sent to %s, which has taken nothing for half the grace", s)
 		}
 		b.now += 10
@@ -83,14 +83,14 @@
 	if sure == 0 || sure == 20 {
 		t.Errorf("%d of 20 servers are open after news has been late for long", sure)
 	}
-	b.now += 10 * b.l.set.DrainGrace
+	b.now += 10 * b.l.settings.DrainGrace
 	b.step(TimerFired{"sweep"})
 	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates where none is sure, want all 20", n)
 	}
 	b.step(EndpointUpdate{Kind: UpdateOverdue})
 	b.serve("read", 10, allOK)
-	b.now += b.l.set.DrainGrace
+	b.now += b.l.settings.DrainGrace
 	b.serve("read", 10, allOK)
 	b.step(EndpointUpdate{Kind: DeltaUpdate})
 	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
@@ -115,7 +115,7 @@
 			for n := 0; sentTo(acts) != ""; n++ {
 				s := sentTo(acts)
 				result, elapsed := OK, Millis(10)
-				if zone := b.l.servers[s].Zone; zone == "cut" {
+				if zone := b.l.servers.byID[s].Zone; zone == "cut" {
 					there++
 					result, elapsed = silent(zone), took
 				}
@@ -145,33 +145,33 @@
 		entries[i].Zone = []string{"a", "cut"}[i%2]
 	}
 	b := newBed(t, set, entries...)
-	far, near := b.l.servers["s1"], b.l.servers["s0"]
-	b.l.noteZone(near, OK, 10)
+	far, near := b.l.servers.byID["s1"], b.l.servers.byID["s0"]
+	b.l.recordZoneOutcome(near, OK, 10)
 	for range 5 {
-		b.l.noteZone(far, TimedOut, 300)
+		b.l.recordZoneOutcome(far, TimedOut, 300)
 	}
-	if b.l.zoneFault(far.reach) == 0 || b.l.zoneFault(near.reach) != 0 {
-		t.Fatalf("fault %v there and %v here", b.l.zoneFault(far.reach), b.l.zoneFault(near.reach))
+	if b.l.zoneFailureShare(far.zoneFailures) == 0 || b.l.zoneFailureShare(near.zoneFailures) != 0 {
+		t.Fatalf("fault %v there and %v here", b.l.zoneFailureShare(far.zoneFailures), b.l.zoneFailureShare(near.zoneFailures))
 	}
 	for range 20 { // one answer in between is not the end of it
-		b.l.noteZone(far, TimedOut, 300)
-		b.l.runScores()
-		b.l.noteZone(far, OK, 10)
-		b.l.runScores()
+		b.l.recordZoneOutcome(far, TimedOut, 300)
+		b.l.updateScores()
+		b.l.recordZoneOutcome(far, OK, 10)
+		b.l.updateScores()
 	}
-	if said := b.l.out; count[Log](said) != 1 || !strings.Contains(said[len(said)-1].(Log).Text, "zone cut") {
+	if said := b.l.actions; count[Log](said) != 1 || !strings.Contains(said[len(said)-1].(Log).Text, "zone cut") {
 		t.Errorf("said of a zone that is cut off: %v, want one line", said)
 	}
 	b.now += 3 * staleDecay
 	b.step(TimerFired{"sweep"})
-	if f := b.l.zoneFault(far.reach); f != 0 {
+	if f := b.l.zoneFailureShare(far.zoneFailures); f != 0 {
 		t.Errorf("still shunned with %v after some seconds without news", f)
 	}
-	b.l.out = nil
+	b.l.actions = nil
 	for range 5 {
-		b.l.runScores()
+		b.l.updateScores()
 	}
-	if n := count[Log](b.l.out); n != 1 {
+	if n := count[Log](b.l.actions); n != 1 {
 		t.Errorf("%d lines once it is tried again, want one", n)
 	}
 }
@@ -185,24 +185,24 @@
 		b := newBed(t, fleet(0.1), entries...)
 		entries[2].Started, entries[3].Started = b.now, b.now
 		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[2:]})
-		met, unseen := b.l.servers["s2"], b.l.servers["s3"]
-		b.l.unit = 20
+		met, unseen := b.l.servers.byID["s2"], b.l.servers.byID["s3"]
+		b.l.estimate.unitTime = 20
 		for i := range 100 { // half of them wait for what else is there
-			took := b.l.unit / speed * []float64{0.7, 1.3}[i%2]
-			a := attempt{server: met, sentAt: b.now, queueRounds: 1}
-			b.l.observe(met, &request{class: b.l.classes["read"], cost: 1}, &a, OK, took)
+			took := b.l.estimate.unitTime / speed * []float64{0.7, 1.3}[i%2]
+			a := attempt{server: met, sentAt: b.now, serviceRounds: 1}
+			b.l.recordAttemptOutcome(met, &request{class: b.l.classes["read"], work: 1}, &a, OK, took)
 		}
-		if got := b.l.speed(unseen); math.Abs(got-speed) > 0.15 {
+		if got := b.l.estimatedCapacity(unseen); math.Abs(got-speed) > 0.15 {
 			t.Errorf("a cold server never met is taken to have %.2f of its capacity, another showed %v", got, speed)
 		}
-		if now := b.l.smoothUnit(unseen); now < b.l.unit/(speed+0.15) {
-			t.Errorf("a cold server never met is taken to need %.1f ms, a warm one needs %.1f", now, b.l.unit)
+		if now := b.l.currentUnitTime(unseen); now < b.l.estimate.unitTime/(speed+0.15) {
+			t.Errorf("a cold server never met is taken to need %.1f ms, a warm one needs %.1f", now, b.l.estimate.unitTime)
 		}
-		b.now += b.l.set.SlowStartDuration
-		met.outcomeAt = b.now // not by fading
+		b.now += b.l.settings.SlowStart.Duration
+		met.timing.outcomeAt = b.now // not by fading
 		b.step(TimerFired{"sweep"})
-		if felt := b.l.smoothUnit(met); felt > 1.6*b.l.unit || felt < b.l.unit/1.6 {
-			t.Errorf("warm by now it is taken to need %.1f ms, the fleet %.1f", felt, b.l.unit)
+		if felt := b.l.currentUnitTime(met); felt > 1.6*b.l.estimate.unitTime || felt < b.l.estimate.unitTime/1.6 {
+			t.Errorf("warm by now it is taken to need %.1f ms, the fleet %.1f", felt, b.l.estimate.unitTime)
 		}
 	}
 }
@@ -214,14 +214,14 @@
 	b := newBed(t, fleet(0.1), entries...)
 	entries[1].Started = b.now
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[1:]})
-	b.l.crowd = 3
-	warm, cold := b.l.servers["s0"], b.l.servers["s1"]
-	if w, c := b.l.estimatedLoad(warm), b.l.estimatedLoad(cold); c > 0.9*w || c <= 0 {
+	b.l.estimate.othersLoad = 3
+	warm, cold := b.l.servers.byID["s0"], b.l.servers.byID["s1"]
+	if w, c := b.l.estimateRequests(warm), b.l.estimateRequests(cold); c > 0.9*w || c <= 0 {
 		t.Errorf("%.2f requests at a cold server, %.2f at a warm one", c, w)
 	}
-	b.l.report(cold, LoadReport{Valid: true, InFlight: 3 * b.l.speed(cold)})
-	if math.Abs(b.l.crowd-3) > 1e-9 {
-		t.Errorf("a cold server with its part in hand moves the fleet's mean from 3 to %v", b.l.crowd)
+	b.l.recordLoadReport(cold, LoadReport{Valid: true, InFlight: 3 * b.l.estimatedCapacity(cold)})
+	if math.Abs(b.l.estimate.othersLoad-3) > 1e-9 {
+		t.Errorf("a cold server with its part in hand moves the fleet's mean from 3 to %v", b.l.estimate.othersLoad)
 	}
 }
 
@@ -230,7 +230,7 @@
 func TestOpenConnectionsComeFirstWhereHandshakesArePriced(t *testing.T) {
 	play := func(price float64, closing func(i int) bool) (dialed int) {
 		set := fleet(0.1)
-		set.HandshakePrice = price
+		set.Prices.Handshake = price
 		b := newBed(t, set, server3(40)...)
 		open := map[ServerID]int{}
 		for i := range 200 {
@@ -266,21 +266,21 @@
 // and what broke or was withdrawn gives none.
 func TestConnectionsAreCounted(t *testing.T) {
 	b := newBed(t, fleet(0.1), server3(1)...)
-	s := b.l.servers["s0"]
+	s := b.l.servers.byID["s0"]
 	for _, step := range []struct {
 		result Outcome
 		want   int
 	}{{OK, 1}, {Errored, 2}, {Overloaded, 3}, {ConnectionLost, 3}, {TimedOut, 3}, {Unreachable, 3}, {Cancelled, 3}, {NotSent, 3}} {
-		if s.connection(step.result); s.idle != step.want {
-			t.Errorf("%d connections idle after result %v, want %d", s.idle, step.result, step.want)
+		if s.recordConnection(step.result); s.idleConnections != step.want {
+			t.Errorf("%d connections idle after result %v, want %d", s.idleConnections, step.result, step.want)
 		}
 	}
 	for range 5 {
 		b.step(ConnectionClosed{Server: "s0"})
 	}
 	b.step(ConnectionClosed{Server: "unheard of"})
-	if s.idle != 0 {
-		t.Errorf("%d connections idle after all were closed", s.idle)
+	if s.idleConnections != 0 {
+		t.Errorf("%d connections idle after all were closed", s.idleConnections)
 	}
 }
 
@@ -377,19 +377,19 @@
 func TestThoseNotCrowdedAreDrawnInProportion(t *testing.T) {
 	set := settings()
 	b := newBed(t, set, server3(5)...)
-	for i, s := range b.l.list {
-		s.seen, s.unit, s.outcomeAt, s.score = true, 20, b.now, float64(i+1)
+	for i, s := range b.l.servers.ready {
+		s.timing.measured, s.timing.unitTime, s.timing.outcomeAt, s.score = true, 20, b.now, float64(i+1)
 	}
-	b.l.unit, b.l.guess, b.l.scoredAt = 20, 20, b.now
-	crowded := b.l.list[2]
-	crowded.unit = 40 // twice the best's time, and still within the aim
+	b.l.estimate.unitTime, b.l.estimate.initialUnitTime, b.l.scoredAt = 20, 20, b.now
+	crowded := b.l.servers.ready[2]
+	crowded.timing.unitTime = 40 // twice the best's time, and still within the aim
 	const picks = 20000
 	got := map[ServerID]float64{}
 	for range picks {
-		r := &request{class: b.l.classes["read"], cost: 1, arrived: b.now, aimAt: b.now + 400, expires: b.now + 2000}
-		got[b.l.pick(r).ID]++
+		r := &request{class: b.l.classes["read"], work: 1, arrived: b.now, objectiveAt: b.now + 400, deadline: b.now + 2000}
+		got[b.l.pickServer(r).ID]++
 	}
-	for i, s := range b.l.list {
+	for i, s := range b.l.servers.ready {
 		want := float64(i+1) / (1 + 2 + 4 + 5)
 		if s == crowded {
 			want = 0
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // book checks the contract from outside: one final answer, no effect twice, nothing to a server known to
-// drain, no second copies where they are not allowed, attempts within the cap.
-type book struct {
+// drain, no two attempts at once, attempts within the cap.
+type contract struct {
 	t     *testing.T
 	set   Settings
 	state map[ServerID]Endpoint
@@ -28,7 +28,7 @@
 	mayRun bool
 }
 
-func (k *book) check(now Millis, acts []Action) {
+func (k *contract) check(now Millis, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case StartAttempt:
@@ -64,7 +64,7 @@
 	}
 }
 
-func (k *book) send(now Millis, a StartAttempt) {
+func (k *contract) send(now Millis, a StartAttempt) {
 	e := k.reqs[a.ID]
 	if e == nil || e.finished || e.answers > 0 {
 		k.t.Fatalf("sent for request %d, which is finished or unknown", a.ID)
@@ -74,7 +74,7 @@
 		k.t.Fatalf("sent to %s, which is not ready", a.Server)
 	}
 	for _, s := range e.sends {
-		if s.open && !k.set.HedgingAllowed {
+		if s.open {
 			k.t.Fatal("two attempts of one request at once")
 		}
 		if !s.open && !s.mayRun {
@@ -94,7 +94,7 @@
 }
 
 // end ends an open attempt, chosen by pick, with the given result; nil when none is open.
-func (k *book) end(pick int, res Outcome, now Millis) Event {
+func (k *contract) end(pick int, res Outcome, now Millis) Event {
 	for i := range k.order {
 		id := k.order[(i+pick)%len(k.order)]
 		e := k.reqs[id]
@@ -122,7 +122,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		set := settings()
 		if len(data) > 1 && data[0] == 6 {
-			set.HedgingAllowed, set.ProbesAllowed, set.LoadReports = data[1]&1 == 0, data[1]&2 != 0, data[1]&2 != 0
+			set.ProbesAllowed, set.LoadReports = data[1]&2 != 0, data[1]&2 != 0
 			set.GossipAllowed, set.ReportsFromProbesOnly, set.KeyAffinity = data[1]&4 != 0, data[1]&4 != 0, data[1]&4 != 0
 			set.Nodes = 1 + int(data[1]&4)
 		}
@@ -130,7 +130,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &book{t: t, set: set, state: map[ServerID]Endpoint{}, reqs: map[RequestID]*entry{}}
+		k := &contract{t: t, set: set, state: map[ServerID]Endpoint{}, reqs: map[RequestID]*entry{}}
 		now := 1000.0
 		servers := server3(6)
 		list := func(form UpdateKind, entries ...Endpoint) Event {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -2,45 +2,131 @@
 
 import "math"
 
-// This file decides what nodes tell one another and what of it counts.
+const (
+	// gossipInterval, in ms, is the least time between two messages of a node: they are under way
+	// for about as long.
+	gossipInterval = 10.0
+	// outcomeGossipInterval, in ms, is the time between two messages about outcomes: a window of
+	// ten seconds changes slowly.
+	outcomeGossipInterval = 2000.0
+	// gossipBudgetShare is the share of all priority weight that messages may cost, each reader
+	// counted.
+	gossipBudgetShare = 0.006
+	// gossipBurst bounds the saved budget, in requests: a message to a hundred nodes is paid for by
+	// some ten requests.
+	gossipBurst = 50.0
+	// gossipReadCost, in microseconds, is what a message costs each reader.
+	gossipReadCost = 1.0
+	// minGossipTimeout, in ms: a node that isn't heard for so long is gone or cut off ...
+	minGossipTimeout = 3000.0
+	// ... or, where messages are rare, one that isn't heard for so many intervals.
+	gossipTimeoutIntervals = 3
+	// assumedSuccesses are added to a server's outcomes: one failure among few requests is chance.
+	assumedSuccesses = 5.0
+	// gossipedOutcomeDivisor: an outcome that another node saw counts as this part of one.
+	gossipedOutcomeDivisor = 2
+	// rowDecayPerFailure is the chance that each further failure in a row leaves to the server
+	// being healthy.
+	rowDecayPerFailure = 0.5
+)
 
-// tell lets the other nodes know what this one has at each server and how its sends there ended, as often as
-// may be paid for. Where reading a message costs them all more than a request may, nothing is told.
-func (l *Balancer) tell() {
-	if !l.set.GossipAllowed || l.set.Nodes < 2 || l.tellings.left <= 0 || l.now < l.toldAt+tellEvery {
+// gossipState is what this node has sent to and heard from the other nodes.
+type gossipState struct {
+	tokens         tokenBucket // priority weight that messages may cost
+	changed        bool        // since the last message about loads
+	sentAt         Millis
+	outcomesSentAt Millis
+
+	heardAt      Millis // the last message of any node; 0: none yet
+	heardFrom    map[int]Millis
+	interval     Millis // usual time between two messages of a node
+	isolated     bool   // no other node is heard any more, and the log says so
+	serversByTag map[uint16]*server
+	reportedBy   map[gossipSource][]*server // the servers that a node's latest message named
+}
+
+// broadcastGossip tells the other nodes what this one has in flight at each server and how its
+// attempts there ended, as often as may be paid for. Where reading a message costs all nodes
+// together more CPU than a request may, nothing is sent.
+func (b *Balancer) broadcastGossip() {
+	if !b.settings.GossipAllowed || b.settings.Nodes < 2 {
 		return
 	}
-	readers := float64(l.set.Nodes - 1)
-	if l.set.CPUPerRequest > 0 && readers*readCost > l.set.CPUPerRequest {
+	if b.gossip.tokens.left <= 0 || b.now < b.gossip.sentAt+gossipInterval {
 		return
 	}
-	var body []byte
-	if l.now >= l.toldOutcomesAt+outcomesEvery {
-		body, l.toldOutcomesAt = l.message(tellOutcomes), l.now
+	readers := float64(b.settings.Nodes - 1)
+	if b.settings.CPUPerRequest > 0 && readers*gossipReadCost > b.settings.CPUPerRequest {
+		return
 	}
-	if len(body) <= 1 { // no failures to tell of
-		if !l.changed && l.now < l.toldAt+toldOld/3 {
-			return
+	body := b.nextGossip()
+	if body == nil {
+		return
+	}
+	b.gossip.tokens.left -= b.settings.Prices.Gossip * readers * float64(len(body)) / MaxGossipBytes
+	b.gossip.sentAt = b.now
+	b.emit(BroadcastGossip{body})
+}
+
+// nextGossip is the message that is due: about outcomes if there are failures to report, else about
+// loads if they have changed or the last one is old. Nil: none.
+func (b *Balancer) nextGossip() []byte {
+	if b.now >= b.gossip.outcomesSentAt+outcomeGossipInterval {
+		b.gossip.outcomesSentAt = b.now
+		if body := b.encodeGossip(gossipOutcomes); len(body) > 1 {
+			return body
 		}
-		body, l.changed = l.message(tellLoads), false
 	}
-	l.tellings.left -= l.set.GossipPrice * readers * float64(len(body)) / MaxGossipBytes
-	l.toldAt = l.now
-	l.do(BroadcastGossip{body})
+	recent := b.now < b.gossip.sentAt+minGossipTimeout/gossipTimeoutIntervals
+	if !b.gossip.changed && recent {
+		return nil
+	}
+	b.gossip.changed = false
+	return b.encodeGossip(gossipLoads)
+}
+
+// earnGossip adds what one first attempt allows to spend on messages.
+func (b *Balancer) earnGossip() {
+	elapsedOne := b.gossip.tokens.refilledAt + 1 // this bucket counts first attempts, not time
+	b.gossip.tokens.refill(elapsedOne, gossipBudgetShare, gossipBurst*gossipBudgetShare)
+}
+
+// gossipAlive tells whether the other nodes can be heard. That they no longer can is logged once.
+func (b *Balancer) gossipAlive() bool {
+	if b.gossip.heardAt == 0 {
+		return false
+	}
+	silent := b.now >= b.gossip.heardAt+b.gossipTimeout()
+	if silent && !b.gossip.isolated {
+		b.logf("no other node heard for %.0f ms: deciding by reports and own outcomes", b.now-b.gossip.heardAt)
+	}
+	b.gossip.isolated = silent
+	return !silent
+}
+
+// gossipTimeout is how long what a node sent is believed, in ms.
+func (b *Balancer) gossipTimeout() Millis {
+	return max(minGossipTimeout, gossipTimeoutIntervals*b.gossip.interval)
 }
 
-// badShare is a server's failure share by what this node saw and the others told, those counting half.
-func (l *Balancer) badShare(s *server) float64 {
-	if !l.set.GossipAllowed || len(s.told) == 0 && s.failedAt < l.now-bucketCount*bucketLen {
+// failureShare is the share of requests that fail at a server, by what this node saw and what the
+// others reported.
+func (b *Balancer) failureShare(s *server) float64 {
+	noOwnFailure := s.outcomes.failedAt < b.now-outcomeBucketCount*outcomeBucketLength
+	if !b.settings.GossipAllowed || len(s.gossipReports) == 0 && noOwnFailure {
 		return 0
 	}
-	ok, fail := s.window(l.now)
-	bad, all := float64(fail), float64(ok+fail)+badPrior
-	for _, t := range s.told {
-		if t.kind == tellOutcomes && l.now < t.at+3*outcomesEvery {
-			bad, all = bad+t.b/2, all+(t.a+t.b)/2
+	successes, failures := s.outcomeCounts(b.now)
+	failed := float64(failures)
+	total := float64(successes+failures) + assumedSuccesses
+	for _, report := range s.gossipReports {
+		if report.kind == gossipOutcomes && b.now < report.at+3*outcomeGossipInterval {
+			failed += report.second / gossipedOutcomeDivisor
+			total += (report.first + report.second) / gossipedOutcomeDivisor
 		}
 	}
-	row := (1 - math.Pow(0.5, float64(s.failures))) * math.Exp(-(l.now-s.outcomeAt)/staleDecay)
-	return max(row, bad/all) // what just failed here in a row is likelier to fail than its long record says
+	// A server that just failed in a row is likelier to fail again than its long record says.
+	row := 1 - math.Pow(rowDecayPerFailure, float64(s.outlier.consecutiveFailures))
+	row *= math.Exp(-(b.now - s.timing.outcomeAt) / staleDecay)
+	return max(row, failed/total)
 }
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -9,7 +9,7 @@
 // time to come, against what one may.
 func TestTwoProcessesShareAColdServersBudget(t *testing.T) {
 	set := Settings{Nodes: 3, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 100, PriorityWeight: 1}}, DrainGrace: 2000,
-		InitialCapacity: 0.2, SlowStartDuration: 9000, OverloadFactor: 3, OverloadWindow: 3000, MaxAttempts: 1, Goal: ObjectiveWeights{Overall: 1}}
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 3000}, MaxAttempts: 1, Goal: ObjectiveWeights{Overall: 1}}
 	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Capacity: 1, Started: 1}}}
 	begin := func(seed uint64, left float64) *Balancer {
 		l, err := New(set, seed)
@@ -17,10 +17,10 @@
 			t.Fatal(err)
 		}
 		l.Step(10, list)
-		l.servers["cold"].budget.left = left
+		l.servers.byID["cold"].slowStart.budget.left = left
 		return l
 	}
-	rate := func(l *Balancer) float64 { return l.coldRate(l.servers["cold"]) }
+	rate := func(l *Balancer) float64 { return l.slowStartRate(l.servers.byID["cold"]) }
 	alone, old, next := begin(1, 6), begin(2, 6), begin(3, 0.7)
 	old.Step(10, SiblingProcesses{2})
 	old.Step(10, SiblingProcesses{2}) // told twice
@@ -34,20 +34,20 @@
 	}
 	next.Step(10, SiblingProcesses{2})
 	next.Step(10, StateTransferred{state})
-	if left := old.servers["cold"].budget.left + next.servers["cold"].budget.left; left != 6 {
+	if left := old.servers.byID["cold"].slowStart.budget.left + next.servers.byID["cold"].slowStart.budget.left; left != 6 {
 		t.Errorf("one process had 6 left, two have %v", left)
 	}
 	if both := rate(old) + rate(next); both > rate(alone)*1.0001 || both < rate(alone)*0.9999 {
 		t.Errorf("two processes get %v a millisecond, one alone %v", both, rate(alone))
 	}
-	if next.Step(10, SiblingProcesses{1}); rate(next) != rate(alone) || next.servers["cold"].budget.left > 3 {
-		t.Errorf("alone again: %v a millisecond, %v left", rate(next), next.servers["cold"].budget.left)
+	if next.Step(10, SiblingProcesses{1}); rate(next) != rate(alone) || next.servers.byID["cold"].slowStart.budget.left > 3 {
+		t.Errorf("alone again: %v a millisecond, %v left", rate(next), next.servers.byID["cold"].slowStart.budget.left)
 	}
 }
 
 func TestInheritedIsWhatWasKnown(t *testing.T) {
 	set := Settings{Nodes: 1, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 300, PriorityWeight: 1}}, DrainGrace: 2000,
-		InitialCapacity: 0.2, SlowStartDuration: 9000, OverloadFactor: 3, OverloadWindow: 1000, MaxAttempts: 3, Goal: ObjectiveWeights{Overall: 1}}
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, MaxAttempts: 3, Goal: ObjectiveWeights{Overall: 1}}
 	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1, Started: 5}}}
 	made := func(seed uint64) *Balancer {
 		l, err := New(set, seed)
@@ -58,22 +58,22 @@
 		return l
 	}
 	old := made(1)
-	a := old.servers["a"]
-	a.excluded, a.trialAt, a.unit, a.failures = true, 10_000, 17, 3
-	for i := range recentCount + 3 {
-		a.note(float64(100*i), i%3 == 0)
+	a := old.servers.byID["a"]
+	a.outlier.ejected, a.outlier.trialAt, a.timing.unitTime, a.outlier.consecutiveFailures = true, 10_000, 17, 3
+	for i := range recentOutcomeCount + 3 {
+		a.outcomes.record(float64(100*i), i%3 == 0)
 	}
-	old.servers["b"].unit = 99
+	old.servers.byID["b"].timing.unitTime = 99
 	state := old.Snapshot()
 	next := made(2)
-	next.servers["b"].Started = 7 // it has started anew since
+	next.servers.byID["b"].Started = 7 // it has started anew since
 	next.Step(2, StateTransferred{state})
-	n := next.servers["a"]
-	if !n.excluded || n.trialAt != 10_000 || n.unit != 17 || n.failures != 3 || n.recentRate() != a.recentRate() ||
+	n := next.servers.byID["a"]
+	if !n.outlier.ejected || n.outlier.trialAt != 10_000 || n.timing.unitTime != 17 || n.outlier.consecutiveFailures != 3 || n.recentSuccessRate() != a.recentSuccessRate() ||
 		n.errorRate(2000) != a.errorRate(2000) {
 		t.Errorf("inherited %+v, known %+v", n, a)
 	}
-	if next.servers["b"].unit == 99 {
+	if next.servers.byID["b"].timing.unitTime == 99 {
 		t.Error("a server that started anew was given its past")
 	}
 	if listed, avoided := next.CountEndpoints(); listed != 2 || avoided != 1 {
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -6,7 +6,7 @@
 )
 
 // bed drives one Logic by hand and keeps what it did.
-type bed struct {
+type testNode struct {
 	t    *testing.T
 	l    *Balancer
 	now  Millis
@@ -23,18 +23,18 @@
 			{Name: "bill", Idempotency: NonIdempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 5},
 		},
 		Goal: ObjectiveWeights{Overall: 1}, OverQuotaFraction: 0.1, ClientsMarkRetries: true,
-		DrainGrace: 1000, InitialCapacity: 0.25, SlowStartDuration: 10000, OverloadFactor: 3, OverloadWindow: 2000, WatchDeadline: 10000,
-		MaxAttempts: 5, CancelAllowed: true, HedgingAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1,
+		DrainGrace: 1000, SlowStart: SlowStart{InitialCapacity: 0.25, Duration: 10000, OverloadFactor: 3, OverloadWindow: 2000}, WatchDeadline: 10000,
+		MaxAttempts: 5, CancelAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1,
 	}
 }
 
-func newBed(t *testing.T, set Settings, servers ...Endpoint) *bed {
+func newBed(t *testing.T, set Settings, servers ...Endpoint) *testNode {
 	t.Helper()
 	l, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, l: l, now: 100000}
+	b := &testNode{t: t, l: l, now: 100000}
 	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: servers})
 	return b
 }
@@ -47,25 +47,25 @@
 	return out
 }
 
-func (b *bed) step(e Event) []Action {
+func (b *testNode) step(e Event) []Action {
 	out := b.l.Step(b.now, e)
 	b.acts = append(b.acts, out...)
 	return out
 }
 
 // arrive brings a request with the given time to live and returns its id and what was done.
-func (b *bed) arrive(class string, ttl Millis) (RequestID, []Action) {
+func (b *testNode) arrive(class string, ttl Millis) (RequestID, []Action) {
 	b.next++
 	return b.next, b.step(Arrival{ID: b.next, Class: class, Deadline: b.now + ttl})
 }
 
 // end finishes an attempt.
-func (b *bed) end(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
+func (b *testNode) end(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
 	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: res, Elapsed: took, Closed: res == OK})
 }
 
 // serve sends one request and ends it wherever it went.
-func (b *bed) serve(class string, took Millis, result func(ServerID) Outcome) ServerID {
+func (b *testNode) serve(class string, took Millis, result func(ServerID) Outcome) ServerID {
 	id, acts := b.arrive(class, 2000)
 	s := sentTo(acts)
 	if s == "" {
@@ -83,7 +83,7 @@
 func allOK(ServerID) Outcome { return OK }
 
 // pass lets time go by in cycles.
-func (b *bed) pass(d Millis) {
+func (b *testNode) pass(d Millis) {
 	for until := b.now + d; b.now < until; {
 		b.now += 250
 		b.step(TimerFired{"sweep"})
--- a/balancer/healthscore.go
+++ b/balancer/healthscore.go
@@ -5,130 +5,208 @@
 	"sort"
 )
 
-// This file scores the health of servers, zones and classes from the outcomes of attempts.
+const (
+	// scoreInterval, in ms, is the greatest age of the scores that a request is placed by.
+	scoreInterval = 100.0
+	// Weights of a score's parts (design). They need not sum to 1.
+	latencyWeight       = 0.4
+	errorRateWeight     = 0.3
+	recentSuccessWeight = 0.1
+	// minLatency, in ms, keeps quotients finite.
+	minLatency = 1e-3
+)
+
+const (
+	// latencySmoothing is the weight of a new sample of latency and unit time.
+	latencySmoothing = 0.2
+	// paceSmoothing is the weight of a new sample of the fleet's pace.
+	paceSmoothing = 0.08
+	// maxPaceSample bounds a sample of the pace, so that one heavy request does not slow the whole
+	// fleet's estimate.
+	maxPaceSample = 3.0
+	// paceReversion draws the pace back to 1, since in the long run the servers' own records hold a
+	// slowdown.
+	paceReversion = 0.01
+	// staleAfter, in ms: a record older than this begins to fade toward the fleet's typical one ...
+	staleAfter = 2000.0
+	// ... with this time constant, in ms.
+	staleDecay = 4000.0
+	// minUnitTimeRatio: no server is taken to be faster than this multiple of the typical unit
+	// time. Otherwise all nodes would send to the one that looked fastest.
+	minUnitTimeRatio = 0.6
+)
+
+// serverTiming is how fast a server has been.
+type serverTiming struct {
+	latency   Millis // smoothed; a failure counts as its class's latency objective
+	unitTime  Millis // smoothed time for each request that the server holds, at pace 1
+	measured  bool   // unitTime comes from the server's own answers
+	outcomeAt Millis // when the last outcome was recorded
+}
 
-// runScores scores each ready server from 0 to 1 and renews the typical unit time.
-func (l *Balancer) runScores() {
-	l.scoredAt = l.now
-	l.tellZones()
-	var units []float64
+// updateScores scores each ready server from 0 to 1 and renews the typical unit time.
+func (b *Balancer) updateScores() {
+	b.scoredAt = b.now
+	b.logZoneChanges()
 	best := math.Inf(1)
-	for _, s := range l.list {
-		if s.seen && l.now < s.outcomeAt+staleAfter+staleDecay { // those shunned would hold the typical up
-			u := s.unit * l.pace
-			if l.set.CapacitiesListed && s.Capacity > 0 {
-				u *= s.Capacity
-			}
-			units = append(units, u)
-		}
-		best = min(best, l.effectiveLatency(s))
+	for _, s := range b.servers.ready {
+		best = min(best, b.effectiveLatency(s)) // by the typical unit time of before
 	}
-	if len(units) > 0 {
-		sort.Float64s(units)
-		l.unit = units[len(units)/2]
-	}
-	for _, s := range l.list {
-		if s.recentLen == 0 {
-			continue // a newcomer keeps the others' mean
+	b.updateTypicalUnitTime()
+	for _, s := range b.servers.ready {
+		if s.outcomes.recentLen == 0 {
+			continue // a new server keeps the others' mean
 		}
-		good := weightLatency*best/l.effectiveLatency(s) + weightErrors*(1-s.errorRate(l.now))
-		s.score = (good + weightRecent*s.recentRate()) / (weightLatency + weightErrors + weightRecent)
+		s.score = b.score(s, best)
 	}
 }
 
-// effectiveLatency is the smoothed latency, raised at once by attempts that stay out longer: silence counts
-// before the outcome arrives. Evidence that nothing renews fades toward the typical.
-func (l *Balancer) effectiveLatency(s *server) Millis {
-	return max(1e-3, l.fade(s, s.latency), l.overdue(s, false))
+// score is the weighted mean of a server's latency against the best one, its error rate and its
+// recent successes.
+func (b *Balancer) score(s *server, bestLatency Millis) float64 {
+	latency := latencyWeight * bestLatency / b.effectiveLatency(s)
+	errors := errorRateWeight * (1 - s.errorRate(b.now))
+	recent := recentSuccessWeight * s.recentSuccessRate()
+	return (latency + errors + recent) / (latencyWeight + errorRateWeight + recentSuccessWeight)
 }
 
-// smoothUnit is the time a server takes for each request in its hands.
-func (l *Balancer) smoothUnit(s *server) Millis {
-	unit := l.fade(s, s.unit*l.pace)
-	if !s.seen {
-		unit = l.typicalUnit(s) // not the guess of its first moment
+// updateTypicalUnitTime takes the median over the servers with a fresh record of their own.
+func (b *Balancer) updateTypicalUnitTime() {
+	var unitTimes []float64
+	for _, s := range b.servers.ready {
+		// The old record of an unused server would hold the median up.
+		fresh := b.now < s.timing.outcomeAt+staleAfter+staleDecay
+		if !s.timing.measured || !fresh {
+			continue
+		}
+		unitTime := s.timing.unitTime * b.estimate.pace
+		if b.settings.CapacitiesListed && s.Capacity > 0 {
+			unitTime *= s.Capacity
+		}
+		unitTimes = append(unitTimes, unitTime)
 	}
-	return max(1e-3, max(herdFloor*l.typicalUnit(s), unit)/l.speed(s), l.overdue(s, true))
-}
-
-// observe books an attempt's outcome to its server's health.
-func (l *Balancer) observe(s *server, r *request, a *attempt, result Outcome, elapsed Millis) {
-	if result == NotSent || (result == Cancelled && elapsed < a.expected) {
-		return // tells nothing of the server
-	}
-	good := result == OK
-	l.noteZone(s, result, elapsed)
-	if l.noteClass(s, r.class, result) && !good {
+	if len(unitTimes) == 0 {
 		return
 	}
-	if result != Cancelled {
-		s.note(l.now, good)
-	}
-	felt := elapsed
-	if !good { // a quick error must not look like a quick answer, a lost one not like a long queue
-		felt = r.class.LatencyObjective
-	}
-	gain := 1 - (1-latencyGain)*math.Exp(-(l.now-s.outcomeAt)/staleDecay) // an old record counts for less
-	if !s.seen {
-		gain = 1 // the first outcome replaces the guess
-	}
-	s.latency += gain * (felt - s.latency)
-	// What slows all down shows in all answers, long before each server's own record.
-	unit := l.warmed(s, elapsed/a.queueRounds, good)
-	if good && s.seen {
-		l.pace += paceGain*(min(paceMost, max(1/paceMost, unit/max(1e-3, s.unit)))-l.pace) + paceRest*(1-l.pace)
+	sort.Float64s(unitTimes)
+	b.estimate.unitTime = unitTimes[len(unitTimes)/2]
+}
+
+// setInitialScore gives a new or readmitted server the others' mean score.
+func (b *Balancer) setInitialScore(s *server) {
+	sum, n := 0.0, 0.0
+	for _, other := range b.servers.ready {
+		if other != s {
+			sum += other.score
+			n++
+		}
 	}
-	unit /= l.pace
-	if good || (result == TimedOut || result == Cancelled) && unit > s.unit && !s.passed(a) {
-		s.unit += gain * (unit - s.unit)
+	s.score = 1
+	if n > 0 {
+		s.score = sum / n
 	}
-	if s.seen = s.seen || good; good {
-		s.answeredTo = max(s.answeredTo, a.sentAt)
+}
+
+// effectiveLatency is the smoothed latency, raised at once by attempts that are out for longer:
+// silence counts before the outcome arrives. A record that nothing renews fades toward the typical
+// one.
+func (b *Balancer) effectiveLatency(s *server) Millis {
+	return max(minLatency, b.decayToTypical(s, s.timing.latency), b.unansweredTime(s, false))
+}
+
+// currentUnitTime is the time that a server is taken to need for each request that it holds.
+func (b *Balancer) currentUnitTime(s *server) Millis {
+	typical := b.typicalUnitTime(s)
+	unitTime := typical
+	if s.timing.measured {
+		unitTime = b.decayToTypical(s, s.timing.unitTime*b.estimate.pace)
+	}
+	unitTime = max(minUnitTimeRatio*typical, unitTime)
+	return max(minLatency, unitTime/b.estimatedCapacity(s), b.unansweredTime(s, true))
+}
+
+// typicalUnitTime is the fleet's time for each request that a server of this capacity holds.
+func (b *Balancer) typicalUnitTime(s *server) Millis {
+	if b.settings.CapacitiesListed && s.Capacity > 0 {
+		return b.estimate.unitTime / s.Capacity
 	}
-	s.outcomeAt = l.now
-	l.ejectOrKeep(s, result, a.sentAt)
+	return b.estimate.unitTime
 }
 
-// noteClass books an outcome to its class and tells whether the fault is the class's own at this server: it
-// fails there while another class is served well. Such failures, and such silence, say nothing about the
-// server; counting them would shun a server that is good for all the rest.
-func (l *Balancer) noteClass(s *server, c *classState, result Outcome) bool {
-	if result == Overloaded || result == Cancelled {
-		return false
-	}
-	h := s.class(c)
-	h.bad, h.tried = l.classBad(s, c), true
-	if h.at = l.now; result == OK {
-		h.bad -= classGood * h.bad
-		return false
-	}
-	h.bad += classWorse * (1 - h.bad)
-	return l.classFault(s, c)
+// decayToTypical lets a server's figure return to the typical unit time once nothing renews it.
+func (b *Balancer) decayToTypical(s *server, value Millis) Millis {
+	stale := b.now - s.timing.outcomeAt - staleAfter
+	if stale <= 0 || s.attempts.inFlight > 0 {
+		return value
+	}
+	typical := b.typicalUnitTime(s)
+	return typical + (value-typical)*math.Exp(-stale/staleDecay)
 }
 
-func (l *Balancer) classFault(s *server, c *classState) bool {
-	if l.classBad(s, c) < classFaulty {
-		return false
+// unansweredTime is how long a server has kept silent over its oldest attempt; with perRequest
+// divided by the requests ahead of it. It ignores attempts that an answer to a later one has
+// overtaken: those are lost or heavy, and say nothing about the server.
+func (b *Balancer) unansweredTime(s *server, perRequest bool) Millis {
+	r, a := s.oldestAttempt()
+	if a == nil || b.classFault(s, r.class) {
+		return 0
 	}
-	for i := range s.classes {
-		if h := &s.classes[i]; i != c.index && h.tried && h.bad < classFaulty/3 {
-			return true
-		}
+	silent := b.now - max(a.sentAt, s.timing.outcomeAt)
+	if perRequest {
+		silent /= a.serviceRounds
 	}
-	return false
+	return silent
 }
 
-// zoneFault is a zone's share of sends with nothing back, 0 but where another zone answers: it is lost or cut
-// off from here. A node that meets each server once in seconds would else wait for every one there in turn.
-func (l *Balancer) zoneFault(zone *classHealth) float64 {
-	if zone.bad < zoneSilent {
-		return 0
+// recordAttemptOutcome records how an attempt ended in its server's health.
+func (b *Balancer) recordAttemptOutcome(s *server, r *request, a *attempt, outcome Outcome, elapsed Millis) {
+	cancelledEarly := outcome == Cancelled && elapsed < a.expected
+	if outcome == NotSent || cancelledEarly {
+		return // says nothing about the server
+	}
+	success := outcome == OK
+	b.recordZoneOutcome(s, outcome, elapsed)
+	classOnly := b.recordClassOutcome(s, r.class, outcome)
+	if classOnly && !success {
+		return
 	}
-	bad := l.zoneBad(zone)
-	for _, h := range l.zones {
-		if bad >= zoneSilent/2 && h.tried && l.zoneBad(h) < bad/3 {
-			return bad
-		}
+	if outcome != Cancelled {
+		s.outcomes.record(b.now, success)
 	}
-	return 0
+	b.recordTiming(s, r, a, outcome, elapsed)
+	if success {
+		s.attempts.latestAnswered = max(s.attempts.latestAnswered, a.sentAt)
+	}
+	s.timing.outcomeAt = b.now
+	b.updateEjection(s, outcome, a.sentAt)
+}
+
+// recordTiming takes an attempt's duration into the server's latency and unit time, and into the
+// fleet's pace: what slows all servers down shows in all answers long before it shows in each
+// server's own record.
+func (b *Balancer) recordTiming(s *server, r *request, a *attempt, outcome Outcome, elapsed Millis) {
+	success := outcome == OK
+	timing := &s.timing
+	latency := elapsed
+	if !success { // a quick error must not look like a quick answer, a lost one not like a long queue
+		latency = r.class.LatencyObjective
+	}
+	gain := 1.0 // the first answer replaces the initial guess
+	if timing.measured {
+		// An old record counts for less.
+		gain = 1 - (1-latencySmoothing)*math.Exp(-(b.now-timing.outcomeAt)/staleDecay)
+	}
+	timing.latency += gain * (latency - timing.latency)
+	unitTime := b.unitTimeWhenWarm(s, elapsed/a.serviceRounds, success)
+	if success && timing.measured {
+		sample := min(maxPaceSample, max(1/maxPaceSample, unitTime/max(minLatency, timing.unitTime)))
+		b.estimate.pace += paceSmoothing*(sample-b.estimate.pace) + paceReversion*(1-b.estimate.pace)
+	}
+	unitTime /= b.estimate.pace
+	unanswered := outcome == TimedOut || outcome == Cancelled
+	slowerThanKnown := unitTime > timing.unitTime && !s.superseded(a)
+	if success || unanswered && slowerThanKnown {
+		timing.unitTime += gain * (unitTime - timing.unitTime)
+	}
+	timing.measured = timing.measured || success
 }
--- a/balancer/logic_test.go
+++ b/balancer/logic_test.go
@@ -14,8 +14,8 @@
 		"nodes":        func(s *Settings) { s.Nodes = 0 },
 		"classes":      func(s *Settings) { s.Classes = nil },
 		"attempts":     func(s *Settings) { s.MaxAttempts = 0 },
-		"cold":         func(s *Settings) { s.InitialCapacity = 1.5 },
-		"cold server":  func(s *Settings) { s.OverloadFactor = 0 },
+		"cold":         func(s *Settings) { s.SlowStart.InitialCapacity = 1.5 },
+		"cold server":  func(s *Settings) { s.SlowStart.OverloadFactor = 0 },
 		"drain":        func(s *Settings) { s.DrainGrace = -1 },
 		"aim":          func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"needs a wind": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
@@ -42,22 +42,22 @@
 		b.l.scoredAt = 0
 	}
 	b.l.scoredAt = 0
-	s0, s1 := b.l.servers["s0"], b.l.servers["s1"]
+	s0, s1 := b.l.servers.byID["s0"], b.l.servers.byID["s1"]
 	if math.Abs(s0.score-1) > 0.01 {
 		t.Errorf("the fastest server without errors scores %.3f, want 1", s0.score)
 	}
 	// Half the latency term is missing: (0.4*0.5+0.3+0.1)/0.8.
-	if s1.recentLen > 0 && math.Abs(s1.score-0.75) > 0.12 {
+	if s1.outcomes.recentLen > 0 && math.Abs(s1.score-0.75) > 0.12 {
 		t.Errorf("a server of twice the latency scores %.3f, want about 0.75", s1.score)
 	}
 }
 
 func TestDrawIsInProportionToScore(t *testing.T) {
 	b := newBed(t, settings(), server3(2)...)
-	b.l.list[0].score, b.l.list[1].score = 0.9, 0.3
+	b.l.servers.ready[0].score, b.l.servers.ready[1].score = 0.9, 0.3
 	got := 0
 	for i := 0; i < 4000; i++ {
-		if b.l.draw(b.l.list) == b.l.list[0] {
+		if b.l.drawByScore(b.l.servers.ready) == b.l.servers.ready[0] {
 			got++
 		}
 	}
@@ -80,19 +80,19 @@
 
 func TestNewServerStartsAtTheOthersMean(t *testing.T) {
 	b := newBed(t, settings(), server3(2)...)
-	b.l.list[0].score, b.l.list[1].score = 0.4, 0.8
-	b.l.list[0].recentLen, b.l.list[1].recentLen = 0, 0
+	b.l.servers.ready[0].score, b.l.servers.ready[1].score = 0.4, 0.8
+	b.l.servers.ready[0].outcomes.recentLen, b.l.servers.ready[1].outcomes.recentLen = 0, 0
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "new", Capacity: 1}}})
-	if got := b.l.servers["new"].score; math.Abs(got-0.6) > 1e-9 {
+	if got := b.l.servers.byID["new"].score; math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("new server scores %.2f, want 0.6", got)
 	}
 }
 
 // failing makes one server fail until it is excluded.
-func failing(t *testing.T, b *bed, bad ServerID, res Outcome) {
+func failing(t *testing.T, b *testNode, bad ServerID, res Outcome) {
 	t.Helper()
-	for i := 0; i < 300 && !b.l.servers[bad].excluded; i++ {
-		b.l.servers[bad].seen, b.l.servers[bad].unit = true, 1 // as fast as any by its record, so that it is drawn
+	for i := 0; i < 300 && !b.l.servers.byID[bad].outlier.ejected; i++ {
+		b.l.servers.byID[bad].timing.measured, b.l.servers.byID[bad].timing.unitTime = true, 1 // as fast as any by its record, so that it is drawn
 		b.serve("read", 5, func(s ServerID) Outcome {
 			if s == bad {
 				return res
@@ -105,15 +105,15 @@
 func TestExclusionCooldownAndOneTrial(t *testing.T) {
 	b := newBed(t, settings(), server3(4)...)
 	failing(t, b, "s1", Errored)
-	if !b.l.servers["s1"].excluded {
+	if !b.l.servers.byID["s1"].outlier.ejected {
 		t.Fatal("a server that always fails is not excluded")
 	}
 	for i := 0; i < 100; i++ {
 		if s := b.serve("read", 5, allOK); s == "s1" {
-			t.Fatal("an excluded server was drawn before its cooldown ended")
+			t.Fatal("an excluded server was drawn before its ejectionTime ended")
 		}
 	}
-	b.pass(cooldown + 1000)
+	b.pass(ejectionTime + 1000)
 	var trial RequestID
 	for i := 0; i < 200 && trial == 0; i++ {
 		if id, acts := b.arrive("read", 2000); sentTo(acts) == "s1" {
@@ -124,7 +124,7 @@
 		}
 	}
 	if trial == 0 {
-		t.Fatal("no trial after the cooldown")
+		t.Fatal("no trial after the ejectionTime")
 	}
 	for i := 0; i < 50; i++ {
 		if s := b.serve("read", 1, allOK); s == "s1" {
@@ -132,7 +132,7 @@
 		}
 	}
 	b.end(trial, 0, "s1", OK, 30)
-	if b.l.servers["s1"].excluded {
+	if b.l.servers.byID["s1"].outlier.ejected {
 		t.Error("a good trial does not readmit")
 	}
 }
@@ -153,11 +153,11 @@
 	if old == 0 {
 		t.Fatal("never drawn")
 	}
-	s := b.l.servers["s1"]
-	s.excluded, s.trialAt = true, b.now+cooldown
+	s := b.l.servers.byID["s1"]
+	s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	b.now += 50
 	b.end(old, 0, "s1", OK, 50)
-	if !s.excluded {
+	if !s.outlier.ejected {
 		t.Error("an answer from before the exclusion readmitted the server")
 	}
 }
@@ -165,13 +165,13 @@
 func TestRefusalsNeverExclude(t *testing.T) {
 	b := newBed(t, settings(), server3(4)...)
 	failing(t, b, "s1", Overloaded)
-	s := b.l.servers["s1"]
-	if s.excluded {
+	s := b.l.servers.byID["s1"]
+	if s.outlier.ejected {
 		t.Error("a full server was excluded")
 	}
-	b.l.runScores()
-	if s.score >= b.l.servers["s0"].score {
-		t.Errorf("refusals do not lower the score: %.2f against %.2f", s.score, b.l.servers["s0"].score)
+	b.l.updateScores()
+	if s.score >= b.l.servers.byID["s0"].score {
+		t.Errorf("refusals do not lower the score: %.2f against %.2f", s.score, b.l.servers.byID["s0"].score)
 	}
 }
 
@@ -183,8 +183,8 @@
 		b.now += 50
 	}
 	out := 0
-	for _, s := range b.l.list {
-		if s.excluded {
+	for _, s := range b.l.servers.ready {
+		if s.outlier.ejected {
 			out++
 		}
 	}
@@ -195,8 +195,8 @@
 
 func TestAllExcludedMeansAllEligible(t *testing.T) {
 	b := newBed(t, settings(), server3(3)...)
-	for _, s := range b.l.list {
-		s.excluded, s.trialAt = true, b.now+cooldown
+	for _, s := range b.l.servers.ready {
+		s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	}
 	if _, acts := b.arrive("read", 2000); sentTo(acts) == "" {
 		t.Error("nothing was sent though all are excluded")
@@ -221,14 +221,14 @@
 func TestKeyedStaysInItsCellAndWindow(t *testing.T) {
 	b := newBed(t, settings(), server3(6)...)
 	for i := 0; i < 40; i++ {
-		b.l.retries.left = retryBurst
+		b.l.retryBudget.left = retryBurst
 		id, acts := b.arrive("put", 2000)
 		first := sentTo(acts)
 		b.now++
 		acts = b.end(id, 0, first, Errored, 1)
 		second := sentTo(acts)
-		if second != "" && b.l.servers[second].Cell != b.l.servers[first].Cell {
-			t.Fatalf("repeated in cell %d after cell %d", b.l.servers[second].Cell, b.l.servers[first].Cell)
+		if second != "" && b.l.servers.byID[second].Cell != b.l.servers.byID[first].Cell {
+			t.Fatalf("repeated in cell %d after cell %d", b.l.servers.byID[second].Cell, b.l.servers.byID[first].Cell)
 		}
 		if second == "" && count[Reject](acts) > 0 {
 			t.Fatal("refused though an attempt may have run")
@@ -268,19 +268,19 @@
 	for i := 0; i < 30; i++ {
 		b.serve("read", 40, allOK)
 	}
-	unit := b.l.unit
-	b.l.list[0].State = Removed
+	unit := b.l.estimate.unitTime
+	b.l.servers.ready[0].State = Removed
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{
 		{ID: "s0", State: Removed}, {ID: "cold", Capacity: 1, Started: b.now}}})
 	sent, start := 0, b.now
-	for b.now < start+set.OverloadWindow {
+	for b.now < start+set.SlowStart.OverloadWindow {
 		if id, acts := b.arrive("read", 2000); sentTo(acts) == "cold" {
 			sent++
 			b.end(id, 0, "cold", Overloaded, 0) // refused work counts too
 		}
 		b.now += 5
 	}
-	budget := set.OverloadFactor * (set.InitialCapacity + 0.2*(1-set.InitialCapacity)) * set.OverloadWindow / unit / float64(set.Nodes)
+	budget := set.SlowStart.OverloadFactor * (set.SlowStart.InitialCapacity + 0.2*(1-set.SlowStart.InitialCapacity)) * set.SlowStart.OverloadWindow / unit / float64(set.Nodes)
 	if sent == 0 || float64(sent) > budget {
 		t.Errorf("sent %d to a cold server, want 1 to %.1f", sent, budget)
 	}
@@ -290,12 +290,12 @@
 	b := newBed(t, settings(), server3(3)...)
 	failing(t, b, "s1", Errored)
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s1", Capacity: 1, Started: b.now}}})
-	s := b.l.servers["s1"]
-	if s.excluded || s.recentLen != 0 || b.l.ramp(s) > 0.3 {
-		t.Errorf("restarted server kept its past: excluded %v, outcomes %d, ramp %.2f", s.excluded, s.recentLen, b.l.ramp(s))
+	s := b.l.servers.byID["s1"]
+	if s.outlier.ejected || s.outcomes.recentLen != 0 || b.l.minimumCapacity(s) > 0.3 {
+		t.Errorf("restarted server kept its past: excluded %v, outcomes %d, ramp %.2f", s.outlier.ejected, s.outcomes.recentLen, b.l.minimumCapacity(s))
 	}
-	if len(b.l.list) != 3 {
-		t.Errorf("%d servers listed, want 3", len(b.l.list))
+	if len(b.l.servers.ready) != 3 {
+		t.Errorf("%d servers listed, want 3", len(b.l.servers.ready))
 	}
 }
 
@@ -321,7 +321,7 @@
 			t.Fatal("a failed call is not repeated")
 		}
 	}
-	if len(b.l.list) != 2 {
+	if len(b.l.servers.ready) != 2 {
 		t.Error("a failed call lost the list")
 	}
 	b.step(EndpointUpdate{Kind: DeltaUpdate})
@@ -337,23 +337,23 @@
 	for i := 0; i < 40; i++ {
 		b.serve("read", 20, allOK)
 	}
-	s := b.l.servers["s1"]
-	unit := s.unit
-	r := &request{class: b.l.classes["bill"], cost: 1}
+	s := b.l.servers.byID["s1"]
+	unit := s.timing.unitTime
+	r := &request{class: b.l.classes["bill"], work: 1}
 	for i := 0; i < 6; i++ {
 		b.now += 2000
-		a := &attempt{server: s, sentAt: b.now - 2000, queueRounds: 1, expected: 20}
-		b.l.observe(s, r, a, TimedOut, 2000)
+		a := &attempt{server: s, sentAt: b.now - 2000, serviceRounds: 1, expected: 20}
+		b.l.recordAttemptOutcome(s, r, a, TimedOut, 2000)
 		b.serve("read", 20, allOK)
 	}
-	if s.excluded {
+	if s.outlier.ejected {
 		t.Error("a server that serves other classes was excluded for one class")
 	}
-	if b.l.classBad(s, r.class) < classFaulty || b.l.classBad(s, b.l.classes["read"]) > 0.1 {
+	if b.l.classFailureShare(s, r.class) < faultyClassShare || b.l.classFailureShare(s, b.l.classes["read"]) > 0.1 {
 		t.Error("the class's failures were not kept apart")
 	}
-	if s.unit > 20*unit {
-		t.Errorf("unit time went from %.0f to %.0f", unit, s.unit)
+	if s.timing.unitTime > 20*unit {
+		t.Errorf("unit time went from %.0f to %.0f", unit, s.timing.unitTime)
 	}
 	for i := 0; i < 30; i++ {
 		id, acts := b.arrive("bill", 2000)
@@ -408,7 +408,6 @@
 // A slow answer is mostly a heavy request: withdrawing it throws its work away, a copy doubles it.
 func TestSlowRequestIsNotWithdrawn(t *testing.T) {
 	set := settings()
-	set.HedgingAllowed = false
 	b := newBed(t, set, server3(2)...)
 	for i := 0; i < 40; i++ {
 		b.serve("read", 20, allOK)
@@ -442,21 +441,21 @@
 	set := settings()
 	set.ProbesAllowed, set.LoadReports = true, true
 	b := newBed(t, set, server3(3)...)
-	for _, s := range b.l.list[1:] {
-		s.note(b.now, true)
+	for _, s := range b.l.servers.ready[1:] {
+		s.outcomes.record(b.now, true)
 	}
-	for i := 0; i < tripFailures; i++ {
+	for i := 0; i < ejectionConsecutiveFailures; i++ {
 		b.now += 50
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: Overloaded})
 	}
-	if b.l.servers["s0"].excluded {
+	if b.l.servers.byID["s0"].outlier.ejected {
 		t.Fatal("excluded for refusing probes")
 	}
-	for i := 0; i < tripFailures; i++ {
+	for i := 0; i < ejectionConsecutiveFailures; i++ {
 		b.now += 50
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 50})
 	}
-	if !b.l.servers["s0"].excluded {
+	if !b.l.servers.byID["s0"].outlier.ejected {
 		t.Error("a server that answers no probe is not excluded")
 	}
 }
@@ -469,9 +468,9 @@
 		ttl  Millis
 		left Millis
 	}{{1200, 400 - 280}, {1000, 400 - 1000}} {
-		r := &request{class: b.l.classes["read"], cost: 1, expires: b.now + c.ttl}
-		b.l.setAim(r, true)
-		if got := r.aimAt - b.now; math.Abs(got-c.left) > 1e-6 {
+		r := &request{class: b.l.classes["read"], work: 1, deadline: b.now + c.ttl}
+		b.l.setObjective(r, true)
+		if got := r.objectiveAt - b.now; math.Abs(got-c.left) > 1e-6 {
 			t.Errorf("retry with %.0f ms to live has %.0f ms of its aim left, want %.0f", c.ttl, got, c.left)
 		}
 	}
@@ -484,22 +483,22 @@
 	for i := 0; i < 120; i++ {
 		b.serve("read", 20, allOK)
 	}
-	before := b.l.unit
+	before := b.l.estimate.unitTime
 	for i := 0; i < 36; i++ { // three answers a server
 		b.serve("read", 60, allOK)
 	}
-	if b.l.unit < 1.5*before {
-		t.Errorf("typical unit went from %.0f to %.0f ms after three slow answers a server", before, b.l.unit)
+	if b.l.estimate.unitTime < 1.5*before {
+		t.Errorf("typical unit went from %.0f to %.0f ms after three slow answers a server", before, b.l.estimate.unitTime)
 	}
 	for i := 0; i < 120; i++ {
 		b.serve("read", 20, allOK)
 		b.now += 60 // servers shunned for their slowness are looked at again after some seconds
 	}
-	if b.l.unit > 1.5*before {
-		t.Errorf("typical unit is %.0f ms after the slowdown, %.0f before", b.l.unit, before)
+	if b.l.estimate.unitTime > 1.5*before {
+		t.Errorf("typical unit is %.0f ms after the slowdown, %.0f before", b.l.estimate.unitTime, before)
 	}
-	for _, s := range b.l.list {
-		if s.excluded {
+	for _, s := range b.l.servers.ready {
+		if s.outlier.ejected {
 			t.Errorf("%s was excluded for slowness that all share", s.ID)
 		}
 	}
@@ -522,7 +521,7 @@
 		acts := b.step(Arrival{ID: b.next, Class: "read", Tenant: name, Deadline: b.now + 2000})
 		b.now += 10
 		if i%5 == 4 { // the server answers one request in 50 ms
-			if r := b.l.list[0].open; len(r) > 0 {
+			if r := b.l.servers.ready[0].attempts.requests; len(r) > 0 {
 				acts = append(acts, b.end(r[0].id, 0, "s0", OK, 50)...)
 			}
 		}
@@ -599,8 +598,8 @@
 	if bad > 30 {
 		t.Errorf("%d of 300 went to the server that fails fast", bad)
 	}
-	for _, s := range b.l.list {
-		if s.excluded && s.ID != "s2" {
+	for _, s := range b.l.servers.ready {
+		if s.outlier.ejected && s.ID != "s2" {
 			t.Errorf("%s was excluded for being slow with the rest", s.ID)
 		}
 	}
@@ -614,10 +613,10 @@
 		set := settings()
 		set.Classes[1].DedupScope = group
 		b := newBed(t, set, servers...)
-		r := &request{class: b.l.classes["put"], cost: 1, mayRun: true, anchor: b.l.servers["s0"], boundTo: b.now + 500}
+		r := &request{class: b.l.classes["put"], work: 1, mayHaveRun: true, dedupServer: b.l.servers.byID["s0"], dedupUntil: b.now + 500}
 		got := 0
-		for _, s := range b.l.list {
-			if b.l.allowed(r, s) {
+		for _, s := range b.l.servers.ready {
+			if b.l.eligible(r, s) {
 				got++
 			}
 		}
@@ -625,10 +624,10 @@
 			t.Errorf("group %d: %d servers allowed, want %d", group, got, want)
 		}
 		b.acts = b.acts[:0]
-		b.l.out = nil
-		b.l.giveUp(r, NoCapacity)
-		if refused := count[Reject](b.l.out) == 1; refused != (group == DedupAcrossFleet) {
-			t.Errorf("group %d: given up with %v", group, b.l.out)
+		b.l.actions = nil
+		b.l.rejectOrFail(r, NoCapacity)
+		if refused := count[Reject](b.l.actions) == 1; refused != (group == DedupAcrossFleet) {
+			t.Errorf("group %d: given up with %v", group, b.l.actions)
 		}
 	}
 }
@@ -636,12 +635,12 @@
 // Guards against a rush: all nodes would run to a server that has just warmed up and looks far faster.
 func TestWarmServerIsNotRushed(t *testing.T) {
 	b := newBed(t, settings(), server3(4)...)
-	for _, s := range b.l.list {
-		s.seen, s.unit = true, 100
+	for _, s := range b.l.servers.ready {
+		s.timing.measured, s.timing.unitTime = true, 100
 	}
-	b.l.list[3].unit = 10
-	b.l.runScores()
-	if unit := b.l.feltUnit(b.l.list[3]); unit < herdFloor*100 {
+	b.l.servers.ready[3].timing.unitTime = 10
+	b.l.updateScores()
+	if unit := b.l.estimatedUnitTime(b.l.servers.ready[3]); unit < minUnitTimeRatio*100 {
 		t.Errorf("believed to need %.0f ms where 100 is typical", unit)
 	}
 }
@@ -676,11 +675,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &bed{t: t, l: l, now: 100000}
+		b := &testNode{t: t, l: l, now: 100000}
 		b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(servers)})
-		l.unit = 1000 // nothing fits
-		for _, s := range l.list {
-			s.seen, s.unit = true, 1000
+		l.estimate.unitTime = 1000 // nothing fits
+		for _, s := range l.servers.ready {
+			s.timing.measured, s.timing.unitTime = true, 1000
 		}
 		for i := 0; i < 20; i++ { // 10 s
 			b.now += 500
@@ -705,12 +704,12 @@
 		b.next++
 		b.step(Arrival{ID: b.next, Class: "read", Tenant: "loud", Deadline: b.now + 2000})
 	}
-	loud := &request{class: b.l.classes["read"], tenant: b.l.tenants["loud"], cost: 1}
-	meek := &request{class: b.l.classes["read"], tenant: b.l.tenants["meek"], cost: 1}
-	b.l.countArrival(loud, false)
-	b.l.countArrival(meek, false)
-	if !loud.overQuo || meek.overQuo || b.l.marginalWorth(loud) >= b.l.marginalWorth(meek) {
-		t.Errorf("over share: loud %v, meek %v", loud.overQuo, meek.overQuo)
+	loud := &request{class: b.l.classes["read"], tenant: b.l.tenants["loud"], work: 1}
+	meek := &request{class: b.l.classes["read"], tenant: b.l.tenants["meek"], work: 1}
+	b.l.accountArrival(loud, false)
+	b.l.accountArrival(meek, false)
+	if !loud.overQuota || meek.overQuota || b.l.marginalValue(loud) >= b.l.marginalValue(meek) {
+		t.Errorf("over share: loud %v, meek %v", loud.overQuota, meek.overQuota)
 	}
 }
 
@@ -753,7 +752,7 @@
 		"one attempt":   func(s *Settings) { s.MaxAttempts = 1 },
 		"no goal":       func(s *Settings) { s.Goal = ObjectiveWeights{} },
 		"zero quota":    func(s *Settings) { s.Tenants = []Tenant{{Name: "t"}} },
-		"no cold time":  func(s *Settings) { s.SlowStartDuration = 0 },
+		"no cold time":  func(s *Settings) { s.SlowStart.Duration = 0 },
 		"huge deadline": func(s *Settings) { s.Classes[0].TotalTimeout, s.Classes[0].LatencyObjective = 1e9, 1e9 },
 		"worthless":     func(s *Settings) { s.Classes[0].PriorityWeight = 0 },
 		"probes":        func(s *Settings) { s.ProbesAllowed, s.LoadReports = true, true },
@@ -776,7 +775,7 @@
 	if count[ProbeLoad](acts) == 0 || sentTo(acts) != "" {
 		t.Fatalf("got %v, want probes first", acts)
 	}
-	b.now += probeWait
+	b.now += minProbeWait
 	if acts = b.step(TimerFired{"probes"}); sentTo(acts) == "" {
 		t.Error("silent probes hold the request back")
 	}
@@ -792,7 +791,7 @@
 		acts = b.step(LoadProbeCompleted{Server: s, Outcome: OK, Report: LoadReport{Valid: true, InFlight: float64(5 * i)}})
 	}
 	if len(asked) > 1 && sentTo(acts) != "" && sentTo(acts) != asked[0] {
-		if b.l.occupancy(b.l.servers[sentTo(acts)]) > 2 {
+		if b.l.estimatedRequests(b.l.servers.byID[sentTo(acts)]) > 2 {
 			t.Errorf("sent to %s although its report shows it crowded", sentTo(acts))
 		}
 	}
@@ -806,14 +805,14 @@
 	b := newBed(t, set, server3(60)...)
 	for i := 0; i < 40; i++ {
 		b.now += 50
-		b.step(LoadProbeCompleted{Server: b.l.list[i].ID, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 3}})
+		b.step(LoadProbeCompleted{Server: b.l.servers.ready[i].ID, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 3}})
 	}
-	if got := b.l.occupancy(b.l.list[59]); got < 2 {
+	if got := b.l.estimatedRequests(b.l.servers.ready[59]); got < 2 {
 		t.Errorf("a server never heard of is taken to hold %.1f where all others hold 3", got)
 	}
 	b.now += 60000
 	b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 0}})
-	if fresh, old := b.l.occupancy(b.l.servers["s1"]), b.l.occupancy(b.l.servers["s2"]); fresh >= old {
+	if fresh, old := b.l.estimatedRequests(b.l.servers.byID["s1"]), b.l.estimatedRequests(b.l.servers.byID["s2"]); fresh >= old {
 		t.Errorf("just heard to be empty: %.1f, heard of a minute ago: %.1f", fresh, old)
 	}
 }
@@ -824,7 +823,7 @@
 	set := settings()
 	set.Nodes = 400
 	b := newBed(t, set, server3(3)...)
-	b.l.unit = 1000 // nothing fits
+	b.l.estimate.unitTime = 1000 // nothing fits
 	b.l.explorations.left = 0
 	_, acts := b.arrive("read", 2000)
 	for i := 0; i < 50 && count[Reject](acts) == 0; i++ {
@@ -886,26 +885,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &bed{t: t, l: l, now: began}
+			b := &testNode{t: t, l: l, now: began}
 			b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(servers)})
 			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s7", Zone: "z", Capacity: 1, Started: began}}})
-			cold := b.l.servers["s7"]
-			for ; b.now < began+set.SlowStartDuration; b.now += 100 { // every node would send it one every 100 ms
+			cold := b.l.servers.byID["s7"]
+			for ; b.now < began+set.SlowStart.Duration; b.now += 100 { // every node would send it one every 100 ms
 				l.now = b.now
-				r := &request{class: l.classes["read"], cost: 1, expires: b.now + 2000}
+				r := &request{class: l.classes["read"], work: 1, deadline: b.now + 2000}
 				if slices.Contains(b.l.candidates(r), cold) {
-					cold.budget.left--
-					work[int((b.now-began)/set.OverloadWindow)] += b.l.unit
+					cold.slowStart.budget.left--
+					work[int((b.now-began)/set.SlowStart.OverloadWindow)] += b.l.estimate.unitTime
 				}
 			}
 		}
 		for window, sent := range work {
-			share := min(1, set.InitialCapacity+(1-set.InitialCapacity)*float64(window)*set.OverloadWindow/set.SlowStartDuration)
-			if most := set.OverloadFactor * share * set.OverloadWindow; sent > most {
+			share := min(1, set.SlowStart.InitialCapacity+(1-set.SlowStart.InitialCapacity)*float64(window)*set.SlowStart.OverloadWindow/set.SlowStart.Duration)
+			if most := set.SlowStart.OverloadFactor * share * set.SlowStart.OverloadWindow; sent > most {
 				t.Errorf("reports %v: window %d got %.0f ms of work, %.0f push it over", reports, window, sent, most)
 			}
 		}
-		if work[0] < 0.1*set.OverloadFactor*set.InitialCapacity*set.OverloadWindow {
+		if work[0] < 0.1*set.SlowStart.OverloadFactor*set.SlowStart.InitialCapacity*set.SlowStart.OverloadWindow {
 			t.Errorf("reports %v: the first window got %.0f ms of work", reports, work[0])
 		}
 	}
@@ -918,14 +917,14 @@
 		set := settings()
 		set.LoadReports = true
 		b := newBed(t, set, server3(4)...)
-		b.l.crowd, b.l.outstanding = crowd, 1 // no exploration
-		for _, s := range b.l.list {
-			b.l.report(s, LoadReport{Valid: true, InFlight: 0})
+		b.l.estimate.othersLoad, b.l.openAttempts = crowd, 1 // no exploration
+		for _, s := range b.l.servers.ready {
+			b.l.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
 		}
-		b.l.crowd = crowd
+		b.l.estimate.othersLoad = crowd
 		b.next++
 		b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 10})
-		b.l.hintMean = 2
+		b.l.estimate.meanWorkHint = 2
 		b.next++
 		acts := b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 8}) // four times the mean
 		if sent := sentTo(acts) != ""; sent != (crowd < 1) {
@@ -937,23 +936,23 @@
 // Guards against requests bound to a group that is lost: they fail at once and keep no other from being sent.
 func TestRequestsBoundToALostGroupHoldUpNoOther(t *testing.T) {
 	b := newBed(t, settings(), server3(4)...)
-	for _, s := range b.l.list {
-		s.excluded = s.Cell == 0
-		s.trialAt = b.now + cooldown
+	for _, s := range b.l.servers.ready {
+		s.outlier.ejected = s.Cell == 0
+		s.outlier.trialAt = b.now + ejectionTime
 	}
-	for i := 0; i < 2*missLimit; i++ {
-		b.l.servers["s0"].excluded = false
-		b.l.retries.left = retryBurst
+	for i := 0; i < 2*maxMissesPerSweep; i++ {
+		b.l.servers.byID["s0"].outlier.ejected = false
+		b.l.retryBudget.left = retryBurst
 		b.next++
-		r := &request{id: b.next, class: b.l.classes["put"], arrived: b.now, expires: b.now + 2000,
-			aimAt: b.now + 400, cost: 1, mayRun: true, anchor: b.l.servers["s0"], boundTo: b.now + 1000}
+		r := &request{id: b.next, class: b.l.classes["put"], arrived: b.now, deadline: b.now + 2000,
+			objectiveAt: b.now + 400, work: 1, mayHaveRun: true, dedupServer: b.l.servers.byID["s0"], dedupUntil: b.now + 1000}
 		b.l.requests[r.id] = r
-		b.l.hold(r)
-		b.l.servers["s0"].excluded = true
+		b.l.enqueue(r)
+		b.l.servers.byID["s0"].outlier.ejected = true
 	}
 	_, acts := b.arrive("read", 2000)
-	if sentTo(acts) == "" || count[Fail](acts) != 2*missLimit {
-		t.Errorf("sent to %q, %d failed at once, want %d", sentTo(acts), count[Fail](acts), 2*missLimit)
+	if sentTo(acts) == "" || count[Fail](acts) != 2*maxMissesPerSweep {
+		t.Errorf("sent to %q, %d failed at once, want %d", sentTo(acts), count[Fail](acts), 2*maxMissesPerSweep)
 	}
 }
 
@@ -981,7 +980,7 @@
 }
 
 // lossy has two warm servers that report their load, and one request out at each of them in turn.
-func lossy(t *testing.T, class string) (b *bed, lost RequestID, at ServerID) {
+func lossy(t *testing.T, class string) (b *testNode, lost RequestID, at ServerID) {
 	t.Helper()
 	set := settings()
 	set.LoadReports = true
@@ -1004,10 +1003,10 @@
 	if count[CancelAttempt](acts) != 1 {
 		t.Fatalf("%v, want the lost attempt withdrawn", acts)
 	}
-	if occ := b.l.occupancy(b.l.servers[at]); occ >= 1 {
+	if occ := b.l.estimatedRequests(b.l.servers.byID[at]); occ >= 1 {
 		t.Errorf("the lost attempt counts as load: %v in hand", occ)
 	}
-	if over := b.l.overdue(b.l.servers[at], false); over != 0 {
+	if over := b.l.unansweredTime(b.l.servers.byID[at], false); over != 0 {
 		t.Errorf("the server is held to be silent for %v ms over it", over)
 	}
 	acts = b.end(id, 0, at, Cancelled, 200)
@@ -1026,7 +1025,7 @@
 	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}}); count[CancelAttempt](acts) != 0 {
 		t.Errorf("%v: it may have run", acts)
 	}
-	if b.l.servers[at].lost != 1 {
+	if b.l.servers.byID[at].attempts.missing != 1 {
 		t.Error("it counts as load, though the server does not have it")
 	}
 }
@@ -1037,16 +1036,16 @@
 	for range 30 {
 		b.serve("read", 20, allOK)
 	}
-	unit := b.l.servers["s0"].unit
+	unit := b.l.servers.byID["s0"].timing.unitTime
 	lost, _ := b.arrive("bill", 390)
 	b.now += 5
 	b.serve("read", 20, allOK)
 	b.now += 365
 	b.end(lost, 0, "s0", TimedOut, 390)
-	if got := b.l.servers["s0"].unit; got > unit*1.5 {
+	if got := b.l.servers.byID["s0"].timing.unitTime; got > unit*1.5 {
 		t.Errorf("unit time %v after the time-out, %v before", got, unit)
 	}
-	if b.l.servers["s0"].failures != 0 {
+	if b.l.servers.byID["s0"].outlier.consecutiveFailures != 0 {
 		t.Error("a failure sent before the last answer counts as one in a row")
 	}
 }
@@ -1054,28 +1053,28 @@
 // Guards against excluding one server after the other where all lose a third of what they get.
 func TestServersThatFailAlikeAreKept(t *testing.T) {
 	b := newBed(t, settings(), server3(6)...)
-	for _, s := range b.l.list {
-		for i := range recentCount {
-			s.note(b.now, i%3 != 0)
+	for _, s := range b.l.servers.ready {
+		for i := range recentOutcomeCount {
+			s.outcomes.record(b.now, i%3 != 0)
 		}
 	}
-	for _, s := range b.l.list {
-		for range tripFailures {
-			b.l.ejectOrKeep(s, ConnectionLost, b.now)
+	for _, s := range b.l.servers.ready {
+		for range ejectionConsecutiveFailures {
+			b.l.updateEjection(s, ConnectionLost, b.now)
 		}
 	}
-	for _, s := range b.l.list {
-		if s.excluded {
-			t.Errorf("%s is excluded and fails %v, as the others do", s.ID, 1-s.recentRate())
+	for _, s := range b.l.servers.ready {
+		if s.outlier.ejected {
+			t.Errorf("%s is excluded and fails %v, as the others do", s.ID, 1-s.recentSuccessRate())
 		}
 	}
-	for _, s := range b.l.list[1:] {
-		for range recentCount {
-			s.note(b.now, true)
+	for _, s := range b.l.servers.ready[1:] {
+		for range recentOutcomeCount {
+			s.outcomes.record(b.now, true)
 		}
 	}
-	b.l.ejectOrKeep(b.l.list[0], ConnectionLost, b.now)
-	if !b.l.list[0].excluded {
+	b.l.updateEjection(b.l.servers.ready[0], ConnectionLost, b.now)
+	if !b.l.servers.ready[0].outlier.ejected {
 		t.Error("the only one that fails is kept")
 	}
 }
@@ -1092,13 +1091,13 @@
 		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
 	}
 	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
-	if len(b.l.servers) != 2 || len(b.l.known) != 2 {
-		t.Errorf("%d and %d servers remembered, want the last and the one with a request out", len(b.l.servers), len(b.l.known))
+	if len(b.l.servers.byID) != 2 || len(b.l.servers.known) != 2 {
+		t.Errorf("%d and %d servers remembered, want the last and the one with a request out", len(b.l.servers.byID), len(b.l.servers.known))
 	}
 	b.end(id, 0, at, OK, 20)
 	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
-	if len(b.l.servers) != 1 || len(b.l.known) != 1 {
-		t.Errorf("%d and %d servers remembered, want the last", len(b.l.servers), len(b.l.known))
+	if len(b.l.servers.byID) != 1 || len(b.l.servers.known) != 1 {
+		t.Errorf("%d and %d servers remembered, want the last", len(b.l.servers.byID), len(b.l.servers.known))
 	}
 }
 
@@ -1106,26 +1105,26 @@
 // sparing one that has really gone.
 func TestShortRowsAreChanceWhereAShareFails(t *testing.T) {
 	b := newBed(t, settings(), server3(3)...)
-	for _, s := range b.l.list {
+	for _, s := range b.l.servers.ready {
 		for i := range 200 {
-			s.note(b.now, s.ID != "s0" || i%10 != 0)
+			s.outcomes.record(b.now, s.ID != "s0" || i%10 != 0)
 		}
 	}
 	row := func(s *server, n int) bool {
 		for range n {
-			s.note(b.now, false)
-			b.l.ejectOrKeep(s, ConnectionLost, b.now)
+			s.outcomes.record(b.now, false)
+			b.l.updateEjection(s, ConnectionLost, b.now)
 		}
-		return s.excluded
+		return s.outlier.ejected
 	}
-	flaky, clean := b.l.servers["s0"], b.l.servers["s1"]
-	if row(flaky, tripFailures) {
+	flaky, clean := b.l.servers.byID["s0"], b.l.servers.byID["s1"]
+	if row(flaky, ejectionConsecutiveFailures) {
 		t.Error("a row of three excludes a server of which a tenth fails anyway")
 	}
 	if !row(flaky, 5) {
 		t.Error("a row of eight does not")
 	}
-	if !row(clean, tripFailures) {
+	if !row(clean, ejectionConsecutiveFailures) {
 		t.Error("a row of three does not exclude a server that never failed")
 	}
 }
--- a/balancer/move_test.go
+++ b/balancer/move_test.go
@@ -9,7 +9,7 @@
 func probed(nodes int) Settings {
 	set := settings()
 	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ReportsFromProbesOnly, set.GossipAllowed = nodes, true, true, true, true
-	set.ProbePrice, set.GossipPrice = 0.004, 0.01
+	set.Prices.Probe, set.Prices.Gossip = 0.004, 0.01
 	return set
 }
 
@@ -20,7 +20,7 @@
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 5, QueueKnown: true, Queued: 3}})
 	}
 	for ahead, want := range map[float64]float64{0: 1, 1: 1, 3: 2} {
-		if got := b.l.queueRounds(ahead, 1); got != want {
+		if got := b.l.serviceRounds(ahead, 1); got != want {
 			t.Errorf("with %v ahead at two at once: %v requests' times, want %v", ahead, got, want)
 		}
 	}
@@ -30,7 +30,7 @@
 func TestProbesStayWithinTheirSpend(t *testing.T) {
 	ask := func(crowd float64, result Outcome) int {
 		b := newBed(t, probed(1), server3(40)...)
-		b.l.crowd = crowd
+		b.l.estimate.othersLoad = crowd
 		for i := 0; i < 300; i++ {
 			b.now += 50
 			id, acts := b.arrive("read", 2000)
@@ -43,7 +43,7 @@
 		}
 		return count[ProbeLoad](b.acts)
 	}
-	most := int(300*probeSpend/0.004) + 3*probeWidth
+	most := int(300*probeBudgetShare/0.004) + 3*probesPerRequest
 	if busy, refused, idle := ask(4, OK), ask(4, Overloaded), ask(0, OK); busy > most || busy < 300 || refused > most/3 || idle > most/3 {
 		t.Errorf("probes for 300 requests: %d, all turned away %d, idle %d; %d may be paid for", busy, refused, idle, most)
 	}
@@ -56,7 +56,7 @@
 		b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Elapsed: 120})
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 300})
 	}
-	if b.l.servers["s0"].excluded {
+	if b.l.servers.byID["s0"].outlier.ejected {
 		t.Error("excluded for probes that waited")
 	}
 }
@@ -64,15 +64,15 @@
 // Guards against crossing zones for nothing, and against staying where it would be late.
 func TestCrossingIsPriced(t *testing.T) {
 	set := probed(1)
-	set.Zone, set.CrossZonePrice, set.ProbesAllowed = "here", 0.13, false
+	set.Zone, set.Prices.CrossZone, set.ProbesAllowed = "here", 0.13, false
 	list := []Endpoint{{ID: "near", Zone: "here", Capacity: 1}, {ID: "far", Zone: "there", Capacity: 1}}
 	crossed := func(hands float64) int {
 		n := 0
 		for i := 0; i < 50; i++ {
 			b := newBed(t, set, list...)
 			b.l.rng.Uint64N(uint64(i + 1))
-			for _, s := range b.l.list {
-				s.seen, s.unit, s.outcomeAt = true, 20, b.now
+			for _, s := range b.l.servers.ready {
+				s.timing.measured, s.timing.unitTime, s.timing.outcomeAt = true, 20, b.now
 			}
 			b.step(LoadProbeCompleted{Server: "near", Outcome: OK, Report: LoadReport{Valid: true, InFlight: hands}})
 			b.step(LoadProbeCompleted{Server: "far", Outcome: OK, Report: LoadReport{Valid: true}})
@@ -95,18 +95,18 @@
 	set := settings()
 	set.Classes = set.Classes[1:]
 	b := newBed(t, set, server3(4)...)
-	s := b.l.servers["s0"]
-	s.excluded, s.trialAt = true, b.now
+	s := b.l.servers.byID["s0"]
+	s.outlier.ejected, s.outlier.trialAt = true, b.now
 	for i := 0; i < 40; i++ {
 		b.serve("bill", 10, allOK)
 	}
-	if !s.excluded {
+	if !s.outlier.ejected {
 		t.Fatal("an unsafe request carried the trial though a keyed class is there")
 	}
-	for i := 0; i < 40 && s.excluded; i++ {
+	for i := 0; i < 40 && s.outlier.ejected; i++ {
 		b.serve("put", 10, allOK)
 	}
-	if s.excluded {
+	if s.outlier.ejected {
 		t.Error("no trial in 40 keyed requests")
 	}
 }
@@ -124,7 +124,7 @@
 				two.step(GossipReceived{From: 0, Body: m.Body})
 			}
 		}
-		return two.l.servers[s].toldLoad()
+		return two.l.servers.byID[s].gossipedLoad()
 	}
 	id, acts := one.arrive("read", 2000)
 	busy := sentTo(acts)
@@ -140,30 +140,30 @@
 // Guards against trusting messages: odd ones are dropped whole, unknown servers passed over, old word forgotten.
 func TestOddMessagesDoNoHarm(t *testing.T) {
 	b := newBed(t, probed(4), server3(3)...)
-	name := b.l.servers["s0"].name
+	name := b.l.servers.byID["s0"].gossipTag
 	entry := []byte{byte(name >> 8), byte(name), 9}
 	for what, body := range map[string][]byte{
-		"empty": {}, "cut short": append([]byte{tellVersion}, entry[:2]...), "other version": append([]byte{0x20}, entry...),
-		"other kind": append([]byte{tellVersion | 7}, entry...), "too long": make([]byte, MaxGossipBytes+1),
-		"unknown server": {tellVersion, byte(name>>8) ^ 1, byte(name), 9},
+		"empty": {}, "cut short": append([]byte{gossipVersion}, entry[:2]...), "other version": append([]byte{0x20}, entry...),
+		"other kind": append([]byte{gossipVersion | 7}, entry...), "too long": make([]byte, MaxGossipBytes+1),
+		"unknown server": {gossipVersion, byte(name>>8) ^ 1, byte(name), 9},
 	} {
-		if b.step(GossipReceived{From: 1, Body: body}); b.l.servers["s0"].toldLoad() != 0 {
+		if b.step(GossipReceived{From: 1, Body: body}); b.l.servers.byID["s0"].gossipedLoad() != 0 {
 			t.Errorf("%s: believed", what)
 		}
 	}
-	b.step(GossipReceived{From: 1, Body: append([]byte{tellVersion}, entry...)})
-	b.step(GossipReceived{From: 1, Body: append([]byte{tellVersion}, entry...)})
-	if got := b.l.servers["s0"].toldLoad(); got != 9 {
+	b.step(GossipReceived{From: 1, Body: append([]byte{gossipVersion}, entry...)})
+	b.step(GossipReceived{From: 1, Body: append([]byte{gossipVersion}, entry...)})
+	if got := b.l.servers.byID["s0"].gossipedLoad(); got != 9 {
 		t.Errorf("told twice of 9 requests: %v", got)
 	}
-	b.now += 4 * toldOld
+	b.now += 4 * minGossipTimeout
 	b.step(TimerFired{"sweep"})
-	first, again := b.l.hearing(), b.l.hearing() // it is logged once
-	if first || again || count[Log](b.l.out) != 1 {
-		t.Errorf("a node long silent: still believed, or %d log lines", count[Log](b.l.out))
+	first, again := b.l.gossipAlive(), b.l.gossipAlive() // it is logged once
+	if first || again || count[Log](b.l.actions) != 1 {
+		t.Errorf("a node long silent: still believed, or %d log lines", count[Log](b.l.actions))
 	}
-	b.l.set.GossipAllowed = false
-	if b.step(GossipReceived{From: 2, Body: append([]byte{tellVersion}, entry...)}); b.l.servers["s0"].toldLoad() != 9 {
+	b.l.settings.GossipAllowed = false
+	if b.step(GossipReceived{From: 2, Body: append([]byte{gossipVersion}, entry...)}); b.l.servers.byID["s0"].gossipedLoad() != 9 {
 		t.Error("heard where nodes may not talk")
 	}
 }
@@ -172,18 +172,18 @@
 // requests away though exclusion holds back.
 func TestFailuresArePriced(t *testing.T) {
 	b := newBed(t, probed(2), server3(2)...)
-	s := b.l.servers["s0"]
-	if b.l.badShare(s) != 0 {
+	s := b.l.servers.byID["s0"]
+	if b.l.failureShare(s) != 0 {
 		t.Fatal("bad before any failure")
 	}
-	b.step(GossipReceived{From: 1, Body: []byte{tellVersion | byte(tellOutcomes), byte(s.name >> 8), byte(s.name), 10, 30}})
-	if got := b.l.badShare(s); got < 0.3 || s.excluded {
-		t.Errorf("30 of 40 failed at another node: share %.2f, excluded %v", got, s.excluded)
+	b.step(GossipReceived{From: 1, Body: []byte{gossipVersion | byte(gossipOutcomes), byte(s.gossipTag >> 8), byte(s.gossipTag), 10, 30}})
+	if got := b.l.failureShare(s); got < 0.3 || s.outlier.ejected {
+		t.Errorf("30 of 40 failed at another node: share %.2f, excluded %v", got, s.outlier.ejected)
 	}
-	own := b.l.servers["s1"]
-	own.note(b.now, false)
-	own.failures, own.outcomeAt = 3, b.now
-	if got := b.l.badShare(own); got < 0.8 {
+	own := b.l.servers.byID["s1"]
+	own.outcomes.record(b.now, false)
+	own.outlier.consecutiveFailures, own.timing.outcomeAt = 3, b.now
+	if got := b.l.failureShare(own); got < 0.8 {
 		t.Errorf("three failures in a row: share %.2f", got)
 	}
 }
@@ -194,10 +194,10 @@
 	set.KeyAffinity = true
 	homes := map[ServerID]int{}
 	for k := 0; k < 60; k++ {
-		r := &request{key: hash(fmt.Sprint("key", k))}
-		first, second := newBed(t, set, server3(12)...).l.homes(r)
-		r.homesAt = 0
-		other, _ := newBed(t, set, server3(12)...).l.homes(&request{key: r.key})
+		r := &request{affinityKey: stableHash(fmt.Sprint("key", k))}
+		first, second := newBed(t, set, server3(12)...).l.affinityServers(r)
+		r.affinity.version = 0
+		other, _ := newBed(t, set, server3(12)...).l.affinityServers(&request{affinityKey: r.affinityKey})
 		if first == second || first.ID != other.ID {
 			t.Fatalf("homes %s and %s, at another node %s", first.ID, second.ID, other.ID)
 		}
@@ -216,11 +216,11 @@
 	b.step(Arrival{ID: 1, Class: "read", Key: "k", Deadline: b.now + 2000}) // no server: refused
 	b.now += 300
 	b.l.Step(b.now, EndpointUpdate{Kind: FullUpdate, Endpoints: server3(1)})
-	b.l.unit = 5
+	b.l.estimate.unitTime = 5
 	b.step(Arrival{ID: 2, Class: "read", Key: "k", Deadline: b.now + 2000})
 	b.step(Arrival{ID: 3, Class: "read", Key: "k", Deadline: b.now + 2000})
-	if second, third := b.l.requests[2], b.l.requests[3]; second.aimAt != b.now+100 || third.aimAt != b.now+400 {
-		t.Errorf("%.0f ms left for the retry, %.0f for the next", second.aimAt-b.now, third.aimAt-b.now)
+	if second, third := b.l.requests[2], b.l.requests[3]; second.objectiveAt != b.now+100 || third.objectiveAt != b.now+400 {
+		t.Errorf("%.0f ms left for the retry, %.0f for the next", second.objectiveAt-b.now, third.objectiveAt-b.now)
 	}
 }
 
@@ -230,17 +230,17 @@
 	set := settings()
 	set.Classes[0].LateFraction, set.Goal.TailLatency = 0.5, 0.2
 	b := newBed(t, set, server3(1)...)
-	b.l.unit, b.l.servers["s0"].seen, b.l.servers["s0"].unit = 5, true, 5
+	b.l.estimate.unitTime, b.l.servers.byID["s0"].timing.measured, b.l.servers.byID["s0"].timing.unitTime = 5, true, 5
 	sent := 0
 	for i := 0; i < 10; i++ {
 		_, acts := b.arrive("read", 2000)
 		sent += count[StartAttempt](acts)
 	}
-	if sent != saturated {
+	if sent != saturationFactor {
 		t.Errorf("%d requests sent to a server that works on one at once", sent)
 	}
-	late := &request{class: b.l.classes["read"], cost: 1, expires: b.now + 1500, aimAt: b.now - 1, late: true}
-	if s := b.l.pick(late); s != nil {
+	late := &request{class: b.l.classes["read"], work: 1, deadline: b.now + 1500, objectiveAt: b.now - 1, late: true}
+	if s := b.l.pickServer(late); s != nil {
 		t.Error("a late request was sent to a busy server")
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -2,67 +2,129 @@
 
 import "math"
 
-// This file ejects servers that fail and readmits them after a trial.
+const (
+	// ejectionConsecutiveFailures in a row eject a server (design: the profile for
+	// latency-sensitive services) ...
+	ejectionConsecutiveFailures = 3
+	// ... unless such a row is likelier than this by the server's failure share before it.
+	ejectionMaxChance = 1e-6
+	// ejectionErrorRate is the share of failures in the window that ejects a server ...
+	ejectionErrorRate = 0.5
+	// ... once the window has this many outcomes.
+	ejectionMinOutcomes = 20
+	// ejectionTime, in ms, is how long an ejected server waits for its trial (design: the same
+	// profile).
+	ejectionTime = 10000
+	// healthyFailureRatio: next to a failing server another one counts as healthy if it fails at
+	// most this many times as often.
+	healthyFailureRatio = 0.5
+	// healthyMinFraction of the remaining servers must be healthy; with fewer the cause is shared.
+	healthyMinFraction = 0.3
+)
 
-// ejectOrKeep applies the exclusion triggers and the trial. Refusals because a server is full are load, not a
-// fault: excluding for them would topple the next. Where a share of all fails a short row is but chance.
-func (l *Balancer) ejectOrKeep(s *server, result Outcome, sentAt Millis) {
-	switch {
-	case s.excluded && sentAt < s.trialAt:
-		return // sent before the exclusion: not the trial
-	case result == OK:
-		s.failures = 0
-		if s.excluded {
-			l.readmit(s)
+// outlierDetector is what ejection needs to know beyond the single server.
+type outlierDetector struct {
+	sharedCause      bool        // no server is healthy; the log says so
+	trialIdempotency Idempotency // only classes of this idempotency carry trials: the least harm available
+}
+
+// ejectionState is whether one server is ejected.
+type ejectionState struct {
+	consecutiveFailures int // in the order of sending
+	ejected             bool
+	trialAt             Millis // earliest time of the next trial, while ejected
+}
+
+// updateEjection ejects a server whose outcomes call for it, and readmits one that passed its
+// trial. An attempt is a trial if it was sent at or after trialAt.
+//
+// Rejections by a full server are load and no fault: ejecting for them would overload the next
+// server.
+func (b *Balancer) updateEjection(s *server, outcome Outcome, sentAt Millis) {
+	state := &s.outlier
+	if state.ejected && sentAt < state.trialAt {
+		return // sent before the ejection: not the trial
+	}
+	switch outcome {
+	case OK:
+		state.consecutiveFailures = 0
+		if state.ejected {
+			b.readmit(s)
 		}
 		return
-	case result == Overloaded || result == Cancelled:
+	case Overloaded, Cancelled:
 		return
 	}
-	if sentAt >= s.answeredTo { // in the order of sending: answers to later sends have ended the row
-		s.failures++
+	if sentAt >= s.attempts.latestAnswered { // otherwise the answer to a later attempt has ended the row
+		state.consecutiveFailures++
 	}
-	if s.excluded {
-		s.trialAt = l.now + cooldown
+	if state.ejected {
+		state.trialAt = b.now + ejectionTime
 		return
 	}
-	ok, fail := s.window(l.now)
-	before := float64(max(0, fail-s.failures)) / float64(max(1, ok+fail-s.failures))
-	row := s.failures >= tripFailures && math.Pow(before, float64(s.failures)) <= tripChance
-	if !row && (ok+fail < tripMinimum || float64(fail) < tripRate*float64(ok+fail)) {
+	if !s.isOutlier(b.now) {
 		return
 	}
-	if !l.othersHealthy(s) {
-		if !l.shared {
-			l.shared = true
-			l.logf("no server is well: a shared cause or this node; excluding no more")
-		}
+	if !b.othersHealthy(s) {
+		b.logSharedCause()
 		return
 	}
-	s.excluded, s.trialAt = true, l.now+cooldown
-	l.listed++
-	l.logf("excluded %s: %d failures in a row, %d of %d in the window", s.ID, s.failures, fail, ok+fail)
+	b.eject(s)
+}
+
+// isOutlier tells whether a server's own record calls for ejection: too many failures in a row, or
+// too many in the window. Where a server fails a share of all requests anyway, a short row is
+// chance.
+func (s *server) isOutlier(now Millis) bool {
+	successes, failures := s.outcomeCounts(now)
+	total := successes + failures
+	row := s.outlier.consecutiveFailures
+	shareBefore := float64(max(0, failures-row)) / float64(max(1, total-row))
+	if row >= ejectionConsecutiveFailures && math.Pow(shareBefore, float64(row)) <= ejectionMaxChance {
+		return true
+	}
+	return total >= ejectionMinOutcomes && float64(failures) >= ejectionErrorRate*float64(total)
 }
 
-// othersHealthy says that servers remain that clearly fail less. Where few do the cause is shared, or is this
-// node, and excluding one after the other would only heap the load on the last.
-func (l *Balancer) othersHealthy(s *server) bool {
-	well, left := 0.0, 0.0
-	for _, o := range l.list {
-		if o != s && !o.excluded && o.recentLen > 0 { // of those never heard of nothing is known
-			left++
-			if 1-o.recentRate() <= healthyRate*(1-s.recentRate()) {
-				well++
-			}
+// othersHealthy tells whether enough servers remain that clearly fail less. If not, the cause is
+// shared or is this node, and ejecting one server after the other would move all load to the last
+// one.
+func (b *Balancer) othersHealthy(s *server) bool {
+	healthy, remaining := 0.0, 0.0
+	for _, other := range b.servers.ready {
+		if other == s || other.outlier.ejected || other.outcomes.recentLen == 0 {
+			continue
+		}
+		remaining++
+		if 1-other.recentSuccessRate() <= healthyFailureRatio*(1-s.recentSuccessRate()) {
+			healthy++
 		}
 	}
-	return well > 0 && well >= healthyShare*left
+	return healthy > 0 && healthy >= healthyMinFraction*remaining
+}
+
+func (b *Balancer) eject(s *server) {
+	s.outlier.ejected = true
+	s.outlier.trialAt = b.now + ejectionTime
+	b.servers.version++
+	successes, failures := s.outcomeCounts(b.now)
+	b.logf("excluded %s: %d failures in a row, %d of %d in the window",
+		s.ID, s.outlier.consecutiveFailures, failures, successes+failures)
 }
 
-func (l *Balancer) readmit(s *server) {
-	s.excluded, l.shared = false, false
-	s.buckets, s.recentLen, s.recentPos = [bucketCount]bucket{}, 0, 0
-	l.newcomer(s)
-	l.listed++
-	l.logf("readmitted %s after its trial", s.ID)
+func (b *Balancer) readmit(s *server) {
+	s.outlier.ejected = false
+	b.outliers.sharedCause = false
+	s.outcomes.reset()
+	b.setInitialScore(s)
+	b.servers.version++
+	b.logf("readmitted %s after its trial", s.ID)
+}
+
+func (b *Balancer) logSharedCause() {
+	if b.outliers.sharedCause {
+		return
+	}
+	b.outliers.sharedCause = true
+	b.logf("no server is healthy: a shared cause or this node; ejecting no more")
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -5,176 +5,261 @@
 	"slices"
 )
 
-// This file picks the server of a request: candidates, draw by score, and whether there is room.
+const (
+	// maxCostRatio: servers that cost more than this multiple of the best one are not drawn.
+	maxCostRatio = 1.25
+	// newRequestTimeShare is the part of the time to the objective that a first attempt may be
+	// expected to use; the rest is for variance.
+	newRequestTimeShare = 0.4
+	// queuedRequestTimeShare is the same for what is left to a queued request: with less, each
+	// newer request would pass it.
+	queuedRequestTimeShare = 0.7
+	// idleServerRequests: a server that holds fewer requests counts as idle.
+	idleServerRequests = 0.5
+	// idleTimeShare is the part of the time to the objective that an idle server may be expected to
+	// use: its time varies less, and sparing it gains nothing.
+	idleTimeShare = 0.7
+	// idleFleetTimeShare is how much that part grows with the idle share of the fleet: up to the
+	// whole time when half is idle.
+	idleFleetTimeShare = 2.0
+	// saturationFactor: a server that holds more than this multiple of what it works on at once
+	// gets slower for all.
+	saturationFactor = 3.0
+	// keyAffinitySaving is the share of the work that is taken to be saved where a request's key
+	// was met lately.
+	keyAffinitySaving = 0.5
+	// explorationShare is the part of the servers' capacity that may be used by requests that only
+	// find out whether a slowdown is over.
+	explorationShare = 0.1
+	// minPriorityWeight keeps quotients finite.
+	minPriorityWeight = 1e-3
+)
+
+// candidateCost is what a server would cost the request that is being placed.
+type candidateCost struct {
+	expected Millis // time until the answer
+	cost     Millis // with everything else that counts against the server, expressed as time
+}
 
-// allowed says whether the rules let this request go to this server at all.
-func (l *Balancer) allowed(r *request, s *server) bool {
+// placementLimits bound which servers a request may be sent to.
+type placementLimits struct {
+	requests float64 // that the server may hold
+	expected Millis  // at a server whose load is known ...
+	unknown  Millis  // ... and so much longer where nothing is known of it
+	idle     Millis  // at an idle server
+}
+
+// eligible tells whether the rules let a request go to a server at all. Invariants: nothing new
+// goes to a draining server; a request that may have run is repeated only if it is idempotent or,
+// with an idempotency key, inside its dedup scope and window.
+func (b *Balancer) eligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
 	}
-	if !r.mayRun || r.class.Idempotency == Idempotent {
+	if !r.mayHaveRun || r.class.Idempotency == Idempotent {
 		return true
 	}
-	if r.class.Idempotency == NonIdempotent || l.now >= r.boundTo {
+	if r.class.Idempotency == NonIdempotent || b.now >= r.dedupUntil {
 		return false
 	}
 	switch r.class.DedupScope {
 	case DedupWithinZone:
-		return s.Zone == r.anchor.Zone
+		return s.Zone == r.dedupServer.Zone
 	case DedupWithinCell:
-		return s.Cell == r.anchor.Cell
+		return s.Cell == r.dedupServer.Cell
 	}
 	return true
 }
 
-// candidates are the servers a request may be drawn to: allowed, with cold budget left, not excluded, not
-// tried. An excluded server gets one trial after its cooldown, by a request that can bear a failure. When
-// all are excluded, all are candidates.
-func (l *Balancer) candidates(r *request) []*server {
-	open := l.pool[:0]
-	all := !slices.ContainsFunc(l.list, func(s *server) bool { return !s.excluded })
-	for _, s := range l.list {
-		if !l.allowed(r, s) || !l.coldRoom(s, r.cost) || r.tried(s) {
+// candidates are the servers that a request may be drawn to: eligible, with slow start budget left,
+// not ejected, not tried. An ejected server whose ejection time is over gets one trial, by a
+// request that can bear a failure. When all are ejected, all are candidates.
+func (b *Balancer) candidates(r *request) []*server {
+	open := b.candidateBuffer[:0]
+	allEjected := !slices.ContainsFunc(b.servers.ready, func(s *server) bool { return !s.outlier.ejected })
+	for _, s := range b.servers.ready {
+		if !b.eligible(r, s) || !b.slowStartAllows(s, r.work) || r.triedServer(s) {
 			continue
 		}
-		trial := l.now >= s.trialAt && s.inflight == 0 && r.class.Idempotency == l.trialBy && len(r.attempts) == 0
-		if all || !s.excluded || trial {
+		if allEjected || !s.outlier.ejected || b.mayCarryTrial(r, s) {
 			open = append(open, s)
 		}
 	}
-	l.pool = open
-	if !math.IsInf(l.lateAt, 1) {
-		if sure := slices.DeleteFunc(slices.Clone(open), l.uncertain); len(sure) > 0 {
-			return sure
-		}
+	b.candidateBuffer = open
+	if b.polling.current() {
+		return open
+	}
+	// Where no server surely takes requests all stay open: a lost discovery must not stop the service.
+	if sure := slices.DeleteFunc(slices.Clone(open), b.mayBeDraining); len(sure) > 0 {
+		return sure
 	}
 	return open
 }
 
-// uncertain says that a server may have been told to drain without this node's knowing: its list is late
-// by more than half the grace, and so long no request sent there was taken; one that drains takes none.
-// Where none is surely taking requests all are open: a lost discovery must not stop the service.
-func (l *Balancer) uncertain(s *server) bool {
-	return l.now > max(l.lateAt, s.answeredTo)+l.set.DrainGrace/2
+// mayCarryTrial tells whether a request may be the trial of an ejected server.
+func (b *Balancer) mayCarryTrial(r *request, s *server) bool {
+	due := b.now >= s.outlier.trialAt && s.attempts.inFlight == 0
+	return due && r.class.Idempotency == b.outliers.trialIdempotency && len(r.attempts) == 0
 }
 
-// draw takes one of the servers in proportion to score.
-func (l *Balancer) draw(from []*server) *server {
+// drawByScore draws one of the servers with a chance in proportion to its score; nil where there
+// are none.
+func (b *Balancer) drawByScore(from []*server) *server {
 	sum := 0.0
 	for _, s := range from {
 		sum += s.score
 	}
-	at := l.rng.Float64() * sum
+	at := b.rng.Float64() * sum
 	for i, s := range from {
-		if at -= s.score; at < 0 || i == len(from)-1 {
+		at -= s.score
+		if at < 0 || i == len(from)-1 {
 			return s
 		}
 	}
 	return nil
 }
 
-// idleTolerance is the expected share of the time left at which a server with nothing in hand may still be
-// tried: heavy requests too while much of the fleet is idle, since hints are rough and nothing else is
-// held up.
-func (l *Balancer) idleTolerance() float64 {
-	if !l.set.LoadReports {
-		return idleShare
-	}
-	return max(idleShare, fitShare+spareRisk*(1-l.crowd))
-}
-
-// pick draws a server and redraws while the drawn one is crowded: when a request there would take much
-// longer than at the best. Nil when none would answer in time.
-func (l *Balancer) pick(r *request) *server {
-	first, second := l.homes(r)
-	most := saturated * math.Round(l.width) * (l.room(r.class, fitShare) / fitShare)
-	limit := min(l.room(r.class, fitShare)*(min(r.aimAt, r.expires)-r.arrived),
-		l.room(r.class, heldShare)*l.timeLeft(r))
-	blind := max(0, l.timeLeft(r)-limit) * (1 - l.news()) // beyond the limit, where nothing is known of the load
-	if r.late {
-		limit, blind = heldShare*l.timeLeft(r), 0
-		most = math.Round(l.width) // what is late must make nothing else late
-	}
-	limit = min(limit, fitShare*r.class.guard) // spares servers for what is worth more and has less time
-	best, open := math.Inf(1), l.candidates(r)
-	risk := min(l.idleTolerance()*l.timeLeft(r), idleShare*r.class.guard)
+// pickServer picks the server of a request: drawn by score among those that would answer in time
+// and cost little more than the best. Nil where none would answer in time.
+func (b *Balancer) pickServer(r *request) *server {
+	first, second := b.affinityServers(r)
+	limits := b.placementLimits(r)
+	open := b.candidates(r)
+	best := math.Inf(1)
 	fit := open[:0]
-	// A request's weight, expressed as time.
-	whole := r.class.LatencyObjective * l.meanWorth / max(1e-3, r.class.PriorityWeight)
 	for _, s := range open {
-		cost := r.cost
+		work := r.work
 		if s == first || s == second {
-			cost *= 1 - warmGain
+			work *= 1 - keyAffinitySaving
 		}
-		s.expect = l.feltUnit(s) * l.queueRounds(l.occupancy(s), cost)
-		if l.occupancy(s) < most && s.expect <= limit+s.doubt*blind ||
-			!r.late && l.occupancy(s) < idle && s.expect <= risk {
-			s.price = s.expect + (s.bad+l.zoneFault(s.reach))*r.class.LatencyObjective
-			if s.Zone != l.set.Zone {
-				s.price += l.set.CrossZonePrice * whole
-			}
-			if s.idle < 1 {
-				s.price += l.set.HandshakePrice * whole
-			}
-			if l.classFault(s, r.class) {
-				s.price += l.classBad(s, r.class) * r.class.LatencyObjective
-			}
-			best = min(best, s.price)
+		s.candidate.expected = b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), work)
+		if b.answersInTime(r, s, limits) {
+			s.candidate.cost = b.candidateCost(r, s)
+			best = min(best, s.candidate.cost)
 			fit = append(fit, s)
 		}
 	}
-	if len(fit) == 0 && !r.late && l.outstanding == 0 && l.timeLeft(r) > 0 && l.takeExploration() {
-		return l.draw(open)
+	if len(fit) == 0 && b.mayExplore(r) {
+		return b.drawByScore(open)
 	}
-	// To redraw until one is not crowded is to draw among those that are not: each has its part of their scores.
-	fit = slices.DeleteFunc(fit, func(s *server) bool { return s.price > best*redrawFactor })
-	for _, home := range []*server{first, second} { // a key's homes come before the draw
-		if home != nil && slices.Contains(fit, home) {
-			return home
+	// To redraw until a server is not crowded is to draw among those that are not, each with its
+	// part of their scores.
+	fit = slices.DeleteFunc(fit, func(s *server) bool { return s.candidate.cost > best*maxCostRatio })
+	for _, preferred := range []*server{first, second} {
+		if preferred != nil && slices.Contains(fit, preferred) {
+			return preferred
 		}
 	}
-	return l.draw(fit)
+	return b.drawByScore(fit)
 }
 
-// news is the chance that a request held back hears of a free server: the probes that may be spent on each.
-// Where they are dear and nodes many nothing is known of nearly all servers, and waiting tells nothing. To
-// hold that against each of them, and to keep time in reserve, refused a fifth while servers had room.
-func (l *Balancer) news() float64 {
-	if !l.set.ProbesAllowed {
-		return 0
+// placementLimits are the limits of a request's placement now.
+func (b *Balancer) placementLimits(r *request) placementLimits {
+	left := b.timeToObjective(r)
+	protected := r.class.protectedObjective // spares servers for what has a higher weight and less time
+	parallelism := math.Round(b.estimate.parallelism)
+	limits := placementLimits{idle: min(b.idleServerTimeShare()*left, idleTimeShare*protected)}
+	if r.late { // what is late must make nothing else late
+		limits.requests = parallelism
+		limits.expected = min(queuedRequestTimeShare*left, newRequestTimeShare*protected)
+		return limits
+	}
+	share := b.timeShare(r.class, newRequestTimeShare)
+	queuedShare := b.timeShare(r.class, queuedRequestTimeShare)
+	limits.requests = saturationFactor * parallelism * (share / newRequestTimeShare)
+	whole := min(r.objectiveAt, r.deadline) - r.arrived
+	expected := min(share*whole, queuedShare*left)
+	limits.unknown = max(0, left-expected) * (1 - b.probeCoverage())
+	limits.expected = min(expected, newRequestTimeShare*protected)
+	return limits
+}
+
+// answersInTime tells whether a candidate is within a request's limits.
+func (b *Balancer) answersInTime(r *request, s *server, limits placementLimits) bool {
+	requests := b.estimatedRequests(s)
+	expected := s.candidate.expected
+	if requests < limits.requests && expected <= limits.expected+s.estimate.doubt*limits.unknown {
+		return true
 	}
-	return l.ease * min(1, probeSpend/max(1e-9, l.set.ProbePrice))
+	return !r.late && requests < idleServerRequests && expected <= limits.idle
 }
 
-// room widens a share of the time left where a late answer still earns something: less is lost by a wrong
-// guess. But where the goal has a tail, more is.
-func (l *Balancer) room(c *classState, share float64) float64 {
-	if l.set.Goal.TailLatency > 0 {
+// candidateCost is what a candidate costs a request, expressed as time: the expected answer, the
+// risk of a failure, another zone, a new connection.
+func (b *Balancer) candidateCost(r *request, s *server) Millis {
+	objective := r.class.LatencyObjective
+	cost := s.candidate.expected + (s.estimate.failureShare+b.zoneFailureShare(s.zoneFailures))*objective
+	wholeWeight := objective * b.meanPriorityWeight / max(minPriorityWeight, r.class.PriorityWeight)
+	if s.Zone != b.settings.Zone {
+		cost += b.settings.Prices.CrossZone * wholeWeight
+	}
+	if s.idleConnections < 1 {
+		cost += b.settings.Prices.Handshake * wholeWeight
+	}
+	if b.classFault(s, r.class) {
+		cost += b.classFailureShare(s, r.class) * objective
+	}
+	return cost
+}
+
+// idleServerTimeShare is the part of the time to the objective that an idle server may be expected
+// to use. While much of the fleet is idle heavy requests may use more of it: hints are rough, and
+// nothing else is held up.
+func (b *Balancer) idleServerTimeShare() float64 {
+	if !b.settings.LoadReports {
+		return idleTimeShare
+	}
+	return max(idleTimeShare, newRequestTimeShare+idleFleetTimeShare*(1-b.estimate.othersLoad))
+}
+
+// timeShare widens a share of the time to the objective where a late answer still earns something,
+// since less is lost by a wrong guess. Where the operator's objective weighs the tail more would be
+// lost, and the share stays.
+func (b *Balancer) timeShare(class *classState, share float64) float64 {
+	if b.settings.Goal.TailLatency > 0 {
 		return share
 	}
-	return share + (1-share)*c.LateFraction
+	return share + (1-share)*class.LateFraction
+}
+
+// mayExplore tells whether a request is sent though no server would answer in time, to find out
+// whether a slowdown is over.
+func (b *Balancer) mayExplore(r *request) bool {
+	return !r.late && b.openAttempts == 0 && b.timeToObjective(r) > 0 && b.takeExploration()
 }
 
-// takeExploration rations requests sent where nothing fits: never refuse all on old evidence. One always
-// out from each node would hold a crowded fleet down for good where nodes outnumber servers, so the nodes'
-// sum is kept to a share of the servers' capacity, in a random phase.
-func (l *Balancer) takeExploration() bool {
-	rate := explorationShare * float64(len(l.list)) / min(l.unit, l.guess) / float64(l.set.Nodes)
-	l.explorations.refill(l.now, rate, 1)
-	return l.explorations.take()
+// takeExploration rations explorations. Without any, all requests would be rejected on old evidence
+// for good. One always out from each node would keep a crowded fleet down where nodes outnumber
+// servers, so the nodes' sum is kept to a share of the servers' capacity, each node in a random
+// phase.
+func (b *Balancer) takeExploration() bool {
+	unitTime := min(b.estimate.unitTime, b.estimate.initialUnitTime)
+	rate := explorationShare * float64(len(b.servers.ready)) / unitTime / float64(b.settings.Nodes)
+	b.explorations.refill(b.now, rate, 1)
+	return b.explorations.take()
 }
 
-func (l *Balancer) send(r *request, s *server) {
-	s.budget.left -= r.cost
-	l.changed = true
-	a := attempt{server: s, sentAt: l.begun(r, s), queueRounds: max(1, l.queueRounds(l.occupancy(s), r.cost)),
-		expected: l.expected(s, r), open: true}
-	r.attempts = append(r.attempts, a)
-	r.held, r.open = false, r.open+1
-	s.inflight, s.idle = s.inflight+1, max(0, s.idle-1)
-	s.lookedAt = -1
-	s.open = append(s.open, r)
-	l.outstanding++
-	l.do(StartAttempt{ID: r.id, Server: s.ID, Deadline: r.expires, WriteDeadline: r.boundTo})
-	l.wakeSweep()
+// affinityServers are the two servers that all nodes prefer for a request's key, where a server
+// that met the key lately does less work for it: the two highest by a hash of both, of those not
+// ejected (rendezvous hashing).
+func (b *Balancer) affinityServers(r *request) (first, second *server) {
+	if r.affinityKey == 0 || r.affinity.version == b.servers.version {
+		return r.affinity.first, r.affinity.second
+	}
+	var highest, next uint64
+	for _, s := range b.servers.ready {
+		h := (r.affinityKey ^ s.nameHash) * 0x9e3779b97f4a7c15
+		h ^= h >> 32
+		switch {
+		case s.outlier.ejected || h <= next:
+		case h > highest:
+			first, second = s, first
+			highest, next = h, highest
+		default:
+			second = s
+			next = h
+		}
+	}
+	r.affinity = affinityPair{first, second, b.servers.version}
+	return first, second
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -45,59 +45,73 @@
 	}
 }
 
-// emitters are the functions outside the policy files that emit an action as it is now: the two by which all do, two that write log
-// lines and one that sets the sweep's timer. Another one is a decision where nobody looks for it.
-var emitters = []string{"do", "logf", "hearing", "tellZones", "wakeSweep"}
+// actionTypes are the types whose literals are decisions.
+var actionTypes = []string{"StartAttempt", "CancelAttempt", "Reject", "Fail", "SetTimer", "ProbeLoad", "WatchEndpoints", "BroadcastGossip", "Log"}
 
-// TestNoFurtherFunctionOutsideThePolicyEmitsActions guards against decisions that move to where no lines are counted.
-func TestNoFurtherFunctionOutsideThePolicyEmitsActions(t *testing.T) {
-	actions := []string{"StartAttempt", "CancelAttempt", "Reject", "Fail", "SetTimer", "ProbeLoad", "WatchEndpoints", "BroadcastGossip", "Log"}
+// leastEmitters is how many functions must be found inside the policy files: with fewer the check sees nothing.
+const leastEmitters = 15
+
+// TestNoFunctionOutsideThePolicyEmitsActions guards against decisions in files where nobody looks for them: deploy/balancer.toml names the
+// files that decide, and a function elsewhere in the package that emits an action decides too.
+func TestNoFunctionOutsideThePolicyEmitsActions(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var found []string
+	policy := policyFiles(t)
+	inside := 0
 	for _, name := range files {
-		if strings.HasSuffix(name, "_test.go") || slices.Contains(policyFiles(t), "balancer/"+name) {
+		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
-		if err != nil {
-			t.Fatal(err)
+		emitters := emittersIn(t, name)
+		if slices.Contains(policy, "balancer/"+name) {
+			inside += len(emitters)
+			continue
 		}
-		for _, d := range file.Decls {
-			f, ok := d.(*ast.FuncDecl)
-			if !ok || f.Body == nil {
-				continue
-			}
-			emits := false
-			ast.Inspect(f.Body, func(n ast.Node) bool {
-				switch n := n.(type) {
-				case *ast.SelectorExpr:
-					emits = emits || n.Sel.Name == "do" || n.Sel.Name == "logf"
-				case *ast.CallExpr: // what these append to
-					id, ok := n.Fun.(*ast.Ident)
-					if ok && id.Name == "append" && len(n.Args) > 0 {
-						to, ok := n.Args[0].(*ast.SelectorExpr)
-						emits = emits || ok && to.Sel.Name == "out"
-					}
-				case *ast.CompositeLit:
-					id, ok := n.Type.(*ast.Ident)
-					emits = emits || ok && slices.Contains(actions, id.Name)
-				}
-				return true
-			})
-			if emits {
-				found = append(found, f.Name.Name)
-			}
+		for _, function := range emitters {
+			t.Errorf("%s in %s emits an action outside the policy files", function, name)
 		}
 	}
-	for _, name := range found {
-		if !slices.Contains(emitters, name) {
-			t.Errorf("%s emits an action outside the policy files", name)
-		}
+	if inside < leastEmitters {
+		t.Errorf("found %d functions that emit actions inside the policy files: the check sees nothing", inside)
+	}
+}
+
+// emittersIn names the functions of a file that emit an action.
+func emittersIn(t *testing.T, name string) []string {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if len(found) < 2 {
-		t.Errorf("found %v alone: the check sees nothing", found)
+	var found []string
+	for _, d := range file.Decls {
+		if f, ok := d.(*ast.FuncDecl); ok && f.Body != nil && emits(f.Body) {
+			found = append(found, f.Name.Name)
+		}
 	}
+	return found
+}
+
+// emits tells whether a function emits an action: through emit or logf, by appending to the actions, or by making one.
+func emits(body *ast.BlockStmt) bool {
+	found := false
+	ast.Inspect(body, func(n ast.Node) bool {
+		switch n := n.(type) {
+		case *ast.SelectorExpr:
+			found = found || n.Sel.Name == "emit" || n.Sel.Name == "logf"
+		case *ast.CallExpr:
+			id, ok := n.Fun.(*ast.Ident)
+			if ok && id.Name == "append" && len(n.Args) > 0 {
+				to, ok := n.Args[0].(*ast.SelectorExpr)
+				found = found || ok && to.Sel.Name == "actions"
+			}
+		case *ast.CompositeLit:
+			id, ok := n.Type.(*ast.Ident)
+			found = found || ok && slices.Contains(actionTypes, id.Name)
+		}
+		return true
+	})
+	return found
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -3,21 +3,121 @@
 import (
 	"errors"
 	"fmt"
-	"math"
 )
 
-// shortestAbove is the shortest aim among the classes that are worth more than this one and have less time; without any
-// such it has no end.
-func shortestAbove(s Settings, c Class) Millis {
-	aim := math.Inf(1)
-	for _, d := range s.Classes {
-		if d.PriorityWeight > c.PriorityWeight && d.LatencyObjective < c.LatencyObjective {
-			aim = min(aim, d.LatencyObjective)
-		}
-	}
-	return aim
+// Millis is a time on the node's monotonic clock, or a span of it, in milliseconds.
+type Millis = float64
+
+// Settings are what a node is told once, at its start. New says which of them make deciding impossible.
+type Settings struct {
+	Node    int // this node's number, from 0
+	Nodes   int // size of the fleet, at least 1
+	Zone    string
+	Classes []Class
+	Tenants []Tenant
+	Goal    ObjectiveWeights
+
+	OverQuotaFraction  float64 // part of its weight that a request beyond its tenant's quota keeps, from 0 to 1
+	WeightByWork       bool    // a request's weight is multiplied by its work
+	ClientsMarkRetries bool
+	KeyAffinity        bool // a server that met a request's key lately does less work for it
+
+	WatchEndpoints   bool   // the endpoint list must be asked for
+	WatchDeadline    Millis // within it a node must have asked; 0: no limit
+	CapacitiesListed bool   // the list's capacities compare the servers
+	DrainGrace       Millis // after a server is reported as draining, attempts to it may still begin for so long
+
+	LoadReports           bool // answers or probe results carry load reports
+	ReportsFromProbesOnly bool // only probe results do
+	ProbesAllowed         bool
+	GossipAllowed         bool // nodes may send messages to one another
+
+	SlowStart SlowStart
+
+	MaxAttempts       int // for each request, at least 1
+	CancelAllowed     bool
+	RetryAfterAllowed bool
+	MaxRetryAfter     Millis
+	ConnectTimeout    Millis
+	Tick              Millis // how often a node looks at events; 0: at once
+
+	Prices        Prices
+	CPUPerRequest float64 // microseconds that a request and all that comes with it may cost; 0: no limit
+}
+
+// SlowStart says what a server that has just started can bear.
+type SlowStart struct {
+	InitialCapacity float64 // share of its capacity at its start, from 0 to 1
+	Duration        Millis  // after which it has its whole capacity; between the two the share grows evenly
+	// A server is overloaded by more than OverloadFactor times what it can serve in OverloadWindow,
+	// from all nodes together.
+	OverloadFactor float64
+	OverloadWindow Millis
 }
 
+// Prices are what the operator charges, as shares of all priority weight.
+type Prices struct {
+	CrossZone float64 // if each first attempt crosses zones
+	Probe     float64 // for one load probe a first attempt
+	Handshake float64 // for one new connection to a server a first attempt
+	Gossip    float64 // for one message of full length received a first attempt
+}
+
+// Class is one class of request.
+type Class struct {
+	Name             string
+	Idempotency      Idempotency
+	DedupScope       DedupScope // with IdempotentWithKey
+	DedupWindow      Millis     // how long repeats are dropped, from the first attempt that may have run
+	LatencyObjective Millis     // an answer within it earns the full priority weight
+	ObjectivePerWork float64    // the objective grows by this multiple of the time of the request's own work
+	TotalTimeout     Millis     // a client's wait over all its attempts
+	PriorityWeight   float64
+	LateFraction     float64 // part of the weight that an answer after the objective still earns, from 0 to 1
+}
+
+// Tenant is one customer.
+type Tenant struct {
+	Name  string
+	Quota float64 // requests a second, over all nodes together; 0: no quota
+}
+
+// ObjectiveWeights weigh the parts of the service that the operator counts.
+type ObjectiveWeights struct {
+	Overall      float64 // the share of all weight that is served in time
+	WorstWindow  float64 // ... in the worst stretch of time
+	WorstClass   float64 // ... of the worst served class
+	WorstTenant  float64 // ... of the worst served tenant
+	TailLatency  float64
+	Availability float64
+}
+
+// Idempotency says whether a class of request may run more than once.
+type Idempotency int
+
+// The kinds of classes, from the least harm that a repeat does to the most.
+const (
+	Idempotent        Idempotency = iota // may be repeated and rejected freely
+	IdempotentWithKey                    // repeats are dropped inside a dedup scope for a window
+	NonIdempotent                        // must never run twice
+)
+
+// DedupScope is the set of servers that drop the repeats of a request with an idempotency key.
+type DedupScope int
+
+// The scopes.
+const (
+	DedupAcrossFleet DedupScope = iota
+	DedupWithinZone             // the servers of one zone
+	DedupWithinCell             // the servers of one cell
+)
+
+const (
+	// minShare and minPrice keep quotients finite.
+	minShare = 1e-9
+	minPrice = 1e-9
+)
+
 // validate names the setting that makes deciding impossible.
 func validate(s Settings) error {
 	switch {
@@ -27,9 +127,9 @@
 		return errors.New("no classes of request")
 	case s.MaxAttempts < 1:
 		return errors.New("attempts per request must be at least 1")
-	case s.InitialCapacity < 0 || s.InitialCapacity > 1:
+	case s.SlowStart.InitialCapacity < 0 || s.SlowStart.InitialCapacity > 1:
 		return errors.New("cold starting share must lie in 0 to 1")
-	case s.SlowStartDuration < 0 || s.OverloadWindow < 0 || s.OverloadFactor <= 0:
+	case s.SlowStart.Duration < 0 || s.SlowStart.OverloadWindow < 0 || s.SlowStart.OverloadFactor <= 0:
 		return errors.New("cold server figures must be positive")
 	case s.DrainGrace < 0:
 		return errors.New("drain grace must not be negative")
--- a/balancer/share_test.go
+++ b/balancer/share_test.go
@@ -11,8 +11,8 @@
 	set := settings()
 	set.Nodes = 10
 	b := newBed(t, set, Endpoint{ID: "cold", Capacity: 1, Started: 99999})
-	cold := b.l.servers["cold"]
-	tenth := b.l.coldRate(cold)
+	cold := b.l.servers.byID["cold"]
+	tenth := b.l.slowStartRate(cold)
 	near := func(what string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9*tenth {
@@ -20,13 +20,13 @@
 		}
 	}
 	b.step(FleetQuota{Current: 0.25, Until: b.now, After: 0.05})
-	near("run out", b.l.coldRate(cold), tenth/2)
+	near("run out", b.l.slowStartRate(cold), tenth/2)
 	b.step(FleetQuota{Current: 0.25, Until: b.now + 1, After: 0.05})
-	near("a quarter", b.l.coldRate(cold), 2.5*tenth)
+	near("a quarter", b.l.slowStartRate(cold), 2.5*tenth)
 	b.step(SiblingProcesses{2})
-	near("one of two processes", b.l.coldRate(cold), 1.25*tenth)
+	near("one of two processes", b.l.slowStartRate(cold), 1.25*tenth)
 	b.step(FleetQuota{})
-	if cold.budget.left = 5; b.l.coldRate(cold) != 0 || b.l.coldRoom(cold, 1) {
-		t.Errorf("room at %v with no share at all", b.l.coldRate(cold))
+	if cold.slowStart.budget.left = 5; b.l.slowStartRate(cold) != 0 || b.l.slowStartAllows(cold, 1) {
+		t.Errorf("room at %v with no share at all", b.l.slowStartRate(cold))
 	}
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,42 +1,94 @@
 package balancer
 
-// This file holds slow start: when a server's began, and what this node may send it meanwhile.
-
-// freshMost is the longest that a server has been up when a list that is followed without a gap
-// tells of its start.
-const freshMost Millis = 1000
-
-// slowStart is when a server's slow start began, by this node's clock, which runs on evenly whatever
-// the machine's wall clock does. The start that discovery tells is wall time: where the two clocks
-// differ, a server that has just started could be taken for warm, or a warm one for cold until the
-// clocks meet. So a start in the future is one of now, and one that a live list tells as news cannot
-// be old.
-func (l *Balancer) slowStart(started Millis, live bool) Millis {
+const (
+	// maxReportedAge, in ms, is the longest that a server can have been up when a list that is
+	// followed without a gap tells of its start.
+	maxReportedAge Millis = 1000
+	// slowStartMargin is the part of a warming server's budget that is used: this node's estimate
+	// of its capacity may be off by half.
+	slowStartMargin = 0.6
+	// slowStartBurst is how much of its budget a node may save, in overload windows.
+	slowStartBurst = 0.5
+	// warmCapacityStep is how far one answer of a warming server moves the estimate of all warming
+	// servers' capacity.
+	warmCapacityStep = 0.05
+)
+
+// slowStartState is one server's slow start.
+type slowStartState struct {
+	since  Millis      // by this node's clock; 0: the server has been up for long
+	budget tokenBucket // in work units (1: the mean request), while the server warms up
+}
+
+// slowStartBegin is when a server's slow start began, by this node's clock, which runs on evenly
+// whatever the wall clock does.
+//
+// The start that discovery reports is wall time. Where the clocks of the two machines differ, a
+// server that has just started could be taken for warm and be overloaded, or a warm one for cold
+// until the clocks meet. So a start in the future counts as one now, and one that a live list
+// reports as news cannot be older than maxReportedAge.
+func (b *Balancer) slowStartBegin(started Millis, live bool) Millis {
 	switch {
 	case started <= 0:
 		return 0
-	case started > l.now:
-		return l.now
+	case started > b.now:
+		return b.now
 	case live:
-		return max(started, l.now-freshMost)
+		return max(started, b.now-maxReportedAge)
 	}
 	return started
 }
 
-// coldRate is the cost per millisecond that this node may send a cold server: its part of the
-// budget, had every node sent as much; the others' windows are taken to be as long as ours.
-// Everything sent counts, refused work too. Where a node's part is under one request its phase rations.
-func (l *Balancer) coldRate(s *server) float64 {
-	return coldMargin * l.set.OverloadFactor * l.ramp(s) / l.typicalUnit(s) / l.parts()
+// minimumCapacity is the least share of its capacity that a server can have by now, from 0 to 1.
+func (b *Balancer) minimumCapacity(s *server) float64 {
+	slowStart := b.settings.SlowStart
+	if s.slowStart.since <= 0 || slowStart.Duration <= 0 {
+		return 1
+	}
+	age := b.now - s.slowStart.since
+	return min(1, slowStart.InitialCapacity+(1-slowStart.InitialCapacity)*age/slowStart.Duration)
+}
+
+// estimatedCapacity is the share of its capacity that a server is taken to have: its minimum by
+// now, and of the rest as much as other warming servers show. Without the latter every node would
+// have to meet every new server with a first request that is late.
+func (b *Balancer) estimatedCapacity(s *server) float64 {
+	least := b.minimumCapacity(s)
+	return least + b.estimate.warmCapacity*(1-least)
+}
+
+// unitTimeWhenWarm is the unit time that a warming server would have shown once warm. Each of its
+// answers tells which way the estimate of warming servers' capacity is off; by how much it can't
+// tell, since what else the server held is not known.
+func (b *Balancer) unitTimeWhenWarm(s *server, unitTime Millis, success bool) Millis {
+	capacity := b.estimatedCapacity(s)
+	if capacity < 1 && success {
+		step := warmCapacityStep
+		if unitTime*capacity > b.typicalUnitTime(s)*b.estimate.pace {
+			step = -warmCapacityStep
+		}
+		b.estimate.warmCapacity = min(1, max(0, b.estimate.warmCapacity+step))
+	}
+	return unitTime * capacity
+}
+
+// slowStartRate is the work per ms that this node may send to a warming server: its part of what
+// all nodes together may send. Rejected work counts too.
+func (b *Balancer) slowStartRate(s *server) float64 {
+	bearable := slowStartMargin * b.settings.SlowStart.OverloadFactor * b.minimumCapacity(s)
+	return bearable / b.typicalUnitTime(s) / b.fleetDivisor()
 }
 
-// coldRoom refills a cold server's budget and tells whether cost fits. It guards from pushing over one that
-// has just started and stays down then: also where all nodes have saved their parts and spend them together.
-func (l *Balancer) coldRoom(s *server, cost float64) bool {
-	if l.ramp(s) >= 1 {
+// slowStartAllows refills a warming server's budget and tells whether the work fits into it.
+//
+// Invariant: all nodes together never send a warming server more than its budget, also if all have
+// saved their parts and spend them at once. Without it a server that has just started is overloaded
+// by the first requests of all nodes and stays down.
+func (b *Balancer) slowStartAllows(s *server, work float64) bool {
+	if b.minimumCapacity(s) >= 1 {
 		return true
 	}
-	rate := l.coldRate(s)
-	saved := rate * coldBurst * l.set.OverloadWindow
-	return rate > 0 && s.budget.ration(l.now, rate, saved) >= max(1, min(cost, saved))
+	rate := b.slowStartRate(s)
+	saved := rate * slowStartBurst * b.settings.SlowStart.OverloadWindow
+	return rate > 0 && s.slowStart.budget.refillPhased(b.now, rate, saved) >= max(1, min(work, saved))
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,7 +10,7 @@
 func TestSlowStartByAnotherClock(t *testing.T) {
 	const hour = 3_600_000
 	set := settings()
-	set.InitialCapacity, set.SlowStartDuration = 0.3, 9000
+	set.SlowStart.InitialCapacity, set.SlowStart.Duration = 0.3, 9000
 	for name, c := range map[string]struct {
 		form  UpdateKind
 		off   Millis
@@ -28,13 +28,13 @@
 		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "warm", Capacity: 1}}})
 		entries := []Endpoint{{ID: "warm", Capacity: 1}, {ID: "cold", Capacity: 1, Started: b.now + c.off}}
 		b.step(EndpointUpdate{Kind: c.form, Endpoints: entries})
-		cold := b.l.servers["cold"]
-		if got := b.l.ramp(cold); got < c.least-1e-9 || got > c.most {
+		cold := b.l.servers.byID["cold"]
+		if got := b.l.minimumCapacity(cold); got < c.least-1e-9 || got > c.most {
 			t.Errorf("%s: counts %.2f of its capacity at once, want %.2f to %.2f", name, got, c.least, c.most)
 		}
 		b.now += c.after
 		b.step(TimerFired{"sweep"})
-		if got := b.l.ramp(cold); math.Abs(got-1) > 1e-9 {
+		if got := b.l.minimumCapacity(cold); math.Abs(got-1) > 1e-9 {
 			t.Errorf("%s: still counts %.2f of its capacity after its time", name, got)
 		}
 	}
--- a/balancer/upload_test.go
+++ b/balancer/upload_test.go
@@ -4,8 +4,8 @@
 
 // TestUploadIsNeitherSilentNorLost has a request's body come for longer than any answer takes.
 func TestUploadIsNeitherSilentNorLost(t *testing.T) {
-	set := Settings{Nodes: 1, LoadReports: true, CancelAllowed: true, ProbesAllowed: false, DrainGrace: 2000, MaxAttempts: 3, InitialCapacity: 0.2,
-		SlowStartDuration: 9000, OverloadFactor: 3, OverloadWindow: 1000, Goal: ObjectiveWeights{Overall: 1},
+	set := Settings{Nodes: 1, LoadReports: true, CancelAllowed: true, ProbesAllowed: false, DrainGrace: 2000, MaxAttempts: 3,
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, Goal: ObjectiveWeights{Overall: 1},
 		Classes: []Class{{Name: "look", LatencyObjective: 100, TotalTimeout: 400, PriorityWeight: 1}}}
 	l, err := New(set, 1)
 	if err != nil {
@@ -21,33 +21,33 @@
 	if to == "" {
 		t.Fatal("not sent ahead")
 	}
-	s := l.servers[to]
+	s := l.servers.byID[to]
 	// A report without it, and another request's answer, come meanwhile.
 	for _, now := range []float64{100, 1000, 5000} {
 		l.now = now
-		l.report(s, LoadReport{Valid: true, InFlight: 0})
-		s.answeredTo = now
-		l.runScores()
-		if r := l.requests[1]; r == nil || r.attempts[0].lost || l.overdue(s, false) > 0 {
-			t.Fatalf("after %v ms: request %+v, overdue %v", now, r, l.overdue(s, false))
+		l.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
+		s.attempts.latestAnswered = now
+		l.updateScores()
+		if r := l.requests[1]; r == nil || r.attempts[0].missing || l.unansweredTime(s, false) > 0 {
+			t.Fatalf("after %v ms: request %+v, overdue %v", now, r, l.unansweredTime(s, false))
 		}
 	}
-	if s.answeredTo = 0; l.estimatedLoad(s) != 0 || s.others != 0 {
-		t.Errorf("taken to hold %v, %v of them others'", l.estimatedLoad(s), s.others)
+	if s.attempts.latestAnswered = 0; l.estimateRequests(s) != 0 || s.load.others != 0 {
+		t.Errorf("taken to hold %v, %v of them others'", l.estimateRequests(s), s.load.others)
 	}
 	l.Step(6000, BodyReceived{ID: 1, Deadline: 6400})
 	r := l.requests[1]
-	if r.expires != 6400 || r.aimAt != 6100 || r.attempts[0].sentAt != 6000 {
-		t.Errorf("counted from its end: expires %v, aim %v, sent %v", r.expires, r.aimAt, r.attempts[0].sentAt)
+	if r.deadline != 6400 || r.objectiveAt != 6100 || r.attempts[0].sentAt != 6000 {
+		t.Errorf("counted from its end: expires %v, aim %v, sent %v", r.deadline, r.objectiveAt, r.attempts[0].sentAt)
 	}
-	if l.now = 6050; l.estimatedLoad(s) < 1 {
-		t.Errorf("taken to hold %v once it is whole", l.estimatedLoad(s))
+	if l.now = 6050; l.estimateRequests(s) < 1 {
+		t.Errorf("taken to hold %v once it is whole", l.estimateRequests(s))
 	}
-	if l.overdue(s, false) != 50 {
-		t.Errorf("silent for %v ms", l.overdue(s, false))
+	if l.unansweredTime(s, false) != 50 {
+		t.Errorf("silent for %v ms", l.unansweredTime(s, false))
 	}
 	l.Step(6080, AttemptCompleted{ID: 1, Server: to, Outcome: OK, Elapsed: 80})
-	if l.requests[1] != nil || s.failures != 0 || l.lag != 0 || s.answeredTo != 6000 || s.ahead != 0 {
-		t.Errorf("after the answer: lag %v, answered to %v, %d failures", l.lag, s.answeredTo, s.failures)
+	if l.requests[1] != nil || s.outlier.consecutiveFailures != 0 || l.estimate.reportLag != 0 || s.attempts.latestAnswered != 6000 || s.attempts.awaitingBody != 0 {
+		t.Errorf("after the answer: lag %v, answered to %v, %d failures", l.estimate.reportLag, s.attempts.latestAnswered, s.outlier.consecutiveFailures)
 	}
 }
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -56,7 +56,7 @@
 	}
 	say("limits    %v cores, %v MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 	say("rules     drain grace %v ms, cold from %v for %v ms, falls at %v times for %v ms, %d attempts",
-		set.DrainGrace, set.InitialCapacity, set.SlowStartDuration, set.OverloadFactor, set.OverloadWindow, set.MaxAttempts)
+		set.DrainGrace, set.SlowStart.InitialCapacity, set.SlowStart.Duration, set.SlowStart.OverloadFactor, set.SlowStart.OverloadWindow, set.MaxAttempts)
 	for _, k := range set.Classes {
 		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", k.Name, effectName(k), k.LatencyObjective, k.TotalTimeout, k.PriorityWeight)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -162,18 +162,18 @@
 			WorstTenant: o.Goal.WorstTenant, TailLatency: o.Goal.Tail, Availability: o.Goal.Nines},
 		WeightByWork: o.CountedBy == "work", WatchEndpoints: o.Discovery == "subscribe",
 		CapacitiesListed: o.Weights == "nominal" || o.Weights == "rough", ClientsMarkRetries: o.Habits.MarksRetry,
-		DrainGrace: *o.Rules.StopMs, InitialCapacity: *o.Rules.ColdFrom, SlowStartDuration: *o.Rules.ColdMs,
-		OverloadFactor: *o.Rules.FallMultiple, OverloadWindow: *o.Rules.FallMs, WatchDeadline: o.Rules.MustAskMs,
+		DrainGrace: *o.Rules.StopMs, SlowStart: balancer.SlowStart{InitialCapacity: *o.Rules.ColdFrom,
+			Duration: *o.Rules.ColdMs, OverloadFactor: *o.Rules.FallMultiple, OverloadWindow: *o.Rules.FallMs}, WatchDeadline: o.Rules.MustAskMs,
 		MaxAttempts: *o.Limits.Attempts, CancelAllowed: o.Limits.MayCancel, ProbesAllowed: o.Limits.Probes,
-		HedgingAllowed: o.Limits.SecondCopies, RetryAfterAllowed: o.Limits.RetryAfter, MaxRetryAfter: o.Limits.MaxRetryAfter,
-		ConnectTimeout: o.Limits.ConnectMs, Tick: o.TickMs, LateFailurePrice: o.Prices.LateFail,
-		CrossZonePrice: o.Prices.CrossZone, ProbePrice: o.Prices.Probe, GossipPrice: o.Prices.Peer, HandshakePrice: o.Prices.Handshake, GossipAllowed: o.Limits.Peers,
+		RetryAfterAllowed: o.Limits.RetryAfter, MaxRetryAfter: o.Limits.MaxRetryAfter,
+		ConnectTimeout: o.Limits.ConnectMs, Tick: o.TickMs,
+		Prices: balancer.Prices{CrossZone: o.Prices.CrossZone, Probe: o.Prices.Probe, Gossip: o.Prices.Peer,
+			Handshake: o.Prices.Handshake}, GossipAllowed: o.Limits.Peers,
 		KeyAffinity: o.Family.WarmKeys, CPUPerRequest: o.Limits.CPUPerRequest,
 	}
 	for _, c := range o.Classes {
 		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Idempotency: effects[c.Effect], DedupScope: groups[c.Group], DedupWindow: c.WindowMs,
-			LatencyObjective: c.AimMs, ObjectivePerWork: c.AimStretch, TotalTimeout: c.HardMs, PriorityWeight: c.Worth, LateFraction: c.LateShare,
-			Streamed: c.Streamed})
+			LatencyObjective: c.AimMs, ObjectivePerWork: c.AimStretch, TotalTimeout: c.HardMs, PriorityWeight: c.Worth, LateFraction: c.LateShare})
 	}
 	for _, t := range o.Realms {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -55,8 +55,8 @@
 	with := func(old, new string) (Settings, error) { return Parse([]byte(strings.Replace(good, old, new, 1))) }
 	s, err := with(`"goal":{"whole":1}`, `"goal":{"whole":1,"log_loss_part":0.2,"nines_wanted":2},
  "family_info":{"warm_keys":true},"prices":{"cross_zone":0.13,"handshake":0.02,"peer":0.01,"probe":0.008}`)
-	if l := s.Balancer; err != nil || l.Goal.Availability != 0.2 || !l.KeyAffinity || l.CrossZonePrice != 0.13 || l.HandshakePrice != 0.02 || l.GossipPrice != 0.01 ||
-		l.ProbePrice != 0.008 || l.ReportsFromProbesOnly || l.GossipAllowed || l.CPUPerRequest != 0 {
+	if l := s.Balancer; err != nil || l.Goal.Availability != 0.2 || !l.KeyAffinity || l.Prices.CrossZone != 0.13 || l.Prices.Handshake != 0.02 || l.Prices.Gossip != 0.01 ||
+		l.Prices.Probe != 0.008 || l.ReportsFromProbesOnly || l.GossipAllowed || l.CPUPerRequest != 0 {
 		t.Errorf("read %+v, %v", l, err)
 	}
 	s, err = with(`"probes":true}`, `"probes":true,"peers":true,"cpu_us_per_request":10}`)
--- a/internal/shadow/watch_test.go
+++ b/internal/shadow/watch_test.go
@@ -18,8 +18,8 @@
 			{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
 			{Name: "put", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupWithinCell, DedupWindow: 1000, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
 			{Name: "bill", Idempotency: balancer.NonIdempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 5}},
-		LoadReports: true, ReportsFromProbesOnly: true, ProbesAllowed: true, GossipAllowed: true, ProbePrice: 0.002, GossipPrice: 0.001,
-		DrainGrace: 1000, InitialCapacity: 0.25, SlowStartDuration: 5000, OverloadFactor: 3, OverloadWindow: 2000, MaxAttempts: 3, CancelAllowed: true,
+		LoadReports: true, ReportsFromProbesOnly: true, ProbesAllowed: true, GossipAllowed: true, Prices: balancer.Prices{Probe: 0.002, Gossip: 0.001},
+		DrainGrace: 1000, SlowStart: balancer.SlowStart{InitialCapacity: 0.25, Duration: 5000, OverloadFactor: 3, OverloadWindow: 2000}, MaxAttempts: 3, CancelAllowed: true,
 		RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1}
 }
 
@@ -106,7 +106,7 @@
 		t.Fatalf("only %d actions in %d steps", len(alone), steps)
 	}
 	same, other := settings(), settings()
-	other.ProbesAllowed, other.Classes[0].Idempotency, other.CrossZonePrice = false, balancer.NonIdempotent, 0.5
+	other.ProbesAllowed, other.Classes[0].Idempotency, other.Prices.CrossZone = false, balancer.NonIdempotent, 0.5
 	for name, set := range map[string]*balancer.Settings{"the same": &same, "others": &other, "none": nil} {
 		count := &counters.Shadow{}
 		if got := play(New(newModule(t, settings()), set, slog.Default(), count), steps); !reflect.DeepEqual(got, alone) {
@@ -124,7 +124,7 @@
 
 func TestEachKindIsCounted(t *testing.T) {
 	for kind, change := range map[string]func(base, other *balancer.Settings){
-		DifferentZone:   func(_, o *balancer.Settings) { o.CrossZonePrice = 0.3 },
+		DifferentZone:   func(_, o *balancer.Settings) { o.Prices.CrossZone = 0.3 },
 		DifferentServer: func(_, o *balancer.Settings) { o.KeyAffinity = true },
 		Probe:           func(_, o *balancer.Settings) { o.ProbesAllowed = false },
 		Gossip:          func(_, o *balancer.Settings) { o.GossipAllowed = false },
