--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -1,10 +1,13 @@
 package balancer
 
-import "testing"
+import (
+	"testing"
+)
 
-// The cut refuses the marked part of a class at its arrival, at once and harmlessly, and only while it lasts.
-func TestTheFleetsCut(t *testing.T) {
-	b := newBed(t, settings(), server3(3)...)
+// The cut rejects the marked part of a class at its arrival, at once and harmlessly, and only while
+// it lasts.
+func TestFleetAdmission(t *testing.T) {
+	b := newTestNode(t, settings(), testEndpoints(3)...)
 	ask := func(class string, mark uint64) (in bool) {
 		t.Helper()
 		b.next++
@@ -12,7 +15,7 @@
 		for _, a := range acts {
 			if r, is := a.(Reject); is {
 				if r.Reason != FleetOverload {
-					t.Errorf("refused for %v", r.Reason)
+					t.Errorf("rejected for %v", r.Reason)
 				}
 				return false
 			}
@@ -41,3 +44,35 @@
 		t.Error("cut after its end")
 	}
 }
+
+// Guards against working on what is worth nothing any more: under overload it makes the rest late
+// as well.
+func TestLateRetryIsRejectedAtOnce(t *testing.T) {
+	for _, share := range []float64{0, 0.5} {
+		set := settings()
+		set.Classes[0].LateFraction = share
+		b := newTestNode(t, set, testEndpoints(2)...)
+		b.arrive("read", 1000) // the longest try
+		b.next++
+		acts := b.step(Arrival{ID: b.next, Class: "read", IsRetry: true, Deadline: b.now + 300}) // began 1.7 s ago
+		if refused := count[Reject](acts) == 1; refused != (share == 0) {
+			t.Errorf("late answers worth %.1f: a retry past its latency objective got %v", share, acts)
+		}
+	}
+}
+
+// Guards against taking an unmarked retry for a fresh request with its whole latency objective ahead.
+func TestUnmarkedRetryKeepsItsObjective(t *testing.T) {
+	set := settings()
+	set.ClientsMarkRetries = false
+	b := newTestNode(t, set)
+	b.step(Arrival{ID: 1, Class: "read", Key: "k", Deadline: b.now + 2000}) // no server: rejected
+	b.now += 300
+	b.l.Step(b.now, EndpointUpdate{Kind: FullUpdate, Endpoints: testEndpoints(1)})
+	b.l.estimate.unitTime = 5
+	b.step(Arrival{ID: 2, Class: "read", Key: "k", Deadline: b.now + 2000})
+	b.step(Arrival{ID: 3, Class: "read", Key: "k", Deadline: b.now + 2000})
+	if second, third := b.l.requests[2], b.l.requests[3]; second.objectiveAt != b.now+100 || third.objectiveAt != b.now+400 {
+		t.Errorf("%.0f ms left for the retry, %.0f for the next", second.objectiveAt-b.now, third.objectiveAt-b.now)
+	}
+}
--- /dev/null
+++ b/balancer/balancer_test.go
@@ -0,0 +1,24 @@
+package balancer
+
+import (
+	"reflect"
+	"testing"
+)
+
+func TestSameEventsSameActions(t *testing.T) {
+	run := func() []Action {
+		b := newTestNode(t, settings(), testEndpoints(5)...)
+		for i := 0; i < 200; i++ {
+			b.serve([]string{"read", "put", "bill"}[i%3], Millis(5+i%7), func(s ServerID) Outcome {
+				if s == "s2" {
+					return Errored
+				}
+				return OK
+			})
+		}
+		return b.acts
+	}
+	if !reflect.DeepEqual(run(), run()) {
+		t.Error("two runs differ")
+	}
+}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkRequest is what one request costs the module, from its arrival to its answer, by the number of servers: a quarter of a
-// core has to bear it beside all else.
+// BenchmarkRequest is what one request costs the balancer, from its arrival to its answer, by the
+// number of servers: a quarter of a core has to bear it beside all else.
 func BenchmarkRequest(b *testing.B) {
 	for _, servers := range []int{60, 200, 350, 500, 1024} {
 		b.Run(fmt.Sprintf("%d servers", servers), func(b *testing.B) {
@@ -17,7 +17,7 @@
 				b.Fatal(err)
 			}
 			now, timers := 100000.0, map[string]Millis{}
-			l.Step(now, EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(servers)})
+			l.Step(now, EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(servers)})
 			id, served := RequestID(0), 0
 			var carry func([]Action)
 			carry = func(acts []Action) {
--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -13,10 +13,11 @@
 	"testing"
 )
 
-// A change that is meant to alter the shape of the code and not its decisions is checked here: seeded sequences of events are played
-// through Step, and the actions that come back are compared, by one checksum for each sequence, with those that were recorded before
-// the change. The recorded form names no Go identifier, so renaming cannot alter it. Texts of log lines are left out: their wording
-// may change, their number and place may not.
+// A change that is meant to alter the shape of the code and not its decisions is checked here:
+// seeded sequences of events are played through Step, and the actions that come back are compared,
+// by one checksum for each sequence, with those that were recorded before the change. The recorded
+// form names no Go identifier, so renaming cannot alter it. Texts of log lines are left out: their
+// wording may change, their number and place may not.
 
 // The files and the sizes of the record.
 const (
@@ -27,7 +28,8 @@
 
 var record = flag.Bool("record", false, "write "+recordedFile+" anew: only for a change that is meant to alter decisions")
 
-// TestDecisionsAreAsRecorded plays each seeded sequence and compares its checksum with the recorded one.
+// TestDecisionsAreAsRecorded plays each seeded sequence and compares its checksum with the recorded
+// one.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	var lines []string
 	kinds := map[string]int{}
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// book checks the contract from outside: one final answer, no effect twice, nothing to a server known to
-// drain, no two attempts at once, attempts within the cap.
+// book checks the contract from outside: one final answer, no effect twice, nothing to a server
+// known to drain, no two attempts at once, attempts within the cap.
 type contract struct {
 	t     *testing.T
 	set   Settings
@@ -37,7 +37,7 @@
 			e := k.reqs[a.ID]
 			for _, s := range e.sends {
 				if s.mayRun && e.class.Idempotency == NonIdempotent || (s.mayRun || s.open) && e.class.Idempotency == IdempotentWithKey {
-					k.t.Fatalf("refused %d though attempt at %s may have run", a.ID, s.server)
+					k.t.Fatalf("rejected %d though attempt at %s may have run", a.ID, s.server)
 				}
 			}
 			e.answers++
@@ -132,7 +132,7 @@
 		}
 		k := &contract{t: t, set: set, state: map[ServerID]Endpoint{}, reqs: map[RequestID]*entry{}}
 		now := 1000.0
-		servers := server3(6)
+		servers := testEndpoints(6)
 		list := func(form UpdateKind, entries ...Endpoint) Event {
 			for _, e := range entries {
 				k.state[e.ID] = e
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func newBed(t *testing.T, set Settings, servers ...Endpoint) *testNode {
+func newTestNode(t *testing.T, set Settings, servers ...Endpoint) *testNode {
 	t.Helper()
 	l, err := New(set, 7)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return b
 }
 
-func server3(n int) []Endpoint {
+func testEndpoints(n int) []Endpoint {
 	var out []Endpoint
 	for i := 0; i < n; i++ {
 		out = append(out, Endpoint{ID: ServerID(fmt.Sprintf("s%d", i)), Zone: "z", Cell: i % 2, Capacity: 1})
@@ -108,3 +108,18 @@
 	}
 	return n
 }
+
+// fleet are settings of one of hundreds of nodes, with probes at a price.
+func fleet(probe float64) Settings {
+	set := settings()
+	set.Nodes, set.ProbesAllowed, set.LoadReports, set.Prices.Probe = 300, true, true, probe
+	return set
+}
+
+// probed are settings under which load is learnt by probes alone and nodes may talk.
+func probed(nodes int) Settings {
+	set := settings()
+	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ReportsFromProbesOnly, set.GossipAllowed = nodes, true, true, true, true
+	set.Prices.Probe, set.Prices.Gossip = 0.004, 0.01
+	return set
+}
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -26,8 +26,8 @@
 	return deploy.Policy
 }
 
-// TestPolicyLinesCanBeRead: each policy file is there, has something in it, and no line of over 110 characters. The operators no
-// longer limit the number of lines.
+// TestPolicyLinesCanBeRead: each policy file is there, has something in it, and no line of over 110
+// characters. The operators no longer limit the number of lines.
 func TestPolicyLinesCanBeRead(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join("..", name))
@@ -48,11 +48,13 @@
 // actionTypes are the types whose literals are decisions.
 var actionTypes = []string{"StartAttempt", "CancelAttempt", "Reject", "Fail", "SetTimer", "ProbeLoad", "WatchEndpoints", "BroadcastGossip", "Log"}
 
-// leastEmitters is how many functions must be found inside the policy files: with fewer the check sees nothing.
+// leastEmitters is how many functions must be found inside the policy files: with fewer the check
+// sees nothing.
 const leastEmitters = 15
 
-// TestNoFunctionOutsideThePolicyEmitsActions guards against decisions in files where nobody looks for them: deploy/balancer.toml names the
-// files that decide, and a function elsewhere in the package that emits an action decides too.
+// TestNoFunctionOutsideThePolicyEmitsActions guards against decisions in files where nobody looks
+// for them: deploy/balancer.toml names the files that decide, and a function elsewhere in the
+// package that emits an action decides too.
 func TestNoFunctionOutsideThePolicyEmitsActions(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -94,7 +96,8 @@
 	return found
 }
 
-// emits tells whether a function emits an action: through emit or logf, by appending to the actions, or by making one.
+// emits tells whether a function emits an action: through emit or logf, by appending to the
+// actions, or by making one.
 func emits(body *ast.BlockStmt) bool {
 	found := false
 	ast.Inspect(body, func(n ast.Node) bool {
--- a/balancer/upload_test.go
+++ b/balancer/request_test.go
@@ -1,9 +1,11 @@
 package balancer
 
-import "testing"
+import (
+	"testing"
+)
 
-// TestUploadIsNeitherSilentNorLost has a request's body come for longer than any answer takes.
-func TestUploadIsNeitherSilentNorLost(t *testing.T) {
+// TestUploadIsNeitherSilentNorMissing has a request's body come for longer than any answer takes.
+func TestUploadIsNeitherSilentNorMissing(t *testing.T) {
 	set := Settings{Nodes: 1, LoadReports: true, CancelAllowed: true, ProbesAllowed: false, DrainGrace: 2000, MaxAttempts: 3,
 		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, Goal: ObjectiveWeights{Overall: 1},
 		Classes: []Class{{Name: "look", LatencyObjective: 100, TotalTimeout: 400, PriorityWeight: 1}}}
@@ -38,7 +40,7 @@
 	l.Step(6000, BodyReceived{ID: 1, Deadline: 6400})
 	r := l.requests[1]
 	if r.deadline != 6400 || r.objectiveAt != 6100 || r.attempts[0].sentAt != 6000 {
-		t.Errorf("counted from its end: expires %v, aim %v, sent %v", r.deadline, r.objectiveAt, r.attempts[0].sentAt)
+		t.Errorf("counted from its end: expires %v, latency objective %v, sent %v", r.deadline, r.objectiveAt, r.attempts[0].sentAt)
 	}
 	if l.now = 6050; l.estimateRequests(s) < 1 {
 		t.Errorf("taken to hold %v once it is whole", l.estimateRequests(s))
--- /dev/null
+++ b/balancer/retry_test.go
@@ -0,0 +1,47 @@
+package balancer
+
+import (
+	"testing"
+)
+
+func TestGivingUpIsAnsweredAtOnce(t *testing.T) {
+	b := newTestNode(t, settings()) // no servers at all
+	if _, acts := b.arrive("read", 2000); count[Reject](acts) != 1 {
+		t.Errorf("without servers: %v, want a rejection at once", acts)
+	}
+	b = newTestNode(t, settings(), testEndpoints(1)...)
+	for i := 0; i < 200; i++ {
+		b.arrive("read", 2000)
+	}
+	if n := count[Reject](b.acts); n < 150 {
+		t.Errorf("%d of 200 rejected early by a server that can hold a few", n)
+	}
+	for _, a := range b.acts {
+		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
+			t.Fatal("a rejection does not say when to come back")
+		}
+	}
+}
+
+// Guards against telling clients to come back when their latency objective has passed: many nodes
+// reckon a long wait, the clients heed it, and every retry is rejected too late.
+func TestRetryAfterStaysWithinObjective(t *testing.T) {
+	set := settings()
+	set.Nodes = 400
+	b := newTestNode(t, set, testEndpoints(3)...)
+	b.l.estimate.unitTime = 1000 // nothing fits
+	b.l.explorations.left = 0
+	_, acts := b.arrive("read", 2000)
+	for i := 0; i < 50 && count[Reject](acts) == 0; i++ {
+		b.now += 10
+		acts = b.step(TimerFired{"sweep"})
+	}
+	for _, a := range acts {
+		if r, ok := a.(Reject); ok && (r.RetryAfter <= 0 || r.RetryAfter > 400) {
+			t.Errorf("told to come back after %.0f ms with an latency objective of 400", r.RetryAfter)
+		}
+	}
+	if count[Reject](acts) != 1 {
+		t.Errorf("not rejected: %v", acts)
+	}
+}
--- a/balancer/cold_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// coldFleet is many modules, each a node of its own, with one server that has just started.
+// coldFleet is many balancers, each a node of its own, with one server that has just started.
 type coldFleet struct {
 	set   Settings
 	nodes []*testNode
 	unit  Millis
 	began Millis
-	sent  []coldCall // to the cold server, by all
+	sent  []coldCall // to the warming server, by all
 }
 
 type coldCall struct {
@@ -19,7 +19,7 @@
 	cost float64
 }
 
-// newColdFleet has the cold server allow so many calls in its first window.
+// newColdFleet has the warming server allow so many calls in its first window.
 func newColdFleet(t *testing.T, nodes int, allowed float64, seed int) *coldFleet {
 	t.Helper()
 	f := &coldFleet{set: settings(), began: 100000}
@@ -36,7 +36,7 @@
 	return f.startAt(t, node, seed, f.began)
 }
 
-// startAt starts a node that hears of the cold server then.
+// startAt starts a node that hears of the warming server then.
 func (f *coldFleet) startAt(t *testing.T, node, seed int, now Millis) *testNode {
 	set := f.set
 	set.Node = node
@@ -46,7 +46,7 @@
 	}
 	l.estimate.unitTime, l.estimate.initialUnitTime, l.estimate.meanWorkHint = f.unit, f.unit, 10 // as after many requests
 	b := &testNode{t: t, l: l, now: now}
-	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: server3(4)})
+	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(4)})
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
 	return b
 }
@@ -57,7 +57,7 @@
 	return f.set.SlowStart.OverloadFactor * share * f.set.SlowStart.OverloadWindow / f.unit
 }
 
-// rush has requests come to all nodes for a span, every so many ms, with only the cold server left.
+// rush has requests come to all nodes for a span, every so many ms, with only the warming server left.
 func (f *coldFleet) rush(from, span, every Millis, cost func(int) float64) {
 	costs := map[RequestID]float64{}
 	var carry func(b *testNode, acts []Action)
@@ -66,7 +66,7 @@
 			if s, ok := a.(StartAttempt); ok && s.Server == "cold" {
 				f.sent = append(f.sent, coldCall{b.now, costs[s.ID]})
 				b.l.retryBudget.left, b.l.servers.byID["cold"].outlier.ejected = 0, false
-				carry(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // refused work counts too
+				carry(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // rejected work counts too
 			}
 		}
 	}
@@ -84,7 +84,8 @@
 	}
 }
 
-// worst is the window that went furthest beyond N calls and what is put down to chance, and that window's N.
+// worst is the window that went furthest beyond N calls and what is put down to chance, and that
+// window's N.
 func (f *coldFleet) worst() (over, n float64) {
 	over = math.Inf(-1)
 	for _, from := range f.sent {
@@ -103,10 +104,11 @@
 
 func one(int) float64 { return 1 }
 
-// Guards against nodes that each keep one call for a cold server and spend it at once: thirty of them are beyond any small
-// budget, however slowly each bucket refills. What all modules send together in any window stays within the server's budget of N
-// calls and 2 x root of N + 2 for chance.
-func TestAllNodesTogetherKeepAColdServersBudget(t *testing.T) {
+// Guards against nodes that each keep one call for a warming server and spend it at once: thirty of
+// them are beyond any small budget, however slowly each bucket refills. What all balancers send
+// together in any window stays within the server's budget of N calls and 2 x root of N + 2 for
+// chance.
+func TestNodesTogetherKeepSlowStartBudget(t *testing.T) {
 	saved := func(f *coldFleet) Millis { return f.began + 0.3*f.set.SlowStart.Duration } // by then each node has had time to save its part
 	span, every := 1.5*settings().SlowStart.OverloadWindow, settings().SlowStart.OverloadWindow/40
 	heavy := func(k int) float64 { // the mean is one
@@ -155,14 +157,14 @@
 				}
 			}
 			if over*50 > runs {
-				t.Errorf("%d of %d fleets passed a cold server's budget by more than chance, at the worst by %.1f calls", over, runs, worst)
+				t.Errorf("%d of %d fleets passed a warming server's budget by more than chance, at the worst by %.1f calls", over, runs, worst)
 			}
 		})
 	}
 }
 
-// TestWhatIsLeftUnusedOfAColdServersBudget holds the price of it: what a fleet in want of servers uses of the budget.
-func TestWhatIsLeftUnusedOfAColdServersBudget(t *testing.T) {
+// TestUnusedSlowStartBudget holds the price of it: what a fleet in want of servers uses of the budget.
+func TestUnusedSlowStartBudget(t *testing.T) {
 	for _, nodes := range []int{2, 30, 300} {
 		used, allowed := 0.0, 0.0
 		for seed := range 10 {
@@ -174,9 +176,9 @@
 			used += float64(len(f.sent))
 		}
 		if share := used / allowed; share < 0.45 || share > 0.8 {
-			t.Errorf("%d nodes use %.2f of a cold server's budget", nodes, share)
+			t.Errorf("%d nodes use %.2f of a warming server's budget", nodes, share)
 		} else {
-			t.Logf("%d nodes use %.2f of a cold server's budget", nodes, share)
+			t.Logf("%d nodes use %.2f of a warming server's budget", nodes, share)
 		}
 	}
 }
--- a/balancer/statefixture_test.go
+++ b/balancer/statetransfer_fixture_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// fixtureFile is a state as the version before the renaming of this package handed it over to its successor.
+// fixtureFile is a state as the version before the renaming of this package handed it over to its
+// successor.
 const fixtureFile = "testdata/state-v1.json"
 
 // fixturePlayer plays the sequence whose end the fixture holds.
@@ -18,10 +19,11 @@
 	return p
 }
 
-// TestStateOfTheVersionBeforeIsTakenOver: in an upgrade the new process reads what the old one wrote. A field that is renamed in the
-// code and so in the JSON would be lost without an error, and the new process would begin with no record of its servers. So the old
-// form has to be read with no field left over, and has to come out again as it went in.
-func TestStateOfTheVersionBeforeIsTakenOver(t *testing.T) {
+// TestStateOfPreviousVersionIsRestored: in an upgrade the new process reads what the old one wrote.
+// A field that is renamed in the code and so in the JSON would be lost without an error, and the
+// new process would begin with no record of its servers. So the old form has to be read with no
+// field left over, and has to come out again as it went in.
+func TestStateOfPreviousVersionIsRestored(t *testing.T) {
 	if *record {
 		raw, err := json.MarshalIndent(fixturePlayer(t).l.Snapshot(), "", " ")
 		if err != nil {
--- a/balancer/handover_test.go
+++ b/balancer/statetransfer_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestTwoProcessesShareAColdServersBudget holds what an old and a new process may send a cold server, by now and in the
-// time to come, against what one may.
-func TestTwoProcessesShareAColdServersBudget(t *testing.T) {
+// TestTwoProcessesShareSlowStartBudget holds what an old and a new process may send a warming
+// server, by now and in the time to come, against what one may.
+func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	set := Settings{Nodes: 3, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 100, PriorityWeight: 1}}, DrainGrace: 2000,
 		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 3000}, MaxAttempts: 1, Goal: ObjectiveWeights{Overall: 1}}
 	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Capacity: 1, Started: 1}}}
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestInheritedIsWhatWasKnown(t *testing.T) {
+func TestRestoredStateIsWhatWasKnown(t *testing.T) {
 	set := Settings{Nodes: 1, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 300, PriorityWeight: 1}}, DrainGrace: 2000,
 		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, MaxAttempts: 3, Goal: ObjectiveWeights{Overall: 1}}
 	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1, Started: 5}}}
