--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/watch_test.go
@@ -10,48 +10,9 @@
 	"time"
 )
 
-func TestTracker(t *testing.T) {
-	t0 := time.Unix(1000, 0)
-	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	file := func(inode uint64, size int64, mod int) FileState {
-		return FileState{Exists: true, Size: size, ModTime: at(mod), Inode: inode}
-	}
-	for _, c := range []struct {
-		name   string
-		atOnce bool
-		looks  []FileState
-		times  []int
-		want   []Action // a Read is taken
-	}{
-		{"old at the start", false, []FileState{file(1, 5, -900)}, []int{0}, []Action{ReadNow}},
-		{"read once", false, []FileState{file(1, 5, -900), file(1, 5, -900)}, []int{0, 50}, []Action{ReadNow, Unchanged}},
-		{"grows, then settles", false, []FileState{file(1, 5, -900), file(1, 7, 10), file(1, 9, 60), file(1, 9, 60), file(1, 9, 60)},
-			[]int{0, 11, 61, 120, 161}, []Action{ReadNow, WaitForSettle, WaitForSettle, WaitForSettle, ReadNow}},
-		{"renamed, old inside", false, []FileState{file(1, 5, -900), file(2, 5, -200)}, []int{0, 10}, []Action{ReadNow, ReadNow}},
-		{"renamed, fresh", false, []FileState{file(1, 5, -900), file(2, 5, 9), file(2, 5, 9)}, []int{0, 10, 109}, []Action{ReadNow, WaitForSettle, ReadNow}},
-		{"renamed, fresh, tells by itself", true, []FileState{file(1, 5, -900), file(2, 5, 9)}, []int{0, 10}, []Action{ReadNow, ReadNow}},
-		{"written in place, tells by itself", true, []FileState{file(1, 5, -900), file(1, 6, 9)}, []int{0, 10}, []Action{ReadNow, WaitForSettle}},
-		{"truncated, with its old time still", false, []FileState{file(1, 5, -900), file(1, 0, -900), file(1, 0, 3), file(1, 7, 4), file(1, 7, 4)},
-			[]int{0, 1, 3, 5, 105}, []Action{ReadNow, WaitForSettle, WaitForSettle, WaitForSettle, ReadNow}},
-		{"gone and back as it was", false, []FileState{file(1, 5, -900), {}, file(1, 5, -900)}, []int{0, 10, 20}, []Action{ReadNow, Missing, Unchanged}},
-		{"a clock set back", false, []FileState{file(1, 5, 9_000_000), file(1, 5, 9_000_000)}, []int{0, 100}, []Action{WaitForSettle, ReadNow}},
-	} {
-		tr := Tracker{Settle: 100 * time.Millisecond, SelfVerifying: c.atOnce}
-		for i, l := range c.looks {
-			got, due := tr.Observe(at(c.times[i]), l)
-			if got != c.want[i] || (got == WaitForSettle) != due.After(at(c.times[i])) {
-				t.Errorf("%s, look %d: %v until %v, want %v", c.name, i, got, due, c.want[i])
-			}
-			if got == ReadNow {
-				tr.MarkRead(l)
-			}
-		}
-	}
-}
-
 const patience = 10 * time.Second
 
-// follow runs a watcher and gives what it tells.
+// follow runs a watcher and returns its events.
 func follow(t *testing.T, o Options) <-chan Event {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,7 +39,7 @@
 				return
 			}
 		case <-end:
-			t.Fatalf("never told: %q", text)
+			t.Fatalf("no event with %q", text)
 		}
 	}
 }
@@ -93,8 +54,8 @@
 	}
 }
 
-// Renames, a folder that comes late or is replaced, links that are switched, a missing file: each is seen, by
-// notification or by polling.
+// Renames, a folder that comes late or is replaced, links that are switched, a missing file: each shows, by notification or
+// by polling.
 func TestWhatHappensToFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "late")
 	path := filepath.Join(dir, "list.csv")
@@ -146,8 +107,9 @@
 	want(t, seen, "no plain file")
 }
 
-// A file that is written in place, slowly, is read only as it stands before or after.
-func TestNeverHalf(t *testing.T) {
+// A file that is written in place, slowly, is read only as it was before or is after. Half of a list of servers would take
+// the other half out of service.
+func TestNeverReadsHalfAFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.csv")
 	whole := func(i int) string { return strings.Repeat(fmt.Sprintf("row %d\n", i), 200) }
 	put(t, path, whole(0))
@@ -178,7 +140,7 @@
 					t.Fatalf("read %d bytes of %d, %v", len(got), len(whole(i)), s.Err)
 				}
 			case <-end:
-				t.Fatal("never read whole")
+				t.Fatal("never read completely")
 			}
 		}
 	}
