--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// A discovery that writes a limited number of entries a second once never recovered from a restart of the fleet: calls came so
-// fast that nearly all of them waited until they were rejected, and then came again.
+// A discovery can answer a limited rate of calls. Those that come faster wait until they are rejected, nearly all of them, and
+// come again: a fleet that restarts would never be informed. The clients must not call faster than discovery can answer.
 func TestSlowDiscoveryIsNotOverloaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers, rate = 36, 24, 180.0
--- a/internal/endpointmerge/tombstone_test.go
+++ b/internal/endpointmerge/tombstone_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A server that discovery has removed came back as soon as a file was read that still listed it, and requests went to a process
-// that was gone. A removal now overrides lists that say nothing new.
+// A file that still lists a server which discovery has removed would bring it back, and requests would go to a process that is
+// gone. A removal overrides lists that say nothing new.
 func TestTombstones(t *testing.T) {
 	s := sequence{t, New(testSettings())}
 	s.step(1, Snapshot{Source: "file", Revision: "f1", Servers: servers("p", 3)}, " s1@1 s2@1 s3@1")
--- a/internal/statefile/format_test.go
+++ b/internal/statefile/format_test.go
@@ -26,7 +26,7 @@
 	dir := filepath.Join("testdata", "view")
 	data, skipped, err := New(OS{}, dir, "view", 1).Load()
 	if err != nil || len(skipped) != 0 {
-		t.Fatalf("load: %v, passed over %v", err, skipped)
+		t.Fatalf("load: %v, skipped %v", err, skipped)
 	}
 	if want := formatStates[3]; !bytes.Equal(data, want) {
 		t.Errorf("read %q, want %q", data, want)
@@ -42,11 +42,11 @@
 		}
 		data, skipped, err := New(OS{}, alone, "view", 1).Load()
 		if want := formatStates[i+1]; err != nil || len(skipped) != 0 || !bytes.Equal(data, want) {
-			t.Errorf("%s: read %q (%v, passed over %v), want %q", name, data, err, skipped, want)
+			t.Errorf("%s: read %q (%v, skipped %v), want %q", name, data, err, skipped, want)
 		}
 	}
 	if _, skipped, err := New(OS{}, dir, "other", 1).Load(); !errors.Is(err, ErrNoState) || len(skipped) != 0 {
-		t.Errorf("another kind of state: %v, passed over %v", err, skipped)
+		t.Errorf("another kind of state: %v, skipped %v", err, skipped)
 	}
 }
 
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,100 +1,88 @@
-// Package statefile keeps a small piece of state in a folder so that a process killed at any moment finds the last state
-// or the one before, never a mixture: each generation is a file of its own, written under another name, flushed, renamed,
-// and the folder flushed. What is torn, truncated or foreign is passed over for the generation before.
+// Package statefile keeps a small state in a folder, such that a process that was killed at any moment finds its last state
+// or the one before, never a mixture. Each generation is a file of its own: it is written under another name, synced and
+// renamed, and the folder is synced. A generation that is torn, truncated or foreign is skipped for the one before.
 package statefile
 
 import (
-	"bytes"
-	"crypto/sha256"
-	"encoding/hex"
 	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 	"sort"
 	"strconv"
 	"strings"
 )
 
-// Keep is how many generations stay. Two would do for a kill at any moment; the third is for whoever wants to see what
-// was before.
+// KeptGenerations is how many generations stay. Two suffice for a kill at any moment; the third shows what was before.
 const KeptGenerations = 3
 
-// maxBytes bounds what is read: a state of ten thousand servers has four megabytes.
-const maxBytes = 64 << 20
+// generationDigits is the width of the number in a file's name.
+const generationDigits = 12
 
-const magic = "tackhub-state"
-
-// FS is what the store needs of a file system, so that tests can break it at every step.
-type FS interface {
-	ReadDir(dir string) ([]string, error)
-	ReadFile(path string) ([]byte, error)
-	// WriteSync creates a file anew, writes it whole and flushes it.
-	WriteSync(path string, data []byte) error
-	Rename(from, to string) error
-	Remove(path string) error
-	SyncDir(dir string) error
-}
+// ErrNoState says that no generation can be used.
+var ErrNoState = errors.New("no usable state")
 
-// Store is one kind of state in one folder.
+// Store is one kind of state in one folder. It is not safe for concurrent use.
 type Store struct {
 	fs      FS
 	dir     string
 	name    string
 	version int
-	last    uint64 // generation
+	last    uint64 // the newest generation, usable or not; 0: none is known
 }
 
-// ErrNone says that no generation could be used.
-var ErrNoState = errors.New("no usable state")
-
-// Skipped is a generation that was passed over, and why.
+// Skipped is a generation that cannot be used, and why.
 type Skipped struct {
 	File string
 	Err  error
 }
 
-// New makes a store. States of another version are foreign.
+// New returns a store for states of a name in a folder. States of another version are foreign to it.
 func New(fs FS, dir, name string, version int) *Store {
 	return &Store{fs: fs, dir: dir, name: name, version: version}
 }
 
-// Load gives the newest generation that is whole, and what was passed over. The error is ErrNone where there is none, or
-// says why the folder cannot be read.
+// Load returns the newest usable generation, and the newer ones that were skipped. The error is ErrNoState if none can be
+// used, or says why the folder cannot be read.
 func (s *Store) Load() (data []byte, skipped []Skipped, err error) {
-	gens, err := s.generations()
+	generations, err := s.generations()
 	if err != nil {
 		return nil, nil, err
 	}
-	for i, gen := range gens {
-		if i == 0 {
-			s.last = gen // what comes next must not take a number that stands, whole or not
-		}
-		raw, err := s.fs.ReadFile(s.path(gen))
-		if err == nil {
-			data, err = s.open(raw, gen)
-		}
+	if len(generations) > 0 {
+		s.last = generations[0] // the next one must not take the number of a file that exists, usable or not
+	}
+	for _, generation := range generations {
+		data, err := s.read(generation)
 		if err == nil {
 			return data, skipped, nil
 		}
-		skipped = append(skipped, Skipped{s.path(gen), err})
+		skipped = append(skipped, Skipped{File: s.path(generation), Err: err})
 	}
 	return nil, skipped, ErrNoState
 }
 
-// Save writes the next generation and takes the oldest away. After an error the generations before still stand.
+// read returns the data of one generation.
+func (s *Store) read(generation uint64) ([]byte, error) {
+	raw, err := s.fs.ReadFile(s.path(generation))
+	if err != nil {
+		return nil, err
+	}
+	return s.decode(raw, generation)
+}
+
+// Save writes the next generation and removes the oldest. After an error the earlier generations are still there.
 func (s *Store) Save(data []byte) error {
-	gen := s.last + 1
+	generation := s.last + 1
 	temp := filepath.Join(s.dir, s.name+".tmp")
-	if err := s.fs.WriteSync(temp, s.seal(data, gen)); err != nil {
-		_ = s.fs.Remove(temp) // a full disk is not to stay full for it
+	if err := s.fs.WriteSync(temp, s.encode(data, generation)); err != nil {
+		_ = s.fs.Remove(temp) // a full disk must not stay full because of it
 		return fmt.Errorf("writing %s: %w", temp, err)
 	}
-	if err := s.fs.Rename(temp, s.path(gen)); err != nil {
+	if err := s.fs.Rename(temp, s.path(generation)); err != nil {
 		_ = s.fs.Remove(temp)
 		return fmt.Errorf("renaming %s: %w", temp, err)
 	}
-	s.last = gen
+	s.last = generation
 	if err := s.fs.SyncDir(s.dir); err != nil {
 		return fmt.Errorf("flushing %s: %w", s.dir, err)
 	}
@@ -102,124 +90,37 @@
 	return nil
 }
 
-// prune takes away all but the newest generations. What cannot be taken away is tried again the next time.
+// prune removes all but the newest generations. What cannot be removed is tried again after the next save.
 func (s *Store) prune() {
-	gens, err := s.generations()
+	generations, err := s.generations()
 	if err != nil {
 		return
 	}
-	for _, gen := range gens[min(KeptGenerations, len(gens)):] {
-		_ = s.fs.Remove(s.path(gen))
+	for _, generation := range generations[min(KeptGenerations, len(generations)):] {
+		_ = s.fs.Remove(s.path(generation))
 	}
 }
 
-func (s *Store) path(gen uint64) string {
-	return filepath.Join(s.dir, fmt.Sprintf("%s.%012d", s.name, gen))
+func (s *Store) path(generation uint64) string {
+	return filepath.Join(s.dir, fmt.Sprintf("%s.%0*d", s.name, generationDigits, generation))
 }
 
-// generations are the numbers of the files that are there, newest first.
+// generations are the numbers of the files in the folder, newest first.
 func (s *Store) generations() ([]uint64, error) {
 	names, err := s.fs.ReadDir(s.dir)
 	if err != nil {
 		return nil, err
 	}
-	var out []uint64
-	for _, n := range names {
-		if text, ok := strings.CutPrefix(n, s.name+"."); ok && len(text) == 12 {
-			if gen, err := strconv.ParseUint(text, 10, 64); err == nil {
-				out = append(out, gen)
-			}
+	var generations []uint64
+	for _, name := range names {
+		digits, ours := strings.CutPrefix(name, s.name+".")
+		if !ours || len(digits) != generationDigits {
+			continue
+		}
+		if generation, err := strconv.ParseUint(digits, 10, 64); err == nil {
+			generations = append(generations, generation)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i] > out[j] })
-	return out, nil
-}
-
-// seal puts a line before the data that tells what it is, how long, and its checksum.
-func (s *Store) seal(data []byte, gen uint64) []byte {
-	head := fmt.Sprintf("%s %s version=%d generation=%d bytes=%d ", magic, s.name, s.version, gen, len(data))
-	return append([]byte(head+"sha256="+sum(head, data)+"\n"), data...)
-}
-
-func sum(head string, data []byte) string {
-	h := sha256.New()
-	_, _ = h.Write([]byte(head)) // a hash takes everything
-	_, _ = h.Write(data)
-	return hex.EncodeToString(h.Sum(nil))
-}
-
-// open checks a file and gives its data.
-func (s *Store) open(raw []byte, gen uint64) ([]byte, error) {
-	line, data, ok := bytes.Cut(raw, []byte("\n"))
-	if !ok {
-		return nil, errors.New("no first line: torn")
-	}
-	head, check, ok := strings.Cut(string(line), "sha256=")
-	if !ok || !strings.HasPrefix(head, magic+" "+s.name+" ") {
-		return nil, errors.New("a foreign file")
-	}
-	want := fmt.Sprintf("%s %s version=%d generation=%d bytes=%d ", magic, s.name, s.version, gen, len(data))
-	switch {
-	case head != want:
-		return nil, fmt.Errorf("its first line is %q, %q is wanted: torn, or of another version", strings.TrimSpace(head), strings.TrimSpace(want))
-	case sum(head, data) != check:
-		return nil, errors.New("its checksum differs")
-	}
-	return data, nil
-}
-
-// OS is the machine's file system.
-type OS struct{}
-
-// ReadDir gives the names in a folder.
-func (OS) ReadDir(dir string) ([]string, error) {
-	entries, err := os.ReadDir(dir)
-	if err != nil {
-		return nil, err
-	}
-	out := make([]string, len(entries))
-	for i, e := range entries {
-		out[i] = e.Name()
-	}
-	return out, nil
-}
-
-// ReadFile reads a file of a bounded size.
-func (OS) ReadFile(path string) ([]byte, error) {
-	info, err := os.Stat(path)
-	if err != nil {
-		return nil, err
-	}
-	if info.Size() > maxBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", info.Size(), maxBytes)
-	}
-	return os.ReadFile(path)
-}
-
-// WriteSync writes a file and flushes it.
-func (OS) WriteSync(path string, data []byte) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(data)
-	if err == nil {
-		err = f.Sync()
-	}
-	return errors.Join(err, f.Close())
-}
-
-// Rename moves a file within its folder.
-func (OS) Rename(from, to string) error { return os.Rename(from, to) }
-
-// Remove takes a file away.
-func (OS) Remove(path string) error { return os.Remove(path) }
-
-// SyncDir flushes a folder.
-func (OS) SyncDir(dir string) error {
-	f, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	return errors.Join(f.Sync(), f.Close())
+	sort.Slice(generations, func(i, j int) bool { return generations[i] > generations[j] })
+	return generations, nil
 }
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -11,49 +11,49 @@
 
 var errKilled = errors.New("killed")
 
-// mortal is a file system on which the process dies at a step: nothing after it happens, and the write at it is torn.
-type mortal struct {
+// failingFS is a file system on which the process dies at a step: nothing after it happens, and a write in it is torn.
+type failingFS struct {
 	OS
-	left int // steps before the end
-	torn int // bytes of the last write that reach the disk
-	fail error
+	stepsLeft int // steps that still succeed
+	tornBytes int // bytes of the last write that reach the disk
+	writeErr  error
 }
 
-func (m *mortal) step() error {
-	if m.left--; m.left < 0 {
+func (m *failingFS) step() error {
+	if m.stepsLeft--; m.stepsLeft < 0 {
 		return errKilled
 	}
 	return nil
 }
 
-func (m *mortal) WriteSync(path string, data []byte) error {
-	if m.fail != nil {
-		return m.fail
+func (m *failingFS) WriteSync(path string, data []byte) error {
+	if m.writeErr != nil {
+		return m.writeErr
 	}
 	if err := m.step(); err != nil {
-		if m.left == -1 {
-			_ = os.WriteFile(path, data[:min(m.torn, len(data))], 0o600)
+		if m.stepsLeft == -1 {
+			_ = os.WriteFile(path, data[:min(m.tornBytes, len(data))], 0o600)
 		}
 		return err
 	}
 	return m.OS.WriteSync(path, data)
 }
 
-func (m *mortal) Rename(from, to string) error {
+func (m *failingFS) Rename(from, to string) error {
 	if err := m.step(); err != nil {
 		return err
 	}
 	return m.OS.Rename(from, to)
 }
 
-func (m *mortal) Remove(path string) error {
+func (m *failingFS) Remove(path string) error {
 	if err := m.step(); err != nil {
 		return err
 	}
 	return m.OS.Remove(path)
 }
 
-func (m *mortal) SyncDir(dir string) error {
+func (m *failingFS) SyncDir(dir string) error {
 	if err := m.step(); err != nil {
 		return err
 	}
@@ -69,7 +69,9 @@
 	return string(data), skipped
 }
 
-// Killed at each step of a save, with each length of a torn write: the last state or the one before, never a mixture.
+// A process may be killed at any moment, also in the middle of a write, and a node that starts from a mixture of two states sends
+// requests to servers that are gone. Killed at each step of a save, with each length of a torn write, the store finds the last
+// state or the one before.
 func TestKilledAtEachStep(t *testing.T) {
 	for step := range 6 {
 		for torn := 0; torn < 120; torn += 7 {
@@ -80,7 +82,7 @@
 					t.Fatal(err)
 				}
 			}
-			dying := New(&mortal{left: step, torn: torn}, dir, "view", 1)
+			dying := New(&failingFS{stepsLeft: step, tornBytes: torn}, dir, "view", 1)
 			if _, _, err := dying.Load(); err != nil {
 				t.Fatal(err)
 			}
@@ -103,8 +105,8 @@
 	}
 }
 
-// The newest file truncated at every offset, or with any byte changed, is passed over for the one before.
-func TestTruncatedAndChanged(t *testing.T) {
+// The newest file, truncated at any offset or with any byte changed, is skipped for the one before.
+func TestSkipsDamagedGenerations(t *testing.T) {
 	dir := t.TempDir()
 	s := New(OS{}, dir, "view", 1)
 	for _, data := range []string{"before", "the last state\nwith two lines"} {
@@ -123,13 +125,13 @@
 				t.Fatal(err)
 			}
 			if got, skipped := load(t, dir); got != "before" || len(skipped) != 1 || skipped[0].File != newest {
-				t.Fatalf("%s at %d: %q, passed over %v", kind, n, got, skipped)
+				t.Fatalf("%s at %d: %q, skipped %v", kind, n, got, skipped)
 			}
 		}
 	}
 }
 
-func TestForeignAndFailing(t *testing.T) {
+func TestForeignFilesAndFailedWrites(t *testing.T) {
 	dir := t.TempDir()
 	if _, _, err := New(OS{}, dir, "view", 1).Load(); !errors.Is(err, ErrNoState) {
 		t.Errorf("an empty folder: %v", err)
@@ -148,7 +150,7 @@
 		t.Errorf("%d generations are kept: %v", len(names), names)
 	}
 	if _, skipped, err := New(OS{}, dir, "view", 2).Load(); !errors.Is(err, ErrNoState) || len(skipped) != KeptGenerations {
-		t.Errorf("another version was taken: %v %v", skipped, err)
+		t.Errorf("another version was read: %v %v", skipped, err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "view.000000000099"), []byte("something else\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -156,7 +158,7 @@
 	if got, skipped := load(t, dir); got != "5" || len(skipped) != 1 || !strings.Contains(skipped[0].Err.Error(), "foreign") {
 		t.Errorf("beside a foreign file: %q %v", got, skipped)
 	}
-	full := New(&mortal{fail: errors.New("no space left on device")}, dir, "view", 1)
+	full := New(&failingFS{writeErr: errors.New("no space left on device")}, dir, "view", 1)
 	if err := full.Save([]byte("x")); err == nil || !strings.Contains(err.Error(), "no space") {
 		t.Errorf("a full disk: %v", err)
 	}
