--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -5,113 +5,108 @@
 	"encoding/csv"
 	"errors"
 	"io"
-	"unicode/utf8"
 )
 
-// bom is what some tools write before UTF-8.
-var bom = []byte("\xef\xbb\xbf")
-
-// ParseCSV reads RFC 4180: a header names the columns, in any order; quoted fields, either end of line, a byte order mark and
-// comment lines beginning with # are read.
+// ParseCSV reads a list by RFC 4180. A header names the columns, in any order; quoted fields, either line ending, a byte
+// order mark and comment lines beginning with # are read. The error is a *Diagnostics.
 func ParseCSV(name string, raw []byte, o Options) (List, error) {
-	if err := tooLarge(name, raw); err != nil {
+	if err := checkSize(name, raw); err != nil {
 		return List{}, err
 	}
-	r := newReader(name, o)
-	body := bytes.TrimPrefix(raw, bom)
-	if !utf8.Valid(body) {
-		r.fault(place{line: 1 + bytes.Count(body[:firstInvalid(body)], []byte("\n")), column: 1}, "not UTF-8")
-		return r.list(raw)
+	r := &csvReader{reader: newReader(name, o)}
+	r.read(bytes.TrimPrefix(raw, byteOrderMark))
+	return r.result(raw)
+}
+
+// csvReader reads the rows of a CSV file.
+type csvReader struct {
+	*reader
+	csv     *csv.Reader
+	columns []string
+}
+
+// read reads the file up to an error that leaves nothing more to read.
+func (r *csvReader) read(body []byte) {
+	if at, ok := checkUTF8(body); !ok {
+		r.report(at, "not UTF-8")
+		return
 	}
-	c := csv.NewReader(bytes.NewReader(body))
-	c.Comment, c.ReuseRecord, c.FieldsPerRecord = '#', true, -1
-	columns := r.header(c)
-	if columns == nil {
-		return r.list(raw)
+	r.csv = csv.NewReader(bytes.NewReader(body))
+	r.csv.Comment = '#'
+	r.csv.ReuseRecord = true
+	r.csv.FieldsPerRecord = -1 // counted by addRecord, which names the row
+	if !r.readHeader() {
+		return
 	}
-	for n := 1; ; n++ {
-		record, err := c.Read()
+	for row := 1; ; row++ {
+		record, err := r.csv.Read()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			r.unreadable(err, n)
-			return r.list(raw)
+			r.reportParseError(err, row)
+			return
 		}
-		r.record(c, record, columns, n)
+		r.addRecord(record, row)
 	}
-	r.trailer(body, len(r.servers))
-	return r.list(raw)
+	r.checkTrailer(body)
 }
 
-// header reads the columns' names; nil where they cannot be taken.
-func (r *reader) header(c *csv.Reader) []string {
-	record, err := c.Read()
+// readHeader reads the names of the columns, and reports whether they can be used.
+func (r *csvReader) readHeader() bool {
+	record, err := r.csv.Read()
 	if errors.Is(err, io.EOF) {
-		r.fault(place{}, "the file is empty: a header is wanted")
-		return nil
+		r.report(position{}, "the file is empty: a header is wanted")
+		return false
 	}
 	if err != nil {
-		r.unreadable(err, 0)
-		return nil
+		r.reportParseError(err, 0)
+		return false
 	}
 	seen := map[string]bool{}
-	out := make([]string, 0, len(record))
 	for i, name := range record {
-		line, column := c.FieldPos(i)
-		field, _ := r.field(name)
+		field, _ := r.fieldName(name)
 		switch {
 		case field == "":
-			r.fault(place{line: line, column: column}, "column %d has no name", i+1)
+			r.report(r.position(i, 0), "column %d has no name", i+1)
 		case seen[field]:
-			r.fault(place{line: line, column: column}, "column %q comes twice", field)
+			r.report(r.position(i, 0), "column %q comes twice", field)
 		}
 		seen[field] = true
-		out = append(out, field)
+		r.columns = append(r.columns, field)
 	}
 	if !seen[fieldID] {
-		line, column := c.FieldPos(0)
-		r.fault(place{line: line, column: column}, "no column id")
-	}
-	if r.faults.Total > 0 {
-		return nil
+		r.report(r.position(0, 0), "no column id")
 	}
-	return out
+	return r.diagnostics.Total == 0
 }
 
-// record takes one row.
-func (r *reader) record(c *csv.Reader, record, columns []string, n int) {
-	line, column := c.FieldPos(0)
-	at := place{line, column, n}
-	if len(record) != len(columns) {
-		r.fault(at, "%d fields, the header has %d columns", len(record), len(columns))
-		r.servers = append(r.servers, Server{}) // rows keep their numbers
+// addRecord adds one row.
+func (r *csvReader) addRecord(record []string, row int) {
+	at := r.position(0, row)
+	if len(record) != len(r.columns) {
+		r.report(at, "%d fields, the header has %d columns", len(record), len(r.columns))
+		r.servers = append(r.servers, Server{}) // later rows keep their numbers
 		return
 	}
 	values := make(map[string]value, len(record))
 	for i, text := range record {
-		line, column := c.FieldPos(i)
-		values[columns[i]] = value{text: text, at: place{line, column, n}}
+		values[r.columns[i]] = value{text: text, at: r.position(i, row)}
 	}
-	r.row(at, values)
+	r.addRow(at, values)
 }
 
-func (r *reader) unreadable(err error, n int) {
-	var pe *csv.ParseError
-	if errors.As(err, &pe) {
-		r.fault(place{pe.Line, pe.Column, n}, "%v", pe.Err)
-		return
-	}
-	r.fault(place{row: n}, "%v", err)
+// position is where a field of the record read last stands.
+func (r *csvReader) position(field, row int) position {
+	line, column := r.csv.FieldPos(field)
+	return position{line: line, column: column, row: row}
 }
 
-func firstInvalid(b []byte) int {
-	for i := 0; i < len(b); {
-		c, n := utf8.DecodeRune(b[i:])
-		if c == utf8.RuneError && n <= 1 {
-			return i
-		}
-		i += n
+func (r *csvReader) reportParseError(err error, row int) {
+	var parseErr *csv.ParseError
+	if errors.As(err, &parseErr) {
+		r.report(position{line: parseErr.Line, column: parseErr.Column, row: row}, "%v", parseErr.Err)
+		return
 	}
-	return len(b)
+	r.report(position{row: row}, "%v", err)
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -134,7 +134,7 @@
 		{"a.yaml", "defaults: {id: x}\nservers: [{id: a}]\n", 1, "cannot be a default"},
 		{"a.yaml", deep, 1, "within each other"},
 		{"a.yaml", strings.Repeat("- ", 5000) + "x\n", 1, "within each other"},
-		{"a.yaml", "- id: s1\n  note: " + strings.Repeat("x", maxLine) + "\n", 2, "a line of"},
+		{"a.yaml", "- id: s1\n  note: " + strings.Repeat("x", maxLineBytes) + "\n", 2, "a line of"},
 		{"a.yaml", bomb, 0, ""},
 		{"a.txt", "id\ns1\n", 0, "ending"},
 	} {
