--- a/internal/configpos/locate_test.go
+++ b/internal/configpos/lines_test.go
@@ -22,7 +22,7 @@
 		{TOML(tomlText), "top", 1},
 		{TOML(tomlText), "a", 2},
 		{TOML(tomlText), "a.b", 3},
-		{TOML(tomlText), "a.c", 2}, // within a text: no key, so its table's line
+		{TOML(tomlText), "a.c", 2}, // within a string: no key, so the line of its table
 		{TOML(tomlText), "a.q.d", 6},
 		{TOML(tomlText), "a.e.f", 10},
 		{TOML(tomlText), "list[0].name", 12},
