--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli reads the node's command line: a command, its flags, its help. It stands on the standard library's flag. kong,
-// which tacklab uses, was tried first and costs the serving node 3.0 MB of resident memory and 7.2 MB of program, since
-// its look-ups of methods by name keep the linker from leaving anything out; docs/operating/command-line.md has the figures.
+// Package cli reads a command line: a command, its flags, and its help. It is a thin layer on the standard library's flag,
+// since libraries that look up methods by name keep the linker from removing unused code;
+// docs/operating/command-line.md compares the size.
 package cli
 
 import (
@@ -8,79 +8,87 @@
 	"flag"
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 )
 
-// Command is one subcommand.
+// Command is one command of a Program.
 type Command struct {
 	Name        string
-	ArgsUsage   string    // what follows the flags, for the usage line
-	Help        string    // one line
-	Subcommands []Command // commands below it; then it has neither flags nor a Run of its own
-	Flags       func(*flag.FlagSet)
-	// Run does the work; ErrFaults says that what was wrong has been printed.
-	Run func(args []string, out io.Writer) error
+	ArgsUsage   string                                   // what follows the flags, for the usage line; empty: no arguments are allowed
+	Help        string                                   // one line
+	Subcommands []Command                                // if there are any, the command has neither flags nor a Run of its own
+	Flags       func(*flag.FlagSet)                      // declares the flags; may be nil
+	Run         func(args []string, out io.Writer) error // ErrReported: what is wrong has been printed
 }
 
-// Program is the whole command line.
+// Program is a whole command line.
 type Program struct {
 	Name     string
-	Footer   []string // lines below the commands
+	Footer   []string // lines below the list of commands
 	Commands []Command
-	Default  string // the command where the first argument is none
+	Default  string // the command where the first argument is none; empty: there has to be one
 }
 
-// ErrFaults ends a command whose output already says what is wrong.
+// ErrReported is a command's error if its output already says what is wrong.
 var ErrReported = errors.New("faults were found")
 
 // The exit codes.
 const (
-	ExitOK = iota
-	ExitFailed
-	ExitUsage
+	ExitOK     = 0
+	ExitFailed = 1 // the command returned an error
+	ExitUsage  = 2 // the command line is wrong
 )
 
-// Run reads the arguments and runs one command; it gives the exit code.
-func (p Program) Run(args []string, out, errs io.Writer) int {
+// helpArgs are the first arguments that ask for help.
+var helpArgs = []string{"help", "--help", "-help", "-h"}
+
+// Run reads the arguments, runs one command and returns the exit code.
+func (p Program) Run(args []string, out, errOut io.Writer) int {
+	if len(args) > 0 && slices.Contains(helpArgs, args[0]) {
+		p.printUsage(out)
+		return ExitOK
+	}
 	name, rest := p.Default, args
 	if len(args) > 0 && !strings.HasPrefix(args[0], "-") {
 		name, rest = args[0], args[1:]
 	}
-	if len(args) > 0 && (args[0] == "help" || args[0] == "--help" || args[0] == "-help" || args[0] == "-h") {
-		p.usage(out)
-		return ExitOK
-	}
-	for _, c := range p.Commands {
-		if c.Name == name && c.Subcommands != nil {
-			return Program{Name: p.Name + " " + c.Name, Footer: []string{c.Help}, Commands: c.Subcommands}.Run(rest, out, errs)
-		}
-		if c.Name == name {
-			return p.run(c, rest, out, errs)
-		}
-	}
-	if name == "" {
-		p.usage(errs)
+	i := slices.IndexFunc(p.Commands, func(c Command) bool { return c.Name == name })
+	switch {
+	case i >= 0 && p.Commands[i].Subcommands != nil:
+		return p.subprogram(p.Commands[i]).Run(rest, out, errOut)
+	case i >= 0:
+		return p.runCommand(p.Commands[i], rest, out, errOut)
+	case name == "":
+		p.printUsage(errOut)
+		return ExitUsage
+	default:
+		_, _ = fmt.Fprintf(errOut, "%s: there is no command %q; see %s --help\n", p.Name, name, p.Name)
 		return ExitUsage
 	}
-	_, _ = fmt.Fprintf(errs, "%s: there is no command %q; see %s --help\n", p.Name, name, p.Name)
-	return ExitUsage
 }
 
-func (p Program) run(c Command, args []string, out, errs io.Writer) int {
+// subprogram is a command with subcommands as a program of its own.
+func (p Program) subprogram(c Command) Program {
+	return Program{Name: p.Name + " " + c.Name, Footer: []string{c.Help}, Commands: c.Subcommands}
+}
+
+// runCommand parses a command's flags and runs it.
+func (p Program) runCommand(c Command, args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet(c.Name, flag.ContinueOnError)
-	flags.SetOutput(io.Discard)
+	flags.SetOutput(io.Discard) // errors are printed below
 	if c.Flags != nil {
 		c.Flags(flags)
 	}
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
-		p.help(out, c, flags)
+		p.printHelp(out, c, flags)
 		return ExitOK
 	case err != nil:
-		_, _ = fmt.Fprintf(errs, "%s %s: %v; see %s %s --help\n", p.Name, c.Name, err, p.Name, c.Name)
+		_, _ = fmt.Fprintf(errOut, "%s %s: %v; see %s %s --help\n", p.Name, c.Name, err, p.Name, c.Name)
 		return ExitUsage
 	case flags.NArg() > 0 && c.ArgsUsage == "":
-		_, _ = fmt.Fprintf(errs, "%s %s: %q is too much; see %s %s --help\n", p.Name, c.Name, flags.Arg(0), p.Name, c.Name)
+		_, _ = fmt.Fprintf(errOut, "%s %s: %q is too much; see %s %s --help\n", p.Name, c.Name, flags.Arg(0), p.Name, c.Name)
 		return ExitUsage
 	}
 	switch err := c.Run(flags.Args(), out); {
@@ -89,13 +97,13 @@
 	case errors.Is(err, ErrReported):
 		return ExitFailed
 	default:
-		_, _ = fmt.Fprintf(errs, "%s: %v\n", p.Name, err)
+		_, _ = fmt.Fprintf(errOut, "%s: %v\n", p.Name, err)
 		return ExitFailed
 	}
 }
 
-// usage prints all commands.
-func (p Program) usage(out io.Writer) {
+// printUsage prints the list of commands.
+func (p Program) printUsage(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "Usage: %s [COMMAND] [FLAGS]\n\n", p.Name)
 	for _, c := range p.Commands {
 		note := ""
@@ -110,9 +118,10 @@
 	}
 }
 
-// help prints one command.
-func (p Program) help(out io.Writer, c Command, flags *flag.FlagSet) {
-	_, _ = fmt.Fprintf(out, "Usage: %s\n\n%s\n", strings.Join(strings.Fields(p.Name+" "+c.Name+" [FLAGS] "+c.ArgsUsage), " "), c.Help)
+// printHelp prints the usage of one command.
+func (p Program) printHelp(out io.Writer, c Command, flags *flag.FlagSet) {
+	usage := strings.Fields(p.Name + " " + c.Name + " [FLAGS] " + c.ArgsUsage)
+	_, _ = fmt.Fprintf(out, "Usage: %s\n\n%s\n", strings.Join(usage, " "), c.Help)
 	first := true
 	flags.VisitAll(func(f *flag.Flag) {
 		if first {
