--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Every fault is told, each with its line and key.
-func TestEveryFaultIsTold(t *testing.T) {
+// Everything that is wrong with a file is reported at once, each thing with its line and key.
+func TestEveryDiagnosticIsReported(t *testing.T) {
 	text := `[alpha]
 every = 250
 room = "12"
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestChecksAndUnreadable(t *testing.T) {
+func TestChecksAndUnreadableFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"[alpha]\nroom = \"1B\"\nmost = 0\n": "edge.toml:3: alpha.most: must be at least 1",
 		"[alpha\nmost = 1\n":                 "edge.toml:2",
@@ -98,7 +98,7 @@
 		t.Errorf("a missing file: %v", err)
 	}
 	large := filepath.Join(t.TempDir(), "large.toml")
-	if err := os.WriteFile(large, make([]byte, maxFile+1), 0o600); err != nil {
+	if err := os.WriteFile(large, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(large, sections); err == nil || !strings.Contains(err.Error(), "too many") {
