--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -11,7 +9,6 @@
 	"net"
 	"os"
 	"runtime/debug"
-	"strconv"
 	"sync/atomic"
 	"syscall"
 
@@ -50,12 +47,7 @@
 
 // identity is whose process this is. Everything that is held by a class's, a tenant's or a server's name is the settings'.
 func identity(c *config.Config) handover.Identity {
-	raw, err := json.Marshal(c.Settings)
-	if err != nil { // an endless number, which no file can have: then nothing is the same
-		raw = []byte(c.Name + c.Listen + strconv.Itoa(os.Getpid()))
-	}
-	sum := sha256.Sum256(raw)
-	return handover.Identity{Name: c.Name, Discovery: c.Discovery, Settings: hex.EncodeToString(sum[:])}
+	return handover.Identity{Name: c.Name, Discovery: c.Discovery, Settings: c.Settings.Digest}
 }
 
 // keepFor leaves of what the process before knew what is this one's as well. The list goes with its discovery, where
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -66,7 +66,8 @@
 	if s, err = with(`"how":"answers"`, `"how":"probe"`); err != nil || !s.Balancer.ReportsFromProbesOnly || !s.Balancer.LoadReports {
 		t.Errorf("read %+v, %v", s.Balancer, err)
 	}
-	// Reports that come with probes alone, which nobody may send: the module waited for news that never came.
+	// Reports that come with probes alone, which nobody may send: the module waited for news that
+	// never came.
 	if s, err = with(`"probes":true},"realms":[{"name":"t","quota_per_s":5}],
  "report":{"how":"answers"`, `"probes":false},"realms":[{"name":"t","quota_per_s":5}],
  "report":{"how":"probe"`); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 || s.Balancer.ProbesAllowed {
