--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// copyOf is an attempt under a test's control.
-type copyOf struct {
+// fakeAttempt is an attempt under a test's control.
+type fakeAttempt struct {
 	server  balancer.ServerID
 	wait    balancer.Millis
 	done    func(Completion)
@@ -75,28 +75,28 @@
 	aborted chan struct{}
 }
 
-func (c *copyOf) Abort() bool {
+func (c *fakeAttempt) Abort() bool {
 	close(c.aborted)
 	return c.written
 }
 
-// exchange is a client's request under a test's control.
-type exchange struct {
+// fakeRequest is a client's request under a test's control.
+type fakeRequest struct {
 	arrival balancer.Arrival
 	written bool
-	sent    chan *copyOf
+	sent    chan *fakeAttempt
 	answers chan Response
 }
 
-func newExchange(expires float64) *exchange {
-	return &exchange{arrival: balancer.Arrival{Class: "look", Deadline: expires}, written: true,
-		sent: make(chan *copyOf, 8), answers: make(chan Response, 8)}
+func newFakeRequest(expires float64) *fakeRequest {
+	return &fakeRequest{arrival: balancer.Arrival{Class: "look", Deadline: expires}, written: true,
+		sent: make(chan *fakeAttempt, 8), answers: make(chan Response, 8)}
 }
 
-func (x *exchange) Arrival() balancer.Arrival { return x.arrival }
-func (x *exchange) Respond(a Response)        { x.answers <- a }
-func (x *exchange) StartAttempt(s balancer.ServerID, wait, _ balancer.Millis, done func(Completion)) Attempt {
-	c := &copyOf{server: s, wait: wait, done: done, written: x.written, aborted: make(chan struct{})}
+func (x *fakeRequest) Arrival() balancer.Arrival { return x.arrival }
+func (x *fakeRequest) Respond(a Response)        { x.answers <- a }
+func (x *fakeRequest) StartAttempt(s balancer.ServerID, wait, _ balancer.Millis, done func(Completion)) Attempt {
+	c := &fakeAttempt{server: s, wait: wait, done: done, written: x.written, aborted: make(chan struct{})}
 	x.sent <- c
 	return c
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestFirstServedAnswers(t *testing.T) {
+func TestFirstServedAttemptAnswers(t *testing.T) {
 	e, s, clk, count := start(t, func(ev balancer.Event) []balancer.Action {
 		a, ok := ev.(balancer.Arrival)
 		if !ok {
@@ -141,7 +141,7 @@
 		return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1"}, balancer.StartAttempt{ID: a.ID, Server: "s2"},
 			balancer.StartAttempt{ID: a.ID, Server: "s3"}}
 	})
-	x := newExchange(clk.Now() + 5000)
+	x := newFakeRequest(clk.Now() + 5000)
 	e.Submit(x)
 	one, two := receive(t, x.sent), receive(t, x.sent)
 	want[balancer.Arrival](t, s)
@@ -164,10 +164,10 @@
 	}
 }
 
-func TestAttemptOutOfTime(t *testing.T) {
+func TestAttemptDeadline(t *testing.T) {
 	for written, result := range map[bool]balancer.Outcome{true: balancer.TimedOut, false: balancer.Unreachable} {
 		e, s, clk, _ := start(t, sendOnArrival)
-		x := newExchange(clk.Now() + 30)
+		x := newFakeRequest(clk.Now() + 30)
 		x.written = written
 		e.Submit(x)
 		c := receive(t, x.sent)
@@ -184,9 +184,9 @@
 	}
 }
 
-func TestLeavingWithdraws(t *testing.T) {
+func TestCancelledRequestCancelsItsAttempts(t *testing.T) {
 	e, s, clk, _ := start(t, sendOnArrival)
-	x := newExchange(clk.Now() + 5000)
+	x := newFakeRequest(clk.Now() + 5000)
 	ticket := e.Submit(x)
 	c := receive(t, x.sent)
 	ticket.Cancel()
@@ -198,8 +198,8 @@
 	ticket.Cancel() // a second time changes nothing
 	e.UpdateEndpoints(balancer.EndpointUpdate{})
 	want[balancer.EndpointUpdate](t, s)
-	if len(e.live) != 0 || len(x.answers) != 0 {
-		t.Errorf("%d requests kept, %d answers", len(e.live), len(x.answers))
+	if len(e.requests) != 0 || len(x.answers) != 0 {
+		t.Errorf("%d requests kept, %d answers", len(e.requests), len(x.answers))
 	}
 }
 
@@ -214,7 +214,7 @@
 		}
 		return nil
 	})
-	bad, good := newExchange(clk.Now()+5000), newExchange(clk.Now()+5000)
+	bad, good := newFakeRequest(clk.Now()+5000), newFakeRequest(clk.Now()+5000)
 	bad.arrival.Class = "bad"
 	e.Submit(bad)
 	e.Submit(good)
@@ -256,7 +256,7 @@
 		return nil
 	})
 	for expires, kind := range map[float64]ResponseKind{clk.Now() - 1: TimedOut, clk.Now() + 5000: Failed} {
-		x := newExchange(expires)
+		x := newFakeRequest(expires)
 		e.Submit(x)
 		if a := receive(t, x.answers); a.Kind != kind {
 			t.Errorf("kind %v, want %v", a.Kind, kind)
@@ -264,15 +264,16 @@
 	}
 }
 
-// TestAnAttemptThatFindsItsClientGoneEndsTheRequest: the module hears of the leaving alone, and has nothing to decide on.
-func TestAnAttemptThatFindsItsClientGoneEndsTheRequest(t *testing.T) {
+// TestAttemptThatFindsItsClientGoneEndsTheRequest: the module hears of the leaving alone, and has
+// nothing to decide on.
+func TestAttemptThatFindsItsClientGoneEndsTheRequest(t *testing.T) {
 	e, s, clk, count := start(t, func(event balancer.Event) []balancer.Action {
 		if a, ok := event.(balancer.Arrival); ok {
 			return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1", Deadline: a.Deadline}}
 		}
 		return nil
 	})
-	x := newExchange(clk.Now() + 60_000)
+	x := newFakeRequest(clk.Now() + 60_000)
 	ticket := e.Submit(x)
 	c := <-x.sent
 	c.done(Completion{Outcome: balancer.NotSent, ClientGone: true})
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// timer is one entry of the heap: a timer that the module set, or the end of an attempt's time.
+// timer is one entry of the heap: a timer that the module set, or an attempt's deadline.
 type timer struct {
 	at      float64
 	seq     uint64 // timers due at the same time fire in the order they were set
@@ -10,7 +10,7 @@
 	attempt *attempt
 }
 
-// timers is the one heap of all that falls due.
+// timers is a heap of all that falls due.
 type timers struct {
 	heap timerHeap
 	seq  uint64
