--- a/internal/shadow/watch_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -23,8 +23,8 @@
 		RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1}
 }
 
-// play drives a module through a run with failures, crowding, lost attempts, probes and messages, the same each time, and
-// gives the stream of its actions.
+// play drives a module through a run with failures, crowding, lost attempts, probes and messages,
+// the same each time, and gives the stream of its actions.
 func play(m engine.Module, steps int) []balancer.Action {
 	rng := rand.New(rand.NewPCG(5, 6))
 	var all []balancer.Action
@@ -98,7 +98,8 @@
 	return l
 }
 
-// The same settings on both sides count nothing, and watching any leaves the stream of actions as it is, chance included.
+// The same settings on both sides count nothing, and watching any leaves the stream of actions as
+// it is, chance included.
 func TestWatchingChangesNothing(t *testing.T) {
 	const steps = 3000
 	alone := play(newModule(t, settings()), steps)
@@ -147,7 +148,8 @@
 	}
 }
 
-// Guards against a class that the settings watched do not name, and against following others in mid-run.
+// Guards against a class that the settings watched do not name, and against following others in
+// mid-run.
 func TestOtherClassesAndAChange(t *testing.T) {
 	other, count := settings(), &counters.Shadow{}
 	other.Classes = other.Classes[1:]
