--- a/cmd/bench-adapter/main.go
+++ b/cmd/bench-adapter/main.go
@@ -1,4 +1,4 @@
-// Command bench-adapter puts the decision module on the simulator's wire: batches on standard input, replies
+// Command bench-adapter connects the balancer to the simulator's wire: batches on standard input, replies
 // on standard output, plain messages on standard error.
 package main
 
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -13,8 +13,8 @@
 
 // node is one instance and how its load reports are read; nothing in it is shared.
 type node struct {
-	logic *balancer.Balancer
-	at    Places
+	balancer *balancer.Balancer
+	indexes  ReportIndexes
 }
 
 // Host runs many instances over one pair of streams.
@@ -91,12 +91,12 @@
 	if e.What == "announce" {
 		lists = map[int][]balancer.Endpoint{e.Ref: Entries(h.lists[e.Ref])}
 	}
-	event := Translate(e, lists, n.at)
+	event := Translate(e, lists, n.indexes)
 	if event == nil {
 		return nil
 	}
 	var out []any
-	for _, a := range n.logic.Step(now, event) {
+	for _, a := range n.balancer.Step(now, event) {
 		out = append(out, Encode(a))
 	}
 	return out
@@ -113,6 +113,6 @@
 		fmt.Fprintf(h.errs, "instance %d: %v\n", id, err)
 		return []any{InternalError(err.Error())}
 	}
-	h.nodes[id] = &node{logic: l, at: Places{set.InFlightIndex, set.QueuedIndex}}
+	h.nodes[id] = &node{balancer: l, indexes: ReportIndexes{set.InFlightIndex, set.QueuedIndex}}
 	return nil
 }
--- a/internal/simadapter/simwire_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -114,7 +114,7 @@
 		feedback []float64
 		valid    bool
 	}{{[]float64{9, 8, 3}, true}, {[]float64{9}, false}, {nil, false}} {
-		e := Translate(&Event{What: "sampled", RC: "success", Feedback: c.feedback}, nil, Places{set.InFlightIndex, -1})
+		e := Translate(&Event{What: "sampled", RC: "success", Feedback: c.feedback}, nil, ReportIndexes{set.InFlightIndex, -1})
 		load := e.(balancer.LoadProbeCompleted).Report
 		if load.Valid != c.valid || c.valid && load.InFlight != 3 {
 			t.Errorf("%v: read as %+v", c.feedback, load)
