--- /dev/null
+++ b/internal/proxy/receive_test.go
@@ -0,0 +1,40 @@
+package proxy
+
+import "testing"
+
+func TestFirstSegment(t *testing.T) {
+	for uri, want := range map[string]string{"/checkout": "checkout", "/checkout/": "checkout", "/checkout?x=1": "checkout",
+		"/checkout/a/b": "checkout", "/checkout#f": "checkout", "//checkout": "", "/": "", "": "", "checkout": "",
+		"/check%6fut": "check%6fut", "http://h/checkout": ""} {
+		if got := firstSegment([]byte(uri)); got != want {
+			t.Errorf("%q: %q, want %q", uri, got, want)
+		}
+	}
+}
+
+func TestParseDeadline(t *testing.T) {
+	for s, want := range map[string]float64{"480": 480, "0": 0, "99999999": maxTimeout, "": -1, "-1": -1, "4.5": -1,
+		"1e3": -1, " 5": -1, "99999999999999999999": -1} {
+		got, ok := parseDeadline(s)
+		if ok != (want >= 0) || ok && got != want {
+			t.Errorf("%q: %v %v, want %v", s, got, ok, want)
+		}
+	}
+}
+
+func TestParseCostHint(t *testing.T) {
+	for s, want := range map[string]float64{"1500": 1.5, "0": 0, "": 0, "-3": 0, "NaN": 0, "Inf": 0, "x": 0} {
+		if got := parseCostHint(s); got != want {
+			t.Errorf("%q: %v, want %v", s, got, want)
+		}
+	}
+}
+
+func TestOriginForm(t *testing.T) {
+	for target, want := range map[string]string{"/look?x=1": "/look?x=1", "http://h/look?x=1": "/look?x=1", "HTTPS://h:1/look": "/look",
+		"http:///look": "http:///look", "http://h": "http://h", "http://h?/look": "http://h?/look", "*": "*", "": ""} {
+		if got := originForm([]byte(target)); string(got) != want {
+			t.Errorf("%q becomes %q, want %q", target, got, want)
+		}
+	}
+}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -6,76 +6,70 @@
 	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/body"
 	"tackhub.example/tackhub/internal/clock"
-	"tackhub.example/tackhub/internal/engine"
 )
 
-// uploader is a client whose request may have a large body that is still coming.
+// uploader is a Client whose request may have a large body that is still coming.
 type uploader interface {
-	// LargeBody is kept in a file; nil where the request has none such.
+	// LargeBody is the body's file; nil where the request has no large body.
 	LargeBody() *body.File
-	// ReadBody reads what is still to come, and calls ended before its last byte can go on to a server. It tells why the
-	// body cannot be taken, and with which status, or "".
+	// ReadBody reads the rest of the body. It calls ended before the last byte can be forwarded. A code other than "" says
+	// why the body could not be read, and status is the response's.
 	ReadBody(ctx *fasthttp.RequestCtx, ended func()) (status int, code string)
 }
 
-// kept is a large body in its file, or nothing.
-type kept struct{ *body.File }
-
-func large(client Client) *kept {
-	if c, ok := client.(uploader); ok {
-		if f := c.LargeBody(); f != nil {
-			return &kept{f}
-		}
-	}
-	return nil
-}
-
-// body is the file as the engine knows it; nil for none.
-func (k *kept) body() engine.RequestBody {
-	if k == nil {
+// largeBodyOf is the large body of a client's request; nil where it has none.
+func largeBodyOf(client Client) *body.File {
+	c, ok := client.(uploader)
+	if !ok {
 		return nil
 	}
-	return k.File
+	return c.LargeBody()
 }
 
-// uploadMost is how long a body that is still coming may take. The client's side ends one that is too slow for its size;
-// this only keeps the request's end from passing before.
-func (r *request) uploadMost() balancer.Millis {
-	if !r.taken.coming {
+// maxUploadTime is how long a body that is still uploaded may take; 0 where there is none. The client's connection ends an
+// upload that is too slow for its size: this bound only keeps the request from expiring before that.
+func (r *request) maxUploadTime() balancer.Millis {
+	if !r.received.uploading {
 		return 0
 	}
 	return clock.Millis(body.MaxTransferTime)
 }
 
-// upload reads what is still to come of a large body while the request is on its way. It tells how the request ended if its
-// body did not come whole, else nil.
-func (r *request) upload(ctx *fasthttp.RequestCtx, client Client) *ending {
-	if !r.taken.coming {
+// upload reads the rest of a large body while the request is already routed. It returns the request's outcome where the
+// body did not become complete, else nil.
+func (r *request) upload(ctx *fasthttp.RequestCtx) *outcome {
+	if !r.received.uploading {
 		return nil
 	}
-	early := false // answered while no server can have had its last byte, so nothing has run
-	status, code := client.(uploader).ReadBody(ctx, func() { early = len(r.answer) > 0 })
+	respondedEarly := false // answered before any server could have the last byte, so nothing has run
+	ended := func() { respondedEarly = len(r.response) > 0 }
+	status, code := r.client.(uploader).ReadBody(ctx, ended)
 	if code != "" {
-		r.drop() // no attempt has its last byte: nothing has run
-		client.SetCloseReason(ReasonBadRequest)
+		r.cancel() // no attempt has the last byte: nothing has run
+		r.client.SetCloseReason(ReasonBadRequest)
 		ctx.SetConnectionClose()
-		return &ending{status: status, rejected: code}
+		return &outcome{status: status, rejectCode: code}
 	}
-	// Its time counts from its last byte.
-	r.until = r.desk.within(r.desk.o.Clock.At(client.LastRead()) + r.wait)
-	if !early {
-		r.ticket.BodyReceived(r.until)
+	// The request's time counts from its last byte.
+	r.deadline = r.handler.limitDeadline(r.handler.options.Clock.At(r.client.LastRead()) + r.timeout)
+	if !respondedEarly {
+		r.ticket.BodyReceived(r.deadline)
 		return nil
 	}
-	// There was no place for it ahead of its end, or its server broke off. Only now it is a request: it is decided on as
-	// one. An answer that came later than that may be to what has run, and stands.
-	if a := <-r.answer; a.Remaining != nil {
-		a.Remaining.Close()
-	}
-	if e := r.gone(ctx, client); e != nil {
-		return e
+	return r.routeAgain(ctx)
+}
+
+// routeAgain routes a request anew whose response came before its body was complete: there was no capacity for it then, or
+// its server failed. Such a response is void, since nothing has run. One that comes after the last byte stands, since the
+// request may have run.
+func (r *request) routeAgain(ctx *fasthttp.RequestCtx) *outcome {
+	discard(<-r.response)
+	if r.client.Disconnected() {
+		o := r.clientLeft(ctx)
+		return &o
 	}
-	r.taken.coming, r.wire.expires = false, r.until
+	r.received.uploading = false
+	r.outgoing.expires = r.deadline
 	r.route()
 	return nil
 }
