--- a/internal/ingress/accept.go
+++ b/internal/ingress/accept.go
@@ -107,7 +107,7 @@
 	for !s.stopsAccepting(l, quiet) {
 		quiet = false
 		if !s.room() {
-			s.o.Count.Clients.Paused.Inc()
+			s.o.Counters.Clients.Paused.Inc()
 			time.Sleep(pauseStep)
 			continue
 		}
@@ -131,7 +131,7 @@
 		case socket.IsListenerBroken(err) && time.Since(brokenSince) >= brokenFor:
 			return err
 		default: // out of descriptors or buffers, or the connection was gone already
-			s.o.Count.Clients.Paused.Inc()
+			s.o.Counters.Clients.Paused.Inc()
 			s.makeRoom(err)
 			time.Sleep(pauseStep)
 		}
@@ -187,7 +187,7 @@
 func (s *Server) lowerLimit() {
 	n := max(fewest, int64(s.held()))
 	s.fits.Store(n)
-	s.o.Count.Clients.Short.Inc()
+	s.o.Counters.Clients.Short.Inc()
 	if s.due(&s.saidShort) {
 		s.o.Log.Warn("descriptors run short, clients that rest longest make way", "code", "descriptors_short", "clients", n)
 	}
@@ -268,8 +268,8 @@
 	if !c.waiting() && !s.draining() { // the kernel has kept it: it has been silent for as long
 		c.since, c.began = c.since.Add(-deferFor), c.began.Add(-deferFor)
 	}
-	s.o.Count.Clients.Opened.Inc()
-	s.o.Count.Clients.Open.Inc()
+	s.o.Counters.Clients.Opened.Inc()
+	s.o.Counters.Clients.Open.Inc()
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
--- a/internal/ingress/accept_test.go
+++ b/internal/ingress/accept_test.go
@@ -52,7 +52,7 @@
 	}
 	f := &failing{TCPListener: l.(*net.TCPListener)}
 	var s *Server
-	s = New(Options{Handler: desk, MaxConns: 100, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{},
+	s = New(Options{Handler: desk, MaxConns: 100, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: &counters.Counters{},
 		OnListenerBroken: func(l Listener, _ error) { s.Drain(l, drain.NewPlan(100*time.Millisecond).Start(time.Now())) }})
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(f) }()
--- a/internal/ingress/account.go
+++ b/internal/ingress/account.go
@@ -61,7 +61,7 @@
 // sayUnanswered names a request that ended without a whole answer. All are counted; the log names one now and then, and each
 // during a planned stop.
 func (s *Server) sayUnanswered(c *conn, r *inflight.Request) {
-	s.o.Count.Requests.Unanswered.Inc()
+	s.o.Counters.Requests.Unanswered.Inc()
 	if !s.draining() && !s.due(&s.saidUnanswered) {
 		return
 	}
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -178,7 +178,7 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		if c.reason == "" {
-			c.server.o.Count.Requests.Unsent.Inc()
+			c.server.o.Counters.Requests.Unsent.Inc()
 		}
 		c.end(endWrite)
 	}
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}})
+	s := New(Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: &counters.Counters{}})
 	c, err := newConn(nc, s)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -108,7 +108,7 @@
 	s.askedHeld = now
 	held, err := anyHeldBack(l.Addr())
 	if err != nil { // where it may not be asked, such connections are reset with the listener
-		s.o.Count.Clients.HeldUnknown.Inc()
+		s.o.Counters.Clients.HeldUnknown.Inc()
 	}
 	s.anyHeld = held
 	return s.anyHeld
--- a/internal/ingress/receive.go
+++ b/internal/ingress/receive.go
@@ -146,7 +146,7 @@
 	if !s.due(&s.saidRoom) {
 		return
 	}
-	s.o.Log.Warn("large requests are refused", "code", "no_room", "error", err, "refused", s.o.Count.Bodies.Refused.Get())
+	s.o.Log.Warn("large requests are refused", "code", "no_room", "error", err, "refused", s.o.Counters.Bodies.Refused.Get())
 }
 
 // LargeBody is the body of the request in hand where it is a large one, else nil.
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -51,7 +51,7 @@
 	MaxConns            int // connections; SetMost changes it
 	ReservedDescriptors int // descriptors of the process that they must leave, where the system gives twice as many
 	Log                 *slog.Logger
-	Count               *counters.Counters
+	Counters            *counters.Counters
 	// Broken begins a planned stop without a signal, where the listener has broken.
 	OnListenerBroken func(l Listener, err error)
 	// InFlight accounts for the requests that were taken.
@@ -144,9 +144,9 @@
 	if c.closesFor(endEvicted) {
 		s.evicting.Add(-1)
 	}
-	s.o.Count.Clients.Open.Add(-1)
+	s.o.Counters.Clients.Open.Add(-1)
 	c.SetCloseReason(endOther)
-	s.o.Count.ClientEnds.Inc(c.reason)
+	s.o.Counters.ClientEnds.Inc(c.reason)
 	args := []any{"code", c.reason, "client", c.RemoteAddr().String(), "requests", c.requests,
 		"age_ms", time.Since(c.opened).Milliseconds()}
 	if err != nil {
@@ -189,11 +189,11 @@
 		s.health(ctx)
 	case uri == countersPath:
 		ctx.SetContentType("application/json")
-		ctx.SetBody(s.o.Count.JSON())
+		ctx.SetBody(s.o.Counters.JSON())
 	default:
 		if status, code := s.receive(ctx, c); code != "" {
 			if status == fasthttp.StatusServiceUnavailable { // it ends here, and is booked nowhere else
-				s.o.Count.Operations.For(string(ctx.Request.Header.Peek("X-Class"))).Throttled.Inc()
+				s.o.Counters.Operations.For(string(ctx.Request.Header.Peek("X-Class"))).Throttled.Inc()
 			}
 			s.refuse(ctx, c, status, code)
 			break
@@ -240,7 +240,7 @@
 
 // refuse answers what is no request, and ends its connection: what follows on it can't be told from what came.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, c *conn, status int, code string) {
-	s.o.Count.Rejections.Inc(code)
+	s.o.Counters.Rejections.Inc(code)
 	if c != nil {
 		c.SetCloseReason(endBad)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -121,7 +121,7 @@
 	n.roster = endpoints.New(n.catalog, lateNews{n})
 	n.pool = upstream.New(upstream.Options{Addresses: n.roster, ConnectTimeout: clock.Span(connect(set)),
 		IdleTimeout: clock.Span(c.Settings.ServerIdleTimeout), ProbeTimeout: probeTime, MaxConns: each, MaxConnsPerServer: max(4, int(float64(each)*eachShare)), MaxIdlePerServer: spare(set.Nodes),
-		OnIdleClosed: func(id balancer.ServerID) { n.engine.Post(balancer.ConnectionClosed{Server: id}) }, LoadReports: set.LoadReports, QueueReports: c.Settings.QueuedIndex >= 0, Log: log, Count: count})
+		OnIdleClosed: func(id balancer.ServerID) { n.engine.Post(balancer.ConnectionClosed{Server: id}) }, LoadReports: set.LoadReports, QueueReports: c.Settings.QueuedIndex >= 0, Log: log, Counters: count})
 	n.back = back.New(back.Options{Resolver: n.roster, MaxExchanges: nstart, RetransmitWindow: clock.Span(set.DrainGrace / 2),
 		ParseLoad: n.pool.ParseLoad, Log: log, Count: &count.CoapServers})
 	n.watch = shadow.New(module, c.Watch, log, &count.Shadow)
@@ -136,8 +136,8 @@
 	n.classes = set.Classes
 	bodies := body.New(os.Getenv("TMPDIR"), files, max(fewestFiles, int(c.Limits.MemoryMB*bodyShare*(1<<20))/body.BufferSize), &count.Bodies)
 	n.desk = proxy.NewHandler(proxy.Options{Router: n.engine, Send: n.send, Clock: clk, Bodies: bodies, Classes: set.Classes,
-		DeadlineSlack: c.Settings.ResponseSlack, Log: log, Count: count})
-	n.ingress = ingress.New(ingress.Options{Handler: n.desk, Bodies: bodies, MaxConns: each, ReservedDescriptors: own / 2, InFlight: &n.inFlight, Log: log, Count: count,
+		DeadlineSlack: c.Settings.ResponseSlack, Log: log, Counters: count})
+	n.ingress = ingress.New(ingress.Options{Handler: n.desk, Bodies: bodies, MaxConns: each, ReservedDescriptors: own / 2, InFlight: &n.inFlight, Log: log, Counters: count,
 		OnListenerBroken: func(l ingress.Listener, err error) {
 			log.Error("the listener is broken, the node ends once all is answered", "code", "listener_broken", "error", err)
 			n.beginStop(n.plan.Start(time.Now()), l, "", log)
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -83,7 +83,7 @@
 	if math.IsInf(timeout, 1) {
 		timeout = r.timeout // it begins once the body is complete
 	}
-	relayed := &r.handler.options.Count.Operations.For(r.class.Name).Relayed
+	relayed := &r.handler.options.Counters.Operations.For(r.class.Name).Relayed
 	c := engine.OutgoingRequest{
 		Bytes:         r.outgoing.bytes(timeout),
 		Body:          r.outgoing.largeBody,
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -56,7 +56,7 @@
 	Classes       []balancer.Class
 	DeadlineSlack balancer.Millis // how long after its deadline a response still counts
 	Log           *slog.Logger
-	Count         *counters.Counters
+	Counters      *counters.Counters
 }
 
 // Handler takes requests through all stages.
@@ -86,8 +86,8 @@
 // Serve takes one request through all stages. A panic ends this request and its connection only.
 func (h *Handler) Serve(ctx *fasthttp.RequestCtx, client Client) {
 	r := newRequest(h, client)
-	h.options.Count.Requests.Taken.Inc()
-	h.options.Count.Requests.Open.Inc()
+	h.options.Counters.Requests.Taken.Inc()
+	h.options.Counters.Requests.Open.Inc()
 	streaming := false
 	defer func() {
 		if !streaming { // a stream releases the id when it is closed
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -55,7 +55,7 @@
 }
 
 func testHandler(r Router, count *counters.Counters) *Handler {
-	return NewHandler(Options{Router: r, Clock: clock.New(), DeadlineSlack: 5, Count: count,
+	return NewHandler(Options{Router: r, Clock: clock.New(), DeadlineSlack: 5, Counters: count,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Classes: []balancer.Class{{Name: "look"}}})
 }
 
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -17,13 +17,13 @@
 
 // count counts the request's one outcome.
 func (r *request) count(o outcome) {
-	c := &r.handler.options.Count.Requests
+	c := &r.handler.options.Counters.Requests
 	c.Open.Add(-1)
 	r.countByClass(o)
 	switch {
 	case o.rejectCode != "":
 		c.Rejected.Inc()
-		r.handler.options.Count.Rejections.Inc(o.rejectCode)
+		r.handler.options.Counters.Rejections.Inc(o.rejectCode)
 	case o.clientLeft:
 		c.Left.Inc()
 	case o.status == fasthttp.StatusOK:
@@ -43,7 +43,7 @@
 // countByClass counts the outcome under the request's class. A rejection below 500 is not counted there: what is malformed
 // is no request of a class.
 func (r *request) countByClass(o outcome) {
-	c := r.handler.options.Count.Operations.For(r.received.class)
+	c := r.handler.options.Counters.Operations.For(r.received.class)
 	malformed := o.rejectCode != "" && o.status < fasthttp.StatusInternalServerError
 	switch {
 	case malformed:
--- a/internal/proxy/requestids.go
+++ b/internal/proxy/requestids.go
@@ -88,7 +88,7 @@
 // are rejected here.
 func (h *Handler) TrackSiblingRequestID(id string, open bool) {
 	if !h.ids.trackSibling(id, open) {
-		h.options.Count.Handover.Dropped.Inc()
+		h.options.Counters.Handover.Dropped.Inc()
 	}
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -90,7 +90,7 @@
 	s.closed = true
 	s.rest.Close()
 	s.request.releaseID()
-	count := &s.request.handler.options.Count.Bodies
+	count := &s.request.handler.options.Counters.Bodies
 	if s.complete {
 		count.Passed.Inc()
 		s.request.count(outcome{status: fasthttp.StatusOK})
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -146,7 +146,7 @@
 		a.mu.Unlock()
 		return answer{}, endWrite, err
 	}
-	a.pool.o.Count.Attempts.Written.Inc()
+	a.pool.o.Counters.Attempts.Written.Inc()
 	a.copy.NotifyWritten()
 	return a.pool.readAnswer(c, resp)
 }
@@ -211,7 +211,7 @@
 	aborted, began := a.aborted, a.began
 	a.mu.Unlock()
 	if aborted {
-		a.pool.o.Count.Attempts.Late.Inc()
+		a.pool.o.Counters.Attempts.Late.Inc()
 		if end.Remaining != nil {
 			end.Remaining.Close()
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -40,7 +40,7 @@
 	QueueReports      bool                    // ... with the requests that wait
 	OnIdleClosed      func(balancer.ServerID) // an idle connection to it is no more; called from any goroutine, may wait. Nil: nobody asks
 	Log               *slog.Logger
-	Count             *counters.Counters
+	Counters          *counters.Counters
 }
 
 // Pool holds the connections.
@@ -97,7 +97,7 @@
 		case !c.quiet():
 			end(c, endPeerClosed, nil)
 		default:
-			p.o.Count.Servers.Reused.Inc()
+			p.o.Counters.Servers.Reused.Inc()
 			return c, nil
 		}
 	}
@@ -215,14 +215,14 @@
 	if !p.reserve(id) {
 		return nil, errRoom
 	}
-	p.o.Count.Servers.Dialed.Inc()
+	p.o.Counters.Servers.Dialed.Inc()
 	nc, err := p.dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		p.release(id)
 		p.logEnd(&conn{id: id, addr: addr, opened: time.Now()}, dialReason(ctx, err), err)
 		return nil, err
 	}
-	p.o.Count.Servers.Open.Inc()
+	p.o.Counters.Servers.Open.Inc()
 	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, readBuffer), id: id, addr: addr, opened: time.Now()}, nil
 }
 
@@ -244,7 +244,7 @@
 // end closes a connection, frees its place and leaves its log line.
 func (p *Pool) end(c *conn, reason string, err error) {
 	_ = c.Close() // nothing is left to be written
-	p.o.Count.Servers.Open.Add(-1)
+	p.o.Counters.Servers.Open.Add(-1)
 	p.release(c.id)
 	p.logEnd(c, reason, err)
 }
@@ -258,7 +258,7 @@
 }
 
 func (p *Pool) logEnd(c *conn, reason string, err error) {
-	p.o.Count.ServerEnds.Inc(reason)
+	p.o.Counters.ServerEnds.Inc(reason)
 	args := []any{"code", reason, "server", string(c.id), "addr", c.addr, "requests", c.requests,
 		"age_ms", time.Since(c.opened).Milliseconds()}
 	if err != nil {
--- a/internal/upstream/report.go
+++ b/internal/upstream/report.go
@@ -30,14 +30,14 @@
 		return balancer.LoadReport{}
 	}
 	if n, ok := parseLoad(text); ok {
-		p.o.Count.Reports.Read.Inc()
+		p.o.Counters.Reports.Read.Inc()
 		load := balancer.LoadReport{Valid: true, InFlight: n}
 		if p.o.QueueReports {
 			load.Queued, load.QueueKnown = figure(text, waitingNames)
 		}
 		return load
 	}
-	p.o.Count.Reports.Unknown.Inc()
+	p.o.Counters.Reports.Unknown.Inc()
 	return balancer.LoadReport{}
 }
 
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -142,7 +142,7 @@
 func testPool(a addresses, most, each int) (*Pool, *counters.Counters) {
 	count := &counters.Counters{}
 	return New(Options{Addresses: a, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ProbeTimeout: time.Second, MaxConns: most,
-		MaxConnsPerServer: each, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count}), count
+		MaxConnsPerServer: each, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: count}), count
 }
 
 func mustGet(t *testing.T, p *Pool, id balancer.ServerID) *conn {
