--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -12,157 +12,170 @@
 	"tackhub.example/tackhub/internal/body"
 	"tackhub.example/tackhub/internal/clock"
 	"tackhub.example/tackhub/internal/engine"
-	"tackhub.example/tackhub/internal/socket"
 )
 
-// maxProbe is the longest body that a probe's answer may have, in bytes: a load report has a line.
-const maxProbe = 64 << 10
-
-// Attempt is one copy of a request on one connection. It is written once; nothing sends it again.
+// Attempt is one copy of a request on one connection. It is written once and never resent.
 type Attempt struct {
 	pool    *Pool
 	server  balancer.ServerID
-	copy    engine.OutgoingRequest
-	began   time.Time
-	context context.Context
+	request engine.OutgoingRequest
+	context context.Context // ends with the attempt
 	cancel  context.CancelFunc
 	done    func(engine.Completion)
 
-	mu      sync.Mutex
-	conn    *conn
-	writing bool // from the moment that the server may get it whole
-	aborted bool
-	unkept  bool // a large body could not be read from where it is kept, came too late for a repeat, or nobody wants it
+	mu       sync.Mutex
+	began    time.Time // from which its duration is counted
+	conn     *conn     // nil: it has none, or returned it
+	mayBegin bool      // the server may have received the complete request
+	aborted  bool
 }
 
-// Send starts writing the copy to a server. Done is called once with the outcome, unless Abort comes first.
-func (p *Pool) Send(server balancer.ServerID, copied engine.OutgoingRequest, done func(engine.Completion)) *Attempt {
-	if copied.Body != nil {
-		copied.Body.Retain()
+// Send starts to write a copy of a request to a server and does not wait. Done is called once with the completion, unless
+// Abort comes first.
+func (p *Pool) Send(server balancer.ServerID, request engine.OutgoingRequest, done func(engine.Completion)) *Attempt {
+	if request.Body != nil {
+		request.Body.Retain()
 	}
-	a := &Attempt{pool: p, server: server, copy: copied, began: time.Now(), done: done}
+	a := &Attempt{pool: p, server: server, request: request, began: time.Now(), done: done}
 	a.context, a.cancel = context.WithCancel(context.Background())
 	go a.run()
 	return a
 }
 
-// Abort closes the attempt's connection, which frees its descriptor, and tells whether the server may have got
-// the request whole.
-func (a *Attempt) Abort() bool {
+// Abort closes the attempt's connection, which frees its descriptor at once. It reports whether the server may have received
+// the complete request.
+func (a *Attempt) Abort() (mayHaveRun bool) {
 	a.mu.Lock()
 	a.aborted = true
-	c, wrote := a.conn, a.writing
+	c := a.conn
+	mayHaveRun = a.mayBegin
 	a.mu.Unlock()
 	a.cancel()
 	if c != nil {
-		_ = c.Close() // run sees it and books the end
+		_ = c.Close() // run notices it and frees the connection's place
 	}
-	return wrote
+	return mayHaveRun
 }
 
 func (a *Attempt) run() {
 	defer a.cancel()
-	if a.copy.Body != nil {
-		defer a.copy.Body.Release()
+	if a.request.Body != nil {
+		defer a.request.Body.Release()
 	}
-	defer a.pool.recovered(func() { a.report(engine.Completion{Outcome: balancer.ConnectionLost}) })
-	c, err := a.pool.get(a.context, a.server)
-	switch {
-	case isLimit(err): // not the server's fault: it must not be excluded for it
-		a.report(engine.Completion{Outcome: balancer.NotSent})
-		return
-	case err != nil:
-		a.report(engine.Completion{Outcome: balancer.Unreachable})
+	defer a.pool.recoverPanic(func() { a.report(engine.Completion{Outcome: balancer.ConnectionLost}) })
+	c, err := a.pool.acquire(a.context, a.server)
+	if err != nil {
+		a.report(engine.Completion{Outcome: connectOutcome(err)})
 		return
 	}
-	if !a.hold(c) {
-		a.pool.end(c, endGaveUp, nil)
+	if !a.attach(c) {
+		a.pool.close(c, closeAborted, nil)
 		return
 	}
-	if refused := a.copy.CheckWritable(); refused != nil { // the connection came up too late for it, and serves another
-		a.release()
+	if err := a.request.CheckWritable(); err != nil { // the connection came up too late, and can serve another request
+		a.detach()
 		a.pool.put(c)
-		a.report(void(refused))
+		a.report(notSent(err))
 		return
 	}
-	resp := fasthttp.AcquireResponse()
-	reason, keep := endPanic, false
-	defer func() {
-		if keep { // the answer's rest has both
-			return
-		}
-		resp.Reset() // its stream reads from the connection
-		fasthttp.ReleaseResponse(resp)
-		a.pool.finish(c, reason, err)
-	}()
-	got, why, err := a.exchange(c, resp)
-	end := a.outcome(resp, got.body, why, err)
-	if !a.release() {
-		reason = endGaveUp
-		a.report(end)
-		return
-	}
-	if got.rest != nil && end.Outcome == balancer.OK {
-		keep, end.Remaining = true, got.rest
-	} else if got.rest != nil { // an error's body: nobody gets it, and what is left of it is not read
-		why = endGaveUp
+	a.roundTrip(c)
+}
+
+// connectOutcome is the outcome of an attempt that got no connection.
+func connectOutcome(err error) balancer.Outcome {
+	if isLocal(err) { // the server must not be ejected for it
+		return balancer.NotSent
 	}
-	reason = why
-	a.report(end)
+	return balancer.Unreachable
 }
 
-// void is the end of an attempt that was not written whole, for a reason that is not the server's.
-func void(why error) engine.Completion {
-	return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(why, engine.ErrClientGone)}
+// notSent is the completion of an attempt that was not written completely, for a reason that is not the server's fault.
+func notSent(reason error) engine.Completion {
+	return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(reason, engine.ErrClientGone)}
 }
 
-// hold gives the attempt its connection; false if it was given up meanwhile.
-func (a *Attempt) hold(c *conn) bool {
+// attach puts the connection within Abort's reach. It reports false if the attempt was aborted meanwhile.
+func (a *Attempt) attach(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.aborted {
 		return false
 	}
-	a.conn, a.writing = c, a.copy.Body == nil
+	a.conn = c
+	a.mayBegin = a.request.Body == nil
 	return true
 }
 
-// release takes the connection back from Abort's reach; false if that has closed it.
-func (a *Attempt) release() bool {
+// detach takes the connection out of Abort's reach. It reports false if Abort has closed it.
+func (a *Attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
 	return !a.aborted
 }
 
-// exchange writes the request and reads the answer. It returns why the connection cannot be used again, or "".
-func (a *Attempt) exchange(c *conn, resp *fasthttp.Response) (answer, string, error) {
+// roundTrip writes the request, reads the response, reports the completion and finishes with the connection.
+func (a *Attempt) roundTrip(c *conn) {
+	var err error
+	resp := fasthttp.AcquireResponse()
+	reason := closePanic // unless it is set below
+	streamed := false    // a Stream has taken over the connection and resp
+	defer func() {
+		if streamed {
+			return
+		}
+		resp.Reset() // its body reads from the connection
+		fasthttp.ReleaseResponse(resp)
+		a.pool.finish(c, reason, err)
+	}()
+	var got response
+	var readReason closeReason
+	got, readReason, err = a.exchange(c, resp)
+	end := a.completion(resp, got.body, readReason, err)
+	if !a.detach() {
+		reason = closeAborted
+		a.report(end)
+		return
+	}
+	switch {
+	case got.rest == nil:
+		reason = readReason
+	case end.Outcome == balancer.OK:
+		streamed = true
+		end.Remaining = got.rest
+	default: // nobody gets an error's body, so what is left of it is not read
+		reason = closeAborted
+	}
+	a.report(end)
+}
+
+// exchange writes the request and reads the response. The reason says why the connection cannot be reused.
+func (a *Attempt) exchange(c *conn, resp *fasthttp.Response) (response, closeReason, error) {
 	c.requests++
 	if err := a.write(c); err != nil {
-		a.unkept = errors.Is(err, body.ErrNoCapacity) || errors.Is(err, body.ErrStorage) ||
-			errors.Is(err, engine.ErrWriteDeadline) || errors.Is(err, engine.ErrClientGone)
 		a.mu.Lock()
-		a.writing = false // the last byte was never written: the server cannot have begun
+		a.mayBegin = false // the last byte was never written
 		a.mu.Unlock()
-		return answer{}, endWrite, err
+		return response{}, closeWriteFailed, err
 	}
-	a.pool.o.Counters.Attempts.Written.Inc()
-	a.copy.NotifyWritten()
-	return a.pool.readAnswer(c, resp)
+	a.pool.options.Counters.Attempts.Written.Inc()
+	a.request.NotifyWritten()
+	return a.pool.readResponse(c, resp)
 }
 
-// write sends the copy. The server can have got it whole only once its last piece is begun.
+// write writes the request. A server begins only with a complete request, so until the last piece of a large body is written
+// the attempt can be aborted as one that has not run.
 func (a *Attempt) write(c *conn) error {
-	if _, err := c.Write(a.copy.Bytes); err != nil || a.copy.Body == nil {
+	if _, err := c.Write(a.request.Bytes); err != nil || a.request.Body == nil {
 		return err
 	}
-	return a.copy.Body.ForEachChunk(func(piece []byte, last bool) error {
+	return a.request.Body.ForEachChunk(func(piece []byte, last bool) error {
 		if last {
-			if err := a.copy.CheckWritable(); err != nil {
+			if err := a.request.CheckWritable(); err != nil {
 				return err
 			}
 			a.mu.Lock()
-			a.writing = true
+			a.mayBegin = true
 			a.began = time.Now() // the server cannot begin before
 			a.mu.Unlock()
 		}
@@ -171,47 +184,39 @@
 	})
 }
 
-// read takes in a probe's answer.
-func read(c *conn, resp *fasthttp.Response) (string, error) {
-	if _, err := c.r.Peek(1); err != nil {
-		return endReset, err
-	}
-	if err := finalHead(c.r); err != nil {
-		return endBadAnswer, err
-	}
-	if err := resp.ReadLimitBody(c.r, maxProbe); err != nil {
-		return endBadAnswer, err
-	}
-	if resp.ConnectionClose() || c.r.Buffered() > 0 { // what comes unasked could pass for the next answer
-		return endAsked, nil
-	}
-	return "", nil
-}
-
-// outcome tells what became of the attempt.
-func (a *Attempt) outcome(resp *fasthttp.Response, body []byte, reason string, err error) engine.Completion {
+// completion is that of an attempt whose exchange is over.
+func (a *Attempt) completion(resp *fasthttp.Response, body []byte, reason closeReason, err error) engine.Completion {
 	switch reason {
-	case endWrite:
-		if a.unkept { // our own limit or disk: not the server's fault
-			return void(err)
+	case closeWriteFailed:
+		if isOwnWriteError(err) {
+			return notSent(err)
 		}
 		return engine.Completion{Outcome: balancer.Unreachable}
-	case endReset, endBadAnswer:
+	case closeReset, closeBadResponse:
 		return engine.Completion{Outcome: balancer.ConnectionLost}
 	}
-	end := engine.Completion{Outcome: classify(resp), Report: a.pool.load(resp.Header.Peek(loadHeader), false)}
+	end := engine.Completion{Outcome: classify(resp), Report: a.pool.parseLoad(resp.Header.Peek(headerLoad), false)}
 	if end.Outcome == balancer.OK {
 		end.Body = body
 	}
 	return end
 }
 
+// isOwnWriteError reports whether a request was not written completely for a reason of this node's or the client's: its large body
+// could not be read from where it is stored, came too late for a retry, or nobody wants it any more.
+func isOwnWriteError(err error) bool {
+	return errors.Is(err, body.ErrNoCapacity) || errors.Is(err, body.ErrStorage) ||
+		errors.Is(err, engine.ErrWriteDeadline) || errors.Is(err, engine.ErrClientGone)
+}
+
+// report passes the completion on, unless the attempt was aborted.
 func (a *Attempt) report(end engine.Completion) {
 	a.mu.Lock()
-	aborted, began := a.aborted, a.began
+	aborted := a.aborted
+	began := a.began
 	a.mu.Unlock()
 	if aborted {
-		a.pool.o.Counters.Attempts.Late.Inc()
+		a.pool.options.Counters.Attempts.Late.Inc()
 		if end.Remaining != nil {
 			end.Remaining.Close()
 		}
@@ -221,21 +226,19 @@
 	a.done(end)
 }
 
-// classify reads an answer's outcome. A server that answers 503 or 504 without saying that the request did not
-// run may have run it.
+// headerNotRun is set to 1 by a server that answers 503 or 504 and has not run the request.
+const headerNotRun = "X-Not-Run"
+
+// classify is the outcome that a response stands for. A server that answers 503 or 504 without headerNotRun may have run the
+// request.
 func classify(resp *fasthttp.Response) balancer.Outcome {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
 		return balancer.OK
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusGatewayTimeout:
-		if string(resp.Header.Peek(notRunHeader)) == "1" {
+		if string(resp.Header.Peek(headerNotRun)) == "1" {
 			return balancer.Overloaded
 		}
 	}
 	return balancer.Errored
 }
-
-// isLimit tells whether nothing was sent for a reason of our own: our limits, our machine's, or a server that has just left.
-func isLimit(err error) bool {
-	return errors.Is(err, errRoom) || errors.Is(err, errAddress) || socket.IsLocalFailure(err)
-}
--- /dev/null
+++ b/internal/upstream/dial_test.go
@@ -0,0 +1,66 @@
+package upstream
+
+import (
+	"context"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/engine"
+)
+
+func TestNoDescriptorIsNotTheServersFault(t *testing.T) {
+	for errno, local := range map[syscall.Errno]bool{syscall.EMFILE: true, syscall.ENFILE: true,
+		syscall.ECONNREFUSED: false} {
+		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)}
+		if isLocal(err) != local || dialReason(context.Background(), err) == closeEvicted != local {
+			t.Errorf("%v: local %v, reason %s", errno, isLocal(err), dialReason(context.Background(), err))
+		}
+	}
+}
+
+// TestDialReason: the reason tells an operator a dead process from a silent machine.
+func TestDialReason(t *testing.T) {
+	addr, _ := acceptingListener(t)
+	gone, cancel := context.WithCancel(context.Background())
+	cancel()
+	for name, c := range map[string]struct {
+		ctx     context.Context
+		timeout time.Duration
+		addr    string
+		reason  closeReason
+	}{
+		"silent":   {context.Background(), time.Nanosecond, addr, closeConnectTimeout},
+		"refused":  {context.Background(), time.Minute, "127.0.0.1:1", closeConnectRefused},
+		"given up": {gone, time.Minute, addr, closeAborted},
+	} {
+		p, count := testPool(fixedAddresses{"s1": c.addr}, 1, 1)
+		p.dialer.Timeout = c.timeout
+		if _, err := p.acquire(c.ctx, "s1"); err == nil || count.ServerEnds.Get(string(c.reason)) != 1 {
+			t.Errorf("%s: %v, counted %d as %s", name, err, count.ServerEnds.Get(string(c.reason)), c.reason)
+		}
+	}
+}
+
+// TestLocalConnectErrorsAreNotTheServersFault: connect(2) fails for a reason of this machine's, or of the server's.
+func TestLocalConnectErrorsAreNotTheServersFault(t *testing.T) {
+	for errno, want := range map[syscall.Errno]balancer.Outcome{
+		syscall.ENFILE: balancer.NotSent, syscall.EMFILE: balancer.NotSent, syscall.ENOBUFS: balancer.NotSent, syscall.EADDRNOTAVAIL: balancer.NotSent,
+		syscall.ENETUNREACH: balancer.NotSent, syscall.ECONNREFUSED: balancer.Unreachable, syscall.EHOSTUNREACH: balancer.Unreachable,
+		syscall.ETIMEDOUT: balancer.Unreachable,
+	} {
+		p, _ := testPool(fixedAddresses{"s": "127.0.0.1:1"}, 4, 4)
+		p.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", errno) }
+		ended := make(chan engine.Completion, 1)
+		p.Send("s", engine.OutgoingRequest{Bytes: []byte("x")}, func(e engine.Completion) { ended <- e })
+		if got := (<-ended).Outcome; got != want {
+			t.Errorf("%v: %s, want %s", errno, engine.OutcomeName(got), engine.OutcomeName(want))
+		}
+		if p.total != 0 {
+			t.Errorf("%v: a reservation is lost", errno)
+		}
+	}
+}
--- /dev/null
+++ b/internal/upstream/fixtures_test.go
@@ -0,0 +1,97 @@
+package upstream
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/counters"
+)
+
+// fixedAddresses resolves by a table.
+type fixedAddresses map[balancer.ServerID]string
+
+func (a fixedAddresses) Address(id balancer.ServerID) (string, bool) {
+	addr, ok := a[id]
+	return addr, ok
+}
+
+// acceptingListener accepts connections and keeps them open. The function returned waits for the i-th.
+func acceptingListener(t *testing.T) (string, func(int) net.Conn) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	accepted := make(chan net.Conn, 16)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			accepted <- c
+		}
+	}()
+	var all []net.Conn
+	t.Cleanup(func() {
+		for _, c := range all {
+			_ = c.Close()
+		}
+	})
+	return l.Addr().String(), func(i int) net.Conn {
+		t.Helper()
+		for len(all) <= i {
+			select {
+			case c := <-accepted:
+				all = append(all, c)
+			case <-time.After(10 * time.Second):
+				t.Fatalf("connection %d never came", i)
+			}
+		}
+		return all[i]
+	}
+}
+
+// silentListener accepts any number of connections and reads what comes.
+func silentListener(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				_, _ = io.Copy(io.Discard, c)
+				_ = c.Close()
+			}()
+		}
+	}()
+	return l.Addr().String()
+}
+
+func testPool(a fixedAddresses, maxConns, maxPerServer int) (*Pool, *counters.Counters) {
+	count := &counters.Counters{}
+	return New(Options{Addresses: a, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ProbeTimeout: time.Second, MaxConns: maxConns,
+		MaxConnsPerServer: maxPerServer, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: count}), count
+}
+
+func mustAcquire(t *testing.T, p *Pool, id balancer.ServerID) *conn {
+	t.Helper()
+	c, err := p.acquire(context.Background(), id)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -13,28 +13,36 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// Probe asks a server for a sign of life and, where servers report, its load. It does not wait.
+const (
+	// maxProbeBytes bounds the body of a probe's response; a load report is one line.
+	maxProbeBytes = 64 << 10
+
+	healthPath = "/ping"
+	loadPath   = "/_load" // in place of healthPath where servers report their load
+)
+
+// ProbeLoad checks a server's health and, where servers report it, its load. It does not wait; done is called with the completion.
 func (p *Pool) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
-	go p.probe(server, done)
+	go p.runProbe(server, done)
 }
 
-func (p *Pool) probe(server balancer.ServerID, done func(engine.Completion)) {
+func (p *Pool) runProbe(server balancer.ServerID, done func(engine.Completion)) {
 	began := time.Now()
-	defer p.recovered(func() {
+	defer p.recoverPanic(func() {
 		done(engine.Completion{Outcome: balancer.ConnectionLost, Elapsed: clock.Millis(time.Since(began))})
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), p.o.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), p.options.ProbeTimeout)
 	defer cancel()
-	end := p.ask(ctx, server)
+	end := p.probe(ctx, server)
 	end.Elapsed = clock.Millis(time.Since(began))
 	done(end)
 }
 
-// ask makes the probe. One that our own limits kept from being sent tells nothing of the server.
-func (p *Pool) ask(ctx context.Context, server balancer.ServerID) engine.Completion {
-	c, err := p.get(ctx, server)
+// probe sends one probe. One that this node's own limits kept from being sent says nothing of the server.
+func (p *Pool) probe(ctx context.Context, server balancer.ServerID) engine.Completion {
+	c, err := p.acquire(ctx, server)
 	switch {
-	case isLimit(err):
+	case isLocal(err):
 		return engine.Completion{Outcome: balancer.NotSent}
 	case err != nil && ctx.Err() != nil:
 		return engine.Completion{Outcome: balancer.TimedOut}
@@ -43,60 +51,76 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	reason := endPanic
+	reason := closePanic // unless it is set below
 	defer func() { p.finish(c, reason, err) }()
-	reason, err = p.ping(ctx, c, resp)
-	return p.probeEnd(resp, reason, err)
+	reason, err = p.exchangeProbe(ctx, c, resp)
+	return p.probeCompletion(resp, reason, err)
 }
 
-// ping writes the probe and reads its answer, within the context's time.
-func (p *Pool) ping(ctx context.Context, c *conn, resp *fasthttp.Response) (string, error) {
+// exchangeProbe writes the probe and reads its response, within the context's time. The reason says why the connection
+// cannot be reused.
+func (p *Pool) exchangeProbe(ctx context.Context, c *conn, resp *fasthttp.Response) (closeReason, error) {
 	deadline, _ := ctx.Deadline()
-	_ = c.SetDeadline(deadline) // it fails on a broken connection alone, which the write tells
+	_ = c.SetDeadline(deadline) // it fails only on a broken connection, where the write fails too
 	c.requests++
-	if _, err := c.Write(p.probeBytes(c.addr)); err != nil {
-		return endWrite, err
+	if _, err := c.Write(p.probeRequest(c.addr)); err != nil {
+		return closeWriteFailed, err
 	}
-	reason, err := read(c, resp)
+	reason, err := readProbeResponse(c, resp)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return endGaveUp, err
+		return closeAborted, err
 	}
 	_ = c.SetDeadline(time.Time{})
 	return reason, err
 }
 
-// finish keeps a connection for the next request, or ends it for a reason.
-func (p *Pool) finish(c *conn, reason string, err error) {
-	if reason == "" {
-		p.put(c)
-		return
+// probeRequest is the request of a probe.
+func (p *Pool) probeRequest(addr string) []byte {
+	path := healthPath
+	if p.options.LoadReports {
+		path = loadPath
+	}
+	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
+}
+
+// readProbeResponse reads a complete response.
+func readProbeResponse(c *conn, resp *fasthttp.Response) (closeReason, error) {
+	if _, err := c.reader.Peek(1); err != nil {
+		return closeReset, err
 	}
-	if reason == endAsked { // its answer was whole
-		p.drop(c, reason, err)
-		return
+	if err := skipInterim(c.reader); err != nil {
+		return closeBadResponse, err
 	}
-	p.end(c, reason, err)
+	if err := resp.ReadLimitBody(c.reader, maxProbeBytes); err != nil {
+		return closeBadResponse, err
+	}
+	if resp.ConnectionClose() || c.reader.Buffered() > 0 { // unsolicited bytes could pass for the next response
+		return closeServerAsked, nil
+	}
+	return reusable, nil
 }
 
-func (p *Pool) probeEnd(resp *fasthttp.Response, reason string, err error) engine.Completion {
+// probeCompletion is that of a probe whose exchange is over.
+func (p *Pool) probeCompletion(resp *fasthttp.Response, reason closeReason, err error) engine.Completion {
 	switch {
-	case reason == endGaveUp:
+	case reason == closeAborted:
 		return engine.Completion{Outcome: balancer.TimedOut}
-	case reason == endWrite:
+	case reason == closeWriteFailed:
 		return engine.Completion{Outcome: balancer.Unreachable}
 	case err != nil:
 		return engine.Completion{Outcome: balancer.ConnectionLost}
 	}
 	end := engine.Completion{Outcome: classifyProbe(resp.StatusCode())}
-	text := resp.Header.Peek(loadHeader)
-	if len(text) == 0 {
-		text = resp.Body()
+	report := resp.Header.Peek(headerLoad)
+	if len(report) == 0 {
+		report = resp.Body()
 	}
-	end.Report = p.load(text, end.Outcome == balancer.OK)
+	end.Report = p.parseLoad(report, end.Outcome == balancer.OK)
 	return end
 }
 
-// classifyProbe reads a probe's answer. 503 says that the server takes nothing now: load, not a fault.
+// classifyProbe is the outcome that a probe's status stands for. With 503 a server says that it is overloaded, which is not a
+// fault.
 func classifyProbe(status int) balancer.Outcome {
 	switch status {
 	case fasthttp.StatusOK:
@@ -106,12 +130,3 @@
 	}
 	return balancer.Errored
 }
-
-// probeBytes is the probe's request: with the load report where there are any.
-func (p *Pool) probeBytes(addr string) []byte {
-	path := "/ping"
-	if p.o.LoadReports {
-		path = "/_load"
-	}
-	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
-}
