--- a/internal/ingress/accept.go
+++ b/internal/ingress/accept.go
@@ -1,94 +1,37 @@
 package ingress
 
 import (
-	"cmp"
 	"errors"
-	"math"
 	"net"
-	"slices"
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"tackhub.example/tackhub/internal/faults"
 	"tackhub.example/tackhub/internal/socket"
 )
 
 const (
-	// pauseStep is how long accepting rests when descriptors have run out: one that was told to make way has gone
-	// by then, and a busy loop would take the core from those that end.
-	pauseStep = time.Millisecond
-
-	// softShare of the connections is where the ones longest idle begin to make way. Clients that connect anew for
-	// each request and stay then find a place without waiting for one to be cleared; and clients hold a third of the
-	// descriptors at most, beyond which they send nothing: idle ones must not use that up.
-	softShare = 0.3
-
-	// idleLeast is how long a connection must have stood idle to make way before the limit: a busy client's next
-	// request comes sooner.
-	idleLeast = 50 * time.Millisecond
-
-	// evictBatch is how many make way at once: looking through all of them for each new one costs too much CPU.
-	evictBatch = 16
-
-	// firstLeast is how long a connection that has sent nothing yet is kept when descriptors run out: a client with
-	// a request sends it at once, and hundreds that never do must not keep the others out for long.
-	firstLeast = 150 * time.Millisecond
-
-	// silentLeast is how long a connection whose request is not whole must have been silent to make way: a client that
-	// takes 2 s over a request writes all the while.
-	silentLeast = 300 * time.Millisecond
-
-	// fewest is how many connections there may be however few descriptors there are: a node that takes in nobody serves nobody.
-	fewest = 4
+	// acceptPause is how long accepting pauses when there is no room. A connection that is evicted has closed by then, and a
+	// busy loop would take the CPU from those that close.
+	acceptPause = time.Millisecond
 
-	// brokenFor is how long accept must say that the listener is broken before it is believed.
-	brokenFor = time.Second
-
-	// deferFor is how long the kernel keeps a connection on which nothing has come from us. It is the shortest
-	// there is: the kernel counts in repeats of its own answer, the first of which is due after a second.
-	deferFor = time.Second
+	// brokenTime is how long accept(2) must keep failing with an error of a broken listener before that is believed.
+	brokenTime = time.Second
 )
 
-// DeferAccept has the kernel hand connections over only once something has come on them, or after deferFor: those
-// who connect by hundreds and say nothing then take no descriptor, and keep nobody with a request waiting behind them.
-func DeferAccept(_, _ string, raw syscall.RawConn) error {
-	var err error
-	cerr := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_DEFER_ACCEPT, int(deferFor/time.Second))
-	})
-	return errors.Join(cerr, err)
-}
-
-// setDeferAccept has the kernel hold silent connections back, or hand each over at once.
-func setDeferAccept(l Listener, on bool) error {
-	raw, err := l.SyscallConn()
-	if err != nil {
-		return err
-	}
-	seconds := 0
-	if on {
-		seconds = int(deferFor / time.Second)
-	}
-	cerr := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_DEFER_ACCEPT, seconds)
-	})
-	return errors.Join(cerr, err)
-}
-
-// Serve accepts connections until a planned stop ends that or the listener breaks, and returns once every connection has
-// ended. What was taken is answered in either case: there is no time after which it is cut off.
+// Serve accepts connections until a graceful shutdown ends that or the listener fails for good, and returns once every
+// connection has ended. Every request that was read gets its response in either case, however long that takes. The error is
+// the listener's.
 func (s *Server) Serve(l Listener) error {
-	err := s.accept(l)
+	err := s.acceptAll(l)
 	if err != nil {
-		s.o.OnListenerBroken(l, err)
+		s.options.OnListenerBroken(l, err)
 	}
 	err = errors.Join(err, ignoreClosed(l.Close()))
-	for !s.ended() {
-		time.Sleep(drainStep)
+	for !s.allClosed() {
+		time.Sleep(drainInterval)
 	}
-	s.open.Wait()
+	s.serving.Wait()
 	return err
 }
 
@@ -100,156 +43,82 @@
 	return err
 }
 
-// accept takes connections in until a planned stop ends that; the error tells that the listener is broken.
-func (s *Server) accept(l Listener) error {
-	quiet := false            // the queue was found empty
-	var brokenSince time.Time // zero: the last call gave no sign that the listener is broken
-	for !s.stopsAccepting(l, quiet) {
-		quiet = false
-		if !s.room() {
-			s.o.Counters.Clients.Paused.Inc()
-			time.Sleep(pauseStep)
+// acceptAll accepts connections until a graceful shutdown ends that. An error says that the listener has failed for good.
+func (s *Server) acceptAll(l Listener) error {
+	queueEmpty := false       // as the last accept found it
+	var brokenSince time.Time // zero: the last accept gave no sign that the listener is broken
+	for !s.stopsAccepting(l, queueEmpty) {
+		queueEmpty = false
+		if !s.hasRoom() {
+			s.options.Counters.Clients.Paused.Inc()
+			time.Sleep(acceptPause)
 			continue
 		}
 		if s.draining() {
-			_ = l.SetDeadline(time.Now().Add(s.quietFor())) // a broken listener shows in Accept
+			_ = l.SetDeadline(time.Now().Add(s.quietTime())) // a broken listener shows in accept
 		}
-		nc, err := acceptFrom(l)
+		nc, err := acceptTCP(l)
 		if !socket.IsListenerBroken(err) {
 			brokenSince = time.Time{}
 		}
 		switch {
 		case err == nil:
-			s.noteDescriptor(nc)
-			s.take(nc)
+			s.checkDescriptor(nc)
+			s.add(nc)
 		case isTimeout(err):
-			quiet = true
+			queueEmpty = true
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case socket.IsListenerBroken(err) && brokenSince.IsZero():
 			brokenSince = time.Now()
-		case socket.IsListenerBroken(err) && time.Since(brokenSince) >= brokenFor:
+		case socket.IsListenerBroken(err) && time.Since(brokenSince) >= brokenTime:
 			return err
-		default: // out of descriptors or buffers, or the connection was gone already
-			s.o.Counters.Clients.Paused.Inc()
+		default: // out of descriptors or buffers, or the connection has closed already
+			s.options.Counters.Clients.Paused.Inc()
 			s.makeRoom(err)
-			time.Sleep(pauseStep)
+			time.Sleep(acceptPause)
 		}
 	}
 	return nil
 }
 
-// acceptFrom takes the next connection.
-func acceptFrom(l Listener) (*net.TCPConn, error) {
+// acceptTCP accepts the next connection.
+func acceptTCP(l Listener) (*net.TCPConn, error) {
 	if err := faults.Accept(); err != nil {
 		return nil, err
 	}
 	return l.AcceptTCP()
 }
 
-// makeRoom makes room where accept fails for want of descriptors or memory. Other errors concern one connection or pass by
-// themselves, and no client has to go for them.
-func (s *Server) makeRoom(err error) {
-	if socket.IsResourceExhausted(err) {
-		s.lowerLimit()
-		s.evict(0)
-	}
-}
-
-// limit is how many connections there may be: as many as were set, and no more than leave the process the descriptors that are
-// set aside.
-func (s *Server) limit() int { return int(min(s.most.Load(), s.fits.Load())) }
-
-// noteDescriptor looks at the descriptor that a connection was given. The kernel gives the lowest that is free, so one that is among the
-// last says how few are left, whoever holds the others. The system's limit is asked for each time: it may be lowered while the
-// process runs.
-func (s *Server) noteDescriptor(nc *net.TCPConn) {
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-		return
-	}
-	most := min(files.Cur, math.MaxInt32)
-	mark := most - min(uint64(s.o.ReservedDescriptors), most/2)
-	raw, err := nc.SyscallConn()
+// add begins to serve a connection.
+func (s *Server) add(nc *net.TCPConn) {
+	c, err := newConn(nc, s)
 	if err != nil {
+		_ = nc.Close() // it has broken already
 		return
 	}
-	short := false
-	_ = raw.Control(func(fd uintptr) { short = uint64(fd) >= mark }) // a closed one has none
-	if short {
-		s.lowerLimit()
-	} else if n := int64(s.held()) + 1; n >= s.fits.Load() {
-		s.fits.Store(n + 1) // there is room for one more at least
-	}
-}
-
-// lowerLimit has no more connections than there are now, and says once why those that rest longest make way.
-func (s *Server) lowerLimit() {
-	n := max(fewest, int64(s.held()))
-	s.fits.Store(n)
-	s.o.Counters.Clients.Short.Inc()
-	if s.due(&s.saidShort) {
-		s.o.Log.Warn("descriptors run short, clients that rest longest make way", "code", "descriptors_short", "clients", n)
-	}
-}
-
-// isTimeout reports whether a time of the node's own has passed. A connection that the kernel gave up (ETIMEDOUT) has broken.
-func isTimeout(err error) bool {
-	var ne net.Error
-	return errors.As(err, &ne) && ne.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
-}
-
-// room tells whether another connection may come. Well before the limit those longest idle make way.
-func (s *Server) room() bool {
-	n := s.held()
-	switch {
-	case s.evicting.Load() > 0: // some are about to go
-	case n >= s.limit():
-		s.evict(0)
-	case n >= int(softShare*float64(s.limit())):
-		s.evict(idleLeast)
+	if !c.hasUnread() && !s.draining() { // the kernel deferred it, so it has been silent that long
+		c.idleSince = c.idleSince.Add(-deferTime)
+		c.requestBegan = c.requestBegan.Add(-deferTime)
 	}
-	return n < s.limit()
+	s.options.Counters.Clients.Opened.Inc()
+	s.options.Counters.Clients.Open.Inc()
+	s.mu.Lock()
+	s.conns[c] = struct{}{}
+	s.mu.Unlock()
+	s.serving.Add(1)
+	go s.serve(c)
 }
 
-// held is how many connections there are.
-func (s *Server) held() int {
+// connCount is how many connections there are.
+func (s *Server) connCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// evict closes the connections that have stood idle longest, and so long at least. One just made is about to send
-// its request.
-func (s *Server) evict(least time.Duration) {
-	type idler struct {
-		c     *conn
-		since time.Duration
-	}
-	var idle []idler
-	for _, c := range s.all() {
-		if d, ok := c.idleFor(); ok && d >= least && (c.served() || d >= firstLeast) {
-			idle = append(idle, idler{c, d})
-		}
-	}
-	end := func(c *conn) bool { return c.closeWhenIdle(endEvicted) }
-	if len(idle) == 0 && least == 0 { // thousands may connect and never finish a request
-		end = func(c *conn) bool { return c.endIncomplete(endEvicted) }
-		for _, c := range s.all() {
-			if d, ok := c.silentFor(); ok && d >= silentLeast {
-				idle = append(idle, idler{c, d})
-			}
-		}
-	}
-	slices.SortFunc(idle, func(a, b idler) int { return cmp.Compare(b.since, a.since) })
-	for _, i := range idle[:min(evictBatch, len(idle))] {
-		if end(i.c) {
-			s.evicting.Add(1)
-		}
-	}
-}
-
-func (s *Server) all() []*conn {
+// allConns are the connections that there are.
+func (s *Server) allConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]*conn, 0, len(s.conns))
@@ -259,20 +128,9 @@
 	return out
 }
 
-func (s *Server) take(nc *net.TCPConn) {
-	c, err := newConn(nc, s)
-	if err != nil {
-		_ = nc.Close() // it was gone already
-		return
-	}
-	if !c.waiting() && !s.draining() { // the kernel has kept it: it has been silent for as long
-		c.since, c.began = c.since.Add(-deferFor), c.began.Add(-deferFor)
-	}
-	s.o.Counters.Clients.Opened.Inc()
-	s.o.Counters.Clients.Open.Inc()
-	s.mu.Lock()
-	s.conns[c] = struct{}{}
-	s.mu.Unlock()
-	s.open.Add(1)
-	go s.serve(c)
+// isTimeout reports whether a deadline of the node's own has passed. ETIMEDOUT, with which the kernel gives a connection up,
+// is none.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
 }
--- a/internal/ingress/accept_test.go
+++ b/internal/ingress/accept_test.go
@@ -18,52 +18,53 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// failing is a listener whose accept fails with an error for as long as that is set.
-type failing struct {
+// failingListener is a listener whose accept fails with errno while that is set.
+type failingListener struct {
 	*net.TCPListener
 	errno  atomic.Int64
 	failed atomic.Int64
 }
 
-func (f *failing) AcceptTCP() (*net.TCPConn, error) {
+func (f *failingListener) AcceptTCP() (*net.TCPConn, error) {
 	if errno := syscall.Errno(f.errno.Load()); errno != 0 {
 		f.failed.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 	}
-	_ = f.SetDeadline(time.Now().Add(10 * time.Millisecond)) // so that an error set meanwhile is met
+	_ = f.SetDeadline(time.Now().Add(10 * time.Millisecond)) // so that an errno that is set meanwhile takes effect
 	return f.TCPListener.AcceptTCP()
 }
 
-// gate answers a request once it is opened.
-type gate struct{ open chan struct{} }
+// gatedHandler handles a request once its gate is open.
+type gatedHandler struct{ open chan struct{} }
 
-func (g gate) Serve(ctx *fasthttp.RequestCtx, _ proxy.Client) {
+func (g gatedHandler) Serve(ctx *fasthttp.RequestCtx, _ proxy.Client) {
 	<-g.open
 	ctx.SetBodyString("done")
 }
 
-// serveFailing starts a server on a listener that can fail. Done gives what Serve returned.
-func serveFailing(t *testing.T, desk Handler) (*failing, *Server, <-chan error) {
+// serveFailing starts a server on a listener that can fail. The channel gives what Serve returns.
+func serveFailing(t *testing.T, handler Handler) (*failingListener, *Server, <-chan error) {
 	t.Helper()
 	config := net.ListenConfig{Control: DeferAccept} // as the node's
 	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &failing{TCPListener: l.(*net.TCPListener)}
+	f := &failingListener{TCPListener: l.(*net.TCPListener)}
 	var s *Server
-	s = New(Options{Handler: desk, MaxConns: 100, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: &counters.Counters{},
+	s = New(Options{Handler: handler, MaxConns: 100, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: &counters.Counters{},
 		OnListenerBroken: func(l Listener, _ error) { s.Drain(l, drain.NewPlan(100*time.Millisecond).Start(time.Now())) }})
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(f) }()
 	return f, s, done
 }
 
-// TestAcceptGoesOnAfterErrors has accept fail with each error that Linux documents for it, for a while.
+// TestAcceptGoesOnAfterErrors: accept(2) fails for a while with each error that Linux documents. Accepting goes on, and does
+// not spin meanwhile.
 func TestAcceptGoesOnAfterErrors(t *testing.T) {
 	opened := make(chan struct{})
 	close(opened)
-	f, s, done := serveFailing(t, gate{opened})
+	f, s, done := serveFailing(t, gatedHandler{opened})
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EINTR} {
@@ -88,10 +89,11 @@
 	}
 }
 
-// TestBrokenListenerLosesNothing has the listener break for good with a request in hand.
+// TestBrokenListenerLosesNothing: the listener fails for good with a request in flight. The server shuts down gracefully and
+// reports the error once the request has its response.
 func TestBrokenListenerLosesNothing(t *testing.T) {
 	opened := make(chan struct{})
-	f, s, done := serveFailing(t, gate{opened})
+	f, s, done := serveFailing(t, gatedHandler{opened})
 	status := make(chan int, 1)
 	go func() {
 		resp, err := http.Get("http://" + f.Addr().String() + "/look")
@@ -102,27 +104,27 @@
 		_ = resp.Body.Close()
 		status <- resp.StatusCode
 	}()
-	for end := time.Now().Add(10 * time.Second); s.o.InFlight.Open() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); s.options.InFlight.Open() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the request was not taken")
+			t.Fatal("the request was not read")
 		}
 	}
 	f.errno.Store(int64(syscall.EBADF))
 	for end := time.Now().Add(10 * time.Second); !s.draining(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no drain began")
+			t.Fatal("no shutdown began")
 		}
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("ended with a request in hand: %v", err)
+		t.Fatalf("ended with a request in flight: %v", err)
 	case <-time.After(drain.NewPlan(100 * time.Millisecond).Kill):
 	}
 	close(opened)
 	if got := <-status; got != http.StatusOK {
-		t.Errorf("the request in hand got status %d", got)
+		t.Errorf("the request in flight got status %d", got)
 	}
 	if err := <-done; err == nil {
-		t.Error("a broken listener is no error")
+		t.Error("a broken listener was not reported")
 	}
 }
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -12,61 +12,49 @@
 	"golang.org/x/sys/unix"
 
 	"tackhub.example/tackhub/internal/body"
-	"tackhub.example/tackhub/internal/proxy"
 	"tackhub.example/tackhub/internal/socket"
 )
 
-// The reason codes with which a client's connection ends, besides those that an exchange gives;
-// docs/oncall.md lists them.
 const (
-	endClosed  = "client_closed"        // between requests
-	endCut     = "client_cut"           // with a request half sent
-	endReset   = "client_reset"         // broken by the client or the network
-	endIdle    = "idle"                 // nothing came for the idle time
-	endSlow    = "slow_request"         // a request did not arrive whole in time
-	endBad     = proxy.ReasonBadRequest // what came could not be read as a request
-	endWrite   = "write_failed"         // the answer could not be written
-	endEvicted = "descriptor_limit"     // idle, and closed to make room
-	endDrained = "drained"              // the node is ending
-	endOther   = "ended"                // none of these
-)
-
-// lingerFor bounds how long a connection that ends with unread bytes is kept, so that its last answer arrives:
-// closing at once would reset it.
-const (
-	lingerFor   = 200 * time.Millisecond
+	// lingerTime and lingerBytes bound how long a connection that closes with unread bytes is kept open, so that its last
+	// response arrives: closing at once would reset it.
+	lingerTime  = 200 * time.Millisecond
 	lingerBytes = 256 << 10
+
+	// minKernelTime is the shortest time in the kernel's buffer that is believed: the kernel counts in ticks of up to 10 ms.
+	minKernelTime = 20 * time.Millisecond
 )
 
-// waitedLeast is the shortest wait in the kernel that is believed: it counts in ticks of up to 10 ms.
-const waitedLeast = 20 * time.Millisecond
+// inThePast is a deadline that ends a pending read, and every later one.
+var inThePast = time.Unix(1, 0)
 
-// conn is a client's connection. It knows whether it stands between requests, which is the only moment at
-// which the node may close it.
+// conn is a client's connection. It knows whether it is idle, that is between requests: only then the node may close it.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
 	server *Server
 	opened time.Time
 
-	mu        sync.Mutex
-	idle      bool // waiting for a request's first byte
-	handled   bool // the last request has its answer, which may yet be written
-	closing   string
-	reason    string
-	lastRead  time.Time
-	since     time.Time // idle since
-	requests  int
-	began     time.Time // the request that is coming or in hand
-	cutShort  bool      // made way with a request that was not whole: only what is here already is read
-	busy      bool      // a request is in hand: whole, and not yet answered ...
-	uploading bool      // ... but for the rest of a large body
+	mu          sync.Mutex
+	idle        bool   // waiting for a request's first byte
+	inFlight    bool   // a request was read and has no response yet ...
+	uploading   bool   // ... but for the rest of a large body
+	handled     bool   // the last request has its response, which may not be written yet
+	closing     string // why the node closes the connection; "": it does not
+	cutShort    bool   // closing with an incomplete request: only what has already come is read
+	closeReason string // why the connection ends, which the first cause decides; "": it does not
+
+	idleSince    time.Time
+	lastRead     time.Time
+	requestBegan time.Time // when the first byte of the current request came
+	requests     int
 
-	taken  []accounted // requests whose answers are not all handed to the kernel yet
-	broken bool        // an answer was broken off
+	tracked        []trackedRequest // requests whose responses are not all handed to the kernel
+	responseBroken bool             // a response was broken off
 
-	large *body.File // of the request in hand; the connection's goroutine alone has it and what is still to come of it
-	rest  *pacedBody
+	// The connection's goroutine alone uses these.
+	largeBody *body.File   // of the current request
+	bodyRest  *pacedReader // what is still to come of largeBody
 }
 
 func newConn(nc *net.TCPConn, s *Server) (*conn, error) {
@@ -75,290 +63,180 @@
 		return nil, err
 	}
 	now := time.Now()
-	return &conn{Conn: nc, raw: raw, server: s, opened: now, began: now, since: now, lastRead: now, idle: true}, nil
-}
-
-// Read notes the time of what comes and why nothing comes any more.
+	return &conn{
+		Conn:         nc,
+		raw:          raw,
+		server:       s,
+		opened:       now,
+		requestBegan: now,
+		idleSince:    now,
+		lastRead:     now,
+		idle:         true,
+	}, nil
+}
+
+// Read notes when bytes come, and why none come any more.
 func (c *conn) Read(p []byte) (int, error) {
-	c.await()
+	c.beginRead()
 	n, err := c.Conn.Read(p)
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.mayHaveCrossed() && c.waiting() {
-		// The request crossed our closing, for a drain, for room or after the idle time: it is here, so it is
-		// taken.
-		if derr := c.Conn.SetReadDeadline(time.Now().Add(headTime)); derr == nil {
-			n, err = c.Conn.Read(p)
-		}
-		if n > 0 && c.isCutShort() { // the rest of it must be here as well
-			_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // it fails on a broken connection alone
-		}
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.mayHaveCrossed() && c.hasUnread() {
+		n, err = c.readCrossed(p, n, err)
 	}
-	came := time.Now()
+	arrived := time.Now()
 	if n > 0 {
-		came = came.Add(-c.waited())
+		arrived = arrived.Add(-c.timeInKernel())
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n > 0 {
-		if c.idle && c.requests > 0 { // the first one's time runs from the connection's beginning
-			c.began = came
-		}
-		c.idle, c.lastRead = false, came
+		c.noteArrival(arrived)
 		return n, err
 	}
 	if c.closing != "" {
-		c.end(c.closing)
+		c.setCloseReason(c.closing)
 	}
 	if c.closing != "" && c.idle {
-		return 0, io.EOF // else the server would answer a request that never came
+		return 0, io.EOF // with another error the server would respond to a request that never came
 	}
-	c.end(c.readReason(err))
+	c.setCloseReason(c.readFailure(err))
 	return n, err
 }
 
-// waited is how long what was just read had lain in the kernel. A node that stood still, or whose backlog was
-// long, would else take an old request for a new one and work for a client that has gone.
-func (c *conn) waited() time.Duration {
-	var lay time.Duration
-	_ = c.raw.Control(func(fd uintptr) { // without an answer nothing is known to have waited
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			lay = time.Duration(info.Last_data_recv) * time.Millisecond
-		}
-	})
-	if lay < waitedLeast {
-		return 0
-	}
-	return lay
-}
-
-// await marks the connection as between requests if its last one was handled: reading goes on only once the
-// answer is written.
-func (c *conn) await() {
+// beginRead makes the connection idle if its last request was handled: the server reads on only once the response is written.
+func (c *conn) beginRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.handled {
-		c.handled, c.idle, c.since = false, true, time.Now()
+		c.handled = false
+		c.idle = true
+		c.idleSince = time.Now()
 		c.release(false)
 	}
 }
 
-func (c *conn) readReason(err error) string {
-	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.idle:
-		return endIdle
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return endSlow
-	case errors.Is(err, io.EOF) && c.idle:
-		return endClosed
-	case errors.Is(err, io.EOF):
-		return endCut
-	}
-	return endReset
-}
-
-// end notes the reason; the first one stands.
-func (c *conn) end(reason string) {
-	if c.reason == "" {
-		c.reason = reason
+// readCrossed reads a request that arrived just as the node closed the connection, for a shutdown, for room or after the idle
+// timeout. It is here, so it is served. N and err are what the read before returned.
+func (c *conn) readCrossed(p []byte, n int, err error) (int, error) {
+	if deadlineErr := c.Conn.SetReadDeadline(time.Now().Add(headTimeout)); deadlineErr == nil {
+		n, err = c.Conn.Read(p)
 	}
-}
-
-// Ends gives the reason why the connection ends.
-func (c *conn) SetCloseReason(reason string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.end(reason)
-}
-
-// Write notes a failure: the client did not get its answer.
-func (c *conn) Write(p []byte) (int, error) {
-	derr := c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	n, err := c.Conn.Write(p)
-	err = errors.Join(err, derr)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if err != nil {
-		if c.reason == "" {
-			c.server.o.Counters.Requests.Unsent.Inc()
-		}
-		c.end(endWrite)
+	if n > 0 && c.isCutShort() { // the rest of it must be here as well
+		_ = c.Conn.SetReadDeadline(inThePast) // it fails only on a broken connection
 	}
 	return n, err
 }
 
-// LastRead is when the latest bytes came.
-func (c *conn) LastRead() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lastRead
-}
-
-// closeReason tells why the connection is to end with its next answer, or "".
-func (c *conn) closeReason() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closing == "" && (c.server.draining() || c.server.AdminDrained()) {
-		return endDrained
+// noteArrival notes that bytes came. The caller holds the lock.
+func (c *conn) noteArrival(at time.Time) {
+	if c.idle && c.requests > 0 { // the first request's time is counted from the connection's beginning
+		c.requestBegan = at
 	}
-	return c.closing
-}
-
-// mayHaveCrossed tells whether what comes now may have crossed our closing.
-func (c *conn) mayHaveCrossed() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.idle || c.cutShort
-}
-
-// silentFor is how long nothing has come on a connection whose request is not whole yet; false where it has none such.
-func (c *conn) silentFor() (time.Duration, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Since(c.lastRead), !c.idle && !c.busy && !c.handled && c.closing == ""
+	c.idle = false
+	c.lastRead = at
 }
 
-// endIncomplete ends a connection whose request is not whole. Should the rest have come meanwhile it is still served.
-func (c *conn) endIncomplete(reason string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.idle || c.busy && !c.uploading || c.handled || c.cutShort {
-		return false
-	}
-	if c.closing != "" && reason != endDrained {
-		return false // its request crossed the end of a connection that makes way already
-	}
-	if c.closing == "" {
-		c.closing = reason
+// readFailure is the reason of a read that returned no bytes. The caller holds the lock.
+func (c *conn) readFailure(err error) string {
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
+	ended := errors.Is(err, io.EOF)
+	switch {
+	case timedOut && c.idle:
+		return closeIdleTimeout
+	case timedOut:
+		return closeSlowRequest
+	case ended && c.idle:
+		return closeClientClosed
+	case ended:
+		return closeClientCut
+	}
+	return closeClientReset
+}
+
+// timeInKernel is how long what was just read has waited in the kernel's buffer. After a pause of the process, or behind a
+// long backlog, an old request would otherwise count as new, and the node would work for a client that has given up.
+func (c *conn) timeInKernel() time.Duration {
+	var waited time.Duration
+	_ = c.raw.Control(func(fd uintptr) { // where it fails nothing is known to have waited
+		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		if err == nil {
+			waited = time.Duration(info.Last_data_recv) * time.Millisecond
+		}
+	})
+	if waited < minKernelTime {
+		return 0
 	}
-	c.cutShort = true
-	return c.Conn.SetReadDeadline(time.Unix(1, 0)) == nil
+	return waited
 }
 
-func (c *conn) isCutShort() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.cutShort
+// hasUnread reports whether bytes have come that were not read.
+func (c *conn) hasUnread() bool {
+	unread := false
+	_ = c.raw.Control(func(fd uintptr) { // it fails on a closed connection, which has none
+		n, err := socket.Peek(fd)
+		unread = err == nil && n > 0
+	})
+	return unread
 }
 
-// closeWhenIdle ends the connection if it stands between requests. A request that has arrived meanwhile is still served.
-func (c *conn) closeWhenIdle(reason string) bool {
+// Write notes a failure: the client did not get its response.
+func (c *conn) Write(p []byte) (int, error) {
+	deadlineErr := c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	n, err := c.Conn.Write(p)
+	err = errors.Join(err, deadlineErr)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idle || c.closing != "" {
-		return false
+	if err != nil {
+		if c.closeReason == "" {
+			c.server.options.Counters.Requests.Unsent.Inc()
+		}
+		c.setCloseReason(closeWriteFailed)
 	}
-	c.closing = reason
-	return c.Conn.SetReadDeadline(time.Unix(1, 0)) == nil
+	return n, err
 }
 
-// SetReadDeadline leaves the end that a closing connection was given: the server sets its own as it begins to read.
+// SetReadDeadline sets the deadline, unless the node closes the connection: the server sets one as it begins to read, and that
+// must not undo the closing.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cutShort || c.closing != "" && c.idle {
+	closingIdle := c.closing != "" && c.idle
+	if c.cutShort || closingIdle {
 		return nil
 	}
-	if first := c.began.Add(headTime); c.requests == 0 && t.After(first) {
-		t = first // the kernel may have kept it for a part of its time
+	if first := c.requestBegan.Add(headTimeout); c.requests == 0 && t.After(first) {
+		t = first // the kernel may have held the connection back for a part of its time
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetWriteDeadline does nothing: each write has its own, since a large answer may take long in all.
+// SetWriteDeadline does nothing: each write sets its own, since a large response may take long in all.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// Reset has the connection end in a way that the client can tell from a whole answer's end.
-func (c *conn) Reset() {
-	c.mu.Lock()
-	c.broken = true
-	c.mu.Unlock()
-	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it fails on a connection that is broken anyway
-	}
-}
-
-// closesFor tells whether the connection was told to end for a reason.
-func (c *conn) closesFor(reason string) bool {
+// LastRead is when the latest bytes came.
+func (c *conn) LastRead() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closing == reason
+	return c.lastRead
 }
 
-// idleFor is how long the connection has stood between requests; false if it does not.
-func (c *conn) idleFor() (time.Duration, bool) {
+// Reset makes the connection end with a reset, so that the client does not take a broken response for a complete one.
+func (c *conn) Reset() {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Since(c.since), c.idle && c.closing == ""
-}
-
-// waiting tells whether bytes have come that nobody has read.
-func (c *conn) waiting() bool {
-	got := false
-	_ = c.raw.Control(func(fd uintptr) { // a closed connection has none
-		n, err := socket.Peek(fd)
-		got = err == nil && n > 0
-	})
-	return got
-}
-
-// What a look at a connection shows.
-const (
-	peekNothing = iota
-	peekData
-	peekEnd
-)
-
-// peek looks at what has come, and takes nothing. An end behind bytes that nobody has read is an end: a client may have
-// sent more than its request and gone.
-func peek(fd uintptr) int {
-	n, err := socket.Peek(fd)
-	switch {
-	case errors.Is(err, syscall.EAGAIN):
-		return peekNothing
-	case err == nil && n > 0 && !socket.PeerClosed(fd):
-		return peekData
-	}
-	return peekEnd
-}
-
-// Left tells whether the client has gone already.
-func (c *conn) Disconnected() bool {
-	seen := peekNothing
-	err := c.raw.Control(func(fd uintptr) { seen = peek(fd) })
-	return err != nil || seen == peekEnd
-}
-
-// Watch tells when the client leaves, until stop is called. It only peeks, so that no byte of the next
-// request is lost, and looks on behind such bytes: each thing that comes wakes it once.
-func (c *conn) WatchDisconnect() (<-chan struct{}, func()) {
-	left, done := make(chan struct{}), make(chan struct{})
-	_ = c.Conn.SetReadDeadline(time.Time{}) // the request's own has been kept
-	go func() {
-		defer close(done)
-		seen := peekNothing
-		err := c.raw.Read(func(fd uintptr) bool {
-			seen = peek(fd)
-			return seen == peekEnd
-		})
-		if err == nil && seen == peekEnd {
-			close(left)
-		}
-	}()
-	return left, func() {
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes the watcher
-		<-done
-		_ = c.Conn.SetReadDeadline(time.Time{})
+	c.responseBroken = true
+	c.mu.Unlock()
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // it fails only on a broken connection
 	}
 }
 
-// Close ends the connection. Where something has come that nobody will read it lets the last answer arrive
-// first.
+// Close closes the connection. Where bytes have come that are not read it lets the last response arrive first.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	linger := c.reason == endBad
+	linger := c.closeReason == closeBadRequest
 	c.mu.Unlock()
-	if tcp, ok := c.Conn.(*net.TCPConn); ok && (linger || c.waiting()) {
-		if tcp.CloseWrite() == nil && tcp.SetReadDeadline(time.Now().Add(lingerFor)) == nil {
-			_, _ = io.CopyN(io.Discard, tcp, lingerBytes) // it is given up anyway
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && (linger || c.hasUnread()) {
+		if tcp.CloseWrite() == nil && tcp.SetReadDeadline(time.Now().Add(lingerTime)) == nil {
+			_, _ = io.CopyN(io.Discard, tcp, lingerBytes) // what comes is discarded anyway
 		}
 	}
 	return c.Conn.Close()
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -1,7 +1,6 @@
 package ingress
 
 import (
-	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -11,8 +10,8 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// pair is a client's end and the node's.
-func pair(t *testing.T) (net.Conn, *conn) {
+// connPair returns a client's end of a connection and the node's.
+func connPair(t *testing.T) (net.Conn, *conn) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -36,26 +35,27 @@
 	return client, c
 }
 
-func (c *conn) waitFor(t *testing.T, seen func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !seen(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing came")
+			t.Fatal("the condition never held")
 		}
 	}
 }
 
-// TestCrossedRequestIsRead lets a request arrive just before the node's closing takes effect.
+// TestCrossedRequestIsRead: a request arrives just before the node's closing takes effect. It is read and served.
 func TestCrossedRequestIsRead(t *testing.T) {
 	for name, closing := range map[string]func(*conn){
-		"doomed":    func(c *conn) { c.closeWhenIdle(endDrained) },
-		"idle time": func(c *conn) { _ = c.SetReadDeadline(time.Unix(1, 0)) },
+		"closing":      func(c *conn) { c.closeWhenIdle(closeDrained) },
+		"idle timeout": func(c *conn) { _ = c.SetReadDeadline(time.Unix(1, 0)) },
 	} {
-		client, c := pair(t)
+		client, c := connPair(t)
 		if _, err := client.Write([]byte("GET")); err != nil {
 			t.Fatal(err)
 		}
-		c.waitFor(t, c.waiting)
+		waitFor(t, c.hasUnread)
 		closing(c)
 		b := make([]byte, 8)
 		if n, err := c.Read(b); err != nil || string(b[:n]) != "GET" {
@@ -64,112 +64,52 @@
 	}
 }
 
-func TestDoomedConnectionEndsBetweenRequests(t *testing.T) {
-	_, c := pair(t)
-	if !c.closeWhenIdle(endEvicted) {
+func TestCloseWhenIdle(t *testing.T) {
+	_, c := connPair(t)
+	if !c.closeWhenIdle(closeEvicted) {
 		t.Fatal("an idle connection cannot be closed")
 	}
-	if n, err := c.Read(make([]byte, 8)); n != 0 || err != io.EOF || c.reason != endEvicted {
-		t.Errorf("read %d, %v, ended by %q", n, err, c.reason)
+	if n, err := c.Read(make([]byte, 8)); n != 0 || err != io.EOF || c.closeReason != closeEvicted {
+		t.Errorf("read %d, %v, ended by %q", n, err, c.closeReason)
 	}
-	client, busy := pair(t)
+	client, busy := connPair(t)
 	if _, err := client.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := busy.Read(make([]byte, 8)); err != nil {
 		t.Fatal(err)
 	}
-	if busy.closeWhenIdle(endEvicted) {
-		t.Error("a connection with a request in hand was closed")
+	if busy.closeWhenIdle(closeEvicted) {
+		t.Error("a connection with a request in flight was closed")
 	}
 }
 
-func TestReasons(t *testing.T) {
+func TestReadFailureReasons(t *testing.T) {
 	for _, c := range []struct {
 		name, reason string
 		act          func(client net.Conn, c *conn)
 	}{
-		{"closed between requests", endClosed, func(client net.Conn, _ *conn) { _ = client.Close() }},
-		{"idle", endIdle, func(_ net.Conn, c *conn) { _ = c.SetReadDeadline(time.Unix(1, 0)) }},
-		{"cut", endCut, func(client net.Conn, c *conn) {
+		{"closed between requests", closeClientClosed, func(client net.Conn, _ *conn) { _ = client.Close() }},
+		{"idle", closeIdleTimeout, func(_ net.Conn, c *conn) { _ = c.SetReadDeadline(time.Unix(1, 0)) }},
+		{"cut", closeClientCut, func(client net.Conn, c *conn) {
 			_, _ = client.Write([]byte("GET"))
 			_, _ = c.Read(make([]byte, 8))
 			_ = client.Close()
 		}},
-		{"slow", endSlow, func(client net.Conn, c *conn) {
+		{"slow", closeSlowRequest, func(client net.Conn, c *conn) {
 			_, _ = client.Write([]byte("GET"))
 			_, _ = c.Read(make([]byte, 8))
 			_ = c.SetReadDeadline(time.Unix(1, 0))
 		}},
-		{"reset", endReset, func(client net.Conn, c *conn) {
+		{"reset", closeClientReset, func(client net.Conn, c *conn) {
 			_ = client.(*net.TCPConn).SetLinger(0)
 			_ = client.Close()
 		}},
 	} {
-		client, server := pair(t)
+		client, server := connPair(t)
 		c.act(client, server)
-		if _, err := server.Read(make([]byte, 8)); err == nil || server.reason != c.reason {
-			t.Errorf("%s: %v, reason %q, want %q", c.name, err, server.reason, c.reason)
+		if _, err := server.Read(make([]byte, 8)); err == nil || server.closeReason != c.reason {
+			t.Errorf("%s: %v, reason %q, want %q", c.name, err, server.closeReason, c.reason)
 		}
 	}
 }
-
-func TestWatchSeesTheClientLeaveAndTakesNothing(t *testing.T) {
-	client, c := pair(t)
-	left, stop := c.WatchDisconnect()
-	if _, err := client.Write([]byte("next")); err != nil {
-		t.Fatal(err)
-	}
-	c.waitFor(t, c.waiting)
-	stop()
-	select {
-	case <-left:
-		t.Error("a client that sent its next request was taken to have left")
-	default:
-	}
-	b := make([]byte, 8)
-	if n, err := c.Read(b); err != nil || string(b[:n]) != "next" {
-		t.Errorf("the next request reads %q, %v", b[:n], err)
-	}
-	left, stop = c.WatchDisconnect()
-	defer stop()
-	_ = client.Close()
-	select {
-	case <-left:
-	case <-time.After(10 * time.Second):
-		t.Error("a client's leaving was not seen")
-	}
-}
-
-// TestLeavingBehindBytes: the end comes while bytes lie unread, and after them.
-func TestLeavingBehindBytes(t *testing.T) {
-	for name, end := range map[string]func(*net.TCPConn) error{
-		"closed":      (*net.TCPConn).Close,
-		"half closed": (*net.TCPConn).CloseWrite,
-		"reset":       func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
-	} {
-		t.Run(name, func(t *testing.T) {
-			client, c := pair(t)
-			left, stop := c.WatchDisconnect()
-			defer stop()
-			if _, err := client.Write([]byte("next")); err != nil {
-				t.Fatal(err)
-			}
-			c.waitFor(t, c.waiting)
-			if c.Disconnected() {
-				t.Error("a client that sent its next request was taken to have left")
-			}
-			if err := end(client.(*net.TCPConn)); err != nil {
-				t.Fatal(err)
-			}
-			select {
-			case <-left:
-			case <-time.After(10 * time.Second):
-				t.Error("a client's leaving was not seen")
-			}
-			if !c.Disconnected() {
-				t.Error("a client that has gone was not taken to have left")
-			}
-		})
-	}
-}
--- a/internal/ingress/framing.go
+++ b/internal/ingress/framing.go
@@ -6,19 +6,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Framing that two readers could take in two ways is refused before anything goes on: a second request hidden in
-// the first one's body must not reach a server (RFC 9112, sections 5 and 6). fasthttp refuses signed and repeated
-// lengths and bad names; measured with 1.79, it lets a length beside an encoding, the encoding "identity", folded
-// lines, names with spaces and single fields that come twice pass.
+// Framing that two parsers could read in two ways is rejected before anything is forwarded: a second request hidden in the
+// first one's body must not reach a server (RFC 9112, sections 5 and 6). fasthttp rejects signed and repeated lengths and bad
+// names; version 1.79 accepts a length beside an encoding, the encoding "identity", folded lines, names with spaces, and
+// single fields that come twice.
 
-// single are the fields that have one meaning only where they come once.
-var single = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key"}
+// singleFields are the fields that may come only once.
+var singleFields = []string{headerID, headerClass, "X-Tenant", "X-Deadline-Ms", "Idempotency-Key"}
 
-// badFraming names what is wrong with a request's head, or "".
+// badFraming says what is wrong with a request's head; "": nothing.
 func badFraming(h *fasthttp.RequestHeader) string {
-	raw := h.RawHeaders()
-	length, encoding := false, false
-	for line := range bytes.Lines(raw) {
+	hasLength := false
+	hasEncoding := false
+	for line := range bytes.Lines(h.RawHeaders()) {
 		if line[0] == ' ' || line[0] == '\t' {
 			return "folded_field"
 		}
@@ -29,18 +29,18 @@
 		case bytes.ContainsAny(name, " \t"):
 			return "bad_field_name"
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			length = true
+			hasLength = true
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			if !bytes.EqualFold(bytes.TrimSpace(value), []byte("chunked")) {
 				return "bad_encoding"
 			}
-			encoding = true
+			hasEncoding = true
 		}
 	}
-	if length && encoding {
+	if hasLength && hasEncoding {
 		return "length_and_encoding"
 	}
-	for _, name := range single {
+	for _, name := range singleFields {
 		if len(h.PeekAll(name)) > 1 {
 			return "repeated_field"
 		}
--- a/internal/ingress/heldback_test.go
+++ b/internal/ingress/halfopen_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestHeldBackConnectionsAreSeen has the kernel hold a silent connection back, and hand it over once something came.
-func TestHeldBackConnectionsAreSeen(t *testing.T) {
+// TestAnyHalfOpen: the kernel holds a silent connection back, and hands it over once something has come. Both must be seen, or
+// a shutdown would reset the connection.
+func TestAnyHalfOpen(t *testing.T) {
 	config := net.ListenConfig{Control: DeferAccept}
 	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -15,13 +16,13 @@
 	}
 	defer func() { _ = l.Close() }()
 	held := func() bool {
-		got, err := anyHeldBack(l.Addr())
+		got, err := anyHalfOpen(l.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		return got
 	}
-	if held() || queued(l.(*net.TCPListener)) {
+	if held() || hasQueued(l.(*net.TCPListener)) {
 		t.Error("connections before any was made")
 	}
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -29,15 +30,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	if !held() || queued(l.(*net.TCPListener)) {
-		t.Error("a silent connection is not seen as held back")
+	if !held() || hasQueued(l.(*net.TCPListener)) {
+		t.Error("a silent connection is not seen as half-open")
 	}
 	if _, err := c.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(time.Second); held() || !queued(l.(*net.TCPListener)); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Second); held() || !hasQueued(l.(*net.TCPListener)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("a connection with bytes on it stays held back, or is not seen in the queue")
+			t.Fatal("a connection with bytes on it stays half-open, or is not seen in the queue")
 		}
 	}
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,12 +1,11 @@
-// Package ingress holds the clients' side: the listener, the HTTP server on each connection, and the drain.
+// Package ingress holds the clients' side of the node: the listener, the HTTP server on each connection, the limits on
+// connections, and their graceful shutdown.
 package ingress
 
 import (
-	"errors"
 	"log/slog"
 	"math"
 	"net"
-	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -22,18 +21,15 @@
 )
 
 const (
-	// writeTimeout bounds the writing of one piece of an answer: a client that takes nothing for so long does not read.
+	// writeTimeout bounds the writing of one piece of a response. A client that takes nothing for so long does not read.
 	writeTimeout = 3 * time.Second
 
-	// idleTimeout is how long a client's connection may stand between requests: by the operators' page it may go
-	// after 2 s. Clients that ask once and stay would else hold a descriptor and buffers each for good.
+	// idleTimeout is how long a client's connection may be idle. Clients that send one request and stay would otherwise
+	// hold a descriptor and buffers for good; the protocol allows a close after 2 s.
 	idleTimeout = 3 * time.Second
 
-	// maxHead bounds a request's line and fields; it is also each connection's read buffer.
-	maxHead = 8 << 10
-
-	healthPath   = "/_health"
-	countersPath = "/_counters" // no class can have it: admission asks for a class of the settings
+	// maxHeadBytes bounds a request's line and fields. It is also the size of each connection's read buffer.
+	maxHeadBytes = 8 << 10
 )
 
 // Listener is where clients' connections come from: a *net.TCPListener, or in tests one that fails.
@@ -44,206 +40,99 @@
 	SyscallConn() (syscall.RawConn, error)
 }
 
-// Options are what a server works with.
+// Handler handles requests.
+type Handler interface {
+	Serve(*fasthttp.RequestCtx, proxy.Client)
+}
+
+// Options configure a Server.
 type Options struct {
-	Handler             Handler
-	Bodies              *body.Store
-	MaxConns            int // connections; SetMost changes it
-	ReservedDescriptors int // descriptors of the process that they must leave, where the system gives twice as many
+	Handler  Handler
+	Bodies   *body.Store // nil: no large request bodies
+	MaxConns int         // connections; SetMaxConns changes it
+	// ReservedDescriptors is how many of the process's descriptors connections must leave free, but no more than half of
+	// them.
+	ReservedDescriptors int
 	Log                 *slog.Logger
 	Counters            *counters.Counters
-	// Broken begins a planned stop without a signal, where the listener has broken.
+	// OnListenerBroken is called when the listener has failed for good. It must begin a graceful shutdown.
 	OnListenerBroken func(l Listener, err error)
-	// InFlight accounts for the requests that were taken.
+	// InFlight tracks the requests that were read; nil: a tracker of the server's own.
 	InFlight *inflight.Tracker
 }
 
-// Desk serves requests.
-type Handler interface {
-	Serve(*fasthttp.RequestCtx, proxy.Client)
-}
-
-// Server takes clients' connections in.
+// Server serves clients' connections.
 type Server struct {
-	o    Options
-	http fasthttp.Server
-
-	made time.Time
-	stop atomic.Pointer[drain.Schedule] // nil: no planned stop has begun
-
-	askedHeld time.Time // when the kernel was last asked for connections that it holds back; Serve alone uses it
-	anyHeld   bool      // what it said
-
-	mu     sync.Mutex
-	conns  map[*conn]struct{}
-	byHand *handDrain // nil: clients are welcome
-
-	most      atomic.Int64
-	succeeded atomic.Bool // another process takes the connections that come
-
-	saidRoom       atomic.Int64 // when the log last told that large bodies are refused, in nanoseconds since made
-	saidShort      atomic.Int64 // the same of descriptors
-	saidUnanswered atomic.Int64 // the same of requests that ended without a whole answer
-
-	fits atomic.Int64 // connections that leave the descriptors that are set aside, as far as it has shown
-
-	evicting atomic.Int64 // connections told to make way that have not gone yet
-	open     sync.WaitGroup
+	options Options
+	http    fasthttp.Server
+	created time.Time
+
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
+	adminDrain *adminDrain // nil: none
+	serving    sync.WaitGroup
+
+	schedule     atomic.Pointer[drain.Schedule] // nil: no graceful shutdown has begun
+	hasSuccessor atomic.Bool                    // another process accepts connections at the same queue
+	halfOpen     halfOpenCheck
+
+	maxConns  atomic.Int64
+	maxByFDs  atomic.Int64 // connections that leave the reserved descriptors free, as far as is known
+	evicting  atomic.Int64 // connections that are evicted and not closed yet
+	logLimits struct {     // when the log last said something, as allowLog counts
+		noCapacity  atomic.Int64 // large bodies are rejected
+		descriptors atomic.Int64 // descriptors run short
+		unanswered  atomic.Int64 // a request ended without a complete response
+	}
 }
 
-// New makes a server.
+// New returns a Server.
 func New(o Options) *Server {
 	if o.InFlight == nil {
 		o.InFlight = &inflight.Tracker{}
 	}
-	s := &Server{o: o, conns: map[*conn]struct{}{}, made: time.Now()}
+	s := &Server{options: o, conns: map[*conn]struct{}{}, created: time.Now()}
 	s.SetMaxConns(o.MaxConns)
-	s.fits.Store(math.MaxInt64)
+	s.maxByFDs.Store(math.MaxInt64)
 	s.http = fasthttp.Server{
-		Handler: s.handle, ErrorHandler: s.unreadable, HeaderReceived: s.headCame,
-		ReadTimeout: headTime, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
-		StreamRequestBody: true, MaxRequestBodySize: body.MaxInMemory, ReadBufferSize: maxHead, DisablePreParseMultipartForm: true, NoDefaultServerHeader: true,
-		NoDefaultDate: true, NoDefaultContentType: true, Logger: quiet{},
+		Handler:                      s.handle,
+		ErrorHandler:                 s.handleMalformed,
+		HeaderReceived:               s.headReceived,
+		ReadTimeout:                  headTimeout,
+		WriteTimeout:                 writeTimeout,
+		IdleTimeout:                  idleTimeout,
+		StreamRequestBody:            true,
+		MaxRequestBodySize:           body.MaxInMemory,
+		ReadBufferSize:               maxHeadBytes,
+		DisablePreParseMultipartForm: true,
+		NoDefaultServerHeader:        true,
+		NoDefaultDate:                true,
+		NoDefaultContentType:         true,
+		Logger:                       discardLogger{},
 	}
 	return s
 }
 
-// SetMost sets how many connections there may be. Beyond it those that stand idle make way; none is cut off.
-func (s *Server) SetMaxConns(n int) { s.most.Store(int64(n)) }
-
-// Succeed says that another process takes connections in at the same queue, or no longer does. With a successor a drain
-// leaves the queue to it at once.
-func (s *Server) SetSuccessor(on bool) { s.succeeded.Store(on) }
-
-// tooLarge marks a request that announced more than there may be. A client that sets it itself is told the same.
-const tooLarge = "Tackhub-Too-Large"
-
-// headCame looks at a head before anything of the body is waited for: a length that will not be read is told at once.
-func (s *Server) headCame(h *fasthttp.RequestHeader) (none fasthttp.RequestConfig) {
-	if s.o.Bodies != nil && h.ContentLength() > s.o.Bodies.MaxRequestSize() {
-		h.SetContentLength(0)
-		h.Del(fasthttp.HeaderExpect)
-		h.Set(tooLarge, "1")
-	}
-	return none
-}
-
-// quiet drops fasthttp's own log: each connection's end has its line here.
-type quiet struct{}
-
-func (quiet) Printf(string, ...any) {}
-
-// serve speaks HTTP on one connection until it ends, and leaves its log line.
-func (s *Server) serve(c *conn) {
-	defer s.open.Done()
-	err := s.speak(c)
-	c.settle(err)
-	s.mu.Lock()
-	delete(s.conns, c)
-	s.mu.Unlock()
-	if c.closesFor(endEvicted) {
-		s.evicting.Add(-1)
-	}
-	s.o.Counters.Clients.Open.Add(-1)
-	c.SetCloseReason(endOther)
-	s.o.Counters.ClientEnds.Inc(c.reason)
-	args := []any{"code", c.reason, "client", c.RemoteAddr().String(), "requests", c.requests,
-		"age_ms", time.Since(c.opened).Milliseconds()}
-	if err != nil {
-		args = append(args, "error", err.Error())
-	}
-	s.o.Log.Info("client connection ended", args...)
-}
+// discardLogger drops fasthttp's own log: the end of each connection is logged here.
+type discardLogger struct{}
 
-// speak serves the connection and closes it. A panic over what a client sends ends that connection only.
-func (s *Server) speak(c *conn) (err error) {
-	defer func() {
-		if p := recover(); p != nil {
-			s.o.Log.Error("panic on a client's connection", "code", proxy.ReasonPanic, "panic", p,
-				"stack", string(debug.Stack()))
-			c.SetCloseReason(proxy.ReasonPanic)
-			err = c.Close()
-		}
-	}()
-	return s.http.ServeConn(c)
-}
+func (discardLogger) Printf(string, ...any) {}
 
-// handle serves one request that was read whole.
-func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	c, ok := ctx.Conn().(*conn)
-	if !ok {
-		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
-		return
-	}
-	c.mu.Lock()
-	c.requests++
-	c.mu.Unlock()
-	defer c.dropBody()
-	bad := badFraming(&ctx.Request.Header)
-	switch uri := string(ctx.Request.Header.RequestURI()); {
-	case bad != "":
-		s.refuse(ctx, c, fasthttp.StatusBadRequest, bad)
-	case len(ctx.Request.Header.Peek(tooLarge)) > 0:
-		s.refuse(ctx, c, fasthttp.StatusRequestEntityTooLarge, "body_too_large")
-	case uri == healthPath:
-		s.health(ctx)
-	case uri == countersPath:
-		ctx.SetContentType("application/json")
-		ctx.SetBody(s.o.Counters.JSON())
-	default:
-		if status, code := s.receive(ctx, c); code != "" {
-			if status == fasthttp.StatusServiceUnavailable { // it ends here, and is booked nowhere else
-				s.o.Counters.Operations.For(string(ctx.Request.Header.Peek("X-Class"))).Throttled.Inc()
-			}
-			s.refuse(ctx, c, status, code)
-			break
-		}
-		c.begin(string(ctx.Request.Header.Peek("X-Request-Id")), string(ctx.Request.Header.Peek("X-Class")))
-		s.o.Handler.Serve(ctx, c)
-		c.answered(ctx.Response.StatusCode())
-	}
-	// At this deadline fasthttp flushes each answer; else one would wait for the body of the next pipelined request.
-	_ = ctx.SetWriteDeadline(time.Now().Add(writeTimeout))
-	c.mu.Lock()
-	c.handled, c.busy = true, false
-	c.mu.Unlock()
-	if ctx.Request.Header.ConnectionClose() {
-		c.SetCloseReason(proxy.ReasonClientAsked)
-	} else if reason := c.closeReason(); reason != "" {
-		c.SetCloseReason(reason)
-		ctx.SetConnectionClose()
-	}
-}
+// SetMaxConns sets how many connections there may be. Beyond it idle ones are closed, and no others.
+func (s *Server) SetMaxConns(n int) { s.maxConns.Store(int64(n)) }
 
-// health says whether clients should come. Listening and deciding begin together, so a node that can be asked
-// can serve.
-func (s *Server) health(ctx *fasthttp.RequestCtx) {
-	// With a successor the node goes on, whichever of its processes is asked.
-	if s.draining() && !s.succeeded.Load() || s.AdminDrained() {
-		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-	}
-}
+// SetSuccessor says whether another process accepts connections at the same queue. If so, a shutdown leaves the queue to it
+// at once.
+func (s *Server) SetSuccessor(on bool) { s.hasSuccessor.Store(on) }
 
-// unreadable answers what cannot be read as a request. There is nothing to route, and the connection ends.
-func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
-	status, code := fasthttp.StatusBadRequest, "unreadable"
-	c, _ := ctx.Conn().(*conn)
-	var small *fasthttp.ErrSmallBuffer
-	switch {
-	case errors.As(err, &small):
-		status, code = fasthttp.StatusRequestHeaderFieldsTooLarge, "head_too_large"
-	case isTimeout(err):
-		status, code = slowOr(c)
-	}
-	s.refuse(ctx, c, status, code)
-}
+// logInterval is the shortest time between two log lines of one kind, where each case is counted.
+const logInterval = 10 * time.Second
 
-// refuse answers what is no request, and ends its connection: what follows on it can't be told from what came.
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, c *conn, status int, code string) {
-	s.o.Counters.Rejections.Inc(code)
-	if c != nil {
-		c.SetCloseReason(endBad)
-	}
-	ctx.SetStatusCode(status)
-	ctx.SetConnectionClose()
+// allowLog reports whether a line may be logged whose last one is remembered in last, in nanoseconds since the server was
+// created.
+func (s *Server) allowLog(last *atomic.Int64) bool {
+	now := int64(time.Since(s.created))
+	before := last.Load()
+	due := before == 0 || now-before >= int64(logInterval)
+	return due && last.CompareAndSwap(before, now)
 }
--- /dev/null
+++ b/internal/ingress/tracking.go
@@ -0,0 +1,77 @@
+package ingress
+
+import (
+	"github.com/valyala/fasthttp"
+
+	"tackhub.example/tackhub/internal/inflight"
+	"tackhub.example/tackhub/internal/proxy"
+)
+
+// Header fields that identify a request in the log.
+const (
+	headerID    = "X-Request-Id"
+	headerClass = "X-Class"
+)
+
+// trackedRequest is a request in flight, with the outcome that it will have.
+type trackedRequest struct {
+	request *inflight.Request
+	outcome inflight.Outcome
+}
+
+// track begins to track a request that was read.
+func (c *conn) track(id, class string) {
+	r := c.server.options.InFlight.Begin(id, class)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight = true
+	c.tracked = append(c.tracked, trackedRequest{request: r, outcome: inflight.Unanswered})
+}
+
+// setOutcome sets the latest request's outcome by its status. The request stays in flight until the response was written.
+func (c *conn) setOutcome(status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	outcome := inflight.Answered
+	switch {
+	case c.closeReason == proxy.ReasonClientLeft:
+		outcome = inflight.ClientDisconnected
+	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
+		outcome = inflight.Rejected
+	}
+	c.tracked[len(c.tracked)-1].outcome = outcome
+}
+
+// releaseAll ends the requests in flight of a connection that has ended. An error says that a response was not written
+// completely.
+func (c *conn) releaseAll(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.release(err != nil || c.responseBroken || c.closeReason == closeWriteFailed)
+}
+
+// release ends the connection's requests in flight: their responses were handed to the kernel, or broke off. The caller holds
+// the lock.
+func (c *conn) release(broken bool) {
+	for _, t := range c.tracked {
+		if broken && t.outcome != inflight.ClientDisconnected {
+			t.outcome = inflight.Unanswered
+		}
+		t.request.End(t.outcome)
+		if t.outcome == inflight.Unanswered {
+			c.server.recordUnanswered(c, t.request)
+		}
+	}
+	c.tracked = c.tracked[:0]
+}
+
+// recordUnanswered counts a request that ended without a complete response. It is logged during a shutdown, else now and
+// then.
+func (s *Server) recordUnanswered(c *conn, r *inflight.Request) {
+	s.options.Counters.Requests.Unanswered.Inc()
+	if !s.draining() && !s.allowLog(&s.logLimits.unanswered) {
+		return
+	}
+	s.options.Log.Warn("request ended without a complete response", "code", "unanswered", "request", r.ID, "class", r.Class,
+		"reason", c.closeReason, "client", c.RemoteAddr().String())
+}
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -6,17 +6,17 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// rejection is why a request is not admitted.
-type rejection struct {
-	status int
-	code   string // its key among the counted rejections
+// Rejection is why a request is not processed.
+type Rejection struct {
+	Status int    // of the response
+	Code   string // its key among the counted rejections
 }
 
-func (r *rejection) outcome() outcome { return outcome{status: r.status, rejectCode: r.code} }
+func (r *Rejection) outcome() outcome { return outcome{status: r.Status, rejectCode: r.Code} }
 
 // admit checks a request against the protocol and the settings, and prepares it to be forwarded. A request that is not
 // admitted is answered without an attempt.
-func (r *request) admit() *rejection {
+func (r *request) admit() *Rejection {
 	in := &r.received
 	class, known := r.handler.classes[in.class]
 	if rejected := in.validate(class, known); rejected != nil {
@@ -24,16 +24,16 @@
 	}
 	timeout, ok := parseDeadline(in.deadline)
 	if !ok {
-		return &rejection{fasthttp.StatusBadRequest, "bad_deadline"}
+		return &Rejection{fasthttp.StatusBadRequest, "bad_deadline"}
 	}
 	if r.handler.options.Clock.Now() >= in.at+timeout { // nothing was sent, so the client hears at once
-		return &rejection{fasthttp.StatusGatewayTimeout, "deadline_past"}
+		return &Rejection{fasthttp.StatusGatewayTimeout, "deadline_past"}
 	}
 	if rejected := r.handler.rejectLate(); rejected != nil {
 		return rejected
 	}
 	if !r.claimID() {
-		return &rejection{fasthttp.StatusConflict, "id_in_use"}
+		return &Rejection{fasthttp.StatusConflict, "id_in_use"}
 	}
 	if class.TotalTimeout > 0 { // no client of the class waits longer
 		timeout = min(timeout, class.TotalTimeout)
@@ -46,20 +46,20 @@
 }
 
 // validate checks a request's form. Known says whether the settings have the class that the request names.
-func (in *received) validate(class balancer.Class, known bool) *rejection {
+func (in *received) validate(class balancer.Class, known bool) *Rejection {
 	switch {
 	case in.id == "" || len(in.id) > maxIDBytes:
-		return &rejection{fasthttp.StatusBadRequest, "bad_request_id"}
+		return &Rejection{fasthttp.StatusBadRequest, "bad_request_id"}
 	case !known:
-		return &rejection{fasthttp.StatusBadRequest, "unknown_class"}
+		return &Rejection{fasthttp.StatusBadRequest, "unknown_class"}
 	case firstSegment(in.uri) != in.class:
-		return &rejection{fasthttp.StatusBadRequest, "class_and_path_differ"}
+		return &Rejection{fasthttp.StatusBadRequest, "class_and_path_differ"}
 	case in.method != methodOf(class):
-		return &rejection{fasthttp.StatusMethodNotAllowed, "wrong_method"}
+		return &Rejection{fasthttp.StatusMethodNotAllowed, "wrong_method"}
 	case class.Idempotency == balancer.IdempotentWithKey && in.idempotencyKey == "":
-		return &rejection{fasthttp.StatusBadRequest, "no_key"}
+		return &Rejection{fasthttp.StatusBadRequest, "no_key"}
 	case in.method == fasthttp.MethodGet && in.hasBody():
-		return &rejection{fasthttp.StatusBadRequest, "body_with_get"}
+		return &Rejection{fasthttp.StatusBadRequest, "body_with_get"}
 	}
 	return nil
 }
--- a/internal/proxy/admit_test.go
+++ b/internal/proxy/admit_test.go
@@ -29,8 +29,8 @@
 		r := &request{handler: h, received: received{at: h.options.Clock.Now(), method: method, uri: []byte(uri), id: id,
 			class: class, deadline: deadline, costHint: hint, idempotencyKey: key, header: &header}}
 		if rejected := r.admit(); rejected != nil {
-			clientError := rejected.status >= 400 && rejected.status <= 499
-			if rejected.code == "" || rejected.status != 504 && !clientError {
+			clientError := rejected.Status >= 400 && rejected.Status <= 499
+			if rejected.Code == "" || rejected.Status != 504 && !clientError {
 				t.Errorf("rejected as %+v", rejected)
 			}
 			return
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -24,12 +24,12 @@
 
 // rejectLate rejects a request that was read after a shutdown's last forward; nil where it may go on. Nothing of it has run,
 // and another node has time for it.
-func (h *Handler) rejectLate() *rejection {
+func (h *Handler) rejectLate() *Rejection {
 	schedule := h.schedule.Load()
 	if schedule == nil || !schedule.Reached(schedule.LastForward, time.Now()) {
 		return nil
 	}
-	return &rejection{fasthttp.StatusServiceUnavailable, codeDraining}
+	return &Rejection{fasthttp.StatusServiceUnavailable, codeDraining}
 }
 
 // limitDeadline limits a request's deadline to what a shutdown allows: its watchdog must still fire before the shutdown's
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -120,9 +120,9 @@
 }
 
 // reject answers a request that was not admitted.
-func (r *request) reject(ctx *fasthttp.RequestCtx, rejected *rejection) {
+func (r *request) reject(ctx *fasthttp.RequestCtx, rejected *Rejection) {
 	r.finish(ctx, rejected.outcome())
-	if rejected.status < fasthttp.StatusInternalServerError {
+	if rejected.Status < fasthttp.StatusInternalServerError {
 		// The client is at fault: what else it has sent goes unread, so a flood ends with its first request.
 		r.client.SetCloseReason(ReasonBadRequest)
 		ctx.SetConnectionClose()
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -12,9 +12,9 @@
 type uploader interface {
 	// LargeBody is the body's file; nil where the request has no large body.
 	LargeBody() *body.File
-	// ReadBody reads the rest of the body. It calls ended before the last byte can be forwarded. A code other than "" says
-	// why the body could not be read, and status is the response's.
-	ReadBody(ctx *fasthttp.RequestCtx, ended func()) (status int, code string)
+	// ReadBody reads the rest of the body. It calls ended before the last byte can be forwarded, and says why the body could
+	// not be read; nil: it was.
+	ReadBody(ctx *fasthttp.RequestCtx, ended func()) *Rejection
 }
 
 // largeBodyOf is the large body of a client's request; nil where it has none.
@@ -43,12 +43,12 @@
 	}
 	respondedEarly := false // answered before any server could have the last byte, so nothing has run
 	ended := func() { respondedEarly = len(r.response) > 0 }
-	status, code := r.client.(uploader).ReadBody(ctx, ended)
-	if code != "" {
+	if rejected := r.client.(uploader).ReadBody(ctx, ended); rejected != nil {
 		r.cancel() // no attempt has the last byte: nothing has run
 		r.client.SetCloseReason(ReasonBadRequest)
 		ctx.SetConnectionClose()
-		return &outcome{status: status, rejectCode: code}
+		o := rejected.outcome()
+		return &o
 	}
 	// The request's time counts from its last byte.
 	r.deadline = r.handler.limitDeadline(r.handler.options.Clock.At(r.client.LastRead()) + r.timeout)
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -24,14 +24,14 @@
 
 func (u *uploadingClient) LargeBody() *body.File { return u.file }
 
-func (u *uploadingClient) ReadBody(_ *fasthttp.RequestCtx, ended func()) (int, string) {
+func (u *uploadingClient) ReadBody(_ *fasthttp.RequestCtx, ended func()) *Rejection {
 	u.beforeLast()
 	_, err := u.file.Fill(strings.NewReader("x"), nil, ended)
 	u.afterLast()
 	if err != nil {
-		return 400, "unreadable"
+		return &Rejection{Status: 400, Code: "unreadable"}
 	}
-	return 0, ""
+	return nil
 }
 
 // countingRouter counts arrivals and remembers the last one.
