--- a/cmd/tacklab/soak.go
+++ b/cmd/tacklab/soak.go
@@ -124,7 +124,7 @@
 	}
 	var env []string
 	if c.Faults {
-		env = append(env, fmt.Sprintf("%s=%d", faults.Variable, s.Seed))
+		env = append(env, fmt.Sprintf("%s=%d", faults.SeedVariable, s.Seed))
 	}
 	return soak.Play(ctx, s, argv, env, dir, build)
 }
--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -4,8 +4,8 @@
 
 import "syscall"
 
-// Accept fails in place of accept(2), where faults are injected.
+// Accept returns the error with which accept(2) fails; nil: it is to be called.
 func Accept() error { return nil }
 
-// Connect is called before each connect(2); nil: faults are not injected.
+// Connect is called before each connect(2), as a net.Dialer.Control; nil: no faults are injected.
 var Connect func(network, address string, raw syscall.RawConn) error
