--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,69 +1,74 @@
-// Package drain plans a planned stop. The plan is worked out backwards from the earliest SIGKILL, so that every answer is out
-// before it even if the process is held up between any two steps. The package is pure: it reads no clock of its own.
+// Package drain plans a graceful shutdown. The plan is computed backwards from the earliest SIGKILL, so that every response is
+// written before it even if the process is paused between any two steps. The package is pure: it reads no clock.
 package drain
 
 import "time"
 
 const (
-	// KillAfter is how long after SIGTERM SIGKILL may come at the earliest, beyond the longest deadline of the deployment
-	// (PROTOCOL, planned restarts).
+	// KillAfter is the shortest time between SIGTERM and SIGKILL beyond the longest deadline of the deployment (PROTOCOL,
+	// planned restarts).
 	KillAfter = 700 * time.Millisecond
 
-	// LongestDeadline is the longest deadline that the earliest SIGKILL waits for, whatever the settings allow.
+	// MaxDeadline is the longest deadline that the earliest SIGKILL allows for, whatever the settings say.
 	MaxDeadline = 3 * time.Second
 
-	// Standstill is how long the process may be held up between any two steps (STANDING, more than these days).
+	// MaxPause is how long the process may be paused between any two steps.
 	MaxPause = 150 * time.Millisecond
 
-	// newConnections is how long new connections go on coming after the signal: 0.4 s by the protocol, and a little for
-	// their first request. Until then idle connections stay open too: a client that lost its own would only come back.
-	newConnections = 450 * time.Millisecond
+	// newConnectionTime is how long new connections go on coming after the signal: 0.4 s by the protocol, and a little for
+	// their first request. Until then idle connections stay open too: a client whose connection is closed would only come
+	// back.
+	newConnectionTime = 450 * time.Millisecond
 
-	// earliestClose is when the listener closes at the earliest: closing it resets what its backlog holds.
-	earliestClose = 550 * time.Millisecond
+	// minListenTime is how long the listener stays open at least: closing it resets the connections in its queue.
+	minListenTime = 550 * time.Millisecond
 )
 
-// Plan holds the steps of a stop, each as the time since the signal was noticed.
+// Plan holds the steps of a shutdown, each as the time since the signal was noticed.
 type Plan struct {
-	// CloseIdle is from when connections between requests are closed.
+	// CloseIdle is when idle connections begin to be closed.
 	CloseIdle time.Duration
-	// CloseListener is from when the listener is closed, as soon as nothing waits in its queue.
+	// CloseListener is when the listener is closed, as soon as its queue is empty.
 	CloseListener time.Duration
-	// GiveUpHalf is from when requests that are not whole are refused.
+	// RejectIncomplete is when requests that are incomplete begin to be rejected.
 	RejectIncomplete time.Duration
-	// LastForward is until when a request may be forwarded. Whatever is read later is refused at once: nothing of it has run.
+	// LastForward is until when requests are forwarded. What is read later is rejected at once: nothing of it has run.
 	LastForward time.Duration
-	// LastAnswer is by when every answer is out, and when the listener is closed whatever its queue holds. A request that is
-	// forwarded is waited for no longer.
+	// LastResponse is by when every response is written. A request waits for its response no longer, and the listener is closed
+	// whatever its queue holds.
 	LastResponse time.Duration
-	// Kill is the earliest SIGKILL, counted from the signal.
+	// Kill is the earliest SIGKILL.
 	Kill time.Duration
 }
 
-// NewPlan plans the stop of a node whose clients wait for so long at the most; 0: no limit is known.
+// NewPlan plans the shutdown of a node whose clients wait for so long at most; 0: there is no limit.
 func NewPlan(longest time.Duration) Plan {
 	if longest <= 0 || longest > MaxDeadline {
 		longest = MaxDeadline
 	}
-	p := Plan{Kill: longest + KillAfter}
-	// One standstill may come before the signal is noticed, and one right before the last answer is written.
-	p.LastResponse = p.Kill - 2*MaxPause
-	p.LastForward = p.LastResponse - MaxPause
-	p.CloseIdle = min(newConnections, p.LastResponse)
-	p.CloseListener = min(earliestClose, p.LastResponse)
-	p.RejectIncomplete = min(earliestClose, p.LastForward)
-	return p
+	kill := longest + KillAfter
+	// The process may be paused before it notices the signal, and again right before it writes the last response.
+	lastResponse := kill - 2*MaxPause
+	lastForward := lastResponse - MaxPause
+	return Plan{
+		CloseIdle:        min(newConnectionTime, lastResponse),
+		CloseListener:    min(minListenTime, lastResponse),
+		RejectIncomplete: min(minListenTime, lastForward),
+		LastForward:      lastForward,
+		LastResponse:     lastResponse,
+		Kill:             kill,
+	}
 }
 
+// Start begins a plan at the time at which the signal was noticed.
+func (p Plan) Start(now time.Time) *Schedule { return &Schedule{Plan: p, Began: now} }
+
 // Schedule is a plan that has begun.
 type Schedule struct {
 	Plan
 	Began time.Time // when the signal was noticed
 }
 
-// Start begins a plan.
-func (p Plan) Start(now time.Time) *Schedule { return &Schedule{Plan: p, Began: now} }
-
 // Reached reports whether a step's time has come.
 func (s *Schedule) Reached(step time.Duration, now time.Time) bool { return now.Sub(s.Began) >= step }
 
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,6 +1,6 @@
-// Package inflight accounts for the requests that a node has taken: each is in the account from the moment that its last byte
-// was read until its whole answer was handed to the kernel, whichever front, protocol or goroutine has it. A planned stop ends
-// only once the account is empty.
+// Package inflight tracks the requests that a node is responsible for: each from when its last byte was read until its whole
+// response was handed to the kernel, whichever listener, protocol or goroutine handles it. A graceful shutdown ends only once
+// none is left.
 package inflight
 
 import (
@@ -8,115 +8,122 @@
 	"time"
 )
 
-// Outcome is how a request left the account.
+// Outcome is how a request ended.
 type Outcome int
 
 // The outcomes.
 const (
-	Answered           Outcome = iota // its whole answer was handed to the kernel
-	Rejected                          // the same, and the answer was a refusal
-	ClientDisconnected                // its client had gone before the answer
-	Unanswered                        // its answer could not be written whole
+	Answered           Outcome = iota // the whole response was handed to the kernel
+	Rejected                          // the same, and the response was a rejection
+	ClientDisconnected                // the client had disconnected before its response
+	Unanswered                        // the response could not be written completely
+
+	outcomeCount = iota
 )
 
-// Account holds the requests in flight. The zero value is ready for use.
+// Tracker holds the requests in flight. The zero value is ready for use.
 type Tracker struct {
-	mu      sync.Mutex
-	open    map[*Request]struct{}
-	changed chan struct{}  // closed when the account becomes empty; nil where nobody waits
-	stop    *ShutdownStats // nil: no planned stop has begun
+	mu    sync.Mutex
+	open  map[*Request]struct{}
+	empty chan struct{}  // closed, and removed, when no request is left; nil: nobody waits
+	stats *ShutdownStats // nil: no shutdown has begun
 }
 
-// Request is one request in the account.
+// Request is one request in flight.
 type Request struct {
-	account *Tracker
+	tracker *Tracker
 	// ID, Class and Began are for the log.
 	ID, Class string
 	Began     time.Time
 }
 
-// Stop holds the figures of a planned stop.
+// ShutdownStats are figures of a graceful shutdown.
 type ShutdownStats struct {
 	Began         time.Time
-	OpenAtStart   int           // in the account when the stop began
-	ReceivedSince int           // requests read since
-	Outcomes      [4]int        // requests that left the account since, by outcome
-	LastAnswer    time.Duration // of the answers, since the stop began
+	OpenAtStart   int               // requests that were in flight when it began
+	ReceivedSince int               // requests that were read since
+	Outcomes      [outcomeCount]int // requests that ended since, by Outcome
+	LastAnswer    time.Duration     // when the last response was written, counted from the beginning; 0: none yet
 }
 
-// Begin takes a request into the account.
-func (a *Tracker) Begin(id, class string) *Request {
-	r := &Request{account: a, ID: id, Class: class, Began: time.Now()}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.open == nil {
-		a.open = map[*Request]struct{}{}
+// Begin begins to track a request. The caller ends it with End.
+func (t *Tracker) Begin(id, class string) *Request {
+	r := &Request{tracker: t, ID: id, Class: class, Began: time.Now()}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.open == nil {
+		t.open = map[*Request]struct{}{}
 	}
-	a.open[r] = struct{}{}
-	if a.stop != nil {
-		a.stop.ReceivedSince++
+	t.open[r] = struct{}{}
+	if t.stats != nil {
+		t.stats.ReceivedSince++
 	}
 	return r
 }
 
-// End takes the request out of the account. Only its first call counts.
-func (r *Request) End(how Outcome) {
-	a := r.account
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if _, ok := a.open[r]; !ok {
+// End ends a request. Only its first call counts.
+func (r *Request) End(outcome Outcome) {
+	t := r.tracker
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if _, ok := t.open[r]; !ok {
 		return
 	}
-	delete(a.open, r)
-	if a.stop != nil {
-		a.stop.Outcomes[how]++
-		if how == Answered || how == Rejected {
-			a.stop.LastAnswer = time.Since(a.stop.Began)
-		}
+	delete(t.open, r)
+	if t.stats != nil {
+		t.stats.add(outcome)
+	}
+	if len(t.open) == 0 && t.empty != nil {
+		close(t.empty)
+		t.empty = nil
 	}
-	if len(a.open) == 0 && a.changed != nil {
-		close(a.changed)
-		a.changed = nil
+}
+
+// add counts a request that ended now.
+func (s *ShutdownStats) add(outcome Outcome) {
+	s.Outcomes[outcome]++
+	if outcome == Answered || outcome == Rejected {
+		s.LastAnswer = time.Since(s.Began)
 	}
 }
 
-// Open is how many requests are in the account.
-func (a *Tracker) Open() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return len(a.open)
+// Open is how many requests are in flight.
+func (t *Tracker) Open() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.open)
 }
 
-// Empty returns a channel that is closed once the account is empty.
-func (a *Tracker) Empty() <-chan struct{} {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.changed == nil {
-		a.changed = make(chan struct{})
+// Empty returns a channel that is closed once no request is in flight.
+func (t *Tracker) Empty() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.empty == nil {
+		t.empty = make(chan struct{})
 	}
-	empty := a.changed
-	if len(a.open) == 0 {
+	empty := t.empty
+	if len(t.open) == 0 {
 		close(empty)
-		a.changed = nil
+		t.empty = nil
 	}
 	return empty
 }
 
-// BeginStop starts the figures of a planned stop.
-func (a *Tracker) BeginShutdown(now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.stop == nil {
-		a.stop = &ShutdownStats{Began: now, OpenAtStart: len(a.open)}
+// BeginShutdown starts the figures of a graceful shutdown. Later calls change nothing.
+func (t *Tracker) BeginShutdown(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stats == nil {
+		t.stats = &ShutdownStats{Began: now, OpenAtStart: len(t.open)}
 	}
 }
 
-// StopFigures are the figures of the planned stop so far; ok is false where none has begun.
-func (a *Tracker) ShutdownStats() (figures ShutdownStats, ok bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.stop == nil {
+// ShutdownStats returns the figures so far; ok is false where no shutdown has begun.
+func (t *Tracker) ShutdownStats() (stats ShutdownStats, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stats == nil {
 		return ShutdownStats{}, false
 	}
-	return *a.stop, true
+	return *t.stats, true
 }
