--- a/cmd/tackhub/coapback_test.go
+++ b/cmd/tackhub/coapback_test.go
@@ -15,7 +15,7 @@
 	"tackhub.example/tackhub/internal/coap/back"
 	"tackhub.example/tackhub/internal/coap/blocks"
 	"tackhub.example/tackhub/internal/coap/wire"
-	"tackhub.example/tackhub/lab/link"
+	"tackhub.example/tackhub/lab/netfault"
 )
 
 // coapServer is a small CoAP backend that acts as it is told on each datagram.
@@ -29,7 +29,7 @@
 	at   []time.Time
 }
 
-func startCoapServer(t *testing.T, l *link.Link, act func(int, *message.Message) []message.Message) *coapServer {
+func startCoapServer(t *testing.T, l *netfault.Link, act func(int, *message.Message) []message.Message) *coapServer {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -145,7 +145,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			m := s.seen[0]
-			if path := wire.Texts(&m, message.URIPath); len(path) != 1 || path[0] != c.class {
+			if path := wire.Strings(&m, message.URIPath); len(path) != 1 || path[0] != c.class {
 				t.Errorf("path %v", path)
 			}
 			if id, ok := wire.Bytes(&m, back.OptRequestID); !ok || len(id) == 0 {
@@ -180,12 +180,12 @@
 		if b, there, _ := wire.Block(m, message.Block1); there {
 			body = append(body, m.Payload...)
 			if b.More {
-				return []message.Message{{Type: wire.Ack, Code: codes.Continue, MessageID: m.MessageID, Token: m.Token, Options: wire.Add(nil, message.Block1, b.Value())}}
+				return []message.Message{{Type: wire.Ack, Code: codes.Continue, MessageID: m.MessageID, Token: m.Token, Options: wire.AddUint(nil, message.Block1, b.Value())}}
 			}
 		}
 		b, _, _ := wire.Block(m, message.Block2)
-		part, out, _ := blocks.Block{Num: b.Num, SZX: 5}.Cut(long)
-		return []message.Message{{Type: wire.Ack, Code: codes.Changed, MessageID: m.MessageID, Token: m.Token, Payload: part, Options: wire.Add(nil, message.Block2, out.Value())}}
+		part, out, _ := blocks.Block{Num: b.Num, SZX: 5}.Slice(long)
+		return []message.Message{{Type: wire.Ack, Code: codes.Changed, MessageID: m.MessageID, Token: m.Token, Payload: part, Options: wire.AddUint(nil, message.Block2, out.Value())}}
 	})
 	p := withCoapServers(t, back.Scheme+s.addr)
 	send := bytes.Repeat([]byte("cover"), 1000)
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -12,9 +12,9 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-type ears chan balancer.Told
+type ears chan balancer.GossipReceived
 
-func (e ears) Hear(m balancer.Told) { e <- m }
+func (e ears) ReceiveGossip(m balancer.GossipReceived) { e <- m }
 
 // free is an address of its own on loopback.
 func free(t *testing.T) netip.AddrPort {
@@ -30,19 +30,19 @@
 
 func TestNodesHearOneAnotherAndNoStranger(t *testing.T) {
 	nodes := []netip.AddrPort{free(t), free(t), free(t)} // the third is down
-	heard, count := make(ears, 8), &counters.Peers{}
+	heard, count := make(ears, 8), &counters.Gossip{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	links := []*Link{}
+	links := []*Transport{}
 	for i := range 2 {
-		l, err := Listen(Options{Node: i, Nodes: nodes, To: heard, Log: slog.Default(), Count: count})
+		l, err := Listen(Options{Node: i, Nodes: nodes, Receiver: heard, Log: slog.Default(), Counters: count})
 		if err != nil {
 			t.Fatal(err)
 		}
 		links = append(links, l)
 		go l.Run(ctx)
 	}
-	links[0].Tell([]byte("hello"))
+	links[0].Broadcast([]byte("hello"))
 	select {
 	case m := <-heard:
 		if m.From != 0 || string(m.Body) != "hello" {
@@ -74,16 +74,16 @@
 
 // The engine must never wait for the network.
 func TestTellNeverWaits(t *testing.T) {
-	count := &counters.Peers{}
-	l, err := Listen(Options{Node: 0, Nodes: []netip.AddrPort{free(t), free(t)}, To: make(ears), Log: slog.Default(), Count: count})
+	count := &counters.Gossip{}
+	l, err := Listen(Options{Node: 0, Nodes: []netip.AddrPort{free(t), free(t)}, Receiver: make(ears), Log: slog.Default(), Counters: count})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.conn.Close()
 	for range queueLen + 3 { // nobody runs it
-		l.Tell([]byte("x"))
+		l.Broadcast([]byte("x"))
 	}
-	if l.Tell(make([]byte, balancer.MessageMost+1)); count.Drops.Get("queue_full") != 3 || count.Drops.Get("too_long") != 1 {
+	if l.Broadcast(make([]byte, balancer.MaxGossipBytes+1)); count.Drops.Get("queue_full") != 3 || count.Drops.Get("too_long") != 1 {
 		t.Errorf("drops %d and %d", count.Drops.Get("queue_full"), count.Drops.Get("too_long"))
 	}
 }
