--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -321,16 +321,16 @@
 }
 
 // warnings are the notes that somebody should look at.
-var warnings = []string{"condition", "standstill", "outdated", "full"}
+var warnings = []membership.EventCode{membership.EventConnectivity, membership.EventPause, membership.EventSuperseded, membership.EventFull}
 
 func (l *link) tell(notes []membership.Event) {
 	for _, n := range notes {
-		args := append([]any{"code", "cluster_" + n.Code}, n.Args...)
-		if n.Code == "view" {
+		args := append([]any{"code", "cluster_" + string(n.Code)}, n.Args...)
+		if n.Code == membership.EventView {
 			l.count.Views.Inc()
 			l.count.Members.Set(int64(len(l.core.View().Members)))
 		}
-		if slices.Contains(warnings, n.Code) && (n.Code != "condition" || l.core.Connectivity().Isolated()) {
+		if slices.Contains(warnings, n.Code) && (n.Code != membership.EventConnectivity || l.core.Connectivity().Isolated()) {
 			l.log.Warn(n.Text, args...)
 			continue
 		}
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -3,88 +3,89 @@
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -tests=false -io=false -file message.go -o message_gen.go
 //msgp:limit arrays:2048 maps:32
 
-// Kind is what a message is for.
+// Kind is the purpose of a message. Its values are part of the wire form.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	Ping           Kind = iota + 1 // asks for an Ack with the same number
-	Ack                            // answers a Ping, or a Relay whose target answered
-	PingRequest                    // asks the receiver to ping Target and to pass its answer on
-	Gossip                         // carries news alone
-	SyncRequest                    // everything that the sender knows, wanting the same back; on a stream
-	SyncReply                      // the same back
-	RenewLease                     // asks a guard for a lease (internal/quota)
-	GrantLease                     // grants it
-	LivenessStream                 // first and last on a stream whose end tells that its sender's process has ended
-	Broadcast                      // what the module tells other nodes
-	LoadReports                    // what members were asked for and did
+	Ping           Kind = iota + 1 // health check: asks for an Ack with the same Seq
+	Ack                            // answers a Ping, or a PingRequest whose target has answered
+	PingRequest                    // asks the receiver to ping Target on the sender's behalf (SWIM's ping-req)
+	Gossip                         // carries updates and nothing else
+	SyncRequest                    // the sender's full state, asking for the receiver's; on a stream
+	SyncReply                      // the receiver's full state in return
+	RenewLease                     // a lessee asks a lessor to renew its lease (internal/quota)
+	GrantLease                     // the lessor grants it
+	LivenessStream                 // the only message on a stream whose end proves that the sender's process has ended
+	Broadcast                      // a message of the balancer to the other nodes
+	LoadReports                    // load counters of several processes (internal/overload)
 )
 
-// Versions of the wire form. A reader skips keys, kinds and states that it does not know, so a later version may add them;
-// WireLeast is raised only by a version that an older reader would misunderstand.
-const (
-	WireVersion    = 1
-	MinWireVersion = 1
-)
-
-// State is what is held of a member, and of what a piece of news tells.
+// State is the state of a member, or what an update says about one. Its values are part of the wire form.
 type State uint8
 
-// The states. Nobody is ever called dead: who is unreachable may still be serving.
+// The states. None of them is "dead": a member that cannot be reached may still be serving its clients.
 const (
-	Joining     State = iota + 1 // its process has begun and has not heard of the others yet
+	Joining     State = iota + 1 // its process has started and has not heard from the others yet
 	Alive                        // in the view
 	Suspect                      // in the view; somebody misses its answers
-	Unreachable                  // out of the view; tried on
-	Left                         // it said goodbye; final for that process
+	Unreachable                  // out of the view; pinged now and then
+	Left                         // it announced that it leaves; final for that process
 	Replaced                     // another process has its name; final for that process
 
-	// Vouch is no state of a member: By heard it directly, Age ago.
+	// HeardFrom occurs in updates only: Reporter received a message of the member itself, Age ago.
 	HeardFrom
 )
 
-// Message is what one member sends another. Keys are short: a ping without news is some 60 bytes.
+// Versions of the wire form. A reader skips keys, kinds and states that it does not know, so a later version may add some.
+// MinWireVersion is raised only by a version that an earlier reader would misunderstand.
+const (
+	WireVersion    = 1
+	MinWireVersion = 1
+)
+
+// Message is what one member sends to another. The keys are short, since most messages are pings: one without updates has
+// about 60 bytes.
 type Message struct {
 	Kind          Kind         `msg:"k"`
 	Version       uint8        `msg:"v"`
-	MinVersion    uint8        `msg:"l,omitempty"` // the oldest version that understands it; 0: 1
+	MinVersion    uint8        `msg:"l,omitempty"` // oldest version that can read it; 0 means 1
 	ClusterHash   uint32       `msg:"c"`           // hash of the cluster's name
 	From          string       `msg:"f"`
-	Generation    uint64       `msg:"s"`           // the sender's process: a later one of the same name has a higher number
-	Incarnation   uint32       `msg:"i,omitempty"` // the sender's incarnation, raised to refute
-	Address       string       `msg:"a,omitempty"` // the sender's
-	Seq           uint32       `msg:"n,omitempty"`
-	Target        string       `msg:"t,omitempty"` // of a Relay, and of the Ack that answers one
-	Connectivity  uint8        `msg:"o,omitempty"` // the sender's own Condition
-	ViewNumber    uint64       `msg:"w,omitempty"` // the number of the sender's view
-	ForGeneration uint64       `msg:"d,omitempty"` // the process that a Renew or Grant is meant for
-	MembersHash   uint32       `msg:"m,omitempty"` // of the list of members that share, likewise
-	Node          uint32       `msg:"q,omitempty"` // of a Word: the sender's number
-	Body          []byte       `msg:"b,omitempty"` // of a Word
-	LoadReports   []LoadReport `msg:"z,omitempty"` // of a Loads
+	Generation    uint64       `msg:"s"`           // of the sender's process; a later process of the same name has a higher one
+	Incarnation   uint32       `msg:"i,omitempty"` // of the sender, raised to refute a suspicion
+	Address       string       `msg:"a,omitempty"` // of the sender
+	Seq           uint32       `msg:"n,omitempty"` // pairs a Ping and its Ack, or a lease's renewal and its grant
+	Target        string       `msg:"t,omitempty"` // member to be pinged, in a PingRequest and in the Ack that answers it
+	Connectivity  uint8        `msg:"o,omitempty"` // the sender's own Connectivity
+	ViewNumber    uint64       `msg:"w,omitempty"` // of the sender's view
+	ForGeneration uint64       `msg:"d,omitempty"` // process that a RenewLease or GrantLease is meant for
+	MembersHash   uint32       `msg:"m,omitempty"` // of the members that share the quota, in RenewLease and GrantLease
+	Node          uint32       `msg:"q,omitempty"` // the sender's node number, in a Broadcast
+	Body          []byte       `msg:"b,omitempty"` // of a Broadcast
+	LoadReports   []LoadReport `msg:"z,omitempty"`
 	Updates       []Update     `msg:"e,omitempty"`
 }
 
-// LoadItem is what one process has counted since its start.
+// LoadReport holds what one process has counted since its start.
 type LoadReport struct {
 	Name       string   `msg:"n"`
 	Generation uint64   `msg:"s"`
-	At         uint64   `msg:"t"`           // milliseconds of its own clock
+	At         uint64   `msg:"t"`           // when it was counted, in milliseconds of the process's own clock
 	Age        uint32   `msg:"a,omitempty"` // milliseconds since then
-	Shed       uint64   `msg:"d,omitempty"` // refused by the fleet's cut
-	Attempts   uint64   `msg:"r,omitempty"` // attempts
-	Successes  uint64   `msg:"w,omitempty"` // of these, served
-	Counts     []uint64 `msg:"c"`           // asked for by class, then not refused by class
+	Shed       uint64   `msg:"d,omitempty"` // requests shed by the fleet's admission control
+	Attempts   uint64   `msg:"r,omitempty"` // attempts that have ended
+	Successes  uint64   `msg:"w,omitempty"` // of these, the ones that were served
+	Counts     []uint64 `msg:"c"`           // requests by class, then those that were not rejected by class
 }
 
-// Item is one piece of news on one member.
+// Update is one piece of news about one member.
 type Update struct {
 	Name        string `msg:"n"`
 	Generation  uint64 `msg:"s"`
 	Incarnation uint32 `msg:"i,omitempty"`
 	State       State  `msg:"t"`
-	Reporter    string `msg:"b,omitempty"` // who says so, where it is not the member itself
+	Reporter    string `msg:"b,omitempty"` // member that says so, where it is not the subject itself
 	Age         uint32 `msg:"a,omitempty"` // milliseconds since it was so, by the sender's clock
 	Address     string `msg:"h,omitempty"`
 }
--- a/internal/membership/message_gen.go
+++ b/internal/membership/message_gen.go
@@ -12,153 +12,6 @@
 	zdc5d9100limitMaps   = 32
 )
 
-// MarshalMsg implements msgp.Marshaler
-func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(7)
-	var zb0001Mask uint8 /* 7 bits */
-	_ = zb0001Mask
-	if z.Incarnation == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	if z.Reporter == "" {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Age == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x20
-	}
-	if z.Address == "" {
-		zb0001Len--
-		zb0001Mask |= 0x40
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "n"
-		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Name)
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendUint64(o, z.Generation)
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// string "i"
-			o = append(o, 0xa1, 0x69)
-			o = msgp.AppendUint32(o, z.Incarnation)
-		}
-		// string "t"
-		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendUint8(o, uint8(z.State))
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// string "b"
-			o = append(o, 0xa1, 0x62)
-			o = msgp.AppendString(o, z.Reporter)
-		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// string "a"
-			o = append(o, 0xa1, 0x61)
-			o = msgp.AppendUint32(o, z.Age)
-		}
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// string "h"
-			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendString(o, z.Address)
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > zdc5d9100limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "s":
-			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Start")
-				return
-			}
-		case "i":
-			z.Incarnation, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Inc")
-				return
-			}
-		case "t":
-			{
-				var zb0002 uint8
-				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "State")
-					return
-				}
-				z.State = State(zb0002)
-			}
-		case "b":
-			z.Reporter, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "By")
-				return
-			}
-		case "a":
-			z.Age, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Age")
-				return
-			}
-		case "h":
-			z.Address, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Address")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Update) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.Uint64Size + 2 + msgp.Uint32Size + 2 + msgp.Uint8Size + 2 + msgp.StringPrefixSize + len(z.Reporter) + 2 + msgp.Uint32Size + 2 + msgp.StringPrefixSize + len(z.Address)
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z Kind) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -285,7 +138,7 @@
 		case "s":
 			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Start")
+				err = msgp.WrapError(err, "Generation")
 				return
 			}
 		case "t":
@@ -309,13 +162,13 @@
 		case "r":
 			z.Attempts, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Tried")
+				err = msgp.WrapError(err, "Attempts")
 				return
 			}
 		case "w":
 			z.Successes, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Won")
+				err = msgp.WrapError(err, "Successes")
 				return
 			}
 		case "c":
@@ -500,7 +353,7 @@
 			for za0001 := range z.LoadReports {
 				o, err = z.LoadReports[za0001].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001)
+					err = msgp.WrapError(err, "LoadReports", za0001)
 					return
 				}
 			}
@@ -512,7 +365,7 @@
 			for za0002 := range z.Updates {
 				o, err = z.Updates[za0002].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "News", za0002)
+					err = msgp.WrapError(err, "Updates", za0002)
 					return
 				}
 			}
@@ -562,13 +415,13 @@
 		case "l":
 			z.MinVersion, bts, err = msgp.ReadUint8Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Least")
+				err = msgp.WrapError(err, "MinVersion")
 				return
 			}
 		case "c":
 			z.ClusterHash, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Cluster")
+				err = msgp.WrapError(err, "ClusterHash")
 				return
 			}
 		case "f":
@@ -580,13 +433,13 @@
 		case "s":
 			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Start")
+				err = msgp.WrapError(err, "Generation")
 				return
 			}
 		case "i":
 			z.Incarnation, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Inc")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
 		case "a":
@@ -610,25 +463,25 @@
 		case "o":
 			z.Connectivity, bts, err = msgp.ReadUint8Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Self")
+				err = msgp.WrapError(err, "Connectivity")
 				return
 			}
 		case "w":
 			z.ViewNumber, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "View")
+				err = msgp.WrapError(err, "ViewNumber")
 				return
 			}
 		case "d":
 			z.ForGeneration, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "For")
+				err = msgp.WrapError(err, "ForGeneration")
 				return
 			}
 		case "m":
 			z.MembersHash, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "MembersHash")
 				return
 			}
 		case "q":
@@ -663,7 +516,7 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Loads")
+				err = msgp.WrapError(err, "LoadReports")
 				return
 			}
 			if zb0004 > zdc5d9100limitArrays {
@@ -678,7 +531,7 @@
 			for za0001 := range z.LoadReports {
 				bts, err = z.LoadReports[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001)
+					err = msgp.WrapError(err, "LoadReports", za0001)
 					return
 				}
 			}
@@ -686,7 +539,7 @@
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "News")
+				err = msgp.WrapError(err, "Updates")
 				return
 			}
 			if zb0005 > zdc5d9100limitArrays {
@@ -701,7 +554,7 @@
 			for za0002 := range z.Updates {
 				bts, err = z.Updates[za0002].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "News", za0002)
+					err = msgp.WrapError(err, "Updates", za0002)
 					return
 				}
 			}
@@ -757,3 +610,150 @@
 	s = msgp.Uint8Size
 	return
 }
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(7)
+	var zb0001Mask uint8 /* 7 bits */
+	_ = zb0001Mask
+	if z.Incarnation == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x4
+	}
+	if z.Reporter == "" {
+		zb0001Len--
+		zb0001Mask |= 0x10
+	}
+	if z.Age == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x20
+	}
+	if z.Address == "" {
+		zb0001Len--
+		zb0001Mask |= 0x40
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "n"
+		o = append(o, 0xa1, 0x6e)
+		o = msgp.AppendString(o, z.Name)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendUint64(o, z.Generation)
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// string "i"
+			o = append(o, 0xa1, 0x69)
+			o = msgp.AppendUint32(o, z.Incarnation)
+		}
+		// string "t"
+		o = append(o, 0xa1, 0x74)
+		o = msgp.AppendUint8(o, uint8(z.State))
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "b"
+			o = append(o, 0xa1, 0x62)
+			o = msgp.AppendString(o, z.Reporter)
+		}
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// string "a"
+			o = append(o, 0xa1, 0x61)
+			o = msgp.AppendUint32(o, z.Age)
+		}
+		if (zb0001Mask & 0x40) == 0 { // if not omitted
+			// string "h"
+			o = append(o, 0xa1, 0x68)
+			o = msgp.AppendString(o, z.Address)
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > zdc5d9100limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
+			}
+		case "s":
+			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Generation")
+				return
+			}
+		case "i":
+			z.Incarnation, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Incarnation")
+				return
+			}
+		case "t":
+			{
+				var zb0002 uint8
+				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "State")
+					return
+				}
+				z.State = State(zb0002)
+			}
+		case "b":
+			z.Reporter, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Reporter")
+				return
+			}
+		case "a":
+			z.Age, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Age")
+				return
+			}
+		case "h":
+			z.Address, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Address")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Update) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.Uint64Size + 2 + msgp.Uint32Size + 2 + msgp.Uint8Size + 2 + msgp.StringPrefixSize + len(z.Reporter) + 2 + msgp.Uint32Size + 2 + msgp.StringPrefixSize + len(z.Address)
+	return
+}
--- /dev/null
+++ b/internal/membership/send.go
@@ -0,0 +1,62 @@
+package membership
+
+// WithSender returns a message with this process as its sender, for a caller that sends it itself.
+func (c *Core) WithSender(m Message) Message {
+	m.Version = WireVersion
+	m.ClusterHash = c.options.ClusterHash
+	m.From = c.options.Name
+	m.Generation = c.options.Generation
+	m.Incarnation = c.incarnation
+	m.Address = c.options.Address
+	return m
+}
+
+// SendToMember queues another subsystem's message to a member, if it is known.
+func (c *Core) SendToMember(name string, m Message) {
+	p := c.peers.byName[name]
+	if p != nil && c.state == Alive {
+		c.send(p, m)
+	}
+}
+
+// SendToAll queues another subsystem's message to all members of the view.
+func (c *Core) SendToAll(m Message) {
+	if c.state != Alive {
+		return
+	}
+	for _, p := range c.peers.sorted() {
+		if p.state.inView() {
+			c.send(p, m)
+		}
+	}
+}
+
+// SendToSome queues another subsystem's message to a few random members of the view.
+func (c *Core) SendToSome(m Message) {
+	if c.state != Alive {
+		return
+	}
+	for _, p := range c.choose(gossipFanout, isInView) {
+		c.send(p, m)
+	}
+}
+
+// send queues a message for a datagram.
+func (c *Core) send(p *peer, m Message) { c.sendTo(p.name, p.address, m, false) }
+
+// sendStream queues a message for a connection.
+func (c *Core) sendStream(p *peer, m Message) { c.sendTo(p.name, p.address, m, true) }
+
+// sendTo queues a message with the updates that fit it. The name is empty where only the address is known.
+func (c *Core) sendTo(name, address string, m Message, stream bool) {
+	m = c.WithSender(m)
+	m.Connectivity = uint8(c.connectivity)
+	m.ViewNumber = c.view.Number
+	switch m.Kind {
+	case SyncRequest, SyncReply:
+		m.Updates = c.fullState()
+	default:
+		m.Updates = c.withQueued(name, m.Updates)
+	}
+	c.outgoing = append(c.outgoing, OutgoingMessage{To: name, Address: address, Stream: stream, Message: m})
+}
--- /dev/null
+++ b/internal/membership/status.go
@@ -0,0 +1,121 @@
+package membership
+
+import (
+	"slices"
+	"time"
+)
+
+// LinkState says whether this process and a member reach each other.
+type LinkState string
+
+// The values, as the status shows them.
+const (
+	LinkUnknown LinkState = "unknown" // the member has not answered yet
+	LinkWorking LinkState = "whole"
+	LinkBroken  LinkState = "broken"
+	LinkOneWay  LinkState = "one-way" // the member's messages come, and it does not answer
+)
+
+// Status is all that a process knows, for operators.
+type Status struct {
+	Name            string       `json:"name"`
+	Generation      uint64       `json:"start"`
+	Incarnation     uint32       `json:"incarnation"`
+	State           State        `json:"state"`
+	Connectivity    Connectivity `json:"condition"`
+	LocalHealth     int          `json:"distrust"` // 0, healthy, to 4
+	View            View         `json:"view"`
+	Members         []Member     `json:"members"`
+	RejectedMembers int          `json:"refused"` // times a member was not added since the table was full
+}
+
+// Member is another member with the evidence for its state. Ages and spans are in milliseconds; -1 means never.
+type Member struct {
+	Name               string           `json:"name"`
+	Address            string           `json:"address"`
+	Generation         uint64           `json:"start"`
+	Incarnation        uint32           `json:"incarnation"`
+	State              State            `json:"state"`
+	StateAge           int64            `json:"for_ms"`
+	SinceReceived      int64            `json:"heard_ms"`   // since its last message came to this process
+	SinceAcked         int64            `json:"reached_ms"` // since it last answered this process
+	SinceSeen          int64            `json:"seen_ms"`    // since anybody is known to have heard from it
+	Link               LinkState        `json:"link"`
+	OwnConnectivity    Connectivity     `json:"own_condition"` // as it judges itself
+	SuspectedBy        map[string]int64 `json:"missed_by,omitempty"`
+	HeardBy            map[string]int64 `json:"heard_by,omitempty"`
+	LossCount          int              `json:"lost_times"` // each within a minute of the one before
+	DampedFor          int64            `json:"damped_ms,omitempty"`
+	PreviousGeneration uint64           `json:"replaced_start,omitempty"`
+}
+
+// Status returns all that this process knows.
+func (c *Core) Status() Status {
+	view := c.view
+	view.Members = slices.Clone(view.Members)
+	out := Status{
+		Name:            c.options.Name,
+		Generation:      c.options.Generation,
+		Incarnation:     c.incarnation,
+		State:           c.state,
+		Connectivity:    c.connectivity,
+		LocalHealth:     c.localHealth,
+		View:            view,
+		Members:         []Member{},
+		RejectedMembers: c.rejected,
+	}
+	for _, p := range c.peers.sorted() {
+		out.Members = append(out.Members, c.memberStatus(p))
+	}
+	return out
+}
+
+func (c *Core) memberStatus(p *peer) Member {
+	m := Member{
+		Name:               p.name,
+		Address:            p.address,
+		Generation:         p.generation,
+		Incarnation:        p.incarnation,
+		State:              p.state,
+		StateAge:           c.millisSince(p.stateSince),
+		SinceReceived:      c.millisSince(p.lastReceived),
+		SinceAcked:         c.millisSince(p.lastAcked),
+		SinceSeen:          c.millisSince(p.lastSeen),
+		Link:               p.link(),
+		OwnConnectivity:    p.connectivity,
+		SuspectedBy:        map[string]int64{},
+		HeardBy:            map[string]int64{},
+		LossCount:          p.losses,
+		PreviousGeneration: p.previousGeneration,
+	}
+	if c.now < p.dampedUntil {
+		m.DampedFor = (p.dampedUntil - c.now).Milliseconds()
+	}
+	for name, at := range p.suspectedBy {
+		m.SuspectedBy[name] = c.millisSince(at)
+	}
+	for name, at := range p.heardBy {
+		m.HeardBy[name] = c.millisSince(at)
+	}
+	return m
+}
+
+// millisSince returns the milliseconds since a moment; -1 if there never was one.
+func (c *Core) millisSince(at time.Duration) int64 {
+	if at <= never/2 {
+		return -1
+	}
+	return (c.now - at).Milliseconds()
+}
+
+func (p *peer) link() LinkState {
+	switch {
+	case p.linkBroken() && p.lastReceived > p.linkBrokenAt:
+		return LinkOneWay
+	case p.linkBroken():
+		return LinkBroken
+	case p.lastAcked > never/2:
+		return LinkWorking
+	}
+	return LinkUnknown
+}
--- a/internal/overload/determinism_test.go
+++ b/internal/overload/determinism_test.go
@@ -19,8 +19,8 @@
 		for range n {
 			f.step()
 			for _, n := range f.nodes {
-				fmt.Fprintln(digest, f.now, n.name, n.cut, n.s.Figures())
-				for _, s := range n.s.Fresh(f.now, 1) {
+				fmt.Fprintln(digest, f.now, n.name, n.cut, n.s.Rates())
+				for _, s := range n.s.NextSummaries(f.now, 1) {
 					fmt.Fprintln(digest, s)
 				}
 			}
@@ -38,8 +38,8 @@
 	f.nodes[0].silent, f.capacity = false, 2000
 	steps(30)
 	for range 8 {
-		f.nodes[0].c.Tried += 100
-		f.nodes[0].c.Won += 40
+		f.nodes[0].c.Attempts += 100
+		f.nodes[0].c.Successes += 40
 		f.nodes[0].s.Observe(f.now+1, f.nodes[0].at+1, f.nodes[0].c)
 		steps(1)
 	}
