--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -82,9 +82,9 @@
 			f.l.drop("shares_differ")
 			return
 		}
-		f.s.HandleRenew(now, m.From, m.Generation, m.Address, m.ForGeneration, m.Seq, m.MembersHash)
+		f.s.Receive(now, incoming(quota.Renew, m))
 	case membership.GrantLease:
-		f.s.HandleGrant(m.From, m.Generation, m.ForGeneration, m.Seq)
+		f.s.Receive(now, incoming(quota.Grant, m))
 	}
 	f.carry()
 }
@@ -253,3 +253,9 @@
 	case <-ctx.Done():
 	}
 }
+
+// incoming is a lease's message as the allocator takes it.
+func incoming(kind quota.Kind, m *membership.Message) quota.IncomingMessage {
+	return quota.IncomingMessage{Kind: kind, From: m.From, Generation: m.Generation, Address: m.Address, ForGeneration: m.ForGeneration,
+		Seq: m.Seq, MembersHash: m.MembersHash}
+}
--- a/internal/cluster/wire_test.go
+++ b/internal/cluster/wire_test.go
@@ -68,7 +68,8 @@
 	l.fleet.s.Tick(time.Second)
 	l.fleet.carry()
 	checkBytes(t, "renew.msgpack", sentOne(t, l))
-	l.fleet.s.HandleRenew(time.Second, "n2", 12, "10.0.0.2:7946", 11, 3, l.fleet.sum)
+	l.fleet.s.Receive(time.Second, quota.IncomingMessage{Kind: quota.Renew, From: "n2", Generation: 12, Address: "10.0.0.2:7946",
+		ForGeneration: 11, Seq: 3, MembersHash: l.fleet.sum})
 	l.fleet.carry()
 	checkBytes(t, "grant.msgpack", sentOne(t, l))
 }
--- a/internal/quota/determinism_test.go
+++ b/internal/quota/decisions_test.go
@@ -18,7 +18,7 @@
 	record := func() {
 		for i, p := range w.procs {
 			if p.up {
-				fmt.Fprintln(digest, w.now, i, p.s.Allocation(p.now(w)), p.s.Status(p.now(w)), p.s.Peers())
+				fmt.Fprintln(digest, w.now, i, p.allocator.Allocation(p.now(w)), p.allocator.Status(p.now(w)), p.allocator.Peers())
 			}
 		}
 	}
