--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -21,10 +21,10 @@
 	number int
 	count  counters.Counters
 
-	mu     sync.Mutex
-	events []balancer.Event
-	told   []balancer.GossipReceived
-	teller Broadcaster
+	mu          sync.Mutex
+	events      []balancer.Event
+	gossip      []balancer.GossipReceived
+	broadcaster Broadcaster
 }
 
 func (n *fakeNode) Name() string                 { return n.name }
@@ -46,17 +46,17 @@
 func (n *fakeNode) SetBroadcaster(t Broadcaster) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.teller = t
+	n.broadcaster = t
 }
 
 func (n *fakeNode) ReceiveGossip(m balancer.GossipReceived) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.told = append(n.told, m)
+	n.gossip = append(n.gossip, m)
 }
 
-// share is the last one that the module was told.
-func (n *fakeNode) share() (out balancer.FleetQuota) {
+// quota returns the last one that the balancer was given.
+func (n *fakeNode) quota() (out balancer.FleetQuota) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range n.events {
@@ -77,8 +77,8 @@
 	t.Fatalf("never came: %s", what)
 }
 
-// Two links: the module's messages go over them under the sender's number, each module begins with no share and comes to half
-// of the whole, and the end of one hands its part to the other at once.
+// Two nodes with a link each: a balancer's message reaches the other under the sender's number, each balancer begins with no quota
+// and comes to half of the whole, and the end of one hands its part to the other at once.
 func TestTwoLinks(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	var at [2]string
@@ -96,7 +96,7 @@
 		o := Subsystem().Section.New().(*Options)
 		o.Listen, o.Seeds, o.Overload, o.QuotaMembers = at[i], []string{at[1-i]}, true, map[string]string{"n0": at[0], "n1": at[1]}
 		o.LeaseTTL = operator.Duration(time.Second) // the test need not wait for four
-		if faults := check(o); len(faults) > 0 {
+		if faults := o.validate(); len(faults) > 0 {
 			t.Fatal(faults)
 		}
 		r, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: n}, o, nil)
@@ -105,25 +105,25 @@
 		}
 		r.Start(context.Background())
 		links[i] = r
-		if s := n.share(); s != (balancer.FleetQuota{}) {
+		if s := n.quota(); s != (balancer.FleetQuota{}) {
 			t.Errorf("%s begins with %+v", n.name, s)
 		}
 	}
 	defer links[0].Stop()
 	for _, n := range nodes {
-		eventually(t, "half of the whole for "+n.name, func() bool { return n.share().Current == 0.5 })
+		eventually(t, "half of the whole for "+n.name, func() bool { return n.quota().Current == 0.5 })
 	}
-	nodes[0].teller.Broadcast([]byte("news"))
-	eventually(t, "the module's message", func() bool {
+	nodes[0].broadcaster.Broadcast([]byte("news"))
+	eventually(t, "the balancer's message", func() bool {
 		nodes[1].mu.Lock()
 		defer nodes[1].mu.Unlock()
-		return len(nodes[1].told) == 1 && nodes[1].told[0].From == 4 && string(nodes[1].told[0].Body) == "news"
+		return len(nodes[1].gossip) == 1 && nodes[1].gossip[0].From == 4 && string(nodes[1].gossip[0].Body) == "news"
 	})
 	links[1].Stop()
-	if s := nodes[1].share(); s != (balancer.FleetQuota{}) || nodes[1].teller != nil {
-		t.Errorf("stopped it has %+v, and carries %v", s, nodes[1].teller)
+	if s := nodes[1].quota(); s != (balancer.FleetQuota{}) || nodes[1].broadcaster != nil {
+		t.Errorf("stopped it has %+v, and carries %v", s, nodes[1].broadcaster)
 	}
-	eventually(t, "the whole for who is left", func() bool { s := nodes[0].share(); return s.Current == 1 && s.After == 1 })
+	eventually(t, "the whole for who is left", func() bool { s := nodes[0].quota(); return s.Current == 1 && s.After == 1 })
 	if _, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: nodes[0]}, &Options{Listen: at[1], QuotaMembers: map[string]string{"n1": at[1], "n2": at[0]}}, nil); err == nil {
 		t.Error("a member that is not among those that share was built")
 	}
--- /dev/null
+++ b/internal/cluster/overload.go
@@ -0,0 +1,221 @@
+package cluster
+
+import (
+	"slices"
+	"time"
+
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/membership"
+	"tackhub.example/tackhub/internal/overload"
+)
+
+const (
+	// decisionInterval is how often the admission is decided and, while load is shed, load reports are sent.
+	decisionInterval = 250 * time.Millisecond
+
+	// reportInterval is how often load reports are sent while none is shed: the first decision of an overload needs two of
+	// every member.
+	reportInterval = 750 * time.Millisecond
+
+	// What the load reports of one message may take, what one takes besides its counts, and what each class adds, in bytes.
+	maxReportsBytes  = 900
+	reportBytes      = 64
+	reportClassBytes = 12
+)
+
+// overloadAgent connects the fleet's admission control to the core and the balancer. A nil agent, where it is off, does nothing.
+// Its methods run on the core's goroutine unless they say otherwise.
+type overloadAgent struct {
+	link              *link
+	controller        *overload.Controller
+	classes           []string
+	reportsPerMessage int
+	nextDecision      time.Duration
+	lastReport        time.Duration
+	applied           overload.Admission
+	activeSince       time.Duration
+}
+
+// newOverloadAgent returns the agent; nil where overload control is off.
+func newOverloadAgent(l *link) *overloadAgent {
+	if !l.options.Overload {
+		return nil
+	}
+	o := &overloadAgent{link: l}
+	var classes []overload.Class
+	for _, c := range l.node.Classes() {
+		o.classes = append(o.classes, c.Name)
+		classes = append(classes, overload.Class{Name: c.Name, Priority: c.PriorityWeight})
+	}
+	o.reportsPerMessage = max(1, maxReportsBytes/(reportBytes+reportClassBytes*len(classes)))
+	o.controller = overload.New(overload.Options{Name: l.name, Generation: l.core.Generation(), Classes: classes})
+	return o
+}
+
+// stop lifts the admission control, which nobody would update any more. It may be called on any goroutine.
+func (o *overloadAgent) stop() {
+	if o != nil {
+		o.link.node.ApplyEvent(balancer.FleetAdmission{}, false)
+	}
+}
+
+// counts returns what this node has counted since its start.
+func (o *overloadAgent) counts() overload.Counts {
+	c := o.link.node.Counters()
+	out := overload.Counts{
+		Shed:      uint64(c.Rejected.Get("fleet_cut")),
+		Successes: uint64(c.Outcomes.Get("served")),
+	}
+	out.Attempts = max(out.Successes, uint64(c.Attempts.Sent.Get()-c.Attempts.Open.Get()))
+	for _, name := range o.classes {
+		class := c.Operations.For(name)
+		accepted := uint64(class.Fulfilled.Get() + class.Faulted.Get())
+		out.Accepted = append(out.Accepted, accepted)
+		out.Requested = append(out.Requested, accepted+uint64(class.Throttled.Get()))
+	}
+	return out
+}
+
+// receive takes other members' load reports. A report of a member with other classes is ignored.
+func (o *overloadAgent) receive(m *membership.Message) {
+	if o == nil || m.Kind != membership.LoadReports {
+		return
+	}
+	now := o.link.now()
+	for _, r := range m.LoadReports {
+		if r.Name != o.link.name && len(r.Counts) == 2*len(o.classes) {
+			o.controller.Merge(now, o.summaryOf(r))
+		}
+	}
+}
+
+// summaryOf returns a load report as the controller takes it.
+func (o *overloadAgent) summaryOf(r membership.LoadReport) overload.Summary {
+	return overload.Summary{
+		Name:       r.Name,
+		Generation: r.Generation,
+		At:         time.Duration(r.At) * time.Millisecond,
+		Age:        time.Duration(r.Age) * time.Millisecond,
+		Counts: overload.Counts{
+			Shed:      r.Shed,
+			Attempts:  r.Attempts,
+			Successes: r.Successes,
+			Requested: r.Counts[:len(o.classes)],
+			Accepted:  r.Counts[len(o.classes):],
+		},
+	}
+}
+
+// reportOf returns a summary as it is sent.
+func reportOf(s overload.Summary) membership.LoadReport {
+	return membership.LoadReport{
+		Name:       s.Name,
+		Generation: s.Generation,
+		At:         uint64(s.At.Milliseconds()),
+		Age:        uint32(s.Age.Milliseconds()),
+		Shed:       s.Shed,
+		Attempts:   s.Attempts,
+		Successes:  s.Successes,
+		Counts:     append(slices.Clone(s.Requested), s.Accepted...),
+	}
+}
+
+// tick decides the admission, and sends load reports.
+func (o *overloadAgent) tick() {
+	if o == nil {
+		return
+	}
+	now := o.link.now()
+	if now < o.nextDecision {
+		return
+	}
+	o.nextDecision = now + decisionInterval
+	o.controller.Observe(now, now, o.counts())
+	admission := o.controller.Decide(now, o.link.core.View().Members)
+	o.apply(admission, now)
+	if admission.Active || now-o.lastReport >= reportInterval {
+		o.lastReport = now
+		o.sendReports(now)
+	}
+}
+
+// apply hands the admission to the balancer, where it limits anything or did so before.
+func (o *overloadAgent) apply(next overload.Admission, now time.Duration) {
+	if next.Active || o.applied.Active || next.RetryHoldback != o.applied.RetryHoldback {
+		fractions := map[string]float64{}
+		for i, name := range o.classes {
+			if next.Active {
+				fractions[name] = next.Fractions[i]
+			}
+		}
+		o.link.node.ApplyEvent(balancer.FleetAdmission{AdmittedFraction: fractions, RetryReduction: next.RetryHoldback}, false)
+	}
+	if next.Active != o.applied.Active {
+		o.logChange(next.Active, now)
+	}
+	next.Fractions = slices.Clone(next.Fractions) // the controller reuses the slice
+	o.applied = next
+}
+
+func (o *overloadAgent) logChange(active bool, now time.Duration) {
+	rates := o.controller.Rates()
+	args := []any{"code", "cluster_overload", "asked_per_s", sum(rates.Requested), "done_per_s", sum(rates.Accepted), "members", rates.Members}
+	if active {
+		o.activeSince = now
+		o.link.log.Warn("there is more work than the servers can do: the fleet lets the dearest in first", args...)
+		return
+	}
+	args = append(args, "after_ms", (now - o.activeSince).Milliseconds())
+	o.link.log.Info("the servers can do all that is asked for again", args...)
+}
+
+func sum(values []float64) float64 {
+	total := 0.0
+	for _, v := range values {
+		total += v
+	}
+	return total
+}
+
+// sendReports sends some members what is known of the load of all.
+func (o *overloadAgent) sendReports(now time.Duration) {
+	var reports []membership.LoadReport
+	for _, s := range o.controller.NextSummaries(now, o.reportsPerMessage) {
+		reports = append(reports, reportOf(s))
+	}
+	o.link.core.SendToSome(membership.Message{Kind: membership.LoadReports, LoadReports: reports})
+}
+
+// status returns what operators see; nil where overload control is off.
+func (o *overloadAgent) status() *OverloadStatus {
+	if o == nil {
+		return nil
+	}
+	rates := o.controller.Rates()
+	out := &OverloadStatus{
+		Active:      o.applied.Active,
+		Requested:   map[string]float64{},
+		Accepted:    map[string]float64{},
+		Admit:       map[string]float64{},
+		Limit:       rates.Limit,
+		Members:     rates.Members,
+		Coverage:    rates.Coverage,
+		RetryBudget: 1 - o.applied.RetryHoldback,
+	}
+	if rates.Attempts > 0 {
+		out.FailureRatio = 1 - rates.Successes/rates.Attempts
+	}
+	if o.applied.Active {
+		out.Duration = (o.link.now() - o.activeSince).Milliseconds()
+	}
+	for i, name := range o.classes {
+		if i < len(rates.Requested) {
+			out.Requested[name] = rates.Requested[i]
+			out.Accepted[name] = rates.Accepted[i]
+		}
+		if i < len(o.applied.Fractions) {
+			out.Admit[name] = o.applied.Fractions[i]
+		}
+	}
+	return out
+}
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -13,154 +13,183 @@
 	"tackhub.example/tackhub/internal/membership"
 )
 
-// A stream carries one full state each way, each after four bytes with its length.
+// A stream is a TCP connection between two members. It carries one message each way, a SyncRequest and its SyncReply, each after
+// a prefix with its length; or a LivenessStream message and nothing more (liveness.go).
+
+const (
+	// lengthPrefix is the size of the length before a message, in bytes, big-endian.
+	lengthPrefix = 4
+
+	// maxStateBytes is what a full state may take: 1,024 members of 200 bytes each, the most that names and addresses allow.
+	maxStateBytes = 256 << 10
+
+	// maxStreams may be open in each direction. Full states are exchanged with one member every ten seconds, and with each that
+	// is found again.
+	maxStreams = 8
+
+	// streamTimeout is for an exchange as a whole.
+	streamTimeout = 2 * time.Second
+)
 
 var errTooLong = errors.New("the state is too long")
 
-func writeState(w io.Writer, m membership.Message) (int, error) {
-	raw, err := m.MarshalMsg(make([]byte, 4))
+// writeMessage writes a message after its length, and returns the number of bytes.
+func writeMessage(w io.Writer, m membership.Message) (int, error) {
+	raw, err := m.MarshalMsg(make([]byte, lengthPrefix))
 	if err != nil {
 		return 0, err
 	}
-	if len(raw)-4 > streamMost {
+	length := len(raw) - lengthPrefix
+	if length > maxStateBytes {
 		return 0, errTooLong
 	}
-	binary.BigEndian.PutUint32(raw, uint32(len(raw)-4))
+	binary.BigEndian.PutUint32(raw, uint32(length))
 	return w.Write(raw)
 }
 
-func readState(r io.Reader) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// readMessage reads the bytes of a message. A length beyond the bound is errTooLong, and takes no memory.
+func readMessage(r io.Reader) ([]byte, error) {
+	var prefix [lengthPrefix]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > streamMost {
+	length := binary.BigEndian.Uint32(prefix[:])
+	if length > maxStateBytes {
 		return nil, errTooLong
 	}
-	raw := make([]byte, n)
+	raw := make([]byte, length)
 	_, err := io.ReadFull(r, raw)
 	return raw, err
 }
 
-// stream asks a member for its full state, for this one's own. One for which there is no slot is left out: the next comes
-// by itself.
-func (l *link) stream(s membership.OutgoingMessage) {
-	to, ok := l.address(s)
-	if !ok || s.Message.Kind != membership.SyncRequest {
+// closeOnDone closes a connection when the context ends, so that a blocked read or write returns. The result undoes that.
+func closeOnDone(ctx context.Context, conn net.Conn) (stop func() bool) {
+	return context.AfterFunc(ctx, func() { _ = conn.Close() })
+}
+
+// startSync exchanges full states with a member, in a goroutine of its own. Where too many exchanges run it is left out: the core
+// asks for another one later.
+func (l *link) startSync(out membership.OutgoingMessage) {
+	to, ok := l.destination(out)
+	if !ok || out.Message.Kind != membership.SyncRequest {
 		return
 	}
 	select {
-	case l.slots <- struct{}{}:
+	case l.outgoingStreams <- struct{}{}:
 	default:
-		l.drop("streams")
+		l.drop(dropStreamsFull)
 		return
 	}
-	l.ending.Go(func() {
-		defer func() { <-l.slots }()
-		if err := l.exchange(to, s.Message); err != nil {
-			l.count.StreamsFailed.Inc()
+	l.tasks.Go(func() {
+		defer func() { <-l.outgoingStreams }()
+		if err := l.sync(to, out.Message); err != nil {
+			l.counters.StreamsFailed.Inc()
 		}
 	})
 }
 
-func (l *link) exchange(to netip.AddrPort, m membership.Message) error {
-	dialer := net.Dialer{Timeout: streamTime}
-	conn, err := dialer.DialContext(l.running, "tcp", to.String())
+// sync sends a full state and hands the answer to the core.
+func (l *link) sync(to netip.AddrPort, request membership.Message) error {
+	dialer := net.Dialer{Timeout: streamTimeout}
+	conn, err := dialer.DialContext(l.ctx, "tcp", to.String())
 	if err != nil {
 		return err
 	}
 	defer func() { _ = conn.Close() }()
-	stop := context.AfterFunc(l.running, func() { _ = conn.Close() })
-	defer stop()
-	_ = conn.SetDeadline(time.Now().Add(streamTime))
-	n, err := writeState(conn, m)
+	defer closeOnDone(l.ctx, conn)()
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	n, err := writeMessage(conn, request)
 	if err != nil {
 		return err
 	}
-	l.count.Streams.Inc()
-	l.count.SentBytes.Add(int64(n))
-	raw, err := readState(conn)
+	l.counters.Streams.Inc()
+	l.counters.SentBytes.Add(int64(n))
+	raw, err := readMessage(conn)
 	if err != nil {
 		return err
 	}
-	l.count.TakenBytes.Add(int64(len(raw)))
+	l.counters.TakenBytes.Add(int64(len(raw)))
 	reply := l.parse(raw, to.Addr())
 	if reply == nil || reply.Kind != membership.SyncReply {
 		return fmt.Errorf("%s answers no full state", to)
 	}
-	select { // the core takes it or is at its end; nobody else reads the inbox
-	case l.inbox <- inbound{m: reply}:
-		return nil
-	case <-l.running.Done():
-		return l.running.Err()
+	if !l.post(l.ctx, inbound{message: reply}, true) {
+		return l.ctx.Err()
 	}
+	return nil
 }
 
-// answerStreams takes other members' full states.
-func (l *link) answerStreams(ctx context.Context) {
+// acceptStreams serves other members' connections until the listener is closed.
+func (l *link) acceptStreams(ctx context.Context) {
 	for {
 		conn, err := l.tcp.Accept()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			l.drop("accept")
-			select { // out of descriptors: an accept in a busy loop would take the core
-			case <-time.After(l.o.ProbeInterval.Std()):
+			l.drop(dropAccept)
+			select { // out of descriptors: accepting without a pause would take a CPU
+			case <-time.After(l.options.ProbeInterval.Std()):
 			case <-ctx.Done():
 			}
 			continue
 		}
 		select {
-		case l.calls <- struct{}{}:
+		case l.incomingStreams <- struct{}{}:
 		default:
-			l.drop("streams")
+			l.drop(dropStreamsFull)
 			_ = conn.Close()
 			continue
 		}
-		l.ending.Go(func() {
-			defer func() { _ = conn.Close() }()
-			if m := l.answer(ctx, conn); m != nil && m.Kind == membership.LivenessStream {
-				stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-				defer stop()
-				l.fleet.hold(ctx, conn, m)
-			}
-		})
+		l.tasks.Go(func() { l.serveStream(ctx, conn) })
 	}
 }
 
-// answer takes the first message of a stream, and answers it where it is a full state.
-func (l *link) answer(ctx context.Context, conn net.Conn) *membership.Message {
-	defer func() { <-l.calls }()
-	_ = conn.SetDeadline(time.Now().Add(streamTime))
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	defer stop()
-	raw, err := readState(conn)
+// serveStream answers one stream, and keeps it open as long as the other side does if it is a liveness stream.
+func (l *link) serveStream(ctx context.Context, conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	m := l.answerStream(ctx, conn)
+	if m == nil || m.Kind != membership.LivenessStream {
+		return
+	}
+	defer closeOnDone(ctx, conn)()
+	l.quota.watchProcess(ctx, conn, m)
+}
+
+// answerStream reads the message of a stream, and answers it if it is a SyncRequest. It returns nil if there is none.
+func (l *link) answerStream(ctx context.Context, conn net.Conn) *membership.Message {
+	defer func() { <-l.incomingStreams }()
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	defer closeOnDone(ctx, conn)()
+	raw, err := readMessage(conn)
 	if errors.Is(err, errTooLong) {
-		l.drop("too_long")
+		l.drop(dropTooLong)
 	}
 	if err != nil {
-		l.count.StreamsFailed.Inc()
+		l.counters.StreamsFailed.Inc()
 		return nil
 	}
-	l.count.TakenBytes.Add(int64(len(raw)))
+	l.counters.TakenBytes.Add(int64(len(raw)))
 	from, _ := netip.ParseAddrPort(conn.RemoteAddr().String())
 	m := l.parse(raw, from.Addr())
-	if m == nil || m.Kind != membership.SyncRequest {
-		return m
+	if m != nil && m.Kind == membership.SyncRequest {
+		l.answerSync(ctx, conn, m)
 	}
-	in := inbound{m: m, reply: make(chan membership.Message, 1)}
+	return m
+}
+
+// answerSync hands a SyncRequest to the core and writes its answer.
+func (l *link) answerSync(ctx context.Context, conn net.Conn, m *membership.Message) {
+	in := inbound{message: m, reply: make(chan membership.Message, 1)}
 	if !l.post(ctx, in, true) {
-		return m
+		return
 	}
 	select {
 	case reply := <-in.reply:
-		if n, err := writeState(conn, reply); err == nil {
-			l.count.SentBytes.Add(int64(n))
+		if n, err := writeMessage(conn, reply); err == nil {
+			l.counters.SentBytes.Add(int64(n))
 		}
-	case <-time.After(streamTime): // the core did not want to answer
+	case <-time.After(streamTimeout): // the core ignores the sender
 	case <-ctx.Done():
 	}
-	return m
 }
--- a/internal/cluster/wire_test.go
+++ b/internal/cluster/wire_test.go
@@ -37,8 +37,8 @@
 // wireLink is a link that has joined a cluster with one other member. Its core's time is fixed.
 func wireLink(t *testing.T) *link {
 	t.Helper()
-	l := &link{o: Options{Cluster: wireCluster, QuotaMembers: map[string]string{"n1": "10.0.0.1:7946", "n2": "10.0.0.2:7946"}, Overload: true},
-		node: &fakeNode{name: "n1", number: 4}, name: "n1", log: slog.New(slog.DiscardHandler), count: &counters.Cluster{}, base: time.Now()}
+	l := &link{options: Options{Cluster: wireCluster, QuotaMembers: map[string]string{"n1": "10.0.0.1:7946", "n2": "10.0.0.2:7946"}, Overload: true},
+		node: &fakeNode{name: "n1", number: 4}, name: "n1", log: slog.New(slog.DiscardHandler), counters: &counters.Cluster{}, epoch: time.Now()}
 	l.core = membership.New(membership.Options{Name: "n1", Address: "10.0.0.1:7946", ClusterHash: uint32(xxhash.Sum64String(wireCluster)), Generation: 11, RandSeed: 1,
 		ProbeInterval: 250 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, SuspicionTimeout: 2500 * time.Millisecond, MaxMembers: 8}, 0)
 	l.core.Receive(0, &membership.Message{Kind: membership.SyncReply, Version: 1, ClusterHash: uint32(xxhash.Sum64String(wireCluster)),
@@ -47,7 +47,7 @@
 		t.Fatalf("the core is %v", l.core.State())
 	}
 	l.core.TakeOutput()
-	l.fleet, l.load = fleetOf(l), loadOf(l)
+	l.quota, l.overload = newQuotaAgent(l), newOverloadAgent(l)
 	return l
 }
 
@@ -63,14 +63,14 @@
 
 func TestQuotaMessagesAreThoseOfReleasedVersions(t *testing.T) {
 	l := wireLink(t)
-	l.fleet.s = quota.New(quota.Options{Name: "n1", Members: l.o.QuotaMembers, Generation: 11, LeaseTTL: time.Second}, -time.Hour)
-	l.fleet.s.MemberSeen(0, "n2", 12, "10.0.0.2:7946")
-	l.fleet.s.Tick(time.Second)
-	l.fleet.carry()
+	l.quota.allocator = quota.New(quota.Options{Name: "n1", Members: l.options.QuotaMembers, Generation: 11, LeaseTTL: time.Second}, -time.Hour)
+	l.quota.allocator.MemberSeen(0, "n2", 12, "10.0.0.2:7946")
+	l.quota.allocator.Tick(time.Second)
+	l.quota.flush()
 	checkBytes(t, "renew.msgpack", sentOne(t, l))
-	l.fleet.s.Receive(time.Second, quota.IncomingMessage{Kind: quota.Renew, From: "n2", Generation: 12, Address: "10.0.0.2:7946",
-		ForGeneration: 11, Seq: 3, MembersHash: l.fleet.sum})
-	l.fleet.carry()
+	l.quota.allocator.Receive(time.Second, quota.IncomingMessage{Kind: quota.Renew, From: "n2", Generation: 12, Address: "10.0.0.2:7946",
+		ForGeneration: 11, Seq: 3, MembersHash: l.quota.membersHash})
+	l.quota.flush()
 	checkBytes(t, "grant.msgpack", sentOne(t, l))
 }
 
@@ -85,20 +85,20 @@
 func TestLoadMessagesAreThoseOfReleasedVersions(t *testing.T) {
 	l := wireLink(t)
 	for at := range time.Duration(2) {
-		l.load.s.Observe((at+1)*time.Second, (at+1)*time.Second, overload.Counts{Shed: uint64(at), Attempts: 30, Successes: 20,
+		l.overload.controller.Observe((at+1)*time.Second, (at+1)*time.Second, overload.Counts{Shed: uint64(at), Attempts: 30, Successes: 20,
 			Requested: []uint64{40 + uint64(at)}, Accepted: []uint64{30}})
 	}
-	l.load.s.Decide(2*time.Second, []string{"n1", "n2"})
-	l.load.spread(2 * time.Second)
+	l.overload.controller.Decide(2*time.Second, []string{"n1", "n2"})
+	l.overload.sendReports(2 * time.Second)
 	m := sentOne(t, l)
 	checkBytes(t, "loads.msgpack", m)
 
 	other := wireLink(t)
 	other.name = "n3"
 	m.From = "n2"
-	other.load.hear(&m)
-	other.load.s.Decide(other.now(), []string{"n1"})
-	if got := other.load.s.NextSummaries(other.now(), 1); len(got) != 1 || got[0].Name != "n1" || got[0].Generation != 11 || got[0].At != 2*time.Second ||
+	other.overload.receive(&m)
+	other.overload.controller.Decide(other.now(), []string{"n1"})
+	if got := other.overload.controller.NextSummaries(other.now(), 1); len(got) != 1 || got[0].Name != "n1" || got[0].Generation != 11 || got[0].At != 2*time.Second ||
 		!reflect.DeepEqual(got[0].Counts, overload.Counts{Shed: 1, Attempts: 30, Successes: 20, Requested: []uint64{41}, Accepted: []uint64{30}}) {
 		t.Errorf("the figures are read as %+v", got)
 	}
@@ -110,10 +110,10 @@
 	hello := l.core.WithSender(membership.Message{Kind: membership.LivenessStream})
 	var b bytes.Buffer
 	want := recorded(t, "lifeline.stream")
-	if n, err := writeState(&b, hello); err != nil || n != len(want) || !bytes.Equal(b.Bytes(), want) {
+	if n, err := writeMessage(&b, hello); err != nil || n != len(want) || !bytes.Equal(b.Bytes(), want) {
 		t.Errorf("wrote %x, want %x; %v", b.Bytes(), want, err)
 	}
-	raw, err := readState(bytes.NewReader(want))
+	raw, err := readMessage(bytes.NewReader(want))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,9 +131,9 @@
 	defer func() { _ = conn.Close() }()
 	l.udp = conn // it sends to itself
 	word := l.core.WithSender(membership.Message{Kind: membership.Broadcast, Node: 4, Body: []byte("body")})
-	l.write(membership.OutgoingMessage{Address: conn.LocalAddr().String(), Message: word})
+	l.writeDatagram(membership.OutgoingMessage{Address: conn.LocalAddr().String(), Message: word})
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	buffer := make([]byte, packetMost)
+	buffer := make([]byte, maxDatagram)
 	n, err := conn.Read(buffer)
 	if want := recorded(t, "word.datagram"); err != nil || !bytes.Equal(buffer[:n], want) {
 		t.Fatalf("sent %x, want %x; %v", buffer[:n], want, err)
@@ -174,7 +174,7 @@
 	l := wireLink(t)
 	message := l.core.WithSender(membership.Message{Kind: membership.Broadcast, Node: 4, Body: make([]byte, balancer.MaxGossipBytes)})
 	raw, err := message.MarshalMsg(nil)
-	if err != nil || len(raw) > packetMost {
+	if err != nil || len(raw) > maxDatagram {
 		t.Errorf("%d bytes, %v", len(raw), err)
 	}
 }
