--- a/cmd/tackhub/coap_test.go
+++ b/cmd/tackhub/coap_test.go
@@ -297,7 +297,7 @@
 	var all sync.WaitGroup
 	for d := range 8 {
 		bad := link.Params{Loss: 0.2, Jitter: 5 * time.Millisecond}
-		c, _, _ := device(t, addr, link.New(bad, bad, uint64(d+1)), coap.Options{AckTimeout: 60 * time.Millisecond, Retransmit: 9, Dup: 1})
+		c, _, _ := device(t, addr, link.New(bad, bad, uint64(d+1)), coap.Options{AckTimeout: 60 * time.Millisecond, MaxRetransmit: 9, Duplicates: 1})
 		all.Go(func() {
 			for i := range 12 {
 				text := fmt.Sprintf("d%d-%d", d, i)
--- a/cmd/tackhub/coapback_test.go
+++ b/cmd/tackhub/coapback_test.go
@@ -145,7 +145,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			m := s.seen[0]
-			if path := wire.Texts(&m, message.URIPath); len(path) != 1 || path[0] != c.class {
+			if path := wire.Strings(&m, message.URIPath); len(path) != 1 || path[0] != c.class {
 				t.Errorf("path %v", path)
 			}
 			if id, ok := wire.Bytes(&m, back.OptRequestID); !ok || len(id) == 0 {
@@ -180,12 +180,12 @@
 		if b, there, _ := wire.Block(m, message.Block1); there {
 			body = append(body, m.Payload...)
 			if b.More {
-				return []message.Message{{Type: wire.Ack, Code: codes.Continue, MessageID: m.MessageID, Token: m.Token, Options: wire.Add(nil, message.Block1, b.Value())}}
+				return []message.Message{{Type: wire.Ack, Code: codes.Continue, MessageID: m.MessageID, Token: m.Token, Options: wire.AddUint(nil, message.Block1, b.Value())}}
 			}
 		}
 		b, _, _ := wire.Block(m, message.Block2)
-		part, out, _ := blocks.Block{Num: b.Num, SZX: 5}.Cut(long)
-		return []message.Message{{Type: wire.Ack, Code: codes.Changed, MessageID: m.MessageID, Token: m.Token, Payload: part, Options: wire.Add(nil, message.Block2, out.Value())}}
+		part, out, _ := blocks.Block{Num: b.Num, SZX: 5}.Slice(long)
+		return []message.Message{{Type: wire.Ack, Code: codes.Changed, MessageID: m.MessageID, Token: m.Token, Payload: part, Options: wire.AddUint(nil, message.Block2, out.Value())}}
 	})
 	p := withCoapServers(t, back.Scheme+s.addr)
 	send := bytes.Repeat([]byte("cover"), 1000)
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -21,7 +21,7 @@
 const (
 	// Most is how many callers there may be at once. Staff and their tools are few; beyond it the one that has been
 	// silent longest makes way. The node sets this many descriptors aside, and one for the listener.
-	Most = 12
+	MaxConnections = 12
 
 	// youngest is how long a caller that has just come is left alone: its call is on the way, and dozens that never
 	// call must not push it out.
@@ -39,14 +39,14 @@
 
 // Node is what staff may ask and tell.
 type Node interface {
-	Ready() bool     // whether this process serves clients and wants them
-	Figures() []byte // as JSON
-	Drain()          // clients are to go elsewhere; idempotent
-	Undrain()        // the end of that; idempotent
+	Ready() bool   // whether this process serves clients and wants them
+	Stats() []byte // as JSON
+	Drain()        // clients are to go elsewhere; idempotent
+	Undrain()      // the end of that; idempotent
 }
 
 // Door answers calls.
-type Door struct {
+type Server struct {
 	node     Node
 	listener net.Listener
 	http     fasthttp.Server
@@ -65,12 +65,12 @@
 }
 
 // Listen opens the door; Run answers.
-func Listen(address string, node Node, log *slog.Logger, count *counters.Counters) (*Door, error) {
+func Listen(address string, node Node, log *slog.Logger, count *counters.Counters) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_OPERATOR: %w", err)
 	}
-	d := &Door{node: node, listener: l, log: log, count: count}
+	d := &Server{node: node, listener: l, log: log, count: count}
 	d.http = fasthttp.Server{Handler: d.handle, ErrorHandler: d.unreadable, DisableKeepalive: true,
 		ReadTimeout: readTimeout, WriteTimeout: writeTimeout, ReadBufferSize: maxHead, MaxRequestBodySize: maxBody,
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, Logger: quiet{}}
@@ -78,7 +78,7 @@
 }
 
 // Address is where the door listens.
-func (d *Door) Address() string { return d.listener.Addr().String() }
+func (d *Server) Address() string { return d.listener.Addr().String() }
 
 // quiet drops fasthttp's own log: what callers do wrong is counted.
 type quiet struct{}
@@ -86,7 +86,7 @@
 func (quiet) Printf(string, ...any) {}
 
 // Run answers until the context ends, and closes what is open then.
-func (d *Door) Run(ctx context.Context) {
+func (d *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = d.listener.Close() }) // Accept returns
 	defer stop()
 	var open sync.WaitGroup
@@ -112,10 +112,10 @@
 }
 
 // admit makes room for a caller, at the cost of the one that has been silent longest.
-func (d *Door) admit(c *caller) {
+func (d *Server) admit(c *caller) {
 	for {
 		d.mu.Lock()
-		if len(d.callers) < Most {
+		if len(d.callers) < MaxConnections {
 			d.callers = append(d.callers, c)
 			d.mu.Unlock()
 			d.count.Door.Open.Inc()
@@ -135,7 +135,7 @@
 	}
 }
 
-func (d *Door) closeAll() {
+func (d *Server) closeAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.callers {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (d *Door) serve(c *caller) {
+func (d *Server) serve(c *caller) {
 	defer func() {
 		if p := recover(); p != nil {
 			d.log.Error("panic at the operators' door", "code", "panic", "panic", p, "stack", string(debug.Stack()))
@@ -162,22 +162,22 @@
 // calls are the door's, by path and method.
 var calls = map[string]struct {
 	method string
-	answer func(*Door, *fasthttp.RequestCtx)
+	answer func(*Server, *fasthttp.RequestCtx)
 }{
-	"/healthcheck": {fasthttp.MethodGet, func(d *Door, ctx *fasthttp.RequestCtx) {
+	"/healthcheck": {fasthttp.MethodGet, func(d *Server, ctx *fasthttp.RequestCtx) {
 		if !d.node.Ready() {
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		}
 	}},
-	"/stats": {fasthttp.MethodGet, func(d *Door, ctx *fasthttp.RequestCtx) {
+	"/stats": {fasthttp.MethodGet, func(d *Server, ctx *fasthttp.RequestCtx) {
 		ctx.SetContentType("application/json")
-		ctx.SetBody(d.node.Figures())
+		ctx.SetBody(d.node.Stats())
 	}},
-	"/healthcheck/fail": {fasthttp.MethodPut, func(d *Door, _ *fasthttp.RequestCtx) { d.node.Drain() }},
-	"/healthcheck/ok":   {fasthttp.MethodPut, func(d *Door, _ *fasthttp.RequestCtx) { d.node.Undrain() }},
+	"/healthcheck/fail": {fasthttp.MethodPut, func(d *Server, _ *fasthttp.RequestCtx) { d.node.Drain() }},
+	"/healthcheck/ok":   {fasthttp.MethodPut, func(d *Server, _ *fasthttp.RequestCtx) { d.node.Undrain() }},
 }
 
-func (d *Door) handle(ctx *fasthttp.RequestCtx) {
+func (d *Server) handle(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*caller); ok {
 		d.mu.Lock()
 		c.read = true
@@ -197,7 +197,7 @@
 }
 
 // unreadable answers what is no call.
-func (d *Door) unreadable(ctx *fasthttp.RequestCtx, err error) {
+func (d *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() {
 		ctx.SetStatusCode(fasthttp.StatusRequestTimeout)
@@ -207,7 +207,7 @@
 	d.book(ctx)
 }
 
-func (d *Door) book(ctx *fasthttp.RequestCtx) {
+func (d *Server) book(ctx *fasthttp.RequestCtx) {
 	if status := ctx.Response.StatusCode(); status >= 300 {
 		d.count.Door.Refused.Inc(fmt.Sprint(status))
 		return
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -102,7 +102,7 @@
 	reply chan membership.Message // of a full state that came by a stream; nil else
 }
 
-func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Instance) (subsystem.Instance, error) {
 	o := *options.(*Options)
 	node, ok := host.Node.(Node)
 	if !ok {
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -89,7 +89,7 @@
 		_ = l.Close()
 	}
 	nodes := [2]*fakeNode{{name: "n0", number: 4}, {name: "n1", number: 7}}
-	var links [2]subsystem.Running
+	var links [2]subsystem.Instance
 	for i, n := range nodes {
 		o := Part().Section.New().(*Options)
 		o.Listen, o.Seeds, o.Overload, o.Shares = at[i], []string{at[1-i]}, true, map[string]string{"n0": at[0], "n1": at[1]}
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -76,8 +76,8 @@
 }
 
 // Part is the subsystem.
-func Part() subsystem.Part {
-	return subsystem.Part{
+func Part() subsystem.Definition {
+	return subsystem.Definition{
 		Section: operator.Section{Name: "cluster", About: "the nodes know of one another: members, and who is there",
 			New: func() any {
 				return &Options{Cluster: "tackhub", Period: operator.Duration(defaultPeriod), Timeout: operator.Duration(defaultTimeout),
--- a/internal/coap/back/back.go
+++ b/internal/coap/back/back.go
@@ -33,11 +33,11 @@
 // The options by which a server hears what HTTP's fields tell, and reports its load. They are elective (even), from the range
 // for experiments of RFC 7252, 12.2: a server that does not know them serves all the same.
 const (
-	OptRequestID message.OptionID = 65002
-	OptDeadline  message.OptionID = 65004 // milliseconds
-	OptKey       message.OptionID = 65006
-	OptClass     message.OptionID = 65008
-	OptLoad      message.OptionID = 65012 // as X-Load
+	OptRequestID      message.OptionID = 65002
+	OptDeadline       message.OptionID = 65004 // milliseconds
+	OptIdempotencyKey message.OptionID = 65006
+	OptClass          message.OptionID = 65008
+	OptLoad           message.OptionID = 65012 // as X-Load
 )
 
 const (
@@ -57,22 +57,22 @@
 )
 
 // Addresses tells where servers listen.
-type Addresses interface {
+type Resolver interface {
 	Address(balancer.ServerID) (string, bool)
 }
 
 // Options are what a back works with.
 type Options struct {
-	Addresses Addresses
-	NStart    int           // exchanges out to one server (RFC 7252, 4.7)
-	Again     time.Duration // no message is sent again later than this after its first sending: a drain told meanwhile must hold
-	ParseLoad func([]byte) balancer.Load
-	Log       *slog.Logger
-	Count     *counters.CoapBack
+	Resolver         Resolver
+	MaxExchanges     int           // exchanges out to one server (RFC 7252, 4.7)
+	RetransmitWindow time.Duration // no message is sent again later than this after its first sending: a drain told meanwhile must hold
+	ParseLoad        func([]byte) balancer.Load
+	Log              *slog.Logger
+	Count            *counters.CoapBack
 }
 
 // Back sends to CoAP servers.
-type Back struct {
+type Transport struct {
 	o Options
 
 	mu    sync.Mutex
@@ -80,11 +80,11 @@
 }
 
 // New makes a back.
-func New(o Options) *Back { return &Back{o: o, peers: map[string]*peer{}} }
+func New(o Options) *Transport { return &Transport{o: o, peers: map[string]*peer{}} }
 
 // peer is one server's socket. It is connected, so that a port where nobody listens is told by the kernel.
 type peer struct {
-	b    *Back
+	b    *Transport
 	addr string
 	conn *net.UDPConn
 
@@ -111,8 +111,8 @@
 )
 
 // Speaks tells whether a server speaks CoAP.
-func (b *Back) Speaks(server balancer.ServerID) bool {
-	addr, ok := b.o.Addresses.Address(server)
+func (b *Transport) Handles(server balancer.ServerID) bool {
+	addr, ok := b.o.Resolver.Address(server)
 	return ok && strings.HasPrefix(addr, Scheme)
 }
 
@@ -135,7 +135,7 @@
 }
 
 // Send starts an attempt. Done is called once, unless Abort comes first.
-func (b *Back) Send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
+func (b *Transport) Send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{cancel: cancel, copy: c}
 	if c.Body != nil { // over the 64 KiB that CoAP keeps to here: another server may take it
@@ -159,8 +159,8 @@
 	return a
 }
 
-func (b *Back) run(ctx context.Context, server balancer.ServerID, raw []byte, a *attempt) engine.End {
-	addr, ok := b.o.Addresses.Address(server)
+func (b *Transport) run(ctx context.Context, server balancer.ServerID, raw []byte, a *attempt) engine.End {
+	addr, ok := b.o.Resolver.Address(server)
 	if !ok {
 		return engine.End{Result: balancer.Unreachable}
 	}
@@ -193,7 +193,7 @@
 	balancer.Unreachable: "unreachable", balancer.Broken: "broken", balancer.Void: "unsent"}
 
 // outcome is what the module hears. Whether the request may have run hangs on whether its last block was written.
-func (b *Back) outcome(m message.Message, whole []byte, err error, a *attempt) engine.End {
+func (b *Transport) outcome(m message.Message, whole []byte, err error, a *attempt) engine.End {
 	a.mu.Lock()
 	wrote := a.wrote
 	a.mu.Unlock()
@@ -243,13 +243,13 @@
 	}
 	add(OptRequestID, req.Header.Peek("X-Request-Id"))
 	add(OptDeadline, req.Header.Peek("X-Deadline-Ms"))
-	add(OptKey, req.Header.Peek("Idempotency-Key"))
+	add(OptIdempotencyKey, req.Header.Peek("Idempotency-Key"))
 	add(OptClass, req.Header.Peek("X-Class"))
 	return m, bytes.Clone(req.Body()), nil
 }
 
 // take gives a server's socket with a place on it.
-func (b *Back) take(addr string) (*peer, error) {
+func (b *Transport) take(addr string) (*peer, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sweep()
@@ -266,7 +266,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.out >= b.o.NStart {
+	if p.out >= b.o.MaxExchanges {
 		return nil, errFull
 	}
 	p.out++
@@ -275,7 +275,7 @@
 }
 
 // sweep closes sockets that nobody has used for long. The caller holds the lock.
-func (b *Back) sweep() {
+func (b *Transport) sweep() {
 	for addr, p := range b.peers {
 		p.mu.Lock()
 		idle := p.out == 0 && time.Since(p.used) > idleMost
@@ -357,14 +357,14 @@
 	var got message.Message
 	var err error
 	for n := uint32(0); ; n++ {
-		part, b, ok := blocks.Block{Num: n, SZX: blocks.MostSZX}.Cut(body)
+		part, b, ok := blocks.Block{Num: n, SZX: blocks.MaxSZX}.Slice(body)
 		if !ok {
 			return got, nil, errReset
 		}
 		one := m
 		one.Payload = part
 		if len(body) > b.Size() {
-			one.Options = wire.Add(one.Options[:len(one.Options):len(one.Options)], message.Block1, b.Value())
+			one.Options = wire.AddUint(one.Options[:len(one.Options):len(one.Options)], message.Block1, b.Value())
 		}
 		if got, err = p.exchange(ctx, one, !b.More, a); err != nil || got.Code != codes.Continue || !b.More {
 			break
@@ -382,7 +382,7 @@
 	b, there, err := wire.Block(&first, message.Block2)
 	for there && err == nil && b.More {
 		next := m
-		next.Options = wire.Add(m.Options[:len(m.Options):len(m.Options)], message.Block2, blocks.Block{Num: b.Num + 1, SZX: b.SZX}.Value())
+		next.Options = wire.AddUint(m.Options[:len(m.Options):len(m.Options)], message.Block2, blocks.Block{Num: b.Num + 1, SZX: b.SZX}.Value())
 		got, e := p.exchange(ctx, next, false, nil)
 		if e != nil {
 			return first, nil, e
@@ -450,7 +450,7 @@
 			}
 			return got.m, nil
 		case <-again.C:
-			if tries++; tries > maxRetransmit || time.Since(began) > p.b.o.Again {
+			if tries++; tries > maxRetransmit || time.Since(began) > p.b.o.RetransmitWindow {
 				continue // the attempt's own end gives it up
 			}
 			p.b.o.Count.Retransmits.Inc()
@@ -464,11 +464,11 @@
 }
 
 // Probe pings a server (RFC 7252, 4.3): a reset is a sign of life.
-func (b *Back) Probe(server balancer.ServerID, within time.Duration, done func(engine.End)) {
+func (b *Transport) Probe(server balancer.ServerID, within time.Duration, done func(engine.End)) {
 	began := time.Now()
 	go func() {
 		end := engine.End{Result: balancer.Unreachable}
-		if addr, ok := b.o.Addresses.Address(server); ok {
+		if addr, ok := b.o.Resolver.Address(server); ok {
 			if p, err := b.take(strings.TrimPrefix(addr, Scheme)); err == nil {
 				end.Result = p.ping(within)
 				p.release()
--- a/internal/coap/blocks/blocks.go
+++ b/internal/coap/blocks/blocks.go
@@ -17,7 +17,7 @@
 }
 
 // MostSZX is the largest size that an option can tell: 1,024 bytes.
-const MostSZX = 6
+const MaxSZX = 6
 
 // ErrReserved says that an option's size is the reserved one.
 var ErrReserved = errors.New("block size 7 is reserved")
@@ -25,7 +25,7 @@
 // Parse reads an option's value.
 func Parse(v uint32) (Block, error) {
 	b := Block{Num: v >> 4, More: v&8 != 0, SZX: uint8(v & 7)}
-	if b.SZX > MostSZX {
+	if b.SZX > MaxSZX {
 		return Block{}, ErrReserved
 	}
 	return b, nil
@@ -44,7 +44,7 @@
 func (b Block) Size() int { return 16 << b.SZX }
 
 // Cut gives a block of a body, and whether the body has it. More and the size are as they are for this one.
-func (b Block) Cut(body []byte) (part []byte, out Block, ok bool) {
+func (b Block) Slice(body []byte) (part []byte, out Block, ok bool) {
 	from := int(b.Num) * b.Size()
 	if from > len(body) || from == len(body) && from > 0 {
 		return nil, b, false
@@ -55,18 +55,18 @@
 }
 
 // Bounds are how much a store keeps.
-type Bounds struct {
-	Count    int // transfers
-	Endpoint int // transfers of one endpoint
-	Bytes    int // of all bodies
-	Body     int // of one
-	Idle     time.Duration
+type Limits struct {
+	MaxTransfers   int // transfers
+	MaxPerEndpoint int // transfers of one endpoint
+	MaxBytes       int // of all bodies
+	MaxBodyBytes   int // of one
+	IdleTimeout    time.Duration
 }
 
 // Key names a transfer: who sends or fetches what.
 type Key struct {
 	Endpoint string
-	What     uint64 // method, path and query
+	Resource uint64 // method, path and query
 }
 
 // Verdict says what a block of an upload means.
@@ -75,15 +75,15 @@
 // The verdicts.
 const (
 	Continue   Verdict = iota // 2.31: the next one, please
-	Whole                     // the body is whole
+	Complete                  // the body is whole
 	Incomplete                // 4.08: an earlier block is missing; begin anew
 	TooLarge                  // 4.13
-	NoRoom                    // 5.03: too many transfers are half done
+	StoreFull                 // 5.03: too many transfers are half done
 )
 
 // Store keeps transfers.
 type Store struct {
-	b     Bounds
+	b     Limits
 	at    map[Key]*transfer
 	count map[string]int
 	order *list.List // by last use, oldest first
@@ -99,7 +99,7 @@
 }
 
 // New makes an empty store.
-func New(b Bounds) *Store {
+func New(b Limits) *Store {
 	return &Store{b: b, at: map[Key]*transfer{}, count: map[string]int{}, order: list.New()}
 }
 
@@ -118,24 +118,24 @@
 		return Incomplete, nil
 	}
 	if b.Num == 0 && !b.More {
-		if len(part) > s.b.Body {
+		if len(part) > s.b.MaxBodyBytes {
 			return TooLarge, nil
 		}
-		return Whole, part
+		return Complete, part
 	}
 	if t == nil {
-		if len(s.at) >= s.b.Count || s.count[k.Endpoint] >= s.b.Endpoint {
-			return NoRoom, nil
+		if len(s.at) >= s.b.MaxTransfers || s.count[k.Endpoint] >= s.b.MaxPerEndpoint {
+			return StoreFull, nil
 		}
 		t = s.add(now, k, nil)
 	}
 	switch {
-	case len(t.body)+len(part) > s.b.Body:
+	case len(t.body)+len(part) > s.b.MaxBodyBytes:
 		s.remove(t)
 		return TooLarge, nil
-	case s.bytes+len(part) > s.b.Bytes:
+	case s.bytes+len(part) > s.b.MaxBytes:
 		s.remove(t)
-		return NoRoom, nil
+		return StoreFull, nil
 	}
 	t.body = append(t.body, part...)
 	s.bytes += len(part)
@@ -145,23 +145,23 @@
 	}
 	body := t.body
 	s.remove(t)
-	return Whole, body
+	return Complete, body
 }
 
 // Keep stores a body that is to be fetched in blocks. The oldest make way: whoever fetches one that is gone asks anew.
-func (s *Store) Keep(now time.Duration, k Key, body []byte) {
+func (s *Store) Put(now time.Duration, k Key, body []byte) {
 	s.expire(now)
 	if t := s.at[k]; t != nil {
 		s.remove(t)
 	}
-	if len(body) > s.b.Bytes || len(body) > s.b.Body {
+	if len(body) > s.b.MaxBytes || len(body) > s.b.MaxBodyBytes {
 		return
 	}
-	for s.order.Len() > 0 && (len(s.at) >= s.b.Count || s.bytes+len(body) > s.b.Bytes) {
+	for s.order.Len() > 0 && (len(s.at) >= s.b.MaxTransfers || s.bytes+len(body) > s.b.MaxBytes) {
 		s.lost++
 		s.remove(s.order.Front().Value.(*transfer))
 	}
-	if s.count[k.Endpoint] >= s.b.Endpoint {
+	if s.count[k.Endpoint] >= s.b.MaxPerEndpoint {
 		s.dropOne(k.Endpoint)
 	}
 	s.add(now, k, body)
@@ -180,7 +180,7 @@
 }
 
 // Fetch gives a kept body.
-func (s *Store) Fetch(now time.Duration, k Key) ([]byte, bool) {
+func (s *Store) Get(now time.Duration, k Key) ([]byte, bool) {
 	s.expire(now)
 	t := s.at[k]
 	if t == nil {
@@ -206,7 +206,7 @@
 func (s *Store) expire(now time.Duration) {
 	for first := s.order.Front(); first != nil; first = s.order.Front() {
 		t := first.Value.(*transfer)
-		if now-t.used < s.b.Idle {
+		if now-t.used < s.b.IdleTimeout {
 			return
 		}
 		s.lost++
@@ -230,4 +230,4 @@
 func (s *Store) Bytes() int { return s.bytes }
 
 // Lost is how many transfers ended unfinished.
-func (s *Store) Lost() int64 { return s.lost }
+func (s *Store) Abandoned() int64 { return s.lost }
--- a/internal/coap/blocks/blocks_test.go
+++ b/internal/coap/blocks/blocks_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-var bounds = Bounds{Count: 3, Endpoint: 2, Bytes: 4096, Body: 2048, Idle: time.Minute}
+var bounds = Limits{MaxTransfers: 3, MaxPerEndpoint: 2, MaxBytes: 4096, MaxBodyBytes: 2048, IdleTimeout: time.Minute}
 
 func TestOptionValues(t *testing.T) {
 	for _, v := range []uint32{0, 0x08, 0x16, 0xfffff6, 0x2e} {
@@ -32,11 +32,11 @@
 		want Verdict
 	}
 	for name, steps := range map[string][]step{
-		"in order":      {{0, true, part, Continue}, {1, true, part, Continue}, {2, false, part[:3], Whole}},
-		"one block":     {{0, false, part, Whole}},
-		"one missing":   {{0, true, part, Continue}, {2, true, part, Incomplete}, {1, false, part, Whole}},
+		"in order":      {{0, true, part, Continue}, {1, true, part, Continue}, {2, false, part[:3], Complete}},
+		"one block":     {{0, false, part, Complete}},
+		"one missing":   {{0, true, part, Continue}, {2, true, part, Incomplete}, {1, false, part, Complete}},
 		"never begun":   {{3, true, part, Incomplete}},
-		"begun anew":    {{0, true, part, Continue}, {1, true, part, Continue}, {0, true, part, Continue}, {1, false, part, Whole}},
+		"begun anew":    {{0, true, part, Continue}, {1, true, part, Continue}, {0, true, part, Continue}, {1, false, part, Complete}},
 		"a short block": {{0, true, part[:5], Incomplete}},
 	} {
 		s := New(bounds)
@@ -48,18 +48,18 @@
 			}
 			got = body
 		}
-		if steps[len(steps)-1].want == Whole && (s.Len() != 0 || s.Bytes() != 0 || len(got) == 0) {
+		if steps[len(steps)-1].want == Complete && (s.Len() != 0 || s.Bytes() != 0 || len(got) == 0) {
 			t.Errorf("%s: %d transfers and %d bytes are left, body %d", name, s.Len(), s.Bytes(), len(got))
 		}
 	}
 	s := New(bounds)
-	for i, want := range []Verdict{Continue, Continue, NoRoom} { // of one endpoint
+	for i, want := range []Verdict{Continue, Continue, StoreFull} { // of one endpoint
 		if v, _ := s.Add(0, Key{"a", uint64(i)}, Block{More: true}, part); v != want {
 			t.Errorf("transfer %d: %v, want %v", i, v, want)
 		}
 	}
-	if v, _ := s.Add(time.Minute, Key{"a", 9}, Block{More: true}, part); v != Continue || s.Lost() != 2 {
-		t.Errorf("after the idle time: %v, %d lost", v, s.Lost())
+	if v, _ := s.Add(time.Minute, Key{"a", 9}, Block{More: true}, part); v != Continue || s.Abandoned() != 2 {
+		t.Errorf("after the idle time: %v, %d lost", v, s.Abandoned())
 	}
 	for n := uint32(1); ; n++ {
 		v, _ := s.Add(time.Minute, Key{"a", 9}, Block{Num: n, More: true}, part)
@@ -80,21 +80,21 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "bodies") {
 			k := Key{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "endpoint"), uint64(i)}
 			body := bytes.Repeat([]byte{byte(i)}, rapid.IntRange(0, 2100).Draw(t, "size"))
-			s.Keep(0, k, body)
-			if s.Bytes() > bounds.Bytes || s.Len() > bounds.Count {
+			s.Put(0, k, body)
+			if s.Bytes() > bounds.MaxBytes || s.Len() > bounds.MaxTransfers {
 				t.Fatalf("%d bytes, %d transfers", s.Bytes(), s.Len())
 			}
-			kept, ok := s.Fetch(0, k)
-			if ok != (len(body) <= bounds.Body) {
+			kept, ok := s.Get(0, k)
+			if ok != (len(body) <= bounds.MaxBodyBytes) {
 				t.Fatalf("a body of %d bytes is kept: %v", len(body), ok)
 			}
 			if !ok {
 				continue
 			}
 			var got []byte
-			b := Block{SZX: uint8(rapid.IntRange(0, MostSZX).Draw(t, "szx"))}
+			b := Block{SZX: uint8(rapid.IntRange(0, MaxSZX).Draw(t, "szx"))}
 			for {
-				part, out, ok := b.Cut(kept)
+				part, out, ok := b.Slice(kept)
 				if !ok {
 					t.Fatalf("block %d of %d bytes is not there", b.Num, len(body))
 				}
@@ -107,7 +107,7 @@
 			if !bytes.Equal(got, body) {
 				t.Fatalf("fetched %d bytes of %d", len(got), len(body))
 			}
-			if _, _, ok := (Block{Num: b.Num + 1, SZX: b.SZX}).Cut(kept); ok {
+			if _, _, ok := (Block{Num: b.Num + 1, SZX: b.SZX}).Slice(kept); ok {
 				t.Fatal("a block behind the end is there")
 			}
 		}
@@ -124,7 +124,7 @@
 				continue
 			}
 			s.Add(time.Duration(i)*time.Second, Key{"a", uint64(v >> 7)}, b, make([]byte, b.Size()))
-			if s.Bytes() > bounds.Bytes || s.Len() > bounds.Count || s.Bytes() < 0 {
+			if s.Bytes() > bounds.MaxBytes || s.Len() > bounds.MaxTransfers || s.Bytes() < 0 {
 				t.Fatalf("%d bytes, %d transfers", s.Bytes(), s.Len())
 			}
 		}
--- a/internal/coap/client/client.go
+++ b/internal/coap/client/client.go
@@ -21,22 +21,22 @@
 
 // Options are how a client behaves.
 type Options struct {
-	AckTimeout time.Duration // 0: the standard's 2 s
-	Retransmit int           // 0: the standard's 4
-	SZX        uint8         // size of blocks; 0 with NoSZX unset means 1,024 bytes
-	Dup        int           // every message is sent so many times more, at once
-	Non        bool          // non-confirmable
+	AckTimeout     time.Duration // 0: the standard's 2 s
+	MaxRetransmit  int           // 0: the standard's 4
+	SZX            uint8         // size of blocks; 0 with NoSZX unset means 1,024 bytes
+	Duplicates     int           // every message is sent so many times more, at once
+	NonConfirmable bool          // non-confirmable
 }
 
 // Client speaks to one server over one socket.
 type Client struct {
-	conn net.PacketConn
-	to   net.Addr
-	o    Options
-	id   uint16
-	tok  uint64
-	echo []byte
-	Seen int // datagrams received
+	conn     net.PacketConn
+	to       net.Addr
+	o        Options
+	id       uint16
+	tok      uint64
+	echo     []byte
+	Received int // datagrams received
 }
 
 // New makes a client on a socket.
@@ -44,11 +44,11 @@
 	if o.AckTimeout == 0 {
 		o.AckTimeout = 2 * time.Second
 	}
-	if o.Retransmit == 0 {
-		o.Retransmit = 4
+	if o.MaxRetransmit == 0 {
+		o.MaxRetransmit = 4
 	}
-	if o.SZX == 0 || o.SZX > blocks.MostSZX {
-		o.SZX = blocks.MostSZX
+	if o.SZX == 0 || o.SZX > blocks.MaxSZX {
+		o.SZX = blocks.MaxSZX
 	}
 	return &Client{conn: conn, to: to, o: o, id: uint16(rand.Uint32()), tok: rand.Uint64()}
 }
@@ -122,7 +122,7 @@
 		return c.exchange(ctx, c.message(r, r.Body, nil, nil))
 	}
 	for n := uint32(0); ; n++ {
-		part, b, ok := blocks.Block{Num: n, SZX: c.o.SZX}.Cut(r.Body)
+		part, b, ok := blocks.Block{Num: n, SZX: c.o.SZX}.Slice(r.Body)
 		if !ok {
 			return nil, errors.New("the body has no such block")
 		}
@@ -139,7 +139,7 @@
 	c.tok++
 	token := []byte{byte(c.tok >> 24), byte(c.tok >> 16), byte(c.tok >> 8), byte(c.tok)}
 	m := message.Message{Type: wire.Con, Code: r.Code, MessageID: int32(c.id), Token: token, Payload: body}
-	if c.o.Non {
+	if c.o.NonConfirmable {
 		m.Type = wire.Non
 	}
 	for _, p := range strings.Split(strings.Trim(r.Path, "/"), "/") {
@@ -149,10 +149,10 @@
 		m.Options = m.Options.Add(message.Option{ID: message.URIQuery, Value: []byte(q)})
 	}
 	if b1 != nil {
-		m.Options = wire.Add(m.Options, message.Block1, b1.Value())
+		m.Options = wire.AddUint(m.Options, message.Block1, b1.Value())
 	}
 	if b2 != nil {
-		m.Options = wire.Add(m.Options, message.Block2, b2.Value())
+		m.Options = wire.AddUint(m.Options, message.Block2, b2.Value())
 	}
 	if len(c.echo) > 0 {
 		m.Options = m.Options.Add(message.Option{ID: message.Echo, Value: c.echo})
@@ -178,7 +178,7 @@
 		if err != nil || ok {
 			return got, err
 		}
-		if try >= c.o.Retransmit {
+		if try >= c.o.MaxRetransmit {
 			return nil, ErrNoAnswer
 		}
 		wait *= 2
@@ -186,7 +186,7 @@
 }
 
 func (c *Client) write(b []byte) error {
-	for range c.o.Dup + 1 {
+	for range c.o.Duplicates + 1 {
 		if _, err := c.conn.WriteTo(b, c.to); err != nil {
 			return err
 		}
@@ -213,7 +213,7 @@
 			}
 			return nil, false, err
 		}
-		c.Seen++
+		c.Received++
 		got, err := wire.Decode(bytes.Clone(buf[:n]))
 		if err != nil {
 			continue
--- a/internal/coap/client/command.go
+++ b/internal/coap/client/command.go
@@ -73,7 +73,7 @@
 		r.Query = splitQuery(u.RawQuery)
 	}
 	began := time.Now()
-	got, err := New(conn, to, Options{Dup: dup}).Do(ctx, r)
+	got, err := New(conn, to, Options{Duplicates: dup}).Do(ctx, r)
 	if err != nil {
 		return err
 	}
--- a/internal/coap/dedup/cost_test.go
+++ b/internal/coap/dedup/cost_test.go
@@ -12,11 +12,11 @@
 	const n = 100_000
 	for _, per := range []int{1, 100} {
 		before := heap()
-		tb := New(Bounds{Entries: n, Bytes: 1 << 30, Endpoint: 1000})
+		tb := New(Limits{MaxEntries: n, MaxBytes: 1 << 30, MaxPerEndpoint: 1000})
 		for i := range n {
 			endpoint := fmt.Sprintf("127.0.%d.%d:%d", i/per>>8&255, i/per&255, 1024+i/per>>16)
-			tb.See(0, message(endpoint, uint16(i), 1, true))
-			tb.Answer(Key{endpoint, uint16(i)}, nil, true)
+			tb.Receive(0, message(endpoint, uint16(i), 1, true))
+			tb.Complete(Key{endpoint, uint16(i)}, nil, true)
 		}
 		each := float64(heap()-before) / n
 		runtime.KeepAlive(tb)
--- a/internal/coap/dedup/dedup.go
+++ b/internal/coap/dedup/dedup.go
@@ -28,10 +28,10 @@
 type Message struct {
 	Key
 	Confirmable bool
-	Safe        bool // running it twice does no harm
+	Idempotent  bool // running it twice does no harm
 	// Print tells requests apart that bear one id: a device that has rebooted on the same port begins its ids anew, and
 	// its token or payload differs then. See Fingerprint.
-	Print uint64
+	Fingerprint uint64
 }
 
 // Verdict says what to do about a message.
@@ -39,18 +39,18 @@
 
 // The verdicts.
 const (
-	Fresh  Verdict = iota // run it; Answer or Drop is owed
-	Joined                // it is in hand: nothing is to be done but to acknowledge it again, if that was done before
-	Replay                // send the stored answer again
-	Full                  // refuse it: something would have to be forgotten that may have had an effect
-	Many                  // refuse it: its endpoint has as much open or remembered as it may
+	Fresh        Verdict = iota // run it; Answer or Drop is owed
+	InProgress                  // it is in hand: nothing is to be done but to acknowledge it again, if that was done before
+	Replay                      // send the stored answer again
+	TableFull                   // refuse it: something would have to be forgotten that may have had an effect
+	EndpointFull                // refuse it: its endpoint has as much open or remembered as it may
 )
 
 // Bounds are how much is remembered.
-type Bounds struct {
-	Entries  int // exchanges in all
-	Bytes    int // of stored answers, with each entry's own cost
-	Endpoint int // exchanges of one endpoint
+type Limits struct {
+	MaxEntries     int // exchanges in all
+	MaxBytes       int // of stored answers, with each entry's own cost
+	MaxPerEndpoint int // exchanges of one endpoint
 }
 
 // EntryCost is what an entry takes beside its answer: measured with Go 1.26 on amd64, 261 bytes with a hundred of an endpoint and
@@ -60,7 +60,7 @@
 
 // Table is what is remembered.
 type Table struct {
-	b       Bounds
+	b       Limits
 	entries map[Key]*entry
 	count   map[string]int // by endpoint
 	safe    *list.List     // answered exchanges that may be forgotten, oldest first
@@ -71,7 +71,7 @@
 
 // Stats count what the table did.
 type Stats struct {
-	Fresh, Joined, Replayed, Full, Many, Reborn, Forgotten, Expired int64
+	New, Joined, Replayed, TableFull, EndpointFull, IDReused, Evicted, Expired int64
 }
 
 type entry struct {
@@ -88,47 +88,47 @@
 }
 
 // New makes an empty table.
-func New(b Bounds) *Table {
+func New(b Limits) *Table {
 	return &Table{b: b, entries: map[Key]*entry{}, count: map[string]int{}, safe: list.New(), expiry: [2]*list.List{list.New(), list.New()}}
 }
 
 // See takes a message at a time, which is a span since some fixed moment. With Replay it gives the stored answer; with
 // Joined it tells whether the exchange was acknowledged already.
-func (t *Table) See(now time.Duration, m Message) (v Verdict, answer []byte, acked bool) {
+func (t *Table) Receive(now time.Duration, m Message) (v Verdict, answer []byte, acked bool) {
 	t.expire(now)
 	if e := t.entries[m.Key]; e != nil {
 		switch {
-		case e.print != m.Print && e.open: // another request under an id that is in hand: one of the two cannot be answered
-			t.stats.Many++
-			return Many, nil, false
-		case e.print != m.Print:
-			t.stats.Reborn++
+		case e.print != m.Fingerprint && e.open: // another request under an id that is in hand: one of the two cannot be answered
+			t.stats.EndpointFull++
+			return EndpointFull, nil, false
+		case e.print != m.Fingerprint:
+			t.stats.IDReused++
 			t.remove(e)
 		case e.open:
 			t.stats.Joined++
-			return Joined, nil, e.acked
+			return InProgress, nil, e.acked
 		default:
 			t.stats.Replayed++
 			return Replay, e.answer, false
 		}
 	}
-	if t.count[m.Endpoint] >= t.b.Endpoint && !t.makeRoomOf(m.Endpoint) {
-		t.stats.Many++
-		return Many, nil, false
+	if t.count[m.Endpoint] >= t.b.MaxPerEndpoint && !t.makeRoomOf(m.Endpoint) {
+		t.stats.EndpointFull++
+		return EndpointFull, nil, false
 	}
-	for len(t.entries) >= t.b.Entries || t.bytes+EntryCost > t.b.Bytes {
+	for len(t.entries) >= t.b.MaxEntries || t.bytes+EntryCost > t.b.MaxBytes {
 		if !t.forget() {
-			t.stats.Full++
-			return Full, nil, false
+			t.stats.TableFull++
+			return TableFull, nil, false
 		}
 	}
 	t.add(now, m)
-	t.stats.Fresh++
+	t.stats.New++
 	return Fresh, nil, false
 }
 
 func (t *Table) add(now time.Duration, m Message) {
-	e := &entry{key: m.Key, print: m.Print, safe: m.Safe, open: true, ends: now + ExchangeLifetime}
+	e := &entry{key: m.Key, print: m.Fingerprint, safe: m.Idempotent, open: true, ends: now + ExchangeLifetime}
 	if !m.Confirmable {
 		e.life, e.ends = 1, now+NonLifetime
 	}
@@ -139,7 +139,7 @@
 }
 
 // Acked notes that an open exchange was acknowledged with an empty message: repeats are acknowledged again.
-func (t *Table) Acked(k Key) {
+func (t *Table) MarkAcknowledged(k Key) {
 	if e := t.entries[k]; e != nil && e.open {
 		e.acked = true
 	}
@@ -148,13 +148,13 @@
 // Answer stores an exchange's answer. Harmless says that running it again would do no harm after all, as with a refusal:
 // such an answer may be forgotten at the bounds. Where there is no room for its bytes even after safe answers were forgotten, an empty
 // one is kept: a repeat then gets nothing, and still does not run.
-func (t *Table) Answer(k Key, answer []byte, harmless bool) {
+func (t *Table) Complete(k Key, answer []byte, harmless bool) {
 	e := t.entries[k]
 	if e == nil || !e.open {
 		return
 	}
 	e.open, e.safe = false, e.safe || harmless
-	for t.bytes+len(answer) > t.b.Bytes {
+	for t.bytes+len(answer) > t.b.MaxBytes {
 		if !t.forget() {
 			answer = nil
 		}
@@ -167,7 +167,7 @@
 }
 
 // Drop forgets an exchange that has certainly had no effect, such as a refused one: the next message under its id runs.
-func (t *Table) Drop(k Key) {
+func (t *Table) Remove(k Key) {
 	if e := t.entries[k]; e != nil && e.open {
 		t.remove(e)
 	}
@@ -179,7 +179,7 @@
 	if first == nil {
 		return false
 	}
-	t.stats.Forgotten++
+	t.stats.Evicted++
 	t.remove(first.Value.(*entry))
 	return true
 }
@@ -188,7 +188,7 @@
 func (t *Table) makeRoomOf(endpoint string) bool {
 	for at, n := t.safe.Front(), 0; at != nil && n < maxScan; at, n = at.Next(), n+1 {
 		if e := at.Value.(*entry); e.key.Endpoint == endpoint {
-			t.stats.Forgotten++
+			t.stats.Evicted++
 			t.remove(e)
 			return true
 		}
--- a/internal/coap/echo/echo.go
+++ b/internal/coap/echo/echo.go
@@ -14,7 +14,7 @@
 
 // Fresh is how long a value holds. It is longer than EXCHANGE_LIFETIME (247 s), within which duplicates are known by
 // themselves: a value that has passed its time cannot be that of a retransmission.
-const Fresh = 5 * time.Minute
+const Lifetime = 5 * time.Minute
 
 const (
 	stampLen = 4
@@ -29,22 +29,22 @@
 	None    Verdict = iota // there is no value: ask for one
 	Valid                  // fresh, of this process, for this endpoint
 	Expired                // of this process, but old: ask for a new one
-	Foreign                // another process's, another endpoint's or forged: what it comes with may have run elsewhere
+	Unknown                // another process's, another endpoint's or forged: what it comes with may have run elsewhere
 )
 
 // Maker makes and checks values.
-type Maker struct{ key [32]byte }
+type Authenticator struct{ key [32]byte }
 
 // New makes a maker with a key that nobody else has.
-func New(key [32]byte) *Maker { return &Maker{key} }
+func New(key [32]byte) *Authenticator { return &Authenticator{key} }
 
 // Make gives a value for an endpoint at a time, which is a span since the process's start.
-func (m *Maker) Make(now time.Duration, endpoint string) []byte {
+func (m *Authenticator) Issue(now time.Duration, endpoint string) []byte {
 	stamp := binary.BigEndian.AppendUint32(nil, uint32(now/time.Second))
 	return append(stamp, m.mac(stamp, endpoint)...)
 }
 
-func (m *Maker) mac(stamp []byte, endpoint string) []byte {
+func (m *Authenticator) mac(stamp []byte, endpoint string) []byte {
 	h := hmac.New(sha256.New, m.key[:])
 	_, _ = h.Write(stamp) // a hash takes everything
 	_, _ = h.Write([]byte(endpoint))
@@ -52,15 +52,15 @@
 }
 
 // Check judges a value.
-func (m *Maker) Check(now time.Duration, endpoint string, value []byte, there bool) Verdict {
+func (m *Authenticator) Check(now time.Duration, endpoint string, value []byte, there bool) Verdict {
 	if !there || len(value) == 0 {
 		return None
 	}
 	if len(value) != stampLen+macLen || !hmac.Equal(value[stampLen:], m.mac(value[:stampLen], endpoint)) {
-		return Foreign
+		return Unknown
 	}
 	at := time.Duration(binary.BigEndian.Uint32(value)) * time.Second
-	if now-at > Fresh || at > now+time.Second {
+	if now-at > Lifetime || at > now+time.Second {
 		return Expired
 	}
 	return Valid
--- a/internal/coap/echo/echo_test.go
+++ b/internal/coap/echo/echo_test.go
@@ -7,7 +7,7 @@
 
 func TestValues(t *testing.T) {
 	mine, other := New([32]byte{1}), New([32]byte{2})
-	v := mine.Make(10*time.Second, "a")
+	v := mine.Issue(10*time.Second, "a")
 	forged := append([]byte(nil), v...)
 	forged[0]++
 	for name, c := range map[string]struct {
@@ -22,10 +22,10 @@
 		"fresh":             {10 * time.Second, "a", v, true, Valid},
 		"fresh at the end":  {310 * time.Second, "a", v, true, Valid},
 		"old":               {311 * time.Second, "a", v, true, Expired},
-		"another endpoint":  {10 * time.Second, "b", v, true, Foreign},
-		"another process":   {10 * time.Second, "a", other.Make(10*time.Second, "a"), true, Foreign},
-		"forged time":       {10 * time.Second, "a", forged, true, Foreign},
-		"of another length": {10 * time.Second, "a", v[:6], true, Foreign},
+		"another endpoint":  {10 * time.Second, "b", v, true, Unknown},
+		"another process":   {10 * time.Second, "a", other.Issue(10*time.Second, "a"), true, Unknown},
+		"forged time":       {10 * time.Second, "a", forged, true, Unknown},
+		"of another length": {10 * time.Second, "a", v[:6], true, Unknown},
 	} {
 		if got := mine.Check(c.at, c.endpoint, c.value, c.there); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
--- a/internal/coap/front/front.go
+++ b/internal/coap/front/front.go
@@ -50,7 +50,7 @@
 
 	// provenMost and provenFor bound the memory of addresses that have proved themselves.
 	provenMost = 8192
-	provenFor  = echo.Fresh
+	provenFor  = echo.Lifetime
 
 	// retryLater is the Max-Age in seconds of a refusal of the front's own.
 	retryLater = 2
@@ -59,32 +59,32 @@
 )
 
 // Desk serves requests.
-type Desk interface {
+type Handler interface {
 	Serve(*fasthttp.RequestCtx, proxy.Client)
 }
 
 // Options are what a front works with.
 type Options struct {
-	Desk    Desk
-	Classes []balancer.Class
-	Log     *slog.Logger
-	Count   *counters.Coap
-	Most    int // requests in hand
-	Dedup   dedup.Bounds
-	Uploads blocks.Bounds
-	Kept    blocks.Bounds // answers that are fetched in blocks
-	Rate    float64       // datagrams a second of one address prefix
+	Handler     Handler
+	Classes     []balancer.Class
+	Log         *slog.Logger
+	Count       *counters.Coap
+	MaxInFlight int // requests in hand
+	Dedup       dedup.Limits
+	Uploads     blocks.Limits
+	Downloads   blocks.Limits // answers that are fetched in blocks
+	Rate        float64       // datagrams a second of one address prefix
 	// InFlight accounts for the requests that were taken.
 	InFlight *inflight.Account
 }
 
 // Front serves one socket. The transport is any net.PacketConn: plain UDP, or one that secures datagrams.
-type Front struct {
+type Server struct {
 	o       Options
 	classes map[string]balancer.Class
 	conn    net.PacketConn
 	began   time.Time
-	echo    *echo.Maker
+	echo    *echo.Authenticator
 	ids     string        // begins the request ids that servers see
 	nextID  atomic.Uint64 // of requests
 	open    chan struct{} // a place for each request in hand
@@ -102,7 +102,7 @@
 }
 
 // New makes a front on a socket.
-func New(conn net.PacketConn, o Options) (*Front, error) {
+func New(conn net.PacketConn, o Options) (*Server, error) {
 	var key [32]byte
 	var start [10]byte
 	if _, err := rand.Read(key[:]); err != nil {
@@ -114,8 +114,8 @@
 	if o.InFlight == nil {
 		o.InFlight = &inflight.Account{}
 	}
-	f := &Front{o: o, conn: conn, began: time.Now(), echo: echo.New(key), ids: fmt.Sprintf("%x", start[:8]), classes: map[string]balancer.Class{},
-		open: make(chan struct{}, o.Most), table: dedup.New(o.Dedup), uploads: blocks.New(o.Uploads), kept: blocks.New(o.Kept),
+	f := &Server{o: o, conn: conn, began: time.Now(), echo: echo.New(key), ids: fmt.Sprintf("%x", start[:8]), classes: map[string]balancer.Class{},
+		open: make(chan struct{}, o.MaxInFlight), table: dedup.New(o.Dedup), uploads: blocks.New(o.Uploads), kept: blocks.New(o.Downloads),
 		proven: map[string]time.Duration{}, limits: newLimiter(o.Rate), waiting: map[dedup.Key]chan struct{}{},
 		nextMID: uint16(start[8])<<8 | uint16(start[9])}
 	for _, c := range o.Classes {
@@ -125,7 +125,7 @@
 }
 
 // Run serves until Close. One datagram that goes wrong ends nothing else.
-func (f *Front) Run() {
+func (f *Server) Run() {
 	buf := make([]byte, readBuffer)
 	for {
 		n, from, err := f.conn.ReadFrom(buf)
@@ -143,7 +143,7 @@
 
 // Close takes nothing new and waits until what is in hand is answered; then the socket goes. Each request in hand ends by its
 // deadline, or sooner in a planned stop.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock() // a request that was let in before counts as working by now
 	f.ending.Store(true)
 	f.mu.Unlock()
@@ -151,10 +151,10 @@
 	_ = f.conn.Close()
 }
 
-func (f *Front) now() time.Duration { return time.Since(f.began) }
+func (f *Server) now() time.Duration { return time.Since(f.began) }
 
 // datagram takes one datagram. It does not wait.
-func (f *Front) datagram(b []byte, from net.Addr) {
+func (f *Server) datagram(b []byte, from net.Addr) {
 	defer func() {
 		if p := recover(); p != nil {
 			f.o.Count.Panics.Inc()
@@ -162,7 +162,7 @@
 		}
 	}()
 	f.o.Count.Datagrams.Inc()
-	head, err := wire.ReadHead(b)
+	head, err := wire.ParseHeader(b)
 	if err != nil {
 		f.o.Count.Drops.Inc("no_coap")
 		return
@@ -196,7 +196,7 @@
 }
 
 // reject tells who sent a confirmable message that it is of no use here (RFC 7252, 4.2).
-func (f *Front) reject(head wire.Head, from net.Addr, why string) {
+func (f *Server) reject(head wire.Header, from net.Addr, why string) {
 	f.o.Count.Drops.Inc(why)
 	if head.Type == wire.Con {
 		f.send(wire.Empty(wire.Rst, head.ID), from)
@@ -204,16 +204,16 @@
 }
 
 // request looks whether a request is new. The caller holds the lock.
-func (f *Front) request(m *message.Message, key dedup.Key, b []byte, from net.Addr) {
+func (f *Server) request(m *message.Message, key dedup.Key, b []byte, from net.Addr) {
 	r := &incoming{f: f, m: m, key: key, from: from, size: len(b), confirmable: m.Type == wire.Con}
 	if f.ending.Load() {
 		r.direct(codes.ServiceUnavailable, "ending")
 		return
 	}
-	verdict, answer, acked := f.table.See(f.now(), dedup.Message{Key: key, Confirmable: r.confirmable, Safe: m.Code == codes.GET,
-		Print: dedup.Fingerprint(b)})
+	verdict, answer, acked := f.table.Receive(f.now(), dedup.Message{Key: key, Confirmable: r.confirmable, Idempotent: m.Code == codes.GET,
+		Fingerprint: dedup.Fingerprint(b)})
 	switch verdict {
-	case dedup.Joined:
+	case dedup.InProgress:
 		f.o.Count.Joined.Inc()
 		if acked && r.confirmable {
 			f.send(wire.Empty(wire.Ack, key.ID), from)
@@ -221,8 +221,8 @@
 	case dedup.Replay:
 		f.o.Count.Replayed.Inc()
 		f.replay(answer, key, from, r.confirmable)
-	case dedup.Full, dedup.Many:
-		f.o.Count.Refused.Inc(map[dedup.Verdict]string{dedup.Full: "table_full", dedup.Many: "endpoint_full"}[verdict])
+	case dedup.TableFull, dedup.EndpointFull:
+		f.o.Count.Refused.Inc(map[dedup.Verdict]string{dedup.TableFull: "table_full", dedup.EndpointFull: "endpoint_full"}[verdict])
 		r.direct(codes.ServiceUnavailable, "too much is remembered")
 	default:
 		f.fresh(r)
@@ -230,7 +230,7 @@
 }
 
 // replay sends a stored answer again. One that was sent by itself follows an acknowledgement.
-func (f *Front) replay(answer []byte, key dedup.Key, from net.Addr, confirmable bool) {
+func (f *Server) replay(answer []byte, key dedup.Key, from net.Addr, confirmable bool) {
 	if confirmable && (len(answer) == 0 || message.Type(answer[0]>>4&3) != wire.Ack) {
 		f.send(wire.Empty(wire.Ack, key.ID), from)
 	}
@@ -240,16 +240,16 @@
 }
 
 // send writes a datagram. One that cannot be sent is lost, as on the way.
-func (f *Front) send(b []byte, to net.Addr) {
+func (f *Server) send(b []byte, to net.Addr) {
 	if _, err := f.conn.WriteTo(b, to); err != nil {
 		f.o.Count.SendErrors.Inc()
 	}
 }
 
 // provenAt tells whether an endpoint has shown that it receives at its address.
-func (f *Front) provenAt(endpoint string) bool { return f.proven[endpoint] > f.now() }
+func (f *Server) provenAt(endpoint string) bool { return f.proven[endpoint] > f.now() }
 
-func (f *Front) prove(endpoint string) {
+func (f *Server) prove(endpoint string) {
 	if len(f.proven) >= provenMost {
 		now := f.now()
 		for e, until := range f.proven {
@@ -265,13 +265,13 @@
 }
 
 // mid is a message id of our own.
-func (f *Front) mid() uint16 {
+func (f *Server) mid() uint16 {
 	f.nextMID++
 	return f.nextMID
 }
 
 // requestID is an id that no other request has: servers tell attempts apart by it.
-func (f *Front) requestID() string { return f.ids + "-" + strconv.FormatUint(f.nextID.Add(1), 16) }
+func (f *Server) requestID() string { return f.ids + "-" + strconv.FormatUint(f.nextID.Add(1), 16) }
 
 // prefix is the part of an address that one rate holds for: whoever has one address of a network mostly has them all.
 func prefix(a net.Addr) netip.Prefix {
--- a/internal/coap/front/front_test.go
+++ b/internal/coap/front/front_test.go
@@ -31,13 +31,13 @@
 
 func (desk) Serve(ctx *fasthttp.RequestCtx, _ proxy.Client) { ctx.SetBodyString("served") }
 
-func newFront(tb testing.TB) (*Front, *sink, *counters.Coap) {
+func newFront(tb testing.TB) (*Server, *sink, *counters.Coap) {
 	tb.Helper()
 	count, out := &counters.Coap{}, &sink{}
-	small := blocks.Bounds{Count: 4, Endpoint: 2, Bytes: 4096, Body: 2048, Idle: time.Minute}
-	f, err := New(out, Options{Desk: desk{}, Classes: []balancer.Class{{Name: "look", HardLimit: 500}, {Name: "bill", Effect: balancer.Unsafe, HardLimit: 500}},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count, Most: 8, Dedup: dedup.Bounds{Entries: 32, Bytes: 64 << 10, Endpoint: 16},
-		Uploads: small, Kept: small})
+	small := blocks.Limits{MaxTransfers: 4, MaxPerEndpoint: 2, MaxBytes: 4096, MaxBodyBytes: 2048, IdleTimeout: time.Minute}
+	f, err := New(out, Options{Handler: desk{}, Classes: []balancer.Class{{Name: "look", HardLimit: 500}, {Name: "bill", Effect: balancer.Unsafe, HardLimit: 500}},
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count, MaxInFlight: 8, Dedup: dedup.Limits{MaxEntries: 32, MaxBytes: 64 << 10, MaxPerEndpoint: 16},
+		Uploads: small, Downloads: small})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 			t.Fatalf("a panic at %x %x", a, b)
 		}
 		for _, d := range [][]byte{a, b} {
-			if h, err := wire.ReadHead(d); err == nil && h.Code == 0 && h.Type == wire.Con && count.Pings.Get() == 0 {
+			if h, err := wire.ParseHeader(d); err == nil && h.Code == 0 && h.Type == wire.Con && count.Pings.Get() == 0 {
 				t.Fatalf("a ping was not seen in %x", d)
 			}
 		}
@@ -97,12 +97,12 @@
 }
 
 func TestSectionIsChecked(t *testing.T) {
-	for _, bad := range []Section{{}, {Listen: "host:1"}, {Listen: "127.0.0.1:1", Open: 1, Remembered: 1, PerEndpoint: 1, Uploads: 1, Memory: 10}} {
+	for _, bad := range []Config{{}, {Listen: "host:1"}, {Listen: "127.0.0.1:1", MaxInFlight: 1, MaxExchanges: 1, MaxExchangesPerEndpoint: 1, MaxUploads: 1, Memory: 10}} {
 		if len(check(&bad)) == 0 {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
-	good := Part().Section.New().(*Section)
+	good := Subsystem().Section.New().(*Config)
 	good.Listen = "[::1]:5683"
 	if faults := check(good); len(faults) > 0 {
 		t.Errorf("the defaults: %v", faults)
--- a/internal/coap/front/incoming.go
+++ b/internal/coap/front/incoming.go
@@ -22,7 +22,7 @@
 
 // incoming is one request on its way.
 type incoming struct {
-	f           *Front
+	f           *Server
 	m           *message.Message
 	key         dedup.Key
 	from        net.Addr
@@ -49,7 +49,7 @@
 }
 
 // fresh takes a new request through what the front itself must know, and starts it. The caller holds the lock.
-func (f *Front) fresh(r *incoming) {
+func (f *Server) fresh(r *incoming) {
 	r.at = time.Now()
 	c, bad := mapCall(r.m, f.classes)
 	if bad != nil {
@@ -83,7 +83,7 @@
 }
 
 // proves asks for the Echo option where it is needed; false where the request does not go on.
-func (f *Front) proves(r *incoming) bool {
+func (f *Server) proves(r *incoming) bool {
 	value, there := wire.Bytes(r.m, message.Echo)
 	verdict := f.echo.Check(f.now(), r.key.Endpoint, value, there)
 	if verdict == echo.Valid {
@@ -92,7 +92,7 @@
 	if r.call.class.Effect == balancer.Safe || verdict == echo.Valid {
 		return true
 	}
-	if verdict == echo.Foreign {
+	if verdict == echo.Unknown {
 		// It may be the repeat of one that ran at another node, or here before a restart. Nothing is known of that, so
 		// nothing is promised; the device's next request, with what this answer brings, is its own decision.
 		f.o.Count.Refused.Inc("foreign_echo")
@@ -104,8 +104,8 @@
 	return false
 }
 
-func (f *Front) challenge(r *incoming) message.Options {
-	return message.Options{}.Add(message.Option{ID: message.Echo, Value: f.echo.Make(f.now(), r.key.Endpoint)})
+func (f *Server) challenge(r *incoming) message.Options {
+	return message.Options{}.Add(message.Option{ID: message.Echo, Value: f.echo.Issue(f.now(), r.key.Endpoint)})
 }
 
 // what names the resource of a transfer: method, path and query, without the option that goes from block to block.
@@ -119,7 +119,7 @@
 }
 
 // upload puts a body together from its blocks; done where this message has its answer.
-func (f *Front) upload(r *incoming) (body []byte, done bool) {
+func (f *Server) upload(r *incoming) (body []byte, done bool) {
 	b, there, err := wire.Block(r.m, message.Block1)
 	switch {
 	case err != nil:
@@ -134,9 +134,9 @@
 	case !there:
 		return r.m.Payload, false
 	}
-	verdict, body := f.uploads.Add(f.now(), blocks.Key{Endpoint: r.key.Endpoint, What: r.what()}, b, r.m.Payload)
+	verdict, body := f.uploads.Add(f.now(), blocks.Key{Endpoint: r.key.Endpoint, Resource: r.what()}, b, r.m.Payload)
 	switch verdict {
-	case blocks.Whole:
+	case blocks.Complete:
 		return body, false
 	case blocks.Continue:
 		r.answer(reply{code: codes.Continue, block1: &b, harmless: true})
@@ -145,7 +145,7 @@
 		r.answer(reply{code: codes.RequestEntityIncomplete, block1: &b, harmless: true})
 	case blocks.TooLarge:
 		f.o.Count.Refused.Inc("body_too_large")
-		r.answer(reply{code: codes.RequestEntityTooLarge, block1: &b, options: wire.Add(nil, message.Size1, maxBody), harmless: true})
+		r.answer(reply{code: codes.RequestEntityTooLarge, block1: &b, options: wire.AddUint(nil, message.Size1, maxBody), harmless: true})
 	default:
 		f.o.Count.Refused.Inc("too_many_uploads")
 		r.answer(reply{code: codes.ServiceUnavailable, block1: &b, maxAge: retryLater, harmless: true})
@@ -163,7 +163,7 @@
 	if !there || b.Num == 0 {
 		return false
 	}
-	body, ok := r.f.kept.Fetch(r.f.now(), blocks.Key{Endpoint: r.key.Endpoint, What: r.what()})
+	body, ok := r.f.kept.Get(r.f.now(), blocks.Key{Endpoint: r.key.Endpoint, Resource: r.what()})
 	if !ok {
 		if r.call.class.Effect == balancer.Safe {
 			return false // asked anew: the block is cut from a fresh answer
@@ -223,7 +223,7 @@
 	}
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Init(&req, r.from, nil)
-	r.f.o.Desk.Serve(ctx, device{r.at})
+	r.f.o.Handler.Serve(ctx, device{r.at})
 	retryAfter, _ = strconv.ParseFloat(string(ctx.Response.Header.Peek("Retry-After")), 64)
 	return ctx.Response.StatusCode(), append([]byte(nil), ctx.Response.Body()...), retryAfter
 }
@@ -251,7 +251,7 @@
 		return
 	}
 	r.acked = true
-	r.f.table.Acked(r.key)
+	r.f.table.MarkAcknowledged(r.key)
 	r.f.send(wire.Empty(wire.Ack, r.key.ID), r.from)
 }
 
@@ -265,7 +265,7 @@
 		b = wire.Empty(wire.Rst, r.key.ID)
 	}
 	r.f.o.Count.Answers.Inc(strconv.Itoa(int(a.code>>5)) + "." + strconv.Itoa(100 + int(a.code&31))[1:])
-	r.f.table.Answer(r.key, b, a.harmless)
+	r.f.table.Complete(r.key, b, a.harmless)
 	r.f.send(b, r.from)
 	if m.Type == wire.Con {
 		r.f.retransmit(b, uint16(m.MessageID), r.from)
@@ -286,22 +286,22 @@
 func (r *incoming) bounded(a reply) reply {
 	b, asked, err := wire.Block(r.m, message.Block2)
 	if err != nil || !asked {
-		b = blocks.Block{SZX: blocks.MostSZX}
+		b = blocks.Block{SZX: blocks.MaxSZX}
 	}
 	if len(a.body) > b.Size() || asked && len(a.body) > 0 {
-		k := blocks.Key{Endpoint: r.key.Endpoint, What: r.what()}
+		k := blocks.Key{Endpoint: r.key.Endpoint, Resource: r.what()}
 		if b.Num == 0 && len(a.body) > b.Size() {
-			r.f.kept.Keep(r.f.now(), k, a.body)
+			r.f.kept.Put(r.f.now(), k, a.body)
 		}
-		part, out, ok := b.Cut(a.body)
+		part, out, ok := b.Slice(a.body)
 		if !ok {
 			return text(codes.BadOption, "no such block")
 		}
 		h := fnv.New64a()
 		_, _ = h.Write(a.body)
 		a.options = a.options.Add(message.Option{ID: message.ETag, Value: h.Sum(nil)})
-		a.options = wire.Add(a.options, message.Block2, out.Value())
-		a.options = wire.Add(a.options, message.Size2, uint32(len(a.body)))
+		a.options = wire.AddUint(a.options, message.Block2, out.Value())
+		a.options = wire.AddUint(a.options, message.Size2, uint32(len(a.body)))
 		a.body = part
 	}
 	if len(a.body) > amplify*r.size && !r.f.provenAt(r.key.Endpoint) {
@@ -315,10 +315,10 @@
 func (r *incoming) message(a reply) message.Message {
 	m := message.Message{Token: r.m.Token, Code: a.code, Payload: a.body, Options: a.options, Type: wire.Non, MessageID: int32(r.key.ID)}
 	if a.maxAge > 0 {
-		m.Options = wire.Add(m.Options, message.MaxAge, a.maxAge)
+		m.Options = wire.AddUint(m.Options, message.MaxAge, a.maxAge)
 	}
 	if a.block1 != nil {
-		m.Options = wire.Add(m.Options, message.Block1, a.block1.Value())
+		m.Options = wire.AddUint(m.Options, message.Block1, a.block1.Value())
 	}
 	switch {
 	case r.confirmable && !r.acked:
@@ -336,7 +336,7 @@
 const waitingMost = 1024
 
 // retransmit sends a separate answer again until it is acknowledged. The caller holds the lock.
-func (f *Front) retransmit(b []byte, id uint16, to net.Addr) {
+func (f *Server) retransmit(b []byte, id uint16, to net.Addr) {
 	key := dedup.Key{Endpoint: to.String(), ID: id}
 	if len(f.waiting) >= waitingMost || f.waiting[key] != nil {
 		return
--- a/internal/coap/front/mapping.go
+++ b/internal/coap/front/mapping.go
@@ -61,7 +61,7 @@
 			return call{}, refuse(codes.BadOption, "critical option %d", o.ID)
 		}
 	}
-	path := wire.Texts(m, message.URIPath)
+	path := wire.Strings(m, message.URIPath)
 	if len(path) == 0 {
 		return call{}, refuse(codes.NotFound, "no path")
 	}
@@ -81,7 +81,7 @@
 	default:
 		return call{}, refuse(codes.MethodNotAllowed, "%v on %s", m.Code, class.Name)
 	}
-	c.uri = c.queries(path, wire.Texts(m, message.URIQuery))
+	c.uri = c.queries(path, wire.Strings(m, message.URIQuery))
 	switch {
 	case class.Effect == balancer.Keyed && c.key == "":
 		return call{}, refuse(codes.BadRequest, "no key")
--- a/internal/coap/front/part.go
+++ b/internal/coap/front/part.go
@@ -19,19 +19,19 @@
 )
 
 // Section is [coap].
-type Section struct {
-	Listen      string         `toml:"listen"`       // IP address and port; UDP
-	Open        int            `toml:"open"`         // requests in hand
-	Remembered  int            `toml:"remembered"`   // exchanges, for repeats
-	Memory      operator.Bytes `toml:"memory"`       // of remembered answers, half-sent bodies and kept answers, a third each
-	PerEndpoint int            `toml:"per_endpoint"` // exchanges of one device that are remembered
-	Uploads     int            `toml:"uploads"`      // bodies half sent
-	Rate        float64        `toml:"rate"`         // datagrams a second of one address prefix (IPv4 /24, IPv6 /56); 0: no limit
+type Config struct {
+	Listen                  string         `toml:"listen"`       // IP address and port; UDP
+	MaxInFlight             int            `toml:"open"`         // requests in hand
+	MaxExchanges            int            `toml:"remembered"`   // exchanges, for repeats
+	Memory                  operator.Bytes `toml:"memory"`       // of remembered answers, half-sent bodies and kept answers, a third each
+	MaxExchangesPerEndpoint int            `toml:"per_endpoint"` // exchanges of one device that are remembered
+	MaxUploads              int            `toml:"uploads"`      // bodies half sent
+	Rate                    float64        `toml:"rate"`         // datagrams a second of one address prefix (IPv4 /24, IPv6 /56); 0: no limit
 }
 
 // Node is what the front needs of its node.
 type Node interface {
-	Desk() Desk
+	Handler() Handler
 	Classes() []balancer.Class
 	Counters() *counters.Counters
 	InFlight() *inflight.Account
@@ -47,23 +47,23 @@
 )
 
 // Part is the subsystem.
-func Part() subsystem.Part {
-	return subsystem.Part{
+func Subsystem() subsystem.Definition {
+	return subsystem.Definition{
 		Section: operator.Section{Name: "coap", About: "devices over CoAP (UDP), through the same decisions as HTTP",
 			New: func() any {
-				return &Section{Open: 512, Remembered: 20_000, Memory: 12 << 20, PerEndpoint: 64, Uploads: 128, Rate: 500}
+				return &Config{MaxInFlight: 512, MaxExchanges: 20_000, Memory: 12 << 20, MaxExchangesPerEndpoint: 64, MaxUploads: 128, Rate: 500}
 			}, Check: check},
 		Build: build,
 	}
 }
 
 func check(options any) []operator.Fault {
-	o := options.(*Section)
+	o := options.(*Config)
 	var out []operator.Fault
 	if _, err := netip.ParseAddrPort(o.Listen); err != nil {
 		out = append(out, operator.Fault{Key: "listen", Text: fmt.Sprintf("%q is no IP address with a port", o.Listen)})
 	}
-	for key, n := range map[string]int{"open": o.Open, "remembered": o.Remembered, "per_endpoint": o.PerEndpoint, "uploads": o.Uploads} {
+	for key, n := range map[string]int{"open": o.MaxInFlight, "remembered": o.MaxExchanges, "per_endpoint": o.MaxExchangesPerEndpoint, "uploads": o.MaxUploads} {
 		if n < 1 {
 			out = append(out, operator.Fault{Key: key, Text: "must be at least 1"})
 		}
@@ -79,18 +79,18 @@
 
 // running is the front with its socket.
 type running struct {
-	front *Front
+	front *Server
 	conn  net.PacketConn
 	once  sync.Once
 	run   bool
 }
 
-func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Instance) (subsystem.Instance, error) {
 	n, ok := host.Node.(Node)
 	if !ok {
 		return nil, errors.New("this node has no desk")
 	}
-	o := options.(*Section)
+	o := options.(*Config)
 	if was, ok := old.(*running); ok && was.conn.LocalAddr().String() == o.Listen {
 		return nil, errors.New("its other keys cannot be changed while it listens at the same address: what it remembers of " +
 			"effects would be lost; turn it off first, or give another address")
@@ -100,10 +100,10 @@
 		return nil, err
 	}
 	third := int(o.Memory) / 3
-	f, err := New(conn, Options{Desk: n.Desk(), Classes: n.Classes(), Log: host.Log, Count: &n.Counters().Coap, InFlight: n.InFlight(), Most: o.Open, Rate: o.Rate,
-		Dedup:   dedup.Bounds{Entries: o.Remembered, Bytes: third, Endpoint: o.PerEndpoint},
-		Uploads: blocks.Bounds{Count: o.Uploads, Endpoint: uploadsPerEndpoint, Bytes: third, Body: maxBody, Idle: uploadIdle},
-		Kept:    blocks.Bounds{Count: o.Remembered, Endpoint: keptPerEndpoint, Bytes: third, Body: maxBody, Idle: uploadIdle}})
+	f, err := New(conn, Options{Handler: n.Handler(), Classes: n.Classes(), Log: host.Log, Count: &n.Counters().Coap, InFlight: n.InFlight(), MaxInFlight: o.MaxInFlight, Rate: o.Rate,
+		Dedup:     dedup.Limits{MaxEntries: o.MaxExchanges, MaxBytes: third, MaxPerEndpoint: o.MaxExchangesPerEndpoint},
+		Uploads:   blocks.Limits{MaxTransfers: o.MaxUploads, MaxPerEndpoint: uploadsPerEndpoint, MaxBytes: third, MaxBodyBytes: maxBody, IdleTimeout: uploadIdle},
+		Downloads: blocks.Limits{MaxTransfers: o.MaxExchanges, MaxPerEndpoint: keptPerEndpoint, MaxBytes: third, MaxBodyBytes: maxBody, IdleTimeout: uploadIdle}})
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
--- a/internal/coap/wire/wire.go
+++ b/internal/coap/wire/wire.go
@@ -26,31 +26,31 @@
 const maxOptions = 64
 
 // ErrNoCoAP says that a datagram is no CoAP message of version 1.
-var ErrNoCoAP = errors.New("no CoAP message")
+var ErrMalformed = errors.New("no CoAP message")
 
 // Head is the fixed part of a datagram, which is there even where the rest cannot be read.
-type Head struct {
+type Header struct {
 	Type message.Type
 	Code codes.Code
 	ID   uint16
 }
 
 // ReadHead reads the fixed part.
-func ReadHead(b []byte) (Head, error) {
+func ParseHeader(b []byte) (Header, error) {
 	if len(b) < 4 || b[0]>>6 != 1 {
-		return Head{}, ErrNoCoAP
+		return Header{}, ErrMalformed
 	}
-	return Head{Type: message.Type(b[0] >> 4 & 3), Code: codes.Code(b[1]), ID: binary.BigEndian.Uint16(b[2:])}, nil
+	return Header{Type: message.Type(b[0] >> 4 & 3), Code: codes.Code(b[1]), ID: binary.BigEndian.Uint16(b[2:])}, nil
 }
 
 // Decode reads a datagram.
 func Decode(b []byte) (message.Message, error) {
-	if _, err := ReadHead(b); err != nil {
+	if _, err := ParseHeader(b); err != nil {
 		return message.Message{}, err
 	}
 	m := message.Message{Options: make(message.Options, 0, maxOptions)}
 	if _, err := coder.DefaultCoder.Decode(b, &m); err != nil {
-		return message.Message{}, fmt.Errorf("%w: %w", ErrNoCoAP, err)
+		return message.Message{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return m, nil
 }
@@ -97,7 +97,7 @@
 }
 
 // Texts are an option's values in order.
-func Texts(m *message.Message, id message.OptionID) []string {
+func Strings(m *message.Message, id message.OptionID) []string {
 	var out []string
 	for _, o := range m.Options {
 		if o.ID == id {
@@ -118,7 +118,7 @@
 }
 
 // Add adds an option with a number, in as few bytes as hold it (RFC 7252, 3.2).
-func Add(o message.Options, id message.OptionID, v uint32) message.Options {
+func AddUint(o message.Options, id message.OptionID, v uint32) message.Options {
 	var b []byte
 	for n := 3; n >= 0; n-- {
 		if c := byte(v >> (8 * n)); len(b) > 0 || c != 0 {
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -48,8 +48,8 @@
 }
 
 // Part is the subsystem.
-func Part() subsystem.Part {
-	return subsystem.Part{
+func Part() subsystem.Definition {
+	return subsystem.Definition{
 		Section: operator.Section{Name: "inventory", About: "servers from CSV and YAML files, merged with discovery",
 			New: func() any { return defaults() }, Check: check},
 		Build: build,
@@ -93,7 +93,7 @@
 	stale bool
 }
 
-func build(host subsystem.Host, options any, old subsystem.Running) (subsystem.Running, error) {
+func build(host subsystem.Host, options any, old subsystem.Instance) (subsystem.Instance, error) {
 	n, ok := host.Node.(Node)
 	if !ok {
 		return nil, errors.New("this node has no roster")
--- a/internal/endpoints/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -59,7 +59,7 @@
 }
 
 // start builds and starts the subsystem from a section's text.
-func (d *desk) start(t testing.TB, text string) subsystem.Running {
+func (d *desk) start(t testing.TB, text string) subsystem.Instance {
 	t.Helper()
 	f, err := operator.Parse("edge.toml", text, []operator.Section{Part().Section})
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 	window  time.Duration
 	desk    *proxy.Desk
 	classes []balancer.Class
-	back    *back.Back
+	back    *back.Transport
 	roster  *endpoints.Roster
 	catalog *discovery.Catalog
 	pool    *upstream.Pool
@@ -82,8 +82,8 @@
 	watch   *shadow.Watch // around the module
 	peers   *gossip.Link  // nil where nodes do not talk
 	ingress *ingress.Server
-	door    *admin.Door // nil where staff have none
-	serving atomic.Bool // clients are taken in
+	door    *admin.Server // nil where staff have none
+	serving atomic.Bool   // clients are taken in
 	upgrade *upgrade
 	legacy  atomic.Pointer[balancer.State] // of the process before, until the list is told
 	each    int                            // connections on either side
@@ -92,7 +92,7 @@
 	plan     drain.Plan       // of a planned stop
 	inFlight inflight.Account // the requests that were taken, whichever front has them
 
-	subsystems *subsystem.Set                 // what the operator file turns on
+	subsystems *subsystem.Manager             // what the operator file turns on
 	number     int                            // of the settings
 	carrier    atomic.Pointer[cluster.Teller] // of the module's messages; nil: peers, where there are any
 }
@@ -107,7 +107,7 @@
 	files := max(fewestFiles, c.Limits.Sockets/filesPer)
 	own := reserve + files
 	if c.Operator != "" {
-		own += admin.Most + 1
+		own += admin.MaxConnections + 1
 	}
 	each := (c.Limits.Sockets - own) / 2
 	count.Operations = counters.Operations{}
@@ -122,7 +122,7 @@
 	n.pool = upstream.New(upstream.Options{Addresses: n.roster, Connect: clock.Span(connect(set)),
 		Idle: clock.Span(c.Settings.ConnIdle), Probe: probeTime, Most: each, Each: max(4, int(float64(each)*eachShare)), Spare: spare(set.Nodes),
 		Gone: func(id balancer.ServerID) { n.engine.Tell(balancer.Disconnected{Server: id}) }, Reports: set.Reports, Waiting: c.Settings.WaitingAt >= 0, Log: log, Count: count})
-	n.back = back.New(back.Options{Addresses: n.roster, NStart: nstart, Again: clock.Span(set.DrainGrace / 2),
+	n.back = back.New(back.Options{Resolver: n.roster, MaxExchanges: nstart, RetransmitWindow: clock.Span(set.DrainGrace / 2),
 		ParseLoad: n.pool.Load, Log: log, Count: &count.CoapBack})
 	n.watch = shadow.New(module, c.Watch, log, &count.Watch)
 	if len(c.Peers) > 0 {
@@ -146,7 +146,7 @@
 }
 
 func (n *node) send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
-	if n.back.Speaks(server) {
+	if n.back.Handles(server) {
 		return n.back.Send(server, c, done)
 	}
 	return n.pool.Send(server, c, done)
@@ -154,7 +154,7 @@
 
 // Probe asks a server for a sign of life, over the protocol that it speaks.
 func (n *node) Probe(server balancer.ServerID, done func(engine.End)) {
-	if n.back.Speaks(server) {
+	if n.back.Handles(server) {
 		n.back.Probe(server, probeTime, done)
 		return
 	}
@@ -199,7 +199,7 @@
 func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.Drained() }
 
 // Figures are what staff are shown.
-func (n *node) Figures() []byte { return n.count.Figures() }
+func (n *node) Stats() []byte { return n.count.Figures() }
 
 // Drain sends clients elsewhere, and Undrain welcomes them again; the process runs on.
 func (n *node) Drain() {
@@ -261,7 +261,7 @@
 }
 
 // Desk takes requests through the stages, whatever protocol they came by.
-func (n *node) Desk() front.Desk { return n.desk }
+func (n *node) Handler() front.Handler { return n.desk }
 
 // Classes are those of the settings.
 func (n *node) Classes() []balancer.Class { return n.classes }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -10,11 +10,11 @@
 
 // Parts are the subsystems that the operator file can turn on, in the order in which they start. A new one adds its
 // package and one line here.
-func Parts() []subsystem.Part {
-	return []subsystem.Part{
+func Parts() []subsystem.Definition {
+	return []subsystem.Definition{
 		endpoints.Part(),
-		front.Part(),
+		front.Subsystem(),
 		cluster.Part(),
-		resourceusage.Part(),
+		resourceusage.Subsystem(),
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -59,7 +59,7 @@
 	file, err := loadEdge(path)
 	var change subsystem.Change
 	if err == nil {
-		change, err = n.subsystems.Take(ctx, file)
+		change, err = n.subsystems.Apply(ctx, file)
 	}
 	var faults operator.Faults
 	switch {
@@ -71,6 +71,6 @@
 	case err != nil:
 		log.Error("the new operator file is not taken, the running one stands", "code", "edge_failed", "error", err)
 	default:
-		log.Info("operator file taken", "code", "edge", "file", path, "on", change.On, "off", change.Off, "changed", change.Changed)
+		log.Info("operator file taken", "code", "edge", "file", path, "on", change.Started, "off", change.Stopped, "changed", change.Restarted)
 	}
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	n.upgrade = &upgrade{n: n, limits: c.Limits, log: log, heir: heir, out: make(chan handover.Message, tellQueue)}
-	n.subsystems = subsystem.NewSet(Parts(), host(n, c, log, count))
+	n.subsystems = subsystem.NewManager(Parts(), host(n, c, log, count))
 	if c.Operator != "" {
 		if n.door, err = admin.Listen(c.Operator, n, log, count); err != nil {
 			return err
@@ -79,11 +79,11 @@
 	n.upgrade.begin(from)
 	n.start(ctx)
 	if file != nil {
-		change, err := n.subsystems.Take(ctx, file)
+		change, err := n.subsystems.Apply(ctx, file)
 		if err != nil {
 			return err
 		}
-		log.Info("operator file taken", "code", "edge", "file", file.Path, "on", change.On)
+		log.Info("operator file taken", "code", "edge", "file", file.Path, "on", change.Started)
 	}
 	n.follow(ctx)
 	go n.onSignals(stop, listener, log)
@@ -105,8 +105,8 @@
 
 // host is what a node gives its subsystems.
 func host(n *node, c config.Config, log *slog.Logger, count *counters.Counters) subsystem.Host {
-	return subsystem.Host{Log: log, Node: n, Counts: func() json.RawMessage { return count.JSON() },
-		Limits: subsystem.Limits{MemoryBytes: int64(c.Limits.MemoryMB * (1 << 20)), Sockets: c.Limits.Sockets}}
+	return subsystem.Host{Log: log, Node: n, Counters: func() json.RawMessage { return count.JSON() },
+		Limits: subsystem.Limits{MemoryBytes: int64(c.Limits.MemoryMB * (1 << 20)), Descriptors: c.Limits.Sockets}}
 }
 
 // limit keeps the process within its machine's limits, and gives the descriptors that it may have: the
--- a/internal/resourceusage/vitals.go
+++ b/internal/resourceusage/vitals.go
@@ -18,10 +18,10 @@
 
 // Options are the section [vitals].
 type Options struct {
-	Every    operator.Duration `toml:"every"`            // between two lines
-	Counters bool              `toml:"counters"`         // the counters go into each line
-	Memory   float64           `toml:"memory_warn"`      // share of the node's memory; 0: never
-	Sockets  float64           `toml:"descriptors_warn"` // share of the node's descriptors; 0: never
+	Interval        operator.Duration `toml:"every"`            // between two lines
+	Counters        bool              `toml:"counters"`         // the counters go into each line
+	MemoryShare     float64           `toml:"memory_warn"`      // share of the node's memory; 0: never
+	DescriptorShare float64           `toml:"descriptors_warn"` // share of the node's descriptors; 0: never
 }
 
 // Each line costs some kilobytes of log and a walk over the descriptors: more than one a second would be felt on the part
@@ -32,10 +32,12 @@
 )
 
 // Part is the subsystem.
-func Part() subsystem.Part {
-	return subsystem.Part{
+func Subsystem() subsystem.Definition {
+	return subsystem.Definition{
 		Section: operator.Section{Name: "vitals", About: "what the node costs, in its log at an interval",
-			New:   func() any { return &Options{Every: operator.Duration(10 * time.Second), Memory: 0.8, Sockets: 0.9} },
+			New: func() any {
+				return &Options{Interval: operator.Duration(10 * time.Second), MemoryShare: 0.8, DescriptorShare: 0.9}
+			},
 			Check: check},
 		Build: build,
 	}
@@ -44,10 +46,10 @@
 func check(options any) []operator.Fault {
 	o := options.(*Options)
 	var out []operator.Fault
-	if o.Every < leastEvery || o.Every > mostEvery {
+	if o.Interval < leastEvery || o.Interval > mostEvery {
 		out = append(out, operator.Fault{Key: "every", Text: "must be " + leastEvery.String() + " to " + mostEvery.String()})
 	}
-	for key, share := range map[string]float64{"memory_warn": o.Memory, "descriptors_warn": o.Sockets} {
+	for key, share := range map[string]float64{"memory_warn": o.MemoryShare, "descriptors_warn": o.DescriptorShare} {
 		if !(share >= 0 && share <= 1) {
 			out = append(out, operator.Fault{Key: key, Text: "must be a share from 0 to 1"})
 		}
@@ -58,15 +60,15 @@
 type vitals struct {
 	o      Options
 	host   subsystem.Host
-	bounds Bounds
+	bounds Thresholds
 	stop   context.CancelFunc
 	ending sync.WaitGroup
 }
 
-func build(host subsystem.Host, options any, _ subsystem.Running) (subsystem.Running, error) {
+func build(host subsystem.Host, options any, _ subsystem.Instance) (subsystem.Instance, error) {
 	o := *options.(*Options)
-	return &vitals{o: o, host: host, bounds: Bounds{Resident: int64(o.Memory * float64(host.Limits.MemoryBytes)),
-		Sockets: int(o.Sockets * float64(host.Limits.Sockets))}, stop: func() {}}, nil
+	return &vitals{o: o, host: host, bounds: Thresholds{Resident: int64(o.MemoryShare * float64(host.Limits.MemoryBytes)),
+		Descriptors: int(o.DescriptorShare * float64(host.Limits.Descriptors))}, stop: func() {}}, nil
 }
 
 // Start begins the lines.
@@ -82,7 +84,7 @@
 }
 
 func (v *vitals) run(ctx context.Context) {
-	tick := time.NewTicker(v.o.Every.Std())
+	tick := time.NewTicker(v.o.Interval.Std())
 	defer tick.Stop()
 	standing := map[string]bool{}
 	for {
@@ -93,22 +95,22 @@
 		}
 		r := Measure()
 		v.tell(r)
-		begin, end := Judge(r, v.bounds, standing)
+		begin, end := Evaluate(r, v.bounds, standing)
 		for _, code := range begin {
 			standing[code] = true
-			v.host.Log.Warn("a bound is passed", "code", code, "resident", r.Resident, "descriptors", r.Sockets)
+			v.host.Log.Warn("a bound is passed", "code", code, "resident", r.Resident, "descriptors", r.Descriptors)
 		}
 		for _, code := range end {
 			delete(standing, code)
-			v.host.Log.Info("below the bound again", "code", code+"_over", "resident", r.Resident, "descriptors", r.Sockets)
+			v.host.Log.Info("below the bound again", "code", code+"_over", "resident", r.Resident, "descriptors", r.Descriptors)
 		}
 	}
 }
 
 func (v *vitals) tell(r Reading) {
-	args := []any{"code", "vitals", "resident", r.Resident, "heap", r.Heap, "goroutines", r.Goroutines, "descriptors", r.Sockets}
-	if v.o.Counters && v.host.Counts != nil {
-		args = append(args, slog.Any("counters", v.host.Counts()))
+	args := []any{"code", "vitals", "resident", r.Resident, "heap", r.Heap, "goroutines", r.Goroutines, "descriptors", r.Descriptors}
+	if v.o.Counters && v.host.Counters != nil {
+		args = append(args, slog.Any("counters", v.host.Counters()))
 	}
 	v.host.Log.Info("vitals", args...)
 }
@@ -125,7 +127,7 @@
 		}
 	}
 	if fds, err := os.ReadDir("/proc/self/fd"); err == nil {
-		r.Sockets = len(fds) - 1 // the folder itself is open while it is read
+		r.Descriptors = len(fds) - 1 // the folder itself is open while it is read
 	}
 	return r
 }
--- a/internal/subsystem/part.go
+++ b/internal/subsystem/part.go
@@ -16,20 +16,20 @@
 
 // Host is what a node gives its subsystems.
 type Host struct {
-	Log    *slog.Logger
-	Limits Limits
-	Counts func() json.RawMessage // the node's counters as they are now
-	Node   any                    // what further subsystems ask for by interfaces of their own
+	Log      *slog.Logger
+	Limits   Limits
+	Counters func() json.RawMessage // the node's counters as they are now
+	Node     any                    // what further subsystems ask for by interfaces of their own
 }
 
 // Limits are the machine's, as the node was told.
 type Limits struct {
 	MemoryBytes int64
-	Sockets     int
+	Descriptors int
 }
 
 // Running is a subsystem that was built.
-type Running interface {
+type Instance interface {
 	// Start sets it going; it cannot fail. The context ends with the node.
 	Start(ctx context.Context)
 	// Stop ends it and waits until it has ended. One that was never started gives back what Build took.
@@ -37,15 +37,15 @@
 }
 
 // Part is one subsystem.
-type Part struct {
+type Definition struct {
 	Section operator.Section
 	// Build makes one from its options. Old is what runs now, nil where it is off: what both need alike, such as a
 	// listener, is handed over. Until Start nothing may be seen of the new one.
-	Build func(host Host, options any, old Running) (Running, error)
+	Build func(host Host, options any, old Instance) (Instance, error)
 }
 
 // Sections are the parts' sections.
-func Sections(parts []Part) []operator.Section {
+func Sections(parts []Definition) []operator.Section {
 	out := make([]operator.Section, len(parts))
 	for i, p := range parts {
 		out[i] = p.Section
@@ -54,34 +54,34 @@
 }
 
 // Set is the subsystems of one node.
-type Set struct {
-	parts []Part
+type Manager struct {
+	parts []Definition
 	host  Host
 
 	mu      sync.Mutex
 	ctx     context.Context
-	running map[string]Running
+	running map[string]Instance
 	options map[string]any
 	ended   bool
 }
 
 // NewSet makes the set with everything off.
-func NewSet(parts []Part, host Host) *Set {
-	return &Set{parts: parts, host: host, running: map[string]Running{}, options: map[string]any{}}
+func NewManager(parts []Definition, host Host) *Manager {
+	return &Manager{parts: parts, host: host, running: map[string]Instance{}, options: map[string]any{}}
 }
 
 // Change is what a file turned on, off or to other values.
-type Change struct{ On, Off, Changed []string }
+type Change struct{ Started, Stopped, Restarted []string }
 
 // Any tells whether anything changed.
-func (c Change) Any() bool { return len(c.On)+len(c.Off)+len(c.Changed) > 0 }
+func (c Change) Any() bool { return len(c.Started)+len(c.Stopped)+len(c.Restarted) > 0 }
 
 // errEnded says that the node ends.
 var errEnded = errors.New("the node is ending")
 
 // Take takes a file over: all parts are built first, and only when every one could be, the old ones make way. A part whose
 // options are as they were is left alone.
-func (s *Set) Take(ctx context.Context, f *operator.File) (Change, error) {
+func (s *Manager) Apply(ctx context.Context, f *operator.File) (Change, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
@@ -115,21 +115,21 @@
 }
 
 // build makes what is new or changed.
-func (s *Set) build(f *operator.File) (map[string]Running, Change, error) {
-	built, change := map[string]Running{}, Change{}
+func (s *Manager) build(f *operator.File) (map[string]Instance, Change, error) {
+	built, change := map[string]Instance{}, Change{}
 	for _, p := range s.parts {
 		name := p.Section.Name
 		want, have := f.Options(name), s.options[name]
 		switch {
 		case want == nil && have != nil:
-			change.Off = append(change.Off, name)
+			change.Stopped = append(change.Stopped, name)
 			continue
 		case want == nil || reflect.DeepEqual(want, have):
 			continue
 		case have == nil:
-			change.On = append(change.On, name)
+			change.Started = append(change.Started, name)
 		default:
-			change.Changed = append(change.Changed, name)
+			change.Restarted = append(change.Restarted, name)
 		}
 		r, err := p.Build(s.host, want, s.running[name])
 		if err != nil {
@@ -141,7 +141,7 @@
 }
 
 // Stop ends all, the last one first.
-func (s *Set) Stop() {
+func (s *Manager) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
@@ -155,7 +155,7 @@
 }
 
 // On are the names of what runs, in the parts' order.
-func (s *Set) On() []string {
+func (s *Manager) Active() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := []string{}
--- a/internal/subsystem/part_test.go
+++ b/internal/subsystem/part_test.go
@@ -24,11 +24,11 @@
 func (f *fake) Start(context.Context) { *f.notes = append(*f.notes, "start "+f.name) }
 func (f *fake) Stop()                 { *f.notes = append(*f.notes, "stop "+f.name) }
 
-func fakes(notes *[]string, names ...string) []Part {
-	var out []Part
+func fakes(notes *[]string, names ...string) []Definition {
+	var out []Definition
 	for _, name := range names {
-		out = append(out, Part{Section: operator.Section{Name: name, New: func() any { return &options{} }},
-			Build: func(_ Host, o any, old Running) (Running, error) {
+		out = append(out, Definition{Section: operator.Section{Name: name, New: func() any { return &options{} }},
+			Build: func(_ Host, o any, old Instance) (Instance, error) {
 				n := o.(*options).N
 				if n < 0 {
 					return nil, errors.New("cannot be built")
@@ -47,7 +47,7 @@
 func TestTakenWholeOrNotAtAll(t *testing.T) {
 	var notes []string
 	parts := fakes(&notes, "a", "b", "c")
-	set := NewSet(parts, Host{})
+	set := NewManager(parts, Host{})
 	for _, c := range []struct {
 		text  string
 		fails bool
@@ -65,19 +65,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = set.Take(context.Background(), f)
+		_, err = set.Apply(context.Background(), f)
 		if (err != nil) != c.fails || err != nil && !strings.Contains(err.Error(), "edge.toml: [c]") {
 			t.Errorf("%q: %v", c.text, err)
 		}
 		if got := strings.Join(notes, ", "); got != c.notes {
 			t.Errorf("%q: %s, want %s", c.text, got, c.notes)
 		}
-		if got := strings.Join(set.On(), " "); got != c.on {
+		if got := strings.Join(set.Active(), " "); got != c.on {
 			t.Errorf("%q: on are %s, want %s", c.text, got, c.on)
 		}
 	}
 	f, _ := operator.Parse("edge.toml", "[a]\n[b]\n", Sections(parts))
-	if _, err := set.Take(context.Background(), f); err != nil {
+	if _, err := set.Apply(context.Background(), f); err != nil {
 		t.Fatal(err)
 	}
 	notes = nil
@@ -85,7 +85,7 @@
 	if !slices.Equal(notes, []string{"stop b", "stop a"}) {
 		t.Errorf("at the end: %v", notes)
 	}
-	if _, err := set.Take(context.Background(), f); err == nil {
+	if _, err := set.Apply(context.Background(), f); err == nil {
 		t.Error("a file was taken after the end")
 	}
 }
--- a/lab/fleet/coap.go
+++ b/lab/fleet/coap.go
@@ -44,8 +44,8 @@
 	}
 	s.packets = append(s.packets, conn)
 	many := 1 << 20
-	b := &box{s: s, node: node, conn: conn, table: dedup.New(dedup.Bounds{Entries: many, Bytes: many << 8, Endpoint: many}),
-		uploads: blocks.New(blocks.Bounds{Count: many, Endpoint: many, Bytes: many << 6, Body: 64 << 10, Idle: time.Minute})}
+	b := &box{s: s, node: node, conn: conn, table: dedup.New(dedup.Limits{MaxEntries: many, MaxBytes: many << 8, MaxPerEndpoint: many}),
+		uploads: blocks.New(blocks.Limits{MaxTransfers: many, MaxPerEndpoint: many, MaxBytes: many << 6, MaxBodyBytes: 64 << 10, IdleTimeout: time.Minute})}
 	go b.run()
 	return nil
 }
@@ -66,7 +66,7 @@
 		}
 		for len(answers) > 0 {
 			a := <-answers
-			b.table.Answer(a.key, a.data, false)
+			b.table.Complete(a.key, a.data, false)
 		}
 		m, err := wire.Decode(bytes.Clone(buf[:n]))
 		if err != nil || m.Type != wire.Con {
@@ -77,14 +77,14 @@
 			_, _ = b.conn.WriteTo(wire.Empty(wire.Rst, key.ID), from)
 			continue
 		}
-		v, stored, _ := b.table.See(time.Since(b.s.f.start), dedup.Message{Key: key, Confirmable: true, Print: dedup.Fingerprint(buf[:n])})
+		v, stored, _ := b.table.Receive(time.Since(b.s.f.start), dedup.Message{Key: key, Confirmable: true, Fingerprint: dedup.Fingerprint(buf[:n])})
 		switch {
 		case v == dedup.Replay:
 			_, _ = b.conn.WriteTo(stored, from)
 		case v == dedup.Fresh:
 			whole, more := b.body(&m, from)
 			if more != nil {
-				b.table.Answer(key, more, false)
+				b.table.Complete(key, more, false)
 				_, _ = b.conn.WriteTo(more, from)
 				continue
 			}
@@ -108,16 +108,16 @@
 		return m.Payload, nil
 	}
 	id, _ := wire.Bytes(m, back.OptRequestID)
-	v, body := b.uploads.Add(time.Since(b.s.f.start), blocks.Key{Endpoint: from.String(), What: dedup.Fingerprint(id)}, block, m.Payload)
+	v, body := b.uploads.Add(time.Since(b.s.f.start), blocks.Key{Endpoint: from.String(), Resource: dedup.Fingerprint(id)}, block, m.Payload)
 	code := codes.RequestEntityIncomplete
 	switch v {
-	case blocks.Whole:
+	case blocks.Complete:
 		return body, nil
 	case blocks.Continue:
 		code = codes.Continue
 	}
 	out, _ := wire.Encode(message.Message{Type: wire.Ack, Code: code, MessageID: m.MessageID, Token: m.Token,
-		Options: wire.Add(nil, message.Block1, block.Value())})
+		Options: wire.AddUint(nil, message.Block1, block.Value())})
 	return nil, out
 }
 
@@ -125,14 +125,14 @@
 func (b *box) serve(m *message.Message, body []byte, first time.Time) []byte {
 	var req fasthttp.Request
 	uri := ""
-	for _, p := range wire.Texts(m, message.URIPath) {
+	for _, p := range wire.Strings(m, message.URIPath) {
 		uri += "/" + p
 	}
-	for i, q := range wire.Texts(m, message.URIQuery) {
+	for i, q := range wire.Strings(m, message.URIQuery) {
 		uri += map[bool]string{true: "?", false: "&"}[i == 0] + q
 	}
 	req.SetRequestURI(uri)
-	for id, name := range map[message.OptionID]string{back.OptRequestID: "X-Request-Id", back.OptKey: "Idempotency-Key", back.OptClass: "X-Class"} {
+	for id, name := range map[message.OptionID]string{back.OptRequestID: "X-Request-Id", back.OptIdempotencyKey: "Idempotency-Key", back.OptClass: "X-Class"} {
 		if v, ok := wire.Bytes(m, id); ok {
 			req.Header.SetBytesV(name, v)
 		}
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -44,7 +44,7 @@
 			if !up.Clean() || !down.Clean() {
 				conn = link.New(up, down, s.Seed<<16+uint64(node)<<10+uint64(i)).WrapPacket(conn)
 			}
-			free <- &device{conn, coap.New(conn, to, coap.Options{AckTimeout: ackTimeout, Retransmit: 6, Dup: s.Clients.Dup})}
+			free <- &device{conn, coap.New(conn, to, coap.Options{AckTimeout: ackTimeout, MaxRetransmit: 6, Duplicates: s.Clients.Dup})}
 		}
 		l.boxes = append(l.boxes, free)
 	}
