--- /dev/null
+++ b/internal/coap/back/transport.go
@@ -0,0 +1,137 @@
+// Package back sends requests to servers that speak CoAP (RFC 7252), which an endpoint list names by the scheme coap://. It
+// takes the bytes that would go to an HTTP server and reports the same outcomes; which server gets a request is decided
+// elsewhere.
+package back
+
+import (
+	"context"
+	"log/slog"
+	"strings"
+	"sync"
+	"time"
+
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/clock"
+	"tackhub.example/tackhub/internal/counters"
+	"tackhub.example/tackhub/internal/engine"
+)
+
+// Scheme begins the address of a server that speaks CoAP.
+const Scheme = "coap://"
+
+// idleTimeout is how long a server's socket stays open without a request.
+const idleTimeout = time.Minute
+
+// Resolver tells the address of a server, with its scheme; false where the server is not known or gets nothing new.
+type Resolver interface {
+	Address(balancer.ServerID) (string, bool)
+}
+
+// Options are the settings of a Transport.
+type Options struct {
+	Resolver     Resolver
+	MaxExchanges int // exchanges in flight to one server: NSTART of RFC 7252, 4.7
+	// RetransmitWindow is how long after its first transmission a message is sent again. A server that begins to drain
+	// meanwhile must not get it later than the drain grace.
+	RetransmitWindow time.Duration
+	ParseLoad        func([]byte) balancer.Load // reads the value of OptLoad
+	Log              *slog.Logger
+	Count            *counters.CoapBack
+}
+
+// Transport sends attempts and health probes to CoAP servers. It has a socket for each server that is in use.
+type Transport struct {
+	options Options
+
+	mu    sync.Mutex
+	conns map[string]*serverConn // by the server's address
+}
+
+// New makes a transport without sockets.
+func New(o Options) *Transport {
+	return &Transport{options: o, conns: map[string]*serverConn{}}
+}
+
+// Handles tells whether a server speaks CoAP.
+func (t *Transport) Handles(server balancer.ServerID) bool {
+	address, ok := t.options.Resolver.Address(server)
+	return ok && strings.HasPrefix(address, Scheme)
+}
+
+// Send starts an attempt. Done is called once, from another goroutine, unless Abort comes first.
+func (t *Transport) Send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
+	ctx, cancel := context.WithCancel(context.Background())
+	a := &attempt{cancel: cancel, copy: c}
+	if c.Body != nil { // over maxBody, which CoAP is kept to here: another server may take it
+		cancel()
+		t.options.Count.Outcomes.Inc(outcomeUnsent)
+		go done(engine.End{Result: balancer.Void})
+		return a
+	}
+	started := time.Now()
+	go func() {
+		defer cancel()
+		end := t.run(ctx, server, a)
+		end.Elapsed = clock.Millis(time.Since(started))
+		if !a.isAborted() {
+			done(end)
+		}
+	}()
+	return a
+}
+
+// Probe pings a server (RFC 7252, 4.3): a reset shows that it is alive. Done is called once, from another goroutine.
+func (t *Transport) Probe(server balancer.ServerID, within time.Duration, done func(engine.End)) {
+	started := time.Now()
+	go func() {
+		end := engine.End{Result: t.ping(server, within)}
+		end.Elapsed = clock.Millis(time.Since(started))
+		done(end)
+	}()
+}
+
+// ping is the result of a probe. A socket that cannot be had counts as a server that cannot be reached.
+func (t *Transport) ping(server balancer.ServerID, within time.Duration) balancer.Result {
+	address, ok := t.options.Resolver.Address(server)
+	if !ok {
+		return balancer.Unreachable
+	}
+	conn, err := t.acquire(strings.TrimPrefix(address, Scheme))
+	if err != nil {
+		return balancer.Unreachable
+	}
+	defer conn.release()
+	return conn.ping(within)
+}
+
+// acquire reserves an exchange on a server's socket, which it opens where there is none; release gives the exchange back.
+// The error is errTooManyExchanges at the limit, else that of the socket.
+func (t *Transport) acquire(address string) (*serverConn, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closeIdle()
+	conn := t.conns[address]
+	if conn == nil {
+		opened, err := dial(address, t.options)
+		if err != nil {
+			return nil, err
+		}
+		conn = opened
+		t.conns[address] = conn
+		go conn.readLoop()
+	}
+	if err := conn.reserve(); err != nil {
+		return nil, err
+	}
+	return conn, nil
+}
+
+// closeIdle closes the sockets that have not been used for idleTimeout. The caller holds the lock.
+func (t *Transport) closeIdle() {
+	for address, conn := range t.conns {
+		if conn.isIdle() {
+			delete(t.conns, address)
+			_ = conn.socket.Close() // its readLoop returns
+		}
+	}
+}
--- /dev/null
+++ b/internal/coap/wire/options.go
@@ -0,0 +1,69 @@
+package wire
+
+import (
+	"github.com/plgd-dev/go-coap/v3/message"
+
+	"tackhub.example/tackhub/internal/coap/blocks"
+)
+
+// maxUintLength is the length of the longest option that is read as a number, in bytes.
+const maxUintLength = 4
+
+// Uint gives the value of a message's first option of an id as a number; false where there is none of up to four bytes.
+func Uint(m *message.Message, id message.OptionID) (uint32, bool) {
+	for _, option := range m.Options {
+		if option.ID != id || len(option.Value) > maxUintLength {
+			continue
+		}
+		value := uint32(0)
+		for _, b := range option.Value {
+			value = value<<8 | uint32(b)
+		}
+		return value, true
+	}
+	return 0, false
+}
+
+// Bytes gives the value of a message's first option of an id; false where there is none.
+func Bytes(m *message.Message, id message.OptionID) ([]byte, bool) {
+	for _, option := range m.Options {
+		if option.ID == id {
+			return option.Value, true
+		}
+	}
+	return nil, false
+}
+
+// Strings gives the values of all of a message's options of an id, in order.
+func Strings(m *message.Message, id message.OptionID) []string {
+	var values []string
+	for _, option := range m.Options {
+		if option.ID == id {
+			values = append(values, string(option.Value))
+		}
+	}
+	return values
+}
+
+// Block reads a Block1 or Block2 option (RFC 7959); present is false where the message has none. The error is that of
+// blocks.Parse.
+func Block(m *message.Message, id message.OptionID) (b blocks.Block, present bool, err error) {
+	value, ok := Uint(m, id)
+	if !ok {
+		return blocks.Block{}, false, nil
+	}
+	b, err = blocks.Parse(value)
+	return b, true, err
+}
+
+// AddUint adds an option with a number, in as few bytes as hold it (RFC 7252, 3.2).
+func AddUint(options message.Options, id message.OptionID, value uint32) message.Options {
+	var encoded []byte
+	for shift := 24; shift >= 0; shift -= 8 {
+		b := byte(value >> shift)
+		if len(encoded) > 0 || b != 0 {
+			encoded = append(encoded, b)
+		}
+	}
+	return options.Add(message.Option{ID: id, Value: encoded})
+}
