--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -85,14 +85,14 @@
 	for {
 		evicted, added := s.connections.add(conn)
 		if added {
-			s.counters.Door.Open.Inc()
+			s.counters.Admin.Open.Inc()
 			return
 		}
 		if evicted == nil {
 			time.Sleep(admitRetry)
 			continue
 		}
-		s.counters.Door.Evicted.Inc()
+		s.counters.Admin.Evicted.Inc()
 		_ = evicted.Close() // its serve returns
 	}
 }
@@ -104,7 +104,7 @@
 			s.log.Error("panic at the administrators' listener", "code", "panic", "panic", p, "stack", string(debug.Stack()))
 		}
 		s.connections.remove(conn)
-		s.counters.Door.Open.Add(-1)
+		s.counters.Admin.Open.Add(-1)
 		_ = conn.Close()
 	}()
 	_ = s.http.ServeConn(conn) // a caller that breaks off is owed nothing
--- a/internal/admin/handlers.go
+++ b/internal/admin/handlers.go
@@ -73,8 +73,8 @@
 // countResponse counts a response among the answered requests, or by its status where it is a rejection.
 func (s *Server) countResponse(ctx *fasthttp.RequestCtx) {
 	if status := ctx.Response.StatusCode(); status >= fasthttp.StatusMultipleChoices {
-		s.counters.Door.Refused.Inc(strconv.Itoa(status))
+		s.counters.Admin.Refused.Inc(strconv.Itoa(status))
 		return
 	}
-	s.counters.Door.Calls.Inc()
+	s.counters.Admin.Calls.Inc()
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(func() {
 		cancel()
 		<-stopped
-		if n := count.Door.Open.Get(); n != 0 {
+		if n := count.Admin.Open.Get(); n != 0 {
 			t.Errorf("%d connections are open after Run", n)
 		}
 	})
@@ -102,11 +102,11 @@
 			t.Errorf("%s: %d, Allow %q, %q; want %d, %q, %q", c.line, status, header.Get("Allow"), body, c.status, c.allow, c.body)
 		}
 	}
-	if n := count.Door.Calls.Get(); n != 6 {
+	if n := count.Admin.Calls.Get(); n != 6 {
 		t.Errorf("%d answered requests are counted, want 6", n)
 	}
 	for status, want := range map[string]int64{"503": 1, "405": 2, "404": 1, "400": 1} {
-		if n := count.Door.Refused.Get(status); n != want {
+		if n := count.Admin.Refused.Get(status); n != want {
 			t.Errorf("%d responses with %s are counted, want %d", n, status, want)
 		}
 	}
@@ -126,7 +126,7 @@
 	if status, _, _ := roundTrip(t, s, "GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n"); status != http.StatusOK {
 		t.Errorf("answered %d, want 200", status)
 	}
-	if n := count.Door.Evicted.Get(); n != 1 {
+	if n := count.Admin.Evicted.Get(); n != 1 {
 		t.Errorf("%d connections were evicted, want 1", n)
 	}
 }
--- a/internal/coap/back/attempt.go
+++ b/internal/coap/back/attempt.go
@@ -18,21 +18,21 @@
 // outcomeUnsent is the counter's key of attempts that were never sent.
 const outcomeUnsent = "unsent"
 
-// outcomeKeys are the counter's keys by result.
-var outcomeKeys = map[balancer.Result]string{
-	balancer.OK:          "ok",
-	balancer.Errored:     "error",
-	balancer.Overloaded:  "turned_away",
-	balancer.TimedOut:    "timed_out",
-	balancer.Unreachable: "unreachable",
-	balancer.Broken:      "broken",
-	balancer.Void:        outcomeUnsent,
+// outcomeKeys are the counter's keys by outcome.
+var outcomeKeys = map[balancer.Outcome]string{
+	balancer.OK:             "ok",
+	balancer.Errored:        "error",
+	balancer.Overloaded:     "turned_away",
+	balancer.TimedOut:       "timed_out",
+	balancer.Unreachable:    "unreachable",
+	balancer.ConnectionLost: "broken",
+	balancer.NotSent:        outcomeUnsent,
 }
 
-// attempt is one copy of a request in flight to a server.
+// attempt is one transmission of a request to a server.
 type attempt struct {
-	cancel context.CancelFunc
-	copy   engine.Copy
+	cancel  context.CancelFunc
+	request engine.OutgoingRequest
 
 	mu      sync.Mutex
 	written bool // the message that makes the request complete was handed to the socket: from then on it may run
@@ -70,72 +70,72 @@
 	a.written = true
 	a.mu.Unlock()
 	if first {
-		a.copy.Written()
+		a.request.NotifyWritten()
 	}
 }
 
 // run sends an attempt and waits for its end.
-func (t *Transport) run(ctx context.Context, server balancer.ServerID, a *attempt) engine.End {
+func (t *Transport) run(ctx context.Context, server balancer.ServerID, a *attempt) engine.Completion {
 	address, ok := t.options.Resolver.Address(server)
 	if !ok {
-		return engine.End{Result: balancer.Unreachable}
+		return engine.Completion{Outcome: balancer.Unreachable}
 	}
 	conn, err := t.acquire(strings.TrimPrefix(address, Scheme))
 	if err != nil {
-		result := acquireResult(err)
-		t.options.Count.Outcomes.Inc(outcomeKeys[result])
-		return engine.End{Result: result}
+		outcome := acquireOutcome(err)
+		t.options.Count.Outcomes.Inc(outcomeKeys[outcome])
+		return engine.Completion{Outcome: outcome}
 	}
 	defer conn.release()
-	if refused := a.copy.Refused(); refused != nil {
+	if err := a.request.CheckWritable(); err != nil {
 		t.options.Count.Outcomes.Inc(outcomeUnsent)
-		return engine.End{Result: balancer.Void, Left: errors.Is(refused, engine.ErrLeft)}
+		return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(err, engine.ErrClientGone)}
 	}
-	request, body, err := convertRequest(a.copy.Bytes)
+	request, body, err := convertRequest(a.request.Bytes)
 	if err != nil {
 		t.options.Log.Error("a request cannot be converted to CoAP", "code", "coap_request", "error", err)
-		return engine.End{Result: balancer.Void}
+		return engine.Completion{Outcome: balancer.NotSent}
 	}
 	response, responseBody, err := conn.roundTrip(ctx, request, body, a)
-	end := t.end(response, responseBody, err, a)
-	t.options.Count.Outcomes.Inc(outcomeKeys[end.Result])
-	return end
+	completion := t.complete(response, responseBody, err, a)
+	t.options.Count.Outcomes.Inc(outcomeKeys[completion.Outcome])
+	return completion
 }
 
-// acquireResult is the result of an attempt that got no socket. A limit of our own is not held against the server.
-func acquireResult(err error) balancer.Result {
+// acquireOutcome is the outcome of an attempt that got no socket. A limit of our own is not held against the server.
+func acquireOutcome(err error) balancer.Outcome {
 	if errors.Is(err, errTooManyExchanges) || errors.Is(err, syscall.EMFILE) {
-		return balancer.Void
+		return balancer.NotSent
 	}
 	return balancer.Unreachable
 }
 
-// end is what is reported of an attempt. Whether the request may have run depends on whether its last block was written.
-func (t *Transport) end(response message.Message, body []byte, err error, a *attempt) engine.End {
+// complete is what is reported of an attempt. Whether the request may have run depends on whether its last block was written.
+func (t *Transport) complete(response message.Message, body []byte, err error, a *attempt) engine.Completion {
 	if err != nil {
-		return engine.End{Result: failedResult(err, a.isWritten())}
+		return engine.Completion{Outcome: failureOutcome(err, a.isWritten())}
 	}
-	end := engine.End{Result: balancer.Errored}
+	completion := engine.Completion{Outcome: balancer.Errored}
 	if value, ok := wire.Bytes(&response, OptLoad); ok {
-		end.Load = t.options.ParseLoad(value)
+		completion.Report = t.options.ParseLoad(value)
 	}
 	switch {
 	case wire.Class(response.Code) == wire.ClassSuccess:
-		end.Result = balancer.OK
-		end.Body = body
+		completion.Outcome = balancer.OK
+		completion.Body = body
 	case response.Code == codes.ServiceUnavailable: // by docs/coap.md a server says so only of what it has not begun
-		end.Result = balancer.Overloaded
+		completion.Outcome = balancer.Overloaded
 	}
-	return end
+	return completion
 }
 
-// failedResult is the result of an attempt without a usable response.
-func failedResult(err error, written bool) balancer.Result {
+// failureOutcome is the outcome of an attempt without a usable response.
+func failureOutcome(err error, written bool) balancer.Outcome {
 	switch {
 	case errors.Is(err, errRejected), !written: // not accepted, or never complete: it has not run
 		return balancer.Unreachable
 	case errors.Is(err, errNoResponse):
 		return balancer.TimedOut
 	}
-	return balancer.Broken
+	return balancer.ConnectionLost
 }
--- a/internal/coap/back/conn.go
+++ b/internal/coap/back/conn.go
@@ -36,7 +36,7 @@
 	socket           *net.UDPConn
 	maxExchanges     int
 	retransmitWindow time.Duration
-	count            *counters.CoapBack
+	count            *counters.CoapServers
 
 	mu        sync.Mutex
 	messageID uint16
--- a/internal/coap/back/exchange.go
+++ b/internal/coap/back/exchange.go
@@ -155,7 +155,7 @@
 }
 
 // ping sends an empty confirmable message, which a live server answers with a reset.
-func (c *serverConn) ping(within time.Duration) balancer.Result {
+func (c *serverConn) ping(within time.Duration) balancer.Outcome {
 	arrivals := make(chan arrival, 1)
 	id := c.registerPing(arrivals)
 	defer c.unregister(id, nil)
--- a/internal/coap/back/transport.go
+++ b/internal/coap/back/transport.go
@@ -34,9 +34,9 @@
 	// RetransmitWindow is how long after its first transmission a message is sent again. A server that begins to drain
 	// meanwhile must not get it later than the drain grace.
 	RetransmitWindow time.Duration
-	ParseLoad        func([]byte) balancer.Load // reads the value of OptLoad
+	ParseLoad        func([]byte) balancer.LoadReport // reads the value of OptLoad
 	Log              *slog.Logger
-	Count            *counters.CoapBack
+	Count            *counters.CoapServers
 }
 
 // Transport sends attempts and health probes to CoAP servers. It has a socket for each server that is in use.
@@ -59,39 +59,39 @@
 }
 
 // Send starts an attempt. Done is called once, from another goroutine, unless Abort comes first.
-func (t *Transport) Send(server balancer.ServerID, c engine.Copy, done func(engine.End)) engine.Attempt {
+func (t *Transport) Send(server balancer.ServerID, request engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &attempt{cancel: cancel, copy: c}
-	if c.Body != nil { // over maxBody, which CoAP is kept to here: another server may take it
+	a := &attempt{cancel: cancel, request: request}
+	if request.Body != nil { // over maxBody, which CoAP is kept to here: another server may take it
 		cancel()
 		t.options.Count.Outcomes.Inc(outcomeUnsent)
-		go done(engine.End{Result: balancer.Void})
+		go done(engine.Completion{Outcome: balancer.NotSent})
 		return a
 	}
 	started := time.Now()
 	go func() {
 		defer cancel()
-		end := t.run(ctx, server, a)
-		end.Elapsed = clock.Millis(time.Since(started))
+		completion := t.run(ctx, server, a)
+		completion.Elapsed = clock.Millis(time.Since(started))
 		if !a.isAborted() {
-			done(end)
+			done(completion)
 		}
 	}()
 	return a
 }
 
 // Probe pings a server (RFC 7252, 4.3): a reset shows that it is alive. Done is called once, from another goroutine.
-func (t *Transport) Probe(server balancer.ServerID, within time.Duration, done func(engine.End)) {
+func (t *Transport) Probe(server balancer.ServerID, within time.Duration, done func(engine.Completion)) {
 	started := time.Now()
 	go func() {
-		end := engine.End{Result: t.ping(server, within)}
-		end.Elapsed = clock.Millis(time.Since(started))
-		done(end)
+		completion := engine.Completion{Outcome: t.ping(server, within)}
+		completion.Elapsed = clock.Millis(time.Since(started))
+		done(completion)
 	}()
 }
 
-// ping is the result of a probe. A socket that cannot be had counts as a server that cannot be reached.
-func (t *Transport) ping(server balancer.ServerID, within time.Duration) balancer.Result {
+// ping is the outcome of a probe. A socket that cannot be had counts as a server that cannot be reached.
+func (t *Transport) ping(server balancer.ServerID, within time.Duration) balancer.Outcome {
 	address, ok := t.options.Resolver.Address(server)
 	if !ok {
 		return balancer.Unreachable
--- a/internal/coap/back/transport_test.go
+++ b/internal/coap/back/transport_test.go
@@ -21,19 +21,19 @@
 )
 
 // largeBody is a body that is not in memory.
-type largeBody struct{ engine.Body }
+type largeBody struct{ engine.RequestBody }
 
 // Only the part of a large body that is in memory could be sent, and the server would take it for the whole request. So the
 // attempt ends unsent, and another server may take it.
 func TestLargeBodiesAreNotSent(t *testing.T) {
-	var count counters.CoapBack
-	ended := make(chan engine.End, 1)
-	New(Options{Count: &count}).Send("s1", engine.Copy{Bytes: []byte("POST / HTTP/1.1\r\n\r\n"), Body: largeBody{}},
-		func(e engine.End) { ended <- e })
+	var count counters.CoapServers
+	ended := make(chan engine.Completion, 1)
+	New(Options{Count: &count}).Send("s1", engine.OutgoingRequest{Bytes: []byte("POST / HTTP/1.1\r\n\r\n"), Body: largeBody{}},
+		func(e engine.Completion) { ended <- e })
 	select {
 	case e := <-ended:
-		if e.Result != balancer.Void || count.Outcomes.Get("unsent") != 1 {
-			t.Errorf("ended as %s", engine.ResultName(e.Result))
+		if e.Outcome != balancer.NotSent || count.Outcomes.Get("unsent") != 1 {
+			t.Errorf("ended as %s", engine.OutcomeName(e.Outcome))
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatal("no end")
@@ -94,30 +94,30 @@
 }
 
 // startTransport makes a transport that knows one address.
-func startTransport(address string) (*Transport, *counters.CoapBack) {
-	count := &counters.CoapBack{}
+func startTransport(address string) (*Transport, *counters.CoapServers) {
+	count := &counters.CoapServers{}
 	return New(Options{
 		Resolver:         resolver(address),
 		MaxExchanges:     2,
 		RetransmitWindow: time.Second,
-		ParseLoad:        func(report []byte) balancer.Load { return balancer.Load{InFlight: float64(len(report))} },
+		ParseLoad:        func(report []byte) balancer.LoadReport { return balancer.LoadReport{InFlight: float64(len(report))} },
 		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Count:            count,
 	}), count
 }
 
-// attemptCopy is a copy of a request; written counts how often it is reported as written.
-func attemptCopy(raw string, written *int) engine.Copy {
-	return engine.Copy{
-		Bytes: []byte(raw),
-		Wrote: func() { *written++ },
+// attemptRequest is a request; written counts how often it is reported as written.
+func attemptRequest(raw string, written *int) engine.OutgoingRequest {
+	return engine.OutgoingRequest{
+		Bytes:     []byte(raw),
+		OnWritten: func() { *written++ },
 	}
 }
 
 const getRequest = "GET /look/at?w=7 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\nX-Deadline-Ms: 90\r\nX-Class: look\r\n\r\n"
 
 // waitEnd waits for the end of an attempt or a probe.
-func waitEnd(t *testing.T, ended chan engine.End) engine.End {
+func waitEnd(t *testing.T, ended chan engine.Completion) engine.Completion {
 	t.Helper()
 	select {
 	case end := <-ended:
@@ -134,7 +134,7 @@
 	}
 	for name, c := range map[string]struct {
 		respond func(message.Message) []message.Message
-		result  balancer.Result
+		outcome balancer.Outcome
 		counter string
 		body    string
 	}{
@@ -159,11 +159,11 @@
 			server := startServer(t, c.respond)
 			transport, count := startTransport(Scheme + server.conn.LocalAddr().String())
 			written := 0
-			ended := make(chan engine.End, 1)
-			transport.Send("s1", attemptCopy(getRequest, &written), func(e engine.End) { ended <- e })
+			ended := make(chan engine.Completion, 1)
+			transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
 			end := waitEnd(t, ended)
-			if end.Result != c.result || string(end.Body) != c.body || written != 1 || count.Outcomes.Get(c.counter) != 1 {
-				t.Errorf("ended as %s with %q, written %d times", engine.ResultName(end.Result), end.Body, written)
+			if end.Outcome != c.outcome || string(end.Body) != c.body || written != 1 || count.Outcomes.Get(c.counter) != 1 {
+				t.Errorf("ended as %s with %q, written %d times", engine.OutcomeName(end.Outcome), end.Body, written)
 			}
 		})
 	}
@@ -177,10 +177,10 @@
 	})
 	transport, _ := startTransport(Scheme + server.conn.LocalAddr().String())
 	written := 0
-	ended := make(chan engine.End, 1)
-	transport.Send("s1", attemptCopy(getRequest, &written), func(e engine.End) { ended <- e })
-	if end := waitEnd(t, ended); end.Load.InFlight != 5 {
-		t.Errorf("load report %+v, want the option's value read", end.Load)
+	ended := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
+	if end := waitEnd(t, ended); end.Report.InFlight != 5 {
+		t.Errorf("load report %+v, want the option's value read", end.Report)
 	}
 	requests := server.requests()
 	if len(requests) != 1 {
@@ -225,14 +225,14 @@
 	})
 	transport, _ := startTransport(Scheme + server.conn.LocalAddr().String())
 	head := "POST /bill HTTP/1.1\r\nHost: a\r\nContent-Length: 2500\r\n\r\n"
-	ended := make(chan engine.End, 1)
-	transport.Send("s1", attemptCopy(head+string(body), &written), func(e engine.End) { ended <- e })
+	ended := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(head+string(body), &written), func(e engine.Completion) { ended <- e })
 	end := waitEnd(t, ended)
 	mu.Lock()
 	defer mu.Unlock()
-	if end.Result != balancer.OK || !bytes.Equal(end.Body, body) || !bytes.Equal(upload, body) || written != 1 {
+	if end.Outcome != balancer.OK || !bytes.Equal(end.Body, body) || !bytes.Equal(upload, body) || written != 1 {
 		t.Errorf("ended as %s with %d bytes of %d, %d uploaded, written %d times",
-			engine.ResultName(end.Result), len(end.Body), len(body), len(upload), written)
+			engine.OutcomeName(end.Outcome), len(end.Body), len(body), len(upload), written)
 	}
 }
 
@@ -244,10 +244,10 @@
 	_ = server.conn.Close()
 	transport, _ := startTransport(Scheme + address)
 	written := 0
-	ended := make(chan engine.End, 1)
-	transport.Send("s1", attemptCopy(getRequest, &written), func(e engine.End) { ended <- e })
-	if end := waitEnd(t, ended); end.Result != balancer.Broken {
-		t.Errorf("ended as %s, want broken", engine.ResultName(end.Result))
+	ended := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
+	if end := waitEnd(t, ended); end.Outcome != balancer.ConnectionLost {
+		t.Errorf("ended as %s, want broken", engine.OutcomeName(end.Outcome))
 	}
 }
 
@@ -264,8 +264,8 @@
 	})
 	transport, count := startTransport(Scheme + server.conn.LocalAddr().String())
 	written := 0
-	a := transport.Send("s1", attemptCopy(getRequest, &written), func(e engine.End) {
-		t.Errorf("an aborted attempt ended as %s", engine.ResultName(e.Result))
+	a := transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) {
+		t.Errorf("an aborted attempt ended as %s", engine.OutcomeName(e.Outcome))
 	})
 	select {
 	case <-again:
@@ -294,10 +294,10 @@
 		defer conn.release()
 	}
 	written := 0
-	ended := make(chan engine.End, 1)
-	transport.Send("s1", attemptCopy(getRequest, &written), func(e engine.End) { ended <- e })
-	if end := waitEnd(t, ended); end.Result != balancer.Void || written != 0 || count.Outcomes.Get("unsent") != 1 {
-		t.Errorf("ended as %s, written %d times", engine.ResultName(end.Result), written)
+	ended := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
+	if end := waitEnd(t, ended); end.Outcome != balancer.NotSent || written != 0 || count.Outcomes.Get("unsent") != 1 {
+		t.Errorf("ended as %s, written %d times", engine.OutcomeName(end.Outcome), written)
 	}
 }
 
@@ -312,7 +312,7 @@
 		name    string
 		address string
 		within  time.Duration
-		want    balancer.Result
+		want    balancer.Outcome
 	}{
 		{"alive", Scheme + alive.conn.LocalAddr().String(), 10 * time.Second, balancer.OK},
 		{"silent", Scheme + silent.conn.LocalAddr().String(), 50 * time.Millisecond, balancer.TimedOut},
@@ -320,10 +320,10 @@
 		{"not listed", "", 10 * time.Second, balancer.Unreachable},
 	} {
 		transport, _ := startTransport(c.address)
-		ended := make(chan engine.End, 1)
-		transport.Probe("s1", c.within, func(e engine.End) { ended <- e })
-		if end := waitEnd(t, ended); end.Result != c.want {
-			t.Errorf("%s: %s, want %s", c.name, engine.ResultName(end.Result), engine.ResultName(c.want))
+		ended := make(chan engine.Completion, 1)
+		transport.Probe("s1", c.within, func(e engine.Completion) { ended <- e })
+		if end := waitEnd(t, ended); end.Outcome != c.want {
+			t.Errorf("%s: %s, want %s", c.name, engine.OutcomeName(end.Outcome), engine.OutcomeName(c.want))
 		}
 	}
 }
--- a/internal/coap/front/front.go
+++ b/internal/coap/front/front.go
@@ -75,7 +75,7 @@
 	Downloads   blocks.Limits // answers that are fetched in blocks
 	Rate        float64       // datagrams a second of one address prefix
 	// InFlight accounts for the requests that were taken.
-	InFlight *inflight.Account
+	InFlight *inflight.Tracker
 }
 
 // Front serves one socket. The transport is any net.PacketConn: plain UDP, or one that secures datagrams.
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	if o.InFlight == nil {
-		o.InFlight = &inflight.Account{}
+		o.InFlight = &inflight.Tracker{}
 	}
 	f := &Server{o: o, conn: conn, began: time.Now(), echo: echo.New(key), ids: fmt.Sprintf("%x", start[:8]), classes: map[string]balancer.Class{},
 		open: make(chan struct{}, o.MaxInFlight), table: dedup.New(o.Dedup), uploads: blocks.New(o.Uploads), kept: blocks.New(o.Downloads),
--- a/internal/coap/front/front_test.go
+++ b/internal/coap/front/front_test.go
@@ -35,7 +35,7 @@
 	tb.Helper()
 	count, out := &counters.Coap{}, &sink{}
 	small := blocks.Limits{MaxTransfers: 4, MaxPerEndpoint: 2, MaxBytes: 4096, MaxBodyBytes: 2048, IdleTimeout: time.Minute}
-	f, err := New(out, Options{Handler: desk{}, Classes: []balancer.Class{{Name: "look", HardLimit: 500}, {Name: "bill", Effect: balancer.Unsafe, HardLimit: 500}},
+	f, err := New(out, Options{Handler: desk{}, Classes: []balancer.Class{{Name: "look", TotalTimeout: 500}, {Name: "bill", Idempotency: balancer.NonIdempotent, TotalTimeout: 500}},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: count, MaxInFlight: 8, Dedup: dedup.Limits{MaxEntries: 32, MaxBytes: 64 << 10, MaxPerEndpoint: 16},
 		Uploads: small, Downloads: small})
 	if err != nil {
--- a/internal/coap/front/incoming.go
+++ b/internal/coap/front/incoming.go
@@ -89,7 +89,7 @@
 	if verdict == echo.Valid {
 		f.prove(r.key.Endpoint)
 	}
-	if r.call.class.Effect == balancer.Safe || verdict == echo.Valid {
+	if r.call.class.Idempotency == balancer.Idempotent || verdict == echo.Valid {
 		return true
 	}
 	if verdict == echo.Unknown {
@@ -165,7 +165,7 @@
 	}
 	body, ok := r.f.kept.Get(r.f.now(), blocks.Key{Endpoint: r.key.Endpoint, Resource: r.what()})
 	if !ok {
-		if r.call.class.Effect == balancer.Safe {
+		if r.call.class.Idempotency == balancer.Idempotent {
 			return false // asked anew: the block is cut from a fresh answer
 		}
 		r.answer(reply{code: codes.RequestEntityIncomplete, harmless: true})
@@ -195,7 +195,7 @@
 	r.answer(out)
 	outcome = inflight.Answered
 	if status == fasthttp.StatusServiceUnavailable {
-		outcome = inflight.Refused
+		outcome = inflight.Rejected
 	}
 }
 
@@ -235,13 +235,13 @@
 func (d device) LastRead() time.Time { return d.at }
 
 // Watch never tells that it left.
-func (d device) Watch() (<-chan struct{}, func()) { return nil, func() {} }
+func (d device) WatchDisconnect() (<-chan struct{}, func()) { return nil, func() {} }
 
 // Left is not known of a device: a datagram's sender has no connection that would end.
-func (d device) Left() bool { return false }
+func (d device) Disconnected() bool { return false }
 
 // Ends has nothing to end.
-func (d device) Ends(string) {}
+func (d device) SetCloseReason(string) {}
 
 // acknowledge tells the device that its request is in hand and the answer will follow.
 func (r *incoming) acknowledge() {
--- a/internal/coap/front/part.go
+++ b/internal/coap/front/part.go
@@ -34,7 +34,7 @@
 	Handler() Handler
 	Classes() []balancer.Class
 	Counters() *counters.Counters
-	InFlight() *inflight.Account
+	InFlight() *inflight.Tracker
 }
 
 const (
@@ -49,7 +49,7 @@
 // Part is the subsystem.
 func Subsystem() subsystem.Definition {
 	return subsystem.Definition{
-		Section: operator.Section{Name: "coap", About: "devices over CoAP (UDP), through the same decisions as HTTP",
+		Section: operator.Section{Name: "coap", Summary: "devices over CoAP (UDP), through the same decisions as HTTP",
 			New: func() any {
 				return &Config{MaxInFlight: 512, MaxExchanges: 20_000, Memory: 12 << 20, MaxExchangesPerEndpoint: 64, MaxUploads: 128, Rate: 500}
 			}, Check: check},
@@ -57,22 +57,22 @@
 	}
 }
 
-func check(options any) []operator.Fault {
+func check(options any) []operator.Diagnostic {
 	o := options.(*Config)
-	var out []operator.Fault
+	var out []operator.Diagnostic
 	if _, err := netip.ParseAddrPort(o.Listen); err != nil {
-		out = append(out, operator.Fault{Key: "listen", Text: fmt.Sprintf("%q is no IP address with a port", o.Listen)})
+		out = append(out, operator.Diagnostic{Key: "listen", Message: fmt.Sprintf("%q is no IP address with a port", o.Listen)})
 	}
 	for key, n := range map[string]int{"open": o.MaxInFlight, "remembered": o.MaxExchanges, "per_endpoint": o.MaxExchangesPerEndpoint, "uploads": o.MaxUploads} {
 		if n < 1 {
-			out = append(out, operator.Fault{Key: key, Text: "must be at least 1"})
+			out = append(out, operator.Diagnostic{Key: key, Message: "must be at least 1"})
 		}
 	}
 	if o.Memory < 3*maxBody {
-		out = append(out, operator.Fault{Key: "memory", Text: fmt.Sprintf("must be at least %d bytes: one body in each third", 3*maxBody)})
+		out = append(out, operator.Diagnostic{Key: "memory", Message: fmt.Sprintf("must be at least %d bytes: one body in each third", 3*maxBody)})
 	}
 	if !(o.Rate >= 0) {
-		out = append(out, operator.Fault{Key: "rate", Text: "must not be negative"})
+		out = append(out, operator.Diagnostic{Key: "rate", Message: "must not be negative"})
 	}
 	return out
 }
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -18,8 +18,8 @@
 	file, err := loadEdge(edge)
 	faults = append(faults, edgeFaults(edge, err)...)
 	if len(faults) == 0 {
-		if _, err := balancer.New(c.Settings.Logic, c.Seed); err != nil {
-			faults = append(faults, operator.Fault{File: getenv("ROUTER_CONFIG"), Key: "settings", Text: err.Error()})
+		if _, err := balancer.New(c.Settings.Balancer, c.Seed); err != nil {
+			faults = append(faults, operator.Diagnostic{File: getenv("ROUTER_CONFIG"), Key: "settings", Message: err.Error()})
 		}
 	}
 	if len(faults) > 0 {
@@ -33,21 +33,21 @@
 	return true
 }
 
-func edgeFaults(path string, err error) []operator.Fault {
-	var faults operator.Faults
+func edgeFaults(path string, err error) []operator.Diagnostic {
+	var faults operator.Diagnostics
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &faults):
 		return faults
 	}
-	return []operator.Fault{{File: path, Text: err.Error()}}
+	return []operator.Diagnostic{{File: path, Message: err.Error()}}
 }
 
 // describe prints the effective configuration.
 func describe(out io.Writer, c config.Config, file *operator.File) {
 	say := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
-	set := c.Settings.Logic
+	set := c.Settings.Balancer
 	say("node      %s, node %d of %d, zone %q", c.Name, set.Node, set.Nodes, set.Zone)
 	say("listen    %s", c.Listen)
 	say("discovery %s, %d servers known", c.Discovery, len(c.Known.Members))
@@ -56,9 +56,9 @@
 	}
 	say("limits    %v cores, %v MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 	say("rules     drain grace %v ms, cold from %v for %v ms, falls at %v times for %v ms, %d attempts",
-		set.DrainGrace, set.ColdFrom, set.ColdFor, set.FallMultiple, set.FallFor, set.MaxAttempts)
+		set.DrainGrace, set.InitialCapacity, set.SlowStartDuration, set.OverloadFactor, set.OverloadWindow, set.MaxAttempts)
 	for _, k := range set.Classes {
-		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", k.Name, effectName(k), k.Aim, k.HardLimit, k.Worth)
+		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", k.Name, effectName(k), k.LatencyObjective, k.TotalTimeout, k.PriorityWeight)
 	}
 	say("tenants   %d", len(set.Tenants))
 	say("peers     %s", onOff(len(c.Peers) > 0, fmt.Sprintf("%d nodes", len(c.Peers))))
@@ -71,7 +71,7 @@
 	for _, p := range Parts() {
 		o := file.Options(p.Section.Name)
 		if o == nil {
-			say("  [%s] off: %s", p.Section.Name, p.Section.About)
+			say("  [%s] off: %s", p.Section.Name, p.Section.Summary)
 			continue
 		}
 		say("  [%s] on: %s", p.Section.Name, strings.Join(operator.Describe(o), ", "))
@@ -86,5 +86,5 @@
 }
 
 func effectName(c balancer.Class) string {
-	return map[balancer.Effect]string{balancer.Safe: "safe", balancer.Keyed: "keyed", balancer.Unsafe: "unsafe"}[c.Effect]
+	return map[balancer.Idempotency]string{balancer.Idempotent: "safe", balancer.IdempotentWithKey: "keyed", balancer.NonIdempotent: "unsafe"}[c.Idempotency]
 }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -14,7 +14,7 @@
 	return []subsystem.Definition{
 		endpoints.Part(),
 		front.Subsystem(),
-		cluster.Part(),
+		cluster.Subsystem(),
 		resourceusage.Subsystem(),
 	}
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -21,7 +21,7 @@
 // ending is what became of a request.
 type ending struct {
 	status     int
-	kind       engine.AnswerKind
+	kind       engine.ResponseKind
 	body       []byte
 	retryAfter float64
 	rejected   string // why it was not admitted
@@ -33,7 +33,7 @@
 // relay waits for the final answer. It ends early when the client leaves, and by a guard should the module
 // never answer: the client is owed an answer in time whatever happens here.
 func (r *request) relay(ctx *fasthttp.RequestCtx, client Client) ending {
-	left, stop := client.Watch()
+	left, stop := client.WatchDisconnect()
 	defer stop()
 	guard := time.NewTimer(r.guardIn())
 	defer guard.Stop()
@@ -41,7 +41,7 @@
 	for {
 		select {
 		case a := <-r.answer:
-			if a.Rest != nil {
+			if a.Remaining != nil {
 				return r.pass(ctx, client, a)
 			}
 			return endingOf(a)
@@ -62,7 +62,7 @@
 
 // gone tells how a request ended whose client had left before it was decided on, else nil. Nothing of it is sent on.
 func (r *request) gone(ctx *fasthttp.RequestCtx, client Client) *ending {
-	if !client.Left() {
+	if !client.Disconnected() {
 		return nil
 	}
 	e := leaves(ctx, client)
@@ -71,19 +71,19 @@
 
 // leaves ends the connection of a client that has left.
 func leaves(ctx *fasthttp.RequestCtx, client Client) ending {
-	client.Ends(EndLeft)
+	client.SetCloseReason(ReasonClientLeft)
 	ctx.SetConnectionClose()
 	return ending{status: statusLeft, left: true}
 }
 
 // endingOf gives an answer its status. What a server said of refusals or errors is never passed on: only the
 // module knows whether trying again is harmless.
-func endingOf(a engine.Answer) ending {
+func endingOf(a engine.Response) ending {
 	e := ending{kind: a.Kind, body: a.Body, retryAfter: a.RetryAfter}
 	switch a.Kind {
 	case engine.Served:
 		e.status = fasthttp.StatusOK
-	case engine.Refused:
+	case engine.Rejected:
 		e.status = fasthttp.StatusServiceUnavailable
 	case engine.TimedOut:
 		e.status = fasthttp.StatusGatewayTimeout
--- a/internal/proxy/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -29,23 +29,23 @@
 
 func newClient() *client { return &client{left: make(chan struct{}), at: time.Now()} }
 
-func (c *client) LastRead() time.Time              { return c.at }
-func (c *client) Watch() (<-chan struct{}, func()) { return c.left, func() {} }
-func (c *client) Ends(reason string)               { c.ended = reason }
-func (c *client) Left() bool                       { return c.gone }
+func (c *client) LastRead() time.Time                        { return c.at }
+func (c *client) WatchDisconnect() (<-chan struct{}, func()) { return c.left, func() {} }
+func (c *client) SetCloseReason(reason string)               { c.ended = reason }
+func (c *client) Disconnected() bool                         { return c.gone }
 
 // broken is a router that fails.
 type broken struct{}
 
-func (broken) Arrive(engine.Exchange) engine.Ticket { panic("as the test wants") }
+func (broken) Submit(engine.Request) engine.Ticket { panic("as the test wants") }
 
 // module never decides anything.
 type module struct{}
 
 func (module) Step(balancer.Millis, balancer.Event) []balancer.Action { return nil }
 
-func desk(r Router, count *counters.Counters) *Desk {
-	return NewDesk(Options{Router: r, Clock: clock.New(), Slack: 5, Count: count,
+func desk(r Router, count *counters.Counters) *Handler {
+	return NewHandler(Options{Router: r, Clock: clock.New(), DeadlineSlack: 5, Count: count,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Classes: []balancer.Class{{Name: "look"}}})
 }
 
@@ -65,7 +65,7 @@
 	count, c := &counters.Counters{}, newClient()
 	ctx := lookRequest(1000)
 	desk(broken{}, count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != 502 || c.ended != EndPanic || !ctx.Response.ConnectionClose() {
+	if ctx.Response.StatusCode() != 502 || c.ended != ReasonPanic || !ctx.Response.ConnectionClose() {
 		t.Errorf("status %d, connection ends by %q", ctx.Response.StatusCode(), c.ended)
 	}
 	if r := &count.Requests; r.Taken.Get() != 1 || r.Failed.Get() != 1 || r.Open.Get() != 0 {
@@ -76,7 +76,7 @@
 // silentEngine is an engine whose module never answers.
 func silentEngine(t *testing.T, count *counters.Counters) *engine.Engine {
 	t.Helper()
-	e := engine.New(engine.Options{Module: module{}, Clock: clock.New(), Count: count, MaxAttempts: 1,
+	e := engine.New(engine.Options{Module: module{}, Clock: clock.New(), Counters: count, MaxAttempts: 1,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -101,7 +101,7 @@
 	close(c.left)
 	ctx := lookRequest(60_000)
 	desk(silentEngine(t, count), count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != statusLeft || c.ended != EndLeft || count.Requests.Left.Get() != 1 {
+	if ctx.Response.StatusCode() != statusLeft || c.ended != ReasonClientLeft || count.Requests.Left.Get() != 1 {
 		t.Errorf("status %d, ended %q, counted %s", ctx.Response.StatusCode(), c.ended, count.JSON())
 	}
 }
@@ -112,7 +112,7 @@
 	c.gone = true
 	ctx := lookRequest(60_000)
 	desk(broken{}, count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != statusLeft || c.ended != EndLeft || count.Requests.Left.Get() != 1 {
+	if ctx.Response.StatusCode() != statusLeft || c.ended != ReasonClientLeft || count.Requests.Left.Get() != 1 {
 		t.Errorf("status %d, ended %q, counted %s", ctx.Response.StatusCode(), c.ended, count.JSON())
 	}
 }
@@ -122,8 +122,8 @@
 	f.Add("GET", "/look?x=1", "1", "look", "480", "12", "")
 	f.Add("POST", "/store", "1", "store", "480", "-1", "key")
 	f.Add("PUT", "//look", "", "look", "-1", "NaN", "")
-	classes := []balancer.Class{{Name: "look"}, {Name: "store", Effect: balancer.Keyed}, {Name: "bill", Effect: balancer.Unsafe}}
-	d := NewDesk(Options{Clock: clock.New(), Classes: classes})
+	classes := []balancer.Class{{Name: "look"}, {Name: "store", Idempotency: balancer.IdempotentWithKey}, {Name: "bill", Idempotency: balancer.NonIdempotent}}
+	d := NewHandler(Options{Clock: clock.New(), Classes: classes})
 	f.Fuzz(func(t *testing.T, method, uri, id, class, deadline, hint, key string) {
 		var h fasthttp.RequestHeader
 		r := &request{desk: d, taken: taken{at: d.o.Clock.Now(), method: method, uri: []byte(uri), id: id, class: class,
@@ -138,12 +138,12 @@
 		switch {
 		case firstPart([]byte(uri)) != class || id == "":
 			t.Errorf("%q of class %q with id %q was admitted", uri, class, id)
-		case r.class.Effect == balancer.Keyed && key == "":
+		case r.class.Idempotency == balancer.IdempotentWithKey && key == "":
 			t.Error("a keyed request without a key was admitted")
-		case !(a.Expires > r.taken.at) || a.Expires > r.taken.at+maxDeadline:
-			t.Errorf("expires %v after %v", a.Expires, r.taken.at)
-		case !(a.Hint >= 0 && a.Hint < 1e12):
-			t.Errorf("hint %v from %q", a.Hint, hint)
+		case !(a.Deadline > r.taken.at) || a.Deadline > r.taken.at+maxDeadline:
+			t.Errorf("expires %v after %v", a.Deadline, r.taken.at)
+		case !(a.WorkHint >= 0 && a.WorkHint < 1e12):
+			t.Errorf("hint %v from %q", a.WorkHint, hint)
 		}
 	})
 }
@@ -175,10 +175,10 @@
 	last  atomic.Pointer[request]
 }
 
-func (a *asked) Arrive(x engine.Exchange) engine.Ticket {
+func (a *asked) Submit(x engine.Request) engine.Ticket {
 	a.times.Add(1)
 	a.last.Store(x.(*request))
-	return a.to.Arrive(x)
+	return a.to.Submit(x)
 }
 
 // TestAnswersAheadOfARequestsEnd: one that comes before the last byte can have gone on is to nothing that has run, and the
@@ -193,8 +193,8 @@
 			count := &counters.Counters{}
 			r := &asked{to: silentEngine(t, count)}
 			d := desk(r, count)
-			d.classes["look"] = balancer.Class{Name: "look", Effect: balancer.Unsafe}
-			f, err := body.New(t.TempDir(), 1, 4, &count.Bodies).Begin(1)
+			d.classes["look"] = balancer.Class{Name: "look", Idempotency: balancer.NonIdempotent}
+			f, err := body.New(t.TempDir(), 1, 4, &count.Bodies).Create(1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -203,7 +203,7 @@
 				for end := time.Now().Add(10 * time.Second); count.Engine.Events.Get() == 0 && time.Now().Before(end); {
 					time.Sleep(time.Millisecond) // until the engine has taken the arrival: it answers no sooner
 				}
-				r.last.Load().Finish(engine.Answer{Kind: engine.Failed})
+				r.last.Load().Respond(engine.Response{Kind: engine.Failed})
 			}
 			nothing := func() {}
 			u := &uploading{newClient(), f, answer, nothing}
--- a/internal/proxy/takein.go
+++ b/internal/proxy/takein.go
@@ -37,7 +37,7 @@
 	coming   bool // of large there is still something to come
 	header   *fasthttp.RequestHeader
 	body     []byte
-	large    engine.Body // in place of body where it is kept in a file
+	large    engine.RequestBody // in place of body where it is kept in a file
 }
 
 // takeIn notes when the request came and what it says. It judges nothing.
@@ -47,7 +47,7 @@
 	kept := large(client)
 	return taken{
 		large:    kept.body(),
-		coming:   kept != nil && !kept.Whole(),
+		coming:   kept != nil && !kept.Complete(),
 		at:       c.At(client.LastRead()),
 		method:   string(h.Method()),
 		uri:      originForm(h.RequestURI()),
--- a/internal/resourceusage/subsystem.go
+++ b/internal/resourceusage/subsystem.go
@@ -31,10 +31,10 @@
 func Subsystem() subsystem.Definition {
 	return subsystem.Definition{
 		Section: operator.Section{
-			Name:  "vitals",
-			About: "what the node costs, in its log at an interval",
-			New:   func() any { return defaultOptions() },
-			Check: check,
+			Name:    "vitals",
+			Summary: "what the node costs, in its log at an interval",
+			New:     func() any { return defaultOptions() },
+			Check:   check,
 		},
 		Build: build,
 	}
@@ -50,16 +50,16 @@
 }
 
 // check gives the faults of options.
-func check(options any) []operator.Fault {
+func check(options any) []operator.Diagnostic {
 	o := options.(*Options)
-	var faults []operator.Fault
+	var faults []operator.Diagnostic
 	if o.Interval < minInterval || o.Interval > maxInterval {
-		faults = append(faults, operator.Fault{Key: "every", Text: "must be " + minInterval.String() + " to " + maxInterval.String()})
+		faults = append(faults, operator.Diagnostic{Key: "every", Message: "must be " + minInterval.String() + " to " + maxInterval.String()})
 	}
 	for key, share := range map[string]float64{"memory_warn": o.MemoryShare, "descriptors_warn": o.DescriptorShare} {
 		valid := share >= 0 && share <= 1 // false for NaN as well
 		if !valid {
-			faults = append(faults, operator.Fault{Key: key, Text: "must be a share from 0 to 1"})
+			faults = append(faults, operator.Diagnostic{Key: key, Message: "must be a share from 0 to 1"})
 		}
 	}
 	return faults
