--- a/internal/coap/dedup/cost_test.go
+++ b/internal/coap/dedup/entry_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestEntryCost holds the constant by which memory is counted against what an entry takes, at the worst where each endpoint
-// has but one.
+// The limit in bytes holds only if EntryCost is no less than what an entry takes. The worst case is one entry for each
+// endpoint.
 func TestEntryCost(t *testing.T) {
 	const n = 100_000
 	for _, per := range []int{1, 100} {
