--- /dev/null
+++ b/internal/coap/front/datagram.go
@@ -0,0 +1,110 @@
+package front
+
+import (
+	"net"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"tackhub.example/tackhub/internal/coap/dedup"
+	"tackhub.example/tackhub/internal/coap/wire"
+)
+
+// handleDatagram handles one datagram. It does not wait. A panic ends this datagram only.
+func (s *Server) handleDatagram(datagram []byte, from net.Addr) {
+	defer func() {
+		if p := recover(); p != nil {
+			s.options.Count.Panics.Inc()
+			s.options.Log.Error("panic at a datagram", "code", "coap_panic", "panic", p)
+		}
+	}()
+	s.options.Count.Datagrams.Inc()
+	header, err := wire.ParseHeader(datagram)
+	if err != nil {
+		s.options.Count.Drops.Inc("no_coap")
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.limiter.allow(s.now(), addressPrefix(from)) {
+		s.options.Count.Drops.Inc("rate")
+		return
+	}
+	key := dedup.Key{Endpoint: from.String(), ID: header.ID}
+	switch {
+	case header.Type == wire.Ack || header.Type == wire.Rst:
+		s.stopRetransmission(key)
+	case header.Type == wire.Con && header.Code == codes.Empty:
+		s.options.Count.Pings.Inc()
+		s.send(wire.Empty(wire.Rst, header.ID), from)
+	case header.Code == codes.Empty || wire.Class(header.Code) != wire.ClassRequest:
+		s.rejectMessage(header, from, "no_request")
+	default:
+		m, err := wire.Decode(datagram)
+		if err != nil {
+			s.rejectMessage(header, from, "bad_message")
+			return
+		}
+		s.handleRequest(&m, key, datagram, from)
+	}
+}
+
+// rejectMessage drops a message that is no request. The sender of a confirmable one is told by a reset (RFC 7252, 4.2).
+func (s *Server) rejectMessage(header wire.Header, from net.Addr, reason string) {
+	s.options.Count.Drops.Inc(reason)
+	if header.Type == wire.Con {
+		s.send(wire.Empty(wire.Rst, header.ID), from)
+	}
+}
+
+// handleRequest starts a request that is new, and answers a repeat. The caller holds the lock.
+func (s *Server) handleRequest(m *message.Message, key dedup.Key, datagram []byte, from net.Addr) {
+	r := &request{
+		server:       s,
+		message:      m,
+		key:          key,
+		from:         from,
+		datagramSize: len(datagram),
+		confirmable:  m.Type == wire.Con,
+	}
+	if s.stopping.Load() {
+		r.respondUnstored(codes.ServiceUnavailable, "ending")
+		return
+	}
+	verdict, stored, acknowledged := s.exchanges.Receive(s.now(), dedup.Message{
+		Key:         key,
+		Confirmable: r.confirmable,
+		Idempotent:  m.Code == codes.GET,
+		Fingerprint: dedup.Fingerprint(datagram),
+	})
+	switch verdict {
+	case dedup.InProgress:
+		s.options.Count.Joined.Inc()
+		if acknowledged && r.confirmable {
+			s.send(wire.Empty(wire.Ack, key.ID), from)
+		}
+	case dedup.Replay:
+		s.options.Count.Replayed.Inc()
+		s.replay(stored, key, from, r.confirmable)
+	case dedup.TableFull:
+		s.options.Count.Refused.Inc("table_full")
+		r.respondUnstored(codes.ServiceUnavailable, "too much is remembered")
+	case dedup.EndpointFull:
+		s.options.Count.Refused.Inc("endpoint_full")
+		r.respondUnstored(codes.ServiceUnavailable, "too much is remembered")
+	default:
+		r.start()
+	}
+}
+
+// replay sends a stored response again. One that was sent by itself follows an acknowledgement; one that could not be stored
+// is empty.
+func (s *Server) replay(stored []byte, key dedup.Key, from net.Addr, confirmable bool) {
+	inAcknowledgement := len(stored) > 0 && wire.TypeOf(stored) == wire.Ack
+	if confirmable && !inAcknowledgement {
+		s.send(wire.Empty(wire.Ack, key.ID), from)
+	}
+	if len(stored) > 0 {
+		s.send(stored, from)
+	}
+}
--- /dev/null
+++ b/internal/coap/front/request.go
@@ -0,0 +1,273 @@
+package front
+
+import (
+	"hash/fnv"
+	"math"
+	"net"
+	"strconv"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+	"github.com/valyala/fasthttp"
+
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/coap/blocks"
+	"tackhub.example/tackhub/internal/coap/dedup"
+	"tackhub.example/tackhub/internal/coap/echo"
+	"tackhub.example/tackhub/internal/coap/wire"
+	"tackhub.example/tackhub/internal/inflight"
+)
+
+const (
+	// acknowledgeAfter is when a confirmable request is acknowledged by an empty message, its response following separately:
+	// half of the time after which the device would send it again.
+	acknowledgeAfter = ackTimeout / 2
+
+	// rejectionMaxAge is the Max-Age in seconds of the rejections that do not come from the handler.
+	rejectionMaxAge = 2
+)
+
+// request is a request that is being answered.
+type request struct {
+	server       *Server
+	message      *message.Message
+	key          dedup.Key
+	from         net.Addr
+	datagramSize int // bytes
+	confirmable  bool
+	acknowledged bool // by an empty message or by the response; guarded by the server's lock
+	mapped       mappedRequest
+	receivedAt   time.Time
+}
+
+// start checks a new request and passes it to the handler. The caller holds the lock.
+func (r *request) start() {
+	s := r.server
+	r.receivedAt = time.Now()
+	mapped, rejected := mapRequest(r.message, s.classes)
+	if rejected != nil {
+		s.options.Count.Refused.Inc("bad_request")
+		r.respond(textResponse(rejected.code, rejected.text))
+		return
+	}
+	r.mapped = mapped
+	if !r.isAuthentic() {
+		return
+	}
+	body, answered := r.collectBody()
+	if answered || r.respondFromDownloads() {
+		return
+	}
+	select {
+	case s.slots <- struct{}{}:
+	default:
+		s.options.Count.Refused.Inc("too_many_open")
+		r.respond(response{code: codes.ServiceUnavailable, maxAge: rejectionMaxAge, harmless: true})
+		return
+	}
+	s.options.Count.Taken.Inc()
+	s.handlers.Go(func() {
+		defer func() { <-s.slots }()
+		r.serve(body)
+	})
+}
+
+// isAuthentic checks the Echo option where the request has an effect. Where its value is not fresh the request is answered with
+// a challenge, and false is returned.
+func (r *request) isAuthentic() bool {
+	s := r.server
+	value, present := wire.Bytes(r.message, message.Echo)
+	verdict := s.authenticator.Check(s.now(), r.key.Endpoint, value, present)
+	if verdict == echo.Valid {
+		s.proven.add(s.now(), r.key.Endpoint)
+		return true
+	}
+	if r.mapped.class.Idempotency == balancer.Idempotent {
+		return true
+	}
+	if verdict == echo.Unknown {
+		// It may be the repeat of a request that ran at another node, or here before a restart. Nothing is known of that, so
+		// the response promises nothing; whether the device sends a new request with the new value is its own decision.
+		s.options.Count.Refused.Inc("foreign_echo")
+		r.respond(response{code: codes.BadGateway, body: []byte("may have run elsewhere"), options: r.challenge()})
+		return false
+	}
+	s.options.Count.Refused.Inc("echo")
+	r.respond(response{code: codes.Unauthorized, options: r.challenge(), harmless: true})
+	return false
+}
+
+// challenge is an Echo option with a fresh value for the request's endpoint.
+func (r *request) challenge() message.Options {
+	value := r.server.authenticator.Issue(r.server.now(), r.key.Endpoint)
+	return message.Options{}.Add(message.Option{ID: message.Echo, Value: value})
+}
+
+// transferKey identifies the block-wise transfers of the request's resource: its method, path and queries, without the block
+// options, which differ from message to message.
+func (r *request) transferKey() blocks.Key {
+	h := fnv.New64a()
+	for _, text := range []string{r.mapped.method, r.mapped.uri, r.mapped.key, r.mapped.tenant} {
+		_, _ = h.Write([]byte(text)) // a hash returns no error
+		_, _ = h.Write([]byte{0})
+	}
+	return blocks.Key{Endpoint: r.key.Endpoint, Resource: h.Sum64()}
+}
+
+// collectBody gives the request's body once it is complete; answered is true where this message has got its response.
+func (r *request) collectBody() (body []byte, answered bool) {
+	block, present, err := wire.Block(r.message, message.Block1)
+	payload := r.message.Payload
+	switch {
+	case err != nil:
+		r.respond(textResponse(codes.BadOption, err.Error()))
+		return nil, true
+	case r.mapped.method == fasthttp.MethodGet && len(payload) > 0:
+		r.respond(textResponse(codes.BadRequest, "a body with GET"))
+		return nil, true
+	case !present && len(payload) > maxBody:
+		r.respond(textResponse(codes.RequestEntityTooLarge, ""))
+		return nil, true
+	case !present:
+		return payload, false
+	}
+	verdict, body := r.server.uploads.Add(r.server.now(), r.transferKey(), block, payload)
+	if verdict == blocks.Complete {
+		return body, false
+	}
+	r.respondToBlock(verdict, block)
+	return nil, true
+}
+
+// respondToBlock answers a block of an upload that is not complete.
+func (r *request) respondToBlock(verdict blocks.Verdict, block blocks.Block) {
+	answer := response{block1: &block, harmless: true}
+	refused := &r.server.options.Count.Refused
+	switch verdict {
+	case blocks.Continue:
+		answer.code = codes.Continue
+	case blocks.Incomplete:
+		refused.Inc("block_missing")
+		answer.code = codes.RequestEntityIncomplete
+	case blocks.TooLarge:
+		refused.Inc("body_too_large")
+		answer.code = codes.RequestEntityTooLarge
+		answer.options = wire.AddUint(nil, message.Size1, maxBody)
+	default:
+		refused.Inc("too_many_uploads")
+		answer.code = codes.ServiceUnavailable
+		answer.maxAge = rejectionMaxAge
+	}
+	r.respond(answer)
+}
+
+// respondFromDownloads answers a request for a later block of a stored response; false where the request has to be served.
+func (r *request) respondFromDownloads() bool {
+	block, present, err := wire.Block(r.message, message.Block2)
+	if err != nil {
+		r.respond(textResponse(codes.BadOption, err.Error()))
+		return true
+	}
+	if !present || block.Num == 0 {
+		return false
+	}
+	body, ok := r.server.downloads.Get(r.server.now(), r.transferKey())
+	if !ok {
+		if r.mapped.class.Idempotency == balancer.Idempotent {
+			return false // the block is cut from a new response
+		}
+		r.respond(response{code: codes.RequestEntityIncomplete, harmless: true})
+		return true
+	}
+	r.respond(response{code: responseCode(fasthttp.StatusOK, r.mapped.method), body: body})
+	return true
+}
+
+// serve passes the request to the handler and answers it.
+func (r *request) serve(body []byte) {
+	acknowledge := time.AfterFunc(acknowledgeAfter, r.acknowledge)
+	defer acknowledge.Stop()
+	tracked := r.server.options.InFlight.Begin(r.key.Endpoint, r.mapped.class.Name)
+	outcome := inflight.Unanswered // unless it is answered below
+	defer func() { tracked.End(outcome) }()
+	status, responseBody, retryAfterSeconds := r.callHandler(body)
+	rejected := status == fasthttp.StatusServiceUnavailable
+	answer := response{code: responseCode(status, r.mapped.method), harmless: rejected}
+	switch {
+	case status == fasthttp.StatusOK:
+		answer.body = responseBody
+	case rejected:
+		answer.maxAge = uint32(math.Ceil(max(1, retryAfterSeconds)))
+	}
+	r.server.mu.Lock()
+	defer r.server.mu.Unlock()
+	r.respond(answer)
+	outcome = inflight.Answered
+	if rejected {
+		outcome = inflight.Rejected
+	}
+}
+
+// callHandler passes the request to the handler as an HTTP request, with the fields that an HTTP client would send. RetryAfter
+// is in seconds, 0 where the response has none.
+func (r *request) callHandler(body []byte) (status int, responseBody []byte, retryAfter float64) {
+	ctx := &fasthttp.RequestCtx{}
+	ctx.Init(r.httpRequest(body), r.from, nil)
+	r.server.options.Handler.Serve(ctx, device{receivedAt: r.receivedAt})
+	retryAfter, _ = strconv.ParseFloat(string(ctx.Response.Header.Peek("Retry-After")), 64) // 0 without one
+	return ctx.Response.StatusCode(), append([]byte(nil), ctx.Response.Body()...), retryAfter
+}
+
+// httpRequest is the request as HTTP has it.
+func (r *request) httpRequest(body []byte) *fasthttp.Request {
+	m := r.mapped
+	var http fasthttp.Request
+	http.Header.SetMethod(m.method)
+	http.SetRequestURI(m.uri)
+	http.Header.SetHost("coap")
+	http.Header.Set("X-Request-Id", r.server.newRequestID())
+	http.Header.Set("X-Class", m.class.Name)
+	http.Header.Set("X-Tenant", m.tenant)
+	http.Header.Set("X-Deadline-Ms", m.deadline)
+	if m.key != "" {
+		http.Header.Set("Idempotency-Key", m.key)
+	}
+	if m.retry {
+		http.Header.Set("X-Retry", "1")
+	}
+	if m.costHint != "" {
+		http.Header.Set("X-Cost-Hint", m.costHint)
+	}
+	if m.method != fasthttp.MethodGet {
+		http.SetBody(body)
+	}
+	return &http
+}
+
+// acknowledge tells the device that its request was received and that the response follows.
+func (r *request) acknowledge() {
+	r.server.mu.Lock()
+	defer r.server.mu.Unlock()
+	if !r.confirmable || r.acknowledged {
+		return
+	}
+	r.acknowledged = true
+	r.server.exchanges.MarkAcknowledged(r.key)
+	r.server.send(wire.Empty(wire.Ack, r.key.ID), r.from)
+}
+
+// device is the client of a request: one without a connection, so that its disconnect cannot be seen.
+type device struct{ receivedAt time.Time }
+
+// LastRead is when its request was received.
+func (d device) LastRead() time.Time { return d.receivedAt }
+
+// WatchDisconnect gives a channel on which nothing comes.
+func (d device) WatchDisconnect() (<-chan struct{}, func()) { return nil, func() {} }
+
+// Disconnected is never known of a device.
+func (d device) Disconnected() bool { return false }
+
+// SetCloseReason has no connection to note it at.
+func (d device) SetCloseReason(string) {}
