--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -11,12 +11,12 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// Check reads configuration and operator file as a start would, and prints what would run, or every fault. It tells
-// whether a start would succeed.
+// Check reads configuration and operator file as a start would, and prints what would run, or every
+// fault. It tells whether a start would succeed.
 func Check(out io.Writer, getenv func(string) string, edge string) bool {
 	c, faults := config.Check(getenv)
-	file, err := loadEdge(edge)
-	faults = append(faults, edgeFaults(edge, err)...)
+	file, err := loadOperatorFile(edge)
+	faults = append(faults, operatorFileFaults(edge, err)...)
 	if len(faults) == 0 {
 		if _, err := balancer.New(c.Settings.Balancer, c.Seed); err != nil {
 			faults = append(faults, operator.Diagnostic{File: getenv("ROUTER_CONFIG"), Key: "settings", Message: err.Error()})
@@ -33,7 +33,7 @@
 	return true
 }
 
-func edgeFaults(path string, err error) []operator.Diagnostic {
+func operatorFileFaults(path string, err error) []operator.Diagnostic {
 	var faults operator.Diagnostics
 	switch {
 	case err == nil:
@@ -47,6 +47,14 @@
 // describe prints the effective configuration.
 func describe(out io.Writer, c config.Config, file *operator.File) {
 	say := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
+	describeNode(say, c)
+	describeSettings(say, c.Settings.Balancer)
+	say("peers     %s", onOrOff(len(c.Peers) > 0, fmt.Sprintf("%d nodes", len(c.Peers))))
+	say("watch     %s", onOrOff(c.Watch != nil, "other settings are watched"))
+	describeSubsystems(say, file)
+}
+
+func describeNode(say func(format string, args ...any), c config.Config) {
 	set := c.Settings.Balancer
 	say("node      %s, node %d of %d, zone %q", c.Name, set.Node, set.Nodes, set.Zone)
 	say("listen    %s", c.Listen)
@@ -55,36 +63,51 @@
 		say("operator  %s", c.Operator)
 	}
 	say("limits    %v cores, %v MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
-	say("rules     drain grace %v ms, cold from %v for %v ms, falls at %v times for %v ms, %d attempts",
-		set.DrainGrace, set.SlowStart.InitialCapacity, set.SlowStart.Duration, set.SlowStart.OverloadFactor, set.SlowStart.OverloadWindow, set.MaxAttempts)
-	for _, k := range set.Classes {
-		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", k.Name, effectName(k), k.LatencyObjective, k.TotalTimeout, k.PriorityWeight)
+}
+
+func describeSettings(say func(format string, args ...any), set balancer.Settings) {
+	slowStart := set.SlowStart
+	say("rules     drain grace %v ms, cold from %v for %v ms, falls at %v times for %v ms, %d attempts", set.DrainGrace,
+		slowStart.InitialCapacity, slowStart.Duration, slowStart.OverloadFactor, slowStart.OverloadWindow, set.MaxAttempts)
+	for _, class := range set.Classes {
+		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", class.Name, idempotencyName(class),
+			class.LatencyObjective, class.TotalTimeout, class.PriorityWeight)
 	}
 	say("tenants   %d", len(set.Tenants))
-	say("peers     %s", onOff(len(c.Peers) > 0, fmt.Sprintf("%d nodes", len(c.Peers))))
-	say("watch     %s", onOff(c.Watch != nil, "other settings are watched"))
+}
+
+func describeSubsystems(say func(format string, args ...any), file *operator.File) {
 	if file == nil {
 		say("edge      no operator file")
 	} else {
 		say("edge      %s", file.Path)
 	}
-	for _, p := range Parts() {
-		o := file.Options(p.Section.Name)
-		if o == nil {
-			say("  [%s] off: %s", p.Section.Name, p.Section.Summary)
+	for _, p := range Subsystems() {
+		section := p.Section
+		options := file.Options(section.Name)
+		if options == nil {
+			say("  [%s] off: %s", section.Name, section.Summary)
 			continue
 		}
-		say("  [%s] on: %s", p.Section.Name, strings.Join(operator.Describe(o), ", "))
+		say("  [%s] on: %s", section.Name, strings.Join(operator.Describe(options), ", "))
 	}
 }
 
-func onOff(on bool, what string) string {
+func onOrOff(on bool, what string) string {
 	if on {
 		return what
 	}
 	return "off"
 }
 
-func effectName(c balancer.Class) string {
-	return map[balancer.Idempotency]string{balancer.Idempotent: "safe", balancer.IdempotentWithKey: "keyed", balancer.NonIdempotent: "unsafe"}[c.Idempotency]
+func idempotencyName(c balancer.Class) string {
+	switch c.Idempotency {
+	case balancer.Idempotent:
+		return "safe"
+	case balancer.IdempotentWithKey:
+		return "keyed"
+	case balancer.NonIdempotent:
+		return "unsafe"
+	}
+	return ""
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,24 +12,25 @@
 )
 
 // faultsTold bounds the lines for one bad file: a file of another kind has a fault in every line.
-const faultsTold = 20
+const maxLoggedFaults = 20
 
-// reloadOn reads the configuration file again at each signal, while the node serves and while it drains.
-func (n *node) reloadOn(ctx context.Context, ask <-chan os.Signal, running config.Config, edge string, log *slog.Logger) {
+// reloadOn reads the configuration file again at each signal, while the node serves and while it
+// drains.
+func (n *node) reloadOnSignal(ctx context.Context, ask <-chan os.Signal, running config.Config, edge string, log *slog.Logger) {
 	for {
 		select {
 		case <-ask:
-			n.reload(running, log)
-			n.reloadEdge(ctx, edge, log)
+			n.reloadConfig(running, log)
+			n.reloadOperatorFile(ctx, edge, log)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reload takes over what a running node can: where discovery is. A file that is missing, half written or
-// impossible changes nothing, whatever parts of it could be read.
-func (n *node) reload(running config.Config, log *slog.Logger) {
+// reload takes over what a running node can: where discovery is. A file that is missing, half
+// written or impossible changes nothing, whatever parts of it could be read.
+func (n *node) reloadConfig(running config.Config, log *slog.Logger) {
 	next, err := config.Reload(os.Getenv)
 	if err != nil {
 		log.Error("the new configuration is not taken, the running one stands", "code", "reload_failed", "error", err)
@@ -38,25 +39,25 @@
 	if keys := running.NeedRestart(next); len(keys) > 0 {
 		log.Warn("these keys have changed and need a restart", "code", "reload_restart", "keys", keys)
 	}
-	n.catalog.SetAddress(next.Discovery)
-	n.watch.Follow(next.Watch)
+	n.discovery.SetAddress(next.Discovery)
+	n.shadow.Follow(next.Watch)
 	log.Info("configuration read again", "code", "reload", "discovery", next.Discovery)
 }
 
 // loadEdge reads the operator file; nil where there is none.
-func loadEdge(path string) (*operator.File, error) {
+func loadOperatorFile(path string) (*operator.File, error) {
 	if path == "" {
 		return nil, nil
 	}
-	return operator.Load(path, subsystem.Sections(Parts()))
+	return operator.Load(path, subsystem.Sections(Subsystems()))
 }
 
 // reloadEdge takes a new operator file whole, or leaves everything as it is and names each fault.
-func (n *node) reloadEdge(ctx context.Context, path string, log *slog.Logger) {
+func (n *node) reloadOperatorFile(ctx context.Context, path string, log *slog.Logger) {
 	if path == "" {
 		return
 	}
-	file, err := loadEdge(path)
+	file, err := loadOperatorFile(path)
 	var change subsystem.Change
 	if err == nil {
 		change, err = n.subsystems.Apply(ctx, file)
@@ -64,7 +65,7 @@
 	var faults operator.Diagnostics
 	switch {
 	case errors.As(err, &faults):
-		for _, f := range faults[:min(len(faults), faultsTold)] {
+		for _, f := range faults[:min(len(faults), maxLoggedFaults)] {
 			log.Error("fault in the operator file", "code", "edge_fault", "file", f.File, "line", f.Line, "key", f.Key, "error", f.Message)
 		}
 		log.Error("the new operator file is not taken, the running one stands", "code", "edge_failed", "faults", len(faults))
--- /dev/null
+++ b/internal/node/signals.go
@@ -0,0 +1,48 @@
+package node
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"tackhub.example/tackhub/internal/counters"
+)
+
+// signals are what a running node is told by signals.
+type signals struct {
+	stop   <-chan os.Signal // SIGTERM, SIGINT: planned stop
+	report <-chan os.Signal // SIGUSR1: counters into the log
+	reload <-chan os.Signal // SIGHUP: read the configuration again
+}
+
+// notifySignals catches the signals; until then any of them would kill the process. SIGPIPE is
+// ignored: otherwise the next log line kills the node once whoever reads its log has gone.
+func notifySignals() signals {
+	s := signals{
+		stop:   notify(syscall.SIGTERM, syscall.SIGINT),
+		report: notify(syscall.SIGUSR1),
+		reload: notify(syscall.SIGHUP),
+	}
+	signal.Ignore(syscall.SIGPIPE)
+	return s
+}
+
+func notify(which ...os.Signal) <-chan os.Signal {
+	c := make(chan os.Signal, 1)
+	signal.Notify(c, which...)
+	return c
+}
+
+// logCountersOnSignal writes the counters to the log whenever a signal asks for them.
+func logCountersOnSignal(ctx context.Context, report <-chan os.Signal, log *slog.Logger, count *counters.Counters) {
+	for {
+		select {
+		case <-report:
+			log.Info("counters", "code", "counters", "counters", rawJSON(count.JSON()))
+		case <-ctx.Done():
+			return
+		}
+	}
+}
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -11,25 +11,26 @@
 )
 
 // repeatsSaid bounds the log lines for further signals of one stop; all are counted.
-const repeatsSaid = 3
+const maxLoggedRepeats = 3
 
-// onSignals begins a planned stop at the first signal. Further ones change nothing: what was taken is still owed.
-func (n *node) onSignals(stop <-chan os.Signal, l ingress.Listener, log *slog.Logger) {
+// onSignals begins a planned stop at the first signal. Further ones change nothing: what was taken
+// is still owed.
+func (n *node) stopOnSignals(stop <-chan os.Signal, l ingress.Listener, log *slog.Logger) {
 	first := <-stop
-	n.beginStop(n.plan.Start(time.Now()), l, first.String(), log)
+	n.beginShutdown(n.drainPlan.Start(time.Now()), l, first.String(), log)
 	for again := range stop {
-		n.count.Stop.Repeated.Inc()
-		if n.count.Stop.Repeated.Get() <= repeatsSaid {
+		n.counters.Stop.Repeated.Inc()
+		if n.counters.Stop.Repeated.Get() <= maxLoggedRepeats {
 			log.Info("stopping already, a further signal changes nothing", "code", "drain_again", "signal", again.String())
 		}
 	}
 }
 
 // beginStop has all fronts follow the schedule.
-func (n *node) beginStop(schedule *drain.Schedule, l ingress.Listener, signal string, log *slog.Logger) {
+func (n *node) beginShutdown(schedule *drain.Schedule, l ingress.Listener, signal string, log *slog.Logger) {
 	n.serving.Store(false)
 	n.inFlight.BeginShutdown(schedule.Began)
-	n.desk.Drain(schedule)
+	n.handler.Drain(schedule)
 	n.ingress.Drain(l, schedule)
 	log.Info("draining", "code", "drain", "signal", signal, "open", n.inFlight.Open(),
 		"close_idle_ms", schedule.CloseIdle.Milliseconds(),
@@ -40,7 +41,7 @@
 }
 
 // logStopEnd leaves one line of what became of the requests of a planned stop.
-func (n *node) logStopEnd(log *slog.Logger) {
+func (n *node) logShutdown(log *slog.Logger) {
 	figures, ok := n.inFlight.ShutdownStats()
 	if !ok {
 		return
@@ -52,5 +53,5 @@
 		"client_left", figures.Outcomes[inflight.ClientDisconnected],
 		"unanswered", figures.Outcomes[inflight.Unanswered],
 		"latest_answer_ms", figures.LastAnswer.Milliseconds(),
-		"open", n.inFlight.Open(), "further_signals", n.count.Stop.Repeated.Get())
+		"open", n.inFlight.Open(), "further_signals", n.counters.Stop.Repeated.Get())
 }
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -8,9 +8,9 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// Parts are the subsystems that the operator file can turn on, in the order in which they start. A new one adds its
-// package and one line here.
-func Parts() []subsystem.Definition {
+// Subsystems are the subsystems that the operator file can turn on, in the order in which they
+// start. A new one adds its package and one line here.
+func Subsystems() []subsystem.Definition {
 	return []subsystem.Definition{
 		endpoints.Subsystem(),
 		front.Subsystem(),
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -4,280 +4,214 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"os"
 	"runtime/debug"
 	"sync/atomic"
-	"syscall"
-
-	"golang.org/x/sys/unix"
 
 	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/config"
 	"tackhub.example/tackhub/internal/discovery"
 	"tackhub.example/tackhub/internal/handover"
-	"tackhub.example/tackhub/internal/ingress"
 )
 
-// tellQueue bounds the messages to the other process that wait: some seconds of a busy node's ids. Beyond it they are
-// dropped; an id that is then not known there is one that no client sends twice.
-const tellQueue = 4096
+// siblingQueueSize bounds the messages to the other process that wait: some seconds of a busy
+// node's request ids. Beyond it they are dropped; an id that is then not known there is one that no
+// client sends twice.
+const siblingQueueSize = 4096
 
-// legacy is what a process hands to the next.
-type legacy struct {
-	List    discovery.List `json:"list"`
-	Module  balancer.State `json:"module"`
-	Drained bool           `json:"drained"`
-}
+// errEngineEnded says that the state can't be read any more.
+var errEngineEnded = errors.New("the engine has ended")
 
-// upgrade is a node's part in the change from one process to the next. It is the node as either side of the handover
-// sees it.
-type upgrade struct {
-	n      *node
-	limits config.Limits
-	log    *slog.Logger
-	heir   *handover.Successor   // of the process before this one; nil at a plain start
-	keeper *handover.Predecessor // for the next; nil where $TMPDIR has no place for it
-	out    chan handover.Message
-
-	succeeded atomic.Bool // the next process serves
+// transferredNode is what a process hands over to the next. The JSON names are the form between
+// versions.
+type transferredNode struct {
+	List     discovery.List `json:"list"`
+	Balancer balancer.State `json:"module"`
+	Drained  bool           `json:"drained"` // by an administrator
 }
 
-// identity is whose process this is. Everything that is held by a class's, a tenant's or a server's name is the settings'.
-func identity(c *config.Config) handover.Identity {
-	return handover.Identity{Name: c.Name, Discovery: c.Discovery, Settings: c.Settings.Digest}
-}
-
-// keepFor leaves of what the process before knew what is this one's as well. The list goes with its discovery, where
-// revisions compare; the module's records with the settings, since a class or a tenant of the same name need not be the
-// same. One that does not say who it is has neither known.
-func (l *legacy) keepFor(before, now handover.Identity) {
+// dropIncompatible leaves of what the process before knew what holds for this one as well. The list
+// goes with its discovery, where revisions compare; the balancer's records go with the settings,
+// since a class or a tenant of the same name need not be the same. A process that doesn't say who
+// it is leaves neither.
+func (t *transferredNode) dropIncompatible(before, now handover.Identity) {
 	if before.Discovery != now.Discovery {
-		l.List = discovery.List{}
+		t.List = discovery.List{}
 	}
 	if before.Settings != now.Settings {
-		l.Module = balancer.State{}
+		t.Balancer = balancer.State{}
 	}
 }
 
-// takeOver gets the clients' listener: from the process that serves, where there is one, else anew. What the process
-// before told of the list replaces what the configuration knows.
-func takeOver(c *config.Config, log *slog.Logger) (*net.TCPListener, *handover.Successor, *legacy, error) {
-	who := identity(c)
-	heir, err := fromOld(c.Listen, who)
-	if err == nil {
-		holdSilentBack(heir.Listener, log)
-		from := &legacy{}
-		raw, serr := heir.RequestState()
-		if serr == nil {
-			serr = json.Unmarshal(raw, from)
-		}
-		if serr != nil { // it may start without: the listener is what clients need
-			log.Warn("the process before told nothing that can be read", "code", "handover_failed", "error", serr)
-			return heir.Listener, heir, nil, nil
-		}
-		if from.keepFor(heir.PredecessorIdentity, who); heir.PredecessorIdentity != who {
-			log.Warn("the process before has other settings or another discovery: what hangs on them is not taken over",
-				"code", "handover_part", "list", len(from.List.Members) > 0, "records", len(from.Module.Servers) > 0)
-		}
-		if len(from.List.Members) > 0 {
-			c.Known = from.List
-		}
-		return heir.Listener, heir, from, nil
-	}
-	if errors.Is(err, handover.ErrOtherNode) { // nor may the address be shared with it
-		return nil, nil, nil, fmt.Errorf("ROUTER_LISTEN: %s: %w", c.Listen, err)
-	}
-	if !errors.Is(err, handover.ErrNoPredecessor) {
-		log.Warn("nothing can be taken over, starting plainly", "code", "handover_failed", "error", err)
-	}
-	l, err := listen(c.Listen, !errors.Is(err, handover.ErrNoPredecessor) && !errors.Is(err, handover.ErrPredecessorGone))
-	return l, nil, nil, err
+// identity is whose process this is. Everything that is held by a class's, a tenant's or a server's
+// name is the settings'.
+func identity(c *config.Config) handover.Identity {
+	return handover.Identity{Name: c.Name, Discovery: c.Discovery, Settings: c.Settings.Digest}
 }
 
-// holdSilentBack has the kernel hold silent connections back from a listener that was taken over: a process that is ending has
-// told it not to.
-func holdSilentBack(l *net.TCPListener, log *slog.Logger) {
-	raw, err := l.SyscallConn()
-	if err == nil {
-		err = ingress.DeferAccept("tcp", l.Addr().String(), raw)
-	}
-	if err != nil {
-		log.Warn("silent connections are not held back by the kernel", "code", "defer_accept", "error", err)
-	}
-}
+// upgrade is a node's part in the change from one process to the next. It may be the successor of
+// the process before, and the predecessor of the next.
+type upgrade struct {
+	node          *node
+	limits        config.Limits
+	log           *slog.Logger
+	asSuccessor   *handover.Successor   // nil at a plain start
+	asPredecessor *handover.Predecessor // nil where $TMPDIR has no place for it
+	outgoing      chan handover.Message // to the other process
 
-func fromOld(address string, who handover.Identity) (*handover.Successor, error) {
-	dir := os.Getenv("TMPDIR")
-	if dir == "" {
-		return nil, handover.ErrNoPredecessor
-	}
-	return handover.TakeOver(dir, address, who)
+	successorServes atomic.Bool
 }
 
-// listen opens the clients' address. Beside a process that cannot hand over, both listen there for a while; without a
-// sign of one an address in use is somebody else's.
-func listen(address string, beside bool) (*net.TCPListener, error) {
-	if !beside {
-		probe, err := net.Listen("tcp", address)
-		if err != nil {
-			return nil, fmt.Errorf("ROUTER_LISTEN: %w", err)
-		}
-		address = probe.Addr().String() // port 0 stays what it became
-		if err := probe.Close(); err != nil {
-			return nil, fmt.Errorf("ROUTER_LISTEN: %w", err)
-		}
+func newUpgrade(n *node, limits config.Limits, asSuccessor *handover.Successor, log *slog.Logger) *upgrade {
+	return &upgrade{
+		node:        n,
+		limits:      limits,
+		log:         log,
+		asSuccessor: asSuccessor,
+		outgoing:    make(chan handover.Message, siblingQueueSize),
 	}
-	config := net.ListenConfig{Control: func(network, address string, raw syscall.RawConn) error {
-		var err error
-		cerr := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(cerr, err, ingress.DeferAccept(network, address, raw))
-	}}
-	l, err := config.Listen(context.Background(), "tcp", address)
-	if err != nil {
-		return nil, fmt.Errorf("ROUTER_LISTEN: %w", err)
-	}
-	tcp, ok := l.(*net.TCPListener)
-	if !ok {
-		return nil, fmt.Errorf("ROUTER_LISTEN: %s gives no TCP listener", address)
-	}
-	return tcp, nil
 }
 
-// begin has the node be one of two processes, where it has taken over, before it hears of the list.
-func (u *upgrade) begin(from *legacy) {
-	if u.heir == nil {
+// begin makes the node one of two processes, where it has taken over, before it hears of the
+// endpoint list.
+func (u *upgrade) begin(state *transferredNode) {
+	if u.asSuccessor == nil {
 		return
 	}
 	u.SetSibling(true)
-	if from == nil {
+	if state == nil {
 		return
 	}
-	if len(from.Module.Servers) > 0 {
-		u.n.legacy.Store(&from.Module)
+	if len(state.Balancer.Servers) > 0 {
+		u.node.transferredState.Store(&state.Balancer)
 	}
-	if from.Drained {
-		u.n.ingress.BeginAdminDrain()
+	if state.Drained {
+		u.node.ingress.BeginAdminDrain()
 	}
 }
 
-// serve tells the process before that this one serves, and waits for the next.
-func (u *upgrade) serve(ctx context.Context, address string, who handover.Identity, clients *net.TCPListener) {
-	defer func() { u.n.ending.Go(func() { u.tell(ctx) }) }() // once both sides are known
-	if u.heir != nil {
-		if err := u.heir.AnnounceReady(); err != nil {
-			u.log.Warn("the process before has gone", "code", "handover_failed", "error", err)
-			u.heir.Close()
-			u.SetSibling(false)
-		} else {
-			u.log.Info("serving beside the process before", "code", "handover")
-			u.n.desk.PublishRequestIDs(u.tellID)
-			u.n.ending.Go(func() { u.hear(ctx) })
-		}
+// serve tells the process before that this one serves, and waits for the next one.
+func (u *upgrade) serve(ctx context.Context, address string, id handover.Identity, clients *net.TCPListener) {
+	defer func() { u.node.background.Go(func() { u.sendToSibling(ctx) }) }() // once both sides are known
+	if u.asSuccessor != nil {
+		u.announceReady(ctx)
 	}
 	dir := os.Getenv("TMPDIR")
 	if dir == "" {
 		return
 	}
-	keeper, err := handover.Listen(dir, address, who, clients, u, u.log)
+	predecessor, err := handover.Listen(dir, address, id, clients, u, u.log)
 	if err != nil {
 		u.log.Warn("the next version will not be able to take over", "code", "handover_failed", "error", err)
 		return
 	}
-	u.keeper = keeper
-	u.n.ending.Go(func() { keeper.Run(ctx) })
+	u.asPredecessor = predecessor
+	u.node.background.Go(func() { predecessor.Run(ctx) })
+}
+
+func (u *upgrade) announceReady(ctx context.Context) {
+	if err := u.asSuccessor.AnnounceReady(); err != nil {
+		u.log.Warn("the process before has gone", "code", "handover_failed", "error", err)
+		u.asSuccessor.Close()
+		u.SetSibling(false)
+		return
+	}
+	u.log.Info("serving beside the process before", "code", "handover")
+	u.node.handler.PublishRequestIDs(u.sendRequestID)
+	u.node.background.Go(func() { u.receiveFromPredecessor(ctx) })
 }
 
-// hear takes the old process's messages until it has gone.
-func (u *upgrade) hear(ctx context.Context) {
-	stop := context.AfterFunc(ctx, u.heir.Close)
+// receiveFromPredecessor handles the messages of the process before until it has gone.
+func (u *upgrade) receiveFromPredecessor(ctx context.Context) {
+	stop := context.AfterFunc(ctx, u.asSuccessor.Close)
 	defer stop()
-	u.heir.ReceiveAll(u.HandleMessage)
+	u.asSuccessor.ReceiveAll(u.HandleMessage)
 	if ctx.Err() == nil {
 		u.SetSibling(false)
 		u.log.Info("the process before has ended", "code", "handover")
 	}
 }
 
-// Beside shares the node's limits and the module's parts with a second process, or has them whole again.
+// SetSibling shares the node's limits and the balancer's parts with a second process, or has them
+// whole again. Two processes that each used the whole would together use twice what the node may.
 func (u *upgrade) SetSibling(on bool) {
 	processes := 1
 	if on {
 		processes = 2
 	}
 	debug.SetMemoryLimit(memoryLimit(u.limits) / int64(processes))
-	u.n.ingress.SetMaxConns(u.n.each / processes)
-	u.n.pool.SetProcessCount(processes)
-	u.n.engine.Post(balancer.SiblingProcesses{Count: processes})
+	u.node.ingress.SetMaxConns(u.node.maxConnsPerSide / processes)
+	u.node.pool.SetProcessCount(processes)
+	u.node.engine.Post(balancer.SiblingProcesses{Count: processes})
 	if !on {
-		u.succeeded.Store(false)
-		u.n.ingress.SetSuccessor(false)
-		u.n.desk.PublishRequestIDs(nil)
+		u.successorServes.Store(false)
+		u.node.ingress.SetSuccessor(false)
+		u.node.handler.PublishRequestIDs(nil)
 	}
 }
 
 // State is what the next process gets.
 func (u *upgrade) State() (json.RawMessage, error) {
-	l := legacy{List: u.n.catalog.List(), Drained: u.n.ingress.AdminDrained()}
-	if !u.n.engine.RunBetweenSteps(func() { l.Module = u.n.watch.Snapshot() }) {
-		return nil, errors.New("the engine has ended")
+	state := transferredNode{List: u.node.discovery.List(), Drained: u.node.ingress.AdminDrained()}
+	if !u.node.engine.RunBetweenSteps(func() { state.Balancer = u.node.shadow.Snapshot() }) {
+		return nil, errEngineEnded
 	}
-	return json.Marshal(l)
+	return json.Marshal(state)
 }
 
-// Succeeded says that the next process serves.
+// SuccessorReady says that the next process serves.
 func (u *upgrade) SuccessorReady() {
-	u.succeeded.Store(true)
-	u.n.ingress.SetSuccessor(true)
-	u.n.desk.PublishRequestIDs(u.tellID)
+	u.successorServes.Store(true)
+	u.node.ingress.SetSuccessor(true)
+	u.node.handler.PublishRequestIDs(u.sendRequestID)
 }
 
-// Hear takes what the other process tells.
+// HandleMessage handles a message of the other process.
 func (u *upgrade) HandleMessage(m handover.Message) {
 	switch {
 	case m.RequestOpened != "":
-		u.n.desk.TrackSiblingRequestID(m.RequestOpened, true)
+		u.node.handler.TrackSiblingRequestID(m.RequestOpened, true)
 	case m.RequestClosed != "":
-		u.n.desk.TrackSiblingRequestID(m.RequestClosed, false)
+		u.node.handler.TrackSiblingRequestID(m.RequestClosed, false)
 	case m.Drained != nil && *m.Drained:
-		u.n.ingress.BeginAdminDrain()
+		u.node.ingress.BeginAdminDrain()
 	case m.Drained != nil:
-		u.n.ingress.EndAdminDrain()
+		u.node.ingress.EndAdminDrain()
 	}
 }
 
-// tellID queues an id for the other process. It does not wait.
-func (u *upgrade) tellID(id string, open bool) {
-	m := handover.Message{RequestClosed: id}
+// sendRequestID queues a request's id for the other process. It does not wait.
+func (u *upgrade) sendRequestID(id string, open bool) {
 	if open {
-		m = handover.Message{RequestOpened: id}
+		u.enqueue(handover.Message{RequestOpened: id})
+	} else {
+		u.enqueue(handover.Message{RequestClosed: id})
 	}
-	u.queue(m)
 }
 
-// tellDrain lets the other process know what staff said here: they speak of the node.
-func (u *upgrade) tellDrain(on bool) { u.queue(handover.Message{Drained: &on}) }
+// sendDrain tells the other process of an administrator's drain, which is of the node.
+func (u *upgrade) sendDrain(on bool) { u.enqueue(handover.Message{Drained: &on}) }
 
-func (u *upgrade) queue(m handover.Message) {
+func (u *upgrade) enqueue(m handover.Message) {
 	select {
-	case u.out <- m:
+	case u.outgoing <- m:
 	default:
-		u.n.count.Handover.Dropped.Inc()
+		u.node.counters.Handover.Dropped.Inc()
 	}
 }
 
-// tell passes messages on to whichever process is beside this one.
-func (u *upgrade) tell(ctx context.Context) {
+// sendToSibling sends the queued messages to the next process, or else to the one before. Without
+// either they reach nobody; one that is ending is noticed by its reader.
+func (u *upgrade) sendToSibling(ctx context.Context) {
 	for {
 		select {
-		case m := <-u.out:
-			// Without anyone there it reaches nobody; one that is ending is noticed by its reader.
-			if u.keeper != nil && u.keeper.Send(m) == nil || u.heir == nil {
-				continue
+		case m := <-u.outgoing:
+			sentToNext := u.asPredecessor != nil && u.asPredecessor.Send(m) == nil
+			if !sentToNext && u.asSuccessor != nil {
+				_ = u.asSuccessor.Send(m)
 			}
-			_ = u.heir.Send(m)
 		case <-ctx.Done():
 			return
 		}
