--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -34,7 +34,7 @@
 	// MaxPollInterval is the time after which discovery takes a node that has not called for informed; 0: never.
 	MaxPollInterval time.Duration
 
-	// DrainGrace is how long requests may still go to a server after discovery has told that it drains.
+	// DrainGrace is how long requests may still go to a server after discovery has reported that it drains.
 	DrainGrace time.Duration
 
 	Dial  Dial // nil: TCP
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -7,8 +7,8 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// staleAfter is the time without an answer after which the handler is told that the list may be stale: as soon as that is
-// so, and not on the same tick as an answer that comes just in time.
+// staleAfter is the time without an answer after which the list is reported as stale: as soon as it may be, and not on the same
+// tick as an answer that comes just in time.
 const staleAfter = informDeadline + 50*time.Millisecond
 
 // staleness is when discovery last answered, and whether the handler knows that this was too long ago.
--- a/internal/endpoints/command.go
+++ b/internal/endpoints/command.go
@@ -104,6 +104,16 @@
 	return parseFile(o.file(path), raw)
 }
 
+// loadSingleList reads one list as the node of an operator file would.
+func loadSingleList(edge, path string) (inventory.List, error) {
+	o, err := loadOptions(edge)
+	if err != nil {
+		return inventory.List{}, err
+	}
+	return loadList(o, path)
+}
+
+// lint prints what is wrong with each list, or its size and hash.
 func lint(out io.Writer, edge string, paths []string) error {
 	if len(paths) == 0 {
 		return errors.New("inventory lint: a file is wanted")
@@ -128,6 +138,7 @@
 	return nil
 }
 
+// diff prints what makes the second list of the first.
 func diff(out io.Writer, edge string, paths []string) error {
 	if len(paths) != 2 {
 		return errors.New("inventory diff: two files are wanted")
@@ -153,16 +164,13 @@
 	return nil
 }
 
+// convert writes a list in the other form.
 func convert(out io.Writer, edge, form string, paths []string) error {
 	formKnown := form == "csv" || form == "yaml"
 	if len(paths) != 1 || !formKnown {
 		return errors.New("inventory convert: one file, and --to csv or --to yaml, are wanted")
 	}
-	o, err := loadOptions(edge)
-	if err != nil {
-		return err
-	}
-	list, err := loadList(o, paths[0])
+	list, err := loadSingleList(edge, paths[0])
 	if err != nil {
 		return err
 	}
@@ -179,11 +187,7 @@
 	if len(paths) != 1 {
 		return errors.New("inventory confirm: one file is wanted")
 	}
-	o, err := loadOptions(edge)
-	if err != nil {
-		return err
-	}
-	list, err := loadList(o, paths[0])
+	list, err := loadSingleList(edge, paths[0])
 	if err != nil {
 		return err
 	}
--- a/internal/endpoints/format_test.go
+++ b/internal/endpoints/format_test.go
@@ -17,7 +17,7 @@
 	"tackhub.example/tackhub/internal/statefile"
 )
 
-// A node that is upgraded serves from what the version before it saved until its sources have spoken. testdata/state was
+// A node that is upgraded serves from what the version before it saved until its sources have reported. testdata/state was
 // written by a running subsystem (a CSV file, a static server and discovery; one server drained, one moving) as the code
 // stood before the packages' names were revised (December 2026) and is never written anew.
 
