--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -36,74 +36,81 @@
 	return l
 }
 
+// longestPause is the longest pause between calls of a large fleet's client.
+var longestPause = intervalsFor(Options{Nodes: manyNodes, DrainGrace: grace}).maxRetryDelay
+
+// slowAnswer is the time of a call that gets its answer just before its timeout.
+const slowAnswer = callTimeoutManyNodes + promptAnswer
+
+// fleetCases are the states of discovery in which a change happens.
+var fleetCases = []struct {
+	name  string
+	bound time.Duration // from the change, or from when discovery answers again
+	play  func(f *fleet, d *fakeDiscovery)
+}{
+	{"a change right at the start", grace, func(f *fleet, d *fakeDiscovery) {
+		f.join(manyNodes, "one", d.list())
+		d.drainServer()
+	}},
+	{"a change under held watches", promptAnswer, func(f *fleet, d *fakeDiscovery) {
+		f.join(manyNodes, "one", d.list())
+		time.Sleep(12 * time.Second)
+		d.drainServer()
+	}},
+	{"restarted together with an old list", grace, func(f *fleet, d *fakeDiscovery) {
+		old := d.list()
+		d.drainServer()
+		f.join(manyNodes, "one", old)
+	}},
+	{"rejected without a time", longestPause + promptAnswer, func(f *fleet, d *fakeDiscovery) {
+		f.join(manyNodes, "one", d.list())
+		d.update(func() { d.rejecting = true })
+		time.Sleep(20 * time.Second)
+		d.drainServer()
+		d.update(func() { d.rejecting = false })
+	}},
+	{"rejected for a second", time.Second + longestPause + promptAnswer, func(f *fleet, d *fakeDiscovery) {
+		f.join(manyNodes, "one", d.list())
+		d.update(func() { d.rejecting, d.retryAfter = true, "1" })
+		time.Sleep(20 * time.Second)
+		d.drainServer()
+		d.update(func() { d.rejecting = false })
+	}},
+	{"silent, a watch is in flight", slowAnswer + longestPause + slowAnswer, func(f *fleet, d *fakeDiscovery) {
+		f.join(manyNodes, "one", d.list())
+		time.Sleep(7 * time.Second)
+		d.update(func() { d.silent = true })
+		d.drainServer()
+		time.Sleep(10 * time.Second)
+		d.update(func() { d.silent = false })
+	}},
+	{"cut off, connections hang, then back", grace, func(f *fleet, d *fakeDiscovery) {
+		f.join(manyNodes, "one", d.list())
+		time.Sleep(7 * time.Second)
+		d.update(func() { d.hanging, d.resetting = true, true })
+		d.drainServer() // ends the watches, whose connections are reset
+		time.Sleep(10 * time.Second)
+		d.update(func() { d.hanging, d.resetting = false, false })
+	}},
+	{"new address while it was silent", promptAnswer, func(f *fleet, d *fakeDiscovery) {
+		f.join(manyNodes, "one", d.list())
+		time.Sleep(7 * time.Second)
+		d.update(func() { d.silent = true })
+		d.drainServer()
+		two := newFakeDiscovery(0)
+		two.revision, two.members = d.revision, d.members
+		f.serve("two", two)
+		for _, client := range f.clients {
+			client.SetAddress("two")
+		}
+	}},
+}
+
 // First calls were once spread by the number of nodes alone, over 30 s with 300 of them, and servers that drained got
 // requests for as long. docs/discovery.md works out, for each state of discovery, how long a change takes to reach every node;
 // this test holds those times.
 func TestLargeFleetLearnsChangesInTime(t *testing.T) {
-	const answer = callTimeoutManyNodes + promptAnswer
-	longestPause := intervalsFor(Options{Nodes: manyNodes, DrainGrace: grace}).maxRetryDelay
-	for _, tc := range []struct {
-		name  string
-		bound time.Duration // from the change, or from when discovery answers again
-		play  func(f *fleet, d *fakeDiscovery)
-	}{
-		{"a change right at the start", grace, func(f *fleet, d *fakeDiscovery) {
-			f.join(manyNodes, "one", d.list())
-			d.drainServer()
-		}},
-		{"a change under held watches", promptAnswer, func(f *fleet, d *fakeDiscovery) {
-			f.join(manyNodes, "one", d.list())
-			time.Sleep(12 * time.Second)
-			d.drainServer()
-		}},
-		{"restarted together with an old list", grace, func(f *fleet, d *fakeDiscovery) {
-			old := d.list()
-			d.drainServer()
-			f.join(manyNodes, "one", old)
-		}},
-		{"rejected without a time", longestPause + promptAnswer, func(f *fleet, d *fakeDiscovery) {
-			f.join(manyNodes, "one", d.list())
-			d.update(func() { d.rejecting = true })
-			time.Sleep(20 * time.Second)
-			d.drainServer()
-			d.update(func() { d.rejecting = false })
-		}},
-		{"rejected for a second", time.Second + longestPause + promptAnswer, func(f *fleet, d *fakeDiscovery) {
-			f.join(manyNodes, "one", d.list())
-			d.update(func() { d.rejecting, d.retryAfter = true, "1" })
-			time.Sleep(20 * time.Second)
-			d.drainServer()
-			d.update(func() { d.rejecting = false })
-		}},
-		{"silent, a watch is in flight", answer + longestPause + answer, func(f *fleet, d *fakeDiscovery) {
-			f.join(manyNodes, "one", d.list())
-			time.Sleep(7 * time.Second)
-			d.update(func() { d.silent = true })
-			d.drainServer()
-			time.Sleep(10 * time.Second)
-			d.update(func() { d.silent = false })
-		}},
-		{"cut off, connections hang, then back", grace, func(f *fleet, d *fakeDiscovery) {
-			f.join(manyNodes, "one", d.list())
-			time.Sleep(7 * time.Second)
-			d.update(func() { d.hanging, d.resetting = true, true })
-			d.drainServer() // ends the watches, whose connections are reset
-			time.Sleep(10 * time.Second)
-			d.update(func() { d.hanging, d.resetting = false, false })
-		}},
-		{"new address while it was silent", promptAnswer, func(f *fleet, d *fakeDiscovery) {
-			f.join(manyNodes, "one", d.list())
-			time.Sleep(7 * time.Second)
-			d.update(func() { d.silent = true })
-			d.drainServer()
-			two := newFakeDiscovery(0)
-			two.revision, two.members = d.revision, d.members
-			f.serve("two", two)
-			for _, client := range f.clients {
-				client.SetAddress("two")
-			}
-		}},
-	} {
+	for _, tc := range fleetCases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f, d := newFleet(t), newFakeDiscovery(40)
@@ -223,33 +230,48 @@
 
 func (h listChannel) UpdateEndpoints(l balancer.EndpointUpdate) { h <- l }
 
+// recordedCall is a call that a scripted discovery got.
+type recordedCall struct {
+	from string // the revision, empty for the complete list
+	at   time.Time
+}
+
+// scriptedDiscovery rejects the second call with and the third without a time, fails the fifth, and answers all others.
+type scriptedDiscovery struct {
+	mu    sync.Mutex
+	calls []recordedCall
+}
+
+func (d *scriptedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.calls = append(d.calls, recordedCall{r.URL.Query().Get("from"), time.Now()})
+	switch len(d.calls) {
+	case 2:
+		w.Header().Set("Retry-After", "0.3")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case 3:
+		w.WriteHeader(http.StatusTooManyRequests)
+	case 5:
+		w.WriteHeader(http.StatusInternalServerError)
+	default:
+		_, _ = io.WriteString(w, goodAnswer)
+	}
+}
+
+func (d *scriptedDiscovery) recorded() []recordedCall {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]recordedCall(nil), d.calls...)
+}
+
 // A rejected watch is resumed from the revision that is held, after Retry-After where there is one. After any other failure
 // the complete list is requested.
 func TestRejectedWatchResumes(t *testing.T) {
-	const wait = 300 * time.Millisecond
-	var mu sync.Mutex
-	var calls []string
-	var at []time.Time
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		defer mu.Unlock()
-		calls, at = append(calls, r.URL.Query().Get("from")), append(at, time.Now())
-		switch len(calls) {
-		case 2:
-			w.Header().Set("Retry-After", "0.3")
-			w.WriteHeader(http.StatusServiceUnavailable)
-		case 3:
-			w.WriteHeader(http.StatusTooManyRequests)
-		case 5:
-			w.WriteHeader(http.StatusInternalServerError)
-		default:
-			_, _ = io.WriteString(w, goodAnswer)
-		}
-	})}
+	const retryAfter = 300 * time.Millisecond
+	d := &scriptedDiscovery{}
+	l := listenTCP(t)
+	server := &http.Server{Handler: d}
 	go func() { _ = server.Serve(l) }()
 	defer func() { _ = server.Close() }()
 	client := New(Options{Address: l.Addr().String(), Nodes: fewNodes + 1, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -258,24 +280,22 @@
 	defer cancel()
 	updates := make(listChannel, 64)
 	go client.Run(ctx, List{}, updates)
-	for {
+	for len(d.recorded()) < 6 {
 		select {
 		case <-updates:
 		case <-time.After(10 * time.Second):
 			t.Fatal("the client has stopped polling")
 		}
-		mu.Lock()
-		got := append([]string(nil), calls...)
-		mu.Unlock()
-		if len(got) < 6 {
-			continue
-		}
-		if want := []string{"", "41", "41", "41", "41", ""}; !reflect.DeepEqual(got[:6], want) {
-			t.Errorf("called with revisions %q, want %q", got[:6], want)
-		}
-		if pause := at[2].Sub(at[1]); pause < wait {
-			t.Errorf("called again after %v, Retry-After is %v", pause, wait)
-		}
-		return
+	}
+	calls := d.recorded()
+	var got []string
+	for _, call := range calls[:6] {
+		got = append(got, call.from)
+	}
+	if want := []string{"", "41", "41", "41", "41", ""}; !reflect.DeepEqual(got, want) {
+		t.Errorf("called with revisions %q, want %q", got, want)
+	}
+	if pause := calls[2].at.Sub(calls[1].at); pause < retryAfter {
+		t.Errorf("called again after %v, Retry-After is %v", pause, retryAfter)
 	}
 }
--- a/internal/endpoints/command.go
+++ b/internal/endpoints/command.go
@@ -12,56 +12,66 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
+// commandFlags are the flags of the subcommands.
+type commandFlags struct {
+	edge     string // operator file
+	form     string // of a converted list
+	stateDir string
+	asJSON   bool
+}
+
+func (c *commandFlags) declareEdge(f *flag.FlagSet) {
+	f.StringVar(&c.edge, "edge", os.Getenv("TACKHUB_EDGE"), "operator `FILE`, for how its files are to be read")
+}
+
+func (c *commandFlags) declareConvert(f *flag.FlagSet) {
+	c.declareEdge(f)
+	f.StringVar(&c.form, "to", "csv", "`FORM`: csv or yaml")
+}
+
+func (c *commandFlags) declareShow(f *flag.FlagSet) {
+	c.declareEdge(f)
+	f.StringVar(&c.stateDir, "state", "", "a node's state `FOLDER`; without it the operator file's, then the files themselves")
+	f.BoolVar(&c.asJSON, "json", false, "as JSON")
+}
+
 // Command is "tackhub inventory" with its subcommands.
 func Command() cli.Command {
-	var edge, form, stateDir string
-	var asJSON bool
-	edgeFlag := func(f *flag.FlagSet) {
-		f.StringVar(&edge, "edge", os.Getenv("TACKHUB_EDGE"), "operator `FILE`, for how its files are to be read")
-	}
-	convertFlags := func(f *flag.FlagSet) {
-		edgeFlag(f)
-		f.StringVar(&form, "to", "csv", "`FORM`: csv or yaml")
-	}
-	showFlags := func(f *flag.FlagSet) {
-		edgeFlag(f)
-		f.StringVar(&stateDir, "state", "", "a node's state `FOLDER`; without it the operator file's, then the files themselves")
-		f.BoolVar(&asJSON, "json", false, "as JSON")
-	}
+	var flags commandFlags
 	return cli.Command{Name: "inventory", Help: "Look at lists of servers: lint, diff, convert, show, confirm", Subcommands: []cli.Command{
 		{
 			Name:      "lint",
 			ArgsUsage: "FILE…",
 			Help:      "Tell every fault of lists in CSV or YAML, or that there is none",
-			Flags:     edgeFlag,
-			Run:       func(args []string, out io.Writer) error { return lint(out, edge, args) },
+			Flags:     flags.declareEdge,
+			Run:       func(args []string, out io.Writer) error { return lint(out, flags.edge, args) },
 		},
 		{
 			Name:      "diff",
 			ArgsUsage: "A B",
 			Help:      "Tell what makes the second list of the first",
-			Flags:     edgeFlag,
-			Run:       func(args []string, out io.Writer) error { return diff(out, edge, args) },
+			Flags:     flags.declareEdge,
+			Run:       func(args []string, out io.Writer) error { return diff(out, flags.edge, args) },
 		},
 		{
 			Name:      "convert",
 			ArgsUsage: "FILE",
 			Help:      "Write a list in the other form to standard output, with a trailer",
-			Flags:     convertFlags,
-			Run:       func(args []string, out io.Writer) error { return convert(out, edge, form, args) },
+			Flags:     flags.declareConvert,
+			Run:       func(args []string, out io.Writer) error { return convert(out, flags.edge, flags.form, args) },
 		},
 		{
 			Name:  "show",
 			Help:  "Show the view that a node has saved, or that it would merge from its files, and each field's source",
-			Flags: showFlags,
-			Run:   func(_ []string, out io.Writer) error { return show(out, edge, stateDir, asJSON) },
+			Flags: flags.declareShow,
+			Run:   func(_ []string, out io.Writer) error { return show(out, flags.edge, flags.stateDir, flags.asJSON) },
 		},
 		{
 			Name:      "confirm",
 			ArgsUsage: "FILE",
 			Help:      "Let a list pass that is held for taking away too much: writes FILE.confirm with its SHA-256",
-			Flags:     edgeFlag,
-			Run:       func(args []string, out io.Writer) error { return confirm(out, edge, args) },
+			Flags:     flags.declareEdge,
+			Run:       func(args []string, out io.Writer) error { return confirm(out, flags.edge, args) },
 		},
 	}}
 }
