--- a/internal/endpoints/format_test.go
+++ b/internal/endpoints/state_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"io"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -13,7 +12,6 @@
 	"tackhub.example/tackhub/balancer"
 	"tackhub.example/tackhub/internal/endpointmerge"
 	"tackhub.example/tackhub/internal/inventory"
-	"tackhub.example/tackhub/internal/operator"
 	"tackhub.example/tackhub/internal/statefile"
 )
 
@@ -112,78 +110,3 @@
 		}
 	}
 }
-
-// The .confirm file that an operator's command writes is read by nodes of other versions.
-func TestConfirmFormat(t *testing.T) {
-	list := []byte("id,address\ns1,10.0.0.1:80\n# end 1\n")
-	const sum = "6fc2a317bd9e9b9380d78f36c29605c52b68dc9f886c7b1ba455e39ae57be5c7"
-	path := filepath.Join(t.TempDir(), "hosts.csv")
-	if err := os.WriteFile(path, list, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := confirm(io.Discard, "", []string{path}); err != nil {
-		t.Fatal(err)
-	}
-	raw, err := os.ReadFile(path + ".confirm")
-	if err != nil || string(raw) != sum+"\n" {
-		t.Errorf("wrote %q (%v), want %q", raw, err, sum+"\n")
-	}
-	f := &File{Path: path, Checksum: true}
-	if got := confirmedSHA256(f); got != sum {
-		t.Errorf("confirmed %q, want %q", got, sum)
-	}
-	if err := os.WriteFile(path+".sha256", []byte(strings.ToUpper(sum)+"  hosts.csv\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := verifyChecksum(f, list); err != nil {
-		t.Errorf("a checksum file as sha256sum writes it: %v", err)
-	}
-}
-
-// Every key of the section [inventory], with the field that it fills.
-func TestOperatorFileKeys(t *testing.T) {
-	const text = `[inventory]
-discovery = false
-precedence = ["b", "static"]
-require = ["b"]
-remove_share = 0.25
-remove_least = 4
-pod_hold = "31s"
-move_share = 0.5
-tombstone = "11m"
-settle = "12ms"
-poll = "13ms"
-state_dir = "folder"
-save_every = "14s"
-[inventory.order]
-zone = ["static"]
-[[inventory.file]]
-path = "a.csv"
-name = "b"
-aliases = { host = "address" }
-min_rows = 3
-trailer = true
-checksum = true
-[[inventory.static]]
-id = "s"
-address = "10.0.0.1:80"
-zone = "z"
-pod = "p"
-size = 1.5
-`
-	f, err := operator.Parse("edge.toml", text, []operator.Section{Subsystem().Section})
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := &Options{
-		Files:  []File{{Path: "a.csv", Name: "b", Aliases: map[string]string{"host": "address"}, MinRows: 3, Trailer: true, Checksum: true}},
-		Static: []StaticServer{{ID: "s", Address: "10.0.0.1:80", Zone: "z", Pod: "p", Size: 1.5}}, Precedence: []string{"b", "static"},
-		Order: map[string][]string{"zone": {"static"}}, Require: []string{"b"}, RemoveShare: 0.25, RemoveLeast: 4,
-		PodHold: operator.Duration(31 * time.Second), MoveShare: 0.5, Tombstone: operator.Duration(11 * time.Minute),
-		Settle: operator.Duration(12 * time.Millisecond), Poll: operator.Duration(13 * time.Millisecond), StateDir: "folder",
-		SaveEvery: operator.Duration(14 * time.Second),
-	}
-	if got := f.Options("inventory"); !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v\nwant %+v", got, want)
-	}
-}
