--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -86,7 +86,7 @@
 		return
 	case UpdateOverdue:
 		b.polling.overdueSince = b.now
-		b.logf("server list: news may be late, preferring servers that just took requests of ours")
+		b.logf("endpoint list: changes may be missing, preferring servers that just answered")
 		return
 	case FullUpdate, DeltaUpdate:
 		b.handleListReceived()
@@ -174,7 +174,7 @@
 		return
 	}
 	if b.polling.backoff == initialPollBackoff { // the first of a row
-		b.logf("server list: call failed, keeping %d servers, asking again", len(b.servers.ready))
+		b.logf("endpoint list: call failed, keeping %d servers, retrying", len(b.servers.ready))
 	}
 	least := pollBackoffPerNode * float64(b.settings.Nodes-1)
 	backoff := min(maxPollBackoffBase, max(b.polling.backoff, least))
@@ -197,7 +197,7 @@
 		switch record := b.zones[name]; {
 		case !record.logged && b.zoneFailureShare(record) > 0:
 			record.logged = true
-			b.logf("zone %s: %.0f%% of the sends there bring nothing back and another zone answers, preferring that",
+			b.logf("zone %s: %.0f%% of the attempts there stay unanswered and another zone answers, preferring that",
 				name, 100*b.zoneSilence(record))
 		case record.logged && b.zoneSilence(record) < successGain:
 			record.logged = false
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -108,7 +108,7 @@
 	s.outlier.trialAt = b.now + ejectionTime
 	b.servers.version++
 	successes, failures := s.outcomeCounts(b.now)
-	b.logf("excluded %s: %d failures in a row, %d of %d in the window",
+	b.logf("ejected %s: %d failures in a row, %d of %d in the window",
 		s.ID, s.outlier.consecutiveFailures, failures, successes+failures)
 }
 
--- a/lab/nodeproc/nodelog.go
+++ b/lab/nodeproc/nodelog.go
@@ -14,7 +14,7 @@
 
 // Log messages that tell which servers a node has ejected as outliers.
 var (
-	ejectedPattern    = regexp.MustCompile(`"msg":"excluded ([^:"]+):`)
+	ejectedPattern    = regexp.MustCompile(`"msg":"ejected ([^:"]+):`)
 	readmittedPattern = regexp.MustCompile(`"msg":"readmitted ([^ "]+) after`)
 )
 
