--- a/internal/body/file.go
+++ b/internal/body/file.go
@@ -137,7 +137,7 @@
 	f.changed = make(chan struct{})
 }
 
-// end says that nothing more will come. Only its first call counts.
+// end ends the body, complete or with the error that it is incomplete for. Only its first call counts.
 func (f *File) end(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,7 +209,7 @@
 	}
 }
 
-// await waits until the body has more than so many bytes, or has ended. The error says why it ended incomplete. No reader
+// await waits until the body has more than so many bytes, or has ended. The error is why it ended incomplete. No reader
 // waits for good: the sender must keep its rate, or the body ends.
 func (f *File) await(beyond int64) (size int64, ended bool, err error) {
 	for {
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -30,14 +30,14 @@
 )
 
 var (
-	// ErrTooLarge says that a body is larger than MaxSize, or that there is no directory for large bodies.
+	// ErrTooLarge is returned for a body larger than MaxSize, and for any where the store has no directory.
 	ErrTooLarge = errors.New("body too large")
 
-	// ErrNoCapacity says that no file or buffer became free in time.
-	ErrNoCapacity = errors.New("no room for another large body")
+	// ErrNoCapacity is returned if no file or buffer becomes free in time.
+	ErrNoCapacity = errors.New("no capacity for another large body")
 
-	// ErrStorage says that a body could not be written to its file or read from it, or that it is incomplete.
-	ErrStorage = errors.New("body cannot be kept")
+	// ErrStorage is returned if a body cannot be written to its file or read from it, or is incomplete.
+	ErrStorage = errors.New("cannot store body")
 )
 
 // Store limits the files and buffers that large bodies use.
@@ -86,10 +86,10 @@
 	<-s.buffers
 }
 
-// acquire takes a place among the files or the buffers, and reports false if none became free in time.
-func (s *Store) acquire(places chan struct{}) bool {
+// acquire takes one of the files or buffers that a channel counts. It reports false if none becomes free in time.
+func (s *Store) acquire(inUse chan struct{}) bool {
 	select {
-	case places <- struct{}{}:
+	case inUse <- struct{}{}:
 		return true
 	default:
 	}
@@ -97,7 +97,7 @@
 	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
 	select {
-	case places <- struct{}{}:
+	case inUse <- struct{}{}:
 		return true
 	case <-timeout.C:
 		s.count.Refused.Inc()
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,5 +1,5 @@
-// Package inflight tracks the requests that a node is responsible for: each from when its last byte was read until its whole
-// response was handed to the kernel, whichever listener, protocol or goroutine handles it. A graceful shutdown ends only once
+// Package inflight tracks the requests that a node is responsible for: each from when its last byte was read until its
+// complete response was handed to the kernel, whichever listener, protocol or goroutine handles it. A graceful shutdown ends only once
 // none is left.
 package inflight
 
@@ -13,7 +13,7 @@
 
 // The outcomes.
 const (
-	Answered           Outcome = iota // the whole response was handed to the kernel
+	Answered           Outcome = iota // the complete response was handed to the kernel
 	Rejected                          // the same, and the response was a rejection
 	ClientDisconnected                // the client had disconnected before its response
 	Unanswered                        // the response could not be written completely
--- a/internal/ingress/accept.go
+++ b/internal/ingress/accept.go
@@ -43,7 +43,8 @@
 	return err
 }
 
-// acceptAll accepts connections until a graceful shutdown ends that. An error says that the listener has failed for good.
+// acceptAll accepts connections until a graceful shutdown ends that. The error is non-nil if the listener has failed
+// for good.
 func (s *Server) acceptAll(l Listener) error {
 	queueEmpty := false       // as the last accept found it
 	var brokenSince time.Time // zero: the last accept gave no sign that the listener is broken
--- a/internal/ingress/disconnect.go
+++ b/internal/ingress/disconnect.go
@@ -42,7 +42,7 @@
 func (c *conn) WatchDisconnect() (left <-chan struct{}, stop func()) {
 	disconnected := make(chan struct{})
 	done := make(chan struct{})
-	_ = c.Conn.SetReadDeadline(time.Time{}) // the request's own has been kept
+	_ = c.Conn.SetReadDeadline(time.Time{}) // the request was read before its deadline
 	go func() {
 		defer close(done)
 		seen := peekNothing
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// hasQueued reports whether a connection waits in the accept queue. That accept found its deadline exceeded says nothing of
-// that: after a pause of the process it returns so without looking at the queue.
+// hasQueued reports whether a connection waits in the accept queue. A timeout of accept does not show
+// that: after a pause of the process it returns one without looking at the queue.
 func hasQueued(l Listener) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/ingress/evict.go
+++ b/internal/ingress/evict.go
@@ -16,7 +16,7 @@
 	// comes sooner.
 	minIdle = 50 * time.Millisecond
 
-	// minFirstIdle is how long a connection without any request yet is kept. A client with a request sends it at once, and
+	// minFirstIdle is how long a connection without any request yet stays open. A client with a request sends it at once, and
 	// hundreds that never do must not keep the others out for long.
 	minFirstIdle = 150 * time.Millisecond
 
--- a/internal/ingress/framing.go
+++ b/internal/ingress/framing.go
@@ -14,7 +14,7 @@
 // singleFields are the fields that may come only once.
 var singleFields = []string{headerID, headerClass, "X-Tenant", "X-Deadline-Ms", "Idempotency-Key"}
 
-// badFraming says what is wrong with a request's head; "": nothing.
+// badFraming returns the code of what is wrong with a request's head; "": nothing is.
 func badFraming(h *fasthttp.RequestHeader) string {
 	hasLength := false
 	hasEncoding := false
--- a/internal/ingress/handle.go
+++ b/internal/ingress/handle.go
@@ -127,8 +127,8 @@
 	c.setOutcome(ctx.Response.StatusCode())
 }
 
-// health says whether clients should come. The node listens only once it can decide on requests, so one that can be asked is
-// ready.
+// health responds 200 if clients should come, else 503. The node listens only once it can decide on requests, so one that can
+// be asked is ready.
 func (s *Server) health(ctx *fasthttp.RequestCtx) {
 	// With a successor the node goes on, whichever of its processes is asked.
 	stopping := s.draining() && !s.hasSuccessor.Load()
@@ -151,8 +151,8 @@
 	s.reject(ctx, c, rejected)
 }
 
-// reject responds to a request that the handler does not get, and closes its connection: where the next request begins cannot
-// be told.
+// reject responds to a request that the handler does not get, and closes its connection: where the next request begins is
+// unknown.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, c *conn, rejected proxy.Rejection) {
 	s.options.Counters.Rejections.Inc(rejected.Code)
 	if c != nil {
--- a/internal/ingress/requestbody.go
+++ b/internal/ingress/requestbody.go
@@ -14,7 +14,7 @@
 
 const (
 	// headTimeout bounds the arrival of a request's head, and of a small request as a whole. A client may take 2 s to send
-	// it, and one that sends nothing, or a part, is to hear or be closed within 3 s of connecting.
+	// it; one that sends nothing, or a part, must be rejected or closed within 3 s of connecting.
 	headTimeout = 2500 * time.Millisecond
 
 	// minBodyRate, in bytes a second, is the least average rate of a body. Clients send at least 64 kB a second; the fifth
@@ -80,7 +80,7 @@
 }
 
 // readBody reads a request's body: a small one completely into the request, a large one into a file, as far as it must be
-// there for the request to be handled. It says why the request is rejected; nil: it is not.
+// there for the request to be handled. It returns why the request is rejected; nil: it is not.
 func (s *Server) readBody(ctx *fasthttp.RequestCtx, c *conn) *proxy.Rejection {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
@@ -147,7 +147,7 @@
 	return proxy.Rejection{Status: fasthttp.StatusRequestTimeout, Code: "slow"}
 }
 
-// logNoCapacity logs that large bodies are rejected. The error says whether the disk is why.
+// logNoCapacity logs that large bodies are rejected. The error shows whether the disk is the cause.
 func (s *Server) logNoCapacity(err error) {
 	if !s.allowLog(&s.logLimits.noCapacity) {
 		return
@@ -159,8 +159,8 @@
 // LargeBody is the current request's body if it is a large one, else nil.
 func (c *conn) LargeBody() *body.File { return c.largeBody }
 
-// ReadBody reads the rest of a large body, and calls ended before its last byte can be forwarded. It says why the request is
-// rejected; nil: it is not.
+// ReadBody reads the rest of a large body, and calls ended before its last byte can be forwarded. It returns why the request
+// is rejected; nil: it is not.
 func (c *conn) ReadBody(ctx *fasthttp.RequestCtx, ended func()) *proxy.Rejection {
 	c.setUploading(true)
 	_, err := c.largeBody.Fill(c.bodyRest, nil, ended)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -121,7 +121,7 @@
 // SetMaxConns sets how many connections there may be. Beyond it idle ones are closed, and no others.
 func (s *Server) SetMaxConns(n int) { s.maxConns.Store(int64(n)) }
 
-// SetSuccessor says whether another process accepts connections at the same queue. If so, a shutdown leaves the queue to it
+// SetSuccessor sets whether another process accepts connections from the same queue. If so, a shutdown leaves the queue to it
 // at once.
 func (s *Server) SetSuccessor(on bool) { s.hasSuccessor.Store(on) }
 
--- a/internal/ingress/tracking.go
+++ b/internal/ingress/tracking.go
@@ -42,7 +42,7 @@
 	c.tracked[len(c.tracked)-1].outcome = outcome
 }
 
-// releaseAll ends the requests in flight of a connection that has ended. An error says that a response was not written
+// releaseAll ends the requests in flight of a connection that has ended. With an error, a response was not written
 // completely.
 func (c *conn) releaseAll(err error) {
 	c.mu.Lock()
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -26,7 +26,7 @@
 	if !ok {
 		return &Rejection{fasthttp.StatusBadRequest, "bad_deadline"}
 	}
-	if r.handler.options.Clock.Now() >= in.at+timeout { // nothing was sent, so the client hears at once
+	if r.handler.options.Clock.Now() >= in.at+timeout { // nothing was sent, so nothing is to be waited for
 		return &Rejection{fasthttp.StatusGatewayTimeout, "deadline_past"}
 	}
 	if rejected := r.handler.rejectLate(); rejected != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// validate checks a request's form. Known says whether the settings have the class that the request names.
+// validate checks a request's form. Known reports whether the settings have the class that the request names.
 func (in *received) validate(class balancer.Class, known bool) *Rejection {
 	switch {
 	case in.id == "" || len(in.id) > maxIDBytes:
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -65,7 +65,7 @@
 	return append(head, "\r\n"...)
 }
 
-// bytes is one copy of the request that tells its server how long the node will wait, at least 1 ms.
+// bytes encodes one copy of the request. Its deadline field is how long the node will wait, at least 1 ms.
 func (o outgoing) bytes(timeout balancer.Millis) []byte {
 	out := make([]byte, 0, len(o.head)+len(o.body)+deadlineBytes)
 	out = append(out, o.head...)
--- a/internal/proxy/requestids.go
+++ b/internal/proxy/requestids.go
@@ -11,13 +11,13 @@
 	maxSiblingIDs = 4096
 )
 
-// requestIDs holds the ids of open requests: this process's and, during an upgrade, its sibling's. Two open requests with
-// one id could not be told apart at a server, and a response to one might pass for the other's.
+// requestIDs holds the ids of open requests: this process's and, during an upgrade, its sibling's. A server
+// could not distinguish two open requests with one id, and a response to one might be taken for the other's.
 type requestIDs struct {
 	mu      sync.Mutex
 	open    map[string]struct{}
 	sibling map[string]struct{}
-	publish func(id string, open bool) // tells the sibling process; nil: there is none
+	publish func(id string, open bool) // notifies the sibling process; nil: there is none
 }
 
 func newRequestIDs() *requestIDs {
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -12,8 +12,8 @@
 type uploader interface {
 	// LargeBody is the body's file; nil where the request has no large body.
 	LargeBody() *body.File
-	// ReadBody reads the rest of the body. It calls ended before the last byte can be forwarded, and says why the body could
-	// not be read; nil: it was.
+	// ReadBody reads the rest of the body. It calls ended before the last byte can be forwarded, and returns why the body
+	// could not be read; nil: it was.
 	ReadBody(ctx *fasthttp.RequestCtx, ended func()) *Rejection
 }
 
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -7,7 +7,7 @@
 )
 
 var (
-	// resourceErrors say that the system has no descriptor, memory or address for a call.
+	// resourceErrors are returned if the system has no descriptor, memory or address for a call.
 	resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 		syscall.EADDRNOTAVAIL}
 
@@ -15,17 +15,17 @@
 	// route or no network, or its own rules deny the call.
 	networkErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM}
 
-	// listenerErrors are those of accept(2) that say that the descriptor is no listener any more.
+	// listenerErrors are those of accept(2) for a descriptor that is no listener any more.
 	listenerErrors = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 )
 
-// IsLocalFailure reports whether a connection did not come up for a reason of this machine's, which says nothing of the peer.
+// IsLocalFailure reports whether a connection did not come up for a reason of this machine's, so that the peer is not at fault.
 func IsLocalFailure(err error) bool { return IsResourceExhausted(err) || isOneOf(err, networkErrors) }
 
 // IsResourceExhausted reports whether the system has no descriptor, memory or address for a call.
 func IsResourceExhausted(err error) bool { return isOneOf(err, resourceErrors) }
 
-// IsListenerBroken reports whether an error of accept(2) says that the listener cannot be used any more.
+// IsListenerBroken reports whether, by an error of accept(2), the listener cannot be used any more.
 func IsListenerBroken(err error) bool { return isOneOf(err, listenerErrors) }
 
 // isOneOf reports whether an error wraps one of the errnos. syscall.Errno's own Is method, which errors.Is uses, matches more
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -52,7 +52,7 @@
 	a.mu.Unlock()
 	a.cancel()
 	if c != nil {
-		_ = c.Close() // run notices it and frees the connection's place
+		_ = c.Close() // run notices it and frees the reservation
 	}
 	return mayHaveRun
 }
@@ -149,7 +149,8 @@
 	a.report(end)
 }
 
-// exchange writes the request and reads the response. The reason says why the connection cannot be reused.
+// exchange writes the request and reads the response. The reason is why the connection cannot be reused, or
+// reusable.
 func (a *Attempt) exchange(c *conn, resp *fasthttp.Response) (response, closeReason, error) {
 	c.requests++
 	if err := a.write(c); err != nil {
--- a/internal/upstream/close.go
+++ b/internal/upstream/close.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// closeReason says why a connection to a server was closed or did not come up. It is a code in the log and among the
+// closeReason is why a connection to a server was closed or did not come up. It is a code in the log and among the
 // counters; docs/oncall.md lists them.
 type closeReason string
 
@@ -30,7 +30,7 @@
 	closePanic          closeReason = "panic"            // handling a response panicked
 )
 
-// close closes a connection, frees its place and records why.
+// close closes a connection, frees its reservation and records why.
 func (p *Pool) close(c *conn, reason closeReason, err error) {
 	_ = c.Close() // nothing is left to be written
 	p.options.Counters.Servers.Open.Add(-1)
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -33,7 +33,7 @@
 	}, nil
 }
 
-// dialReason says why a connection did not come up.
+// dialReason is why a connection did not come up.
 func dialReason(ctx context.Context, err error) closeReason {
 	var netErr net.Error
 	switch {
--- a/internal/upstream/janitor.go
+++ b/internal/upstream/janitor.go
@@ -67,7 +67,7 @@
 	return taken
 }
 
-// unusable says why an idle connection cannot be used for the server at an address, or reusable.
+// unusable is why an idle connection cannot be used for the server at an address, or reusable.
 func (p *Pool) unusable(c *conn, addr string) closeReason {
 	switch {
 	case c.addr != addr:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -51,10 +51,10 @@
 }
 
 var (
-	// errNoCapacity says that the limits allow no further connection.
+	// errNoCapacity is returned where the limits allow no further connection.
 	errNoCapacity = errors.New("connection limit reached")
 
-	// errNoAddress says that the server was removed, moved or is draining.
+	// errNoAddress is returned for a server that was removed, has moved or is draining.
 	errNoAddress = errors.New("server has no address")
 )
 
@@ -195,7 +195,7 @@
 	return true, victim
 }
 
-// unreserve frees the place of a connection that was closed or did not come up.
+// unreserve frees the reservation of a connection that was closed or did not come up.
 func (p *Pool) unreserve(id balancer.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -21,7 +21,8 @@
 	loadPath   = "/_load" // in place of healthPath where servers report their load
 )
 
-// ProbeLoad checks a server's health and, where servers report it, its load. It does not wait; done is called with the completion.
+// ProbeLoad checks a server's health and, where servers report it, its load. It does not wait; done is called with the
+// completion.
 func (p *Pool) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
 	go p.runProbe(server, done)
 }
@@ -38,7 +39,7 @@
 	done(end)
 }
 
-// probe sends one probe. One that this node's own limits kept from being sent says nothing of the server.
+// probe sends one probe. If this node's own limits prevent it, the outcome is NotSent, which is no statement on the server.
 func (p *Pool) probe(ctx context.Context, server balancer.ServerID) engine.Completion {
 	c, err := p.acquire(ctx, server)
 	switch {
@@ -57,8 +58,8 @@
 	return p.probeCompletion(resp, reason, err)
 }
 
-// exchangeProbe writes the probe and reads its response, within the context's time. The reason says why the connection
-// cannot be reused.
+// exchangeProbe writes the probe and reads its response, within the context's time. The reason is why the connection
+// cannot be reused, or reusable.
 func (p *Pool) exchangeProbe(ctx context.Context, c *conn, resp *fasthttp.Response) (closeReason, error) {
 	deadline, _ := ctx.Deadline()
 	_ = c.SetDeadline(deadline) // it fails only on a broken connection, where the write fails too
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -34,7 +34,8 @@
 	rest *Stream // nil: body is complete
 }
 
-// readResponse reads a response, or the beginning of a large one. The reason says why the connection cannot be reused.
+// readResponse reads a response, or the beginning of a large one. The reason is why the connection cannot be reused,
+// or reusable.
 func (p *Pool) readResponse(c *conn, resp *fasthttp.Response) (response, closeReason, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return response{}, closeReset, err
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -27,14 +27,13 @@
 // Stream is the rest of a large response that is still coming. Whoever gets it must close it; that returns its connection to
 // the pool.
 type Stream struct {
-	pool *Pool
-	conn *conn
-	resp *fasthttp.Response
-	body io.Reader
-	size int64 // of the whole body in bytes, or unknownSize
-	got  int64 // bytes of the whole body that were read
-	// ended says that the body was read to its end.
-	ended    bool
+	pool     *Pool
+	conn     *conn
+	resp     *fasthttp.Response
+	body     io.Reader
+	size     int64 // of the whole body in bytes, or unknownSize
+	got      int64 // bytes of the whole body that were read
+	ended    bool  // the body was read to its end
 	err      error
 	deadline time.Time // when the client gives up; zero: unknown
 }
@@ -99,7 +98,7 @@
 	s.pool.finish(s.conn, reason, s.err)
 }
 
-// closeReason says why the connection cannot be reused.
+// closeReason is why the connection cannot be reused, or reusable.
 func (s *Stream) closeReason() closeReason {
 	delimitedByClose := s.size == unknownSize && s.resp.Header.ContentLength() == untilClose
 	switch {
@@ -113,7 +112,7 @@
 	return reusable
 }
 
-// incomplete says how much of a response had come: otherwise slow ones and broken ones look alike.
+// incomplete wraps an error with how much of the response had come, by which a slow server differs from a broken one.
 func (s *Stream) incomplete(err error) error {
 	return fmt.Errorf("after %d bytes of %d: %w", s.got, s.size, err)
 }
