--- a/internal/ingress/framing.go
+++ b/internal/ingress/framing.go
@@ -4,6 +4,8 @@
 	"bytes"
 
 	"github.com/valyala/fasthttp"
+
+	"tackhub.example/tackhub/internal/proxy"
 )
 
 // Framing that two parsers could read in two ways is rejected before anything is forwarded: a second request hidden in the
@@ -12,7 +14,13 @@
 // single fields that come twice.
 
 // singleFields are the fields that may come only once.
-var singleFields = []string{headerID, headerClass, "X-Tenant", "X-Deadline-Ms", "Idempotency-Key"}
+var singleFields = []string{
+	proxy.HeaderID,
+	proxy.HeaderClass,
+	proxy.HeaderTenant,
+	proxy.HeaderDeadline,
+	proxy.HeaderIdempotencyKey,
+}
 
 // badFraming returns the code of what is wrong with a request's head; "": nothing is.
 func badFraming(h *fasthttp.RequestHeader) string {
--- a/internal/ingress/handle.go
+++ b/internal/ingress/handle.go
@@ -106,15 +106,15 @@
 		ctx.SetContentType("application/json")
 		ctx.SetBody(s.options.Counters.JSON())
 	default:
-		s.proxy(ctx, c)
+		s.serveRequest(ctx, c)
 	}
 }
 
-// proxy reads a request's body and passes the request to the handler.
-func (s *Server) proxy(ctx *fasthttp.RequestCtx, c *conn) {
+// serveRequest reads a request's body and passes the request to the handler.
+func (s *Server) serveRequest(ctx *fasthttp.RequestCtx, c *conn) {
 	rejected := s.readBody(ctx, c)
-	id := string(ctx.Request.Header.Peek(headerID))
-	class := string(ctx.Request.Header.Peek(headerClass))
+	id := string(ctx.Request.Header.Peek(proxy.HeaderID))
+	class := string(ctx.Request.Header.Peek(proxy.HeaderClass))
 	if rejected != nil {
 		if rejected.Status == fasthttp.StatusServiceUnavailable { // the handler does not see it, so it is counted here
 			s.options.Counters.Operations.For(class).Throttled.Inc()
--- a/internal/ingress/tracking.go
+++ b/internal/ingress/tracking.go
@@ -7,12 +7,6 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// Header fields that identify a request in the log.
-const (
-	headerID    = "X-Request-Id"
-	headerClass = "X-Class"
-)
-
 // trackedRequest is a request in flight, with the outcome that it will have.
 type trackedRequest struct {
 	request *inflight.Request
--- a/internal/proxy/admit_test.go
+++ b/internal/proxy/admit_test.go
@@ -10,7 +10,11 @@
 )
 
 func TestMethodOf(t *testing.T) {
-	for idempotency, want := range map[balancer.Idempotency]string{balancer.Idempotent: "GET", balancer.IdempotentWithKey: "POST", balancer.NonIdempotent: "POST"} {
+	for idempotency, want := range map[balancer.Idempotency]string{
+		balancer.Idempotent:        "GET",
+		balancer.IdempotentWithKey: "POST",
+		balancer.NonIdempotent:     "POST",
+	} {
 		if got := methodOf(balancer.Class{Idempotency: idempotency}); got != want {
 			t.Errorf("%v by %s, want %s", idempotency, got, want)
 		}
@@ -22,7 +26,11 @@
 	f.Add("GET", "/look?x=1", "1", "look", "480", "12", "")
 	f.Add("POST", "/store", "1", "store", "480", "-1", "key")
 	f.Add("PUT", "//look", "", "look", "-1", "NaN", "")
-	classes := []balancer.Class{{Name: "look"}, {Name: "store", Idempotency: balancer.IdempotentWithKey}, {Name: "bill", Idempotency: balancer.NonIdempotent}}
+	classes := []balancer.Class{
+		{Name: "look"},
+		{Name: "store", Idempotency: balancer.IdempotentWithKey},
+		{Name: "bill", Idempotency: balancer.NonIdempotent},
+	}
 	h := NewHandler(Options{Clock: clock.New(), Classes: classes})
 	f.Fuzz(func(t *testing.T, method, uri, id, class, deadline, hint, key string) {
 		var header fasthttp.RequestHeader
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -30,7 +30,7 @@
 	"Trailer":           true,
 	"Transfer-Encoding": true,
 	"Upgrade":           true,
-	headerDeadline:      true,
+	HeaderDeadline:      true,
 }
 
 const (
@@ -69,7 +69,7 @@
 func (o outgoing) bytes(timeout balancer.Millis) []byte {
 	out := make([]byte, 0, len(o.head)+len(o.body)+deadlineBytes)
 	out = append(out, o.head...)
-	out = append(out, headerDeadline+": "...)
+	out = append(out, HeaderDeadline+": "...)
 	out = strconv.AppendInt(out, max(1, int64(timeout)), 10)
 	out = append(out, "\r\n\r\n"...)
 	return append(out, o.body...)
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -64,9 +64,9 @@
 	var req fasthttp.Request
 	req.Header.SetMethod("GET")
 	req.Header.SetRequestURI("/look")
-	req.Header.Set(headerID, "1")
-	req.Header.Set(headerClass, "look")
-	req.Header.Set(headerDeadline, strconv.Itoa(deadline))
+	req.Header.Set(HeaderID, "1")
+	req.Header.Set(HeaderClass, "look")
+	req.Header.Set(HeaderDeadline, strconv.Itoa(deadline))
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Init(&req, nil, nil)
 	return ctx
--- a/internal/proxy/receive.go
+++ b/internal/proxy/receive.go
@@ -11,15 +11,19 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// Header fields that carry what a decision needs.
+// Header fields of a request that a decision needs. They may come only once.
 const (
-	headerID             = "X-Request-Id"
-	headerClass          = "X-Class"
-	headerTenant         = "X-Tenant"
-	headerDeadline       = "X-Deadline-Ms"
-	headerIdempotencyKey = "Idempotency-Key"
-	headerRetry          = "X-Retry"
-	headerCostHint       = "X-Cost-Hint"
+	HeaderID             = "X-Request-Id"
+	HeaderClass          = "X-Class"
+	HeaderTenant         = "X-Tenant"
+	HeaderDeadline       = "X-Deadline-Ms" // milliseconds that the client waits
+	HeaderIdempotencyKey = "Idempotency-Key"
+)
+
+// Header fields that only inform a decision.
+const (
+	headerRetry    = "X-Retry"     // 1: the request is the client's retry
+	headerCostHint = "X-Cost-Hint" // expected work in microseconds
 )
 
 // received is a request as it came, with the header fields that a decision needs as text. Nothing in it is validated.
@@ -47,11 +51,11 @@
 		at:             c.At(client.LastRead()),
 		method:         string(header.Method()),
 		uri:            originForm(header.RequestURI()),
-		id:             string(header.Peek(headerID)),
-		class:          string(header.Peek(headerClass)),
-		tenant:         string(header.Peek(headerTenant)),
-		deadline:       string(header.Peek(headerDeadline)),
-		idempotencyKey: string(header.Peek(headerIdempotencyKey)),
+		id:             string(header.Peek(HeaderID)),
+		class:          string(header.Peek(HeaderClass)),
+		tenant:         string(header.Peek(HeaderTenant)),
+		deadline:       string(header.Peek(HeaderDeadline)),
+		idempotencyKey: string(header.Peek(HeaderIdempotencyKey)),
 		isRetry:        string(header.Peek(headerRetry)) == "1",
 		costHint:       string(header.Peek(headerCostHint)),
 		header:         header,
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -52,7 +52,10 @@
 		"dead": balancer.Unreachable} {
 		ended := make(chan engine.Completion, 1)
 		done := func(e engine.Completion) { ended <- e }
-		for _, start := range []func(){func() { p.Send(id, engine.OutgoingRequest{Bytes: []byte("x")}, done) }, func() { p.ProbeLoad(id, done) }} {
+		for _, start := range []func(){
+			func() { p.Send(id, engine.OutgoingRequest{Bytes: []byte("x")}, done) },
+			func() { p.ProbeLoad(id, done) },
+		} {
 			start()
 			select {
 			case e := <-ended:
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -48,9 +48,14 @@
 // TestLocalConnectErrorsAreNotTheServersFault: connect(2) fails for a reason of this machine's, or of the server's.
 func TestLocalConnectErrorsAreNotTheServersFault(t *testing.T) {
 	for errno, want := range map[syscall.Errno]balancer.Outcome{
-		syscall.ENFILE: balancer.NotSent, syscall.EMFILE: balancer.NotSent, syscall.ENOBUFS: balancer.NotSent, syscall.EADDRNOTAVAIL: balancer.NotSent,
-		syscall.ENETUNREACH: balancer.NotSent, syscall.ECONNREFUSED: balancer.Unreachable, syscall.EHOSTUNREACH: balancer.Unreachable,
-		syscall.ETIMEDOUT: balancer.Unreachable,
+		syscall.ENFILE:        balancer.NotSent,
+		syscall.EMFILE:        balancer.NotSent,
+		syscall.ENOBUFS:       balancer.NotSent,
+		syscall.EADDRNOTAVAIL: balancer.NotSent,
+		syscall.ENETUNREACH:   balancer.NotSent,
+		syscall.ECONNREFUSED:  balancer.Unreachable,
+		syscall.EHOSTUNREACH:  balancer.Unreachable,
+		syscall.ETIMEDOUT:     balancer.Unreachable,
 	} {
 		p, _ := testPool(fixedAddresses{"s": "127.0.0.1:1"}, 4, 4)
 		p.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", errno) }
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -83,8 +83,16 @@
 
 func testPool(a fixedAddresses, maxConns, maxPerServer int) (*Pool, *counters.Counters) {
 	count := &counters.Counters{}
-	return New(Options{Addresses: a, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ProbeTimeout: time.Second, MaxConns: maxConns,
-		MaxConnsPerServer: maxPerServer, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: count}), count
+	return New(Options{
+		Addresses:         a,
+		ConnectTimeout:    time.Second,
+		IdleTimeout:       time.Minute,
+		ProbeTimeout:      time.Second,
+		MaxConns:          maxConns,
+		MaxConnsPerServer: maxPerServer,
+		Log:               slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Counters:          count,
+	}), count
 }
 
 func mustAcquire(t *testing.T, p *Pool, id balancer.ServerID) *conn {
