--- a/internal/ingress/tracking.go
+++ b/internal/ingress/tracking.go
@@ -7,12 +7,6 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// Header fields that identify a request in the log.
-const (
-	headerID    = "X-Request-Id"
-	headerClass = "X-Class"
-)
-
 // trackedRequest is a request in flight, with the outcome that it will have.
 type trackedRequest struct {
 	request *inflight.Request
@@ -42,7 +36,7 @@
 	c.tracked[len(c.tracked)-1].outcome = outcome
 }
 
-// releaseAll ends the requests in flight of a connection that has ended. An error says that a response was not written
+// releaseAll ends the requests in flight of a connection that has ended. With an error, a response was not written
 // completely.
 func (c *conn) releaseAll(err error) {
 	c.mu.Lock()
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -30,7 +30,7 @@
 	"Trailer":           true,
 	"Transfer-Encoding": true,
 	"Upgrade":           true,
-	headerDeadline:      true,
+	HeaderDeadline:      true,
 }
 
 const (
@@ -65,11 +65,11 @@
 	return append(head, "\r\n"...)
 }
 
-// bytes is one copy of the request that tells its server how long the node will wait, at least 1 ms.
+// bytes encodes one copy of the request. Its deadline field is how long the node will wait, at least 1 ms.
 func (o outgoing) bytes(timeout balancer.Millis) []byte {
 	out := make([]byte, 0, len(o.head)+len(o.body)+deadlineBytes)
 	out = append(out, o.head...)
-	out = append(out, headerDeadline+": "...)
+	out = append(out, HeaderDeadline+": "...)
 	out = strconv.AppendInt(out, max(1, int64(timeout)), 10)
 	out = append(out, "\r\n\r\n"...)
 	return append(out, o.body...)
