--- /dev/null
+++ b/internal/handover/descriptor.go
@@ -0,0 +1,76 @@
+package handover
+
+import (
+	"encoding/json"
+	"errors"
+	"net"
+	"os"
+
+	"golang.org/x/sys/unix"
+)
+
+// descriptorBytes is the size of a file descriptor in a control message.
+const descriptorBytes = 4
+
+var (
+	errNoDescriptor = errors.New("no listener came along")
+	errOtherUser    = errors.New("another user's process asked for the listener")
+)
+
+// parseDescriptor returns the first descriptor of a control message, and closes any others.
+func parseDescriptor(control []byte) (*os.File, error) {
+	messages, err := unix.ParseSocketControlMessage(control)
+	if err != nil {
+		return nil, err
+	}
+	for _, m := range messages {
+		fds, err := unix.ParseUnixRights(&m)
+		if err != nil || len(fds) == 0 {
+			continue
+		}
+		for _, fd := range fds[1:] {
+			_ = unix.Close(fd)
+		}
+		unix.CloseOnExec(fds[0])
+		return os.NewFile(uintptr(fds[0]), "listener"), nil
+	}
+	return nil, errNoDescriptor
+}
+
+// sendListener sends a message with a listener's descriptor. The descriptor is used as it is: TCPListener.File would set the socket
+// to blocking, and with it the accept queue that both processes use.
+func sendListener(conn *net.UnixConn, listener *net.TCPListener, m Message) error {
+	raw, err := json.Marshal(m)
+	if err != nil {
+		return err
+	}
+	rawListener, err := listener.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var writeErr error
+	err = rawListener.Control(func(fd uintptr) {
+		_, _, writeErr = conn.WriteMsgUnix(append(raw, '\n'), unix.UnixRights(int(fd)), nil)
+	})
+	return errors.Join(err, writeErr)
+}
+
+// checkSameUser returns an error if the other side is another user's process, which must not get the listener.
+func checkSameUser(conn *net.UnixConn) error {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var credentials *unix.Ucred
+	var credentialsErr error
+	err = raw.Control(func(fd uintptr) {
+		credentials, credentialsErr = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+	})
+	if err != nil {
+		return err
+	}
+	if credentialsErr == nil && int(credentials.Uid) != os.Geteuid() {
+		return errOtherUser
+	}
+	return credentialsErr
+}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,48 +15,50 @@
 	"testing"
 )
 
-// us is the node whose processes meet.
-var us = Identity{Name: "n0", Discovery: "d", Settings: "s"}
+// ownIdentity is the node whose processes meet.
+var ownIdentity = Identity{Name: "n0", Discovery: "d", Settings: "s"}
 
-// nothing is a node that has nothing to tell.
-type nothing struct{}
+// idleNode is a node without state.
+type idleNode struct{}
 
-func (nothing) SetSibling(bool)                 {}
-func (nothing) State() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
-func (nothing) SuccessorReady()                 {}
-func (nothing) HandleMessage(Message)           {}
+func (idleNode) SetSibling(bool)                 {}
+func (idleNode) State() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
+func (idleNode) SuccessorReady()                 {}
+func (idleNode) HandleMessage(Message)           {}
 
-func keep(t *testing.T, dir string) (*Predecessor, *net.TCPListener) {
+// listen returns the old process's side, and the listener that clients use.
+func listen(t *testing.T, dir string) (*Predecessor, *net.TCPListener) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := Listen(dir, "here", us, l, nothing{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p, err := Listen(dir, "here", ownIdentity, l, idleNode{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close(); _ = k.listener.Close() })
-	return k, l
+	t.Cleanup(func() { _ = l.Close(); _ = p.listener.Close() })
+	return p, l
 }
 
-// TestListenerIsTheSame has connections wait in a queue whose first owner closes it.
+// A connection that waits in the accept queue when the old process closes its listener must not be lost: the new process has the
+// same queue. The folder's name is longer than a Unix socket's address may be.
 func TestListenerIsTheSame(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("a-long-name", 15)) // longer than a socket's address may be
+	dir := filepath.Join(t.TempDir(), strings.Repeat("a-long-name", 15))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	k, old := keep(t, dir)
-	go k.Run(t.Context())
-	heir, err := TakeOver(dir, "here", us)
+	p, old := listen(t, dir)
+	go p.Run(t.Context())
+	successor, err := TakeOver(dir, "here", ownIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer heir.Close()
-	if raw, err := heir.RequestState(); err != nil || string(raw) != "{}" {
+	defer successor.Close()
+	if raw, err := successor.RequestState(); err != nil || string(raw) != "{}" {
 		t.Errorf("state %s, %v", raw, err)
 	}
-	if err := heir.AnnounceReady(); err != nil {
+	if err := successor.AnnounceReady(); err != nil {
 		t.Error(err)
 	}
 	waiting, err := net.Dial("tcp", old.Addr().String())
@@ -66,41 +68,42 @@
 	if err := old.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c, err := heir.Listener.Accept()
+	c, err := successor.Listener.Accept()
 	if err != nil || c.RemoteAddr().String() != waiting.LocalAddr().String() {
 		t.Errorf("the connection that waited: %v", err)
 	}
 }
 
-func TestNothingToTake(t *testing.T) {
-	if _, err := TakeOver(t.TempDir(), "here", us); err != ErrNoPredecessor {
+// Without a predecessor the new process starts plainly. A file of another kind at the socket's path is not removed.
+func TestNoPredecessor(t *testing.T) {
+	if _, err := TakeOver(t.TempDir(), "here", ownIdentity); err != ErrNoPredecessor {
 		t.Errorf("an empty place: %v", err)
 	}
 	dir := t.TempDir()
 	if err := os.WriteFile(SocketPath(dir, "here"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := TakeOver(dir, "here", us); err == nil || err == ErrNoPredecessor {
+	if _, err := TakeOver(dir, "here", ownIdentity); err == nil || err == ErrNoPredecessor {
 		t.Errorf("a foreign file: %v", err)
 	}
-	if _, err := Listen(dir, "here", us, nil, nothing{}, nil); err == nil {
+	if _, err := Listen(dir, "here", ownIdentity, nil, idleNode{}, nil); err == nil {
 		t.Error("a foreign file made way")
 	}
 }
 
-// TestAnotherNodeGetsNothing: the place hangs on the clients' address alone.
+// The socket's name depends on the clients' address alone, so another customer's node may find it. It must not get the listener.
 func TestAnotherNodeGetsNothing(t *testing.T) {
 	dir := t.TempDir()
-	k, _ := keep(t, dir)
-	go k.Run(t.Context())
+	p, _ := listen(t, dir)
+	go p.Run(t.Context())
 	for _, other := range []Identity{{Name: "n1", Discovery: "d", Settings: "s"}, {Name: "n0", Discovery: "e", Settings: "t"}} {
 		if h, err := TakeOver(dir, "here", other); !errors.Is(err, ErrOtherNode) || h != nil {
 			t.Errorf("%+v: %v", other, err)
 		}
 	}
-	for _, same := range []Identity{us, {Name: "n0", Discovery: "e", Settings: "s"}, {Name: "n0", Discovery: "d", Settings: "t"}} {
+	for _, same := range []Identity{ownIdentity, {Name: "n0", Discovery: "e", Settings: "s"}, {Name: "n0", Discovery: "d", Settings: "t"}} {
 		h, err := TakeOver(dir, "here", same)
-		if err != nil || h.PredecessorIdentity != us {
+		if err != nil || h.PredecessorIdentity != ownIdentity {
 			t.Fatalf("%+v: %v", same, err)
 		}
 		_ = h.Listener.Close()
@@ -108,18 +111,18 @@
 	}
 }
 
-// TestNameGoesWithItsOwner: the next process's must stay.
-func TestNameGoesWithItsOwner(t *testing.T) {
+// Two processes run during an upgrade, and the socket's file is the new one's by then. The old one must not remove it at its end.
+func TestSocketIsRemovedByItsOwner(t *testing.T) {
 	dir := t.TempDir()
-	first, _ := keep(t, dir)
-	second, _ := keep(t, dir)
-	for _, k := range []*Predecessor{first, second} {
+	first, _ := listen(t, dir)
+	second, _ := listen(t, dir)
+	for _, p := range []*Predecessor{first, second} {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		k.Run(ctx)
-		_, err := os.Lstat(k.path)
-		if there := err == nil; there != (k == first) {
-			t.Errorf("after the end of one the name is there: %v", there)
+		p.Run(ctx)
+		_, err := os.Lstat(p.path)
+		if there := err == nil; there != (p == first) {
+			t.Errorf("after the end of one the file is there: %v", there)
 		}
 	}
 }
@@ -129,13 +132,13 @@
 	f.Add([]byte("{\"tackhub_handover\":1}\n{\"opened\":\"x\"}\n"))
 	f.Add([]byte("{\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		mine, theirs := net.Pipe()
+		mine, tsuccessors := net.Pipe()
 		defer func() { _ = mine.Close() }()
 		go func() {
-			_, _ = theirs.Write(raw)
-			_ = theirs.Close()
+			_, _ = tsuccessors.Write(raw)
+			_ = tsuccessors.Close()
 		}()
-		l := &link{r: bufio.NewReader(mine)}
+		l := &messageConn{reader: bufio.NewReader(mine)}
 		for range bytes.Count(raw, []byte{'\n'}) + 1 {
 			if _, err := l.next(); err != nil {
 				return
--- a/internal/handover/wire_test.go
+++ b/internal/handover/messages_test.go
@@ -58,9 +58,9 @@
 		t.Fatalf("%d lines for %d messages", len(lines), len(wireLines))
 	}
 	near, far := pipe(t)
-	out, in := &link{conn: near}, bufio.NewReader(far)
+	out, in := &messageConn{conn: near}, bufio.NewReader(far)
 	for i, want := range wireLines {
-		got, err := (&link{r: bufio.NewReader(bytes.NewReader(lines[i]))}).next()
+		got, err := (&messageConn{reader: bufio.NewReader(bytes.NewReader(lines[i]))}).next()
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("read %+v, want %+v; %v", got, want, err)
 		}
@@ -97,8 +97,8 @@
 		t.Errorf("wrote %s, want %s; %v", again, raw, err)
 	}
 	near, far := pipe(t)
-	go func() { _ = (&link{conn: near}).write(Message{State: raw}) }()
-	m, err := (&link{conn: far, r: bufio.NewReader(far)}).read(stepTime)
+	go func() { _ = (&messageConn{conn: near}).write(Message{State: raw}) }()
+	m, err := (&messageConn{conn: far, reader: bufio.NewReader(far)}).read(stepTimeout)
 	if err != nil || !bytes.Equal(m.State, raw) {
 		t.Errorf("handed over %s, want %s; %v", m.State, raw, err)
 	}
