--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/datagram_test.go
@@ -28,8 +28,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = receiver.Close() }()
-	nodes[0], nodes[sender] = receiver.LocalAddr().(*net.UDPAddr).AddrPort(), free(t)
-	heard, count := make(ears, 1), &counters.Gossip{}
+	nodes[0], nodes[sender] = receiver.LocalAddr().(*net.UDPAddr).AddrPort(), freeAddress(t)
+	heard, count := make(recorder, 1), &counters.Gossip{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l, err := Listen(Options{Node: sender, Nodes: nodes, Receiver: heard, Log: slog.New(slog.DiscardHandler), Counters: count})
@@ -38,16 +38,16 @@
 	}
 	go l.Run(ctx)
 	l.Broadcast([]byte("body\x00\xff"))
-	buffer := make([]byte, headLen+balancer.MaxGossipBytes)
+	buffer := make([]byte, headerBytes+balancer.MaxGossipBytes)
 	_ = receiver.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, err := receiver.Read(buffer)
 	if err != nil || !bytes.Equal(buffer[:n], want) {
 		t.Errorf("sent %x, want %x; %v", buffer[:n], want, err)
 	}
 
-	other := &Transport{o: Options{Node: 0, Nodes: nodes, Receiver: heard, Log: slog.New(slog.DiscardHandler), Counters: count},
+	other := &Transport{options: Options{Node: 0, Nodes: nodes, Receiver: heard, Log: slog.New(slog.DiscardHandler), Counters: count},
 		numbers: map[netip.AddrPort]int{nodes[sender]: sender}}
-	other.take(want, nodes[sender])
+	other.receive(want, nodes[sender])
 	select {
 	case m := <-heard:
 		if m.From != sender || string(m.Body) != "body\x00\xff" {
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/transport_test.go
@@ -12,12 +12,12 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-type ears chan balancer.GossipReceived
+type recorder chan balancer.GossipReceived
 
-func (e ears) ReceiveGossip(m balancer.GossipReceived) { e <- m }
+func (r recorder) ReceiveGossip(m balancer.GossipReceived) { r <- m }
 
-// free is an address of its own on loopback.
-func free(t *testing.T) netip.AddrPort {
+// freeAddress returns an address on loopback that nobody uses.
+func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -28,21 +28,23 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
+// A message reaches the other node under its sender's number. One from an address that is no node's, or with a wrong size or number,
+// is dropped and counted.
 func TestNodesHearOneAnotherAndNoStranger(t *testing.T) {
-	nodes := []netip.AddrPort{free(t), free(t), free(t)} // the third is down
-	heard, count := make(ears, 8), &counters.Gossip{}
+	nodes := []netip.AddrPort{freeAddress(t), freeAddress(t), freeAddress(t)} // the third is down
+	heard, count := make(recorder, 8), &counters.Gossip{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	links := []*Transport{}
+	transports := []*Transport{}
 	for i := range 2 {
 		l, err := Listen(Options{Node: i, Nodes: nodes, Receiver: heard, Log: slog.Default(), Counters: count})
 		if err != nil {
 			t.Fatal(err)
 		}
-		links = append(links, l)
+		transports = append(transports, l)
 		go l.Run(ctx)
 	}
-	links[0].Broadcast([]byte("hello"))
+	transports[0].Broadcast([]byte("hello"))
 	select {
 	case m := <-heard:
 		if m.From != 0 || string(m.Body) != "hello" {
@@ -63,7 +65,7 @@
 		}
 	}
 	for reason, message := range map[string][]byte{"size": {0, 0, 0, 0}, "number": {0, 0, 0, 7, 1}} {
-		if links[1].take(message, nodes[0]); count.Drops.Get(reason) != 1 {
+		if transports[1].receive(message, nodes[0]); count.Drops.Get(reason) != 1 {
 			t.Errorf("%s is not counted", reason)
 		}
 	}
@@ -72,10 +74,10 @@
 	}
 }
 
-// The engine must never wait for the network.
-func TestTellNeverWaits(t *testing.T) {
+// The engine calls Broadcast and must never wait for the network: without anybody who sends, further messages are dropped.
+func TestBroadcastNeverWaits(t *testing.T) {
 	count := &counters.Gossip{}
-	l, err := Listen(Options{Node: 0, Nodes: []netip.AddrPort{free(t), free(t)}, Receiver: make(ears), Log: slog.Default(), Counters: count})
+	l, err := Listen(Options{Node: 0, Nodes: []netip.AddrPort{freeAddress(t), freeAddress(t)}, Receiver: make(recorder), Log: slog.Default(), Counters: count})
 	if err != nil {
 		t.Fatal(err)
 	}
