--- a/internal/overload/overload_test.go
+++ b/internal/overload/controller_test.go
@@ -10,10 +10,10 @@
 
 var classes = []Class{{"cheap", 1}, {"dear", 8}, {"middle", 5}}
 
-// mix is each class's part of what is asked for.
+// mix is each class's fraction of the requests.
 var mix = []float64{0.6, 0.1, 0.3}
 
-// node is one process in a simulated fleet: it asks for its part, and is served what the fleet's servers leave it.
+// node is one process in a simulated fleet: it requests its part, and is served what the fleet's servers have left.
 type node struct {
 	name   string
 	start  uint64
@@ -27,7 +27,7 @@
 	shed   float64
 }
 
-// fleet is some nodes before servers that do so many requests a second, first come, first served but for the cut.
+// fleet is some nodes in front of servers of a capacity, which serve what is admitted in the order in which it comes.
 type fleet struct {
 	rng      *rand.Rand
 	nodes    []*node
@@ -123,8 +123,8 @@
 	return got / best
 }
 
-// In calm nothing is cut; under lasting overload the fleet earns nearly what could be earned, whatever its size and however
-// many messages are lost; a new episode of new work alone does no harm; and it ends within seconds.
+// Without overload nothing is shed. Under lasting overload the fleet earns nearly what could be earned, whatever its size and however
+// many messages are lost, and it ends within seconds of the servers' return.
 func TestTheFleetShedsAsOne(t *testing.T) {
 	for _, n := range []int{1, 3, 8, 16, 100} {
 		for _, loss := range []float64{0, 0.3} {
@@ -155,7 +155,7 @@
 	}
 }
 
-// Overload of 5 s every 20 s does not swing between all and nothing.
+// With 5 s of overload in every 20 s the admission must not swing between all and nothing.
 func TestEpisodes(t *testing.T) {
 	f := newFleet(8, 5)
 	f.run(5)
@@ -170,8 +170,8 @@
 	}
 }
 
-// Who hears of few others cuts less, and who hears of none stays as it is by itself; a node that starts anew, one that tells
-// a thousand times too much, and half of the fleet falling silent do bounded harm.
+// A node that hears from few others sheds less, and one that hears from none decides alone. A restart, a node that claims a thousand
+// times its work, and half of the fleet falling silent do bounded harm.
 func TestWrongAndMissingFigures(t *testing.T) {
 	f := newFleet(8, 2)
 	f.capacity = 550
@@ -209,7 +209,8 @@
 	}
 }
 
-// The merge commutes, takes each summary once, and a process that starts anew begins from nothing.
+// Summaries come late, twice and out of order. Whatever their order, merging them ends in the same state, each counts once, and a
+// process that restarts begins from nothing.
 func TestMerge(t *testing.T) {
 	sums := []Summary{}
 	for start := range uint64(2) {
@@ -226,9 +227,9 @@
 		for _, m := range sums {
 			s.Merge(time.Second, m)
 		}
-		last := s.from["a"].points
-		if p := last[len(last)-1]; s.from["a"].start != 2 || p.c.Requested[0] != 40 || p.at != 4*time.Second {
-			t.Fatalf("seed %d: holds %+v", seed, s.from["a"])
+		latest := s.sources["a"].latest()
+		if s.sources["a"].generation != 2 || latest.counts.Requested[0] != 40 || latest.at != 4*time.Second {
+			t.Fatalf("seed %d: holds %+v", seed, s.sources["a"])
 		}
 		if s.Merge(time.Second, sums[7]) || s.Merge(time.Second, Summary{Name: "a", Generation: 2, At: 9 * time.Second, Counts: Counts{Requested: []uint64{1}}}) {
 			t.Fatal("a summary was taken twice, or one of other classes")
@@ -236,7 +237,8 @@
 	}
 }
 
-// While most attempts of the fleet fail nothing is tried again, and the budget comes back gradually; few failures hold nothing.
+// While most attempts of the fleet fail a retry only adds load, so the whole retry budget is withheld; it comes back gradually. Few
+// failures withhold nothing.
 func TestRetriesAreHeldBack(t *testing.T) {
 	s := New(Options{Name: "a", Generation: 1, Classes: classes})
 	c, now := Counts{Requested: make([]uint64, 3), Accepted: make([]uint64, 3)}, time.Duration(0)
