--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -13,10 +13,11 @@
 	"testing"
 )
 
-// A change that is meant to alter the shape of the code and not its decisions is checked here: seeded sequences of events are played
-// through Step, and the actions that come back are compared, by one checksum for each sequence, with those that were recorded before
-// the change. The recorded form names no Go identifier, so renaming cannot alter it. Texts of log lines are left out: their wording
-// may change, their number and place may not.
+// A change that is meant to alter the shape of the code and not its decisions is checked here:
+// seeded sequences of events are played through Step, and the actions that come back are compared,
+// by one checksum for each sequence, with those that were recorded before the change. The recorded
+// form names no Go identifier, so renaming cannot alter it. Texts of log lines are left out: their
+// wording may change, their number and place may not.
 
 // The files and the sizes of the record.
 const (
@@ -27,7 +28,8 @@
 
 var record = flag.Bool("record", false, "write "+recordedFile+" anew: only for a change that is meant to alter decisions")
 
-// TestDecisionsAreAsRecorded plays each seeded sequence and compares its checksum with the recorded one.
+// TestDecisionsAreAsRecorded plays each seeded sequence and compares its checksum with the recorded
+// one.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	var lines []string
 	kinds := map[string]int{}
@@ -140,8 +142,8 @@
 	set.CancelAllowed, set.RetryAfterAllowed = p.flip(), p.flip()
 	set.ConnectTimeout, set.Tick = 300, []float64{0, 1, 5}[p.rng.IntN(3)]
 	set.MaxAttempts = 1 + p.rng.IntN(5)
-	set.LateFailurePrice, set.CrossZonePrice = 0.1, 0.02*float64(p.rng.IntN(2))
-	set.ProbePrice, set.HandshakePrice, set.GossipPrice = 0.002, 0.01*float64(p.rng.IntN(2)), 0.0001
+	set.Prices.CrossZone = 0.02 * float64(p.rng.IntN(2))
+	set.Prices.Probe, set.Prices.Handshake, set.Prices.Gossip = 0.002, 0.01*float64(p.rng.IntN(2)), 0.0001
 	set.CPUPerRequest = float64(p.rng.IntN(2) * 500)
 	return set
 }
@@ -356,7 +358,7 @@
 func (p *sequencePlayer) message() {
 	body := []byte{0x10 | byte(p.rng.IntN(3))}
 	for range p.rng.IntN(5) {
-		name := uint16(hash(string(p.servers[p.rng.IntN(len(p.servers))].ID)))
+		name := uint16(stableHash(string(p.servers[p.rng.IntN(len(p.servers))].ID)))
 		body = append(body, byte(name>>8), byte(name), byte(p.rng.IntN(9)))
 		if body[0] == 0x11 {
 			body = append(body, byte(p.rng.IntN(9)))
@@ -369,7 +371,7 @@
 func (p *sequencePlayer) handOver() {
 	if p.flip() {
 		set := p.set
-		set.Nodes = p.l.set.Nodes // counts the processes of this node, as the copy goes on doing
+		set.Nodes = p.l.settings.Nodes // counts the processes of this node, as the copy goes on doing
 		c, err := p.l.Clone(set)
 		if err != nil {
 			p.t.Fatal(err)
--- /dev/null
+++ b/internal/coap/back/attempt.go
@@ -0,0 +1,141 @@
+package back
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"sync"
+	"syscall"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"tackhub.example/tackhub/balancer"
+	"tackhub.example/tackhub/internal/coap/wire"
+	"tackhub.example/tackhub/internal/engine"
+)
+
+// outcomeUnsent is the counter's key of attempts that were never sent.
+const outcomeUnsent = "unsent"
+
+// outcomeKeys are the counter's keys by outcome.
+var outcomeKeys = map[balancer.Outcome]string{
+	balancer.OK:             "ok",
+	balancer.Errored:        "error",
+	balancer.Overloaded:     "turned_away",
+	balancer.TimedOut:       "timed_out",
+	balancer.Unreachable:    "unreachable",
+	balancer.ConnectionLost: "broken",
+	balancer.NotSent:        outcomeUnsent,
+}
+
+// attempt is one transmission of a request to a server.
+type attempt struct {
+	cancel  context.CancelFunc
+	request engine.OutgoingRequest
+
+	mu      sync.Mutex
+	written bool // the message that makes the request complete was handed to the socket: from then on it may run
+	aborted bool
+}
+
+// Abort cancels the attempt and tells whether the server may have got the whole request.
+func (a *attempt) Abort() bool {
+	a.cancel()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.aborted = true
+	return a.written
+}
+
+// isAborted tells whether the attempt was cancelled, after which its end is not reported.
+func (a *attempt) isAborted() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.aborted
+}
+
+// isWritten tells whether the server may have got the whole request.
+func (a *attempt) isWritten() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.written
+}
+
+// markWritten notes that the message goes out that makes the request complete. It does so again when that message is sent
+// anew after an Echo challenge; the attempt is counted once.
+func (a *attempt) markWritten() {
+	a.mu.Lock()
+	first := !a.written
+	a.written = true
+	a.mu.Unlock()
+	if first {
+		a.request.NotifyWritten()
+	}
+}
+
+// run sends an attempt and waits for its end.
+func (t *Transport) run(ctx context.Context, server balancer.ServerID, a *attempt) engine.Completion {
+	address, ok := t.options.Resolver.Address(server)
+	if !ok {
+		return engine.Completion{Outcome: balancer.Unreachable}
+	}
+	conn, err := t.acquire(strings.TrimPrefix(address, Scheme))
+	if err != nil {
+		outcome := acquireOutcome(err)
+		t.options.Count.Outcomes.Inc(outcomeKeys[outcome])
+		return engine.Completion{Outcome: outcome}
+	}
+	defer conn.release()
+	if err := a.request.CheckWritable(); err != nil {
+		t.options.Count.Outcomes.Inc(outcomeUnsent)
+		return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(err, engine.ErrClientGone)}
+	}
+	request, body, err := convertRequest(a.request.Bytes)
+	if err != nil {
+		t.options.Log.Error("a request cannot be converted to CoAP", "code", "coap_request", "error", err)
+		return engine.Completion{Outcome: balancer.NotSent}
+	}
+	response, responseBody, err := conn.roundTrip(ctx, request, body, a)
+	completion := t.complete(response, responseBody, err, a)
+	t.options.Count.Outcomes.Inc(outcomeKeys[completion.Outcome])
+	return completion
+}
+
+// acquireOutcome is the outcome of an attempt that got no socket. A limit of our own is not held against the server.
+func acquireOutcome(err error) balancer.Outcome {
+	if errors.Is(err, errTooManyExchanges) || errors.Is(err, syscall.EMFILE) {
+		return balancer.NotSent
+	}
+	return balancer.Unreachable
+}
+
+// complete is what is reported of an attempt. Whether the request may have run depends on whether its last block was written.
+func (t *Transport) complete(response message.Message, body []byte, err error, a *attempt) engine.Completion {
+	if err != nil {
+		return engine.Completion{Outcome: failureOutcome(err, a.isWritten())}
+	}
+	completion := engine.Completion{Outcome: balancer.Errored}
+	if value, ok := wire.Bytes(&response, OptLoad); ok {
+		completion.Report = t.options.ParseLoad(value)
+	}
+	switch {
+	case wire.Class(response.Code) == wire.ClassSuccess:
+		completion.Outcome = balancer.OK
+		completion.Body = body
+	case response.Code == codes.ServiceUnavailable: // by docs/coap.md a server says so only of what it has not begun
+		completion.Outcome = balancer.Overloaded
+	}
+	return completion
+}
+
+// failureOutcome is the outcome of an attempt without a usable response.
+func failureOutcome(err error, written bool) balancer.Outcome {
+	switch {
+	case errors.Is(err, errRejected), !written: // not accepted, or never complete: it has not run
+		return balancer.Unreachable
+	case errors.Is(err, errNoResponse):
+		return balancer.TimedOut
+	}
+	return balancer.ConnectionLost
+}
