--- a/internal/clock/wall_test.go
+++ b/internal/clock/wall_test.go
@@ -11,10 +11,10 @@
 // wallUses are the places in the node that read the wall clock, by file: how many, and what a step of it by an hour does there.
 // docs/operating/stops.md has the same list in words.
 var wallUses = map[string]int{
-	"internal/clock/clock.go":       1, // the start of the node's clock: read once, carried on by the monotonic clock
-	"internal/discovery/catalog.go": 1, // a counter for people
-	"internal/cluster/cluster.go":   1, // the number of a process among those of its name, read once; a lower one is told to end
-	"internal/cluster/fleet.go":     2, // what the local socket tells people
+	"internal/clock/clock.go":         1, // the start of the node's clock: read once, carried on by the monotonic clock
+	"internal/discovery/staleness.go": 1, // a counter that operators read
+	"internal/cluster/link.go":        1, // the generation of a process, read once; one that is lower than its predecessor's is mended by the core
+	"internal/cluster/quota.go":       2, // what the local socket shows
 }
 
 // TestNoFurtherUseOfTheWallClock: deadlines, windows and waits are spans of real time, and a step of the wall clock must move none.
