--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -24,7 +24,7 @@
 // Reject is the final answer that promises a retry to be harmless.
 type Reject struct {
 	ID         RequestID
-	RetryAfter Millis // 0: nothing is said
+	RetryAfter Millis // 0: no Retry-After
 	Reason     RejectReason
 }
 
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -69,7 +69,7 @@
 	r.late = rejected.objectiveAt <= b.now
 }
 
-// rejectedOnArrival tells whether a request is rejected before any server is considered, and why.
+// rejectedOnArrival reports whether a request is rejected before any server is considered, and why.
 func (b *Balancer) rejectedOnArrival(r *request, mark uint64) (RejectReason, bool) {
 	if r.late && r.class.LateFraction <= 0 { // worth nothing by now: work on it would make others late as well
 		return LateRetry, true
@@ -80,7 +80,7 @@
 	return 0, false
 }
 
-// shedByFleet tells whether the fleet has no capacity for a request. Its sampling mark decides,
+// shedByFleet reports whether the fleet has no capacity for a request. Its sampling mark decides,
 // which is the same at whichever node it arrives.
 func (b *Balancer) shedByFleet(class *classState, mark uint64) bool {
 	admitted, limited := b.fleet.admittedFraction[class.Name]
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -69,7 +69,7 @@
 	s.removeRequest(r)
 }
 
-// mayHaveRun tells whether the server may have begun the request.
+// mayHaveRun reports whether the server may have begun the request.
 func (o Outcome) mayHaveRun() bool {
 	return o != Overloaded && o != Unreachable && o != NotSent
 }
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -67,7 +67,7 @@
 }
 
 // copyServers copies the servers that are known, and those that only requests still refer to: they
-// have started anew since.
+// have restarted since.
 func (c *copier) copyServers() {
 	for _, s := range c.from.servers.known {
 		c.addServer(s)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -8,8 +8,8 @@
 // Each mechanism has a file with its state, its constants and its rules:
 //
 //	balancer.go       New and Step: what can happen, and who handles it
-//	settings.go       what a node is told once, at its start
-//	events.go         what the balancer is told
+//	settings.go       what a node is configured with, at its start
+//	events.go         what the balancer is notified of
 //	actions.go        what it asks for, and the reasons for rejecting or failing a request
 //
 //	endpointlist.go   following the endpoint list: polling, backoff, staleness, new and removed servers
@@ -32,7 +32,7 @@
 //	attempts.go       start and end of an attempt
 //	retry.go          when a retry is allowed, and the final answer where it is not
 //
-//	gossip.go         what nodes tell each other, and what is made of it
+//	gossip.go         what nodes send each other, and how it is used
 //	gossipmessage.go  the form of these messages
 //	statetransfer.go  the state that is handed over in an upgrade
 //	clone.go          a copy that decides by other settings
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -35,7 +35,7 @@
 	watching     bool   // a call was answered, and changes come by themselves
 }
 
-// current tells whether no change of the list can be missing.
+// current reports whether no change of the list can be missing.
 func (p *endpointPolling) current() bool { return math.IsInf(p.overdueSince, 1) }
 
 // startPolling schedules the first call for the list. Nodes that start together must not all call
@@ -127,7 +127,7 @@
 	}
 }
 
-// addEndpoint takes in one entry. A server that has started anew, or moved to another zone or cell,
+// addEndpoint takes in one entry. A server that has restarted, or moved to another zone or cell,
 // begins without a record.
 func (b *Balancer) addEndpoint(entry Endpoint, live bool) {
 	s := b.servers.byID[entry.ID]
@@ -147,7 +147,7 @@
 	b.servers.known[slices.Index(b.servers.known, s)] = fresh
 }
 
-// sameProcess tells whether two entries of one server name the same process at the same place.
+// sameProcess reports whether two entries of one server name the same process at the same place.
 func sameProcess(a, b Endpoint) bool {
 	return a.Started == b.Started && a.Zone == b.Zone && a.Cell == b.Cell
 }
@@ -183,7 +183,7 @@
 	b.schedulePoll(nextAt)
 }
 
-// mayBeDraining tells whether a server may have been told to drain without this node's knowing: the
+// mayBeDraining reports whether a server may have been told to drain without this node's knowing: the
 // list is overdue by more than half the drain grace, and for as long no attempt there was answered.
 // A server that drains takes nothing new.
 func (b *Balancer) mayBeDraining(s *server) bool {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Event is something that the node observed or was told.
+// Event is something that the node observed or was notified of.
 type Event interface{ event() }
 
 // ServerID names a server; it carries no meaning beyond identity.
@@ -63,7 +63,7 @@
 // TimerFired is a timer set earlier that has come due.
 type TimerFired struct{ Token string }
 
-// EndpointUpdate is what discovery told of the endpoint list.
+// EndpointUpdate is an update of the endpoint list from discovery.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
--- a/balancer/failurerate.go
+++ b/balancer/failurerate.go
@@ -58,7 +58,7 @@
 	return record.decayed(b.now, classFailureMemory)
 }
 
-// recordClassOutcome records an outcome for its class and tells whether the fault is the class's
+// recordClassOutcome records an outcome for its class and reports whether the fault is the class's
 // own at this server (classFault). Such a failure says nothing about the server: counting it would
 // eject a server that is good for all other classes.
 func (b *Balancer) recordClassOutcome(s *server, c *classState, outcome Outcome) (classOnly bool) {
@@ -77,7 +77,7 @@
 	return b.classFault(s, c)
 }
 
-// classFault tells whether a class fails at a server that serves another class well.
+// classFault reports whether a class fails at a server that serves another class well.
 func (b *Balancer) classFault(s *server, c *classState) bool {
 	if b.classFailureShare(s, c) < faultyClassShare {
 		return false
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -45,7 +45,7 @@
 	reportedBy   map[gossipSource][]*server // the servers that a node's latest message named
 }
 
-// broadcastGossip tells the other nodes what this one has in flight at each server and how its
+// broadcastGossip reports to the other nodes what this one has in flight at each server and how its
 // attempts there ended, as often as may be paid for. Where reading a message costs all nodes
 // together more CPU than a request may, nothing is sent.
 func (b *Balancer) broadcastGossip() {
@@ -91,7 +91,7 @@
 	b.gossip.tokens.refill(elapsedOne, gossipBudgetShare, gossipBurst*gossipBudgetShare)
 }
 
-// gossipAlive tells whether the other nodes can be heard. That they no longer can is logged once.
+// gossipAlive reports whether the other nodes can be heard. That they no longer can is logged once.
 func (b *Balancer) gossipAlive() bool {
 	if b.gossip.heardAt == 0 {
 		return false
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -26,7 +26,7 @@
 // entryLen is how many bytes a kind takes for each server.
 func (k gossipKind) entryLen() int { return 3 + int(k) }
 
-// gossipReport is what another node last said of a server.
+// gossipReport is the latest report of another node on a server.
 type gossipReport struct {
 	from   int
 	kind   gossipKind
@@ -96,7 +96,7 @@
 	b.gossip.reportedBy[source] = reported
 }
 
-// validGossip tells whether a message has this version's form.
+// validGossip reports whether a message has this version's form.
 func validGossip(body []byte) bool {
 	if len(body) == 0 || len(body) > MaxGossipBytes || body[0]&gossipVersionMask != gossipVersion {
 		return false
@@ -114,7 +114,7 @@
 	b.gossip.heardAt = b.now
 }
 
-// forgetReports drops what a node's message before this one said.
+// forgetReports drops the reports of a node's previous message.
 func (b *Balancer) forgetReports(source gossipSource) {
 	for _, s := range b.gossip.reportedBy[source] {
 		s.gossipReports = slices.DeleteFunc(s.gossipReports, func(report gossipReport) bool {
--- a/balancer/loadprobe.go
+++ b/balancer/loadprobe.go
@@ -25,7 +25,7 @@
 // loadProbing is the budget of load probes.
 type loadProbing struct {
 	tokens     tokenBucket // probes that may be sent
-	acceptance float64     // share of the probes that the servers bear, from 0 to 1
+	acceptance float64     // share of the probes that the servers accept, from 0 to 1
 	roundTrip  Millis      // usual time of a probe
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// worthProbing tells whether a server's load is unknown and a probe of it costs no dear connection
+// worthProbing reports whether a server's load is unknown and a probe of it costs no expensive connection
 // as well.
 func (b *Balancer) worthProbing(s *server) bool {
 	needsConnection := s.idleConnections < 1
@@ -73,7 +73,7 @@
 func (b *Balancer) probeWait() Millis { return max(minProbeWait, 2*b.settings.Tick) }
 
 // probeCoverage is the chance that a queued request hears of an idle server: the probes that may be
-// spent on each request, at most 1. Where probes are dear and nodes are many, nothing is known of
+// spent on each request, at most 1. Where probes are expensive and nodes are many, nothing is known of
 // nearly all servers and waiting tells nothing.
 func (b *Balancer) probeCoverage() float64 {
 	if !b.settings.ProbesAllowed {
--- a/balancer/objective.go
+++ b/balancer/objective.go
@@ -29,7 +29,7 @@
 }
 
 // setObjective dates the latency objective. For a retry it counts from the client's first attempt,
-// as far as that can be told: an attempt with a shorter timeout than the longest seen is cut by the
+// as far as that is known: an attempt with a shorter timeout than the longest seen is cut by the
 // client's total timeout, so its first attempt began a total timeout before the deadline.
 func (b *Balancer) setObjective(r *request, isRetry bool) {
 	class := r.class
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -72,7 +72,7 @@
 	b.eject(s)
 }
 
-// isOutlier tells whether a server's own record calls for ejection: too many failures in a row, or
+// isOutlier reports whether a server's own record calls for ejection: too many failures in a row, or
 // too many in the window. Where a server fails a share of all requests anyway, a short row is
 // chance.
 func (s *server) isOutlier(now Millis) bool {
@@ -86,7 +86,7 @@
 	return total >= ejectionMinOutcomes && float64(failures) >= ejectionErrorRate*float64(total)
 }
 
-// othersHealthy tells whether enough servers remain that clearly fail less. If not, the cause is
+// othersHealthy reports whether enough servers remain that clearly fail less. If not, the cause is
 // shared or is this node, and ejecting one server after the other would move all load to the last
 // one.
 func (b *Balancer) othersHealthy(s *server) bool {
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -49,7 +49,7 @@
 	idle     Millis  // at an idle server
 }
 
-// eligible tells whether the rules let a request go to a server at all. Invariants: nothing new
+// eligible reports whether the rules let a request go to a server at all. Invariants: nothing new
 // goes to a draining server; a request that may have run is repeated only if it is idempotent or,
 // with an idempotency key, inside its dedup scope and window.
 func (b *Balancer) eligible(r *request, s *server) bool {
@@ -96,7 +96,7 @@
 	return open
 }
 
-// mayCarryTrial tells whether a request may be the trial of an ejected server.
+// mayCarryTrial reports whether a request may be the trial of an ejected server.
 func (b *Balancer) mayCarryTrial(r *request, s *server) bool {
 	due := b.now >= s.outlier.trialAt && s.attempts.inFlight == 0
 	return due && r.class.Idempotency == b.outliers.trialIdempotency && len(r.attempts) == 0
@@ -174,7 +174,7 @@
 	return limits
 }
 
-// answersInTime tells whether a candidate is within a request's limits.
+// answersInTime reports whether a candidate is within a request's limits.
 func (b *Balancer) answersInTime(r *request, s *server, limits placementLimits) bool {
 	requests := b.estimatedRequests(s)
 	expected := s.candidate.expected
@@ -222,7 +222,7 @@
 	return share + (1-share)*class.LateFraction
 }
 
-// mayExplore tells whether a request is sent though no server would answer in time, to find out
+// mayExplore reports whether a request is sent though no server would answer in time, to find out
 // whether a slowdown is over.
 func (b *Balancer) mayExplore(r *request) bool {
 	return !r.late && b.openAttempts == 0 && b.timeToObjective(r) > 0 && b.takeExploration()
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -96,7 +96,7 @@
 	return found
 }
 
-// emits tells whether a function emits an action: through emit or logf, by appending to the
+// emits reports whether a function emits an action: through emit or logf, by appending to the
 // actions, or by making one.
 func emits(body *ast.BlockStmt) bool {
 	found := false
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -104,7 +104,7 @@
 	return false
 }
 
-// cannotMeetObjective tells whether a queued request can't meet its objective behind so much work
+// cannotMeetObjective reports whether a queued request can't meet its objective behind so much work
 // of other requests. Rejecting it early spares the servers, and its client can retry elsewhere.
 func (b *Balancer) cannotMeetObjective(r *request, workAhead float64) bool {
 	best, servers := b.fastestFor(r)
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -18,7 +18,7 @@
 	quota  tokenBucket // of this node's part of the quota
 }
 
-// overQuota records a first attempt of a tenant and tells whether the tenant is over its quota. A
+// overQuota records a first attempt of a tenant and reports whether the tenant is over its quota. A
 // node that sees more than its part of all traffic takes a larger part of each quota.
 func (b *Balancer) overQuota(t *tenantState) bool {
 	quota := t.Quota * b.nodeQuotaFraction()
@@ -42,7 +42,7 @@
 	return min(1, max(1/float64(b.settings.Nodes), rate/max(1, quota)))
 }
 
-// fleetLimits is what this node is told of the fleet as a whole.
+// fleetLimits are the limits that hold for the fleet as a whole.
 type fleetLimits struct {
 	processes        int                // that make this node: two during an upgrade
 	quota            *FleetQuota        // nil: the even part
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -56,7 +56,7 @@
 	missingAfter  Millis // how long it had been out when a report first lacked it
 }
 
-// triedServer tells whether a request has had an attempt at a server.
+// triedServer reports whether a request has had an attempt at a server.
 func (r *request) triedServer(s *server) bool {
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -36,7 +36,7 @@
 	b.enqueue(r)
 }
 
-// mayRetry tells whether a request may have another attempt, apart from the budget. Invariant: a
+// mayRetry reports whether a request may have another attempt, apart from the budget. Invariant: a
 // request that may have run is never repeated unless it is idempotent or has an idempotency key.
 func (b *Balancer) mayRetry(r *request) bool {
 	attemptsLeft := len(r.attempts) < b.settings.MaxAttempts
@@ -57,7 +57,7 @@
 	b.finishRequest(r)
 }
 
-// retryMayHarm tells whether a client's retry could take effect twice: an attempt may have run, and
+// retryMayHarm reports whether a client's retry could take effect twice: an attempt may have run, and
 // the retry may reach a server that does not recognize it.
 func (b *Balancer) retryMayHarm(r *request) bool {
 	if !r.mayHaveRun && r.openAttempts == 0 {
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// superseded tells whether an attempt is missing at the server or was overtaken by the answer to a
+// superseded reports whether an attempt is missing at the server or was overtaken by the answer to a
 // later one. An attempt whose body is still coming is with no server, so its silence says nothing
 // either.
 func (s *server) superseded(a *attempt) bool {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,7 +8,7 @@
 // Millis is a time on the node's monotonic clock, or a span of it, in milliseconds.
 type Millis = float64
 
-// Settings are what a node is told once, at its start. New says which of them make deciding impossible.
+// Settings are what a node is configured with, at its start. New says which of them make deciding impossible.
 type Settings struct {
 	Node    int // this node's number, from 0
 	Nodes   int // size of the fleet, at least 1
@@ -92,7 +92,7 @@
 	Availability float64
 }
 
-// Idempotency says whether a class of request may run more than once.
+// Idempotency reports whether a class of request may run more than once.
 type Idempotency int
 
 // The kinds of classes, from the least harm that a repeat does to the most.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -79,7 +79,7 @@
 	return bearable / b.typicalUnitTime(s) / b.fleetDivisor()
 }
 
-// slowStartAllows refills a warming server's budget and tells whether the work fits into it.
+// slowStartAllows refills a warming server's budget and reports whether the work fits into it.
 //
 // Invariant: all nodes together never send a warming server more than its budget, also if all have
 // saved their parts and spend them at once. Without it a server that has just started is overloaded
--- a/balancer/statetransfer_test.go
+++ b/balancer/statetransfer_test.go
@@ -66,7 +66,7 @@
 	old.servers.byID["b"].timing.unitTime = 99
 	state := old.Snapshot()
 	next := made(2)
-	next.servers.byID["b"].Started = 7 // it has started anew since
+	next.servers.byID["b"].Started = 7 // it has restarted since
 	next.Step(2, StateTransferred{state})
 	n := next.servers.byID["a"]
 	if !n.outlier.ejected || n.outlier.trialAt != 10_000 || n.timing.unitTime != 17 || n.outlier.consecutiveFailures != 3 || n.recentSuccessRate() != a.recentSuccessRate() ||
--- a/internal/engine/mailbox.go
+++ b/internal/engine/mailbox.go
@@ -74,7 +74,7 @@
 func (e *Engine) Post(event balancer.Event) { e.post(eventPosted{event}) }
 
 // RunBetweenSteps runs f between two steps, on the goroutine that owns the module, and waits until
-// it has run. It tells whether it has: an engine that ends may not run it.
+// it has run. It reports whether it has: an engine that ends may not run it.
 func (e *Engine) RunBetweenSteps(f func()) bool {
 	ran := make(chan struct{})
 	e.post(functionRun{func() { defer close(ran); f() }})
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -18,7 +18,7 @@
 
 // Attempt is one attempt of a request under way.
 type Attempt interface {
-	// Abort ends it at once and without waiting, and tells whether the server may have received it
+	// Abort ends it at once and without waiting, and reports whether the server may have received it
 	// whole.
 	Abort() (mayHaveRun bool)
 }
@@ -76,7 +76,7 @@
 	// WriteDeadline is when the last byte must have been written, or must not be any more; zero: no
 	// limit.
 	WriteDeadline time.Time
-	// ClientWaiting tells whether the client is still there. It is asked right before the first
+	// ClientWaiting reports whether the client is still there. It is asked right before the first
 	// byte is written, and before the last chunk of a large body: what the engine knows of a client
 	// may have waited behind other messages. Nil: it always is.
 	ClientWaiting func() bool
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -12,7 +12,7 @@
 )
 
 // Check reads configuration and operator file as a start would, and prints what would run, or every
-// fault. It tells whether a start would succeed.
+// fault. It reports whether a start would succeed.
 func Check(out io.Writer, getenv func(string) string, edge string) bool {
 	c, faults := config.Check(getenv)
 	file, err := loadOperatorFile(edge)
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -15,7 +15,7 @@
 // What the administrators' listener and the subsystems need of the node: admin.Node,
 // endpoints.Node, front.Node and cluster.Node.
 
-// Ready tells whether this process serves clients and is not drained.
+// Ready reports whether this process serves clients and is not drained.
 func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.AdminDrained() }
 
 // Stats is the counters' summary for administrators, in JSON.
@@ -83,8 +83,8 @@
 	}
 }
 
-// TookOver tells whether another process of this node ran when this one started.
+// TookOver reports whether another process of this node ran when this one started.
 func (n *node) TookOver() bool { return n.upgrade != nil && n.upgrade.asSuccessor != nil }
 
-// Succeeded tells whether another process takes over now.
+// Succeeded reports whether another process takes over now.
 func (n *node) Succeeded() bool { return n.upgrade != nil && n.upgrade.successorServes.Load() }
