--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -31,9 +31,9 @@
 		t.Error("not the marked part of the classes that are cut")
 	}
 	whole := func() float64 {
-		b.l.retryBudget.left = 0
+		b.balancer.retryBudget.left = 0
 		b.arrive("read", 1000)
-		return b.l.retryBudget.left
+		return b.balancer.retryBudget.left
 	}
 	rate := whole()
 	if b.step(FleetAdmission{RetryReduction: 0.75}); rate <= 0 || whole() < rate*0.249 || whole() > rate*0.251 {
@@ -68,11 +68,11 @@
 	b := newTestNode(t, set)
 	b.step(Arrival{ID: 1, Class: "read", Key: "k", Deadline: b.now + 2000}) // no server: rejected
 	b.now += 300
-	b.l.Step(b.now, EndpointUpdate{Kind: FullUpdate, Endpoints: testEndpoints(1)})
-	b.l.estimate.unitTime = 5
+	b.balancer.Step(b.now, EndpointUpdate{Kind: FullUpdate, Endpoints: testEndpoints(1)})
+	b.balancer.estimate.unitTime = 5
 	b.step(Arrival{ID: 2, Class: "read", Key: "k", Deadline: b.now + 2000})
 	b.step(Arrival{ID: 3, Class: "read", Key: "k", Deadline: b.now + 2000})
-	if second, third := b.l.requests[2], b.l.requests[3]; second.objectiveAt != b.now+100 || third.objectiveAt != b.now+400 {
+	if second, third := b.balancer.requests[2], b.balancer.requests[3]; second.objectiveAt != b.now+100 || third.objectiveAt != b.now+400 {
 		t.Errorf("%.0f ms left for the retry, %.0f for the next", second.objectiveAt-b.now, third.objectiveAt-b.now)
 	}
 }
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -12,9 +12,9 @@
 		b.serve("read", 20, allOK)
 	}
 	b.arrive("read", 2000)
-	b.acts = nil
+	b.actions = nil
 	b.pass(1000)
-	if n := count[CancelAttempt](b.acts) + count[StartAttempt](b.acts); n != 0 {
+	if n := count[CancelAttempt](b.actions) + count[StartAttempt](b.actions); n != 0 {
 		t.Errorf("%d cancelled or sent again while the answer may still come", n)
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -16,7 +16,7 @@
 				return OK
 			})
 		}
-		return b.acts
+		return b.actions
 	}
 	if !reflect.DeepEqual(run(), run()) {
 		t.Error("two runs differ")
--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -74,23 +74,23 @@
 
 // sequencePlayer plays one seeded sequence: a random client, network and discovery around one module.
 type sequencePlayer struct {
-	t       *testing.T
-	rng     *rand.Rand
-	set     Settings
-	l       *Balancer
-	now     Millis
-	sum     interface{ Sum64() uint64 }
-	write   func(format string, args ...any)
-	actions int
-	kinds   map[string]int
-	next    RequestID
-	open    []openAttempt
-	sent    map[RequestID]int
-	over    map[RequestID]bool
-	probes  []ServerID
-	timers  map[string]Millis
-	servers []Endpoint
-	bodies  []RequestID
+	t        *testing.T
+	rng      *rand.Rand
+	set      Settings
+	balancer *Balancer
+	now      Millis
+	sum      interface{ Sum64() uint64 }
+	write    func(format string, args ...any)
+	actions  int
+	kinds    map[string]int
+	next     RequestID
+	open     []openAttempt
+	sent     map[RequestID]int
+	over     map[RequestID]bool
+	probes   []ServerID
+	timers   map[string]Millis
+	servers  []Endpoint
+	bodies   []RequestID
 }
 
 // openAttempt is an attempt whose outcome is still to come.
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.l = l
+	p.balancer = l
 	for i := range 2 + p.rng.IntN(14) {
 		p.servers = append(p.servers, Endpoint{ID: ServerID(fmt.Sprintf("s%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 4,
 			Capacity: 1 + float64(i%3)/2})
@@ -149,7 +149,7 @@
 }
 
 func (p *sequencePlayer) step(e Event) {
-	for _, a := range p.l.Step(p.now, e) {
+	for _, a := range p.balancer.Step(p.now, e) {
 		p.actions++
 		p.note(a)
 	}
@@ -225,13 +225,13 @@
 
 // writeState adds what the module knows at the end, in the form in which it is handed over.
 func (p *sequencePlayer) writeState() {
-	raw, err := json.Marshal(p.l.Snapshot())
+	raw, err := json.Marshal(p.balancer.Snapshot())
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.write("state %s", raw)
-	listed, avoided := p.l.CountEndpoints()
-	p.write("census %d %d %d", listed, avoided, p.l.EndpointVersion())
+	listed, avoided := p.balancer.CountEndpoints()
+	p.write("census %d %d %d", listed, avoided, p.balancer.EndpointVersion())
 }
 
 func (p *sequencePlayer) event() {
@@ -371,13 +371,13 @@
 func (p *sequencePlayer) handOver() {
 	if p.flip() {
 		set := p.set
-		set.Nodes = p.l.settings.Nodes // counts the processes of this node, as the copy goes on doing
-		c, err := p.l.Clone(set)
+		set.Nodes = p.balancer.settings.Nodes // counts the processes of this node, as the copy goes on doing
+		c, err := p.balancer.Clone(set)
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		p.l = c
+		p.balancer = c
 		return
 	}
-	p.step(StateTransferred{State: p.l.Snapshot()})
+	p.step(StateTransferred{State: p.balancer.Snapshot()})
 }
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -11,12 +11,12 @@
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	failing(t, b, "s1", Errored)
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s1", Capacity: 1, Started: b.now}}})
-	s := b.l.servers.byID["s1"]
-	if s.outlier.ejected || s.outcomes.recentLen != 0 || b.l.minimumCapacity(s) > 0.3 {
-		t.Errorf("restarted server kept its past: ejected %v, outcomes %d, ramp %.2f", s.outlier.ejected, s.outcomes.recentLen, b.l.minimumCapacity(s))
+	s := b.balancer.servers.byID["s1"]
+	if s.outlier.ejected || s.outcomes.recentLen != 0 || b.balancer.minimumCapacity(s) > 0.3 {
+		t.Errorf("restarted server kept its past: ejected %v, outcomes %d, ramp %.2f", s.outlier.ejected, s.outcomes.recentLen, b.balancer.minimumCapacity(s))
 	}
-	if len(b.l.servers.ready) != 3 {
-		t.Errorf("%d servers listed, want 3", len(b.l.servers.ready))
+	if len(b.balancer.servers.ready) != 3 {
+		t.Errorf("%d servers listed, want 3", len(b.balancer.servers.ready))
 	}
 }
 
@@ -24,7 +24,7 @@
 	set := settings()
 	set.WatchEndpoints = true
 	b := newTestNode(t, set, testEndpoints(2)...)
-	if b.step(TimerFired{"ask"}); count[WatchEndpoints](b.acts) != 1 {
+	if b.step(TimerFired{"ask"}); count[WatchEndpoints](b.actions) != 1 {
 		t.Fatal("no subscription at the start")
 	}
 	for i := 0; i < 6; i++ {
@@ -42,7 +42,7 @@
 			t.Fatal("a failed call is not repeated")
 		}
 	}
-	if len(b.l.servers.ready) != 2 {
+	if len(b.balancer.servers.ready) != 2 {
 		t.Error("a failed call lost the list")
 	}
 	b.step(EndpointUpdate{Kind: DeltaUpdate})
@@ -89,36 +89,36 @@
 func TestOverdueListPrefersServersThatJustAnswered(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(20)...)
 	b.step(EndpointUpdate{Kind: UpdateOverdue})
-	b.now += b.l.settings.DrainGrace / 4
-	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
+	b.now += b.balancer.settings.DrainGrace / 4
+	if n := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates within the grace, want all 20", n)
 	}
 	b.serve("read", 10, allOK)
 	for i := 0; i < 50; i++ {
-		b.now += b.l.settings.DrainGrace / 10
+		b.now += b.balancer.settings.DrainGrace / 10
 		id, acts := b.arrive("read", 2000)
 		s := sentTo(acts)
-		if i > 10 && b.l.mayBeDraining(b.l.servers.byID[s]) {
+		if i > 10 && b.balancer.mayBeDraining(b.balancer.servers.byID[s]) {
 			t.Fatalf("sent to %s, which has taken nothing for half the grace", s)
 		}
 		b.now += 10
 		b.end(id, 0, s, OK, 10)
 	}
-	sure := len(b.l.candidates(&request{class: b.l.classes["read"]}))
+	sure := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]}))
 	if sure == 0 || sure == 20 {
 		t.Errorf("%d of 20 servers are open after news has been late for long", sure)
 	}
-	b.now += 10 * b.l.settings.DrainGrace
+	b.now += 10 * b.balancer.settings.DrainGrace
 	b.step(TimerFired{"sweep"})
-	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
+	if n := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates where none is sure, want all 20", n)
 	}
 	b.step(EndpointUpdate{Kind: UpdateOverdue})
 	b.serve("read", 10, allOK)
-	b.now += b.l.settings.DrainGrace
+	b.now += b.balancer.settings.DrainGrace
 	b.serve("read", 10, allOK)
 	b.step(EndpointUpdate{Kind: DeltaUpdate})
-	if n := len(b.l.candidates(&request{class: b.l.classes["read"]})); n != 20 {
+	if n := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates after news, want all 20", n)
 	}
 }
--- a/balancer/failurerate_test.go
+++ b/balancer/failurerate_test.go
@@ -11,19 +11,19 @@
 	for i := 0; i < 40; i++ {
 		b.serve("read", 20, allOK)
 	}
-	s := b.l.servers.byID["s1"]
+	s := b.balancer.servers.byID["s1"]
 	unit := s.timing.unitTime
-	r := &request{class: b.l.classes["bill"], work: 1}
+	r := &request{class: b.balancer.classes["bill"], work: 1}
 	for i := 0; i < 6; i++ {
 		b.now += 2000
 		a := &attempt{server: s, sentAt: b.now - 2000, serviceRounds: 1, expected: 20}
-		b.l.recordAttemptOutcome(s, r, a, TimedOut, 2000)
+		b.balancer.recordAttemptOutcome(s, r, a, TimedOut, 2000)
 		b.serve("read", 20, allOK)
 	}
 	if s.outlier.ejected {
 		t.Error("a server that serves other classes was ejected for one class")
 	}
-	if b.l.classFailureShare(s, r.class) < faultyClassShare || b.l.classFailureShare(s, b.l.classes["read"]) > 0.1 {
+	if b.balancer.classFailureShare(s, r.class) < faultyClassShare || b.balancer.classFailureShare(s, b.balancer.classes["read"]) > 0.1 {
 		t.Error("the class's failures were not kept apart")
 	}
 	if s.timing.unitTime > 20*unit {
@@ -56,7 +56,7 @@
 			for n := 0; sentTo(acts) != ""; n++ {
 				s := sentTo(acts)
 				result, elapsed := OK, Millis(10)
-				if zone := b.l.servers.byID[s].Zone; zone == "cut" {
+				if zone := b.balancer.servers.byID[s].Zone; zone == "cut" {
 					there++
 					result, elapsed = silent(zone), took
 				}
@@ -86,33 +86,33 @@
 		entries[i].Zone = []string{"a", "cut"}[i%2]
 	}
 	b := newTestNode(t, set, entries...)
-	far, near := b.l.servers.byID["s1"], b.l.servers.byID["s0"]
-	b.l.recordZoneOutcome(near, OK, 10)
+	far, near := b.balancer.servers.byID["s1"], b.balancer.servers.byID["s0"]
+	b.balancer.recordZoneOutcome(near, OK, 10)
 	for range 5 {
-		b.l.recordZoneOutcome(far, TimedOut, 300)
+		b.balancer.recordZoneOutcome(far, TimedOut, 300)
 	}
-	if b.l.zoneFailureShare(far.zoneFailures) == 0 || b.l.zoneFailureShare(near.zoneFailures) != 0 {
-		t.Fatalf("fault %v there and %v here", b.l.zoneFailureShare(far.zoneFailures), b.l.zoneFailureShare(near.zoneFailures))
+	if b.balancer.zoneFailureShare(far.zoneFailures) == 0 || b.balancer.zoneFailureShare(near.zoneFailures) != 0 {
+		t.Fatalf("fault %v there and %v here", b.balancer.zoneFailureShare(far.zoneFailures), b.balancer.zoneFailureShare(near.zoneFailures))
 	}
 	for range 20 { // one answer in between is not the end of it
-		b.l.recordZoneOutcome(far, TimedOut, 300)
-		b.l.updateScores()
-		b.l.recordZoneOutcome(far, OK, 10)
-		b.l.updateScores()
+		b.balancer.recordZoneOutcome(far, TimedOut, 300)
+		b.balancer.updateScores()
+		b.balancer.recordZoneOutcome(far, OK, 10)
+		b.balancer.updateScores()
 	}
-	if said := b.l.actions; count[Log](said) != 1 || !strings.Contains(said[len(said)-1].(Log).Text, "zone cut") {
+	if said := b.balancer.actions; count[Log](said) != 1 || !strings.Contains(said[len(said)-1].(Log).Text, "zone cut") {
 		t.Errorf("said of a zone that is cut off: %v, want one line", said)
 	}
 	b.now += 3 * staleDecay
 	b.step(TimerFired{"sweep"})
-	if f := b.l.zoneFailureShare(far.zoneFailures); f != 0 {
+	if f := b.balancer.zoneFailureShare(far.zoneFailures); f != 0 {
 		t.Errorf("still shunned with %v after some seconds without news", f)
 	}
-	b.l.actions = nil
+	b.balancer.actions = nil
 	for range 5 {
-		b.l.updateScores()
+		b.balancer.updateScores()
 	}
-	if n := count[Log](b.l.actions); n != 1 {
+	if n := count[Log](b.balancer.actions); n != 1 {
 		t.Errorf("%d lines once it is tried again, want one", n)
 	}
 }
--- a/balancer/fairness_test.go
+++ b/balancer/fairness_test.go
@@ -21,7 +21,7 @@
 		acts := b.step(Arrival{ID: b.next, Class: "read", Tenant: name, Deadline: b.now + 2000})
 		b.now += 10
 		if i%5 == 4 { // the server answers one request in 50 ms
-			if r := b.l.servers.ready[0].attempts.requests; len(r) > 0 {
+			if r := b.balancer.servers.ready[0].attempts.requests; len(r) > 0 {
 				acts = append(acts, b.end(r[0].id, 0, "s0", OK, 50)...)
 			}
 		}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -7,11 +7,11 @@
 
 // bed drives one Logic by hand and keeps what it did.
 type testNode struct {
-	t    *testing.T
-	l    *Balancer
-	now  Millis
-	acts []Action
-	next RequestID
+	t        *testing.T
+	balancer *Balancer
+	now      Millis
+	actions  []Action
+	next     RequestID
 }
 
 func settings() Settings {
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &testNode{t: t, l: l, now: 100000}
+	b := &testNode{t: t, balancer: l, now: 100000}
 	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: servers})
 	return b
 }
@@ -48,8 +48,8 @@
 }
 
 func (b *testNode) step(e Event) []Action {
-	out := b.l.Step(b.now, e)
-	b.acts = append(b.acts, out...)
+	out := b.balancer.Step(b.now, e)
+	b.actions = append(b.actions, out...)
 	return out
 }
 
@@ -72,7 +72,7 @@
 		return ""
 	}
 	b.now += took
-	b.l.scoredAt = 0 // every request is a cycle here
+	b.balancer.scoredAt = 0 // every request is a cycle here
 	acts = b.end(id, 0, s, result(s), took)
 	for n := 1; sentTo(acts) != ""; n++ { // later attempts succeed
 		acts = b.end(id, n, sentTo(acts), OK, 1)
--- a/balancer/healthscore_test.go
+++ b/balancer/healthscore_test.go
@@ -16,10 +16,10 @@
 		}
 		b.now += took
 		b.end(id, 0, s, OK, took)
-		b.l.scoredAt = 0
+		b.balancer.scoredAt = 0
 	}
-	b.l.scoredAt = 0
-	s0, s1 := b.l.servers.byID["s0"], b.l.servers.byID["s1"]
+	b.balancer.scoredAt = 0
+	s0, s1 := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
 	if math.Abs(s0.score-1) > 0.01 {
 		t.Errorf("the fastest server without errors scores %.3f, want 1", s0.score)
 	}
@@ -31,10 +31,10 @@
 
 func TestNewServerStartsAtMeanScore(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(2)...)
-	b.l.servers.ready[0].score, b.l.servers.ready[1].score = 0.4, 0.8
-	b.l.servers.ready[0].outcomes.recentLen, b.l.servers.ready[1].outcomes.recentLen = 0, 0
+	b.balancer.servers.ready[0].score, b.balancer.servers.ready[1].score = 0.4, 0.8
+	b.balancer.servers.ready[0].outcomes.recentLen, b.balancer.servers.ready[1].outcomes.recentLen = 0, 0
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "new", Capacity: 1}}})
-	if got := b.l.servers.byID["new"].score; math.Abs(got-0.6) > 1e-9 {
+	if got := b.balancer.servers.byID["new"].score; math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("new server scores %.2f, want 0.6", got)
 	}
 }
@@ -68,21 +68,21 @@
 	for i := 0; i < 120; i++ {
 		b.serve("read", 20, allOK)
 	}
-	before := b.l.estimate.unitTime
+	before := b.balancer.estimate.unitTime
 	for i := 0; i < 36; i++ { // three answers a server
 		b.serve("read", 60, allOK)
 	}
-	if b.l.estimate.unitTime < 1.5*before {
-		t.Errorf("typical unit went from %.0f to %.0f ms after three slow answers a server", before, b.l.estimate.unitTime)
+	if b.balancer.estimate.unitTime < 1.5*before {
+		t.Errorf("typical unit went from %.0f to %.0f ms after three slow answers a server", before, b.balancer.estimate.unitTime)
 	}
 	for i := 0; i < 120; i++ {
 		b.serve("read", 20, allOK)
 		b.now += 60 // servers shunned for their slowness are looked at again after some seconds
 	}
-	if b.l.estimate.unitTime > 1.5*before {
-		t.Errorf("typical unit is %.0f ms after the slowdown, %.0f before", b.l.estimate.unitTime, before)
+	if b.balancer.estimate.unitTime > 1.5*before {
+		t.Errorf("typical unit is %.0f ms after the slowdown, %.0f before", b.balancer.estimate.unitTime, before)
 	}
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected {
 			t.Errorf("%s was ejected for slowness that all share", s.ID)
 		}
@@ -92,12 +92,12 @@
 // Guards against a rush: all nodes would run to a server that has just warmed up and looks far faster.
 func TestFastServerIsNotRushed(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		s.timing.measured, s.timing.unitTime = true, 100
 	}
-	b.l.servers.ready[3].timing.unitTime = 10
-	b.l.updateScores()
-	if unit := b.l.estimatedUnitTime(b.l.servers.ready[3]); unit < minUnitTimeRatio*100 {
+	b.balancer.servers.ready[3].timing.unitTime = 10
+	b.balancer.updateScores()
+	if unit := b.balancer.estimatedUnitTime(b.balancer.servers.ready[3]); unit < minUnitTimeRatio*100 {
 		t.Errorf("believed to need %.0f ms where 100 is typical", unit)
 	}
 }
@@ -108,16 +108,16 @@
 	for range 30 {
 		b.serve("read", 20, allOK)
 	}
-	unit := b.l.servers.byID["s0"].timing.unitTime
+	unit := b.balancer.servers.byID["s0"].timing.unitTime
 	lost, _ := b.arrive("bill", 390)
 	b.now += 5
 	b.serve("read", 20, allOK)
 	b.now += 365
 	b.end(lost, 0, "s0", TimedOut, 390)
-	if got := b.l.servers.byID["s0"].timing.unitTime; got > unit*1.5 {
+	if got := b.balancer.servers.byID["s0"].timing.unitTime; got > unit*1.5 {
 		t.Errorf("unit time %v after the time-out, %v before", got, unit)
 	}
-	if b.l.servers.byID["s0"].outlier.consecutiveFailures != 0 {
+	if b.balancer.servers.byID["s0"].outlier.consecutiveFailures != 0 {
 		t.Error("a failure sent before the last answer counts as one in a row")
 	}
 }
--- a/balancer/loadestimate_test.go
+++ b/balancer/loadestimate_test.go
@@ -13,14 +13,14 @@
 	b := newTestNode(t, set, testEndpoints(60)...)
 	for i := 0; i < 40; i++ {
 		b.now += 50
-		b.step(LoadProbeCompleted{Server: b.l.servers.ready[i].ID, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 3}})
+		b.step(LoadProbeCompleted{Server: b.balancer.servers.ready[i].ID, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 3}})
 	}
-	if got := b.l.estimatedRequests(b.l.servers.ready[59]); got < 2 {
+	if got := b.balancer.estimatedRequests(b.balancer.servers.ready[59]); got < 2 {
 		t.Errorf("a server never heard of is taken to hold %.1f where all others hold 3", got)
 	}
 	b.now += 60000
 	b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 0}})
-	if fresh, old := b.l.estimatedRequests(b.l.servers.byID["s1"]), b.l.estimatedRequests(b.l.servers.byID["s2"]); fresh >= old {
+	if fresh, old := b.balancer.estimatedRequests(b.balancer.servers.byID["s1"]), b.balancer.estimatedRequests(b.balancer.servers.byID["s2"]); fresh >= old {
 		t.Errorf("just heard to be empty: %.1f, heard of a minute ago: %.1f", fresh, old)
 	}
 }
@@ -49,10 +49,10 @@
 	if count[CancelAttempt](acts) != 1 {
 		t.Fatalf("%v, want the lost attempt cancelled", acts)
 	}
-	if occ := b.l.estimatedRequests(b.l.servers.byID[at]); occ >= 1 {
+	if occ := b.balancer.estimatedRequests(b.balancer.servers.byID[at]); occ >= 1 {
 		t.Errorf("the lost attempt counts as load: %v in flight", occ)
 	}
-	if over := b.l.unansweredTime(b.l.servers.byID[at], false); over != 0 {
+	if over := b.balancer.unansweredTime(b.balancer.servers.byID[at], false); over != 0 {
 		t.Errorf("the server is held to be silent for %v ms over it", over)
 	}
 	acts = b.end(id, 0, at, Cancelled, 200)
@@ -71,7 +71,7 @@
 	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}}); count[CancelAttempt](acts) != 0 {
 		t.Errorf("%v: it may have run", acts)
 	}
-	if b.l.servers.byID[at].attempts.missing != 1 {
+	if b.balancer.servers.byID[at].attempts.missing != 1 {
 		t.Error("it counts as load, though the server does not have it")
 	}
 }
@@ -79,13 +79,13 @@
 // Guards against taking a server whose load was just reported for one of which nothing is known.
 func TestDoubtGrowsWithReportAge(t *testing.T) {
 	b := newTestNode(t, fleet(0.1), testEndpoints(2)...)
-	s := b.l.servers.byID["s0"]
+	s := b.balancer.servers.byID["s0"]
 	b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 2}})
-	b.l.refreshEstimate(s)
+	b.balancer.refreshEstimate(s)
 	fresh := s.estimate.doubt
-	b.now += 20 * b.l.estimate.unitTime
+	b.now += 20 * b.balancer.estimate.unitTime
 	b.step(TimerFired{"sweep"})
-	if b.l.refreshEstimate(s); fresh > 0.1 || s.estimate.doubt < 0.9 {
+	if b.balancer.refreshEstimate(s); fresh > 0.1 || s.estimate.doubt < 0.9 {
 		t.Errorf("doubt %v right after a report, %v long after it", fresh, s.estimate.doubt)
 	}
 }
@@ -98,14 +98,14 @@
 	b := newTestNode(t, fleet(0.1), entries...)
 	entries[1].Started = b.now
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[1:]})
-	b.l.estimate.othersLoad = 3
-	warm, cold := b.l.servers.byID["s0"], b.l.servers.byID["s1"]
-	if w, c := b.l.estimateRequests(warm), b.l.estimateRequests(cold); c > 0.9*w || c <= 0 {
+	b.balancer.estimate.othersLoad = 3
+	warm, cold := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
+	if w, c := b.balancer.estimateRequests(warm), b.balancer.estimateRequests(cold); c > 0.9*w || c <= 0 {
 		t.Errorf("%.2f requests at a warming server, %.2f at a warm one", c, w)
 	}
-	b.l.recordLoadReport(cold, LoadReport{Valid: true, InFlight: 3 * b.l.estimatedCapacity(cold)})
-	if math.Abs(b.l.estimate.othersLoad-3) > 1e-9 {
-		t.Errorf("a warming server with its part in flight moves the fleet's mean from 3 to %v", b.l.estimate.othersLoad)
+	b.balancer.recordLoadReport(cold, LoadReport{Valid: true, InFlight: 3 * b.balancer.estimatedCapacity(cold)})
+	if math.Abs(b.balancer.estimate.othersLoad-3) > 1e-9 {
+		t.Errorf("a warming server with its part in flight moves the fleet's mean from 3 to %v", b.balancer.estimate.othersLoad)
 	}
 }
 
@@ -116,7 +116,7 @@
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 5, QueueKnown: true, Queued: 3}})
 	}
 	for ahead, want := range map[float64]float64{0: 1, 1: 1, 3: 2} {
-		if got := b.l.serviceRounds(ahead, 1); got != want {
+		if got := b.balancer.serviceRounds(ahead, 1); got != want {
 			t.Errorf("with %v ahead at two at once: %v requests' times, want %v", ahead, got, want)
 		}
 	}
--- a/balancer/loadprobe_test.go
+++ b/balancer/loadprobe_test.go
@@ -30,7 +30,7 @@
 		acts = b.step(LoadProbeCompleted{Server: s, Outcome: OK, Report: LoadReport{Valid: true, InFlight: float64(5 * i)}})
 	}
 	if len(asked) > 1 && sentTo(acts) != "" && sentTo(acts) != asked[0] {
-		if b.l.estimatedRequests(b.l.servers.byID[sentTo(acts)]) > 2 {
+		if b.balancer.estimatedRequests(b.balancer.servers.byID[sentTo(acts)]) > 2 {
 			t.Errorf("sent to %s although its report shows it crowded", sentTo(acts))
 		}
 	}
@@ -41,7 +41,7 @@
 func TestProbesStayWithinBudget(t *testing.T) {
 	ask := func(crowd float64, result Outcome) int {
 		b := newTestNode(t, probed(1), testEndpoints(40)...)
-		b.l.estimate.othersLoad = crowd
+		b.balancer.estimate.othersLoad = crowd
 		for i := 0; i < 300; i++ {
 			b.now += 50
 			id, acts := b.arrive("read", 2000)
@@ -50,9 +50,9 @@
 					b.step(LoadProbeCompleted{Server: p.Server, Outcome: result, Report: LoadReport{Valid: result == OK, InFlight: crowd}})
 				}
 			}
-			b.end(id, 0, sentTo(b.acts), OK, 10)
+			b.end(id, 0, sentTo(b.actions), OK, 10)
 		}
-		return count[ProbeLoad](b.acts)
+		return count[ProbeLoad](b.actions)
 	}
 	most := int(300*probeBudgetShare/0.004) + 3*probesPerRequest
 	if busy, refused, idle := ask(4, OK), ask(4, Overloaded), ask(0, OK); busy > most || busy < 300 || refused > most/3 || idle > most/3 {
@@ -67,7 +67,7 @@
 		b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Elapsed: 120})
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 300})
 	}
-	if b.l.servers.byID["s0"].outlier.ejected {
+	if b.balancer.servers.byID["s0"].outlier.ejected {
 		t.Error("ejected for probes that waited")
 	}
 }
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -13,8 +13,8 @@
 		ttl  Millis
 		left Millis
 	}{{1200, 400 - 280}, {1000, 400 - 1000}} {
-		r := &request{class: b.l.classes["read"], work: 1, deadline: b.now + c.ttl}
-		b.l.setObjective(r, true)
+		r := &request{class: b.balancer.classes["read"], work: 1, deadline: b.now + c.ttl}
+		b.balancer.setObjective(r, true)
 		if got := r.objectiveAt - b.now; math.Abs(got-c.left) > 1e-6 {
 			t.Errorf("retry with %.0f ms to live has %.0f ms of its latency objective left, want %.0f", c.ttl, got, c.left)
 		}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -7,8 +7,8 @@
 // failing makes one server fail until it is ejected.
 func failing(t *testing.T, b *testNode, bad ServerID, res Outcome) {
 	t.Helper()
-	for i := 0; i < 300 && !b.l.servers.byID[bad].outlier.ejected; i++ {
-		b.l.servers.byID[bad].timing.measured, b.l.servers.byID[bad].timing.unitTime = true, 1 // as fast as any by its record, so that it is drawn
+	for i := 0; i < 300 && !b.balancer.servers.byID[bad].outlier.ejected; i++ {
+		b.balancer.servers.byID[bad].timing.measured, b.balancer.servers.byID[bad].timing.unitTime = true, 1 // as fast as any by its record, so that it is drawn
 		b.serve("read", 5, func(s ServerID) Outcome {
 			if s == bad {
 				return res
@@ -21,7 +21,7 @@
 func TestEjectionTimeAndOneTrial(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	failing(t, b, "s1", Errored)
-	if !b.l.servers.byID["s1"].outlier.ejected {
+	if !b.balancer.servers.byID["s1"].outlier.ejected {
 		t.Fatal("a server that always fails is not ejected")
 	}
 	for i := 0; i < 100; i++ {
@@ -48,7 +48,7 @@
 		}
 	}
 	b.end(trial, 0, "s1", OK, 30)
-	if b.l.servers.byID["s1"].outlier.ejected {
+	if b.balancer.servers.byID["s1"].outlier.ejected {
 		t.Error("a good trial does not readmit")
 	}
 }
@@ -63,13 +63,13 @@
 		} else {
 			b.now += 5
 			b.end(id, 0, sentTo(acts), OK, 5)
-			b.l.scoredAt = 0
+			b.balancer.scoredAt = 0
 		}
 	}
 	if old == 0 {
 		t.Fatal("never drawn")
 	}
-	s := b.l.servers.byID["s1"]
+	s := b.balancer.servers.byID["s1"]
 	s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	b.now += 50
 	b.end(old, 0, "s1", OK, 50)
@@ -81,13 +81,13 @@
 func TestRejectionsNeverEject(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	failing(t, b, "s1", Overloaded)
-	s := b.l.servers.byID["s1"]
+	s := b.balancer.servers.byID["s1"]
 	if s.outlier.ejected {
 		t.Error("a full server was ejected")
 	}
-	b.l.updateScores()
-	if s.score >= b.l.servers.byID["s0"].score {
-		t.Errorf("rejections do not lower the score: %.2f against %.2f", s.score, b.l.servers.byID["s0"].score)
+	b.balancer.updateScores()
+	if s.score >= b.balancer.servers.byID["s0"].score {
+		t.Errorf("rejections do not lower the score: %.2f against %.2f", s.score, b.balancer.servers.byID["s0"].score)
 	}
 }
 
@@ -99,7 +99,7 @@
 		b.now += 50
 	}
 	out := 0
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected {
 			out++
 		}
@@ -111,7 +111,7 @@
 
 func TestAllEjectedMeansAllEligible(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	}
 	if _, acts := b.arrive("read", 2000); sentTo(acts) == "" {
@@ -125,21 +125,21 @@
 	set := settings()
 	set.ProbesAllowed, set.LoadReports = true, true
 	b := newTestNode(t, set, testEndpoints(3)...)
-	for _, s := range b.l.servers.ready[1:] {
+	for _, s := range b.balancer.servers.ready[1:] {
 		s.outcomes.record(b.now, true)
 	}
 	for i := 0; i < ejectionConsecutiveFailures; i++ {
 		b.now += 50
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: Overloaded})
 	}
-	if b.l.servers.byID["s0"].outlier.ejected {
+	if b.balancer.servers.byID["s0"].outlier.ejected {
 		t.Fatal("ejected for rejecting probes")
 	}
 	for i := 0; i < ejectionConsecutiveFailures; i++ {
 		b.now += 50
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 50})
 	}
-	if !b.l.servers.byID["s0"].outlier.ejected {
+	if !b.balancer.servers.byID["s0"].outlier.ejected {
 		t.Error("a server that answers no probe is not ejected")
 	}
 }
@@ -201,12 +201,12 @@
 			b.now += 70
 			b.end(id, 0, s, OK, 70)
 		}
-		b.l.scoredAt = 0
+		b.balancer.scoredAt = 0
 	}
 	if bad > 30 {
 		t.Errorf("%d of 300 went to the server that fails fast", bad)
 	}
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected && s.ID != "s2" {
 			t.Errorf("%s was ejected for being slow with the rest", s.ID)
 		}
@@ -216,28 +216,28 @@
 // Guards against ejecting one server after the other where all lose a third of what they get.
 func TestServersThatFailAlikeAreNotEjected(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		for i := range recentOutcomeCount {
 			s.outcomes.record(b.now, i%3 != 0)
 		}
 	}
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		for range ejectionConsecutiveFailures {
-			b.l.updateEjection(s, ConnectionLost, b.now)
+			b.balancer.updateEjection(s, ConnectionLost, b.now)
 		}
 	}
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected {
 			t.Errorf("%s is ejected and fails %v, as the others do", s.ID, 1-s.recentSuccessRate())
 		}
 	}
-	for _, s := range b.l.servers.ready[1:] {
+	for _, s := range b.balancer.servers.ready[1:] {
 		for range recentOutcomeCount {
 			s.outcomes.record(b.now, true)
 		}
 	}
-	b.l.updateEjection(b.l.servers.ready[0], ConnectionLost, b.now)
-	if !b.l.servers.ready[0].outlier.ejected {
+	b.balancer.updateEjection(b.balancer.servers.ready[0], ConnectionLost, b.now)
+	if !b.balancer.servers.ready[0].outlier.ejected {
 		t.Error("the only one that fails is kept")
 	}
 }
@@ -246,7 +246,7 @@
 // and against sparing one that has really gone.
 func TestShortRowIsChanceWhereAShareFails(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		for i := range 200 {
 			s.outcomes.record(b.now, s.ID != "s0" || i%10 != 0)
 		}
@@ -254,11 +254,11 @@
 	row := func(s *server, n int) bool {
 		for range n {
 			s.outcomes.record(b.now, false)
-			b.l.updateEjection(s, ConnectionLost, b.now)
+			b.balancer.updateEjection(s, ConnectionLost, b.now)
 		}
 		return s.outlier.ejected
 	}
-	flaky, clean := b.l.servers.byID["s0"], b.l.servers.byID["s1"]
+	flaky, clean := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
 	if row(flaky, ejectionConsecutiveFailures) {
 		t.Error("a row of three ejects a server of which a tenth fails anyway")
 	}
@@ -275,7 +275,7 @@
 	set := settings()
 	set.Classes = set.Classes[1:]
 	b := newTestNode(t, set, testEndpoints(4)...)
-	s := b.l.servers.byID["s0"]
+	s := b.balancer.servers.byID["s0"]
 	s.outlier.ejected, s.outlier.trialAt = true, b.now
 	for i := 0; i < 40; i++ {
 		b.serve("bill", 10, allOK)
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -8,10 +8,10 @@
 
 func TestDrawIsInProportionToScore(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(2)...)
-	b.l.servers.ready[0].score, b.l.servers.ready[1].score = 0.9, 0.3
+	b.balancer.servers.ready[0].score, b.balancer.servers.ready[1].score = 0.9, 0.3
 	got := 0
 	for i := 0; i < 4000; i++ {
-		if b.l.drawByScore(b.l.servers.ready) == b.l.servers.ready[0] {
+		if b.balancer.drawByScore(b.balancer.servers.ready) == b.balancer.servers.ready[0] {
 			got++
 		}
 	}
@@ -50,14 +50,14 @@
 func TestKeyedRetryStaysInCellAndWindow(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for i := 0; i < 40; i++ {
-		b.l.retryBudget.left = retryBurst
+		b.balancer.retryBudget.left = retryBurst
 		id, acts := b.arrive("put", 2000)
 		first := sentTo(acts)
 		b.now++
 		acts = b.end(id, 0, first, Errored, 1)
 		second := sentTo(acts)
-		if second != "" && b.l.servers.byID[second].Cell != b.l.servers.byID[first].Cell {
-			t.Fatalf("repeated in cell %d after cell %d", b.l.servers.byID[second].Cell, b.l.servers.byID[first].Cell)
+		if second != "" && b.balancer.servers.byID[second].Cell != b.balancer.servers.byID[first].Cell {
+			t.Fatalf("repeated in cell %d after cell %d", b.balancer.servers.byID[second].Cell, b.balancer.servers.byID[first].Cell)
 		}
 		if second == "" && count[Reject](acts) > 0 {
 			t.Fatal("rejected though an attempt may have run")
@@ -113,21 +113,21 @@
 		set := settings()
 		set.Classes[1].DedupScope = group
 		b := newTestNode(t, set, servers...)
-		r := &request{class: b.l.classes["put"], work: 1, mayHaveRun: true, dedupServer: b.l.servers.byID["s0"], dedupUntil: b.now + 500}
+		r := &request{class: b.balancer.classes["put"], work: 1, mayHaveRun: true, dedupServer: b.balancer.servers.byID["s0"], dedupUntil: b.now + 500}
 		got := 0
-		for _, s := range b.l.servers.ready {
-			if b.l.eligible(r, s) {
+		for _, s := range b.balancer.servers.ready {
+			if b.balancer.eligible(r, s) {
 				got++
 			}
 		}
 		if got != want {
 			t.Errorf("group %d: %d servers allowed, want %d", group, got, want)
 		}
-		b.acts = b.acts[:0]
-		b.l.actions = nil
-		b.l.rejectOrFail(r, NoCapacity)
-		if refused := count[Reject](b.l.actions) == 1; refused != (group == DedupAcrossFleet) {
-			t.Errorf("group %d: given up with %v", group, b.l.actions)
+		b.actions = b.actions[:0]
+		b.balancer.actions = nil
+		b.balancer.rejectOrFail(r, NoCapacity)
+		if refused := count[Reject](b.balancer.actions) == 1; refused != (group == DedupAcrossFleet) {
+			t.Errorf("group %d: given up with %v", group, b.balancer.actions)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &testNode{t: t, l: l, now: 100000}
+		b := &testNode{t: t, balancer: l, now: 100000}
 		b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(servers)})
 		l.estimate.unitTime = 1000 // nothing fits
 		for _, s := range l.servers.ready {
@@ -191,14 +191,14 @@
 		set := settings()
 		set.LoadReports = true
 		b := newTestNode(t, set, testEndpoints(4)...)
-		b.l.estimate.othersLoad, b.l.openAttempts = crowd, 1 // no exploration
-		for _, s := range b.l.servers.ready {
-			b.l.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
+		b.balancer.estimate.othersLoad, b.balancer.openAttempts = crowd, 1 // no exploration
+		for _, s := range b.balancer.servers.ready {
+			b.balancer.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
 		}
-		b.l.estimate.othersLoad = crowd
+		b.balancer.estimate.othersLoad = crowd
 		b.next++
 		b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 10})
-		b.l.estimate.meanWorkHint = 2
+		b.balancer.estimate.meanWorkHint = 2
 		b.next++
 		acts := b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 8}) // four times the mean
 		if sent := sentTo(acts) != ""; sent != (crowd < 1) {
@@ -213,7 +213,7 @@
 func TestSendsAtOnceWithoutLoadInformation(t *testing.T) {
 	sent := func(set Settings, crowd float64) bool {
 		b := newTestNode(t, set, testEndpoints(40)...)
-		b.l.estimate.othersLoad, b.l.probing.tokens.left = crowd, 0
+		b.balancer.estimate.othersLoad, b.balancer.probing.tokens.left = crowd, 0
 		_, acts := b.arrive("read", 2000)
 		return sentTo(acts) != ""
 	}
@@ -233,7 +233,7 @@
 	}
 	dear.LoadReports = false
 	b := newTestNode(t, dear, testEndpoints(1)...)
-	if b.l.refreshEstimate(b.l.servers.byID["s0"]); b.l.servers.byID["s0"].estimate.doubt != 0 {
+	if b.balancer.refreshEstimate(b.balancer.servers.byID["s0"]); b.balancer.servers.byID["s0"].estimate.doubt != 0 {
 		t.Error("where servers report nothing there is no doubt to be had of them")
 	}
 }
@@ -281,19 +281,19 @@
 func TestUncrowdedServersAreDrawnInProportion(t *testing.T) {
 	set := settings()
 	b := newTestNode(t, set, testEndpoints(5)...)
-	for i, s := range b.l.servers.ready {
+	for i, s := range b.balancer.servers.ready {
 		s.timing.measured, s.timing.unitTime, s.timing.outcomeAt, s.score = true, 20, b.now, float64(i+1)
 	}
-	b.l.estimate.unitTime, b.l.estimate.initialUnitTime, b.l.scoredAt = 20, 20, b.now
-	crowded := b.l.servers.ready[2]
+	b.balancer.estimate.unitTime, b.balancer.estimate.initialUnitTime, b.balancer.scoredAt = 20, 20, b.now
+	crowded := b.balancer.servers.ready[2]
 	crowded.timing.unitTime = 40 // twice the best's time, and still within the latency objective
 	const picks = 20000
 	got := map[ServerID]float64{}
 	for range picks {
-		r := &request{class: b.l.classes["read"], work: 1, arrived: b.now, objectiveAt: b.now + 400, deadline: b.now + 2000}
-		got[b.l.pickServer(r).ID]++
+		r := &request{class: b.balancer.classes["read"], work: 1, arrived: b.now, objectiveAt: b.now + 400, deadline: b.now + 2000}
+		got[b.balancer.pickServer(r).ID]++
 	}
-	for i, s := range b.l.servers.ready {
+	for i, s := range b.balancer.servers.ready {
 		want := float64(i+1) / (1 + 2 + 4 + 5)
 		if s == crowded {
 			want = 0
@@ -313,8 +313,8 @@
 		n := 0
 		for i := 0; i < 50; i++ {
 			b := newTestNode(t, set, list...)
-			b.l.rng.Uint64N(uint64(i + 1))
-			for _, s := range b.l.servers.ready {
+			b.balancer.rng.Uint64N(uint64(i + 1))
+			for _, s := range b.balancer.servers.ready {
 				s.timing.measured, s.timing.unitTime, s.timing.outcomeAt = true, 20, b.now
 			}
 			b.step(LoadProbeCompleted{Server: "near", Outcome: OK, Report: LoadReport{Valid: true, InFlight: hands}})
@@ -340,9 +340,9 @@
 	homes := map[ServerID]int{}
 	for k := 0; k < 60; k++ {
 		r := &request{affinityKey: stableHash(fmt.Sprint("key", k))}
-		first, second := newTestNode(t, set, testEndpoints(12)...).l.affinityServers(r)
+		first, second := newTestNode(t, set, testEndpoints(12)...).balancer.affinityServers(r)
 		r.affinity.version = 0
-		other, _ := newTestNode(t, set, testEndpoints(12)...).l.affinityServers(&request{affinityKey: r.affinityKey})
+		other, _ := newTestNode(t, set, testEndpoints(12)...).balancer.affinityServers(&request{affinityKey: r.affinityKey})
 		if first == second || first.ID != other.ID {
 			t.Fatalf("preferred servers %s and %s, at another node %s", first.ID, second.ID, other.ID)
 		}
@@ -359,7 +359,7 @@
 	set := settings()
 	set.Classes[0].LateFraction, set.Goal.TailLatency = 0.5, 0.2
 	b := newTestNode(t, set, testEndpoints(1)...)
-	b.l.estimate.unitTime, b.l.servers.byID["s0"].timing.measured, b.l.servers.byID["s0"].timing.unitTime = 5, true, 5
+	b.balancer.estimate.unitTime, b.balancer.servers.byID["s0"].timing.measured, b.balancer.servers.byID["s0"].timing.unitTime = 5, true, 5
 	sent := 0
 	for i := 0; i < 10; i++ {
 		_, acts := b.arrive("read", 2000)
@@ -368,8 +368,8 @@
 	if sent != saturationFactor {
 		t.Errorf("%d requests sent to a server that works on one at once", sent)
 	}
-	late := &request{class: b.l.classes["read"], work: 1, deadline: b.now + 1500, objectiveAt: b.now - 1, late: true}
-	if s := b.l.pickServer(late); s != nil {
+	late := &request{class: b.balancer.classes["read"], work: 1, deadline: b.now + 1500, objectiveAt: b.now - 1, late: true}
+	if s := b.balancer.pickServer(late); s != nil {
 		t.Error("a late request was sent to a busy server")
 	}
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -8,19 +8,19 @@
 // being sent.
 func TestRequestsBoundToLostScopeBlockNoOther(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
-	for _, s := range b.l.servers.ready {
+	for _, s := range b.balancer.servers.ready {
 		s.outlier.ejected = s.Cell == 0
 		s.outlier.trialAt = b.now + ejectionTime
 	}
 	for i := 0; i < 2*maxMissesPerSweep; i++ {
-		b.l.servers.byID["s0"].outlier.ejected = false
-		b.l.retryBudget.left = retryBurst
+		b.balancer.servers.byID["s0"].outlier.ejected = false
+		b.balancer.retryBudget.left = retryBurst
 		b.next++
-		r := &request{id: b.next, class: b.l.classes["put"], arrived: b.now, deadline: b.now + 2000,
-			objectiveAt: b.now + 400, work: 1, mayHaveRun: true, dedupServer: b.l.servers.byID["s0"], dedupUntil: b.now + 1000}
-		b.l.requests[r.id] = r
-		b.l.enqueue(r)
-		b.l.servers.byID["s0"].outlier.ejected = true
+		r := &request{id: b.next, class: b.balancer.classes["put"], arrived: b.now, deadline: b.now + 2000,
+			objectiveAt: b.now + 400, work: 1, mayHaveRun: true, dedupServer: b.balancer.servers.byID["s0"], dedupUntil: b.now + 1000}
+		b.balancer.requests[r.id] = r
+		b.balancer.enqueue(r)
+		b.balancer.servers.byID["s0"].outlier.ejected = true
 	}
 	_, acts := b.arrive("read", 2000)
 	if sentTo(acts) == "" || count[Fail](acts) != 2*maxMissesPerSweep {
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -14,11 +14,11 @@
 		b.next++
 		b.step(Arrival{ID: b.next, Class: "read", Tenant: "loud", Deadline: b.now + 2000})
 	}
-	loud := &request{class: b.l.classes["read"], tenant: b.l.tenants["loud"], work: 1}
-	meek := &request{class: b.l.classes["read"], tenant: b.l.tenants["meek"], work: 1}
-	b.l.accountArrival(loud, false)
-	b.l.accountArrival(meek, false)
-	if !loud.overQuota || meek.overQuota || b.l.marginalValue(loud) >= b.l.marginalValue(meek) {
+	loud := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["loud"], work: 1}
+	meek := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["meek"], work: 1}
+	b.balancer.accountArrival(loud, false)
+	b.balancer.accountArrival(meek, false)
+	if !loud.overQuota || meek.overQuota || b.balancer.marginalValue(loud) >= b.balancer.marginalValue(meek) {
 		t.Errorf("over share: loud %v, meek %v", loud.overQuota, meek.overQuota)
 	}
 }
@@ -29,8 +29,8 @@
 	set := settings()
 	set.Nodes = 10
 	b := newTestNode(t, set, Endpoint{ID: "cold", Capacity: 1, Started: 99999})
-	cold := b.l.servers.byID["cold"]
-	tenth := b.l.slowStartRate(cold)
+	cold := b.balancer.servers.byID["cold"]
+	tenth := b.balancer.slowStartRate(cold)
 	near := func(what string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9*tenth {
@@ -38,13 +38,13 @@
 		}
 	}
 	b.step(FleetQuota{Current: 0.25, Until: b.now, After: 0.05})
-	near("run out", b.l.slowStartRate(cold), tenth/2)
+	near("run out", b.balancer.slowStartRate(cold), tenth/2)
 	b.step(FleetQuota{Current: 0.25, Until: b.now + 1, After: 0.05})
-	near("a quarter", b.l.slowStartRate(cold), 2.5*tenth)
+	near("a quarter", b.balancer.slowStartRate(cold), 2.5*tenth)
 	b.step(SiblingProcesses{2})
-	near("one of two processes", b.l.slowStartRate(cold), 1.25*tenth)
+	near("one of two processes", b.balancer.slowStartRate(cold), 1.25*tenth)
 	b.step(FleetQuota{})
-	if cold.slowStart.budget.left = 5; b.l.slowStartRate(cold) != 0 || b.l.slowStartAllows(cold, 1) {
-		t.Errorf("room at %v with no share at all", b.l.slowStartRate(cold))
+	if cold.slowStart.budget.left = 5; b.balancer.slowStartRate(cold) != 0 || b.balancer.slowStartAllows(cold, 1) {
+		t.Errorf("room at %v with no share at all", b.balancer.slowStartRate(cold))
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -13,10 +13,10 @@
 	for i := 0; i < 200; i++ {
 		b.arrive("read", 2000)
 	}
-	if n := count[Reject](b.acts); n < 150 {
+	if n := count[Reject](b.actions); n < 150 {
 		t.Errorf("%d of 200 rejected early by a server that can hold a few", n)
 	}
-	for _, a := range b.acts {
+	for _, a := range b.actions {
 		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
 			t.Fatal("a rejection does not say when to come back")
 		}
@@ -29,8 +29,8 @@
 	set := settings()
 	set.Nodes = 400
 	b := newTestNode(t, set, testEndpoints(3)...)
-	b.l.estimate.unitTime = 1000 // nothing fits
-	b.l.explorations.left = 0
+	b.balancer.estimate.unitTime = 1000 // nothing fits
+	b.balancer.explorations.left = 0
 	_, acts := b.arrive("read", 2000)
 	for i := 0; i < 50 && count[Reject](acts) == 0; i++ {
 		b.now += 10
--- a/balancer/server_test.go
+++ b/balancer/server_test.go
@@ -18,13 +18,13 @@
 		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
 	}
 	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
-	if len(b.l.servers.byID) != 2 || len(b.l.servers.known) != 2 {
-		t.Errorf("%d and %d servers remembered, want the last and the one with a request out", len(b.l.servers.byID), len(b.l.servers.known))
+	if len(b.balancer.servers.byID) != 2 || len(b.balancer.servers.known) != 2 {
+		t.Errorf("%d and %d servers remembered, want the last and the one with a request out", len(b.balancer.servers.byID), len(b.balancer.servers.known))
 	}
 	b.end(id, 0, at, OK, 20)
 	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
-	if len(b.l.servers.byID) != 1 || len(b.l.servers.known) != 1 {
-		t.Errorf("%d and %d servers remembered, want the last", len(b.l.servers.byID), len(b.l.servers.known))
+	if len(b.balancer.servers.byID) != 1 || len(b.balancer.servers.known) != 1 {
+		t.Errorf("%d and %d servers remembered, want the last", len(b.balancer.servers.byID), len(b.balancer.servers.known))
 	}
 }
 
@@ -32,7 +32,7 @@
 // answer gives one back, and what broke or was cancelled gives none.
 func TestConnectionsAreCounted(t *testing.T) {
 	b := newTestNode(t, fleet(0.1), testEndpoints(1)...)
-	s := b.l.servers.byID["s0"]
+	s := b.balancer.servers.byID["s0"]
 	for _, step := range []struct {
 		result Outcome
 		want   int
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	l.estimate.unitTime, l.estimate.initialUnitTime, l.estimate.meanWorkHint = f.unit, f.unit, 10 // as after many requests
-	b := &testNode{t: t, l: l, now: now}
+	b := &testNode{t: t, balancer: l, now: now}
 	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(4)})
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
 	return b
@@ -65,7 +65,7 @@
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok && s.Server == "cold" {
 				f.sent = append(f.sent, coldCall{b.now, costs[s.ID]})
-				b.l.retryBudget.left, b.l.servers.byID["cold"].outlier.ejected = 0, false
+				b.balancer.retryBudget.left, b.balancer.servers.byID["cold"].outlier.ejected = 0, false
 				carry(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // rejected work counts too
 			}
 		}
@@ -73,7 +73,7 @@
 	for i, b := range f.nodes {
 		b.now = from
 		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
-		b.l.explorations.left = -1e9 // the test is on the budget alone: what is sent without a fit passes it too
+		b.balancer.explorations.left = -1e9 // the test is on the budget alone: what is sent without a fit passes it too
 		for k := 0; b.now < from+span; k++ {
 			b.now += every * (0.5 + float64((i*7+k)%11)/10)
 			b.next++
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -29,13 +29,13 @@
 		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "warm", Capacity: 1}}})
 		entries := []Endpoint{{ID: "warm", Capacity: 1}, {ID: "cold", Capacity: 1, Started: b.now + c.off}}
 		b.step(EndpointUpdate{Kind: c.form, Endpoints: entries})
-		cold := b.l.servers.byID["cold"]
-		if got := b.l.minimumCapacity(cold); got < c.least-1e-9 || got > c.most {
+		cold := b.balancer.servers.byID["cold"]
+		if got := b.balancer.minimumCapacity(cold); got < c.least-1e-9 || got > c.most {
 			t.Errorf("%s: counts %.2f of its capacity at once, want %.2f to %.2f", name, got, c.least, c.most)
 		}
 		b.now += c.after
 		b.step(TimerFired{"sweep"})
-		if got := b.l.minimumCapacity(cold); math.Abs(got-1) > 1e-9 {
+		if got := b.balancer.minimumCapacity(cold); math.Abs(got-1) > 1e-9 {
 			t.Errorf("%s: still counts %.2f of its capacity after its time", name, got)
 		}
 	}
@@ -49,8 +49,8 @@
 	for i := 0; i < 30; i++ {
 		b.serve("read", 40, allOK)
 	}
-	unit := b.l.estimate.unitTime
-	b.l.servers.ready[0].State = Removed
+	unit := b.balancer.estimate.unitTime
+	b.balancer.servers.ready[0].State = Removed
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{
 		{ID: "s0", State: Removed}, {ID: "cold", Capacity: 1, Started: b.now}}})
 	sent, start := 0, b.now
@@ -81,16 +81,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &testNode{t: t, l: l, now: began}
+			b := &testNode{t: t, balancer: l, now: began}
 			b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(servers)})
 			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s7", Zone: "z", Capacity: 1, Started: began}}})
-			cold := b.l.servers.byID["s7"]
+			cold := b.balancer.servers.byID["s7"]
 			for ; b.now < began+set.SlowStart.Duration; b.now += 100 { // every node would send it one every 100 ms
 				l.now = b.now
 				r := &request{class: l.classes["read"], work: 1, deadline: b.now + 2000}
-				if slices.Contains(b.l.candidates(r), cold) {
+				if slices.Contains(b.balancer.candidates(r), cold) {
 					cold.slowStart.budget.left--
-					work[int((b.now-began)/set.SlowStart.OverloadWindow)] += b.l.estimate.unitTime
+					work[int((b.now-began)/set.SlowStart.OverloadWindow)] += b.balancer.estimate.unitTime
 				}
 			}
 		}
@@ -116,24 +116,24 @@
 		b := newTestNode(t, fleet(0.1), entries...)
 		entries[2].Started, entries[3].Started = b.now, b.now
 		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[2:]})
-		met, unseen := b.l.servers.byID["s2"], b.l.servers.byID["s3"]
-		b.l.estimate.unitTime = 20
+		met, unseen := b.balancer.servers.byID["s2"], b.balancer.servers.byID["s3"]
+		b.balancer.estimate.unitTime = 20
 		for i := range 100 { // half of them wait for what else is there
-			took := b.l.estimate.unitTime / speed * []float64{0.7, 1.3}[i%2]
+			took := b.balancer.estimate.unitTime / speed * []float64{0.7, 1.3}[i%2]
 			a := attempt{server: met, sentAt: b.now, serviceRounds: 1}
-			b.l.recordAttemptOutcome(met, &request{class: b.l.classes["read"], work: 1}, &a, OK, took)
+			b.balancer.recordAttemptOutcome(met, &request{class: b.balancer.classes["read"], work: 1}, &a, OK, took)
 		}
-		if got := b.l.estimatedCapacity(unseen); math.Abs(got-speed) > 0.15 {
+		if got := b.balancer.estimatedCapacity(unseen); math.Abs(got-speed) > 0.15 {
 			t.Errorf("a warming server never met is taken to have %.2f of its capacity, another showed %v", got, speed)
 		}
-		if now := b.l.currentUnitTime(unseen); now < b.l.estimate.unitTime/(speed+0.15) {
-			t.Errorf("a warming server never met is taken to need %.1f ms, a warm one needs %.1f", now, b.l.estimate.unitTime)
+		if now := b.balancer.currentUnitTime(unseen); now < b.balancer.estimate.unitTime/(speed+0.15) {
+			t.Errorf("a warming server never met is taken to need %.1f ms, a warm one needs %.1f", now, b.balancer.estimate.unitTime)
 		}
-		b.now += b.l.settings.SlowStart.Duration
+		b.now += b.balancer.settings.SlowStart.Duration
 		met.timing.outcomeAt = b.now // not by fading
 		b.step(TimerFired{"sweep"})
-		if felt := b.l.currentUnitTime(met); felt > 1.6*b.l.estimate.unitTime || felt < b.l.estimate.unitTime/1.6 {
-			t.Errorf("warm by now it is taken to need %.1f ms, the fleet %.1f", felt, b.l.estimate.unitTime)
+		if felt := b.balancer.currentUnitTime(met); felt > 1.6*b.balancer.estimate.unitTime || felt < b.balancer.estimate.unitTime/1.6 {
+			t.Errorf("warm by now it is taken to need %.1f ms, the fleet %.1f", felt, b.balancer.estimate.unitTime)
 		}
 	}
 }
--- a/balancer/statetransfer_fixture_test.go
+++ b/balancer/statetransfer_fixture_test.go
@@ -25,7 +25,7 @@
 // field left over, and has to come out again as it went in.
 func TestStateOfPreviousVersionIsRestored(t *testing.T) {
 	if *record {
-		raw, err := json.MarshalIndent(fixturePlayer(t).l.Snapshot(), "", " ")
+		raw, err := json.MarshalIndent(fixturePlayer(t).balancer.Snapshot(), "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a node is told at its start: the ROUTER_ variables and the configuration file
+// Package config reads a node's configuration: the ROUTER_ variables and the configuration file that
 // they name. Anything missing or impossible is an error that names the key.
 package config
 
@@ -27,20 +27,21 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is everything a node is told.
+// Config is everything that a node is configured with.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Operator  string // where staff are answered; empty: nowhere
-	Seed      uint64
-	Limits    Limits
-	Known     discovery.List
-	Settings  settings.Settings
-	Peers     []netip.AddrPort   // of all nodes, by number; none where they do not talk
-	Watch     *balancer.Settings // to be watched beside those in force; nil for none
+	Name        string
+	Listen      string
+	Discovery   string
+	Operator    string // address of the administrators' listener; empty: none
+	Seed        uint64
+	Limits      Limits
+	Known       discovery.List
+	Settings    settings.Settings
+	GossipNodes []netip.AddrPort   // of all nodes, by number; none where they send no messages
+	Shadow      *balancer.Settings // evaluated beside those in force; nil: none
 }
 
+// file is the configuration file. Its JSON names are the operators'.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -56,9 +57,9 @@
 	Watch string `json:"watch"`
 }
 
-// leastSockets are the fewest descriptors with which a node can serve: those it needs for itself, and some on
-// either side.
-const leastSockets = 64
+// minSockets are the fewest descriptors with which a node can serve: those that it needs for itself,
+// and some on either side.
+const minSockets = 64
 
 // Load reads the environment and the file. The error is the first fault, in one line that names the key.
 func Load(getenv func(string) string) (Config, error) {
@@ -69,18 +70,18 @@
 	return c, nil
 }
 
-// Check reads the environment and the file, and tells every fault with its line.
+// Check reads the environment and the file, and returns every fault with its line.
 func Check(getenv func(string) string) (Config, []operator.Diagnostic) {
 	path := getenv("ROUTER_CONFIG")
-	f, raw, fault := read(path)
+	f, raw, fault := readFile(path)
 	if fault != nil {
 		return Config{}, []operator.Diagnostic{*fault}
 	}
-	f.override(getenv)
-	return f.check(path, configpos.JSON(raw))
+	f.applyEnvironment(getenv)
+	return f.validate(path, configpos.JSON(raw))
 }
 
-// oneLine is a fault as a start tells it: the key, or what comes before it, first.
+// oneLine is a fault as a start prints it, the key first.
 func oneLine(f operator.Diagnostic) string {
 	if f.Key == "" {
 		return f.Message
@@ -88,7 +89,7 @@
 	return f.Key + ": " + f.Message
 }
 
-func read(path string) (f file, raw []byte, fault *operator.Diagnostic) {
+func readFile(path string) (f file, raw []byte, fault *operator.Diagnostic) {
 	if path == "" {
 		return f, nil, &operator.Diagnostic{Message: "ROUTER_CONFIG is not set"}
 	}
@@ -97,13 +98,13 @@
 		return f, nil, &operator.Diagnostic{Key: "ROUTER_CONFIG", Message: err.Error()}
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return f, nil, unreadable(path, raw, err)
+		return f, nil, syntaxFault(path, raw, err)
 	}
 	return f, raw, nil
 }
 
-// unreadable is the fault of a text that is no configuration.
-func unreadable(path string, raw []byte, err error) *operator.Diagnostic {
+// syntaxFault is the fault of a text that is no configuration.
+func syntaxFault(path string, raw []byte, err error) *operator.Diagnostic {
 	f := &operator.Diagnostic{File: path, Key: "ROUTER_CONFIG", Message: path + ": " + err.Error()}
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -116,8 +117,8 @@
 	return f
 }
 
-// override lets the variables win over the file: they are what the machine's own manager set last.
-func (f *file) override(getenv func(string) string) {
+// applyEnvironment lets the variables win over the file: they are what the machine's own manager set last.
+func (f *file) applyEnvironment(getenv func(string) string) {
 	for key, field := range map[string]*string{
 		"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery,
 		"ROUTER_OPERATOR": &f.Operator,
@@ -128,8 +129,8 @@
 	}
 }
 
-// check reads every part, and tells all that is wrong.
-func (f *file) check(path string, lines configpos.Lines) (Config, []operator.Diagnostic) {
+// validate reads every part, and returns every fault.
+func (f *file) validate(path string, lines configpos.Lines) (Config, []operator.Diagnostic) {
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Limits: f.Limits}
 	var faults []operator.Diagnostic
 	fault := func(at, key, format string, args ...any) {
@@ -138,18 +139,18 @@
 	if c.Name == "" {
 		fault("name", "", "ROUTER_NAME is not set, nor name in the configuration")
 	}
-	if err := address("ROUTER_LISTEN", "listen", c.Listen); err != nil {
+	if err := checkAddress("ROUTER_LISTEN", "listen", c.Listen); err != nil {
 		fault("listen", "", "%v", err)
 	}
-	if err := address("ROUTER_DISCOVERY", "discovery", c.Discovery); err != nil {
+	if err := checkAddress("ROUTER_DISCOVERY", "discovery", c.Discovery); err != nil {
 		fault("discovery", "", "%v", err)
 	}
 	if c.Operator != "" {
-		if err := address("ROUTER_OPERATOR", "operator", c.Operator); err != nil {
+		if err := checkAddress("ROUTER_OPERATOR", "operator", c.Operator); err != nil {
 			fault("operator", "", "%v", err)
 		}
 	}
-	for _, l := range f.Limits.faults() {
+	for _, l := range f.Limits.validate() {
 		fault(l.Key, l.Key, "%s", l.Message)
 	}
 	var err error
@@ -163,10 +164,10 @@
 			fault("settings."+e.Key, "settings", "%v", e)
 		}
 	}
-	c.Peers = f.peers(c.Settings.Balancer, fault)
+	c.GossipNodes = f.gossipNodes(c.Settings.Balancer, fault)
 	if f.Watch != "" {
 		var wrong []operator.Diagnostic
-		c.Watch, wrong = watched(path, f.Watch)
+		c.Shadow, wrong = loadShadowSettings(path, f.Watch)
 		faults = append(faults, wrong...)
 	}
 	if len(f.Known) > 0 {
@@ -177,8 +178,8 @@
 	return c, faults
 }
 
-// peers are the nodes' addresses, needed where the settings let nodes talk.
-func (f *file) peers(set balancer.Settings, fault func(at, key, format string, args ...any)) []netip.AddrPort {
+// gossipNodes are the nodes' addresses, needed where the settings allow gossip.
+func (f *file) gossipNodes(set balancer.Settings, fault func(at, key, format string, args ...any)) []netip.AddrPort {
 	if !set.GossipAllowed && len(f.Peers.Nodes) == 0 {
 		return nil
 	}
@@ -208,8 +209,8 @@
 	return out
 }
 
-// watched reads the settings to be watched; the path is taken from where the configuration stands.
-func watched(config, path string) (*balancer.Settings, []operator.Diagnostic) {
+// loadShadowSettings reads the shadow settings; the path is relative to the configuration file.
+func loadShadowSettings(config, path string) (*balancer.Settings, []operator.Diagnostic) {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(config), path)
 	}
@@ -232,8 +233,8 @@
 	return &set.Balancer, nil
 }
 
-// faults are the limits with which no node can run.
-func (l Limits) faults() []operator.Diagnostic {
+// validate returns the limits with which no node can run.
+func (l Limits) validate() []operator.Diagnostic {
 	var out []operator.Diagnostic
 	if !(l.Cores > 0) {
 		out = append(out, operator.Diagnostic{Key: "limits.cores", Message: fmt.Sprintf("%v is not a share of cores", l.Cores)})
@@ -241,14 +242,14 @@
 	if !(l.MemoryMB > 0) {
 		out = append(out, operator.Diagnostic{Key: "limits.memory_mb", Message: fmt.Sprintf("%v is no memory", l.MemoryMB)})
 	}
-	if l.Sockets < leastSockets {
+	if l.Sockets < minSockets {
 		out = append(out, operator.Diagnostic{Key: "limits.sockets",
-			Message: fmt.Sprintf("%d is too few, %d are needed", l.Sockets, leastSockets)})
+			Message: fmt.Sprintf("%d is too few, %d are needed", l.Sockets, minSockets)})
 	}
 	return out
 }
 
-func address(variable, key, value string) error {
+func checkAddress(variable, key, value string) error {
 	if value == "" {
 		return fmt.Errorf("%s is not set, nor %s in the configuration", variable, key)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -87,11 +87,11 @@
 	with := func(part string) string { return strings.Replace(file, `{"name"`, "{"+part+`,"name"`, 1) }
 	two := `"peers":{"nodes":["127.0.0.1:9001","127.0.0.1:9002"]}`
 	c, err := load(t, with(two), nil)
-	if err != nil || len(c.Peers) != 2 || c.Peers[1].Port() != 9002 {
-		t.Errorf("peers %v, %v", c.Peers, err)
+	if err != nil || len(c.GossipNodes) != 2 || c.GossipNodes[1].Port() != 9002 {
+		t.Errorf("peers %v, %v", c.GossipNodes, err)
 	}
-	if c, err = load(t, strings.Replace(good, `{"name"`, "{"+two+`,"name"`, 1), nil); err != nil || c.Peers != nil {
-		t.Errorf("addresses named ahead: %v, %v", c.Peers, err)
+	if c, err = load(t, strings.Replace(good, `{"name"`, "{"+two+`,"name"`, 1), nil); err != nil || c.GossipNodes != nil {
+		t.Errorf("addresses named ahead: %v, %v", c.GossipNodes, err)
 	}
 	settings := good[strings.Index(good, `"settings":`)+len(`"settings":`) : len(good)-1]
 	for key, f := range map[string]string{
@@ -108,8 +108,8 @@
 		}
 	}
 	c, err = load(t, strings.Replace(good, `{"name"`, `{"watch":"`+write(t, settings)+`","name"`, 1), nil)
-	if err != nil || c.Watch == nil || c.Watch.Nodes != 2 {
-		t.Errorf("watch %+v, %v", c.Watch, err)
+	if err != nil || c.Shadow == nil || c.Shadow.Nodes != 2 {
+		t.Errorf("watch %+v, %v", c.Shadow, err)
 	}
 }
 
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -12,16 +12,16 @@
 // what was so at the start; all else is read and checked as then.
 func Reload(getenv func(string) string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
-	f, raw, fault := read(path)
+	f, raw, fault := readFile(path)
 	if fault != nil {
 		return Config{}, errors.New(oneLine(*fault))
 	}
 	told := f.Discovery
-	f.override(getenv)
+	f.applyEnvironment(getenv)
 	if told != "" {
 		f.Discovery = told
 	}
-	c, faults := f.check(path, configpos.JSON(raw))
+	c, faults := f.validate(path, configpos.JSON(raw))
 	if len(faults) > 0 {
 		return Config{}, errors.New(oneLine(faults[0]))
 	}
@@ -41,7 +41,7 @@
 		{"listen", c.Listen == next.Listen},
 		{"operator", c.Operator == next.Operator},
 		{"limits", c.Limits == next.Limits},
-		{"peers", slices.Equal(c.Peers, next.Peers)},
+		{"peers", slices.Equal(c.GossipNodes, next.GossipNodes)},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
 	} {
 		if !k.same {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -106,7 +106,7 @@
 	}
 	n.buildEndpoints(c, log)
 	n.buildTransports(c, budget, log)
-	n.shadow = shadow.New(module, c.Watch, log, &count.Shadow)
+	n.shadow = shadow.New(module, c.Shadow, log, &count.Shadow)
 	if err := n.buildGossip(c, log); err != nil {
 		return nil, err
 	}
@@ -167,13 +167,13 @@
 }
 
 func (n *node) buildGossip(c config.Config, log *slog.Logger) error {
-	if len(c.Peers) == 0 {
+	if len(c.GossipNodes) == 0 {
 		return nil
 	}
 	var err error
 	n.gossip, err = gossip.Listen(gossip.Options{
 		Node:     n.nodeNumber,
-		Nodes:    c.Peers,
+		Nodes:    c.GossipNodes,
 		Receiver: engineForwarder{n},
 		Log:      log,
 		Counters: &n.counters.Gossip,
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -49,8 +49,8 @@
 	say := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
 	describeNode(say, c)
 	describeSettings(say, c.Settings.Balancer)
-	say("peers     %s", onOrOff(len(c.Peers) > 0, fmt.Sprintf("%d nodes", len(c.Peers))))
-	say("watch     %s", onOrOff(c.Watch != nil, "other settings are watched"))
+	say("peers     %s", onOrOff(len(c.GossipNodes) > 0, fmt.Sprintf("%d nodes", len(c.GossipNodes))))
+	say("watch     %s", onOrOff(c.Shadow != nil, "other settings are watched"))
 	describeSubsystems(say, file)
 }
 
