--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Discovery's list has start times in Unix milliseconds, which are compared with this clock.
 func TestUnixMilliseconds(t *testing.T) {
 	c := New()
 	now := time.Now()
--- a/internal/clock/wall_test.go
+++ b/internal/clock/wall_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// wallUses are the places in the node that read the wall clock, by file: how many, and what a step of it by an hour does there.
+// wallUses are the places in the node that read the wall clock, by file: how many, and what a step of it by an hour affects there.
 // docs/operating/stops.md has the same list in words.
 var wallUses = map[string]int{
 	"internal/clock/clock.go":         1, // the start of the node's clock: read once, carried on by the monotonic clock
@@ -17,7 +17,8 @@
 	"internal/cluster/quota.go":       2, // what the local socket shows
 }
 
-// TestNoFurtherUseOfTheWallClock: deadlines, windows and waits are spans of real time, and a step of the wall clock must move none.
+// A wall clock may be stepped by an hour at any time. Deadlines, windows and waits are spans of real time and must not move with it,
+// so every reading of the wall clock has to be listed with what a step does there.
 func TestNoFurtherUseOfTheWallClock(t *testing.T) {
 	use := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|\.Round\(0\)|unix\.(CLOCK_REALTIME|Gettimeofday)`)
 	found := map[string]int{}
--- /dev/null
+++ b/internal/counters/json_test.go
@@ -0,0 +1,22 @@
+package counters
+
+import (
+	"bytes"
+	"os"
+	"testing"
+)
+
+// Operators' tools read both objects. The files hold what a released version wrote.
+func TestJSONIsThatOfReleasedVersions(t *testing.T) {
+	c := Counters{Operations: Operations{"look": &Operation{}}}
+	c.Outcomes.Inc("served")
+	for file, got := range map[string][]byte{"counters.json": c.JSON(), "summary.json": c.AdminSummary()} {
+		want, err := os.ReadFile("testdata/" + file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(got, want) {
+			t.Errorf("%s: wrote %s, want %s", file, got, want)
+		}
+	}
+}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs holds the log's queue: lines are written by a goroutine of their own, so that a slow standard
-// error stalls nobody. Lines that find the queue full are dropped and counted.
+// Package logs queues lines of the log and writes them on a goroutine of their own, so that a slow standard error delays nobody.
+// Lines that find the queue full are dropped and counted.
 package logs
 
 import (
@@ -9,13 +9,18 @@
 )
 
 const (
-	queueLen = 4096 // lines; some seconds of a busy node, and about a megabyte at most
+	// queueLen is the number of lines that may wait: some seconds of a busy node, about a megabyte at most.
+	queueLen = 4096
 
-	batchBytes = 32 << 10 // lines that wait together are written together: a call for each costs a busy node CPU
+	// batchBytes is about the most that is written by one call. Lines that wait together are written together, since a call for
+	// each would take a busy node too much CPU.
+	batchBytes = 32 << 10
 
-	closeWait = 200 * time.Millisecond // at exit a stuck standard error must not hold the process
+	// closeTimeout bounds Close: a standard error that is stuck must not hold up the exit.
+	closeTimeout = 200 * time.Millisecond
 
-	lineWait = 100 * time.Millisecond // a line of the end waits so long for its place in the queue
+	// enqueueTimeout is how long a WaitingSink waits for a place in the queue.
+	enqueueTimeout = 100 * time.Millisecond
 )
 
 // Counter counts dropped lines.
@@ -23,12 +28,12 @@
 
 // Sink is an io.Writer that never waits.
 type Sink struct {
-	lines   chan []byte
+	lines   chan []byte // nil: the end
 	done    chan struct{}
 	dropped Counter
 }
 
-// NewSink starts writing to out.
+// NewSink returns a sink that writes to out until Close.
 func NewSink(out io.Writer, dropped Counter) *Sink {
 	s := &Sink{lines: make(chan []byte, queueLen), done: make(chan struct{}), dropped: dropped}
 	go s.run(out)
@@ -37,15 +42,15 @@
 
 func (s *Sink) run(out io.Writer) {
 	defer close(s.done)
-	batch, ended := []byte(nil), false
-	for !ended {
+	var batch []byte
+	for ended := false; !ended; {
 		batch, ended = s.gather(batch[:0])
 		_, _ = out.Write(batch) // there is nowhere to report that the log cannot be written
 	}
 }
 
-// gather waits for a line and takes those that wait behind it; it tells whether the end was among them.
-func (s *Sink) gather(batch []byte) ([]byte, bool) {
+// gather waits for a line, and adds those that wait behind it. It reports whether the end was among them.
+func (s *Sink) gather(batch []byte) (lines []byte, ended bool) {
 	line := <-s.lines
 	for line != nil {
 		batch = append(batch, line...)
@@ -61,58 +66,57 @@
 	return batch, true
 }
 
-// Write queues one line.
+// clone copies a line, whose buffer the logger uses again. It is never nil.
+func clone(p []byte) []byte { return append(make([]byte, 0, len(p)), p...) }
+
+// Write queues one line, or drops it. It reports no error in either case.
 func (s *Sink) Write(p []byte) (int, error) {
-	line := append(make([]byte, 0, len(p)), p...)
 	select {
-	case s.lines <- line:
+	case s.lines <- clone(p):
 	default:
 		s.dropped.Inc()
 	}
 	return len(p), nil
 }
 
-// Waiting is the sink for the few lines that must not be lost: a full queue is waited for, for a bounded time.
-func (s *Sink) Waiting() *WaitingSink { return &WaitingSink{s} }
-
-// WaitingSink is an io.Writer into a sink that waits for a place in the queue.
-type WaitingSink struct{ sink *Sink }
-
-// Write queues one line, and drops it only where no place came free in time.
-func (w *WaitingSink) Write(p []byte) (int, error) {
-	line := append(make([]byte, 0, len(p)), p...)
-	limit := time.NewTimer(lineWait)
-	defer limit.Stop()
-	select {
-	case w.sink.lines <- line:
-	case <-limit.C:
-		w.sink.dropped.Inc()
-	}
-	return len(p), nil
-}
-
-// Logger writes one JSON object a line to the sink.
-func (w *WaitingSink) Logger(node string) *slog.Logger { return logger(w, node) }
+// Logger returns a logger that writes one JSON object a line to the sink.
+func (s *Sink) Logger(node string) *slog.Logger { return newLogger(s, node) }
 
 // Close writes what is queued, for a bounded time. Later lines are lost.
 func (s *Sink) Close() {
-	limit := time.After(closeWait)
+	timeout := time.After(closeTimeout)
 	select {
 	case s.lines <- nil:
-	case <-limit:
+	case <-timeout:
 		return
 	}
 	select {
 	case <-s.done:
-	case <-limit:
+	case <-timeout:
 	}
 }
 
-// Logger writes one JSON object a line to the sink.
-func (s *Sink) Logger(node string) *slog.Logger {
-	return logger(s, node)
+// Waiting returns a writer into the same sink for the few lines that must not be lost.
+func (s *Sink) Waiting() *WaitingSink { return &WaitingSink{s} }
+
+// WaitingSink is an io.Writer that waits for a place in a sink's queue, for a bounded time.
+type WaitingSink struct{ sink *Sink }
+
+// Write queues one line, and drops it only if no place became free in time. It reports no error in either case.
+func (w *WaitingSink) Write(p []byte) (int, error) {
+	timeout := time.NewTimer(enqueueTimeout)
+	defer timeout.Stop()
+	select {
+	case w.sink.lines <- clone(p):
+	case <-timeout.C:
+		w.sink.dropped.Inc()
+	}
+	return len(p), nil
 }
 
-func logger(out io.Writer, node string) *slog.Logger {
+// Logger returns a logger that writes one JSON object a line to the sink.
+func (w *WaitingSink) Logger(node string) *slog.Logger { return newLogger(w, node) }
+
+func newLogger(out io.Writer, node string) *slog.Logger {
 	return slog.New(slog.NewJSONHandler(out, nil)).With("node", node)
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,6 +9,7 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
+// Lines are written as JSON with the node's name, in their order, and all of them before Close returns.
 func TestLinesInOrder(t *testing.T) {
 	var out bytes.Buffer
 	var dropped counters.Count
@@ -24,16 +25,18 @@
 	}
 }
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct{ gate chan struct{} }
+// stuckWriter is an output that blocks until its gate is closed.
+type stuckWriter struct{ gate chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s stuckWriter) Write(p []byte) (int, error) {
 	<-s.gate
 	return len(p), nil
 }
 
+// A standard error that nobody reads blocks writes for ever. Logging must go on without waiting, drop what the queue does not hold,
+// count that, and not hold up the exit.
 func TestStuckOutputDropsAndCounts(t *testing.T) {
-	out := stuck{make(chan struct{})}
+	out := stuckWriter{make(chan struct{})}
 	var dropped counters.Count
 	s := NewSink(out, &dropped)
 	for range queueLen + batchBytes {
@@ -46,7 +49,7 @@
 	}
 	began := time.Now()
 	s.Close()
-	if took := time.Since(began); took > 20*closeWait {
+	if took := time.Since(began); took > 20*closeTimeout {
 		t.Errorf("closing a stuck log took %v", took)
 	}
 	close(out.gate)
