--- a/internal/cluster/wire_test.go
+++ b/internal/cluster/wire_test.go
@@ -109,7 +109,7 @@
 	l := wireLink(t)
 	hello := l.core.WithSender(membership.Message{Kind: membership.LivenessStream})
 	var b bytes.Buffer
-	want := recorded(t, "lifeline.stream")
+	want := recorded(t, "liveness.stream")
 	if n, err := writeMessage(&b, hello); err != nil || n != len(want) || !bytes.Equal(b.Bytes(), want) {
 		t.Errorf("wrote %x, want %x; %v", b.Bytes(), want, err)
 	}
@@ -130,16 +130,16 @@
 	}
 	defer func() { _ = conn.Close() }()
 	l.udp = conn // it sends to itself
-	word := l.core.WithSender(membership.Message{Kind: membership.Broadcast, Node: 4, Body: []byte("body")})
-	l.writeDatagram(membership.OutgoingMessage{Address: conn.LocalAddr().String(), Message: word})
+	broadcast := l.core.WithSender(membership.Message{Kind: membership.Broadcast, Node: 4, Body: []byte("body")})
+	l.writeDatagram(membership.OutgoingMessage{Address: conn.LocalAddr().String(), Message: broadcast})
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	buffer := make([]byte, maxDatagram)
 	n, err := conn.Read(buffer)
-	if want := recorded(t, "word.datagram"); err != nil || !bytes.Equal(buffer[:n], want) {
+	if want := recorded(t, "broadcast.datagram"); err != nil || !bytes.Equal(buffer[:n], want) {
 		t.Fatalf("sent %x, want %x; %v", buffer[:n], want, err)
 	}
-	if got := l.parse(buffer[:n], netip.MustParseAddr("127.0.0.1")); got == nil || !reflect.DeepEqual(*got, word) {
-		t.Errorf("read %+v, want %+v", got, word)
+	if got := l.parse(buffer[:n], netip.MustParseAddr("127.0.0.1")); got == nil || !reflect.DeepEqual(*got, broadcast) {
+		t.Errorf("read %+v, want %+v", got, broadcast)
 	}
 }
 
--- a/internal/membership/decisions_test.go
+++ b/internal/membership/decisions_test.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"io"
+	"hash"
 	"math/rand/v2"
 	"os"
 	"strings"
@@ -12,121 +12,172 @@
 	"time"
 )
 
+const (
+	simMembers = 7
+	simSteps   = 1600
+	simStep    = 50 * time.Millisecond
+
+	// simFaultEvery is how many steps pass between faults, and simPause how many steps a paused member stands still.
+	simFaultEvery = 80
+	simPause      = 40
+)
+
+// simulation runs members through loss, one-way cuts, kills, pauses, restarts and departures, and digests every message, event and
+// view in the order in which they come.
+type simulation struct {
+	t          *testing.T
+	seed       uint64
+	rng        *rand.Rand
+	now        time.Duration
+	generation uint64
+	cores      [simMembers]*Core
+	down       [simMembers]bool
+	pausedFor  [simMembers]int // steps
+	cut        [simMembers][simMembers]bool
+	network    []delivery
+	digest     hash.Hash
+}
+
 // delivery is a message on its way.
 type delivery struct {
-	at time.Duration
-	to int
-	m  Message
+	at      time.Duration
+	to      int
+	message Message
 }
 
-// runCluster runs seven members through loss, one-way cuts, kills, standstills and restarts, and sums up every message, note and
-// view in the order in which they came.
-func runCluster(t *testing.T, seed uint64) string {
-	const members, steps, step = 7, 1600, 50 * time.Millisecond
-	rng := rand.New(rand.NewPCG(seed, 77))
-	digest := sha256.New()
-	address := func(i int) string { return fmt.Sprintf("10.0.1.%d:7946", i) }
-	most := members + 1
-	if seed%3 == 2 {
-		most = members - 2 // some find no room
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	s := &simulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 77)), digest: sha256.New()}
+	for i := range s.cores {
+		s.start(i)
 	}
-	start := uint64(0)
-	begin := func(i int, now time.Duration) *Core {
-		start++
-		if seed%4 == 3 && start%5 == 0 {
-			start -= 3 // the clock was set back
-		}
-		return New(Options{Name: fmt.Sprintf("n%d", i), Address: address(i), ClusterHash: 1, Generation: start, RandSeed: seed + uint64(i), ProbeInterval: 250 * time.Millisecond,
-			ProbeTimeout: 150 * time.Millisecond, SuspicionTimeout: 1500 * time.Millisecond, MaxMembers: most, SeedAddresses: []string{address(0), address(1)}}, now)
+	return s
+}
+
+func simAddress(i int) string { return fmt.Sprintf("10.0.1.%d:7946", i) }
+
+// start begins a new process of a member. In some runs the table is too small for all, in some the clock is set back now and then.
+func (s *simulation) start(i int) {
+	s.generation++
+	if s.seed%4 == 3 && s.generation%5 == 0 {
+		s.generation -= 3
 	}
-	cores, down, still := make([]*Core, members), make([]bool, members), make([]int, members)
-	for i := range cores {
-		cores[i] = begin(i, 0)
+	maxMembers := simMembers + 1
+	if s.seed%3 == 2 {
+		maxMembers = simMembers - 2
 	}
-	var cut [members][members]bool
-	var network []delivery
-	take := func(from int, now time.Duration) {
-		out, notes := cores[from].TakeOutput()
-		for _, n := range notes {
-			fmt.Fprintln(digest, now, from, n.Code, n.Args)
-		}
-		for _, s := range out {
-			raw, err := s.Message.MarshalMsg(nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			fmt.Fprintf(digest, "%d %d %s %s %v %x\n", now, from, s.To, s.Address, s.Stream, raw)
-			var to int
-			if _, err := fmt.Sscanf(s.Address, "10.0.1.%d:7946", &to); err != nil {
-				t.Fatal(err)
-			}
-			if !cut[from][to] && (s.Stream || rng.IntN(10) > 0) {
-				network = append(network, delivery{now + time.Duration(rng.Int64N(int64(80*time.Millisecond))), to, s.Message})
-			}
+	s.cores[i] = New(Options{
+		Name:             fmt.Sprintf("n%d", i),
+		Address:          simAddress(i),
+		ClusterHash:      1,
+		Generation:       s.generation,
+		RandSeed:         s.seed + uint64(i),
+		ProbeInterval:    250 * time.Millisecond,
+		ProbeTimeout:     150 * time.Millisecond,
+		SuspicionTimeout: 1500 * time.Millisecond,
+		MaxMembers:       maxMembers,
+		SeedAddresses:    []string{simAddress(0), simAddress(1)},
+	}, s.now)
+	s.down[i] = false
+}
+
+// run returns the checksum of all that the members did.
+func (s *simulation) run() string {
+	for n := range simSteps {
+		s.now = time.Duration(n) * simStep
+		s.deliver()
+		s.tick()
+		if n%simFaultEvery == simFaultEvery-1 {
+			s.fault()
+			s.fault()
 		}
 	}
-	for n := range steps {
-		now := time.Duration(n) * step
-		due := network
-		network = nil
-		for _, d := range due {
-			if d.at > now {
-				network = append(network, d)
-			} else if !down[d.to] && still[d.to] == 0 {
-				cores[d.to].Receive(now, &d.m)
-				take(d.to, now)
-			}
+	return hex.EncodeToString(s.digest.Sum(nil))
+}
+
+func (s *simulation) deliver() {
+	due := s.network
+	s.network = nil
+	for _, d := range due {
+		switch {
+		case d.at > s.now:
+			s.network = append(s.network, d)
+		case !s.down[d.to] && s.pausedFor[d.to] == 0:
+			s.cores[d.to].Receive(s.now, &d.message)
+			s.takeOutput(d.to)
 		}
-		for i, c := range cores {
-			if still[i] > 0 {
-				still[i]--
-			} else if !down[i] {
-				c.Tick(now)
-				take(i, now)
-				writeView(digest, c)
-			}
+	}
+}
+
+func (s *simulation) tick() {
+	for i, c := range s.cores {
+		if s.pausedFor[i] > 0 {
+			s.pausedFor[i]--
+			continue
 		}
-		if n%80 == 79 {
-			disturb(rng, members, func(kind, a, b int) {
-				switch kind {
-				case 0:
-					down[a] = true
-				case 1:
-					if down[a] {
-						cores[a], down[a] = begin(a, now), false
-					}
-				case 2:
-					cut[a][b] = !cut[a][b]
-				case 3:
-					still[a] = 40
-				case 4:
-					cut = [members][members]bool{}
-				case 5:
-					cores[a].Leave(now)
-					take(a, now)
-					down[a] = true
-				}
-			})
+		if s.down[i] {
+			continue
 		}
+		c.Tick(s.now)
+		s.takeOutput(i)
+		s.digestView(c)
 	}
-	return hex.EncodeToString(digest.Sum(nil))
 }
 
-func disturb(rng *rand.Rand, members int, do func(kind, a, b int)) {
-	for range 2 {
-		do(rng.IntN(6), rng.IntN(members), rng.IntN(members))
+// takeOutput digests what a member has put out, and sends its messages with loss and delay; streams lose nothing.
+func (s *simulation) takeOutput(from int) {
+	outgoing, events := s.cores[from].TakeOutput()
+	for _, e := range events {
+		_, _ = fmt.Fprintln(s.digest, s.now, from, e.Code, e.Args)
+	}
+	for _, out := range outgoing {
+		raw, err := out.Message.MarshalMsg(nil)
+		if err != nil {
+			s.t.Fatal(err)
+		}
+		_, _ = fmt.Fprintf(s.digest, "%d %d %s %s %v %x\n", s.now, from, out.To, out.Address, out.Stream, raw)
+		var to int
+		if _, err := fmt.Sscanf(out.Address, "10.0.1.%d:7946", &to); err != nil {
+			s.t.Fatal(err)
+		}
+		if !s.cut[from][to] && (out.Stream || s.rng.IntN(10) > 0) {
+			delay := time.Duration(s.rng.Int64N(int64(80 * time.Millisecond)))
+			s.network = append(s.network, delivery{s.now + delay, to, out.Message})
+		}
 	}
 }
 
-func writeView(digest io.Writer, c *Core) {
+func (s *simulation) digestView(c *Core) {
 	v := c.View()
-	fmt.Fprintln(digest, v.Number, v.Hash, v.Members, c.Connectivity(), c.State())
+	_, _ = fmt.Fprintln(s.digest, v.Number, v.Hash, v.Members, c.Connectivity(), c.State())
 	for _, m := range c.Status().Members {
-		fmt.Fprintln(digest, m)
+		_, _ = fmt.Fprintln(s.digest, m)
+	}
+}
+
+// fault does one thing to a member or to its link to another.
+func (s *simulation) fault() {
+	kind, member, other := s.rng.IntN(6), s.rng.IntN(simMembers), s.rng.IntN(simMembers)
+	switch kind {
+	case 0:
+		s.down[member] = true
+	case 1:
+		if s.down[member] {
+			s.start(member)
+		}
+	case 2:
+		s.cut[member][other] = !s.cut[member][other]
+	case 3:
+		s.pausedFor[member] = simPause
+	case 4:
+		s.cut = [simMembers][simMembers]bool{}
+	case 5:
+		s.cores[member].Leave(s.now)
+		s.takeOutput(member)
+		s.down[member] = true
 	}
 }
 
-// Checksums of all that members did in seeded runs, recorded with a released version: a change of names or of shape must not
+// The file holds checksums of all that members did in seeded runs with a released version: a change of names or of shape must not
 // change one message, its order or its time.
 func TestDecisionsAreThoseRecorded(t *testing.T) {
 	raw, err := os.ReadFile("testdata/decisions.sha256")
@@ -138,7 +189,7 @@
 		t.Fatalf("%d checksums", len(want))
 	}
 	for seed, sum := range want {
-		if got := runCluster(t, uint64(seed)); got != sum {
+		if got := newSimulation(t, uint64(seed)).run(); got != sum {
 			t.Errorf("seed %d: %s, recorded %s", seed, got, sum)
 		}
 	}
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -5,59 +5,58 @@
 	"time"
 )
 
-// A part that two processes use at once would exceed the whole. In 600 random schedules of kills, pauses, cuts, late and duplicated
-// messages and doubled names, the sum of all allocations is taken after every event.
+// fault does one thing to a member, or to the network between all. It calls check after each process that goes on after a stop.
+// Doubled is the one member that may have a second process on another machine, allowed where there may be one.
+func (w *world) fault(doubled *string, mayDouble bool, check func()) {
+	name := w.names[w.rng.IntN(len(w.names))]
+	p := w.current(name)
+	switch w.rng.IntN(9) {
+	case 0, 1:
+		if p != nil && name != *doubled {
+			w.kill(p, w.rng.IntN(3) == 0)
+		}
+	case 2:
+		if p == nil {
+			w.start(name, name+":1")
+		}
+	case 3:
+		if p != nil {
+			p.stopped = true
+		}
+	case 4, 5:
+		w.wakeAll(check)
+	case 6:
+		clear(w.cut)
+	case 7:
+		for _, a := range w.names {
+			for _, b := range w.names {
+				w.cut[[2]string{a, b}] = w.rng.IntN(3) == 0
+			}
+		}
+	case 8:
+		if p != nil && *doubled == "" && mayDouble {
+			*doubled = name
+			w.start(name, name+":2")
+		}
+	}
+}
+
+// A unit that two processes use at once would make the sum exceed the whole. In 600 random schedules of kills, pauses, cuts, late
+// and duplicated messages and doubled names, the sum of all allocations is taken after every event.
 func TestTogetherNeverMoreThanTheWhole(t *testing.T) {
+	const rounding = 1e-9
 	for seed := range uint64(600) {
-		n := []int{2, 3, 5, 12}[seed%4]
-		w := newWorld(n, seed)
+		members := []int{2, 3, 5, 12}[seed%4]
+		w := newWorld(members, seed)
 		check := func() {
-			if sum := w.sum(); sum > w.most {
-				w.most = sum
-				if sum > 1+1e-9 {
-					t.Fatalf("%d members, seed %d: all together have %.4f at %v", n, seed, sum, w.now)
-				}
+			if sum := w.sum(); sum > 1+rounding {
+				t.Fatalf("%d members, seed %d: all together have %.4f at %v", members, seed, sum, w.now)
 			}
 		}
 		w.run(12*time.Second, check)
 		doubled := ""
 		for range 25 {
-			name := w.names[w.rng.IntN(n)]
-			p := w.current(name)
-			switch w.rng.IntN(9) {
-			case 0, 1:
-				if p != nil && name != doubled {
-					w.kill(p, w.rng.IntN(3) == 0)
-				}
-			case 2:
-				if p == nil {
-					w.start(name, name+":1")
-				}
-			case 3:
-				if p != nil {
-					p.stopped = true
-				}
-			case 4, 5:
-				for _, q := range w.procs {
-					if q.up && q.stopped {
-						w.wake(q)
-						check()
-					}
-				}
-			case 6:
-				clear(w.cut)
-			case 7:
-				for _, a := range w.names {
-					for _, b := range w.names {
-						w.cut[[2]string{a, b}] = w.rng.IntN(3) == 0
-					}
-				}
-			case 8: // a second process of a name, on another machine
-				if p != nil && doubled == "" && seed%3 == 0 {
-					doubled = name
-					w.start(name, name+":2")
-				}
-			}
+			w.fault(&doubled, seed%3 == 0, check)
 			w.run(time.Duration(w.rng.Int64N(int64(6*time.Second))), check)
 		}
 	}
--- a/internal/quota/decisions_test.go
+++ b/internal/quota/decisions_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// runWorld sums up every share in a seeded world with kills, cuts, standstills and restarts.
+// runWorld returns a checksum of every allocation in a seeded run with kills, cuts, pauses and restarts.
 func runWorld(seed uint64) string {
 	members := []int{2, 3, 5, 12}[seed%4]
 	w := newWorld(members, seed)
@@ -40,11 +40,7 @@
 				p.stopped = true
 			}
 		case 3:
-			for _, q := range w.procs {
-				if q.up && q.stopped {
-					w.wake(q)
-				}
-			}
+			w.wakeAll(func() {})
 		case 4:
 			for _, other := range w.names {
 				w.cut[[2]string{name, other}] = w.rng.IntN(2) == 0
@@ -55,10 +51,10 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// Checksums of all shares in seeded runs, recorded with a released version: a change of names or of shape must not change one
-// share or the moment from which it holds.
-func TestSharesAreThoseRecorded(t *testing.T) {
-	raw, err := os.ReadFile("testdata/shares.sha256")
+// The file holds checksums of all allocations in seeded runs with a released version: a change of names or of shape must not change
+// one allocation or the moment from which it holds.
+func TestAllocationsAreThoseRecorded(t *testing.T) {
+	raw, err := os.ReadFile("testdata/allocations.sha256")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -19,7 +19,6 @@
 	cut       map[[2]string]bool // from one member to another
 	queue     events
 	scheduled int // events so far
-	most      float64
 }
 
 type proc struct {
@@ -192,6 +191,16 @@
 	p.held = nil
 }
 
+// wakeAll lets all stopped processes go on, and calls check after each.
+func (w *world) wakeAll(check func()) {
+	for _, p := range w.procs {
+		if p.up && p.stopped {
+			w.wake(p)
+			check()
+		}
+	}
+}
+
 // sum is what all running processes may use at this instant.
 func (w *world) sum() float64 {
 	out := 0.0
