--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -149,13 +149,6 @@
 	}
 }
 
-// HasSuccessor reports whether a successor serves.
-func (p *Predecessor) HasSuccessor() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.successor != nil
-}
-
 func (p *Predecessor) setSuccessor(c *messageConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -37,12 +37,9 @@
 	HeardFrom
 )
 
-// Versions of the wire form. A reader skips keys, kinds and states that it does not know, so a later version may add some.
-// MinWireVersion is raised only by a version that an earlier reader would misunderstand.
-const (
-	WireVersion    = 1
-	MinWireVersion = 1
-)
+// WireVersion is the version of the wire form. A reader skips keys, kinds and states that it does not know, so a later version may
+// add some. A version that an earlier reader would misunderstand says so by MinVersion in its messages.
+const WireVersion = 1
 
 // Message is what one member sends to another. The keys are short, since most messages are pings: one without updates has
 // about 60 bytes.
