--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -35,7 +35,7 @@
 	watching     bool   // a call was answered, and changes come by themselves
 }
 
-// current tells whether no change of the list can be missing.
+// current reports whether no change of the list can be missing.
 func (p *endpointPolling) current() bool { return math.IsInf(p.overdueSince, 1) }
 
 // startPolling schedules the first call for the list. Nodes that start together must not all call
@@ -86,7 +86,7 @@
 		return
 	case UpdateOverdue:
 		b.polling.overdueSince = b.now
-		b.logf("server list: news may be late, preferring servers that just took requests of ours")
+		b.logf("endpoint list: changes may be missing, preferring servers that just answered")
 		return
 	case FullUpdate, DeltaUpdate:
 		b.handleListReceived()
@@ -127,7 +127,7 @@
 	}
 }
 
-// addEndpoint takes in one entry. A server that has started anew, or moved to another zone or cell,
+// addEndpoint takes in one entry. A server that has restarted, or moved to another zone or cell,
 // begins without a record.
 func (b *Balancer) addEndpoint(entry Endpoint, live bool) {
 	s := b.servers.byID[entry.ID]
@@ -147,7 +147,7 @@
 	b.servers.known[slices.Index(b.servers.known, s)] = fresh
 }
 
-// sameProcess tells whether two entries of one server name the same process at the same place.
+// sameProcess reports whether two entries of one server name the same process at the same place.
 func sameProcess(a, b Endpoint) bool {
 	return a.Started == b.Started && a.Zone == b.Zone && a.Cell == b.Cell
 }
@@ -174,7 +174,7 @@
 		return
 	}
 	if b.polling.backoff == initialPollBackoff { // the first of a row
-		b.logf("server list: call failed, keeping %d servers, asking again", len(b.servers.ready))
+		b.logf("endpoint list: call failed, keeping %d servers, retrying", len(b.servers.ready))
 	}
 	least := pollBackoffPerNode * float64(b.settings.Nodes-1)
 	backoff := min(maxPollBackoffBase, max(b.polling.backoff, least))
@@ -183,7 +183,7 @@
 	b.schedulePoll(nextAt)
 }
 
-// mayBeDraining tells whether a server may have been told to drain without this node's knowing: the
+// mayBeDraining reports whether a server may have been told to drain without this node's knowing: the
 // list is overdue by more than half the drain grace, and for as long no attempt there was answered.
 // A server that drains takes nothing new.
 func (b *Balancer) mayBeDraining(s *server) bool {
@@ -197,7 +197,7 @@
 		switch record := b.zones[name]; {
 		case !record.logged && b.zoneFailureShare(record) > 0:
 			record.logged = true
-			b.logf("zone %s: %.0f%% of the sends there bring nothing back and another zone answers, preferring that",
+			b.logf("zone %s: %.0f%% of the attempts there stay unanswered and another zone answers, preferring that",
 				name, 100*b.zoneSilence(record))
 		case record.logged && b.zoneSilence(record) < successGain:
 			record.logged = false
