--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -26,7 +26,7 @@
 type Successor struct {
 	Listener            *net.TCPListener // the one that clients connect to
 	PredecessorIdentity Identity         // empty where the predecessor's version does not say
-	conn                messageConn
+	peer                messageConn
 }
 
 // TakeOver asks the process that serves at a clients' address for its listener. The error is ErrNoPredecessor, ErrPredecessorGone
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Successor{conn: messageConn{conn: conn}}
+	s := &Successor{peer: messageConn{conn: conn}}
 	s.Listener, err = s.receiveListener(listen, own)
 	if err != nil {
 		_ = conn.Close()
@@ -71,7 +71,7 @@
 
 // receiveListener exchanges the first messages. The listener comes along with the first byte of the predecessor's.
 func (s *Successor) receiveListener(listen string, own Identity) (*net.TCPListener, error) {
-	if err := s.conn.write(Message{Version: Version, Listen: listen, Identity: own}); err != nil {
+	if err := s.peer.write(Message{Version: Version, Listen: listen, Identity: own}); err != nil {
 		return nil, err
 	}
 	firstByte, file, fileErr, err := s.receiveDescriptor()
@@ -81,8 +81,8 @@
 	if fileErr == nil {
 		defer func() { _ = file.Close() }() // net.FileListener makes its own copy
 	}
-	s.conn.reader = bufio.NewReader(io.MultiReader(&singleByte{value: firstByte}, s.conn.conn))
-	m, err := s.conn.read(stepTimeout)
+	s.peer.reader = bufio.NewReader(io.MultiReader(&singleByte{value: firstByte}, s.peer.conn))
+	m, err := s.peer.read(stepTimeout)
 	s.PredecessorIdentity = m.Identity
 	switch {
 	case err != nil:
@@ -100,12 +100,12 @@
 // receiveDescriptor reads the first byte with the descriptor that comes along. That there is none is fileErr, since the message may
 // say why.
 func (s *Successor) receiveDescriptor() (first byte, file *os.File, fileErr, err error) {
-	if err := s.conn.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
+	if err := s.peer.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return 0, nil, nil, err
 	}
 	data := make([]byte, 1)
 	control := make([]byte, unix.CmsgSpace(descriptorBytes))
-	n, controlLen, _, _, err := s.conn.conn.ReadMsgUnix(data, control)
+	n, controlLen, _, _, err := s.peer.conn.ReadMsgUnix(data, control)
 	if err != nil {
 		return 0, nil, nil, err
 	}
@@ -147,10 +147,10 @@
 
 // RequestState returns the predecessor's state.
 func (s *Successor) RequestState() (json.RawMessage, error) {
-	if err := s.conn.write(Message{Request: requestState}); err != nil {
+	if err := s.peer.write(Message{Request: requestState}); err != nil {
 		return nil, err
 	}
-	m, err := s.conn.read(stepTimeout)
+	m, err := s.peer.read(stepTimeout)
 	if err != nil {
 		return m.State, err
 	}
@@ -162,10 +162,10 @@
 
 // AnnounceReady tells the predecessor that this process serves, and returns once it has noted that.
 func (s *Successor) AnnounceReady() error {
-	if err := s.conn.write(Message{Ready: true}); err != nil {
+	if err := s.peer.write(Message{Ready: true}); err != nil {
 		return err
 	}
-	m, err := s.conn.read(stepTimeout)
+	m, err := s.peer.read(stepTimeout)
 	if err != nil {
 		return err
 	}
@@ -176,12 +176,12 @@
 }
 
 // Send sends a message to the predecessor.
-func (s *Successor) Send(m Message) error { return s.conn.write(m) }
+func (s *Successor) Send(m Message) error { return s.peer.write(m) }
 
 // ReceiveAll hands the predecessor's messages to a function until the predecessor has gone.
 func (s *Successor) ReceiveAll(handle func(Message)) {
 	for {
-		m, err := s.conn.read(0)
+		m, err := s.peer.read(0)
 		if err != nil {
 			return
 		}
@@ -190,4 +190,4 @@
 }
 
 // Close ends the handover. A predecessor that still runs goes on alone.
-func (s *Successor) Close() { _ = s.conn.conn.Close() }
+func (s *Successor) Close() { _ = s.peer.conn.Close() }
