--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -25,7 +25,12 @@
 	acceptErrorPause = 100 * time.Millisecond
 )
 
-var errOtherVersion = errors.New("the next process speaks another version, or serves another address")
+var (
+	// ErrNoSuccessor means that no other process has taken over.
+	ErrNoSuccessor = errors.New("no process has taken over")
+
+	errOtherVersion = errors.New("the next process speaks another version, or serves another address")
+)
 
 // Node is the process that serves, as its successor finds it.
 type Node interface {
@@ -155,13 +160,13 @@
 	p.successor = c
 }
 
-// Send sends a message to the successor; without one that serves it is ErrNoPredecessor.
+// Send sends a message to the successor; without one that serves the error is ErrNoSuccessor.
 func (p *Predecessor) Send(m Message) error {
 	p.mu.Lock()
 	c := p.successor
 	p.mu.Unlock()
 	if c == nil {
-		return ErrNoPredecessor
+		return ErrNoSuccessor
 	}
 	return c.write(m)
 }
