--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -212,7 +212,7 @@
 		l.serve(l.ctx)
 		return
 	}
-	l.log.Info("waiting for the process before this one to leave the cluster's address", "code", "cluster_waits", "listen", l.options.Listen)
+	l.log.Info("waiting for the predecessor to release the cluster's address", "code", "cluster_waits", "listen", l.options.Listen)
 	l.tasks.Go(func() {
 		if l.waitForAddress(l.ctx) {
 			l.serve(l.ctx)
@@ -247,7 +247,7 @@
 	l.tasks.Go(func() { l.readDatagrams(ctx) })
 	l.tasks.Go(func() { l.acceptStreams(ctx) })
 	l.tasks.Go(func() { l.status.serve(ctx) })
-	l.log.Info("among the members of a cluster", "code", "cluster", "cluster", l.options.Cluster, "member", l.name,
+	l.log.Info("taking part in the cluster", "code", "cluster", "cluster", l.options.Cluster, "member", l.name,
 		"listen", l.options.Listen, "seeds", l.options.Seeds)
 }
 
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -162,7 +162,7 @@
 	args := []any{"code", "cluster_overload", "asked_per_s", sum(rates.Requested), "done_per_s", sum(rates.Accepted), "members", rates.Members}
 	if active {
 		o.activeSince = now
-		o.link.log.Warn("there is more work than the servers can do: the fleet lets the dearest in first", args...)
+		o.link.log.Warn("there is more work than the servers can do: the fleet admits the highest priorities first", args...)
 		return
 	}
 	args = append(args, "after_ms", (now - o.activeSince).Milliseconds())
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -31,7 +31,7 @@
 	streamTimeout = 2 * time.Second
 )
 
-var errTooLong = errors.New("the state is too long")
+var errTooLong = errors.New("the message is too long")
 
 // writeMessage writes a message after its length, and returns the number of bytes.
 func writeMessage(w io.Writer, m membership.Message) (int, error) {
@@ -111,7 +111,7 @@
 	l.counters.TakenBytes.Add(int64(len(raw)))
 	reply := l.parse(raw, to.Addr())
 	if reply == nil || reply.Kind != membership.SyncReply {
-		return fmt.Errorf("%s answers no full state", to)
+		return fmt.Errorf("%s sent no full state", to)
 	}
 	if !l.post(l.ctx, inbound{message: reply}, true) {
 		return l.ctx.Err()
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -79,7 +79,7 @@
 	for number, address := range options.Nodes {
 		t.numbers[address] = number
 	}
-	options.Log.Info("talking to the other nodes", "code", "peers", "listen", own.String(), "nodes", len(options.Nodes))
+	options.Log.Info("exchanging messages with the other nodes", "code", "peers", "listen", own.String(), "nodes", len(options.Nodes))
 	return t, nil
 }
 
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -14,7 +14,7 @@
 // maxLine bounds a message, in bytes: the state of a node with ten thousand servers has some megabytes.
 const maxLine = 16 << 20
 
-var errLineTooLong = errors.New("a message without an end")
+var errLineTooLong = errors.New("the message is too long")
 
 // messageConn is one side of the connection between the processes.
 type messageConn struct {
--- a/internal/handover/descriptor.go
+++ b/internal/handover/descriptor.go
@@ -13,7 +13,7 @@
 const descriptorBytes = 4
 
 var (
-	errNoDescriptor = errors.New("no listener came along")
+	errNoDescriptor = errors.New("no listener was handed over")
 	errOtherUser    = errors.New("another user's process asked for the listener")
 )
 
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -26,7 +26,7 @@
 	ErrNoPredecessor = errors.New("no process to take over from")
 
 	// ErrPredecessorGone means that a process left its socket there and has ended.
-	ErrPredecessorGone = errors.New("the process before has gone")
+	ErrPredecessorGone = errors.New("the predecessor has ended")
 
 	// ErrOtherNode means that another node's process serves at the address.
 	ErrOtherNode = errors.New("another node serves at this address")
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -29,7 +29,7 @@
 	// ErrNoSuccessor means that no other process has taken over.
 	ErrNoSuccessor = errors.New("no process has taken over")
 
-	errOtherVersion = errors.New("the next process speaks another version, or serves another address")
+	errOtherVersion = errors.New("the successor has another version or another address")
 )
 
 // Node is the process that serves, as its successor finds it.
@@ -125,7 +125,7 @@
 		}
 		err = p.handOver(&messageConn{conn: conn, reader: bufio.NewReader(conn)})
 		if err != nil && ctx.Err() == nil {
-			p.log.Warn("the next process broke off, this one goes on", "code", "handover_failed", "error", err)
+			p.log.Warn("the successor has disconnected, this process goes on", "code", "handover_failed", "error", err)
 		}
 		_ = conn.Close()
 	}
@@ -238,7 +238,7 @@
 	if err := c.write(Message{Ready: true}); err != nil {
 		return err
 	}
-	p.log.Info("the next process serves beside this one", "code", "handover")
+	p.log.Info("the successor serves beside this process", "code", "handover")
 	p.node.SuccessorReady()
 	return nil
 }
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -16,10 +16,10 @@
 )
 
 var (
-	errPredecessorClosed = errors.New("the old process closed")
-	errNoState           = errors.New("the old process told no state")
-	errNotAccepted       = errors.New("the old process did not take the new one for ready")
-	errNotTCP            = errors.New("what was handed over is no TCP listener")
+	errPredecessorClosed = errors.New("the predecessor closed the connection")
+	errNoState           = errors.New("the predecessor sent no state")
+	errNotAccepted       = errors.New("the predecessor did not confirm that this process is ready")
+	errNotTCP            = errors.New("the descriptor handed over is no TCP listener")
 )
 
 // Successor is the new process's side of a handover.
@@ -92,7 +92,7 @@
 	case fileErr != nil:
 		return nil, fileErr
 	case m.Version != Version || m.Listen != listen:
-		return nil, fmt.Errorf("the old process speaks version %d for %q", m.Version, m.Listen)
+		return nil, fmt.Errorf("the predecessor has version %d and the address %q", m.Version, m.Listen)
 	}
 	return tcpListener(file)
 }
