--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -149,7 +149,7 @@
 		if !c.peers.current(p) || p.generation != pr.generation || p.state == Left {
 			continue
 		}
-		// Each miss may lower the local health, and so lengthen what the later probes of this loop are given.
+		// Patience is computed anew for each probe: a miss may raise the local health score, and so lengthen it.
 		waited := c.now - pr.sentAt
 		if waited >= c.patience(probeIntervals*c.options.ProbeInterval) {
 			c.probeMissed(pr)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -60,7 +60,7 @@
 	case m.Generation < p.generation: // a process that has been replaced and does not know
 		c.sendTo(p.name, m.Address, Message{Kind: Gossip, Updates: []Update{p.aliveUpdate()}}, false)
 		return nil
-	case m.Generation > p.generation:
+	case m.Generation > p.generation: // this message is recorded at the old entry, which is no longer in the table
 		c.replacePeer(p, sender)
 		return p
 	case p.state == Left:
