--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -25,7 +25,12 @@
 	acceptErrorPause = 100 * time.Millisecond
 )
 
-var errOtherVersion = errors.New("the next process speaks another version, or serves another address")
+var (
+	// ErrNoSuccessor means that no other process has taken over.
+	ErrNoSuccessor = errors.New("no process has taken over")
+
+	errOtherVersion = errors.New("the successor has another version or another address")
+)
 
 // Node is the process that serves, as its successor finds it.
 type Node interface {
@@ -120,7 +125,7 @@
 		}
 		err = p.handOver(&messageConn{conn: conn, reader: bufio.NewReader(conn)})
 		if err != nil && ctx.Err() == nil {
-			p.log.Warn("the next process broke off, this one goes on", "code", "handover_failed", "error", err)
+			p.log.Warn("the successor has disconnected, this process goes on", "code", "handover_failed", "error", err)
 		}
 		_ = conn.Close()
 	}
@@ -149,26 +154,19 @@
 	}
 }
 
-// HasSuccessor reports whether a successor serves.
-func (p *Predecessor) HasSuccessor() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.successor != nil
-}
-
 func (p *Predecessor) setSuccessor(c *messageConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.successor = c
 }
 
-// Send sends a message to the successor; without one that serves it is ErrNoPredecessor.
+// Send sends a message to the successor; without one that serves the error is ErrNoSuccessor.
 func (p *Predecessor) Send(m Message) error {
 	p.mu.Lock()
 	c := p.successor
 	p.mu.Unlock()
 	if c == nil {
-		return ErrNoPredecessor
+		return ErrNoSuccessor
 	}
 	return c.write(m)
 }
@@ -240,7 +238,7 @@
 	if err := c.write(Message{Ready: true}); err != nil {
 		return err
 	}
-	p.log.Info("the next process serves beside this one", "code", "handover")
+	p.log.Info("the successor serves beside this process", "code", "handover")
 	p.node.SuccessorReady()
 	return nil
 }
