--- a/pages_test.go
+++ b/pages_test.go
@@ -50,7 +50,7 @@
 // currentPages gives the pages that describe the present.
 func currentPages(t *testing.T) []string {
 	t.Helper()
-	var pages []string
+	pages := []string{"README.md"}
 	err := filepath.WalkDir("docs", func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
