--- a/pages_test.go
+++ b/pages_test.go
@@ -33,12 +33,12 @@
 // The check itself is tried on a line with each kind of name, present and missing.
 func TestMissingNamesAreFound(t *testing.T) {
 	declared := names{
-		members: map[string]map[string]bool{"sample": {"Known": true, "Type": true}},
+		members: map[string]map[string]bool{"sample": {"Known": true, "Type": true, "camelKnown": true}},
 		tests:   map[string]bool{"TestKnown": true},
 	}
 	const line = "`sample.Known`, `sample.Gone`, `sample.key`, `other.Name`, `sample.Known.Field`, `docs/glossary.md`, `docs/gone.md`, " +
-		"`internal/...`, `TestKnown`, `TestGone`, `sample.TestGone`, `Type.Known`, `Type.Gone`, plain docs/gone.md"
-	want := []string{"sample.Gone", "docs/gone.md", "TestGone", "sample.TestGone", "Type.Gone"}
+		"`internal/...`, `TestKnown`, `TestGone`, `sample.TestGone`, `Type.Known`, `Type.Gone`, `camelKnown`, `camelGone`, `plain`, plain docs/gone.md"
+	want := []string{"sample.Gone", "docs/gone.md", "TestGone", "sample.TestGone", "Type.Gone", "camelGone"}
 	if got := missingNames(line, declared); !slices.Equal(got, want) {
 		t.Errorf("missing are %q, want %q", got, want)
 	}
@@ -90,6 +90,9 @@
 	// typeMember is a type and a member of it.
 	typeMember = regexp.MustCompile(`^([A-Z]+[a-z]\w*)\.([A-Za-z]\w*)$`)
 
+	// mixedCaps is an identifier that cannot be a plain word.
+	mixedCaps = regexp.MustCompile(`^(?:[a-z]+|[A-Z][a-z]+)[A-Z]\w*$`)
+
 	// testName is a test, a benchmark or a fuzz target.
 	testName = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*$`)
 )
@@ -122,7 +125,7 @@
 	if match := typeMember.FindStringSubmatch(text); match != nil {
 		return declared.anywhere(match[1], match[2])
 	}
-	return true
+	return !mixedCaps.MatchString(text) || declared.anywhere(text)
 }
 
 // declaredNames parses the module and gives its names.
@@ -151,10 +154,10 @@
 	return declared
 }
 
-// anywhere tells whether one package declares both a type and a member by their names.
-func (n names) anywhere(typeName, member string) bool {
+// anywhere tells whether one package declares all of some names.
+func (n names) anywhere(wanted ...string) bool {
 	for _, members := range n.members {
-		if members[typeName] && members[member] {
+		if !slices.ContainsFunc(wanted, func(name string) bool { return !members[name] }) {
 			return true
 		}
 	}
