--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -119,7 +119,7 @@
 	n.catalog = discovery.New(discovery.Options{Address: c.Discovery, Nodes: set.Nodes, Subscribe: set.WatchEndpoints,
 		MaxPollInterval: clock.Span(set.WatchDeadline), DrainGrace: clock.Span(set.DrainGrace), Log: log, Count: count}, c.Known)
 	n.roster = endpoints.New(n.catalog, lateNews{n})
-	n.pool = upstream.New(upstream.Options{Addresses: n.roster, ConnectTimeout: clock.Span(connect(set)),
+	n.pool = upstream.New(upstream.Options{Resolver: n.roster, ConnectTimeout: clock.Span(connect(set)),
 		IdleTimeout: clock.Span(c.Settings.ServerIdleTimeout), ProbeTimeout: probeTime, MaxConns: each, MaxConnsPerServer: max(4, int(float64(each)*eachShare)), MaxIdlePerServer: spare(set.Nodes),
 		OnIdleClosed: func(id balancer.ServerID) { n.engine.Post(balancer.ConnectionClosed{Server: id}) }, LoadReports: set.LoadReports, QueueReports: c.Settings.QueuedIndex >= 0, Log: log, Counters: count})
 	n.back = back.New(back.Options{Resolver: n.roster, MaxExchanges: nstart, RetransmitWindow: clock.Span(set.DrainGrace / 2),
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	_ = closed.Close()
-	a := fixedAddresses{"full": addr, "dead": closed.Addr().String()}
+	a := fixedResolver{"full": addr, "dead": closed.Addr().String()}
 	p, _ := testPool(a, 8, 1)
 	held := mustAcquire(t, p, "full")
 	defer p.close(held, closeExit, nil)
@@ -73,7 +73,7 @@
 // serves another request.
 func TestUnwantedRequestIsNotWritten(t *testing.T) {
 	addr, accepted := acceptingListener(t)
-	p, count := testPool(fixedAddresses{"s1": addr}, 8, 8)
+	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
 	wanted := false
 	for _, c := range []engine.OutgoingRequest{
 		{Bytes: []byte("unwanted"), ClientWaiting: func() bool { return wanted }},
@@ -97,7 +97,7 @@
 }
 
 func TestAbortBeforeAConnection(t *testing.T) {
-	p, _ := testPool(fixedAddresses{}, 1, 1)
+	p, _ := testPool(fixedResolver{}, 1, 1)
 	a := &Attempt{pool: p, cancel: func() {}}
 	if a.Abort() {
 		t.Error("an attempt without a connection may have run")
@@ -110,7 +110,7 @@
 // TestAbortReleasesEveryReservation aborts attempts at every moment of a connection's dialing, and counts what stays reserved.
 func TestAbortReleasesEveryReservation(t *testing.T) {
 	addr := silentListener(t)
-	p, count := testPool(fixedAddresses{"s1": addr}, 64, 64)
+	p, count := testPool(fixedResolver{"s1": addr}, 64, 64)
 	for i := range 300 {
 		a := p.Send("s1", engine.OutgoingRequest{Bytes: []byte("x")}, func(engine.Completion) {})
 		for range i % 50 {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -37,7 +37,7 @@
 		"refused":  {context.Background(), time.Minute, "127.0.0.1:1", closeConnectRefused},
 		"given up": {gone, time.Minute, addr, closeAborted},
 	} {
-		p, count := testPool(fixedAddresses{"s1": c.addr}, 1, 1)
+		p, count := testPool(fixedResolver{"s1": c.addr}, 1, 1)
 		p.dialer.Timeout = c.timeout
 		if _, err := p.acquire(c.ctx, "s1"); err == nil || count.ServerEnds.Get(string(c.reason)) != 1 {
 			t.Errorf("%s: %v, counted %d as %s", name, err, count.ServerEnds.Get(string(c.reason)), c.reason)
@@ -57,7 +57,7 @@
 		syscall.EHOSTUNREACH:  balancer.Unreachable,
 		syscall.ETIMEDOUT:     balancer.Unreachable,
 	} {
-		p, _ := testPool(fixedAddresses{"s": "127.0.0.1:1"}, 4, 4)
+		p, _ := testPool(fixedResolver{"s": "127.0.0.1:1"}, 4, 4)
 		p.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", errno) }
 		ended := make(chan engine.Completion, 1)
 		p.Send("s", engine.OutgoingRequest{Bytes: []byte("x")}, func(e engine.Completion) { ended <- e })
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -12,10 +12,10 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// fixedAddresses resolves by a table.
-type fixedAddresses map[balancer.ServerID]string
+// fixedResolver resolves by a table.
+type fixedResolver map[balancer.ServerID]string
 
-func (a fixedAddresses) Address(id balancer.ServerID) (string, bool) {
+func (a fixedResolver) Address(id balancer.ServerID) (string, bool) {
 	addr, ok := a[id]
 	return addr, ok
 }
@@ -81,10 +81,10 @@
 	return l.Addr().String()
 }
 
-func testPool(a fixedAddresses, maxConns, maxPerServer int) (*Pool, *counters.Counters) {
+func testPool(a fixedResolver, maxConns, maxPerServer int) (*Pool, *counters.Counters) {
 	count := &counters.Counters{}
 	return New(Options{
-		Addresses:         a,
+		Resolver:          a,
 		ConnectTimeout:    time.Second,
 		IdleTimeout:       time.Minute,
 		ProbeTimeout:      time.Second,
--- a/internal/upstream/janitor.go
+++ b/internal/upstream/janitor.go
@@ -43,7 +43,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
-		addr, known := p.options.Addresses.Address(id)
+		addr, known := p.options.Resolver.Address(id)
 		kept := list[:0]
 		for _, c := range list {
 			var reason closeReason
--- a/internal/upstream/janitor_test.go
+++ b/internal/upstream/janitor_test.go
@@ -11,7 +11,7 @@
 func TestRemovedMovedAndOldConnectionsAreClosed(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	other, _ := acceptingListener(t)
-	a := fixedAddresses{"s1": addr, "s2": addr, "s3": addr}
+	a := fixedResolver{"s1": addr, "s2": addr, "s3": addr}
 	p, count := testPool(a, 8, 8)
 	for _, id := range []balancer.ServerID{"s1", "s2", "s3"} {
 		p.put(mustAcquire(t, p, id))
@@ -50,7 +50,7 @@
 // notified.
 func TestOnIdleClosed(t *testing.T) {
 	addr, _ := acceptingListener(t)
-	p, _ := testPool(fixedAddresses{"s1": addr, "s2": addr}, 8, 8)
+	p, _ := testPool(fixedResolver{"s1": addr, "s2": addr}, 8, 8)
 	gone := map[balancer.ServerID]int{}
 	p.options.OnIdleClosed = func(id balancer.ServerID) { gone[id]++ }
 	one := mustAcquire(t, p, "s1")
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,14 +16,14 @@
 	"tackhub.example/tackhub/internal/faults"
 )
 
-// Addresses resolves the address of a server. It reports false for a server that was removed or is draining.
-type Addresses interface {
+// Resolver resolves the address of a server. It reports false for a server that was removed or is draining.
+type Resolver interface {
 	Address(balancer.ServerID) (string, bool)
 }
 
 // Options configure a Pool.
 type Options struct {
-	Addresses         Addresses
+	Resolver          Resolver
 	ConnectTimeout    time.Duration // for a connection to come up
 	IdleTimeout       time.Duration // after which servers close idle connections; 0: unknown
 	ProbeTimeout      time.Duration // for a probe, its connection included
@@ -85,7 +85,7 @@
 
 // acquire returns a connection to a server: an idle one if one can be used, else a new one.
 func (p *Pool) acquire(ctx context.Context, id balancer.ServerID) (*conn, error) {
-	addr, ok := p.options.Addresses.Address(id)
+	addr, ok := p.options.Resolver.Address(id)
 	if !ok {
 		return nil, errNoAddress
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if now, ok := p.options.Addresses.Address(id); !ok || now != addr {
+	if now, ok := p.options.Resolver.Address(id); !ok || now != addr {
 		p.close(c, closeAddressGone, nil)
 		return nil, errNoAddress
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,7 +13,7 @@
 // next request must not be written on such a connection while another one is idle.
 func TestAcquireTakesTheNewestSettled(t *testing.T) {
 	addr, _ := acceptingListener(t)
-	p, count := testPool(fixedAddresses{"s1": addr}, 8, 8)
+	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
 	one := mustAcquire(t, p, "s1")
 	two := mustAcquire(t, p, "s1")
 	three := mustAcquire(t, p, "s1")
@@ -43,7 +43,7 @@
 // milliseconds behind it. The connection was once reused at once, and the next client got the second response for its own.
 func TestUnsolicitedResponseIsNotTakenForTheNext(t *testing.T) {
 	addr, accepted := acceptingListener(t)
-	p, _ := testPool(fixedAddresses{"s1": addr}, 8, 8)
+	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
 	c := mustAcquire(t, p, "s1")
 	server := accepted(0)
 	p.put(c)
@@ -67,7 +67,7 @@
 // idle for the next one.
 func TestAcquireGivenUpWhileSettling(t *testing.T) {
 	addr, _ := acceptingListener(t)
-	p, _ := testPool(fixedAddresses{"s1": addr}, 8, 8)
+	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
 	c := mustAcquire(t, p, "s1")
 	p.put(c)
 	c.idleSince = time.Now().Add(time.Hour)
@@ -84,7 +84,7 @@
 
 func TestAcquireSkipsClosedAndNoisy(t *testing.T) {
 	addr, accepted := acceptingListener(t)
-	p, count := testPool(fixedAddresses{"s1": addr}, 8, 8)
+	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
 	for i, spoil := range []func(net.Conn){
 		func(c net.Conn) { _ = c.Close() },
 		func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") },
@@ -119,7 +119,7 @@
 
 func TestConnectionLimits(t *testing.T) {
 	addr, _ := acceptingListener(t)
-	p, count := testPool(fixedAddresses{"s1": addr, "s2": addr}, 3, 2)
+	p, count := testPool(fixedResolver{"s1": addr, "s2": addr}, 3, 2)
 	one := mustAcquire(t, p, "s1")
 	two := mustAcquire(t, p, "s1")
 	if _, err := p.acquire(context.Background(), "s1"); err != errNoCapacity {
@@ -146,7 +146,7 @@
 func TestMaxIdlePerServer(t *testing.T) {
 	for limit, want := range map[int]int64{0: 3, 1: 1, 2: 2} {
 		addr, _ := acceptingListener(t)
-		p, count := testPool(fixedAddresses{"s": addr}, 8, 8)
+		p, count := testPool(fixedResolver{"s": addr}, 8, 8)
 		p.options.MaxIdlePerServer = limit
 		var held []*conn
 		for range 3 {
