--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -141,7 +141,7 @@
 func (n *node) buildTransports(c config.Config, budget descriptors, log *slog.Logger) {
 	set := c.Settings.Balancer
 	n.pool = upstream.New(upstream.Options{
-		Addresses:         n.endpoints,
+		Resolver:          n.endpoints,
 		ConnectTimeout:    clock.Span(connectTimeout(set)),
 		IdleTimeout:       clock.Span(c.Settings.ServerIdleTimeout),
 		ProbeTimeout:      probeTimeout,
