--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,7 +28,9 @@
 	b.setObjective(r, e.IsRetry)
 	r.expectBody(e.UploadTimeout)
 	b.recognizeRetry(r)
-	b.accountArrival(r, e.IsRetry)
+	if isFirst := !e.IsRetry || !b.settings.ClientsMarkRetries; isFirst {
+		b.accountFirstAttempt(r)
+	}
 	if reason, rejected := b.rejectedOnArrival(r, e.SamplingMark); rejected {
 		b.rejectOrFail(r, reason)
 		return
@@ -69,6 +71,18 @@
 	r.late = rejected.objectiveAt <= b.now
 }
 
+// accountFirstAttempt earns what a request allows to spend, and records it for its tenant and its
+// class. Where clients don't mark retries every request counts as a first attempt.
+func (b *Balancer) accountFirstAttempt(r *request) {
+	b.earnRetries()
+	b.earnGossip()
+	b.earnProbes()
+	if r.tenant != nil && r.tenant.Quota > 0 {
+		r.overQuota = b.overQuota(r.tenant)
+	}
+	b.addToShares(r, func(s *servedShare, weight float64) { s.asked += weight })
+}
+
 // rejectedOnArrival reports whether a request is rejected before any server is considered, and why.
 func (b *Balancer) rejectedOnArrival(r *request, mark uint64) (RejectReason, bool) {
 	if r.late && r.class.LateFraction <= 0 { // worth nothing by now: work on it would make others late as well
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// The cut rejects the marked part of a class at its arrival, at once and harmlessly, and only while
+// Load shedding rejects the marked part of a class at its arrival, at once and harmlessly, and only while
 // it lasts.
 func TestFleetAdmission(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,11 +2,14 @@
 
 // startAttempt sends a request to a server.
 func (b *Balancer) startAttempt(r *request, s *server) {
-	s.slowStart.budget.left -= r.work
+	s.slowStart.budget.left -= r.work // of a warm server too, where nobody reads it
 	b.gossip.changed = true
+	if r.bodyPending {
+		s.attempts.awaitingBody++
+	}
 	r.attempts = append(r.attempts, attempt{
 		server:        s,
-		sentAt:        b.attemptStart(r, s),
+		sentAt:        b.attemptStart(r),
 		serviceRounds: max(1, b.serviceRounds(b.estimatedRequests(s), r.work)),
 		expected:      b.expectedTime(s, r),
 		open:          true,
@@ -39,9 +42,9 @@
 		r.markMayHaveRun(a)
 	}
 	switch {
-	case r.done:
+	case r.finished:
 		b.forgetIfFinished(r)
-	case e.Closed || e.Outcome == OK:
+	case e.RequestFinished || e.Outcome == OK:
 		if e.Outcome == OK && b.now <= r.objectiveAt {
 			b.addToShares(r, func(s *servedShare, weight float64) { s.served += weight })
 		}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,11 +11,11 @@
 const (
 	// seedMix makes the second half of the generator's seed.
 	seedMix = 0x9e3779b97f4a7c15
-	// objectiveUnits: until a unit time is measured, so many requests' times are taken to make the
-	// shortest latency objective.
+	// objectiveUnits: until one is measured, the unit time is taken to be the shortest latency
+	// objective divided by this.
 	objectiveUnits = 4
-	// initialWarmCapacity is what warming servers are taken to have of the capacity that they may
-	// lack, until they answer.
+	// initialWarmCapacity is the fraction of the capacity which a warming server may lack that it is
+	// taken to have, until warming servers have answered.
 	initialWarmCapacity = 0.5
 )
 
@@ -65,7 +65,7 @@
 		randomSource:     source,
 		rng:              rand.New(source),
 		servers:          serverSet{byID: map[ServerID]*server{}},
-		polling:          endpointPolling{overdueSince: math.Inf(1), backoff: initialPollBackoff},
+		polling:          endpointPolling{staleSince: math.Inf(1), backoff: initialPollBackoff},
 		estimate:         initialEstimate(),
 		probing:          loadProbing{tokens: tokenBucket{left: probesPerRequest}, acceptance: 1},
 		outliers:         outlierDetector{trialIdempotency: NonIdempotent},
@@ -76,7 +76,7 @@
 		retryBudget:      tokenBucket{left: retryBurst},
 		recentRejections: map[requestIdentity]rejection{},
 		gossip:           gossipState{heardFrom: map[int]Millis{}, reportedBy: map[gossipSource][]*server{}},
-		fleet:            fleetLimits{processes: 1},
+		fleet:            fleetLimits{processes: 1, size: settings.Nodes},
 	}
 	b.explorations.left = b.rng.Float64()
 	for i, class := range settings.Classes {
@@ -142,7 +142,7 @@
 		b.setProcesses(e.Count)
 	case StateTransferred:
 		b.restore(e.State)
-	case ResponseStarted: // nothing rests on it
+	case ResponseStarted: // ignored: no decision depends on it
 	}
 	b.broadcastGossip()
 	return b.actions
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -25,7 +25,7 @@
 					switch a := a.(type) {
 					case StartAttempt:
 						served++
-						carry(l.Step(now+1, AttemptCompleted{ID: a.ID, Server: a.Server, Outcome: OK, Elapsed: 30, Closed: true, Report: LoadReport{Valid: true, InFlight: 1}}))
+						carry(l.Step(now+1, AttemptCompleted{ID: a.ID, Server: a.Server, Outcome: OK, Elapsed: 30, RequestFinished: true, Report: LoadReport{Valid: true, InFlight: 1}}))
 					case ProbeLoad:
 						carry(l.Step(now+1, LoadProbeCompleted{Server: a.Server, Outcome: OK, Elapsed: 1, Report: LoadReport{Valid: true, InFlight: 1}}))
 					case SetTimer:
--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -130,9 +130,9 @@
 	set.Classes[0].LateFraction, set.Classes[0].ObjectivePerWork = 0.4*float64(p.rng.IntN(2)), float64(p.rng.IntN(3))
 	set.Classes[1].DedupScope = DedupScope(p.rng.IntN(3))
 	set.Classes[0].PriorityWeight, set.Classes[2].LatencyObjective = 1+float64(p.rng.IntN(3)), 100+300*p.rng.Float64()
-	set.WatchDeadline = 10000 * float64(p.rng.IntN(2))
+	set.MaxPollInterval = 10000 * float64(p.rng.IntN(2))
 	set.Tenants = []Tenant{{Name: "acme", Quota: 20}, {Name: "umbra", Quota: 5}}
-	set.Goal = ObjectiveWeights{Overall: 0.4, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.2, Availability: 0.1}
+	set.Goal = GoalWeights{Overall: 0.4, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.2, Availability: 0.1}
 	if p.flip() {
 		set.Goal.TailLatency = 0.1
 	}
@@ -317,7 +317,7 @@
 	if closed {
 		p.over[a.id] = true
 	}
-	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: result, Elapsed: max(0.2, p.now-a.at), Closed: closed, Report: p.load()})
+	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: result, Elapsed: max(0.2, p.now-a.at), RequestFinished: closed, Report: p.load()})
 }
 
 func (p *sequencePlayer) probeEnd() {
@@ -335,7 +335,7 @@
 	case 0:
 		p.step(EndpointUpdate{Kind: UpdateFailed})
 	case 1:
-		p.step(EndpointUpdate{Kind: UpdateOverdue})
+		p.step(EndpointUpdate{Kind: UpdateStale})
 	case 2:
 		p.step(EndpointUpdate{Kind: FullUpdate, Endpoints: p.servers})
 	case 3:
@@ -371,7 +371,7 @@
 func (p *sequencePlayer) handOver() {
 	if p.flip() {
 		set := p.set
-		set.Nodes = p.balancer.settings.Nodes // counts the processes of this node, as the copy goes on doing
+		set.Nodes = p.balancer.fleet.size // counts the processes of this node, as the copy goes on doing
 		c, err := p.balancer.Clone(set)
 		if err != nil {
 			p.t.Fatal(err)
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -17,6 +17,7 @@
 	source := *b.randomSource
 	clone := *b
 	clone.settings = settings
+	clone.fleet.size = settings.Nodes
 	clone.randomSource = &source
 	clone.rng = rand.New(&source)
 	clone.actions = nil
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// initialPollBackoff, in ms, is the backoff after a first failed call: one failure may be chance.
+	// initialPollBackoff, in ms, is the backoff after a first failed poll: one failure may be chance.
 	initialPollBackoff = 200.0
 	// pollSpreadPerNode, in ms, spreads the first calls of nodes that start together: a hundred
 	// calls a second in all.
 	pollSpreadPerNode = 10.0
-	// pollBackoffPerNode, in ms, is the least backoff for each other node: forty calls a second in all.
+	// pollBackoffPerNode, in ms, is the least backoff for each other node: forty polls a second in all.
 	pollBackoffPerNode = 25.0
 	// maxPollBackoffBase, in ms, is the longest backoff before jitter, and jitter is what a backoff
 	// is multiplied by: from minPollJitter to minPollJitter+1.
@@ -21,22 +21,22 @@
 	// endpoint list to the next one. What else a call waits for has to fit with it into the time
 	// within which a change of the list must be known.
 	MaxPollBackoff = (minPollJitter + 1) * maxPollBackoffBase
-	// pollLostAfter, in ms, is when an answer to a call for the list is taken to be lost.
-	pollLostAfter = 5000
+	// pollAnswerTimeout, in ms, is when the answer to a poll is taken to be lost.
+	pollAnswerTimeout = 5000
 )
 
 // endpointPolling is how this node follows the endpoint list.
 type endpointPolling struct {
-	informed     bool   // discovery has sent the list since the start
-	overdueSince Millis // since when changes of the list may be missing; +Inf: the list is current
+	listReceived bool   // discovery has sent the list since the start
+	staleSince   Millis // since when changes of the list may be missing; +Inf: the list is current
 	backoff      Millis // before jitter
-	nextAt       Millis // time of the next call
-	pending      bool   // a call is out
-	watching     bool   // a call was answered, and changes come by themselves
+	nextAt       Millis // time of the next poll
+	pending      bool   // a poll is out
+	watching     bool   // a poll was answered, and changes come by themselves
 }
 
-// current reports whether no change of the list can be missing.
-func (p *endpointPolling) current() bool { return math.IsInf(p.overdueSince, 1) }
+// stale reports whether changes of the list may be missing, as an UpdateStale said.
+func (p *endpointPolling) stale() bool { return !math.IsInf(p.staleSince, 1) }
 
 // startPolling schedules the first call for the list. Nodes that start together must not all call
 // at once: most calls would fail.
@@ -44,7 +44,7 @@
 	if !b.settings.WatchEndpoints {
 		return
 	}
-	spread := min(pollSpreadPerNode*float64(b.settings.Nodes-1), b.pollTimeout(), MaxPollBackoff)
+	spread := min(pollSpreadPerNode*float64(b.fleet.size-1), b.pollInterval(), MaxPollBackoff)
 	b.schedulePoll(b.now + b.rng.Float64()*spread)
 }
 
@@ -53,39 +53,39 @@
 	b.emit(SetTimer{timerPoll, at})
 }
 
-// handlePollTimer calls for the list, if a call is due and no watch is open.
+// handlePollTimer polls the list, if a poll is due and no watch is open.
 func (b *Balancer) handlePollTimer() {
 	if b.settings.WatchEndpoints && !b.polling.watching && b.now >= b.polling.nextAt {
 		b.pollEndpoints()
 	}
 }
 
-// pollEndpoints calls for the list. If the answer is lost, the next call follows well before this
-// node counts as informed.
+// pollEndpoints polls the list; the answer may become a watch. If the answer is lost, the next call
+// follows well before this node counts as informed.
 func (b *Balancer) pollEndpoints() {
 	b.polling.pending = true
 	b.emit(WatchEndpoints{})
-	b.schedulePoll(b.now + b.pollTimeout())
+	b.schedulePoll(b.now + b.pollInterval())
 }
 
-// pollTimeout is the longest time between two calls for the list, in ms.
-func (b *Balancer) pollTimeout() Millis {
-	if b.settings.WatchDeadline > 0 {
-		return min(pollLostAfter, b.settings.WatchDeadline/2)
+// pollTimeout is the longest time between two polls, in ms.
+func (b *Balancer) pollInterval() Millis {
+	if b.settings.MaxPollInterval > 0 {
+		return min(pollAnswerTimeout, b.settings.MaxPollInterval/2)
 	}
-	return pollLostAfter
+	return pollAnswerTimeout
 }
 
 func (b *Balancer) handleEndpointUpdate(e EndpointUpdate) {
 	// A change in a list that was followed without a gap is news: a server that it reports as
 	// started has just started.
-	live := e.Kind == DeltaUpdate && b.polling.informed && b.polling.current()
+	live := e.Kind == DeltaUpdate && b.polling.listReceived && !b.polling.stale()
 	switch e.Kind {
 	case UpdateFailed:
 		b.handleUpdateFailed()
 		return
-	case UpdateOverdue:
-		b.polling.overdueSince = b.now
+	case UpdateStale:
+		b.polling.staleSince = b.now
 		b.logf("endpoint list: changes may be missing, preferring servers that just answered")
 		return
 	case FullUpdate, DeltaUpdate:
@@ -100,8 +100,8 @@
 }
 
 func (b *Balancer) handleListReceived() {
-	b.polling.overdueSince = math.Inf(1)
-	b.polling.informed = true
+	b.polling.staleSince = math.Inf(1)
+	b.polling.listReceived = true
 	if b.polling.pending {
 		b.polling.pending = false
 		b.polling.watching = true
@@ -164,8 +164,8 @@
 	return s
 }
 
-// handleUpdateFailed schedules the next call after a backoff with jitter, which is longer the more
-// nodes there are: all lose discovery together, and calls that all came back at once would keep it
+// handleUpdateFailed schedules the next poll after a backoff with jitter, which is longer the more
+// nodes there are: all lose discovery together, and polls that all came back at once would keep it
 // overloaded.
 func (b *Balancer) handleUpdateFailed() {
 	b.polling.pending = false
@@ -176,7 +176,7 @@
 	if b.polling.backoff == initialPollBackoff { // the first of a row
 		b.logf("endpoint list: call failed, keeping %d servers, retrying", len(b.servers.ready))
 	}
-	least := pollBackoffPerNode * float64(b.settings.Nodes-1)
+	least := pollBackoffPerNode * float64(b.fleet.size-1)
 	backoff := min(maxPollBackoffBase, max(b.polling.backoff, least))
 	nextAt := b.now + backoff*(minPollJitter+b.rng.Float64())
 	b.polling.backoff = min(backoff*2, maxPollBackoffBase)
@@ -187,7 +187,7 @@
 // list is overdue by more than half the drain grace, and for as long no attempt there was answered.
 // A server that drains takes nothing new.
 func (b *Balancer) mayBeDraining(s *server) bool {
-	return b.now > max(b.polling.overdueSince, s.attempts.latestAnswered)+b.settings.DrainGrace/2
+	return b.now > max(b.polling.staleSince, s.attempts.latestAnswered)+b.settings.DrainGrace/2
 }
 
 // logZoneChanges logs once when a zone begins to be avoided, and once when nearly all attempts
@@ -198,8 +198,8 @@
 		case !record.logged && b.zoneFailureShare(record) > 0:
 			record.logged = true
 			b.logf("zone %s: %.0f%% of the attempts there stay unanswered and another zone answers, preferring that",
-				name, 100*b.zoneSilence(record))
-		case record.logged && b.zoneSilence(record) < successGain:
+				name, 100*b.zoneUnansweredShare(record))
+		case record.logged && b.zoneUnansweredShare(record) < successGain:
 			record.logged = false
 			b.logf("zone %s: as good as the others again, or not tried for long", name)
 		}
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -34,7 +34,7 @@
 				at = timer.At
 			}
 		}
-		if at <= b.now || at-b.now > set.WatchDeadline {
+		if at <= b.now || at-b.now > set.MaxPollInterval {
 			t.Fatalf("asks again in %.0f ms", at-b.now)
 		}
 		b.now = at
@@ -71,7 +71,7 @@
 			}
 		}
 		asked = count[WatchEndpoints](l.Step(at, TimerFired{"ask"})) == 1
-		if !asked || at > 100000+set.WatchDeadline/2 {
+		if !asked || at > 100000+set.MaxPollInterval/2 {
 			t.Fatalf("node %d asked: %v, at %.0f ms after its start", n, asked, at-100000)
 		}
 		calls[int(at-100000)/500]++
@@ -88,7 +88,7 @@
 // stay open, and news ends it.
 func TestOverdueListPrefersServersThatJustAnswered(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(20)...)
-	b.step(EndpointUpdate{Kind: UpdateOverdue})
+	b.step(EndpointUpdate{Kind: UpdateStale})
 	b.now += b.balancer.settings.DrainGrace / 4
 	if n := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates within the grace, want all 20", n)
@@ -113,7 +113,7 @@
 	if n := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]})); n != 20 {
 		t.Errorf("%d candidates where none is sure, want all 20", n)
 	}
-	b.step(EndpointUpdate{Kind: UpdateOverdue})
+	b.step(EndpointUpdate{Kind: UpdateStale})
 	b.serve("read", 10, allOK)
 	b.now += b.balancer.settings.DrainGrace
 	b.serve("read", 10, allOK)
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -1,5 +1,19 @@
 package balancer
 
+import "math"
+
+const (
+	// assumedSuccesses are added to a server's outcomes: one failure among few requests is chance.
+	assumedSuccesses = 5.0
+	// gossipedOutcomeDivisor: an outcome that another node saw counts as this part of one ...
+	gossipedOutcomeDivisor = 2
+	// ... for so many ms after its message.
+	gossipedOutcomesFor = 3 * outcomeGossipInterval
+	// healthyChancePerFailure is the chance of being healthy that each consecutive failure leaves to a
+	// server.
+	healthyChancePerFailure = 0.5
+)
+
 // fleetEstimate is what this node estimates of the servers as a whole.
 type fleetEstimate struct {
 	unitTime        Millis  // typical time for each request that a server of capacity 1 holds
@@ -52,3 +66,25 @@
 func (b *Balancer) expectedTime(s *server, r *request) Millis {
 	return b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), r.work)
 }
+
+// failureShare is the share of requests that fail at a server, by own and gossiped outcomes. Where
+// gossip is not allowed it is 0: own failures then count by score and ejection alone.
+func (b *Balancer) failureShare(s *server) float64 {
+	noOwnFailure := s.outcomes.failedAt < b.now-outcomeBucketCount*outcomeBucketLength
+	if !b.settings.GossipAllowed || len(s.gossipReports) == 0 && noOwnFailure {
+		return 0
+	}
+	successes, failures := s.outcomeCounts(b.now)
+	failed := float64(failures)
+	total := float64(successes+failures) + assumedSuccesses
+	for _, report := range s.gossipReports {
+		if report.kind == gossipOutcomes && b.now < report.at+gossipedOutcomesFor {
+			failed += report.second / gossipedOutcomeDivisor
+			total += (report.first + report.second) / gossipedOutcomeDivisor
+		}
+	}
+	// A server that just failed several times is likelier to fail again than its long record says.
+	streak := 1 - math.Pow(healthyChancePerFailure, float64(s.outlier.consecutiveFailures))
+	streak *= math.Exp(-(b.now - s.timing.outcomeAt) / staleTimeConstant)
+	return max(streak, failed/total)
+}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -30,13 +30,13 @@
 
 // AttemptCompleted is the outcome of one StartAttempt.
 type AttemptCompleted struct {
-	ID      RequestID
-	Attempt int // number among the request's attempts, from 0
-	Server  ServerID
-	Outcome Outcome
-	Elapsed Millis
-	Closed  bool // the request is finished; nothing is owed
-	Report  LoadReport
+	ID              RequestID
+	Attempt         int // number among the request's attempts, from 0
+	Server          ServerID
+	Outcome         Outcome
+	Elapsed         Millis
+	RequestFinished bool // the request is finished; nothing is owed
+	Report          LoadReport
 }
 
 // ResponseStarted says that a streamed answer has begun.
@@ -116,11 +116,11 @@
 
 // The kinds of endpoint updates.
 const (
-	DeltaUpdate   UpdateKind = iota // changed entries only
-	FullUpdate                      // all entries; what is absent has been removed
-	CachedUpdate                    // all entries as held before a restart, perhaps outdated
-	UpdateFailed                    // a call failed or the watch broke; no entries
-	UpdateOverdue                   // changes may be missing; no entries. A delta or a full update ends it
+	DeltaUpdate  UpdateKind = iota // changed entries only
+	FullUpdate                     // all entries; what is absent has been removed
+	CachedUpdate                   // all entries as held before a restart, perhaps outdated
+	UpdateFailed                   // a call failed or the watch broke; no entries
+	UpdateStale                    // changes may be missing; no entries. A delta or a full update ends it
 )
 
 // Endpoint is one entry of the endpoint list.
--- a/balancer/failurerate.go
+++ b/balancer/failurerate.go
@@ -11,9 +11,12 @@
 	// faultyClassShare is the failure share from which a class is taken to fail at a server: one
 	// failure reaches it, two keep it.
 	faultyClassShare = 0.3
-	// classFailureMemory, in ms, is the time constant with which a class's failures at a server are
-	// forgotten.
-	classFailureMemory = 3 * ejectionTime
+	// healthyOtherDivisor: another class or zone is served well if its share is under this part of the
+	// failing one's, or of the one from which a class fails.
+	healthyOtherDivisor = 3
+	// classFailureTimeConstant, in ms, is the time constant with which a class's failures at a
+	// server are forgotten.
+	classFailureTimeConstant = 3 * ejectionTime
 	// silentZoneShare is the share of unanswered attempts from which a zone may be unreachable.
 	silentZoneShare = 0.5
 	// connectSilenceFraction is the part of the connect timeout after which a failed connection
@@ -55,7 +58,7 @@
 	if record.share == 0 {
 		return 0
 	}
-	return record.decayed(b.now, classFailureMemory)
+	return record.decayed(b.now, classFailureTimeConstant)
 }
 
 // recordClassOutcome records an outcome for its class and reports whether the fault is the class's
@@ -84,7 +87,7 @@
 	}
 	for i := range s.classFailures {
 		other := &s.classFailures[i]
-		if i != c.index && other.observed && other.share < faultyClassShare/3 {
+		if i != c.index && other.observed && other.share < faultyClassShare/healthyOtherDivisor {
 			return true
 		}
 	}
@@ -103,7 +106,7 @@
 // error did.
 func (b *Balancer) recordZoneOutcome(s *server, outcome Outcome, elapsed Millis) {
 	record := s.zoneFailures
-	record.share = b.zoneSilence(record)
+	record.share = b.zoneUnansweredShare(record)
 	record.observed = true
 	record.updatedAt = b.now
 	connectTimedOut := outcome == Unreachable && elapsed >= connectSilenceFraction*b.settings.ConnectTimeout
@@ -114,24 +117,26 @@
 	}
 }
 
-// zoneSilence is the share of attempts to a zone that nothing came back from, forgotten as fast as
-// the record of an unused server.
-func (b *Balancer) zoneSilence(zone *failureRate) float64 { return zone.decayed(b.now, staleDecay) }
+// zoneUnansweredShare is the share of attempts to a zone that nothing came back from, forgotten as
+// fast as the record of an unused server.
+func (b *Balancer) zoneUnansweredShare(zone *failureRate) float64 {
+	return zone.decayed(b.now, staleTimeConstant)
+}
 
 // zoneFailureShare is a zone's share of unanswered attempts while another zone answers; otherwise
-// 0. The zone is then lost or cut off from here. A node that meets each server once in seconds
-// would otherwise wait for every server of the zone in turn.
+// 0. The zone is then lost or cut off from here. A node that contacts each server once in several
+// seconds would otherwise wait for a timeout at each of them in turn.
 func (b *Balancer) zoneFailureShare(zone *failureRate) float64 {
 	if zone.share < silentZoneShare {
 		return 0
 	}
-	silence := b.zoneSilence(zone)
-	if silence < silentZoneShare/2 {
+	unanswered := b.zoneUnansweredShare(zone)
+	if unanswered < silentZoneShare/2 {
 		return 0
 	}
 	for _, other := range b.zones {
-		if other.observed && b.zoneSilence(other) < silence/3 {
-			return silence
+		if other.observed && b.zoneUnansweredShare(other) < unanswered/healthyOtherDivisor {
+			return unanswered
 		}
 	}
 	return 0
--- a/balancer/failurerate_test.go
+++ b/balancer/failurerate_test.go
@@ -103,7 +103,7 @@
 	if said := b.balancer.actions; count[Log](said) != 1 || !strings.Contains(said[len(said)-1].(Log).Text, "zone cut") {
 		t.Errorf("said of a zone that is cut off: %v, want one line", said)
 	}
-	b.now += 3 * staleDecay
+	b.now += 3 * staleTimeConstant
 	b.step(TimerFired{"sweep"})
 	if f := b.balancer.zoneFailureShare(far.zoneFailures); f != 0 {
 		t.Errorf("still shunned with %v after some seconds without news", f)
--- a/balancer/fairness.go
+++ b/balancer/fairness.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// servedShareMemory, in ms, is the time constant of the served shares of classes and tenants.
-	servedShareMemory = 30000.0
+	// servedShareTimeConstant, in ms, is the time constant of the served shares of classes and tenants.
+	servedShareTimeConstant = 30000.0
 	// lateRequestDiscount orders late requests after all that can still be in time.
 	lateRequestDiscount = 1e6
 )
@@ -17,7 +17,7 @@
 }
 
 func (s *servedShare) decay(now Millis) {
-	kept := math.Exp(-(now - s.at) / servedShareMemory)
+	kept := math.Exp(-(now - s.at) / servedShareTimeConstant)
 	s.asked *= kept
 	s.served *= kept
 	s.at = now
@@ -42,21 +42,6 @@
 	}
 }
 
-// accountArrival records a first attempt for its class and its tenant, and earns what it allows to
-// spend on retries, gossip and probes.
-func (b *Balancer) accountArrival(r *request, isRetry bool) {
-	if isRetry && b.settings.ClientsMarkRetries {
-		return
-	}
-	b.earnRetries()
-	b.earnGossip()
-	b.earnProbes()
-	if r.tenant != nil && r.tenant.Quota > 0 {
-		r.overQuota = b.overQuota(r.tenant)
-	}
-	b.addToShares(r, func(s *servedShare, weight float64) { s.asked += weight })
-}
-
 // marginalValue is what serving a request adds to the operator's objective for each unit of work:
 // its weight in the whole, and more where its class or its tenant is the worst served. The queue is
 // worked off in this order.
--- a/balancer/fairness_test.go
+++ b/balancer/fairness_test.go
@@ -7,7 +7,7 @@
 // Fairness: with one tenant far over its share, the other's requests go first.
 func TestTenantInsideQuotaIsServedUnderShortage(t *testing.T) {
 	set := settings()
-	set.Goal = ObjectiveWeights{Overall: 0.7, WorstTenant: 0.3}
+	set.Goal = GoalWeights{Overall: 0.7, WorstTenant: 0.3}
 	set.Tenants = []Tenant{{Name: "loud", Quota: 10}, {Name: "meek", Quota: 10}}
 	b := newTestNode(t, set, testEndpoints(1)...)
 	tenant, sent := map[RequestID]string{}, map[string]int{}
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// book checks the contract from outside: one final answer, no effect twice, nothing to a server
+// contract checks the contract from outside: one final answer, no effect twice, nothing to a server
 // known to drain, no two attempts at once, attempts within the cap.
 type contract struct {
 	t     *testing.T
@@ -45,11 +45,11 @@
 			k.reqs[a.ID].answers++
 		case CancelAttempt:
 			if a.Attempt >= len(k.reqs[a.ID].sends) {
-				k.t.Fatalf("withdrew an attempt never made")
+				k.t.Fatalf("cancelled an attempt that was never started")
 			}
 		case BroadcastGossip:
 			if !k.set.GossipAllowed || len(a.Body) > MaxGossipBytes {
-				k.t.Fatalf("told %d bytes, allowed: %v", len(a.Body), k.set.GossipAllowed)
+				k.t.Fatalf("broadcast %d bytes, allowed: %v", len(a.Body), k.set.GossipAllowed)
 			}
 		case ProbeLoad:
 			if !k.set.ProbesAllowed {
@@ -107,7 +107,7 @@
 			s.mayRun = res != Overloaded && res != Unreachable && res != NotSent
 			e.finished = e.finished || res == OK
 			return AttemptCompleted{ID: id, Attempt: n, Server: s.server, Outcome: res, Elapsed: now - s.at,
-				Closed: e.finished || e.answers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
+				RequestFinished: e.finished || e.answers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
 		}
 	}
 	return nil
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -1,7 +1,5 @@
 package balancer
 
-import "math"
-
 const (
 	// gossipInterval, in ms, is the least time between two messages of a node: they are under way
 	// for about as long.
@@ -9,9 +7,9 @@
 	// outcomeGossipInterval, in ms, is the time between two messages about outcomes: a window of
 	// ten seconds changes slowly.
 	outcomeGossipInterval = 2000.0
-	// gossipBudgetShare is the share of all priority weight that messages may cost, each reader
+	// gossipBudgetFraction is the share of all priority weight that messages may cost, each reader
 	// counted.
-	gossipBudgetShare = 0.006
+	gossipBudgetFraction = 0.006
 	// gossipBurst bounds the saved budget, in requests: a message to a hundred nodes is paid for by
 	// some ten requests.
 	gossipBurst = 50.0
@@ -21,13 +19,8 @@
 	minGossipTimeout = 3000.0
 	// ... or, where messages are rare, one that isn't heard for so many intervals.
 	gossipTimeoutIntervals = 3
-	// assumedSuccesses are added to a server's outcomes: one failure among few requests is chance.
-	assumedSuccesses = 5.0
-	// gossipedOutcomeDivisor: an outcome that another node saw counts as this part of one.
-	gossipedOutcomeDivisor = 2
-	// rowDecayPerFailure is the chance that each further failure in a row leaves to the server
-	// being healthy.
-	rowDecayPerFailure = 0.5
+	// gossipRefreshInterval, in ms: a message about loads is sent so often even if nothing has changed.
+	gossipRefreshInterval = 1000.0
 )
 
 // gossipState is what this node has sent to and heard from the other nodes.
@@ -49,13 +42,13 @@
 // attempts there ended, as often as may be paid for. Where reading a message costs all nodes
 // together more CPU than a request may, nothing is sent.
 func (b *Balancer) broadcastGossip() {
-	if !b.settings.GossipAllowed || b.settings.Nodes < 2 {
+	if !b.settings.GossipAllowed || b.fleet.size < 2 {
 		return
 	}
 	if b.gossip.tokens.left <= 0 || b.now < b.gossip.sentAt+gossipInterval {
 		return
 	}
-	readers := float64(b.settings.Nodes - 1)
+	readers := float64(b.fleet.size - 1)
 	if b.settings.CPUPerRequest > 0 && readers*gossipReadCost > b.settings.CPUPerRequest {
 		return
 	}
@@ -77,7 +70,7 @@
 			return body
 		}
 	}
-	recent := b.now < b.gossip.sentAt+minGossipTimeout/gossipTimeoutIntervals
+	recent := b.now < b.gossip.sentAt+gossipRefreshInterval
 	if !b.gossip.changed && recent {
 		return nil
 	}
@@ -87,8 +80,7 @@
 
 // earnGossip adds what one first attempt allows to spend on messages.
 func (b *Balancer) earnGossip() {
-	elapsedOne := b.gossip.tokens.refilledAt + 1 // this bucket counts first attempts, not time
-	b.gossip.tokens.refill(elapsedOne, gossipBudgetShare, gossipBurst*gossipBudgetShare)
+	b.gossip.tokens.earn(gossipBudgetFraction, gossipBurst*gossipBudgetFraction)
 }
 
 // gossipAlive reports whether the other nodes can be heard. That they no longer can is logged once.
@@ -108,25 +100,3 @@
 func (b *Balancer) gossipTimeout() Millis {
 	return max(minGossipTimeout, gossipTimeoutIntervals*b.gossip.interval)
 }
-
-// failureShare is the share of requests that fail at a server, by what this node saw and what the
-// others reported.
-func (b *Balancer) failureShare(s *server) float64 {
-	noOwnFailure := s.outcomes.failedAt < b.now-outcomeBucketCount*outcomeBucketLength
-	if !b.settings.GossipAllowed || len(s.gossipReports) == 0 && noOwnFailure {
-		return 0
-	}
-	successes, failures := s.outcomeCounts(b.now)
-	failed := float64(failures)
-	total := float64(successes+failures) + assumedSuccesses
-	for _, report := range s.gossipReports {
-		if report.kind == gossipOutcomes && b.now < report.at+3*outcomeGossipInterval {
-			failed += report.second / gossipedOutcomeDivisor
-			total += (report.first + report.second) / gossipedOutcomeDivisor
-		}
-	}
-	// A server that just failed in a row is likelier to fail again than its long record says.
-	row := 1 - math.Pow(rowDecayPerFailure, float64(s.outlier.consecutiveFailures))
-	row *= math.Exp(-(b.now - s.timing.outcomeAt) / staleDecay)
-	return max(row, failed/total)
-}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// bed drives one Logic by hand and keeps what it did.
+// testNode drives one Balancer by hand and keeps its actions.
 type testNode struct {
 	t        *testing.T
 	balancer *Balancer
@@ -22,8 +22,8 @@
 			{Name: "put", Idempotency: IdempotentWithKey, DedupScope: DedupWithinCell, DedupWindow: 1000, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
 			{Name: "bill", Idempotency: NonIdempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 5},
 		},
-		Goal: ObjectiveWeights{Overall: 1}, OverQuotaFraction: 0.1, ClientsMarkRetries: true,
-		DrainGrace: 1000, SlowStart: SlowStart{InitialCapacity: 0.25, Duration: 10000, OverloadFactor: 3, OverloadWindow: 2000}, WatchDeadline: 10000,
+		Goal: GoalWeights{Overall: 1}, OverQuotaFraction: 0.1, ClientsMarkRetries: true,
+		DrainGrace: 1000, SlowStart: SlowStart{InitialCapacity: 0.25, Duration: 10000, OverloadFactor: 3, OverloadWindow: 2000}, MaxPollInterval: 10000,
 		MaxAttempts: 5, CancelAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1,
 	}
 }
@@ -61,7 +61,7 @@
 
 // end finishes an attempt.
 func (b *testNode) end(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
-	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: res, Elapsed: took, Closed: res == OK})
+	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: res, Elapsed: took, RequestFinished: res == OK})
 }
 
 // serve sends one request and ends it wherever it went.
--- a/balancer/loadestimate_test.go
+++ b/balancer/loadestimate_test.go
@@ -52,7 +52,7 @@
 	if occ := b.balancer.estimatedRequests(b.balancer.servers.byID[at]); occ >= 1 {
 		t.Errorf("the lost attempt counts as load: %v in flight", occ)
 	}
-	if over := b.balancer.unansweredTime(b.balancer.servers.byID[at], false); over != 0 {
+	if over := b.balancer.unansweredTime(b.balancer.servers.byID[at]); over != 0 {
 		t.Errorf("the server is held to be silent for %v ms over it", over)
 	}
 	acts = b.end(id, 0, at, Cancelled, 200)
--- a/balancer/loadprobe.go
+++ b/balancer/loadprobe.go
@@ -8,8 +8,8 @@
 	probesPerRequest = 6
 	// minProbeWait, in ms, is how long a request waits for its probes at least.
 	minProbeWait = 4.0
-	// probeBudgetShare is the share of all priority weight that probes may cost.
-	probeBudgetShare = 0.012
+	// probeBudgetFraction is the share of all priority weight that probes may cost.
+	probeBudgetFraction = 0.012
 	// probeAgainAfter, in unit times, is when a queued request probes again: by then some busy
 	// servers have finished a request.
 	probeAgainAfter = 0.25
@@ -57,8 +57,8 @@
 	}
 }
 
-// worthProbing reports whether a server's load is unknown and a probe of it costs no expensive connection
-// as well.
+// worthProbing reports whether a server's load is unknown and a probe of it costs no expensive
+// connection as well.
 func (b *Balancer) worthProbing(s *server) bool {
 	needsConnection := s.idleConnections < 1
 	prices := b.settings.Prices
@@ -79,16 +79,15 @@
 	if !b.settings.ProbesAllowed {
 		return 0
 	}
-	return b.probing.acceptance * min(1, probeBudgetShare/max(minPrice, b.settings.Prices.Probe))
+	return b.probing.acceptance * min(1, probeBudgetFraction/max(minPrice, b.settings.Prices.Probe))
 }
 
 // earnProbes adds what one new request allows to spend on probes. Little is gained by probing idle
 // servers.
 func (b *Balancer) earnProbes() {
 	perServer := b.estimate.othersLoad + float64(b.openAttempts)/max(1, float64(len(b.servers.ready)))
-	spend := b.probing.acceptance * probeBudgetShare * min(1, perServer/math.Round(b.estimate.parallelism))
-	earned := b.probing.tokens.left + spend/max(minPrice, b.settings.Prices.Probe)
-	b.probing.tokens.left = min(savedProbeRounds*probesPerRequest, earned)
+	spend := b.probing.acceptance * probeBudgetFraction * min(1, perServer/math.Round(b.estimate.parallelism))
+	b.probing.tokens.earn(spend/max(minPrice, b.settings.Prices.Probe), savedProbeRounds*probesPerRequest)
 }
 
 func (b *Balancer) handleLoadProbeCompleted(e LoadProbeCompleted) {
--- a/balancer/loadprobe_test.go
+++ b/balancer/loadprobe_test.go
@@ -54,7 +54,7 @@
 		}
 		return count[ProbeLoad](b.actions)
 	}
-	most := int(300*probeBudgetShare/0.004) + 3*probesPerRequest
+	most := int(300*probeBudgetFraction/0.004) + 3*probesPerRequest
 	if busy, refused, idle := ask(4, OK), ask(4, Overloaded), ask(0, OK); busy > most || busy < 300 || refused > most/3 || idle > most/3 {
 		t.Errorf("probes for 300 requests: %d, all turned away %d, idle %d; %d may be paid for", busy, refused, idle, most)
 	}
--- a/balancer/objective.go
+++ b/balancer/objective.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// retryAgeShare is the part of the latency objective that the attempts before a retry are taken
+	// retryAgeFraction is the part of the latency objective that the attempts before a retry are taken
 	// to have used at most.
-	retryAgeShare = 0.7
+	retryAgeFraction = 0.7
 	// Bounds of a request's work, in mean requests, and the weight of a new hint in the mean.
 	minWork           = 0.25
 	maxWork           = 32
@@ -42,7 +42,7 @@
 	case isRetry && cut:
 		r.objectiveAt = min(r.objectiveAt, r.deadline-class.TotalTimeout+objective)
 	case isRetry: // the first attempt began between just now and the earliest time that would have cut this one
-		r.objectiveAt -= min((class.TotalTimeout-class.longestTimeout)/2, retryAgeShare*objective)
+		r.objectiveAt -= min((class.TotalTimeout-class.longestTimeout)/2, retryAgeFraction*objective)
 	}
 	r.late = r.objectiveAt <= b.now
 }
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A retry whose try is not cut short began some time ago all the same.
+// A retry whose attempt is not cut short began some time ago all the same.
 func TestRetryHasUsedPartOfItsObjective(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(1)...)
 	b.arrive("read", 1200) // the longest try, of a total of 2000
--- a/balancer/outcomewindow.go
+++ b/balancer/outcomewindow.go
@@ -1,10 +1,11 @@
 package balancer
 
 const (
-	// The error window (design: ten seconds) is outcomeBucketCount buckets of outcomeBucketLength ms.
+	// The error window (ten seconds: docs/design.md) is outcomeBucketCount buckets of
+	// outcomeBucketLength ms.
 	outcomeBucketCount  = 10
 	outcomeBucketLength = 1000.0
-	// recentOutcomeCount outcomes make the recent success rate (design).
+	// recentOutcomeCount outcomes make the recent success rate (docs/design.md).
 	recentOutcomeCount = 10
 )
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -24,8 +24,8 @@
 
 // outlierDetector is what ejection needs to know beyond the single server.
 type outlierDetector struct {
-	sharedCause      bool        // no server is healthy; the log says so
-	trialIdempotency Idempotency // only classes of this idempotency carry trials: the least harm available
+	sharedCauseLogged bool        // too few others were healthy, and the log says so; until the next readmission
+	trialIdempotency  Idempotency // only classes of this idempotency carry trials: the least harm available
 }
 
 // ejectionState is whether one server is ejected.
@@ -73,14 +73,14 @@
 }
 
 // isOutlier reports whether a server's own record calls for ejection: too many failures in a row, or
-// too many in the window. Where a server fails a share of all requests anyway, a short row is
-// chance.
+// too many in the window. Where a server fails a share of all requests anyway, a short streak
+// is chance.
 func (s *server) isOutlier(now Millis) bool {
 	successes, failures := s.outcomeCounts(now)
 	total := successes + failures
-	row := s.outlier.consecutiveFailures
-	shareBefore := float64(max(0, failures-row)) / float64(max(1, total-row))
-	if row >= ejectionConsecutiveFailures && math.Pow(shareBefore, float64(row)) <= ejectionMaxChance {
+	streak := s.outlier.consecutiveFailures
+	shareBefore := float64(max(0, failures-streak)) / float64(max(1, total-streak))
+	if streak >= ejectionConsecutiveFailures && math.Pow(shareBefore, float64(streak)) <= ejectionMaxChance {
 		return true
 	}
 	return total >= ejectionMinOutcomes && float64(failures) >= ejectionErrorRate*float64(total)
@@ -114,7 +114,7 @@
 
 func (b *Balancer) readmit(s *server) {
 	s.outlier.ejected = false
-	b.outliers.sharedCause = false
+	b.outliers.sharedCauseLogged = false
 	s.outcomes.reset()
 	b.setInitialScore(s)
 	b.servers.version++
@@ -122,9 +122,9 @@
 }
 
 func (b *Balancer) logSharedCause() {
-	if b.outliers.sharedCause {
+	if b.outliers.sharedCauseLogged {
 		return
 	}
-	b.outliers.sharedCause = true
-	b.logf("no server is healthy: a shared cause or this node; ejecting no more")
+	b.outliers.sharedCauseLogged = true
+	b.logf("too few other servers are healthy: a shared cause or this node; ejecting no more")
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// Guards against a silent death: a server that answers no probe is ejected without losing requests
+// Guards against an unresponsive server: a server that answers no probe is ejected without losing requests
 // to it.
 func TestUnansweredProbesEject(t *testing.T) {
 	set := settings()
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -8,35 +8,35 @@
 const (
 	// maxCostRatio: servers that cost more than this multiple of the best one are not drawn.
 	maxCostRatio = 1.25
-	// newRequestTimeShare is the part of the time to the objective that a first attempt may be
+	// newRequestTimeFraction is the part of the time to the objective that a first attempt may be
 	// expected to use; the rest is for variance.
-	newRequestTimeShare = 0.4
-	// queuedRequestTimeShare is the same for what is left to a queued request: with less, each
+	newRequestTimeFraction = 0.4
+	// queuedRequestTimeFraction is the same for what is left to a queued request: with less, each
 	// newer request would pass it.
-	queuedRequestTimeShare = 0.7
+	queuedRequestTimeFraction = 0.7
 	// idleServerRequests: a server that holds fewer requests counts as idle.
 	idleServerRequests = 0.5
-	// idleTimeShare is the part of the time to the objective that an idle server may be expected to
+	// idleTimeFraction is the part of the time to the objective that an idle server may be expected to
 	// use: its time varies less, and sparing it gains nothing.
-	idleTimeShare = 0.7
-	// idleFleetTimeShare is how much that part grows with the idle share of the fleet: up to the
+	idleTimeFraction = 0.7
+	// idleFleetTimeFraction is how much that part grows with the idle share of the fleet: up to the
 	// whole time when half is idle.
-	idleFleetTimeShare = 2.0
+	idleFleetTimeFraction = 2.0
 	// saturationFactor: a server that holds more than this multiple of what it works on at once
 	// gets slower for all.
 	saturationFactor = 3.0
 	// keyAffinitySaving is the share of the work that is taken to be saved where a request's key
 	// was met lately.
 	keyAffinitySaving = 0.5
-	// explorationShare is the part of the servers' capacity that may be used by requests that only
+	// explorationFraction is the part of the servers' capacity that may be used by requests that only
 	// find out whether a slowdown is over.
-	explorationShare = 0.1
+	explorationFraction = 0.1
 	// minPriorityWeight keeps quotients finite.
 	minPriorityWeight = 1e-3
 )
 
-// candidateCost is what a server would cost the request that is being placed.
-type candidateCost struct {
+// placementEstimate is what a server would cost the request that is being placed.
+type placementEstimate struct {
 	expected Millis // time until the answer
 	cost     Millis // with everything else that counts against the server, expressed as time
 }
@@ -59,7 +59,7 @@
 	if !r.mayHaveRun || r.class.Idempotency == Idempotent {
 		return true
 	}
-	if r.class.Idempotency == NonIdempotent || b.now >= r.dedupUntil {
+	if !r.class.repeatable() || b.now >= r.dedupUntil {
 		return false
 	}
 	switch r.class.DedupScope {
@@ -86,7 +86,7 @@
 		}
 	}
 	b.candidateBuffer = open
-	if b.polling.current() {
+	if !b.polling.stale() {
 		return open
 	}
 	// Where no server surely takes requests all stay open: a lost discovery must not stop the service.
@@ -132,19 +132,19 @@
 		if s == first || s == second {
 			work *= 1 - keyAffinitySaving
 		}
-		s.candidate.expected = b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), work)
+		s.placement.expected = b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), work)
 		if b.answersInTime(r, s, limits) {
-			s.candidate.cost = b.candidateCost(r, s)
-			best = min(best, s.candidate.cost)
+			s.placement.cost = b.placementCost(r, s)
+			best = min(best, s.placement.cost)
 			fit = append(fit, s)
 		}
 	}
 	if len(fit) == 0 && b.mayExplore(r) {
 		return b.drawByScore(open)
 	}
-	// To redraw until a server is not crowded is to draw among those that are not, each with its
-	// part of their scores.
-	fit = slices.DeleteFunc(fit, func(s *server) bool { return s.candidate.cost > best*maxCostRatio })
+	// Drawing among the servers that cost little more than the best one equals drawing among all and
+	// redrawing the others.
+	fit = slices.DeleteFunc(fit, func(s *server) bool { return s.placement.cost > best*maxCostRatio })
 	for _, preferred := range []*server{first, second} {
 		if preferred != nil && slices.Contains(fit, preferred) {
 			return preferred
@@ -158,37 +158,37 @@
 	left := b.timeToObjective(r)
 	protected := r.class.protectedObjective // spares servers for what has a higher weight and less time
 	parallelism := math.Round(b.estimate.parallelism)
-	limits := placementLimits{idle: min(b.idleServerTimeShare()*left, idleTimeShare*protected)}
+	limits := placementLimits{idle: min(b.idleServerTimeFraction()*left, idleTimeFraction*protected)}
 	if r.late { // what is late must make nothing else late
 		limits.requests = parallelism
-		limits.expected = min(queuedRequestTimeShare*left, newRequestTimeShare*protected)
+		limits.expected = min(queuedRequestTimeFraction*left, newRequestTimeFraction*protected)
 		return limits
 	}
-	share := b.timeShare(r.class, newRequestTimeShare)
-	queuedShare := b.timeShare(r.class, queuedRequestTimeShare)
-	limits.requests = saturationFactor * parallelism * (share / newRequestTimeShare)
+	share := b.timeFraction(r.class, newRequestTimeFraction)
+	queuedShare := b.timeFraction(r.class, queuedRequestTimeFraction)
+	limits.requests = saturationFactor * parallelism * (share / newRequestTimeFraction)
 	whole := min(r.objectiveAt, r.deadline) - r.arrived
 	expected := min(share*whole, queuedShare*left)
 	limits.unknown = max(0, left-expected) * (1 - b.probeCoverage())
-	limits.expected = min(expected, newRequestTimeShare*protected)
+	limits.expected = min(expected, newRequestTimeFraction*protected)
 	return limits
 }
 
 // answersInTime reports whether a candidate is within a request's limits.
 func (b *Balancer) answersInTime(r *request, s *server, limits placementLimits) bool {
 	requests := b.estimatedRequests(s)
-	expected := s.candidate.expected
+	expected := s.placement.expected
 	if requests < limits.requests && expected <= limits.expected+s.estimate.doubt*limits.unknown {
 		return true
 	}
 	return !r.late && requests < idleServerRequests && expected <= limits.idle
 }
 
-// candidateCost is what a candidate costs a request, expressed as time: the expected answer, the
+// placementCost is what a candidate costs a request, expressed as time: the expected answer, the
 // risk of a failure, another zone, a new connection.
-func (b *Balancer) candidateCost(r *request, s *server) Millis {
+func (b *Balancer) placementCost(r *request, s *server) Millis {
 	objective := r.class.LatencyObjective
-	cost := s.candidate.expected + (s.estimate.failureShare+b.zoneFailureShare(s.zoneFailures))*objective
+	cost := s.placement.expected + (s.estimate.failureShare+b.zoneFailureShare(s.zoneFailures))*objective
 	wholeWeight := objective * b.meanPriorityWeight / max(minPriorityWeight, r.class.PriorityWeight)
 	if s.Zone != b.settings.Zone {
 		cost += b.settings.Prices.CrossZone * wholeWeight
@@ -202,20 +202,20 @@
 	return cost
 }
 
-// idleServerTimeShare is the part of the time to the objective that an idle server may be expected
+// idleServerTimeFraction is the part of the time to the objective that an idle server may be expected
 // to use. While much of the fleet is idle heavy requests may use more of it: hints are rough, and
 // nothing else is held up.
-func (b *Balancer) idleServerTimeShare() float64 {
+func (b *Balancer) idleServerTimeFraction() float64 {
 	if !b.settings.LoadReports {
-		return idleTimeShare
+		return idleTimeFraction
 	}
-	return max(idleTimeShare, newRequestTimeShare+idleFleetTimeShare*(1-b.estimate.othersLoad))
+	return max(idleTimeFraction, newRequestTimeFraction+idleFleetTimeFraction*(1-b.estimate.othersLoad))
 }
 
-// timeShare widens a share of the time to the objective where a late answer still earns something,
+// timeFraction widens a share of the time to the objective where a late answer still earns something,
 // since less is lost by a wrong guess. Where the operator's objective weighs the tail more would be
 // lost, and the share stays.
-func (b *Balancer) timeShare(class *classState, share float64) float64 {
+func (b *Balancer) timeFraction(class *classState, share float64) float64 {
 	if b.settings.Goal.TailLatency > 0 {
 		return share
 	}
@@ -234,7 +234,7 @@
 // phase.
 func (b *Balancer) takeExploration() bool {
 	unitTime := min(b.estimate.unitTime, b.estimate.initialUnitTime)
-	rate := explorationShare * float64(len(b.servers.ready)) / unitTime / float64(b.settings.Nodes)
+	rate := explorationFraction * float64(len(b.servers.ready)) / unitTime / float64(b.fleet.size)
 	b.explorations.refill(b.now, rate, 1)
 	return b.explorations.take()
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -179,7 +179,7 @@
 		}
 	}
 	// 4 servers with 100 ms a request can do 400 in 10 s; chance may add a few.
-	if most := int(explorationShare*400) + 20; sent > most || sent < 20 {
+	if most := int(explorationFraction*400) + 20; sent > most || sent < 20 {
 		t.Errorf("%d nodes sent %d feelers in 10 s, want 20 to %d", nodes, sent, most)
 	}
 }
@@ -217,7 +217,7 @@
 		_, acts := b.arrive("read", 2000)
 		return sentTo(acts) != ""
 	}
-	dear, cheap := fleet(10*probeBudgetShare), fleet(probeBudgetShare/10)
+	dear, cheap := fleet(10*probeBudgetFraction), fleet(probeBudgetFraction/10)
 	if !sent(dear, 1) {
 		t.Error("a request is held although no news can come")
 	}
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -20,8 +20,10 @@
 	sweepScheduled bool
 	missedAt       Millis // when the last request found no server ...
 	misses         int    // ... and how many did at that time
-	fastest        Millis // the least time that any server takes for a request of mean work ...
-	fastestAt      Millis // ... at this time
+	// fastest caches the least time that any server takes for a request of mean work that may go to any
+	// server. It is valid at fastestAt only.
+	fastest   Millis
+	fastestAt Millis
 }
 
 func (b *Balancer) enqueue(r *request) {
@@ -55,7 +57,7 @@
 	probing := slices.ContainsFunc(b.servers.ready, func(s *server) bool { return s.load.probePending })
 	workAhead := 0.0
 	for _, r := range b.takeQueueByPriority() {
-		if r.done {
+		if r.finished {
 			continue
 		}
 		if probing && b.now < r.probesUntil {
@@ -111,9 +113,9 @@
 	if servers == 0 {
 		return true
 	}
-	perServer := workAhead * b.estimate.unitTime * float64(b.settings.Nodes) / float64(servers)
+	perServer := workAhead * b.estimate.unitTime * float64(b.fleet.size) / float64(servers)
 	wait := perServer / math.Round(b.estimate.parallelism)
-	limit := min(b.idleServerTimeShare()*b.timeToObjective(r), idleTimeShare*r.class.protectedObjective)
+	limit := min(b.idleServerTimeFraction()*b.timeToObjective(r), idleTimeFraction*r.class.protectedObjective)
 	return wait+best > limit
 }
 
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Guards against requests bound to a group that is lost: they fail at once and keep no other from
+// Guards against requests bound to a dedup scope that is lost: they fail at once and keep no other from
 // being sent.
 func TestRequestsBoundToLostScopeBlockNoOther(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -20,7 +20,7 @@
 	attempts     []attempt
 	openAttempts int
 	mayHaveRun   bool // some attempt may have run
-	done         bool // answered, or cancelled by its client
+	finished     bool // answered, or cancelled by its client
 
 	queued      bool
 	priority    float64 // in the queue
@@ -102,7 +102,7 @@
 
 // finishRequest ends a request; its attempts may still be out.
 func (b *Balancer) finishRequest(r *request) {
-	r.done = true
+	r.finished = true
 	r.queued = false
 	b.forgetIfFinished(r)
 }
@@ -128,9 +128,8 @@
 
 // attemptStart is when a server that is sent a request now can begin it. While the body is still
 // coming that is unknown, and the server is taken to hold nothing of it.
-func (b *Balancer) attemptStart(r *request, s *server) Millis {
+func (b *Balancer) attemptStart(r *request) Millis {
 	if r.bodyPending {
-		s.attempts.awaitingBody++
 		return math.Inf(1)
 	}
 	return b.now
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -7,7 +7,7 @@
 // TestUploadIsNeitherSilentNorMissing has a request's body come for longer than any answer takes.
 func TestUploadIsNeitherSilentNorMissing(t *testing.T) {
 	set := Settings{Nodes: 1, LoadReports: true, CancelAllowed: true, ProbesAllowed: false, DrainGrace: 2000, MaxAttempts: 3,
-		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, Goal: ObjectiveWeights{Overall: 1},
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, Goal: GoalWeights{Overall: 1},
 		Classes: []Class{{Name: "look", LatencyObjective: 100, TotalTimeout: 400, PriorityWeight: 1}}}
 	l, err := New(set, 1)
 	if err != nil {
@@ -30,8 +30,8 @@
 		l.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
 		s.attempts.latestAnswered = now
 		l.updateScores()
-		if r := l.requests[1]; r == nil || r.attempts[0].missing || l.unansweredTime(s, false) > 0 {
-			t.Fatalf("after %v ms: request %+v, overdue %v", now, r, l.unansweredTime(s, false))
+		if r := l.requests[1]; r == nil || r.attempts[0].missing || l.unansweredTime(s) > 0 {
+			t.Fatalf("after %v ms: request %+v, overdue %v", now, r, l.unansweredTime(s))
 		}
 	}
 	if s.attempts.latestAnswered = 0; l.estimateRequests(s) != 0 || s.load.others != 0 {
@@ -45,8 +45,8 @@
 	if l.now = 6050; l.estimateRequests(s) < 1 {
 		t.Errorf("taken to hold %v once it is whole", l.estimateRequests(s))
 	}
-	if l.unansweredTime(s, false) != 50 {
-		t.Errorf("silent for %v ms", l.unansweredTime(s, false))
+	if l.unansweredTime(s) != 50 {
+		t.Errorf("silent for %v ms", l.unansweredTime(s))
 	}
 	l.Step(6080, AttemptCompleted{ID: 1, Server: to, Outcome: OK, Elapsed: 80})
 	if l.requests[1] != nil || s.outlier.consecutiveFailures != 0 || l.estimate.reportLag != 0 || s.attempts.latestAnswered != 6000 || s.attempts.awaitingBody != 0 {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -8,21 +8,20 @@
 	retryBudgetRatio = 0.1
 	// retryBurst bounds the saved retries; it lets the requests of a lost server move at once.
 	retryBurst = 5.0
-	// retryAfterShare is the part of the time left that a client may be told to wait; the rest is
+	// retryAfterFraction is the part of the time left that a client may be told to wait; the rest is
 	// for its next attempt.
-	retryAfterShare = 0.25
+	retryAfterFraction = 0.25
 )
 
 // earnRetries adds what one first attempt earns for the retry budget, less what the fleet holds back.
 func (b *Balancer) earnRetries() {
-	elapsedOne := b.retryBudget.refilledAt + 1 // this bucket counts first attempts, not time
-	b.retryBudget.refill(elapsedOne, retryBudgetRatio*(1-b.fleet.retryReduction), retryBurst)
+	b.retryBudget.earn(retryBudgetRatio*(1-b.fleet.retryReduction), retryBurst)
 }
 
 // retryOrGiveUp decides on a request whose attempts have all ended without an answer. A retry needs
-// an attempt left, time left, a request that may be repeated, and a token of the retry budget.
-// After an attempt that was cancelled or found no server it costs no token: no server had work with
-// it.
+// an attempt left, time left, a request that may be repeated, and a token of the retry budget. After
+// Unreachable, or after this balancer itself cancelled a missing attempt, it costs no token: no
+// server works on the request. After Overloaded it does: the retry is load.
 func (b *Balancer) retryOrGiveUp(r *request, last Outcome) {
 	if !b.mayRetry(r) {
 		b.rejectOrFail(r, AttemptsExhausted)
@@ -41,10 +40,13 @@
 func (b *Balancer) mayRetry(r *request) bool {
 	attemptsLeft := len(r.attempts) < b.settings.MaxAttempts
 	timeLeft := b.now < r.objectiveAt && b.now < r.deadline-b.settings.Tick
-	repeatable := !r.mayHaveRun || r.class.Idempotency != NonIdempotent
-	return attemptsLeft && timeLeft && repeatable
+	return attemptsLeft && timeLeft && (!r.mayHaveRun || r.class.repeatable())
 }
 
+// repeatable reports whether a request of this class that may have run may be repeated at all; where
+// to is eligible's to say.
+func (c *classState) repeatable() bool { return c.Idempotency != NonIdempotent }
+
 // rejectOrFail gives the final answer at once: a rejection, which promises that a retry does no
 // harm, or a failure where that can't be promised.
 func (b *Balancer) rejectOrFail(r *request, reason RejectReason) {
@@ -79,7 +81,7 @@
 	if !b.settings.RetryAfterAllowed || len(b.servers.ready) == 0 {
 		return 0
 	}
-	queued := float64((len(b.queue.waiting) + 1) * b.settings.Nodes)
+	queued := float64((len(b.queue.waiting) + 1) * b.fleet.size)
 	wait := b.estimate.unitTime * queued / float64(len(b.servers.ready)) / math.Round(b.estimate.parallelism)
-	return max(0, min(b.settings.MaxRetryAfter, wait, retryAfterShare*b.timeToObjective(r)))
+	return max(0, min(b.settings.MaxRetryAfter, wait, retryAfterFraction*b.timeToObjective(r)))
 }
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -22,7 +22,7 @@
 	idleConnections int
 	load            serverLoad
 	estimate        serverEstimate
-	candidate       candidateCost // of the request that is being placed
+	placement       placementEstimate // of the request that is being placed
 
 	nameHash      uint64
 	gossipTag     uint16 // its name in gossip
@@ -40,10 +40,15 @@
 // serverAttempts are this node's attempts at one server.
 type serverAttempts struct {
 	requests       []*request // with an open attempt here, oldest first
-	inFlight       int
-	missing        int    // of these, not in the server's latest report
-	awaitingBody   int    // of these, still without their whole body: the server can't hold them yet
-	latestAnswered Millis // when the latest attempt that was answered had been sent
+	inFlight       int        // open attempts here
+	missing        int        // of these, not in the server's latest report
+	awaitingBody   int        // of these, still without their whole body: the server can't hold them yet
+	latestAnswered Millis     // when the latest attempt that was answered had been sent
+}
+
+// held is how many of this node's requests the server holds, as far as its latest report shows.
+func (a *serverAttempts) held() float64 {
+	return float64(a.inFlight - a.missing - a.awaitingBody)
 }
 
 // forgetRemovedServers drops the servers that have left the list, once no attempt is out at them.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,22 +8,25 @@
 // Millis is a time on the node's monotonic clock, or a span of it, in milliseconds.
 type Millis = float64
 
-// Settings are what a node is configured with, at its start. New says which of them make deciding impossible.
+// Settings are what a node is configured with, at its start. New says which of them make deciding
+// impossible.
 type Settings struct {
 	Node    int // this node's number, from 0
 	Nodes   int // size of the fleet, at least 1
 	Zone    string
 	Classes []Class
 	Tenants []Tenant
-	Goal    ObjectiveWeights
+	Goal    GoalWeights
 
 	OverQuotaFraction  float64 // part of its weight that a request beyond its tenant's quota keeps, from 0 to 1
 	WeightByWork       bool    // a request's weight is multiplied by its work
-	ClientsMarkRetries bool
-	KeyAffinity        bool // a server that met a request's key lately does less work for it
+	ClientsMarkRetries bool    // otherwise a retry is recognized by its key
+	KeyAffinity        bool    // a server that met a request's key lately does less work for it
 
-	WatchEndpoints   bool   // the endpoint list must be asked for
-	WatchDeadline    Millis // within it a node must have asked; 0: no limit
+	// WatchEndpoints has the balancer ask for the endpoint list; without it the discovery client polls by
+	// itself.
+	WatchEndpoints   bool
+	MaxPollInterval  Millis // longest time between two polls; 0: no limit
 	CapacitiesListed bool   // the list's capacities compare the servers
 	DrainGrace       Millis // after a server is reported as draining, attempts to it may still begin for so long
 
@@ -55,12 +58,12 @@
 	OverloadWindow Millis
 }
 
-// Prices are what the operator charges, as shares of all priority weight.
+// Prices are what the operator charges, as fractions of all priority weight.
 type Prices struct {
-	CrossZone float64 // if each first attempt crosses zones
-	Probe     float64 // for one load probe a first attempt
-	Handshake float64 // for one new connection to a server a first attempt
-	Gossip    float64 // for one message of full length received a first attempt
+	CrossZone float64 // if every first attempt went to another zone
+	Probe     float64 // if one load probe were sent for each first attempt
+	Handshake float64 // if one connection to a server were opened for each first attempt
+	Gossip    float64 // if one message of full length were received for each first attempt
 }
 
 // Class is one class of request.
@@ -82,14 +85,14 @@
 	Quota float64 // requests a second, over all nodes together; 0: no quota
 }
 
-// ObjectiveWeights weigh the parts of the service that the operator counts.
-type ObjectiveWeights struct {
+// GoalWeights are the weights of the parts of the operator's goal.
+type GoalWeights struct {
 	Overall      float64 // the share of all weight that is served in time
 	WorstWindow  float64 // ... in the worst stretch of time
 	WorstClass   float64 // ... of the worst served class
 	WorstTenant  float64 // ... of the worst served tenant
-	TailLatency  float64
-	Availability float64
+	TailLatency  float64 // over 0: no more of the time to the objective is used where late answers still earn
+	Availability float64 // counts like Overall
 }
 
 // Idempotency reports whether a class of request may run more than once.
@@ -118,7 +121,8 @@
 	minPrice = 1e-9
 )
 
-// validate names the setting that makes deciding impossible.
+// validate names the setting that makes deciding impossible, in the words of the settings object:
+// its keys are what an operator can change.
 func validate(s Settings) error {
 	switch {
 	case s.Nodes < 1:
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -28,7 +28,7 @@
 	for name, odd := range map[string]func(*Settings){
 		"many nodes":    func(s *Settings) { s.Nodes = 50 },
 		"one attempt":   func(s *Settings) { s.MaxAttempts = 1 },
-		"no goal":       func(s *Settings) { s.Goal = ObjectiveWeights{} },
+		"no goal":       func(s *Settings) { s.Goal = GoalWeights{} },
 		"zero quota":    func(s *Settings) { s.Tenants = []Tenant{{Name: "t"}} },
 		"no cold time":  func(s *Settings) { s.SlowStart.Duration = 0 },
 		"huge deadline": func(s *Settings) { s.Classes[0].TotalTimeout, s.Classes[0].LatencyObjective = 1e9, 1e9 },
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -81,9 +81,9 @@
 
 // slowStartAllows refills a warming server's budget and reports whether the work fits into it.
 //
-// Invariant: all nodes together never send a warming server more than its budget, also if all have
-// saved their parts and spend them at once. Without it a server that has just started is overloaded
-// by the first requests of all nodes and stays down.
+// Invariant: what all nodes together send a warming server in any overload window stays within its
+// budget of N, but for chance (2√N+2; TestNodesTogetherKeepSlowStartBudget). Without it a server that
+// has just started is overloaded by the first requests of all nodes and stays down.
 func (b *Balancer) slowStartAllows(s *server, work float64) bool {
 	if b.minimumCapacity(s) >= 1 {
 		return true
--- a/balancer/statetransfer.go
+++ b/balancer/statetransfer.go
@@ -24,28 +24,28 @@
 
 // ServerRecord is what a node knows of one server.
 type ServerRecord struct {
-	ID             ServerID           `json:"ID"`
-	Started        Millis             `json:"Started"`
-	Latency        Millis             `json:"Latency"`
-	UnitTime       Millis             `json:"Unit"`
-	OutcomeAt      Millis             `json:"OutcomeAt"`
-	FailedAt       Millis             `json:"FailedAt"`
-	Measured       bool               `json:"Seen"`
-	Ejected        bool               `json:"Excluded"`
-	TrialAt        Millis             `json:"TrialAt"`
-	Score          float64            `json:"Score"`
-	OthersLoad     float64            `json:"Others"`
-	OthersAverage  float64            `json:"OthersAvg"`
-	ReportedAt     Millis             `json:"ReportAt"`
-	FailuresInRow  int                `json:"Failures"`
-	Successes      []int              `json:"Ok"` // by bucket of the error window
-	Failures       []int              `json:"Fail"`
-	Buckets        []int64            `json:"Seconds"` // the buckets' indexes
-	Recent         []bool             `json:"Recent"`  // oldest first
-	Budget         float64            `json:"Budget"`  // of its slow start
-	BudgetAt       Millis             `json:"BudgetAt"`
-	ClassFailures  map[string]float64 `json:"Bad"`
-	ClassFailureAt map[string]Millis  `json:"BadAt"`
+	ID                  ServerID           `json:"ID"`
+	Started             Millis             `json:"Started"`
+	Latency             Millis             `json:"Latency"`
+	UnitTime            Millis             `json:"Unit"`
+	OutcomeAt           Millis             `json:"OutcomeAt"`
+	FailedAt            Millis             `json:"FailedAt"`
+	Measured            bool               `json:"Seen"`
+	Ejected             bool               `json:"Excluded"`
+	TrialAt             Millis             `json:"TrialAt"`
+	Score               float64            `json:"Score"`
+	OthersLoad          float64            `json:"Others"`
+	OthersAverage       float64            `json:"OthersAvg"`
+	ReportedAt          Millis             `json:"ReportAt"`
+	ConsecutiveFailures int                `json:"Failures"`
+	Successes           []int              `json:"Ok"` // by bucket of the error window
+	Failures            []int              `json:"Fail"`
+	Buckets             []int64            `json:"Seconds"` // the buckets' indexes
+	Recent              []bool             `json:"Recent"`  // oldest first
+	Budget              float64            `json:"Budget"`  // of its slow start
+	BudgetAt            Millis             `json:"BudgetAt"`
+	ClassFailures       map[string]float64 `json:"Bad"`
+	ClassFailureAt      map[string]Millis  `json:"BadAt"`
 }
 
 // ClassRecord is what was asked for and served of a class.
@@ -99,25 +99,25 @@
 
 func (b *Balancer) serverRecord(s *server) ServerRecord {
 	record := ServerRecord{
-		ID:             s.ID,
-		Started:        s.Started,
-		Latency:        s.timing.latency,
-		UnitTime:       s.timing.unitTime,
-		OutcomeAt:      s.timing.outcomeAt,
-		FailedAt:       s.outcomes.failedAt,
-		Measured:       s.timing.measured,
-		Ejected:        s.outlier.ejected,
-		TrialAt:        s.outlier.trialAt,
-		Score:          s.score,
-		OthersLoad:     s.load.others,
-		OthersAverage:  s.load.othersAverage,
-		ReportedAt:     s.load.reportedAt,
-		FailuresInRow:  s.outlier.consecutiveFailures,
-		Recent:         s.outcomes.oldestFirst(),
-		Budget:         s.slowStart.budget.left,
-		BudgetAt:       s.slowStart.budget.refilledAt,
-		ClassFailures:  map[string]float64{},
-		ClassFailureAt: map[string]Millis{},
+		ID:                  s.ID,
+		Started:             s.Started,
+		Latency:             s.timing.latency,
+		UnitTime:            s.timing.unitTime,
+		OutcomeAt:           s.timing.outcomeAt,
+		FailedAt:            s.outcomes.failedAt,
+		Measured:            s.timing.measured,
+		Ejected:             s.outlier.ejected,
+		TrialAt:             s.outlier.trialAt,
+		Score:               s.score,
+		OthersLoad:          s.load.others,
+		OthersAverage:       s.load.othersAverage,
+		ReportedAt:          s.load.reportedAt,
+		ConsecutiveFailures: s.outlier.consecutiveFailures,
+		Recent:              s.outcomes.oldestFirst(),
+		Budget:              s.slowStart.budget.left,
+		BudgetAt:            s.slowStart.budget.refilledAt,
+		ClassFailures:       map[string]float64{},
+		ClassFailureAt:      map[string]Millis{},
 	}
 	for _, bucket := range s.outcomes.buckets {
 		record.Successes = append(record.Successes, bucket.successes)
@@ -177,7 +177,7 @@
 		outcomeAt: record.OutcomeAt,
 	}
 	s.outlier = ejectionState{
-		consecutiveFailures: record.FailuresInRow,
+		consecutiveFailures: record.ConsecutiveFailures,
 		ejected:             record.Ejected,
 		trialAt:             record.TrialAt,
 	}
--- a/balancer/statetransfer_test.go
+++ b/balancer/statetransfer_test.go
@@ -9,7 +9,7 @@
 // server, by now and in the time to come, against what one may.
 func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	set := Settings{Nodes: 3, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 100, PriorityWeight: 1}}, DrainGrace: 2000,
-		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 3000}, MaxAttempts: 1, Goal: ObjectiveWeights{Overall: 1}}
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 3000}, MaxAttempts: 1, Goal: GoalWeights{Overall: 1}}
 	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Capacity: 1, Started: 1}}}
 	begin := func(seed uint64, left float64) *Balancer {
 		l, err := New(set, seed)
@@ -47,7 +47,7 @@
 
 func TestRestoredStateIsWhatWasKnown(t *testing.T) {
 	set := Settings{Nodes: 1, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 300, PriorityWeight: 1}}, DrainGrace: 2000,
-		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, MaxAttempts: 3, Goal: ObjectiveWeights{Overall: 1}}
+		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, MaxAttempts: 3, Goal: GoalWeights{Overall: 1}}
 	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1, Started: 5}}}
 	made := func(seed uint64) *Balancer {
 		l, err := New(set, seed)
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// tokenBucket is an allowance that refills with time.
+// tokenBucket is an allowance that refills with time (refill) or by events (earn).
 type tokenBucket struct {
 	left       float64
 	refilledAt Millis
@@ -18,10 +18,10 @@
 
 // refillPhased refills an allowance of which at most capacity may be saved.
 //
-// Where the capacity is under one token, each whole token that accrues stays available only for a
-// part of the time until the next one: the part that the capacity is of one token. Of many nodes,
-// each in a random phase, as many hold a token at any moment as may together save one. Without it
-// all nodes could save a token each and spend them on one cold server at the same time.
+// Where less than one token may be saved, a token that has accrued is usable only for the fraction
+// capacity of the time until the next one accrues, and lapses then. With random phases, the nodes
+// that hold a token at any moment number about capacity times the nodes, which is what all may save
+// together. Otherwise all nodes could save a token each and spend them at the same moment.
 func (t *tokenBucket) refillPhased(now Millis, rate, capacity float64) float64 {
 	t.refill(now, rate, math.Inf(1))
 	if capacity >= 1 {
@@ -37,6 +37,11 @@
 	return t.left
 }
 
+// earn adds an amount, up to capacity. A bucket that is filled by events is not refilled with time.
+func (t *tokenBucket) earn(amount, capacity float64) {
+	t.left = min(capacity, t.left+amount)
+}
+
 // take spends one token, if there is one.
 func (t *tokenBucket) take() bool {
 	if t.left < 1 {
--- a/cmd/bench-adapter/main.go
+++ b/cmd/bench-adapter/main.go
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	if err := simadapter.NewHost(os.Stderr).Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.NewInstances(os.Stderr).Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "bench-adapter: %v\n", err)
 		os.Exit(1)
 	}
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -46,9 +46,9 @@
 	// SetBroadcaster has the balancer's messages to other nodes go over a Broadcaster; nil: no longer.
 	SetBroadcaster(Broadcaster)
 	// TookOver reports whether another process of this node ran when this one started.
-	TookOver() bool
+	HasPredecessor() bool
 	// Succeeded reports whether another process is taking over from this one.
-	Succeeded() bool
+	HasSuccessor() bool
 }
 
 // Broadcaster sends the balancer's messages to the other nodes. It does not wait.
@@ -109,7 +109,7 @@
 		return nil, fmt.Errorf("shares: this member is %s at %s, which is not among them", l.name, o.address())
 	}
 	if err := l.open(); err != nil {
-		predecessorHasIt := node.TookOver() && errors.Is(err, syscall.EADDRINUSE)
+		predecessorHasIt := node.HasPredecessor() && errors.Is(err, syscall.EADDRINUSE)
 		if !predecessorHasIt {
 			return nil, err
 		}
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -34,8 +34,8 @@
 func (n *fakeNode) Classes() []balancer.Class {
 	return []balancer.Class{{Name: "look", PriorityWeight: 1}}
 }
-func (n *fakeNode) TookOver() bool  { return false }
-func (n *fakeNode) Succeeded() bool { return false }
+func (n *fakeNode) HasPredecessor() bool { return false }
+func (n *fakeNode) HasSuccessor() bool   { return false }
 
 func (n *fakeNode) ApplyEvent(e balancer.Event, _ bool) {
 	n.mu.Lock()
--- a/internal/cluster/loop.go
+++ b/internal/cluster/loop.go
@@ -38,7 +38,7 @@
 		case body := <-l.broadcasts:
 			l.core.SendToAll(membership.Message{Kind: membership.Broadcast, Node: uint32(l.node.Number()), Body: body})
 		case <-ctx.Done():
-			if !l.node.Succeeded() { // otherwise the member stays, with the next process
+			if !l.node.HasSuccessor() { // otherwise the member stays, with the next process
 				l.leave()
 			}
 			return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,16 +29,16 @@
 
 // Config is everything that a node is configured with.
 type Config struct {
-	Name        string
-	Listen      string
-	Discovery   string
-	Operator    string // address of the administrators' listener; empty: none
-	Seed        uint64
-	Limits      Limits
-	Known       discovery.List
-	Settings    settings.Settings
-	GossipNodes []netip.AddrPort   // of all nodes, by number; none where they send no messages
-	Shadow      *balancer.Settings // evaluated beside those in force; nil: none
+	Name         string
+	Listen       string
+	Discovery    string
+	AdminAddress string // address of the administrators' listener; empty: none
+	Seed         uint64
+	Limits       Limits
+	Known        discovery.List
+	Settings     settings.Settings
+	GossipNodes  []netip.AddrPort   // of all nodes, by number; none where they send no messages
+	Shadow       *balancer.Settings // evaluated beside those in force; nil: none
 }
 
 // file is the configuration file. Its JSON names are the operators'.
@@ -131,7 +131,7 @@
 
 // validate reads every part, and returns every fault.
 func (f *file) validate(path string, lines configpos.Lines) (Config, []operator.Diagnostic) {
-	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Limits: f.Limits}
+	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddress: f.Operator, Limits: f.Limits}
 	var faults []operator.Diagnostic
 	fault := func(at, key, format string, args ...any) {
 		faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(at), Key: key, Message: fmt.Sprintf(format, args...)})
@@ -145,8 +145,8 @@
 	if err := checkAddress("ROUTER_DISCOVERY", "discovery", c.Discovery); err != nil {
 		fault("discovery", "", "%v", err)
 	}
-	if c.Operator != "" {
-		if err := checkAddress("ROUTER_OPERATOR", "operator", c.Operator); err != nil {
+	if c.AdminAddress != "" {
+		if err := checkAddress("ROUTER_OPERATOR", "operator", c.AdminAddress); err != nil {
 			fault("operator", "", "%v", err)
 		}
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -39,7 +39,7 @@
 	}{
 		{"name", c.Name == next.Name},
 		{"listen", c.Listen == next.Listen},
-		{"operator", c.Operator == next.Operator},
+		{"operator", c.AdminAddress == next.AdminAddress},
 		{"limits", c.Limits == next.Limits},
 		{"peers", slices.Equal(c.GossipNodes, next.GossipNodes)},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -46,7 +46,7 @@
 }
 
 // Registry describes the server list.
-type Registry struct {
+type EndpointCounts struct {
 	Entries Count `json:"entries"` // servers in the list, as the balancer has it
 	Avoided Count `json:"avoided"` // of these, the ones that get no requests in the ordinary way
 }
@@ -206,7 +206,7 @@
 	Stop          Shutdown          `json:"stop"`
 	Operations    Operations        `json:"operations"`
 	Rejections    ByCode            `json:"rejections"` // why requests were answered 4xx
-	Registry      Registry          `json:"registry"`
+	Endpoints     EndpointCounts    `json:"registry"`
 	Bodies        Bodies            `json:"large_bodies"`
 	Handover      Handover          `json:"handover"`
 	Admin         Admin             `json:"operator_door"`
--- a/internal/counters/summary.go
+++ b/internal/counters/summary.go
@@ -22,8 +22,8 @@
 		Operations: c.Operations,
 		Relayed:    relayed,
 		Open:       &c.Requests.Open,
-		Entries:    &c.Registry.Entries,
-		Avoided:    &c.Registry.Avoided,
+		Entries:    &c.Endpoints.Entries,
+		Avoided:    &c.Endpoints.Avoided,
 	})
 	if err != nil { // it holds numbers only
 		return []byte(`{"error":"figures cannot be written"}`)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -29,7 +29,7 @@
 	Nodes int
 
 	// Subscribe has the client call only after WatchEndpoints, instead of all the time.
-	Subscribe bool
+	WatchOnRequest bool
 
 	// MaxPollInterval is the time after which discovery takes a node that has not called for informed; 0: never.
 	MaxPollInterval time.Duration
@@ -45,7 +45,7 @@
 // Client follows the list of one discovery service. Its methods may be called from any goroutine.
 type Client struct {
 	intervals      intervals
-	onDemand       bool          // calls are made only after WatchEndpoints
+	watchOnRequest bool          // calls are made only after WatchEndpoints
 	requested      chan struct{} // holds one element after WatchEndpoints
 	dial           Dial
 	addressChanged chan struct{} // holds one element after SetAddress, until Run has noticed
@@ -71,7 +71,7 @@
 	}
 	c := &Client{
 		intervals:      intervalsFor(o),
-		onDemand:       o.Subscribe,
+		watchOnRequest: o.WatchOnRequest,
 		requested:      make(chan struct{}, 1),
 		dial:           dial,
 		addressChanged: make(chan struct{}, 1),
--- a/internal/discovery/intervals.go
+++ b/internal/discovery/intervals.go
@@ -102,7 +102,7 @@
 	silentBackoff := max(minSilentBackoff, share(o.DrainGrace, silentBackoffGraceShare))
 	iv.maxSilentBackoff = min(iv.maxRejectedBackoff, silentBackoff)
 	afterWatch := withJitter(initialBackoff)
-	if o.Subscribe {
+	if o.WatchOnRequest {
 		otherNodes := max(0, o.Nodes-1)
 		iv.rewatchSpread = min(time.Duration(otherNodes)*rewatchSpreadPerNode, maxRewatchSpread)
 		afterWatch = iv.rewatchSpread
--- a/internal/discovery/intervals_test.go
+++ b/internal/discovery/intervals_test.go
@@ -13,7 +13,7 @@
 		for _, grace := range []time.Duration{0, time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 			for _, maxPollInterval := range []time.Duration{0, 200 * time.Millisecond, 10 * time.Second} {
 				for _, subscribe := range []bool{false, true} {
-					iv := intervalsFor(Options{Nodes: nodes, DrainGrace: grace, MaxPollInterval: maxPollInterval, Subscribe: subscribe})
+					iv := intervalsFor(Options{Nodes: nodes, DrainGrace: grace, MaxPollInterval: maxPollInterval, WatchOnRequest: subscribe})
 					if worst := iv.worstCase(subscribe); worst > informDeadline {
 						t.Fatalf("%d nodes, grace %v, on demand %v: a change may take %v: %+v", nodes, grace, subscribe, worst, iv)
 					}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -41,12 +41,12 @@
 // run polls until the context ends. Where polls are on demand each call to WatchEndpoints starts one, which goes on until it fails.
 func (p *poller) run(ctx context.Context) {
 	c := p.client
-	requested := !c.onDemand
+	requested := !c.watchOnRequest
 	for ctx.Err() == nil {
 		if !requested && !c.waitRequested(ctx) {
 			return
 		}
-		requested = !c.onDemand
+		requested = !c.watchOnRequest
 		t := c.currentTransport()
 		err := p.follow(ctx, t)
 		if t != c.currentTransport() { // aborted by SetAddress: start over there at once, and report no failure
@@ -56,7 +56,7 @@
 			p.backoff = initialBackoff
 			continue
 		}
-		if !c.onDemand { // where it is, the backoff is the balancer's
+		if !c.watchOnRequest { // where it is, the backoff is the balancer's
 			p.backOff(ctx, err)
 		}
 	}
@@ -95,12 +95,12 @@
 // poll makes one call, or several hedged ones to a discovery that has gone silent.
 func (p *poller) poll(ctx context.Context, t *transport) (List, error) {
 	c := p.client
-	if p.revision < 0 && p.silent && !c.onDemand {
+	if p.revision < 0 && p.silent && !c.watchOnRequest {
 		return c.hedgedPoll(ctx, t)
 	}
 	list, err := c.call(t, p.revision, c.intervals.callTimeout)
 	watchLost := p.revision >= 0 && timedOut(err)
-	if !c.onDemand || !watchLost {
+	if !c.watchOnRequest || !watchLost {
 		return list, err
 	}
 	// A watch that got no answer is followed by a call for the complete list at once: the balancer's backoff is for calls
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -173,7 +173,7 @@
 						f.serve("one", d)
 						known := d.list()
 						for range size.nodes {
-							client := New(Options{Address: "one", Nodes: size.nodes, DrainGrace: size.grace, Subscribe: size.subscribe, Dial: f.dial,
+							client := New(Options{Address: "one", Nodes: size.nodes, DrainGrace: size.grace, WatchOnRequest: size.subscribe, Dial: f.dial,
 								Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, known)
 							f.clients = append(f.clients, client)
 							go client.Run(f.ctx, known, &onDemandBalancer{client})
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -43,7 +43,7 @@
 	s.reported = true
 	c.count.ServerList.Late.Inc()
 	c.log.Warn("server list may be stale: no answer from discovery in time", "code", "list_late", "for_ms", age.Milliseconds())
-	c.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: balancer.UpdateOverdue})
+	c.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: balancer.UpdateStale})
 }
 
 // handleAnswer applies an answer and publishes it; from is the revision that the call continued from, negative for none. A
--- a/internal/discovery/staleness_test.go
+++ b/internal/discovery/staleness_test.go
@@ -75,7 +75,7 @@
 					defer f.close()
 					f.serve("one", d)
 					for range manyNodes {
-						client := New(Options{Address: "one", Nodes: manyNodes, Subscribe: subscribe, DrainGrace: grace, Dial: f.dial,
+						client := New(Options{Address: "one", Nodes: manyNodes, WatchOnRequest: subscribe, DrainGrace: grace, Dial: f.dial,
 							Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, d.list())
 						f.clients = append(f.clients, client)
 						go client.Run(f.ctx, d.list(), &onDemandBalancer{client})
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -52,7 +52,7 @@
 // UpdateEndpoints passes on discovery's events that carry no members: a failed call, or a stale list. With the inventory on,
 // staleness is not passed on: discovery is one source among others, and the balancer need not depend on any of its changes.
 func (d *Directory) UpdateEndpoints(l balancer.EndpointUpdate) {
-	if l.Kind == balancer.UpdateOverdue {
+	if l.Kind == balancer.UpdateStale {
 		// The lock is held until the handler has returned, so that no stale event follows the inventory's first list.
 		d.mu.RLock()
 		defer d.mu.RUnlock()
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -33,7 +33,7 @@
 	Endpoints() *Directory
 	Clock() clock.Clock
 	// IdempotencyWindow is the longest time for which servers drop repetitions of a request with an idempotency key.
-	IdempotencyWindow() time.Duration
+	LongestDedupWindow() time.Duration
 	Counters() *counters.Counters
 }
 
@@ -94,7 +94,7 @@
 		maxFileBytes: maxFileBytes(host.Limits.MemoryBytes),
 		events:       make(chan sourceEvent, maxQueuedEvents),
 		cancel:       func() {},
-		view:         endpointmerge.New(o.settings(node.IdempotencyWindow())),
+		view:         endpointmerge.New(o.settings(node.LongestDedupWindow())),
 		lastGood:     map[string]time.Time{},
 	}
 	i.predecessor, _ = old.(*Inventory)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -18,7 +18,7 @@
 const noTimerWait = time.Hour
 
 // Module is what decides.
-type Module interface {
+type Balancer interface {
 	// Step takes one event at the given time and returns what is to be done, in order.
 	Step(now balancer.Millis, event balancer.Event) []balancer.Action
 }
@@ -42,7 +42,7 @@
 
 // Options are what an engine works with.
 type Options struct {
-	Module          Module
+	Balancer        Balancer
 	Clock           clock.Clock
 	Prober          Prober
 	EndpointWatcher EndpointWatcher
@@ -54,7 +54,7 @@
 
 // Engine drives the module. All fields but the mailbox belong to the goroutine of Run.
 type Engine struct {
-	module      Module
+	balancer    Balancer
 	clock       clock.Clock
 	prober      Prober
 	watcher     EndpointWatcher
@@ -77,9 +77,9 @@
 
 // New makes an engine; Run starts it.
 func New(o Options) *Engine {
-	endpointCounter, _ := o.Module.(EndpointCounter)
+	endpointCounter, _ := o.Balancer.(EndpointCounter)
 	return &Engine{
-		module:          o.Module,
+		balancer:        o.Balancer,
 		clock:           o.Clock,
 		prober:          o.Prober,
 		watcher:         o.EndpointWatcher,
@@ -160,7 +160,7 @@
 	}
 	for len(e.queue) > 0 {
 		began := time.Now()
-		actions := e.module.Step(e.clock.At(began), e.queue[0])
+		actions := e.balancer.Step(e.clock.At(began), e.queue[0])
 		e.counters.Engine.Events.Inc()
 		e.counters.Engine.StepMax.Max(time.Since(began).Microseconds())
 		for _, a := range actions {
@@ -179,6 +179,6 @@
 	}
 	e.endpointVersion = e.endpointCounter.EndpointVersion()
 	listed, avoided := e.endpointCounter.CountEndpoints()
-	e.counters.Registry.Entries.Set(int64(listed))
-	e.counters.Registry.Avoided.Set(int64(avoided))
+	e.counters.Endpoints.Entries.Set(int64(listed))
+	e.counters.Endpoints.Avoided.Set(int64(avoided))
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -105,7 +105,7 @@
 	t.Helper()
 	s := &script{act: act, events: make(chan balancer.Event, 64)}
 	count, clk := &counters.Counters{}, clock.New()
-	e := New(Options{Module: s, Clock: clk, MaxAttempts: 2, Counters: count,
+	e := New(Options{Balancer: s, Clock: clk, MaxAttempts: 2, Counters: count,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); <-e.stopped })
@@ -152,11 +152,11 @@
 	if a := receive(t, x.answers); a.Kind != Served || string(a.Body) != "two" {
 		t.Errorf("answer %+v", a)
 	}
-	if v := want[balancer.AttemptCompleted](t, s); !v.Closed || v.Attempt != 1 {
+	if v := want[balancer.AttemptCompleted](t, s); !v.RequestFinished || v.Attempt != 1 {
 		t.Errorf("told %+v", v)
 	}
 	one.done(Completion{Outcome: balancer.OK, Body: []byte("one")})
-	if v := want[balancer.AttemptCompleted](t, s); !v.Closed || v.Attempt != 0 {
+	if v := want[balancer.AttemptCompleted](t, s); !v.RequestFinished || v.Attempt != 0 {
 		t.Errorf("told %+v", v)
 	}
 	if len(x.answers) != 0 || count.Attempts.Open.Get() != 0 {
@@ -172,7 +172,7 @@
 		e.Submit(x)
 		c := receive(t, x.sent)
 		receive(t, c.aborted)
-		if v := want[balancer.AttemptCompleted](t, s); v.Outcome != result || v.Closed || v.Elapsed < 25 {
+		if v := want[balancer.AttemptCompleted](t, s); v.Outcome != result || v.RequestFinished || v.Elapsed < 25 {
 			t.Errorf("written %v: told %+v", written, v)
 		}
 		c.done(Completion{Outcome: balancer.OK}) // too late: it has its end
@@ -192,7 +192,7 @@
 	ticket.Cancel()
 	receive(t, c.aborted)
 	want[balancer.ClientCancelled](t, s)
-	if v := want[balancer.AttemptCompleted](t, s); v.Outcome != balancer.Cancelled || !v.Closed {
+	if v := want[balancer.AttemptCompleted](t, s); v.Outcome != balancer.Cancelled || !v.RequestFinished {
 		t.Errorf("told %+v", v)
 	}
 	ticket.Cancel() // a second time changes nothing
@@ -278,7 +278,7 @@
 	c := <-x.sent
 	c.done(Completion{Outcome: balancer.NotSent, ClientGone: true})
 	want[balancer.ClientCancelled](t, s)
-	if end := want[balancer.AttemptCompleted](t, s); end.Outcome != balancer.Cancelled || !end.Closed {
+	if end := want[balancer.AttemptCompleted](t, s); end.Outcome != balancer.Cancelled || !end.RequestFinished {
 		t.Errorf("%+v", end)
 	}
 	ticket.Cancel() // as the connection's own watch tells a moment later
--- a/internal/engine/mailbox.go
+++ b/internal/engine/mailbox.go
@@ -24,8 +24,8 @@
 		server     balancer.ServerID
 		completion Completion
 	}
-	eventPosted struct{ event balancer.Event }
-	functionRun struct{ function func() }
+	postEvent   struct{ event balancer.Event }
+	runFunction struct{ function func() }
 )
 
 func (m requestSubmitted) deliver(e *Engine) { e.handleSubmitted(m.request) }
@@ -38,9 +38,9 @@
 
 func (m probeCompleted) deliver(e *Engine) { e.handleProbeCompleted(m.server, m.completion) }
 
-func (m eventPosted) deliver(e *Engine) { e.step(m.event) }
+func (m postEvent) deliver(e *Engine) { e.step(m.event) }
 
-func (m functionRun) deliver(*Engine) { m.function() }
+func (m runFunction) deliver(*Engine) { m.function() }
 
 // Ticket names a request that the engine has taken.
 type Ticket struct {
@@ -65,19 +65,19 @@
 func (t Ticket) Cancel() { t.engine.post(requestCancelled{t.request}) }
 
 // UpdateEndpoints tells the module what discovery told of the endpoint list.
-func (e *Engine) UpdateEndpoints(update balancer.EndpointUpdate) { e.post(eventPosted{update}) }
+func (e *Engine) UpdateEndpoints(update balancer.EndpointUpdate) { e.post(postEvent{update}) }
 
 // ReceiveGossip hands the module another node's message.
-func (e *Engine) ReceiveGossip(m balancer.GossipReceived) { e.post(eventPosted{m}) }
+func (e *Engine) ReceiveGossip(m balancer.GossipReceived) { e.post(postEvent{m}) }
 
 // Post hands the module an event that concerns no request.
-func (e *Engine) Post(event balancer.Event) { e.post(eventPosted{event}) }
+func (e *Engine) Post(event balancer.Event) { e.post(postEvent{event}) }
 
 // RunBetweenSteps runs f between two steps, on the goroutine that owns the module, and waits until
 // it has run. It reports whether it has: an engine that ends may not run it.
 func (e *Engine) RunBetweenSteps(f func()) bool {
 	ran := make(chan struct{})
-	e.post(functionRun{func() { defer close(ran); f() }})
+	e.post(runFunction{func() { defer close(ran); f() }})
 	select {
 	case <-ran:
 		return true
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -13,7 +13,7 @@
 	deadline     balancer.Millis
 	attempts     []*attempt
 	openAttempts int
-	closed       bool // answered, or cancelled by its client
+	finished     bool // answered, or cancelled by its client
 	// bodyPending says that its body is still coming: its time runs only from the end of that,
 	// which ends it in any case.
 	bodyPending bool
@@ -30,7 +30,7 @@
 }
 
 func (e *Engine) handleSubmitted(r *pendingRequest) {
-	if r.closed { // cancelled before it was looked at
+	if r.finished { // cancelled before it was looked at
 		return
 	}
 	e.nextID++
@@ -45,7 +45,7 @@
 
 // handleBodyReceived gives a request whose body has come its true deadline, and its attempts theirs.
 func (e *Engine) handleBodyReceived(r *pendingRequest, deadline balancer.Millis) {
-	if r.closed {
+	if r.finished {
 		return
 	}
 	r.deadline = deadline
@@ -61,10 +61,10 @@
 
 // handleCancelled ends a request that nobody waits for; its attempts are cancelled.
 func (e *Engine) handleCancelled(r *pendingRequest) {
-	if r.closed {
+	if r.finished {
 		return
 	}
-	r.closed = true
+	r.finished = true
 	e.step(balancer.ClientCancelled{ID: r.id})
 	for _, a := range r.attempts {
 		e.cancelAttempt(a)
@@ -83,9 +83,9 @@
 	a := &attempt{request: r, index: len(r.attempts), server: action.Server, sentAt: now}
 	r.attempts = append(r.attempts, a)
 	deadline := r.attemptDeadline(action)
-	if r.closed || now >= deadline || a.index >= e.maxAttempts {
+	if r.finished || now >= deadline || a.index >= e.maxAttempts {
 		e.counters.Outcomes.Inc(OutcomeName(balancer.NotSent))
-		e.step(balancer.AttemptCompleted{ID: r.id, Attempt: a.index, Server: a.server, Outcome: balancer.NotSent, Closed: r.closed})
+		e.step(balancer.AttemptCompleted{ID: r.id, Attempt: a.index, Server: a.server, Outcome: balancer.NotSent, RequestFinished: r.finished})
 		return
 	}
 	a.open = true
@@ -149,13 +149,13 @@
 	r.openAttempts--
 	e.counters.Attempts.Open.Add(-1)
 	e.counters.Outcomes.Inc(OutcomeName(c.Outcome))
-	if c.Outcome == balancer.OK && !r.closed {
+	if c.Outcome == balancer.OK && !r.finished {
 		e.respond(r, Response{Kind: Served, Body: c.Body, Remaining: c.Remaining})
 	} else {
 		c.discard()
 	}
 	e.step(balancer.AttemptCompleted{ID: r.id, Attempt: a.index, Server: a.server, Outcome: c.Outcome, Elapsed: c.Elapsed,
-		Closed: r.closed, Report: c.Report})
+		RequestFinished: r.finished, Report: c.Report})
 	e.forgetIfFinished(r)
 }
 
@@ -180,15 +180,15 @@
 
 // respond gives a request its final answer, exactly once.
 func (e *Engine) respond(r *pendingRequest, response Response) {
-	if r.closed {
+	if r.finished {
 		return
 	}
-	r.closed = true
+	r.finished = true
 	r.source.Respond(response)
 }
 
 func (e *Engine) forgetIfFinished(r *pendingRequest) {
-	if r.closed && r.openAttempts == 0 {
+	if r.finished && r.openAttempts == 0 {
 		delete(e.requests, r.id)
 	}
 }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -75,7 +75,7 @@
 func divideDescriptors(c config.Config) descriptors {
 	files := max(minFiles, c.Limits.Sockets/descriptorsPerFile)
 	reserved := reservedDescriptors + files
-	if c.Operator != "" {
+	if c.AdminAddress != "" {
 		reserved += admin.MaxConnections + 1
 	}
 	return descriptors{files: files, reserved: reserved, perSide: (c.Limits.Sockets - reserved) / 2}
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	n.engine = engine.New(engine.Options{
-		Module:          n.shadow,
+		Balancer:        n.shadow,
 		Clock:           n.clock,
 		Prober:          n,
 		EndpointWatcher: n.discovery,
@@ -129,8 +129,8 @@
 	n.discovery = discovery.New(discovery.Options{
 		Address:         c.Discovery,
 		Nodes:           set.Nodes,
-		Subscribe:       set.WatchEndpoints,
-		MaxPollInterval: clock.Span(set.WatchDeadline),
+		WatchOnRequest:  set.WatchEndpoints,
+		MaxPollInterval: clock.Span(set.MaxPollInterval),
 		DrainGrace:      clock.Span(set.DrainGrace),
 		Log:             log,
 		Count:           n.counters,
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -59,8 +59,8 @@
 	say("node      %s, node %d of %d, zone %q", c.Name, set.Node, set.Nodes, set.Zone)
 	say("listen    %s", c.Listen)
 	say("discovery %s, %d servers known", c.Discovery, len(c.Known.Members))
-	if c.Operator != "" {
-		say("operator  %s", c.Operator)
+	if c.AdminAddress != "" {
+		say("operator  %s", c.AdminAddress)
 	}
 	say("limits    %v cores, %v MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 }
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -50,7 +50,7 @@
 
 // IdempotencyWindow is the longest time in which the repeats of a request with an idempotency key
 // are dropped.
-func (n *node) IdempotencyWindow() time.Duration { return n.dedupWindow }
+func (n *node) LongestDedupWindow() time.Duration { return n.dedupWindow }
 
 // Endpoints is where the endpoint list comes from.
 func (n *node) Endpoints() *endpoints.Directory { return n.endpoints }
@@ -84,7 +84,7 @@
 }
 
 // TookOver reports whether another process of this node ran when this one started.
-func (n *node) TookOver() bool { return n.upgrade != nil && n.upgrade.asSuccessor != nil }
+func (n *node) HasPredecessor() bool { return n.upgrade != nil && n.upgrade.predecessorLink != nil }
 
 // Succeeded reports whether another process takes over now.
-func (n *node) Succeeded() bool { return n.upgrade != nil && n.upgrade.successorServes.Load() }
+func (n *node) HasSuccessor() bool { return n.upgrade != nil && n.upgrade.successorServes.Load() }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -40,7 +40,7 @@
 		log.Warn("these keys have changed and need a restart", "code", "reload_restart", "keys", keys)
 	}
 	n.discovery.SetAddress(next.Discovery)
-	n.shadow.Follow(next.Shadow)
+	n.shadow.SetSettings(next.Shadow)
 	log.Info("configuration read again", "code", "reload", "discovery", next.Discovery)
 }
 
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -72,8 +72,8 @@
 	}
 	n.upgrade = newUpgrade(n, c.Limits, successor, log)
 	n.subsystems = subsystem.NewManager(Subsystems(), subsystemHost(n, c, log, count))
-	if c.Operator != "" {
-		n.admin, err = admin.Listen(c.Operator, n, log, count)
+	if c.AdminAddress != "" {
+		n.admin, err = admin.Listen(c.AdminAddress, n, log, count)
 	}
 	return n, err
 }
@@ -110,7 +110,7 @@
 	log.Info("serving", "code", "start",
 		"listen", listener.Addr().String(),
 		"discovery", c.Discovery,
-		"operator", c.Operator,
+		"operator", c.AdminAddress,
 		"tmpdir", os.Getenv("TMPDIR"), // empty: no large requests, no handover
 		"known", len(c.Known.Members),
 		"cores", c.Limits.Cores,
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -54,30 +54,30 @@
 // upgrade is a node's part in the change from one process to the next. It may be the successor of
 // the process before, and the predecessor of the next.
 type upgrade struct {
-	node          *node
-	limits        config.Limits
-	log           *slog.Logger
-	asSuccessor   *handover.Successor   // nil at a plain start
-	asPredecessor *handover.Predecessor // nil where $TMPDIR has no place for it
-	outgoing      chan handover.Message // to the other process
+	node            *node
+	limits          config.Limits
+	log             *slog.Logger
+	predecessorLink *handover.Successor   // nil at a plain start
+	successorLink   *handover.Predecessor // nil where $TMPDIR has no place for it
+	outgoing        chan handover.Message // to the other process
 
 	successorServes atomic.Bool
 }
 
 func newUpgrade(n *node, limits config.Limits, asSuccessor *handover.Successor, log *slog.Logger) *upgrade {
 	return &upgrade{
-		node:        n,
-		limits:      limits,
-		log:         log,
-		asSuccessor: asSuccessor,
-		outgoing:    make(chan handover.Message, siblingQueueSize),
+		node:            n,
+		limits:          limits,
+		log:             log,
+		predecessorLink: asSuccessor,
+		outgoing:        make(chan handover.Message, siblingQueueSize),
 	}
 }
 
 // begin makes the node one of two processes, where it has taken over, before it hears of the
 // endpoint list.
 func (u *upgrade) begin(state *transferredNode) {
-	if u.asSuccessor == nil {
+	if u.predecessorLink == nil {
 		return
 	}
 	u.SetSibling(true)
@@ -95,7 +95,7 @@
 // serve tells the process before that this one serves, and waits for the next one.
 func (u *upgrade) serve(ctx context.Context, address string, id handover.Identity, clients *net.TCPListener) {
 	defer func() { u.node.background.Go(func() { u.sendToSibling(ctx) }) }() // once both sides are known
-	if u.asSuccessor != nil {
+	if u.predecessorLink != nil {
 		u.announceReady(ctx)
 	}
 	dir := os.Getenv("TMPDIR")
@@ -107,14 +107,14 @@
 		u.log.Warn("the next version will not be able to take over", "code", "handover_failed", "error", err)
 		return
 	}
-	u.asPredecessor = predecessor
+	u.successorLink = predecessor
 	u.node.background.Go(func() { predecessor.Run(ctx) })
 }
 
 func (u *upgrade) announceReady(ctx context.Context) {
-	if err := u.asSuccessor.AnnounceReady(); err != nil {
+	if err := u.predecessorLink.AnnounceReady(); err != nil {
 		u.log.Warn("the process before has gone", "code", "handover_failed", "error", err)
-		u.asSuccessor.Close()
+		u.predecessorLink.Close()
 		u.SetSibling(false)
 		return
 	}
@@ -125,9 +125,9 @@
 
 // receiveFromPredecessor handles the messages of the process before until it has gone.
 func (u *upgrade) receiveFromPredecessor(ctx context.Context) {
-	stop := context.AfterFunc(ctx, u.asSuccessor.Close)
+	stop := context.AfterFunc(ctx, u.predecessorLink.Close)
 	defer stop()
-	u.asSuccessor.ReceiveAll(u.HandleMessage)
+	u.predecessorLink.ReceiveAll(u.HandleMessage)
 	if ctx.Err() == nil {
 		u.SetSibling(false)
 		u.log.Info("the process before has ended", "code", "handover")
@@ -208,9 +208,9 @@
 	for {
 		select {
 		case m := <-u.outgoing:
-			sentToNext := u.asPredecessor != nil && u.asPredecessor.Send(m) == nil
-			if !sentToNext && u.asSuccessor != nil {
-				_ = u.asSuccessor.Send(m)
+			sentToNext := u.successorLink != nil && u.successorLink.Send(m) == nil
+			if !sentToNext && u.predecessorLink != nil {
+				_ = u.predecessorLink.Send(m)
 			}
 		case <-ctx.Done():
 			return
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -46,7 +46,7 @@
 // silentEngine is an engine whose module never answers.
 func silentEngine(t *testing.T, count *counters.Counters) *engine.Engine {
 	t.Helper()
-	e := engine.New(engine.Options{Module: idleModule{}, Clock: clock.New(), Counters: count, MaxAttempts: 1,
+	e := engine.New(engine.Options{Balancer: idleModule{}, Clock: clock.New(), Counters: count, MaxAttempts: 1,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/settings/digest.go
+++ b/internal/settings/digest.go
@@ -120,7 +120,7 @@
 		ColdFor:      s.SlowStart.Duration,
 		FallMultiple: s.SlowStart.OverloadFactor,
 		FallFor:      s.SlowStart.OverloadWindow,
-		MustAskIn:    s.WatchDeadline,
+		MustAskIn:    s.MaxPollInterval,
 
 		MaxAttempts:    s.MaxAttempts,
 		MayCancel:      s.CancelAllowed,
--- a/internal/settings/mapping.go
+++ b/internal/settings/mapping.go
@@ -25,7 +25,7 @@
 		Zone:    o.Zone,
 		Classes: balancerClasses(o.Classes),
 		Tenants: balancerTenants(o.Realms),
-		Goal: balancer.ObjectiveWeights{
+		Goal: balancer.GoalWeights{
 			Overall:      o.Goal.Whole,
 			WorstWindow:  o.Goal.WorstWindow,
 			WorstClass:   o.Goal.WorstClass,
@@ -38,7 +38,7 @@
 		ClientsMarkRetries: o.Habits.MarksRetry,
 		KeyAffinity:        o.Family.WarmKeys,
 		WatchEndpoints:     o.Discovery == "subscribe",
-		WatchDeadline:      o.Rules.MustAskMs,
+		MaxPollInterval:    o.Rules.MustAskMs,
 		CapacitiesListed:   o.Weights == "nominal" || o.Weights == "rough",
 		DrainGrace:         *o.Rules.StopMs,
 		ProbesAllowed:      o.Limits.Probes,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 	}
 	l := s.Balancer
 	if l.Nodes != 3 || l.Node != 1 || !l.WatchEndpoints || !l.WeightByWork || !l.CapacitiesListed || !l.ClientsMarkRetries || !l.LoadReports ||
-		l.MaxAttempts != 4 || l.WatchDeadline != 10000 || l.DrainGrace != 1500 || l.ConnectTimeout != 250 {
+		l.MaxAttempts != 4 || l.MaxPollInterval != 10000 || l.DrainGrace != 1500 || l.ConnectTimeout != 250 {
 		t.Errorf("settings %+v", l)
 	}
 	if len(l.Classes) != 2 || l.Classes[1].Idempotency != balancer.IdempotentWithKey || l.Classes[1].DedupScope != balancer.DedupWithinZone {
--- a/internal/shadow/compare.go
+++ b/internal/shadow/compare.go
@@ -85,11 +85,11 @@
 		ended = completed.ID
 	}
 	for id, shadow := range would.requests {
-		e.countDifference(id, difference(did.requests[id], shadow, id == ended, e.module.ZoneOf))
+		e.countDifference(id, difference(did.requests[id], shadow, id == ended, e.balancer.ZoneOf))
 	}
 	for id, actual := range did.requests {
 		if _, both := would.requests[id]; !both {
-			e.countDifference(id, difference(actual, decision{}, id == ended, e.module.ZoneOf))
+			e.countDifference(id, difference(actual, decision{}, id == ended, e.balancer.ZoneOf))
 		}
 		if actual.kind != Sent {
 			delete(e.counted, id)
@@ -140,7 +140,7 @@
 func (e *Evaluator) forgetFinished(event balancer.Event) {
 	switch event := event.(type) {
 	case balancer.AttemptCompleted:
-		if event.Closed {
+		if event.RequestFinished {
 			delete(e.counted, event.ID)
 		}
 	case balancer.ClientCancelled:
--- a/internal/shadow/evaluator.go
+++ b/internal/shadow/evaluator.go
@@ -18,7 +18,7 @@
 
 // Evaluator is a module that decides by its own settings and counts what others would have done.
 type Evaluator struct {
-	module   *balancer.Balancer
+	balancer *balancer.Balancer
 	settings atomic.Pointer[balancer.Settings] // the shadow settings; nil: none
 	log      *slog.Logger
 	counters *counters.Shadow
@@ -27,37 +27,37 @@
 
 // New evaluates other settings beside a module's; with none it only passes steps on.
 func New(module *balancer.Balancer, other *balancer.Settings, log *slog.Logger, count *counters.Shadow) *Evaluator {
-	e := &Evaluator{module: module, log: log, counters: count, counted: map[balancer.RequestID]uint{}}
-	e.Follow(other)
+	e := &Evaluator{balancer: module, log: log, counters: count, counted: map[balancer.RequestID]uint{}}
+	e.SetSettings(other)
 	return e
 }
 
 // Follow evaluates other settings from the next step on; none where nil. It is safe for concurrent use.
-func (e *Evaluator) Follow(other *balancer.Settings) {
+func (e *Evaluator) SetSettings(other *balancer.Settings) {
 	if old := e.settings.Swap(other); (old == nil) != (other == nil) {
 		e.log.Info("evaluating shadow settings", "code", "watch", "on", other != nil)
 	}
 }
 
 // CountEndpoints is the module's.
-func (e *Evaluator) CountEndpoints() (listed, avoided int) { return e.module.CountEndpoints() }
+func (e *Evaluator) CountEndpoints() (listed, avoided int) { return e.balancer.CountEndpoints() }
 
 // EndpointVersion is the module's.
-func (e *Evaluator) EndpointVersion() int { return e.module.EndpointVersion() }
+func (e *Evaluator) EndpointVersion() int { return e.balancer.EndpointVersion() }
 
 // Snapshot is what the module knows.
-func (e *Evaluator) Snapshot() balancer.State { return e.module.Snapshot() }
+func (e *Evaluator) Snapshot() balancer.State { return e.balancer.Snapshot() }
 
 // Step lets the module decide.
 func (e *Evaluator) Step(now balancer.Millis, event balancer.Event) []balancer.Action {
 	settings := e.settings.Load()
 	if settings == nil {
-		return e.module.Step(now, event)
+		return e.balancer.Step(now, event)
 	}
 	began := time.Now()
 	shadow := e.evaluate(*settings, now, event) // first: the module's own step changes the state
 	spent := time.Since(began)
-	actions := e.module.Step(now, event)
+	actions := e.balancer.Step(now, event)
 	if shadow != nil {
 		e.compare(event, actions, shadow)
 	}
@@ -74,7 +74,7 @@
 			actions = nil
 		}
 	}()
-	clone, err := e.module.Clone(settings)
+	clone, err := e.balancer.Clone(settings)
 	if err != nil {
 		e.recordFault(err)
 		return nil
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -13,7 +13,7 @@
 )
 
 func settings() balancer.Settings {
-	return balancer.Settings{Nodes: 4, Zone: "a", ClientsMarkRetries: true, Goal: balancer.ObjectiveWeights{Overall: 1}, OverQuotaFraction: 0.1,
+	return balancer.Settings{Nodes: 4, Zone: "a", ClientsMarkRetries: true, Goal: balancer.GoalWeights{Overall: 1}, OverQuotaFraction: 0.1,
 		Classes: []balancer.Class{
 			{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
 			{Name: "put", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupWithinCell, DedupWindow: 1000, LatencyObjective: 400, TotalTimeout: 2000, PriorityWeight: 1},
@@ -25,7 +25,7 @@
 
 // play drives a module through a run with failures, crowding, lost attempts, probes and messages,
 // the same each time, and gives the stream of its actions.
-func play(m engine.Module, steps int) []balancer.Action {
+func play(m engine.Balancer, steps int) []balancer.Action {
 	rng := rand.New(rand.NewPCG(5, 6))
 	var all []balancer.Action
 	var open []balancer.AttemptCompleted // Elapsed holds when it was sent
@@ -78,7 +78,7 @@
 			if rng.IntN(4) == 0 {
 				o.Outcome = []balancer.Outcome{balancer.Errored, balancer.Overloaded, balancer.Unreachable, balancer.ConnectionLost}[rng.IntN(4)]
 			}
-			o.Elapsed, o.Closed = now-o.Elapsed, o.Outcome == balancer.OK
+			o.Elapsed, o.RequestFinished = now-o.Elapsed, o.Outcome == balancer.OK
 			step(o)
 		case k == 8:
 			step(balancer.GossipReceived{From: 1 + rng.IntN(3), Body: []byte{0x10}})
@@ -158,7 +158,7 @@
 	if count.Steps.Get() != 0 {
 		t.Error("compared with nothing to watch")
 	}
-	w.Follow(&other)
+	w.SetSettings(&other)
 	play(w, 500)
 	if count.Steps.Get() == 0 || count.Faults.Get() != 0 || count.Differ.Get(Rejected) == 0 {
 		t.Errorf("%d steps, %d faults, %d refused", count.Steps.Get(), count.Faults.Get(), count.Differ.Get(Rejected))
--- a/internal/simadapter/decode.go
+++ b/internal/simadapter/decode.go
@@ -83,7 +83,7 @@
 		return balancer.TimerFired{Token: e.Ctx}
 	case "attempt_end":
 		return balancer.AttemptCompleted{ID: balancer.RequestID(e.Job), Attempt: e.N, Server: balancer.ServerID(e.Backend),
-			Outcome: outcome(e.RC), Elapsed: e.RTT, Closed: e.NoMore, Report: load}
+			Outcome: outcome(e.RC), Elapsed: e.RTT, RequestFinished: e.NoMore, Report: load}
 	case "sampled":
 		return balancer.LoadProbeCompleted{Server: balancer.ServerID(e.Backend), Outcome: outcome(e.RC), Elapsed: e.RTT, Report: load}
 	case "peer_data":
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -12,25 +12,25 @@
 )
 
 // node is one instance and how its load reports are read; nothing in it is shared.
-type node struct {
+type instance struct {
 	balancer *balancer.Balancer
 	indexes  ReportIndexes
 }
 
 // Host runs many instances over one pair of streams.
-type Host struct {
-	nodes map[int]*node
+type Instances struct {
+	nodes map[int]*instance
 	lists map[int][]Entry // raw lists: each instance gets entries of its own
 	errs  io.Writer
 }
 
 // NewHost makes a host without instances; plain messages go to errs.
-func NewHost(errs io.Writer) *Host {
-	return &Host{nodes: map[int]*node{}, lists: map[int][]Entry{}, errs: errs}
+func NewInstances(errs io.Writer) *Instances {
+	return &Instances{nodes: map[int]*instance{}, lists: map[int][]Entry{}, errs: errs}
 }
 
 // Serve answers batches until the input ends.
-func (h *Host) Serve(in io.Reader, out io.Writer) error {
+func (h *Instances) Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<16)
 	enc := json.NewEncoder(w)
@@ -57,7 +57,7 @@
 }
 
 // Batch answers one batch.
-func (h *Host) Batch(b Batch) Reply {
+func (h *Instances) Batch(b Batch) Reply {
 	reply := Reply{Serial: b.Serial, Parts: []ReplyPart{}}
 	for i := range b.Parts {
 		p := &b.Parts[i]
@@ -72,7 +72,7 @@
 	return reply
 }
 
-func (h *Host) event(now float64, id int, e *Event) []any {
+func (h *Instances) event(now float64, id int, e *Event) []any {
 	switch e.What {
 	case "pool":
 		h.lists[e.Ref] = e.Members
@@ -102,7 +102,7 @@
 	return out
 }
 
-func (h *Host) hello(id int, e *Event) []any {
+func (h *Instances) hello(id int, e *Event) []any {
 	delete(h.nodes, id)
 	set, err := settings.Parse(e.Options)
 	var l *balancer.Balancer
@@ -113,6 +113,6 @@
 		fmt.Fprintf(h.errs, "instance %d: %v\n", id, err)
 		return []any{InternalError(err.Error())}
 	}
-	h.nodes[id] = &node{balancer: l, indexes: ReportIndexes{set.InFlightIndex, set.QueuedIndex}}
+	h.nodes[id] = &instance{balancer: l, indexes: ReportIndexes{set.InFlightIndex, set.QueuedIndex}}
 	return nil
 }
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -21,7 +21,7 @@
 func serve(t *testing.T, lines ...string) (string, string, error) {
 	t.Helper()
 	var out, errs bytes.Buffer
-	err := NewHost(&errs).Serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
+	err := NewInstances(&errs).Serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
 	return out.String(), errs.String(), err
 }
 
