--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,14 +7,14 @@
 
 func TestInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"nodes":          func(s *Settings) { s.Nodes = 0 },
-		"classes":        func(s *Settings) { s.Classes = nil },
-		"attempts":       func(s *Settings) { s.MaxAttempts = 0 },
-		"cold":           func(s *Settings) { s.SlowStart.InitialCapacity = 1.5 },
-		"warming server": func(s *Settings) { s.SlowStart.OverloadFactor = 0 },
-		"drain":          func(s *Settings) { s.DrainGrace = -1 },
-		"aim":            func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"needs a wind":   func(s *Settings) { s.Classes[1].DedupWindow = 0 },
+		"nodes":        func(s *Settings) { s.Nodes = 0 },
+		"classes":      func(s *Settings) { s.Classes = nil },
+		"attempts":     func(s *Settings) { s.MaxAttempts = 0 },
+		"cold":         func(s *Settings) { s.SlowStart.InitialCapacity = 1.5 },
+		"cold server":  func(s *Settings) { s.SlowStart.OverloadFactor = 0 },
+		"drain":        func(s *Settings) { s.DrainGrace = -1 },
+		"aim":          func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"needs a wind": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 	} {
 		set := settings()
 		spoil(&set)
