--- a/cmd/tackhub/upgrade_test.go
+++ b/cmd/tackhub/upgrade_test.go
@@ -115,7 +115,7 @@
 	if n := failed.Load(); n > 0 {
 		t.Errorf("%d of %d requests lost", n, asked.Load())
 	}
-	eventually(t, "the end noticed", func() bool { return strings.Contains(p.log.String(), "the process before has ended") })
+	eventually(t, "the end noticed", func() bool { return strings.Contains(p.log.String(), "the predecessor has ended") })
 	if f := stats(t, door); f.Operations["look"]["fulfilled"] == 0 || f.Entries != 2 {
 		t.Errorf("the new process's figures: %+v", f)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,7 +61,8 @@
 // and some on either side.
 const minSockets = 64
 
-// Load reads the environment and the file. The error is the first fault, in one line that names the key.
+// Load reads the environment and the file. The error is the first fault, in one line that names the
+// key.
 func Load(getenv func(string) string) (Config, error) {
 	c, faults := Check(getenv)
 	if len(faults) > 0 {
@@ -117,7 +118,8 @@
 	return f
 }
 
-// applyEnvironment lets the variables win over the file: they are what the machine's own manager set last.
+// applyEnvironment lets the variables win over the file: they are what the machine's own manager
+// set last.
 func (f *file) applyEnvironment(getenv func(string) string) {
 	for key, field := range map[string]*string{
 		"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery,
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -55,6 +55,6 @@
 			e.broadcaster.Broadcast(a.Body)
 		}
 	case balancer.Log:
-		e.log.Info(a.Text, "code", "module")
+		e.log.Info(a.Text, "code", "module") // the code is older than the balancer's name
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -23,7 +23,7 @@
 	Step(now balancer.Millis, event balancer.Event) []balancer.Action
 }
 
-// EndpointCounter is a module that tells how many servers are listed and how many of them it avoids.
+// EndpointCounter is a balancer that tells how many servers are listed and how many of them it avoids.
 type EndpointCounter interface {
 	CountEndpoints() (listed, avoided int)
 	EndpointVersion() int // CountEndpoints gives the same while this does
@@ -52,7 +52,7 @@
 	Counters        *counters.Counters
 }
 
-// Engine drives the module. All fields but the mailbox belong to the goroutine of Run.
+// Engine drives the balancer. All fields but the mailbox belong to the goroutine of Run.
 type Engine struct {
 	balancer    Balancer
 	clock       clock.Clock
@@ -71,7 +71,7 @@
 	nextID   balancer.RequestID
 	queue    []balancer.Event // events that actions brought about; they follow at once
 
-	endpointCounter EndpointCounter // nil where the module is none
+	endpointCounter EndpointCounter // nil where the balancer is none
 	endpointVersion int             // as last counted
 }
 
@@ -134,7 +134,7 @@
 	f()
 }
 
-// fireDueTimers handles the timers that are due, those of the module and the deadlines of attempts.
+// fireDueTimers handles the timers that are due, those of the balancer and the deadlines of attempts.
 func (e *Engine) fireDueTimers() {
 	for {
 		now := e.clock.Now()
@@ -152,7 +152,7 @@
 	}
 }
 
-// step lets the module decide on one event, and on those that carrying its actions out brings about.
+// step lets the balancer decide on one event, and on those that carrying its actions out brings about.
 func (e *Engine) step(event balancer.Event) {
 	e.queue = append(e.queue, event)
 	if len(e.queue) > 1 {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// script is a module that answers each event by what a test says, and keeps the events.
+// script is a balancer that answers each event by what a test says, and keeps the events.
 type script struct {
 	act    func(balancer.Event) []balancer.Action
 	events chan balancer.Event
@@ -264,7 +264,7 @@
 	}
 }
 
-// TestAttemptThatFindsItsClientGoneEndsTheRequest: the module hears of the leaving alone, and has
+// TestAttemptThatFindsItsClientGoneEndsTheRequest: the balancer hears of the leaving alone, and has
 // nothing to decide on.
 func TestAttemptThatFindsItsClientGoneEndsTheRequest(t *testing.T) {
 	e, s, clk, count := start(t, func(event balancer.Event) []balancer.Action {
--- a/internal/engine/mailbox.go
+++ b/internal/engine/mailbox.go
@@ -48,7 +48,7 @@
 	request *pendingRequest
 }
 
-// Submit hands a request to the module. Its Respond is called once, unless Cancel comes first.
+// Submit hands a request to the balancer. Its Respond is called once, unless Cancel comes first.
 func (e *Engine) Submit(r Request) Ticket {
 	request := &pendingRequest{source: r}
 	e.post(requestSubmitted{request})
@@ -64,16 +64,16 @@
 // Cancel says that nobody waits for the response any more.
 func (t Ticket) Cancel() { t.engine.post(requestCancelled{t.request}) }
 
-// UpdateEndpoints tells the module what discovery told of the endpoint list.
+// UpdateEndpoints tells the balancer what discovery told of the endpoint list.
 func (e *Engine) UpdateEndpoints(update balancer.EndpointUpdate) { e.post(postEvent{update}) }
 
-// ReceiveGossip hands the module another node's message.
+// ReceiveGossip hands the balancer another node's message.
 func (e *Engine) ReceiveGossip(m balancer.GossipReceived) { e.post(postEvent{m}) }
 
-// Post hands the module an event that concerns no request.
+// Post hands the balancer an event that concerns no request.
 func (e *Engine) Post(event balancer.Event) { e.post(postEvent{event}) }
 
-// RunBetweenSteps runs f between two steps, on the goroutine that owns the module, and waits until
+// RunBetweenSteps runs f between two steps, on the goroutine that owns the balancer, and waits until
 // it has run. It reports whether it has: an engine that ends may not run it.
 func (e *Engine) RunBetweenSteps(f func()) bool {
 	ran := make(chan struct{})
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -73,7 +73,7 @@
 }
 
 // startAttempt starts an attempt. One for a request that is closed, out of time or out of attempts
-// is not sent, and the module is told so.
+// is not sent, and the balancer is told so.
 func (e *Engine) startAttempt(action balancer.StartAttempt) {
 	r := e.requests[action.ID]
 	if r == nil {
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// timer is one entry of the heap: a timer that the module set, or an attempt's deadline.
+// timer is one entry of the heap: a timer that the balancer set, or an attempt's deadline.
 type timer struct {
 	at      float64
 	seq     uint64 // timers due at the same time fire in the order they were set
-	token   string // the module's, where attempt is nil
+	token   string // the balancer's, where attempt is nil
 	attempt *attempt
 }
 
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -13,10 +13,10 @@
 
 // Check reads configuration and operator file as a start would, and prints what would run, or every
 // fault. It reports whether a start would succeed.
-func Check(out io.Writer, getenv func(string) string, edge string) bool {
+func Check(out io.Writer, getenv func(string) string, operatorFile string) bool {
 	c, faults := config.Check(getenv)
-	file, err := loadOperatorFile(edge)
-	faults = append(faults, operatorFileFaults(edge, err)...)
+	file, err := loadOperatorFile(operatorFile)
+	faults = append(faults, operatorFileFaults(operatorFile, err)...)
 	if len(faults) == 0 {
 		if _, err := balancer.New(c.Settings.Balancer, c.Seed); err != nil {
 			faults = append(faults, operator.Diagnostic{File: getenv("ROUTER_CONFIG"), Key: "settings", Message: err.Error()})
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -17,15 +17,15 @@
 	"tackhub.example/tackhub/internal/ingress"
 )
 
-// acquired is the clients' listener, and what came with it from the process before.
+// acquired is the clients' listener, and what came with it from the predecessor.
 type acquired struct {
 	listener  *net.TCPListener
 	successor *handover.Successor // nil at a plain start
-	state     *transferredNode    // nil where the process before told nothing that can be read
+	state     *transferredNode    // nil where the predecessor told nothing that can be read
 }
 
 // acquireListener gets the clients' listener: from the process that serves, where there is one,
-// otherwise a new one. The endpoint list of the process before replaces what the configuration
+// otherwise a new one. The endpoint list of the predecessor replaces what the configuration
 // knows.
 func acquireListener(c *config.Config, log *slog.Logger) (acquired, error) {
 	id := identity(c)
@@ -46,7 +46,7 @@
 	return acquired{listener: listener}, err
 }
 
-// requestState asks the process before for what it knows. Without an answer that can be read this
+// requestState asks the predecessor for what it knows. Without an answer that can be read this
 // process starts all the same: the listener is what clients need.
 func requestState(c *config.Config, successor *handover.Successor, id handover.Identity, log *slog.Logger) *transferredNode {
 	state := &transferredNode{}
@@ -55,12 +55,12 @@
 		err = json.Unmarshal(raw, state)
 	}
 	if err != nil {
-		log.Warn("the process before told nothing that can be read", "code", "handover_failed", "error", err)
+		log.Warn("the predecessor sent no state that can be read", "code", "handover_failed", "error", err)
 		return nil
 	}
 	state.dropIncompatible(successor.PredecessorIdentity, id)
 	if successor.PredecessorIdentity != id {
-		log.Warn("the process before has other settings or another discovery: what hangs on them is not taken over",
+		log.Warn("the predecessor has other settings or another discovery: what depends on them is not taken over",
 			"code", "handover_part", "list", len(state.List.Members) > 0, "records", len(state.Balancer.Servers) > 0)
 	}
 	if len(state.List.Members) > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 	maxConnsPerSide int              // connections to clients, and to servers
 
 	upgrade          *upgrade
-	transferredState atomic.Pointer[balancer.State] // of the process before, until the endpoint list is known
+	transferredState atomic.Pointer[balancer.State] // of the predecessor, until the endpoint list is known
 
 	background sync.WaitGroup
 }
@@ -114,7 +114,7 @@
 // engineForwarder hands endpoint lists and gossip to the engine, which is made after their sources.
 type engineForwarder struct{ n *node }
 
-// UpdateEndpoints hands the list on, and after it the state of the process before, which is of
+// UpdateEndpoints hands the list on, and after it the state of the predecessor, which is of
 // servers that the balancer has heard of by then.
 func (f engineForwarder) UpdateEndpoints(update balancer.EndpointUpdate) {
 	f.n.engine.UpdateEndpoints(update)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,24 +11,24 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// faultsTold bounds the lines for one bad file: a file of another kind has a fault in every line.
+// maxLoggedFaults bounds the lines for one bad file: a file of another kind has a fault in every line.
 const maxLoggedFaults = 20
 
-// reloadOn reads the configuration file again at each signal, while the node serves and while it
+// reloadOnSignal reads the configuration file again at each signal, while the node serves and while it
 // drains.
-func (n *node) reloadOnSignal(ctx context.Context, ask <-chan os.Signal, running config.Config, edge string, log *slog.Logger) {
+func (n *node) reloadOnSignal(ctx context.Context, ask <-chan os.Signal, running config.Config, operatorFile string, log *slog.Logger) {
 	for {
 		select {
 		case <-ask:
 			n.reloadConfig(running, log)
-			n.reloadOperatorFile(ctx, edge, log)
+			n.reloadOperatorFile(ctx, operatorFile, log)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reload takes over what a running node can: where discovery is. A file that is missing, half
+// reloadConfig takes over what a running node can: where discovery is. A file that is missing, half
 // written or impossible changes nothing, whatever parts of it could be read.
 func (n *node) reloadConfig(running config.Config, log *slog.Logger) {
 	next, err := config.Reload(os.Getenv)
@@ -44,7 +44,7 @@
 	log.Info("configuration read again", "code", "reload", "discovery", next.Discovery)
 }
 
-// loadEdge reads the operator file; nil where there is none.
+// loadOperatorFile reads the operator file; nil where there is none.
 func loadOperatorFile(path string) (*operator.File, error) {
 	if path == "" {
 		return nil, nil
@@ -52,7 +52,8 @@
 	return operator.Load(path, subsystem.Sections(Subsystems()))
 }
 
-// reloadEdge takes a new operator file whole, or leaves everything as it is and names each fault.
+// reloadOperatorFile takes a new operator file whole, or leaves everything as it is and names each
+// fault.
 func (n *node) reloadOperatorFile(ctx context.Context, path string, log *slog.Logger) {
 	if path == "" {
 		return
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,10 +10,10 @@
 	"tackhub.example/tackhub/internal/ingress"
 )
 
-// repeatsSaid bounds the log lines for further signals of one stop; all are counted.
+// maxLoggedRepeats bounds the log lines for further signals of one stop; all are counted.
 const maxLoggedRepeats = 3
 
-// onSignals begins a planned stop at the first signal. Further ones change nothing: what was taken
+// stopOnSignals begins a planned stop at the first signal. Further ones change nothing: what was taken
 // is still owed.
 func (n *node) stopOnSignals(stop <-chan os.Signal, l ingress.Listener, log *slog.Logger) {
 	first := <-stop
@@ -26,7 +26,7 @@
 	}
 }
 
-// beginStop has all fronts follow the schedule.
+// beginShutdown has all fronts follow the schedule.
 func (n *node) beginShutdown(schedule *drain.Schedule, l ingress.Listener, signal string, log *slog.Logger) {
 	n.serving.Store(false)
 	n.inFlight.BeginShutdown(schedule.Began)
@@ -40,7 +40,7 @@
 		"kill_ms", schedule.Kill.Milliseconds())
 }
 
-// logStopEnd leaves one line of what became of the requests of a planned stop.
+// logShutdown leaves one line of what became of the requests of a planned stop.
 func (n *node) logShutdown(log *slog.Logger) {
 	figures, ok := n.inFlight.ShutdownStats()
 	if !ok {
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -32,7 +32,7 @@
 	Drained  bool           `json:"drained"` // by an administrator
 }
 
-// dropIncompatible leaves of what the process before knew what holds for this one as well. The list
+// dropIncompatible leaves of what the predecessor knew what holds for this one as well. The list
 // goes with its discovery, where revisions compare; the balancer's records go with the settings,
 // since a class or a tenant of the same name need not be the same. A process that doesn't say who
 // it is leaves neither.
@@ -52,7 +52,7 @@
 }
 
 // upgrade is a node's part in the change from one process to the next. It may be the successor of
-// the process before, and the predecessor of the next.
+// the predecessor, and the predecessor of the next.
 type upgrade struct {
 	node            *node
 	limits          config.Limits
@@ -92,7 +92,7 @@
 	}
 }
 
-// serve tells the process before that this one serves, and waits for the next one.
+// serve tells the predecessor that this one serves, and waits for the successor.
 func (u *upgrade) serve(ctx context.Context, address string, id handover.Identity, clients *net.TCPListener) {
 	defer func() { u.node.background.Go(func() { u.sendToSibling(ctx) }) }() // once both sides are known
 	if u.predecessorLink != nil {
@@ -113,24 +113,24 @@
 
 func (u *upgrade) announceReady(ctx context.Context) {
 	if err := u.predecessorLink.AnnounceReady(); err != nil {
-		u.log.Warn("the process before has gone", "code", "handover_failed", "error", err)
+		u.log.Warn("the predecessor has gone", "code", "handover_failed", "error", err)
 		u.predecessorLink.Close()
 		u.SetSibling(false)
 		return
 	}
-	u.log.Info("serving beside the process before", "code", "handover")
+	u.log.Info("serving beside the predecessor", "code", "handover")
 	u.node.handler.PublishRequestIDs(u.sendRequestID)
 	u.node.background.Go(func() { u.receiveFromPredecessor(ctx) })
 }
 
-// receiveFromPredecessor handles the messages of the process before until it has gone.
+// receiveFromPredecessor handles the messages of the predecessor until it has gone.
 func (u *upgrade) receiveFromPredecessor(ctx context.Context) {
 	stop := context.AfterFunc(ctx, u.predecessorLink.Close)
 	defer stop()
 	u.predecessorLink.ReceiveAll(u.HandleMessage)
 	if ctx.Err() == nil {
 		u.SetSibling(false)
-		u.log.Info("the process before has ended", "code", "handover")
+		u.log.Info("the predecessor has ended", "code", "handover")
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// State is what the next process gets.
+// State is what the successor gets.
 func (u *upgrade) State() (json.RawMessage, error) {
 	state := transferredNode{List: u.node.discovery.List(), Drained: u.node.ingress.AdminDrained()}
 	if !u.node.engine.RunBetweenSteps(func() { state.Balancer = u.node.shadow.Snapshot() }) {
@@ -161,7 +161,7 @@
 	return json.Marshal(state)
 }
 
-// SuccessorReady says that the next process serves.
+// SuccessorReady says that the successor serves.
 func (u *upgrade) SuccessorReady() {
 	u.successorServes.Store(true)
 	u.node.ingress.SetSuccessor(true)
@@ -202,7 +202,7 @@
 	}
 }
 
-// sendToSibling sends the queued messages to the next process, or else to the one before. Without
+// sendToSibling sends the queued messages to the successor, or else to the one before. Without
 // either they reach nobody; one that is ending is noticed by its reader.
 func (u *upgrade) sendToSibling(ctx context.Context) {
 	for {
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -82,7 +82,7 @@
 // reportForms are where load reports come along; empty stands for a file that names none.
 var reportForms = []string{"", "answers", "probe", "none"}
 
-// checkRanges names every figure that cannot be. What is missing is as it was before the key was known.
+// checkRanges names every value that is out of range. A missing key counts as 0.
 func checkRanges(o *options) faults {
 	var out faults
 	fault := func(key, format string, args ...any) {
--- a/internal/settings/mapping.go
+++ b/internal/settings/mapping.go
@@ -17,7 +17,7 @@
 }
 
 // balancerSettings maps the settings object to the balancer's settings. What the object says on
-// load reports is mapped by reportFields.
+// load reports is mapped by reportIndexes and Parse.
 func balancerSettings(o *options) balancer.Settings {
 	return balancer.Settings{
 		Node:    o.Me,
--- a/internal/shadow/evaluator.go
+++ b/internal/shadow/evaluator.go
@@ -16,7 +16,7 @@
 // some are counted twice.
 const maxRequests = 1 << 16
 
-// Evaluator is a module that decides by its own settings and counts what others would have done.
+// Evaluator is a balancer that decides by its own settings and counts what others would have done.
 type Evaluator struct {
 	balancer *balancer.Balancer
 	settings atomic.Pointer[balancer.Settings] // the shadow settings; nil: none
@@ -25,7 +25,7 @@
 	counted  map[balancer.RequestID]uint // a bit for each kind of difference counted
 }
 
-// New evaluates other settings beside a module's; with none it only passes steps on.
+// New evaluates other settings beside a balancer's; with none it only passes steps on.
 func New(module *balancer.Balancer, other *balancer.Settings, log *slog.Logger, count *counters.Shadow) *Evaluator {
 	e := &Evaluator{balancer: module, log: log, counters: count, counted: map[balancer.RequestID]uint{}}
 	e.SetSettings(other)
@@ -39,23 +39,23 @@
 	}
 }
 
-// CountEndpoints is the module's.
+// CountEndpoints is the balancer's.
 func (e *Evaluator) CountEndpoints() (listed, avoided int) { return e.balancer.CountEndpoints() }
 
-// EndpointVersion is the module's.
+// EndpointVersion is the balancer's.
 func (e *Evaluator) EndpointVersion() int { return e.balancer.EndpointVersion() }
 
-// Snapshot is what the module knows.
+// Snapshot is what the balancer knows.
 func (e *Evaluator) Snapshot() balancer.State { return e.balancer.Snapshot() }
 
-// Step lets the module decide.
+// Step lets the balancer decide.
 func (e *Evaluator) Step(now balancer.Millis, event balancer.Event) []balancer.Action {
 	settings := e.settings.Load()
 	if settings == nil {
 		return e.balancer.Step(now, event)
 	}
 	began := time.Now()
-	shadow := e.evaluate(*settings, now, event) // first: the module's own step changes the state
+	shadow := e.evaluate(*settings, now, event) // first: the balancer's own step changes the state
 	spent := time.Since(began)
 	actions := e.balancer.Step(now, event)
 	if shadow != nil {
@@ -65,8 +65,8 @@
 	return actions
 }
 
-// evaluate lets a copy of the module decide by the shadow settings; nil where it can't. A fault
-// there is no fault of the node.
+// evaluate lets a copy of the balancer decide by the shadow settings; nil where it can't. A panic
+// there must not end the node.
 func (e *Evaluator) evaluate(settings balancer.Settings, now balancer.Millis, event balancer.Event) (actions []balancer.Action) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -23,7 +23,7 @@
 		RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1}
 }
 
-// play drives a module through a run with failures, crowding, lost attempts, probes and messages,
+// play drives a balancer through a run with failures, crowding, lost attempts, probes and messages,
 // the same each time, and gives the stream of its actions.
 func play(m engine.Balancer, steps int) []balancer.Action {
 	rng := rand.New(rand.NewPCG(5, 6))
--- a/internal/simadapter/encode.go
+++ b/internal/simadapter/encode.go
@@ -6,7 +6,8 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Encode turns an action into its wire form.
+// Encode turns an action into its wire form. The simulator has no uploads, write deadlines, fleet
+// limits or upgrades: these have no form on its wire.
 func Encode(a balancer.Action) any {
 	switch a := a.(type) {
 	case balancer.StartAttempt:
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/instances.go
@@ -11,26 +11,26 @@
 	"tackhub.example/tackhub/internal/settings"
 )
 
-// node is one instance and how its load reports are read; nothing in it is shared.
+// instance is one balancer and how its load reports are read; nothing in it is shared.
 type instance struct {
 	balancer *balancer.Balancer
 	indexes  ReportIndexes
 }
 
-// Host runs many instances over one pair of streams.
+// Instances are many balancers behind one pair of streams.
 type Instances struct {
-	nodes map[int]*instance
+	byID  map[int]*instance
 	lists map[int][]Entry // raw lists: each instance gets entries of its own
 	errs  io.Writer
 }
 
-// NewHost makes a host without instances; plain messages go to errs.
+// NewInstances makes an empty set; plain messages go to errs.
 func NewInstances(errs io.Writer) *Instances {
-	return &Instances{nodes: map[int]*instance{}, lists: map[int][]Entry{}, errs: errs}
+	return &Instances{byID: map[int]*instance{}, lists: map[int][]Entry{}, errs: errs}
 }
 
 // Serve answers batches until the input ends.
-func (h *Instances) Serve(in io.Reader, out io.Writer) error {
+func (all *Instances) Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<16)
 	enc := json.NewEncoder(w)
@@ -47,7 +47,7 @@
 		if perr != nil {
 			return fmt.Errorf("line %d: %w", number, perr)
 		}
-		if err := enc.Encode(h.Batch(batch)); err != nil {
+		if err := enc.Encode(all.Batch(batch)); err != nil {
 			return fmt.Errorf("reply to line %d: %w", number, err)
 		}
 		if err := w.Flush(); err != nil {
@@ -57,13 +57,13 @@
 }
 
 // Batch answers one batch.
-func (h *Instances) Batch(b Batch) Reply {
+func (all *Instances) Batch(b Batch) Reply {
 	reply := Reply{Serial: b.Serial, Parts: []ReplyPart{}}
 	for i := range b.Parts {
 		p := &b.Parts[i]
 		var decisions []any
 		for j := range p.Items {
-			decisions = append(decisions, h.event(b.Now, p.Node, &p.Items[j])...)
+			decisions = append(decisions, all.event(b.Now, p.Node, &p.Items[j])...)
 		}
 		if len(decisions) > 0 {
 			reply.Parts = append(reply.Parts, ReplyPart{p.Node, decisions})
@@ -72,47 +72,47 @@
 	return reply
 }
 
-func (h *Instances) event(now float64, id int, e *Event) []any {
+func (all *Instances) event(now float64, id int, e *Event) []any {
 	switch e.What {
 	case "pool":
-		h.lists[e.Ref] = e.Members
+		all.lists[e.Ref] = e.Members
 		return nil
 	case "hello":
-		return h.hello(id, e)
+		return all.hello(id, e)
 	case "destroy":
-		delete(h.nodes, id)
+		delete(all.byID, id)
 		return nil
 	}
-	n := h.nodes[id]
-	if n == nil {
+	i := all.byID[id]
+	if i == nil {
 		return nil
 	}
 	var lists map[int][]balancer.Endpoint
 	if e.What == "announce" {
-		lists = map[int][]balancer.Endpoint{e.Ref: Entries(h.lists[e.Ref])}
+		lists = map[int][]balancer.Endpoint{e.Ref: Entries(all.lists[e.Ref])}
 	}
-	event := Translate(e, lists, n.indexes)
+	event := Translate(e, lists, i.indexes)
 	if event == nil {
 		return nil
 	}
 	var out []any
-	for _, a := range n.balancer.Step(now, event) {
+	for _, a := range i.balancer.Step(now, event) {
 		out = append(out, Encode(a))
 	}
 	return out
 }
 
-func (h *Instances) hello(id int, e *Event) []any {
-	delete(h.nodes, id)
+func (all *Instances) hello(id int, e *Event) []any {
+	delete(all.byID, id)
 	set, err := settings.Parse(e.Options)
-	var l *balancer.Balancer
+	var b *balancer.Balancer
 	if err == nil {
-		l, err = balancer.New(set.Balancer, e.Nonce)
+		b, err = balancer.New(set.Balancer, e.Nonce)
 	}
 	if err != nil {
-		fmt.Fprintf(h.errs, "instance %d: %v\n", id, err)
+		fmt.Fprintf(all.errs, "instance %d: %v\n", id, err)
 		return []any{InternalError(err.Error())}
 	}
-	h.nodes[id] = &instance{balancer: l, indexes: ReportIndexes{set.InFlightIndex, set.QueuedIndex}}
+	all.byID[id] = &instance{balancer: b, indexes: ReportIndexes{set.InFlightIndex, set.QueuedIndex}}
 	return nil
 }
