--- a/balancer/healthscore.go
+++ b/balancer/healthscore.go
@@ -1,134 +1,107 @@
 package balancer
 
-import (
-	"math"
-	"sort"
-)
+import "math"
 
-// This file scores the health of servers, zones and classes from the outcomes of attempts.
+const (
+	// scoreInterval, in ms, is the greatest age of the scores that a request is placed by.
+	scoreInterval = 100.0
+	// Weights of a score's parts (docs/design.md). They need not sum to 1.
+	latencyWeight       = 0.4
+	errorRateWeight     = 0.3
+	recentSuccessWeight = 0.1
+	// minLatency, in ms, keeps quotients finite.
+	minLatency = 1e-3
+)
 
-// runScores scores each ready server from 0 to 1 and renews the typical unit time.
-func (l *Balancer) runScores() {
-	l.scoredAt = l.now
-	l.tellZones()
-	var units []float64
+// updateScores scores each ready server from 0 to 1 and renews the typical unit time.
+func (b *Balancer) updateScores() {
+	b.scoredAt = b.now
+	b.logZoneChanges()
 	best := math.Inf(1)
-	for _, s := range l.list {
-		if s.seen && l.now < s.outcomeAt+staleAfter+staleDecay { // those shunned would hold the typical up
-			u := s.unit * l.pace
-			if l.set.CapacitiesListed && s.Capacity > 0 {
-				u *= s.Capacity
-			}
-			units = append(units, u)
-		}
-		best = min(best, l.effectiveLatency(s))
+	for _, s := range b.servers.ready {
+		best = min(best, b.effectiveLatency(s)) // by the typical unit time of before
 	}
-	if len(units) > 0 {
-		sort.Float64s(units)
-		l.unit = units[len(units)/2]
-	}
-	for _, s := range l.list {
-		if s.recentLen == 0 {
-			continue // a newcomer keeps the others' mean
+	b.updateTypicalUnitTime()
+	for _, s := range b.servers.ready {
+		if s.outcomes.recentLen == 0 {
+			continue // a new server keeps the others' mean
 		}
-		good := weightLatency*best/l.effectiveLatency(s) + weightErrors*(1-s.errorRate(l.now))
-		s.score = (good + weightRecent*s.recentRate()) / (weightLatency + weightErrors + weightRecent)
+		s.score = b.score(s, best)
 	}
 }
 
-// effectiveLatency is the smoothed latency, raised at once by attempts that stay out longer: silence counts
-// before the outcome arrives. Evidence that nothing renews fades toward the typical.
-func (l *Balancer) effectiveLatency(s *server) Millis {
-	return max(1e-3, l.fade(s, s.latency), l.overdue(s, false))
+// score is the weighted mean of a server's latency against the best one, its error rate and its
+// recent successes.
+func (b *Balancer) score(s *server, bestLatency Millis) float64 {
+	latency := latencyWeight * bestLatency / b.effectiveLatency(s)
+	errors := errorRateWeight * (1 - s.errorRate(b.now))
+	recent := recentSuccessWeight * s.recentSuccessRate()
+	return (latency + errors + recent) / (latencyWeight + errorRateWeight + recentSuccessWeight)
 }
 
-// smoothUnit is the time a server takes for each request in its hands.
-func (l *Balancer) smoothUnit(s *server) Millis {
-	unit := l.fade(s, s.unit*l.pace)
-	if !s.seen {
-		unit = l.typicalUnit(s) // not the guess of its first moment
+// setInitialScore gives a new or readmitted server the others' mean score.
+func (b *Balancer) setInitialScore(s *server) {
+	sum, n := 0.0, 0.0
+	for _, other := range b.servers.ready {
+		if other != s {
+			sum += other.score
+			n++
+		}
+	}
+	s.score = 1
+	if n > 0 {
+		s.score = sum / n
 	}
-	return max(1e-3, max(herdFloor*l.typicalUnit(s), unit)/l.speed(s), l.overdue(s, true))
 }
 
-// observe books an attempt's outcome to its server's health.
-func (l *Balancer) observe(s *server, r *request, a *attempt, result Outcome, elapsed Millis) {
-	if result == NotSent || (result == Cancelled && elapsed < a.expected) {
-		return // tells nothing of the server
-	}
-	good := result == OK
-	l.noteZone(s, result, elapsed)
-	if l.noteClass(s, r.class, result) && !good {
-		return
-	}
-	if result != Cancelled {
-		s.note(l.now, good)
-	}
-	felt := elapsed
-	if !good { // a quick error must not look like a quick answer, a lost one not like a long queue
-		felt = r.class.LatencyObjective
-	}
-	gain := 1 - (1-latencyGain)*math.Exp(-(l.now-s.outcomeAt)/staleDecay) // an old record counts for less
-	if !s.seen {
-		gain = 1 // the first outcome replaces the guess
-	}
-	s.latency += gain * (felt - s.latency)
-	// What slows all down shows in all answers, long before each server's own record.
-	unit := l.warmed(s, elapsed/a.queueRounds, good)
-	if good && s.seen {
-		l.pace += paceGain*(min(paceMost, max(1/paceMost, unit/max(1e-3, s.unit)))-l.pace) + paceRest*(1-l.pace)
-	}
-	unit /= l.pace
-	if good || (result == TimedOut || result == Cancelled) && unit > s.unit && !s.passed(a) {
-		s.unit += gain * (unit - s.unit)
-	}
-	if s.seen = s.seen || good; good {
-		s.answeredTo = max(s.answeredTo, a.sentAt)
-	}
-	s.outcomeAt = l.now
-	l.ejectOrKeep(s, result, a.sentAt)
+// effectiveLatency is the smoothed latency, raised at once by attempts that are out for longer:
+// silence counts before the outcome arrives. A record that nothing renews fades toward the typical
+// one.
+func (b *Balancer) effectiveLatency(s *server) Millis {
+	return max(minLatency, b.decayToTypical(s, s.timing.latency), b.unansweredTime(s))
 }
 
-// noteClass books an outcome to its class and tells whether the fault is the class's own at this server: it
-// fails there while another class is served well. Such failures, and such silence, say nothing about the
-// server; counting them would shun a server that is good for all the rest.
-func (l *Balancer) noteClass(s *server, c *classState, result Outcome) bool {
-	if result == Overloaded || result == Cancelled {
-		return false
-	}
-	h := s.class(c)
-	h.bad, h.tried = l.classBad(s, c), true
-	if h.at = l.now; result == OK {
-		h.bad -= classGood * h.bad
-		return false
-	}
-	h.bad += classWorse * (1 - h.bad)
-	return l.classFault(s, c)
+// unansweredTime is how long a server has kept silent over its oldest attempt. It ignores attempts
+// that an answer to a later one has overtaken: those are lost or heavy, and say nothing about the
+// server.
+func (b *Balancer) unansweredTime(s *server) Millis {
+	silent, _ := b.oldestUnanswered(s)
+	return silent
 }
 
-func (l *Balancer) classFault(s *server, c *classState) bool {
-	if l.classBad(s, c) < classFaulty {
-		return false
-	}
-	for i := range s.classes {
-		if h := &s.classes[i]; i != c.index && h.tried && h.bad < classFaulty/3 {
-			return true
-		}
+// unansweredTimePerRound is the same, divided by the unit times that the attempt should have taken.
+func (b *Balancer) unansweredTimePerRound(s *server) Millis {
+	silent, rounds := b.oldestUnanswered(s)
+	return silent / rounds
+}
+
+func (b *Balancer) oldestUnanswered(s *server) (silent Millis, serviceRounds float64) {
+	r, a := s.oldestAttempt()
+	if a == nil || b.classFault(s, r.class) {
+		return 0, 1
 	}
-	return false
+	return b.now - max(a.sentAt, s.timing.outcomeAt), a.serviceRounds
 }
 
-// zoneFault is a zone's share of sends with nothing back, 0 but where another zone answers: it is lost or cut
-// off from here. A node that meets each server once in seconds would else wait for every one there in turn.
-func (l *Balancer) zoneFault(zone *classHealth) float64 {
-	if zone.bad < zoneSilent {
-		return 0
+// recordAttemptOutcome records how an attempt ended in its server's health.
+func (b *Balancer) recordAttemptOutcome(s *server, r *request, a *attempt, outcome Outcome, elapsed Millis) {
+	cancelledEarly := outcome == Cancelled && elapsed < a.expected
+	if outcome == NotSent || cancelledEarly {
+		return // says nothing about the server
+	}
+	success := outcome == OK
+	b.recordZoneOutcome(s, outcome, elapsed)
+	classOnly := b.recordClassOutcome(s, r.class, outcome)
+	if classOnly && !success {
+		return
 	}
-	bad := l.zoneBad(zone)
-	for _, h := range l.zones {
-		if bad >= zoneSilent/2 && h.tried && l.zoneBad(h) < bad/3 {
-			return bad
-		}
+	if outcome != Cancelled {
+		s.outcomes.record(b.now, success)
+	}
+	b.recordTiming(s, r, a, outcome, elapsed)
+	if success {
+		s.attempts.latestAnswered = max(s.attempts.latestAnswered, a.sentAt)
 	}
-	return 0
+	s.timing.outcomeAt = b.now
+	b.updateEjection(s, outcome, a.sentAt)
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -8,29 +8,29 @@
 	"tackhub.example/tackhub/internal/configpos"
 )
 
-// Reload reads the file again for a node that runs. The file's discovery now wins over the variable, which tells
-// what was so at the start; all else is read and checked as then.
+// Reload reads the file again for a node that runs. The file's discovery address wins over
+// ROUTER_DISCOVERY, which holds the value at the start; all else is read and checked as at a start.
 func Reload(getenv func(string) string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
-	f, raw, fault := read(path)
+	f, raw, fault := readFile(path)
 	if fault != nil {
 		return Config{}, errors.New(oneLine(*fault))
 	}
-	told := f.Discovery
-	f.override(getenv)
-	if told != "" {
-		f.Discovery = told
+	fileDiscovery := f.Discovery
+	f.applyEnvironment(getenv)
+	if fileDiscovery != "" {
+		f.Discovery = fileDiscovery
 	}
-	c, faults := f.check(path, configpos.JSON(raw))
+	c, faults := f.validate(path, configpos.JSON(raw))
 	if len(faults) > 0 {
 		return Config{}, errors.New(oneLine(faults[0]))
 	}
 	return c, nil
 }
 
-// NeedRestart names the keys that differ from what runs and that a running node can't take over: its address and
-// its limits are the process's, and the module is told its settings once. The seed and the list as known are for
-// a start only.
+// NeedRestart names the keys that differ from what runs and that a running node can't take over: its
+// address and its limits are the process's, and the balancer gets its settings only at the start.
+// Discovery and the shadow settings are taken over at once; seed and known are for a start only.
 func (c Config) NeedRestart(next Config) []string {
 	keys := []string{}
 	for _, k := range []struct {
@@ -39,9 +39,9 @@
 	}{
 		{"name", c.Name == next.Name},
 		{"listen", c.Listen == next.Listen},
-		{"operator", c.Operator == next.Operator},
+		{"operator", c.AdminAddress == next.AdminAddress},
 		{"limits", c.Limits == next.Limits},
-		{"peers", slices.Equal(c.Peers, next.Peers)},
+		{"peers", slices.Equal(c.GossipNodes, next.GossipNodes)},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
 	} {
 		if !k.same {
