--- a/cmd/tacklab/compare.go
+++ b/cmd/tacklab/compare.go
@@ -45,7 +45,7 @@
 	JSON     string   `help:"Write all figures to this file." type:"path"`
 }
 
-// Run interleaves the arms: A B, B A, A B …, so that what drifts hits both alike.
+// Run interleaves the arms, A B, B A, A B and so on, so that what drifts affects both alike.
 func (c *compareCmd) Run(ctx context.Context) error {
 	if c.Runs < 2 {
 		return fmt.Errorf("--runs %d: at least two pairs are needed for an interval", c.Runs)
@@ -59,7 +59,7 @@
 			order = []int{1, 0}
 		}
 		for _, side := range order {
-			r, err := c.one(ctx, side, c.Seed+uint64(i))
+			r, err := c.playOne(ctx, side, c.Seed+uint64(i))
 			if err != nil {
 				return err
 			}
@@ -67,12 +67,12 @@
 			for rule, n := range r.BreachesByRule {
 				breaches[side][rule] += n
 			}
-			fmt.Printf("%s %s\n", string("AB"[side]), verdict(r))
+			fmt.Printf("%s %s\n", string("AB"[side]), summaryLine(r))
 		}
 	}
-	out := c.table(got)
+	out := c.printTable(got)
 	for side, b := range breaches {
-		fmt.Printf("%s: rules broken: %s\n", string("AB"[side]), rules(b))
+		fmt.Printf("%s: rules broken: %s\n", string("AB"[side]), formatRules(b))
 	}
 	if c.JSON == "" {
 		return nil
@@ -84,8 +84,8 @@
 	return os.WriteFile(c.JSON, append(raw, '\n'), 0o644)
 }
 
-// one plays one run of one arm. A run that is void ends the comparison: a pair with a hole proves nothing.
-func (c *compareCmd) one(ctx context.Context, side int, seed uint64) (*experiment.Result, error) {
+// playOne plays one run of one arm. A void run ends the comparison: a pair with a hole proves nothing.
+func (c *compareCmd) playOne(ctx context.Context, side int, seed uint64) (*experiment.Result, error) {
 	file, set, program := c.A, c.SetA, c.ProgramA
 	if side == 1 {
 		file, set, program = c.B, c.SetB, c.ProgramB
@@ -104,12 +104,12 @@
 	return r, nil
 }
 
-// table prints and gives the paired differences.
-func (c *compareCmd) table(got [2][]experiment.Figures) map[string]stats.Interval {
+// printTable prints and returns the paired differences.
+func (c *compareCmd) printTable(got [2][]experiment.Figures) map[string]stats.Interval {
 	out := map[string]stats.Interval{}
 	fmt.Printf("%-13s %10s %10s %12s  %s\n", "", "A", "B", "B - A", "95% interval of the difference")
 	for _, m := range metrics {
-		a, b := pick(got[0], m.of), pick(got[1], m.of)
+		a, b := values(got[0], m.of), values(got[1], m.of)
 		d := stats.Paired(a, b, confidence)
 		out[m.name] = d
 		mark := ""
@@ -122,7 +122,8 @@
 	return out
 }
 
-func pick(f []experiment.Figures, of func(experiment.Figures) float64) []float64 {
+// values are one metric of all runs.
+func values(f []experiment.Figures, of func(experiment.Figures) float64) []float64 {
 	out := make([]float64, len(f))
 	for i := range f {
 		out[i] = of(f[i])
@@ -130,7 +131,8 @@
 	return out
 }
 
-func rules(b map[string]int) string {
+// formatRules names broken rules and how often each was broken.
+func formatRules(b map[string]int) string {
 	if len(b) == 0 {
 		return "none"
 	}
@@ -167,7 +169,7 @@
 			if r.Verdict == experiment.VerdictVoid {
 				return fmt.Errorf("%s=%s is void: %s", c.Key, v, r.VoidReason)
 			}
-			fmt.Printf("%s=%s %s\n", c.Key, v, verdict(r))
+			fmt.Printf("%s=%s %s\n", c.Key, v, summaryLine(r))
 			worth, p99 = append(worth, r.Figures.Worth), append(p99, r.Figures.P99)
 		}
 		w, l := stats.Mean(worth, confidence), stats.Mean(p99, confidence)
--- a/cmd/tacklab/main.go
+++ b/cmd/tacklab/main.go
@@ -1,8 +1,8 @@
 // Command tacklab plays experiments on loopback: stand-in servers and discovery, nodes as processes, clients in an open
 // loop, faults, and an auditor that judges the run by the four rules.
 //
-// Exit codes: 0 where no rule broke and each expectation is met, 1 where a run falls short, 2 where it could not be run
-// or proves nothing.
+// Exit codes: 0 where no rule was broken and each expectation is met, 1 where a run falls short of that, 2 where it
+// could not be played or proves nothing.
 package main
 
 import (
@@ -21,7 +21,7 @@
 // The exit codes.
 const (
 	exitOK = iota
-	exitShort
+	exitUnmet
 	exitVoid
 )
 
@@ -38,8 +38,8 @@
 	Baseline baselineCmd `cmd:"" hidden:"" help:"Serve as a plain balancer; started by tacklab itself."`
 }
 
-// errShort says that a run fell short; the lines before told why.
-var errShort = errors.New("short")
+// errUnmet says that a run broke a rule or missed an expectation; the lines printed before say which.
+var errUnmet = errors.New("short")
 
 // baselineCmd is the process that tacklab starts as a node of a baseline.
 type baselineCmd struct {
@@ -49,7 +49,7 @@
 
 // Run serves.
 func (c *baselineCmd) Run() error {
-	return baseline.Run(baseline.Options{Policy: c.Policy, Break: c.Break})
+	return baseline.Run(baseline.Options{Policy: c.Policy, Defect: c.Break})
 }
 
 func main() {
@@ -74,8 +74,8 @@
 	switch err := parsed.Run(); {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errShort):
-		return exitShort
+	case errors.Is(err, errUnmet):
+		return exitUnmet
 	default:
 		fmt.Fprintln(os.Stderr, "tacklab:", err)
 		return exitVoid
--- a/cmd/tacklab/program.go
+++ b/cmd/tacklab/program.go
@@ -12,12 +12,12 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// nodePackage is what is built where no program is at hand.
+// nodePackage is what is built where no program is named.
 const nodePackage = "tackhub.example/tackhub/cmd/tackhub"
 
-// command is how a scenario's nodes are started, and what build that is. With build tags the program is built with them unless
-// one is named. What it built goes with clean.
-func command(s *scenario.Scenario, program, tags string) (argv []string, about string, clean func(), err error) {
+// nodeCommand is how a scenario's nodes are started, and which build that is. With build tags the program is built with
+// them unless one is named. clean removes what was built.
+func nodeCommand(s *scenario.Scenario, program, tags string) (argv []string, about string, clean func(), err error) {
 	clean = func() {}
 	if s.Nodes.Kind != "tackhub" {
 		self, err := os.Executable()
@@ -36,35 +36,35 @@
 		program = s.Nodes.Program
 	}
 	if program == "" && tags != "" {
-		if program, clean, err = build(tags); err != nil {
+		if program, clean, err = buildProgram(tags); err != nil {
 			return nil, "", clean, err
 		}
 	}
 	if program == "" {
-		if program, clean, err = find(); err != nil {
+		if program, clean, err = findProgram(); err != nil {
 			return nil, "", clean, err
 		}
 	}
 	if program, err = filepath.Abs(program); err != nil {
 		return nil, "", clean, err
 	}
-	about, err = describe(program)
+	about, err = describeBuild(program)
 	return []string{program}, about, clean, err
 }
 
-// find takes the tackhub that stands beside this program, or builds one.
-func find() (string, func(), error) {
+// findProgram is the tackhub beside this program, or else a fresh build.
+func findProgram() (string, func(), error) {
 	if self, err := os.Executable(); err == nil {
 		beside := filepath.Join(filepath.Dir(self), "tackhub")
 		if _, err := os.Stat(beside); err == nil {
 			return beside, func() {}, nil
 		}
 	}
-	return build("")
+	return buildProgram("")
 }
 
-// build makes a tackhub with the given build tags.
-func build(tags string) (string, func(), error) {
+// buildProgram builds tackhub with the given build tags.
+func buildProgram(tags string) (string, func(), error) {
 	dir, err := os.MkdirTemp("", "tacklab-build")
 	if err != nil {
 		return "", func() {}, err
@@ -78,8 +78,8 @@
 	return path, clean, nil
 }
 
-// describe names a build so that a report can be told from another's: revision, whether changed, and a hash.
-func describe(program string) (string, error) {
+// describeBuild names a build so that two reports can be told apart: revision, whether it has changes, and a hash.
+func describeBuild(program string) (string, error) {
 	raw, err := os.ReadFile(program)
 	if err != nil {
 		return "", err
--- a/cmd/tacklab/run.go
+++ b/cmd/tacklab/run.go
@@ -48,7 +48,7 @@
 	}
 	var progress func(experiment.Progress)
 	if !c.Quiet {
-		progress = lines(s)
+		progress = progressPrinter(s)
 	}
 	r, err := play(ctx, s, c.arm, progress, nil)
 	if err != nil {
@@ -60,6 +60,7 @@
 	return conclude(r)
 }
 
+// write writes the result's files that were asked for.
 func (c *runCmd) write(r *experiment.Result) error {
 	if c.JSON != "" {
 		raw, err := json.MarshalIndent(r, "", " ")
@@ -76,9 +77,9 @@
 	return nil
 }
 
-// play runs a scenario with the program of an arm.
+// play plays a scenario with the program of an arm.
 func play(ctx context.Context, s *scenario.Scenario, a arm, progress func(experiment.Progress), started func([]string)) (*experiment.Result, error) {
-	argv, build, clean, err := command(s, a.Program, "")
+	argv, build, clean, err := nodeCommand(s, a.Program, "")
 	if err != nil {
 		return nil, err
 	}
@@ -96,8 +97,8 @@
 		Progress: progress, Started: started})
 }
 
-// lines prints a line a second.
-func lines(s *scenario.Scenario) func(experiment.Progress) {
+// progressPrinter prints a line for each second.
+func progressPrinter(s *scenario.Scenario) func(experiment.Progress) {
 	head := false
 	return func(p experiment.Progress) {
 		if !head {
@@ -136,18 +137,18 @@
 	if r.VoidReason != "" {
 		fmt.Printf("void: %s\n", r.VoidReason)
 	}
-	fmt.Println(verdict(r))
+	fmt.Println(summaryLine(r))
 	switch r.Verdict {
 	case experiment.VerdictOK:
 		return nil
 	case experiment.VerdictShort:
-		return errShort
+		return errUnmet
 	}
 	return fmt.Errorf("%s is void: %s", r.Scenario, r.VoidReason)
 }
 
-// verdict is the closing line.
-func verdict(r *experiment.Result) string {
+// summaryLine is the closing line of a run.
+func summaryLine(r *experiment.Result) string {
 	f := r.Figures
 	out := fmt.Sprintf("verdict: %s, %s seed %d: worth %.4f worst-window %.4f worst-tenant %.4f p50 %.1fms p99 %.1fms refused %.4f failed %.4f tries %.2f rate %.0f/s breaches %d node %.1fMB %d fds %.2f cores rig-late %.2fms",
 		r.Verdict, r.Scenario, r.Seed, f.Worth, f.WorstWindow, f.WorstTenant, f.P50, f.P99, f.Rejected, f.Failed+f.Lost+f.NotConnected,
@@ -218,5 +219,7 @@
 	return nil
 }
 
-// tookAbout is how long a scenario plays, for whoever waits.
-func tookAbout(s *scenario.Scenario) time.Duration { return s.Warmup + s.Duration + 2*time.Second }
+// expectedDuration is about how long a scenario plays.
+func expectedDuration(s *scenario.Scenario) time.Duration {
+	return s.Warmup + s.Duration + 2*time.Second
+}
--- a/cmd/tacklab/soak.go
+++ b/cmd/tacklab/soak.go
@@ -11,8 +11,8 @@
 	"tackhub.example/tackhub/lab/soak"
 )
 
-// breaksShown bounds the time lines that are printed for one run.
-const breaksShown = 5
+// maxBreachesShown bounds the time lines that are printed for one run.
+const maxBreachesShown = 5
 
 // soakCmd plays seeded runs of planned stops under faults.
 type soakCmd struct {
@@ -39,7 +39,7 @@
 	if c.Print {
 		return printPlans(plans)
 	}
-	argv, build, clean, err := command(plans[0], c.Program, c.tags())
+	argv, build, clean, err := nodeCommand(plans[0], c.Program, c.tags())
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		if !o.Broke() {
 			continue
 		}
-		showBreaks(o)
+		printBreaches(o)
 		if c.Shrink && !broke {
 			c.shrink(ctx, s, argv, build)
 		}
@@ -64,7 +64,7 @@
 	}
 	fmt.Printf("all: %s\n", all)
 	if broke {
-		return errShort
+		return errUnmet
 	}
 	return nil
 }
@@ -129,15 +129,15 @@
 	return soak.Play(ctx, s, argv, env, dir, build)
 }
 
-// showBreaks prints the breaks of a run with their time lines.
-func showBreaks(o *soak.Outcome) {
+// printBreaches prints the breaches of a run with their time lines.
+func printBreaches(o *soak.Outcome) {
 	for i, b := range o.Result.Breaches {
-		if i == breaksShown {
+		if i == maxBreachesShown {
 			fmt.Printf("and %d more\n", len(o.Result.Breaches)-i)
 			break
 		}
 		fmt.Printf("rule %s broken at %.3f: %s\n", b.Rule, b.At.Seconds(), b.Text)
-		soak.TimeLine(os.Stdout, o.Result, b)
+		soak.WriteTimeline(os.Stdout, o.Result, b)
 	}
 }
 
--- a/cmd/tacklab/stands.go
+++ b/cmd/tacklab/stands.go
@@ -9,7 +9,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// standsCmd starts stand-ins for a node that somebody starts by hand.
+// standsCmd starts stand-in servers and a discovery for a node that is started by hand.
 type standsCmd struct {
 	Discovery string   `default:"127.0.0.1:8500" help:"Where the discovery is to listen."`
 	Servers   int      `default:"6" help:"How many servers."`
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,9 +1,9 @@
-// Package baseline is a plain balancer to compare with: random choice, or the server with the fewest requests of its
-// own outstanding. It speaks the node's protocol and keeps what any careful proxy keeps (nothing unsafe is sent again
-// after it may have run, a draining server gets nothing new), and knows neither scores, exclusion, budgets for cold
-// servers nor tenants. It lives in the lab: no decision of the product is here.
+// Package baseline is a plain balancer to compare with: random choice, or the server with the fewest of its own
+// requests in flight. It speaks the node's protocol and keeps what any careful proxy keeps (nothing unsafe is retried
+// after it may have been executed, a draining server gets nothing new). It knows neither scores, ejection, budgets for
+// cold servers nor tenants, and no decision of the product is here.
 //
-// A baseline can be broken on purpose, one rule at a time, so that the auditor can be tried.
+// A baseline can be given a defect on purpose, one rule at a time, so that the auditor can be tried.
 package baseline
 
 import (
@@ -32,37 +32,37 @@
 // Options say what kind of balancer it is.
 type Options struct {
 	Policy string // random or least
-	Break  string // a defect; empty: none
+	Defect string // one of scenario.Defects; empty: none
 }
 
 const (
-	// margin is kept of a request's time for the answer's way back.
-	margin = 5 * time.Millisecond
+	// responseMargin is the part of a request's time that is left for the response to reach the client.
+	responseMargin = 5 * time.Millisecond
 
-	watchHold   = 5 * time.Second
-	connectTime = 150 * time.Millisecond
-	drainTime   = 600 * time.Millisecond // from SIGTERM on connections go on coming
+	watchHold      = 5 * time.Second
+	connectTimeout = 150 * time.Millisecond
+	drainDelay     = 600 * time.Millisecond // from SIGTERM on connections go on coming
 )
 
 // server is one server of the list.
 type server struct {
-	member discovery.Member
-	client *fasthttp.HostClient
-	open   atomic.Int64
-	closed bool // it drains
+	member   discovery.Member
+	client   *fasthttp.HostClient
+	inFlight atomic.Int64
+	draining bool
 }
 
 // node is a running baseline.
 type node struct {
-	o       Options
-	classes map[string]balancer.Class
-	tries   int
-	ending  atomic.Bool
+	options     Options
+	classes     map[string]balancer.Class
+	maxAttempts int
+	draining    atomic.Bool
 
-	mu       sync.Mutex
-	servers  map[string]*server
-	lastBody []byte // of the answer before, for the defect that swaps answers
-	seen     int
+	mu           sync.Mutex
+	servers      map[string]*server
+	previousBody []byte // of the response before, for the defect that swaps responses
+	requestCount int
 }
 
 // Run serves until SIGTERM, by the node's own environment and configuration.
@@ -71,11 +71,11 @@
 	if err != nil {
 		return err
 	}
-	n := &node{o: o, classes: map[string]balancer.Class{}, tries: max(1, c.Settings.Balancer.MaxAttempts), servers: map[string]*server{}}
+	n := &node{options: o, classes: map[string]balancer.Class{}, maxAttempts: max(1, c.Settings.Balancer.MaxAttempts), servers: map[string]*server{}}
 	for _, class := range c.Settings.Balancer.Classes {
 		n.classes[class.Name] = class
 	}
-	n.take(c.Known)
+	n.update(c.Known)
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
@@ -83,23 +83,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go n.watch(ctx, c.Discovery)
-	srv := &fasthttp.Server{Handler: n.handle, NoDefaultServerHeader: true, Logger: quiet{}}
+	srv := &fasthttp.Server{Handler: n.handle, NoDefaultServerHeader: true, Logger: discardLogger{}}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE)
 	go func() {
 		<-stop
-		n.ending.Store(true) // answers close their connections from now on
-		time.Sleep(drainTime)
+		n.draining.Store(true) // responses close their connections from now on
+		time.Sleep(drainDelay)
 		_ = srv.ShutdownWithContext(ctx)
 	}()
 	return srv.Serve(l)
 }
 
-type quiet struct{}
+// discardLogger drops fasthttp's own log.
+type discardLogger struct{}
 
 // Printf drops fasthttp's own log.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // watch follows discovery's list.
 func (n *node) watch(ctx context.Context, address string) {
@@ -117,10 +118,11 @@
 			continue
 		}
 		from = list.Revision
-		n.take(list)
+		n.update(list)
 	}
 }
 
+// fetch makes one call for the list.
 func fetch(client *http.Client, url string) (discovery.List, error) {
 	resp, err := client.Get(url)
 	if err != nil {
@@ -134,8 +136,8 @@
 	return discovery.ParseList(raw)
 }
 
-// take takes a list over.
-func (n *node) take(list discovery.List) {
+// update takes over a list.
+func (n *node) update(list discovery.List) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	named := map[string]bool{}
@@ -143,7 +145,7 @@
 		named[m.ID] = true
 		s := n.servers[m.ID]
 		if m.Phase == "DELETED" {
-			n.close(m.ID)
+			n.remove(m.ID)
 			continue
 		}
 		if s == nil || s.member.HostPort != m.HostPort {
@@ -151,49 +153,50 @@
 				NoDefaultUserAgentHeader: true, Dial: dial, RetryIfErr: func(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }}}
 			n.servers[m.ID] = s
 		}
-		s.member, s.closed = m, m.Phase != "SERVING"
+		s.member, s.draining = m, m.Phase != "SERVING"
 	}
 	for id := range n.servers {
 		if list.Complete && !named[id] {
-			n.close(id)
+			n.remove(id)
 		}
 	}
 }
 
-// close takes a server out. The defect of late drains keeps it.
-func (n *node) close(id string) {
-	if n.o.Break != "late-drain" {
+// remove removes a server. The defect of late drains keeps it.
+func (n *node) remove(id string) {
+	if n.options.Defect != "late-drain" {
 		delete(n.servers, id)
 	}
 }
 
-// errUnreached says that no connection came up, so that nothing can have run.
-var errUnreached = errors.New("no connection")
+// errNotConnected says that no connection was established, so that nothing can have been executed.
+var errNotConnected = errors.New("no connection")
 
+// dial connects to a server. The error is errNotConnected.
 func dial(addr string) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", addr, connectTime)
+	c, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
-		return nil, errUnreached
+		return nil, errNotConnected
 	}
 	return c, nil
 }
 
-// choose picks a server that the policy prefers, of those not tried.
-func (n *node) choose(not map[string]bool) *server {
+// pick picks a server that the policy prefers, of those not tried.
+func (n *node) pick(not map[string]bool) *server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var best []*server
 	least := int64(1 << 62)
 	for id, s := range n.servers {
-		if not[id] || s.closed && n.o.Break != "late-drain" {
+		if not[id] || s.draining && n.options.Defect != "late-drain" {
 			continue
 		}
-		if n.o.Break == "cold-push" && s.member.UpSince > 0 { // everything to what has just started
+		if n.options.Defect == "cold-push" && s.member.UpSince > 0 { // every request goes to the server that has just started
 			return s
 		}
 		open := int64(0)
-		if n.o.Policy == "least" {
-			open = s.open.Load()
+		if n.options.Policy == "least" {
+			open = s.inFlight.Load()
 		}
 		switch {
 		case open < least:
@@ -208,6 +211,7 @@
 	return best[rand.IntN(len(best))]
 }
 
+// handle handles one request.
 func (n *node) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == "/_health" {
 		ctx.SetStatusCode(fasthttp.StatusOK)
@@ -217,7 +221,7 @@
 		ctx.SetBodyString("{}")
 		return
 	}
-	if n.ending.Load() {
+	if n.draining.Load() {
 		ctx.SetConnectionClose()
 	}
 	class, ok := n.classes[string(ctx.Request.Header.Peek("X-Class"))]
@@ -227,21 +231,21 @@
 		return
 	}
 	wait := time.Duration(ms) * time.Millisecond
-	if n.broken(ctx, class, wait) {
+	if n.injectDefect(ctx, class, wait) {
 		return
 	}
-	n.serve(ctx, class, ctx.Time().Add(wait-min(margin, wait/10)))
-	if n.o.Break == "swapped-answer" {
-		n.swap(ctx)
+	n.forward(ctx, class, ctx.Time().Add(wait-min(responseMargin, wait/10)))
+	if n.options.Defect == "swapped-answer" {
+		n.swapResponse(ctx)
 	}
 }
 
-// serve tries servers until one has answered, the tries are used up or the time is.
-func (n *node) serve(ctx *fasthttp.RequestCtx, class balancer.Class, until time.Time) {
+// forward tries servers until one has served, or the attempts or the time are used up.
+func (n *node) forward(ctx *fasthttp.RequestCtx, class balancer.Class, until time.Time) {
 	tried := map[string]bool{}
 	mayRun := false
-	for range n.tries {
-		s := n.choose(tried)
+	for range n.maxAttempts {
+		s := n.pick(tried)
 		if s == nil || time.Now().After(until) {
 			break
 		}
@@ -256,7 +260,7 @@
 		}
 	}
 	ctx.Response.Reset()
-	if n.ending.Load() {
+	if n.draining.Load() {
 		ctx.SetConnectionClose()
 	}
 	switch {
@@ -269,7 +273,7 @@
 	}
 }
 
-// attempt sends the request to one server. It tells whether it may have run.
+// attempt sends the request to one server. It tells whether the request may have been executed.
 func (n *node) attempt(ctx *fasthttp.RequestCtx, s *server, until time.Time) (status int, mayRun bool) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -277,11 +281,11 @@
 	ctx.Request.CopyTo(req)
 	req.SetHost(s.member.HostPort)
 	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, time.Until(until).Milliseconds()), 10))
-	s.open.Add(1)
+	s.inFlight.Add(1)
 	err := s.client.DoDeadline(req, resp, until)
-	s.open.Add(-1)
+	s.inFlight.Add(-1)
 	switch {
-	case errors.Is(err, errUnreached):
+	case errors.Is(err, errNotConnected):
 		return 0, false
 	case err != nil:
 		return 0, true
@@ -294,28 +298,29 @@
 	return status, len(resp.Header.Peek("X-Not-Run")) == 0
 }
 
-// broken plays the defects that replace serving; every seventh request has them, so that the rest shows a plain run.
-func (n *node) broken(ctx *fasthttp.RequestCtx, class balancer.Class, wait time.Duration) bool {
+// injectDefect plays the defects that replace forwarding. Every seventh request has one, so that the rest shows a
+// normal run.
+func (n *node) injectDefect(ctx *fasthttp.RequestCtx, class balancer.Class, wait time.Duration) bool {
 	n.mu.Lock()
-	n.seen++
-	hit := n.seen%7 == 0
+	n.requestCount++
+	hit := n.requestCount%7 == 0
 	n.mu.Unlock()
 	if !hit {
 		return false
 	}
-	until := time.Now().Add(wait - margin)
-	switch n.o.Break {
-	case "double-send": // a second copy of whatever it is goes out beside the first
+	until := time.Now().Add(wait - responseMargin)
+	switch n.options.Defect {
+	case "double-send": // a second copy of an unsafe request is sent beside the first
 		if class.Idempotency == balancer.Idempotent {
 			return false
 		}
 		for range 2 {
-			if s := n.choose(nil); s != nil {
+			if s := n.pick(nil); s != nil {
 				_, _ = n.attempt(ctx, s, until)
 			}
 		}
-	case "refuse-run": // it has run, and the client hears that trying again is harmless
-		if s := n.choose(nil); s != nil {
+	case "refuse-run": // the request was executed, and its rejection says that a retry is harmless
+		if s := n.pick(nil); s != nil {
 			_, _ = n.attempt(ctx, s, until)
 		}
 		ctx.Response.Reset()
@@ -332,16 +337,16 @@
 	return true
 }
 
-// swap gives each client the answer of the one before.
-func (n *node) swap(ctx *fasthttp.RequestCtx) {
+// swapResponse gives each client the response of the request before.
+func (n *node) swapResponse(ctx *fasthttp.RequestCtx) {
 	if ctx.Response.StatusCode() != fasthttp.StatusOK {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	own := append([]byte(nil), ctx.Response.Body()...)
-	if n.lastBody != nil {
-		ctx.SetBody(n.lastBody)
+	if n.previousBody != nil {
+		ctx.SetBody(n.previousBody)
 	}
-	n.lastBody = own
+	n.previousBody = own
 }
--- a/lab/membersim/figures.go
+++ b/lab/membersim/figures.go
@@ -15,8 +15,8 @@
 	Options
 	Kills          int
 	P50, P99       time.Duration // from a kill until it is out of every other view
-	Expected       time.Duration // by SWIM's formula, see Foretell
-	FalsePositives float64       // live members taken out of somebody's view, for each member in an hour
+	Expected       time.Duration // by SWIM's formula, see ExpectedDetection
+	FalsePositives float64       // live members removed from another's view, for each member in an hour
 }
 
 // ExpectedDetection is the mean time by SWIM's analysis (Das and others, 2002, section 3): each member is probed by
@@ -30,64 +30,83 @@
 // Detect plays clusters in which one member is killed, each after a minute without failures in which members are
 // suspended for up to a second, on all cores. The same options give the same figures.
 func Detect(o Options, kills int) Detection {
-	out := Detection{Options: o, Kills: kills, Expected: ExpectedDetection(o)}
+	detection := Detection{Options: o, Kills: kills, Expected: ExpectedDetection(o)}
 	took := make([]time.Duration, kills)
-	var mu sync.Mutex
-	lost, hours := 0, 0.0
+	removed := make([]int, kills)
 	each(kills, func(i int) {
-		q := o
-		q.Seed, q.Introduced = o.Seed+uint64(i), true
-		s, rng := New(q), rand.New(rand.NewPCG(q.Seed, 11))
+		own := o
+		own.Seed = o.Seed + uint64(i)
+		own.Introduced = true
+		s := New(own)
 		s.Run(5 * time.Second)
-		gone, was := 0, make([]bool, q.Members*q.Members)
-		until := make([]time.Duration, q.Members)
-		const calm = 60 * time.Second
-		for end := s.Now() + calm; s.Now() < end; s.Run(50 * time.Millisecond) {
-			for j := range q.Members {
-				if s.Running(j) && rng.IntN(600) == 0 { // each is suspended twice a minute
-					s.Suspend(j)
-					until[j] = s.Now() + time.Duration(rng.Int64N(int64(time.Second)))
-				} else if !s.Running(j) && s.Now() >= until[j] {
-					s.Resume(j)
-				}
-				for k := range q.Members {
-					out := s.Running(k) && !s.HasMember(k, j)
-					if out && !was[k*q.Members+j] {
-						gone++
-					}
-					was[k*q.Members+j] = out
+		removed[i] = s.falseRemovals(rand.New(rand.NewPCG(own.Seed, 11)))
+		took[i] = s.detectKill()
+	})
+	slices.Sort(took)
+	all := 0
+	for _, n := range removed {
+		all += n
+	}
+	memberHours := float64(kills) * noFailures.Hours() * float64(o.Members)
+	detection.P50 = took[kills/2]
+	detection.P99 = took[min(kills-1, kills*99/100)]
+	detection.FalsePositives = float64(all) / memberHours
+	return detection
+}
+
+// noFailures is how long each cluster is observed before its failure.
+const noFailures = 60 * time.Second
+
+// falseRemovals counts how often a view loses a live member while members are suspended for up to a second, each about
+// twice a minute.
+func (s *Sim) falseRemovals(rng *rand.Rand) int {
+	n := len(s.nodes)
+	removals := 0
+	wasOut := make([]bool, n*n)
+	until := make([]time.Duration, n)
+	for end := s.Now() + noFailures; s.Now() < end; s.Run(50 * time.Millisecond) {
+		for j := range n {
+			if s.Running(j) && rng.IntN(600) == 0 {
+				s.Suspend(j)
+				until[j] = s.Now() + time.Duration(rng.Int64N(int64(time.Second)))
+			} else if !s.Running(j) && s.Now() >= until[j] {
+				s.Resume(j)
+			}
+			for k := range n {
+				isOut := s.Running(k) && !s.HasMember(k, j)
+				if isOut && !wasOut[k*n+j] {
+					removals++
 				}
+				wasOut[k*n+j] = isOut
 			}
 		}
-		for j := range q.Members {
-			s.Resume(j)
-		}
-		s.Run(5 * time.Second)
-		s.Kill(q.Members - 1)
-		began := s.Now()
-		for !s.Converged() && s.Now()-began < time.Minute {
-			s.Run(25 * time.Millisecond)
-		}
-		mu.Lock()
-		defer mu.Unlock()
-		took[i] = s.Now() - began
-		lost += gone
-		hours += calm.Hours() * float64(q.Members)
-	})
-	slices.Sort(took)
-	out.P50, out.P99, out.FalsePositives = took[kills/2], took[min(kills-1, kills*99/100)], float64(lost)/hours
-	return out
+	}
+	return removals
+}
+
+// detectKill kills a member and returns how long it takes until every view lacks it, a minute at most.
+func (s *Sim) detectKill() time.Duration {
+	for j := range s.nodes {
+		s.Resume(j)
+	}
+	s.Run(5 * time.Second)
+	s.Kill(len(s.nodes) - 1)
+	began := s.Now()
+	for !s.Converged() && s.Now()-began < time.Minute {
+		s.Run(25 * time.Millisecond)
+	}
+	return s.Now() - began
 }
 
 // Cost is what a member sends, and what its core computes on one CPU of this machine.
 type Cost struct {
 	Members          int
-	SteadyBytes      float64 // bytes a second for each member
-	MassFailureBytes float64 // the same in the ten seconds after six in ten are lost, for each that is left
-	CPU              float64 // share of a core for each member while calm, the simulated network included
-	DetectedAfter    time.Duration
-	Datagrams        float64 // a second for each member while calm
-	Largest          int     // datagram, in bytes
+	SteadyBytes      float64       // bytes a second for each member
+	MassFailureBytes float64       // the same in the ten seconds after six in ten members fail, for each that is left
+	CPU              float64       // share of a CPU for each member without failures, the simulated network included
+	DetectedAfter    time.Duration // until all views are right after six in ten failed
+	Datagrams        float64       // a second for each member without failures
+	Largest          int           // datagram, in bytes
 }
 
 // Costs measures one size of cluster.
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -25,43 +25,43 @@
 	Delay      time.Duration // one way
 	Jitter     time.Duration // added evenly between 0 and it
 	Duplicate  float64       // share of the datagrams that come twice
-	Introduced bool          // everybody knows everybody at the start
+	Introduced bool          // every member knows every other at the start
 }
 
 // Sim is a simulated cluster.
 type Sim struct {
-	o       Options
-	rng     *rand.Rand
-	now     time.Duration
-	events  events
-	seq     int
-	nodes   []*Node
-	cut     map[[2]int]bool
-	counted bool
-
-	Sent, Bytes int64 // datagrams and streams since Count
+	options       Options
+	rng           *rand.Rand
+	now           time.Duration
+	events        events
+	seq           int
+	nodes         []*Node
+	cut           map[[2]int]bool
+	countsTraffic bool
+
+	Sent, Bytes int64 // datagrams and streams since ResetTraffic
 	Largest     int   // datagram
 }
 
 // Node is one member over all its processes.
 type Node struct {
-	Core    *membership.Core
-	up      bool
-	stopped bool
-	process int // of how many it is; what an earlier one left under way is void
-	start   uint64
-	held    []func()      // what came while it stood still
-	offset  time.Duration // of its clock: each has its own zero
-	Events  []membership.Event
+	Core        *membership.Core
+	up          bool
+	stopped     bool
+	incarnation int // number of the process; what an earlier one left in flight is void
+	start       uint64
+	held        []func()      // what came while it was suspended
+	clockOffset time.Duration // each clock has a zero of its own
+	Events      []membership.Event
 }
 
-// heldMost is what a stopped process's socket holds.
-const heldMost = 400
+// maxHeld is what a stopped process's socket holds.
+const maxHeld = 400
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
 type events []event
@@ -87,9 +87,9 @@
 
 // New starts a cluster; the first two members are the seeds.
 func New(o Options) *Sim {
-	s := &Sim{o: o, rng: rand.New(rand.NewPCG(o.Seed, 77)), cut: map[[2]int]bool{}}
+	s := &Sim{options: o, rng: rand.New(rand.NewPCG(o.Seed, 77)), cut: map[[2]int]bool{}}
 	for range o.Members {
-		s.nodes = append(s.nodes, &Node{offset: time.Duration(s.rng.Int64N(int64(time.Hour)))})
+		s.nodes = append(s.nodes, &Node{clockOffset: time.Duration(s.rng.Int64N(int64(time.Hour)))})
 	}
 	for i := range s.nodes {
 		s.Restart(i)
@@ -125,7 +125,7 @@
 	}
 }
 
-func (s *Sim) local(i int) time.Duration { return s.now + s.nodes[i].offset }
+func (s *Sim) local(i int) time.Duration { return s.now + s.nodes[i].clockOffset }
 
 // Node returns a member.
 func (s *Sim) Node(i int) *Node { return s.nodes[i] }
@@ -139,37 +139,37 @@
 // Restart starts a member's process, in place of one that may run.
 func (s *Sim) Restart(i int) {
 	n := s.nodes[i]
-	n.process++
+	n.incarnation++
 	n.start++
 	n.up, n.stopped, n.held = true, false, nil
-	n.Core = membership.New(membership.Options{Name: name(i), Address: address(i), ClusterHash: 1, Generation: n.start, RandSeed: s.o.Seed<<16 + uint64(i),
-		ProbeInterval: s.o.Period, ProbeTimeout: s.o.Timeout, SuspicionTimeout: s.o.Suspicion, MaxMembers: 1024,
-		SeedAddresses: []string{address(0), address(1 % s.o.Members)}}, s.local(i))
-	s.tick(i, n.process, time.Duration(s.rng.Int64N(int64(s.o.Period/5))))
+	n.Core = membership.New(membership.Options{Name: name(i), Address: address(i), ClusterHash: 1, Generation: n.start, RandSeed: s.options.Seed<<16 + uint64(i),
+		ProbeInterval: s.options.Period, ProbeTimeout: s.options.Timeout, SuspicionTimeout: s.options.Suspicion, MaxMembers: 1024,
+		SeedAddresses: []string{address(0), address(1 % s.options.Members)}}, s.local(i))
+	s.tick(i, n.incarnation, time.Duration(s.rng.Int64N(int64(s.options.Period/5))))
 }
 
 func (s *Sim) tick(i, process int, in time.Duration) {
-	s.at(in, func() {
+	s.schedule(in, func() {
 		n := s.nodes[i]
-		if !n.up || n.process != process {
+		if !n.up || n.incarnation != process {
 			return
 		}
-		s.hand(i, func() { n.Core.Tick(s.local(i)) })
-		s.tick(i, process, s.o.Period/5)
+		s.runOrHold(i, func() { n.Core.Tick(s.local(i)) })
+		s.tick(i, process, s.options.Period/5)
 	})
 }
 
-// hand has a process do something now, or when it is resumed.
-func (s *Sim) hand(i int, do func()) {
+// runOrHold has a process do something now, or when it is resumed.
+func (s *Sim) runOrHold(i int, do func()) {
 	n := s.nodes[i]
 	if n.stopped {
-		if len(n.held) < heldMost {
+		if len(n.held) < maxHeld {
 			n.held = append(n.held, do)
 		}
 		return
 	}
 	do()
-	s.carry(i)
+	s.sendOutput(i)
 }
 
 // Kill ends a process without a message.
@@ -181,7 +181,7 @@
 		return
 	}
 	s.nodes[i].Core.Leave(s.local(i))
-	s.carry(i)
+	s.sendOutput(i)
 	s.nodes[i].up = false
 }
 
@@ -198,7 +198,7 @@
 	held := n.held
 	n.held = nil
 	for _, do := range held {
-		s.hand(i, do)
+		s.runOrHold(i, do)
 	}
 }
 
@@ -214,7 +214,7 @@
 // Heal ends all cuts, and takes loss, duplication and jitter away.
 func (s *Sim) Heal() {
 	clear(s.cut)
-	s.o.Loss, s.o.Duplicate, s.o.Jitter = 0, 0, 0
+	s.options.Loss, s.options.Duplicate, s.options.Jitter = 0, 0, 0
 }
 
 // IsCut tells whether a link is cut.
@@ -222,14 +222,14 @@
 
 // Impair sets what every link does.
 func (s *Sim) Impair(loss float64, jitter time.Duration, double float64) {
-	s.o.Loss, s.o.Jitter, s.o.Duplicate = loss, jitter, double
+	s.options.Loss, s.options.Jitter, s.options.Duplicate = loss, jitter, double
 }
 
 // ResetTraffic begins a new measurement of traffic.
-func (s *Sim) ResetTraffic() { s.Sent, s.Bytes, s.Largest, s.counted = 0, 0, 0, true }
+func (s *Sim) ResetTraffic() { s.Sent, s.Bytes, s.Largest, s.countsTraffic = 0, 0, 0, true }
 
-// at does something after a span.
-func (s *Sim) at(in time.Duration, do func()) {
+// schedule does something after a span.
+func (s *Sim) schedule(in time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.events, event{s.now + in, s.seq, do})
 }
@@ -240,13 +240,13 @@
 	for len(s.events) > 0 && s.events[0].at <= end {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.do()
+		e.action()
 	}
 	s.now = end
 }
 
-// carry sends what a core wants sent.
-func (s *Sim) carry(i int) {
+// sendOutput sends what a core wants sent.
+func (s *Sim) sendOutput(i int) {
 	n := s.nodes[i]
 	out, notes := n.Core.TakeOutput()
 	n.Events = append(n.Events, notes...)
@@ -256,10 +256,10 @@
 			continue
 		}
 		m := send.Message
-		if s.counted {
+		if s.countsTraffic {
 			raw, err := m.MarshalMsg(nil)
 			if err != nil {
-				panic(err) // the core made it
+				panic(err) // the core built the message, so it encodes
 			}
 			s.Sent, s.Bytes = s.Sent+1, s.Bytes+int64(len(raw))
 			if !send.Stream {
@@ -268,35 +268,35 @@
 		}
 		if send.Stream { // a connection needs both ways, and loses nothing
 			if m.Kind == membership.SyncRequest && !s.IsCut(i, to) && !s.IsCut(to, i) || m.Kind == membership.SyncReply {
-				s.deliver(to, m, 3*s.o.Delay+s.jitter())
+				s.deliver(to, m, 3*s.options.Delay+s.jitter())
 			}
 			continue
 		}
-		if s.IsCut(i, to) || s.rng.Float64() < s.o.Loss {
+		if s.IsCut(i, to) || s.rng.Float64() < s.options.Loss {
 			continue
 		}
-		s.deliver(to, m, s.o.Delay+s.jitter())
-		if s.rng.Float64() < s.o.Duplicate {
-			s.deliver(to, m, s.o.Delay+s.jitter())
+		s.deliver(to, m, s.options.Delay+s.jitter())
+		if s.rng.Float64() < s.options.Duplicate {
+			s.deliver(to, m, s.options.Delay+s.jitter())
 		}
 	}
 }
 
 func (s *Sim) jitter() time.Duration {
-	if s.o.Jitter == 0 {
+	if s.options.Jitter == 0 {
 		return 0
 	}
-	return time.Duration(s.rng.Int64N(int64(s.o.Jitter)))
+	return time.Duration(s.rng.Int64N(int64(s.options.Jitter)))
 }
 
 func (s *Sim) deliver(to int, m membership.Message, in time.Duration) {
 	m.Updates = slices.Clone(m.Updates)
-	s.at(in, func() {
+	s.schedule(in, func() {
 		n := s.nodes[to]
 		if n.up {
-			process := n.process
-			s.hand(to, func() {
-				if n.process == process {
+			process := n.incarnation
+			s.runOrHold(to, func() {
+				if n.incarnation == process {
 					n.Core.Receive(s.local(to), &m)
 				}
 			})
--- a/lab/membersim/membersim_test.go
+++ b/lab/membersim/membersim_test.go
@@ -18,7 +18,7 @@
 			return s.Now() - began
 		}
 	}
-	t.Fatalf("%d members, seed %d: no agreement within %v: %s", s.o.Members, s.o.Seed, most, what)
+	t.Fatalf("%d members, seed %d: no agreement within %v: %s", s.options.Members, s.options.Seed, most, what)
 	return 0
 }
 
--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -68,60 +68,79 @@
 // "zone:a<->zone:b", "node:2->rest".
 func (s *Scenario) links(target string, rng *rand.Rand) ([][2]int, error) {
 	n := s.Nodes.Count
-	var every [][2]int
-	for i := range n {
-		for j := range n {
-			if i != j {
-				every = append(every, [2]int{i, j})
-			}
-		}
-	}
-	keep := func(fits func(p [2]int) bool) []([2]int) {
-		return slices.DeleteFunc(slices.Clone(every), func(p [2]int) bool { return !fits(p) })
-	}
+	every := s.allLinks()
 	switch {
 	case target == "" || target == "all":
 		return every, nil
 	case target == "half":
-		return keep(func(p [2]int) bool { return (p[0] < n/2) != (p[1] < n/2) }), nil
+		return filterLinks(every, func(from, to int) bool { return (from < n/2) != (to < n/2) }), nil
 	case target == "ring":
-		return keep(func(p [2]int) bool { return p[1] == (p[0]+1)%n }), nil
+		return filterLinks(every, func(from, to int) bool { return to == (from+1)%n }), nil
 	}
-	from, to, both := strings.Cut(target, "<->")
-	if !both {
-		var one bool
-		if from, to, one = strings.Cut(target, "->"); !one {
-			k, err := parseCount(target, len(every))
-			if err != nil {
-				return nil, fmt.Errorf("%q is no link: all, half, ring, a share, or sets of nodes such as node:0->node:3", target)
-			}
-			if rng != nil {
-				rng.Shuffle(len(every), func(i, j int) { every[i], every[j] = every[j], every[i] })
+	if from, to, ok := strings.Cut(target, "<->"); ok {
+		return s.linksBetween(target, from, to, true)
+	}
+	if from, to, ok := strings.Cut(target, "->"); ok {
+		return s.linksBetween(target, from, to, false)
+	}
+	k, err := parseCount(target, len(every))
+	if err != nil {
+		return nil, fmt.Errorf("%q is no link: all, half, ring, a share, or sets of nodes such as node:0->node:3", target)
+	}
+	if rng != nil {
+		rng.Shuffle(len(every), func(i, j int) { every[i], every[j] = every[j], every[i] })
+	}
+	return every[:k], nil
+}
+
+// allLinks are all directed pairs of nodes.
+func (s *Scenario) allLinks() [][2]int {
+	var all [][2]int
+	for i := range s.Nodes.Count {
+		for j := range s.Nodes.Count {
+			if i != j {
+				all = append(all, [2]int{i, j})
 			}
-			return every[:k], nil
 		}
 	}
-	a, err := s.nodeSet(from)
+	return all
+}
+
+// filterLinks are the links that fit.
+func filterLinks(links [][2]int, fits func(from, to int) bool) [][2]int {
+	return slices.DeleteFunc(slices.Clone(links), func(p [2]int) bool { return !fits(p[0], p[1]) })
+}
+
+// linksBetween are the links from one set of nodes to another, and back where both directions are named.
+func (s *Scenario) linksBetween(target, fromText, toText string, both bool) ([][2]int, error) {
+	a, err := s.nodeSet(fromText)
 	if err != nil {
 		return nil, err
 	}
-	b, err := s.nodeSet(to)
+	b, err := s.nodeSet(toText)
 	if err != nil {
 		return nil, err
 	}
-	if to == "rest" {
-		b = slices.DeleteFunc(indexes(n), func(i int) bool { return slices.Contains(a, i) })
+	if toText == "rest" {
+		b = s.nodesBeside(a)
 	}
-	if from == "rest" {
-		a = slices.DeleteFunc(indexes(n), func(i int) bool { return slices.Contains(b, i) })
+	if fromText == "rest" {
+		a = s.nodesBeside(b)
 	}
-	out := keep(func(p [2]int) bool {
-		return slices.Contains(a, p[0]) && slices.Contains(b, p[1]) || both && slices.Contains(a, p[1]) && slices.Contains(b, p[0])
+	links := filterLinks(s.allLinks(), func(from, to int) bool {
+		forth := slices.Contains(a, from) && slices.Contains(b, to)
+		back := slices.Contains(a, to) && slices.Contains(b, from)
+		return forth || both && back
 	})
-	if len(out) == 0 {
+	if len(links) == 0 {
 		return nil, fmt.Errorf("%q names no link", target)
 	}
-	return out, nil
+	return links, nil
+}
+
+// nodesBeside are the nodes that are not in a set.
+func (s *Scenario) nodesBeside(set []int) []int {
+	return slices.DeleteFunc(indexes(s.Nodes.Count), func(i int) bool { return slices.Contains(set, i) })
 }
 
 // nodeSet are the nodes on one side of a link; rest is worked out by the caller, who knows the other side.
--- a/lab/scenario/schedule.go
+++ b/lab/scenario/schedule.go
@@ -227,56 +227,79 @@
 
 // targetsOf are the servers and nodes that a target names.
 func (s *Scenario) targetsOf(f Fault, rng *rand.Rand) (servers, nodes []int, err error) {
-	what, name, _ := strings.Cut(f.Target, ":")
-	ofNode := f.Kind == "disk-lost" || strings.HasPrefix(f.Kind, "node-") || strings.HasPrefix(f.Kind, "discovery-") || strings.HasPrefix(f.Kind, "clients-")
-	if ofNode {
-		switch {
-		case f.Target == "" || f.Target == "all":
-			return nil, indexes(s.Nodes.Count), nil
-		case what == "node":
-			n, err := strconv.Atoi(name)
-			if err != nil || n < 0 || n >= s.Nodes.Count {
-				return nil, nil, fmt.Errorf("%q is no node of %d", name, s.Nodes.Count)
-			}
-			return nil, []int{n}, nil
-		}
-		n, err := parseCount(f.Target, s.Nodes.Count)
-		if err != nil {
-			return nil, nil, fmt.Errorf("%q: a fault of kind %s needs node:N, all, or a number or share of the nodes", f.Target, f.Kind)
+	if ofNode(f.Kind) {
+		nodes, err = s.targetNodes(f, rng)
+		return nil, nodes, err
+	}
+	servers, err = s.targetServers(f, rng)
+	return servers, nil, err
+}
+
+// ofNode tells whether a kind of fault concerns nodes, or what belongs to one node.
+func ofNode(kind string) bool {
+	for _, prefix := range []string{"node-", "discovery-", "clients-"} {
+		if strings.HasPrefix(kind, prefix) {
+			return true
 		}
-		nodes = indexes(s.Nodes.Count)
-		if rng != nil {
-			rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
+	}
+	return kind == "disk-lost"
+}
+
+// targetNodes are the nodes that a target names.
+func (s *Scenario) targetNodes(f Fault, rng *rand.Rand) ([]int, error) {
+	what, name, _ := strings.Cut(f.Target, ":")
+	switch {
+	case f.Target == "" || f.Target == "all":
+		return indexes(s.Nodes.Count), nil
+	case what == "node":
+		n, err := strconv.Atoi(name)
+		if err != nil || n < 0 || n >= s.Nodes.Count {
+			return nil, fmt.Errorf("%q is no node of %d", name, s.Nodes.Count)
 		}
-		return nil, nodes[:n], nil
+		return []int{n}, nil
+	}
+	n, err := parseCount(f.Target, s.Nodes.Count)
+	if err != nil {
+		return nil, fmt.Errorf("%q: a fault of kind %s needs node:N, all, or a number or share of the nodes", f.Target, f.Kind)
+	}
+	nodes := indexes(s.Nodes.Count)
+	if rng != nil {
+		rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	}
+	return nodes[:n], nil
+}
+
+// targetServers are the servers that a target names. Without an rng a number or a share names none: it is only checked.
+func (s *Scenario) targetServers(f Fault, rng *rand.Rand) ([]int, error) {
+	what, name, _ := strings.Cut(f.Target, ":")
 	all := indexes(s.Fleet.Servers)
 	switch {
 	case f.Target == "all":
-		return all, nil, nil
+		return all, nil
 	case what == "server":
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "s"))
 		if err != nil || n < 0 || n >= len(all) {
-			return nil, nil, fmt.Errorf("%q is no server of %d", name, len(all))
+			return nil, fmt.Errorf("%q is no server of %d", name, len(all))
 		}
-		return []int{n}, nil, nil
+		return []int{n}, nil
 	case what == "zone":
+		var servers []int
 		for i := range all {
 			if s.ZoneOf(i) == name {
 				servers = append(servers, i)
 			}
 		}
 		if len(servers) == 0 {
-			return nil, nil, fmt.Errorf("no server is in zone %q", name)
+			return nil, fmt.Errorf("no server is in zone %q", name)
 		}
-		return servers, nil, nil
+		return servers, nil
 	}
 	n, err := parseCount(f.Target, len(all))
 	if err != nil || rng == nil {
-		return nil, nil, err
+		return nil, err
 	}
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:n], nil, nil
+	return all[:n], nil
 }
 
 // parseCount is a number of things, given as it stands or as a share ("25%").
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -19,41 +19,47 @@
 )
 
 const (
-	// firstOp numbers the operations of these clients, far above those of the load.
-	firstOp = 1 << 40
+	// firstOperation numbers the operations of these clients, far above those of the load.
+	firstOperation = 1 << 40
 
-	// keptEach is how many connections to each node are kept in use all the time.
-	keptEach = 6
+	// keptPerNode is how many connections to each node are kept in use all the time.
+	keptPerNode = 6
 
-	// openFor is how long after SIGTERM new connections are opened.
-	openFor = 400 * time.Millisecond
+	// openWindow is how long after SIGTERM new connections are opened.
+	openWindow = 400 * time.Millisecond
 
-	// crossedMost is how long before a connection's end a request may have been written and still count as one that crossed
-	// it unread. It holds a standstill of the node and a late rig.
-	crossedMost = 250 * time.Millisecond
+	// raceWindow is how long before a connection's end a request may have been written and still count as one that raced
+	// with it unread. It allows for a suspension of the node and a delay of the lab.
+	raceWindow = 250 * time.Millisecond
 
-	// listen is how much longer than its wait a client listens for an answer.
-	listen = 300 * time.Millisecond
+	// lateWindow is how much longer than its wait a client listens for a response.
+	lateWindow = 300 * time.Millisecond
 
-	// stragglers, halves and silent are the clients of each kind at one stop; crowd is how many say nothing in some runs.
-	stragglers, halves, silent, crowd = 16, 4, 4, 150
+	// The clients of each kind at one stop.
+	lateClients    = 16
+	partialClients = 4
+	silentClients  = 4
 
-	dialWait = time.Second
+	// crowdSize replaces silentClients in some runs.
+	crowdSize = 150
+
+	// dialTimeout bounds the opening of a connection.
+	dialTimeout = time.Second
 )
 
 // Clients use what a stopping node leaves open: kept connections until they are closed, connections that were opened
-// late and send a request later still, half requests, silent connections, crowds.
+// late and send a request later still, partial requests, silent connections, crowds.
 type Clients struct {
-	s     *scenario.Scenario
-	crowd bool
+	scenario *scenario.Scenario
+	hasCrowd bool
 
-	start   time.Time
-	quit    chan struct{}
-	working sync.WaitGroup
-	op      atomic.Int64
+	start         time.Time
+	done          chan struct{}
+	running       sync.WaitGroup
+	lastOperation atomic.Int64
 
 	mu          sync.Mutex
-	tries       []audit.Attempt
+	attempts    []audit.Attempt
 	stops       []ObservedStop
 	racedCloses int
 }
@@ -66,16 +72,16 @@
 
 // NewClients makes the clients of a run.
 func NewClients(s *scenario.Scenario) *Clients {
-	return &Clients{s: s, crowd: s.Seed%3 == 0, quit: make(chan struct{})}
+	return &Clients{scenario: s, hasCrowd: s.Seed%3 == 0, done: make(chan struct{})}
 }
 
 // Begin keeps connections to each node in use.
 func (c *Clients) Begin(start time.Time, nodes []string) {
 	c.start = start
 	for node, address := range nodes {
-		for i := range keptEach {
-			rng := rand.New(rand.NewPCG(c.s.Seed, uint64(node)<<16+uint64(i)))
-			c.working.Go(func() { c.keep(rng, node, address) })
+		for i := range keptPerNode {
+			rng := rand.New(rand.NewPCG(c.scenario.Seed, uint64(node)<<16+uint64(i)))
+			c.running.Go(func() { c.reuseConnections(rng, node, address) })
 		}
 	}
 }
@@ -84,7 +90,7 @@
 func (c *Clients) StopBegan(node int, address string, at time.Time) {
 	c.mu.Lock()
 	select {
-	case <-c.quit: // the run is over
+	case <-c.done: // the run is over
 		c.mu.Unlock()
 		return
 	default:
@@ -92,29 +98,29 @@
 	defer c.mu.Unlock()
 	number := uint64(len(c.stops))
 	c.stops = append(c.stops, ObservedStop{Node: node, At: at.Sub(c.start)})
-	rng := rand.New(rand.NewPCG(c.s.Seed, 1<<32+number))
-	until := at.Add(c.s.KillAfter())
-	for range stragglers {
-		opens, asks := at.Add(rand64(rng, openFor)), at.Add(openFor+rand64(rng, c.s.KillAfter()-openFor))
+	rng := rand.New(rand.NewPCG(c.scenario.Seed, 1<<32+number))
+	until := at.Add(c.scenario.KillAfter())
+	for range lateClients {
+		opens, asks := at.Add(randomSpan(rng, openWindow)), at.Add(openWindow+randomSpan(rng, c.scenario.KillAfter()-openWindow))
 		own := rand.New(rand.NewPCG(rng.Uint64(), 1))
-		c.working.Go(func() { c.straggle(own, node, address, opens, asks) })
+		c.running.Go(func() { c.requestLate(own, node, address, opens, asks) })
 	}
-	for range halves {
-		opens, rest := at.Add(rand64(rng, openFor)), at.Add(rand64(rng, c.s.KillAfter()))
+	for range partialClients {
+		opens, rest := at.Add(randomSpan(rng, openWindow)), at.Add(randomSpan(rng, c.scenario.KillAfter()))
 		own := rand.New(rand.NewPCG(rng.Uint64(), 2))
-		c.working.Go(func() { c.half(own, node, address, opens, rest) })
+		c.running.Go(func() { c.sendInParts(own, node, address, opens, rest) })
 	}
-	quiet := silent
-	if c.crowd {
-		quiet = crowd
+	quiet := silentClients
+	if c.hasCrowd {
+		quiet = crowdSize
 	}
 	for range quiet {
-		opens := at.Add(rand64(rng, openFor))
-		c.working.Go(func() { c.saysNothing(address, opens, until) })
+		opens := at.Add(randomSpan(rng, openWindow))
+		c.running.Go(func() { c.holdSilent(address, opens, until) })
 	}
 }
 
-func rand64(rng *rand.Rand, most time.Duration) time.Duration {
+func randomSpan(rng *rand.Rand, most time.Duration) time.Duration {
 	return time.Duration(rng.Int64N(int64(max(1, most))))
 }
 
@@ -122,13 +128,13 @@
 func (c *Clients) Attempts() []audit.Attempt {
 	c.mu.Lock()
 	select {
-	case <-c.quit:
+	case <-c.done:
 	default:
-		close(c.quit)
+		close(c.done)
 	}
 	c.mu.Unlock()
-	c.working.Wait()
-	return c.tries
+	c.running.Wait()
+	return c.attempts
 }
 
 // ObservedStops are the planned stops that were seen. Call it after Attempts.
@@ -137,22 +143,22 @@
 // RacedCloses is how many requests were sent while their connection was being closed, unread. Call it after Attempts.
 func (c *Clients) RacedCloses() int { return c.racedCloses }
 
-// over waits until a time, and tells whether the run ended before.
-func (c *Clients) over(until time.Time) bool {
+// endedBefore waits until a time, and tells whether the run ended before.
+func (c *Clients) endedBefore(until time.Time) bool {
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return false
-	case <-c.quit:
+	case <-c.done:
 		return true
 	}
 }
 
-// keep sends a request now and then on one connection for as long as it stays open, and then on the next.
-func (c *Clients) keep(rng *rand.Rand, node int, address string) {
+// reuseConnections sends a request now and then on one connection for as long as it stays open, and then on the next.
+func (c *Clients) reuseConnections(rng *rand.Rand, node int, address string) {
 	var conn *connection
-	for !c.over(time.Now().Add(rand64(rng, 120*time.Millisecond))) {
+	for !c.endedBefore(time.Now().Add(randomSpan(rng, 120*time.Millisecond))) {
 		if conn == nil {
 			var err error
 			if conn, err = dial(address); err != nil {
@@ -160,7 +166,7 @@
 				continue
 			}
 		}
-		if !c.ask(rng, conn, node) {
+		if !c.roundTrip(rng, conn, node) {
 			conn.close()
 			conn = nil
 		}
@@ -170,52 +176,52 @@
 	}
 }
 
-// straggle opens a connection early in a stop and sends requests on it late.
-func (c *Clients) straggle(rng *rand.Rand, node int, address string, opens, asks time.Time) {
+// requestLate opens a connection early in a stop and sends requests on it late.
+func (c *Clients) requestLate(rng *rand.Rand, node int, address string, opens, asks time.Time) {
 	conn := c.openAt(address, opens)
 	if conn == nil {
 		return
 	}
 	defer conn.close()
-	if !c.over(asks) {
-		for c.ask(rng, conn, node) && !c.over(time.Now().Add(rand64(rng, 30*time.Millisecond))) {
+	if !c.endedBefore(asks) {
+		for c.roundTrip(rng, conn, node) && !c.endedBefore(time.Now().Add(randomSpan(rng, 30*time.Millisecond))) {
 			continue
 		}
 	}
 }
 
-// half sends a part of a request, and the rest later.
-func (c *Clients) half(rng *rand.Rand, node int, address string, opens, rest time.Time) {
+// sendInParts sends a part of a request, and the rest later.
+func (c *Clients) sendInParts(rng *rand.Rand, node int, address string, opens, rest time.Time) {
 	conn := c.openAt(address, opens)
 	if conn == nil {
 		return
 	}
 	defer conn.close()
-	op := firstOp + int(c.op.Add(1))
-	_, raw := c.request(rng, op)
+	op := firstOperation + int(c.lastOperation.Add(1))
+	_, raw := c.newRequest(rng, op)
 	cut := 1 + rng.IntN(len(raw)-1)
-	if _, err := io.WriteString(conn, raw[:cut]); err != nil || c.over(rest) {
+	if _, err := io.WriteString(conn, raw[:cut]); err != nil || c.endedBefore(rest) {
 		return
 	}
-	if answered(conn) { // refused before it was whole, or closed
+	if hasInput(conn) { // rejected before it was whole, or closed
 		return
 	}
-	c.finish(conn, node, op, raw[cut:])
+	c.complete(conn, node, op, raw[cut:])
 }
 
-// saysNothing holds a silent connection.
-func (c *Clients) saysNothing(address string, opens, until time.Time) {
+// holdSilent holds a silent connection.
+func (c *Clients) holdSilent(address string, opens, until time.Time) {
 	conn := c.openAt(address, opens)
 	if conn == nil {
 		return
 	}
 	defer conn.close()
-	_ = c.over(until)
+	_ = c.endedBefore(until)
 }
 
 // openAt opens a connection at a time; nil where the run ended before, or no node accepts it.
 func (c *Clients) openAt(address string, opens time.Time) *connection {
-	if c.over(opens) {
+	if c.endedBefore(opens) {
 		return nil
 	}
 	conn, err := dial(address)
@@ -232,7 +238,7 @@
 }
 
 func dial(address string) (*connection, error) {
-	conn, err := net.DialTimeout("tcp", address, dialWait)
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -241,8 +247,8 @@
 
 func (c *connection) close() { _ = c.Close() }
 
-// answered tells whether something has come on a connection on which nothing was requested, or its end.
-func answered(c *connection) bool {
+// hasInput tells whether something has come on a connection on which nothing was requested, or its end.
+func hasInput(c *connection) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
 	_ = c.SetReadDeadline(time.Time{})
@@ -250,19 +256,19 @@
 	return !ok || !timeout.Timeout()
 }
 
-// ask sends one request and reads its response. It tells whether the connection can be used again.
-func (c *Clients) ask(rng *rand.Rand, conn *connection, node int) bool {
-	if answered(conn) {
+// roundTrip sends one request and reads its response. It tells whether the connection can be used again.
+func (c *Clients) roundTrip(rng *rand.Rand, conn *connection, node int) bool {
+	if hasInput(conn) {
 		return false
 	}
-	op := firstOp + int(c.op.Add(1))
-	_, raw := c.request(rng, op)
-	return c.finish(conn, node, op, raw)
+	op := firstOperation + int(c.lastOperation.Add(1))
+	_, raw := c.newRequest(rng, op)
+	return c.complete(conn, node, op, raw)
 }
 
-// request is one in the protocol's form, of a random class.
-func (c *Clients) request(rng *rand.Rand, op int) (class scenario.Class, raw string) {
-	class = c.s.Classes[rng.IntN(len(c.s.Classes))]
+// newRequest is one in the protocol's form, of a random class.
+func (c *Clients) newRequest(rng *rand.Rand, op int) (class scenario.Class, raw string) {
+	class = c.scenario.Classes[rng.IntN(len(c.scenario.Classes))]
 	method, more, body := "GET", "", ""
 	if class.Effect != "safe" {
 		method, body = "POST", strings.Repeat("x", class.Body)
@@ -276,31 +282,31 @@
 	return class, raw
 }
 
-// finish writes the end of a request and reads its response. It listens equally long for every class: all have one
+// complete writes the end of a request and reads its response. It listens equally long for every class: all have one
 // deadline.
-func (c *Clients) finish(conn *connection, node, op int, raw string) bool {
+func (c *Clients) complete(conn *connection, node, op int, raw string) bool {
 	t := audit.Attempt{ID: backend.AttemptID(op, 0), Operation: op, Node: node, Effect: audit.Safe}
-	_ = conn.SetWriteDeadline(time.Now().Add(dialWait))
+	_ = conn.SetWriteDeadline(time.Now().Add(dialTimeout))
 	if _, err := io.WriteString(conn, raw); err != nil {
-		return false // the end had come before it was whole
+		return false // the connection ended before the request was whole
 	}
-	wait := c.s.Classes[0].Deadline
+	wait := c.scenario.Classes[0].Deadline
 	t.Sent = time.Since(c.start)
 	t.Deadline = t.Sent + wait
-	_ = conn.SetReadDeadline(time.Now().Add(wait + listen))
+	_ = conn.SetReadDeadline(time.Now().Add(wait + lateWindow))
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	err := resp.ReadLimitBody(conn.r, 64<<10)
 	t.Ended = time.Since(c.start)
-	c.note(t, resp, err)
+	c.record(t, resp, err)
 	return err == nil && !resp.ConnectionClose()
 }
 
-// note records an attempt. One whose connection ended shortly after it was written may have raced with the close: the
+// record records an attempt. One whose connection ended shortly after it was written may have raced with the close: the
 // servers' records tell whether the node had read it.
-func (c *Clients) note(t audit.Attempt, resp *fasthttp.Response, err error) {
+func (c *Clients) record(t audit.Attempt, resp *fasthttp.Response, err error) {
 	switch status := resp.StatusCode(); {
-	case err != nil && t.Ended-t.Sent < crossedMost:
+	case err != nil && t.Ended-t.Sent < raceWindow:
 		t.Outcome = audit.RacedClose
 	case err != nil:
 		t.Outcome = audit.Lost
@@ -319,5 +325,5 @@
 	if t.Outcome == audit.RacedClose {
 		c.racedCloses++
 	}
-	c.tries = append(c.tries, t)
+	c.attempts = append(c.attempts, t)
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak plays seeded runs of built nodes under faults, with the weight on planned stops, and audits them. A run is a
-// scenario that is worked out from its seed alone, so that it can be printed, replayed and shrunk, and clients beside it
-// that use what a stopping node leaves open.
+// Package soak plays seeded runs of built nodes under faults, with the weight on planned stops, and audits them. A run
+// is a scenario that is worked out from its seed alone, so that it can be printed, replayed and shrunk, and clients
+// beside it that use what a stopping node leaves open.
 package soak
 
 import (
@@ -15,14 +15,14 @@
 	// warmup lets the nodes learn their servers before the first fault.
 	warmup = time.Second
 
-	// stopEvery is the time between two planned stops.
-	stopEvery = 2200 * time.Millisecond
+	// stopInterval is the time between two planned stops.
+	stopInterval = 2200 * time.Millisecond
 
-	// pauseLeast and pauseMost bound how long a node is suspended: with the lab's own delay it stays under what is allowed.
-	pauseLeast, pauseMost = 20 * time.Millisecond, 130 * time.Millisecond
+	// minPause and pauseMost bound how long a node is suspended: with the lab's own delay it stays under what is allowed.
+	minPause, maxPause = 20 * time.Millisecond, 130 * time.Millisecond
 
-	// lastFault is how long before the end of a run the last fault begins.
-	lastFault = 1500 * time.Millisecond
+	// quietEnd is how long before the end of a run the last fault begins.
+	quietEnd = 1500 * time.Millisecond
 )
 
 // Options choose the kind of a run. What they leave open is drawn from the seed.
@@ -34,8 +34,8 @@
 	Kind     string        // of the nodes, as in a scenario; empty: tackhub
 }
 
-// effects are the classes of a run: one of each effect, with the shares and works that the stand-in servers take.
-var effects = []struct {
+// classes are the classes of a run: one of each effect.
+var classes = []struct {
 	name, effect, group string
 	share, worth        float64
 	window              time.Duration
@@ -70,64 +70,96 @@
 		s.Nodes.Kind = o.Kind
 	}
 	deadline := pick(250*time.Millisecond, 390*time.Millisecond, 390*time.Millisecond, 800*time.Millisecond, 1500*time.Millisecond)
-	for _, e := range effects {
+	for _, e := range classes {
 		s.Classes = append(s.Classes, scenario.Class{Name: e.name, Effect: e.effect, Group: e.group, Window: e.window, Share: e.share,
 			Worth: e.worth, Aim: deadline / 2, Deadline: deadline, Work: 12 * time.Millisecond, Dist: "exponential", Body: 200})
 	}
 	if !o.Quiet {
-		s.Faults = faults(s, rng)
+		s.Faults = drawFaults(s, rng)
 	}
 	return s
 }
 
-// faults draws the faults of a run: a planned stop every stopEvery, with servers in trouble around most of them.
-func faults(s *scenario.Scenario, rng *rand.Rand) []scenario.Fault {
-	var out []scenario.Fault
-	end := s.Warmup + s.Duration - lastFault
-	within := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
-	add := func(f scenario.Fault) {
-		if f.At < end {
-			out = append(out, f)
-		}
+// drawFaults draws the faults of a run: a planned stop every stopInterval, with servers in trouble around most of them.
+func drawFaults(s *scenario.Scenario, rng *rand.Rand) []scenario.Fault {
+	d := &faultDrawer{scenario: s, rng: rng, end: s.Warmup + s.Duration - quietEnd}
+	node := 0
+	for at := s.Warmup + 300*time.Millisecond; at < d.end-s.KillAfter(); at += stopInterval {
+		d.addStop(at, node)
+		node++
 	}
-	for at, node := s.Warmup+300*time.Millisecond, 0; at < end-s.KillAfter(); at, node = at+stopEvery, node+1 {
-		target := fmt.Sprintf("node:%d", node%s.Nodes.Count)
-		add(scenario.Fault{At: at, Kind: "node-replace", Target: target, FollowUpSignals: series(rng)})
-		for range rng.IntN(3) {
-			add(scenario.Fault{At: at + within(s.KillAfter()), Kind: "node-pause", Target: target,
-				For: pauseLeast + within(pauseMost-pauseLeast)})
-		}
-		share := fmt.Sprintf("%d%%", 25+rng.IntN(40))
-		from, lasts := at-within(400*time.Millisecond), 400*time.Millisecond+within(1200*time.Millisecond)
-		switch kind := []string{"hang", "hang", "vanish", "servers-reset", "errors", "cold-return", "drain", "servers-stall", "slow"}[rng.IntN(9)]; kind {
-		case "errors":
-			add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Share: 0.2 + 0.6*rng.Float64()})
-		case "slow":
-			add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Factor: 2 + 4*rng.Float64()})
-		case "servers-reset":
-			for range 3 {
-				add(scenario.Fault{At: at + within(s.KillAfter()), Kind: kind, Target: share})
-			}
-		case "cold-return":
-			add(scenario.Fault{At: from, Kind: kind, Target: "1", NewID: rng.IntN(2) == 0})
-		default:
-			add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share})
-		}
-		switch rng.IntN(4) {
-		case 0:
-			add(scenario.Fault{At: from, For: lasts, Kind: "discovery-down", Target: "all"})
-		case 1:
-			add(scenario.Fault{At: from, For: lasts, Kind: "discovery-stale", Target: "all", Delay: 400 * time.Millisecond})
-		case 2:
-			other := fmt.Sprintf("node:%d", (node+1)%s.Nodes.Count)
-			add(scenario.Fault{At: at + within(stopEvery/2), For: pauseLeast + within(pauseMost-pauseLeast), Kind: "node-pause", Target: other})
+	return d.faults
+}
+
+// faultDrawer collects the faults of a run. The order of its draws is part of a seed's meaning.
+type faultDrawer struct {
+	scenario *scenario.Scenario
+	rng      *rand.Rand
+	end      time.Duration // no fault begins later
+	faults   []scenario.Fault
+}
+
+func (d *faultDrawer) add(f scenario.Fault) {
+	if f.At < d.end {
+		d.faults = append(d.faults, f)
+	}
+}
+
+// within is a random time below a span.
+func (d *faultDrawer) within(span time.Duration) time.Duration {
+	return time.Duration(d.rng.Int64N(int64(span)))
+}
+
+// pauseLength is for how long a node is suspended.
+func (d *faultDrawer) pauseLength() time.Duration { return minPause + d.within(maxPause-minPause) }
+
+// addStop adds a planned stop with the faults around it.
+func (d *faultDrawer) addStop(at time.Duration, node int) {
+	target := fmt.Sprintf("node:%d", node%d.scenario.Nodes.Count)
+	d.add(scenario.Fault{At: at, Kind: "node-replace", Target: target, FollowUpSignals: drawSignals(d.rng)})
+	for range d.rng.IntN(3) {
+		pauseAt := at + d.within(d.scenario.KillAfter())
+		d.add(scenario.Fault{At: pauseAt, Kind: "node-pause", Target: target, For: d.pauseLength()})
+	}
+	share := fmt.Sprintf("%d%%", 25+d.rng.IntN(40))
+	from := at - d.within(400*time.Millisecond)
+	lasts := 400*time.Millisecond + d.within(1200*time.Millisecond)
+	d.addServerFault(at, from, lasts, share)
+	switch d.rng.IntN(4) {
+	case 0:
+		d.add(scenario.Fault{At: from, For: lasts, Kind: "discovery-down", Target: "all"})
+	case 1:
+		d.add(scenario.Fault{At: from, For: lasts, Kind: "discovery-stale", Target: "all", Delay: 400 * time.Millisecond})
+	case 2:
+		other := fmt.Sprintf("node:%d", (node+1)%d.scenario.Nodes.Count)
+		pauseAt := at + d.within(stopInterval/2)
+		d.add(scenario.Fault{At: pauseAt, For: d.pauseLength(), Kind: "node-pause", Target: other})
+	}
+}
+
+// serverFaults are the faults of servers around a stop; one that stands twice is drawn twice as often.
+var serverFaults = []string{"hang", "hang", "vanish", "servers-reset", "errors", "cold-return", "drain", "servers-stall", "slow"}
+
+// addServerFault adds a fault of a share of the servers around a stop.
+func (d *faultDrawer) addServerFault(at, from, lasts time.Duration, share string) {
+	switch kind := serverFaults[d.rng.IntN(len(serverFaults))]; kind {
+	case "errors":
+		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Share: 0.2 + 0.6*d.rng.Float64()})
+	case "slow":
+		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Factor: 2 + 4*d.rng.Float64()})
+	case "servers-reset":
+		for range 3 {
+			d.add(scenario.Fault{At: at + d.within(d.scenario.KillAfter()), Kind: kind, Target: share})
 		}
+	case "cold-return":
+		d.add(scenario.Fault{At: from, Kind: kind, Target: "1", NewID: d.rng.IntN(2) == 0})
+	default:
+		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share})
 	}
-	return out
 }
 
-// series draws the signals that follow SIGTERM: none in half of the stops.
-func series(rng *rand.Rand) []string {
+// drawSignals draws the signals that follow SIGTERM in a planned stop; none in half of the stops.
+func drawSignals(rng *rand.Rand) []string {
 	if rng.IntN(2) == 0 {
 		return nil
 	}
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -11,7 +11,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// Text is a plan as a scenario's file.
+// Text is a plan in the form of a scenario file.
 func Text(s *scenario.Scenario) (string, error) {
 	var out bytes.Buffer
 	if err := toml.NewEncoder(&out).Encode(s); err != nil {
@@ -20,17 +20,17 @@
 	return out.String(), nil
 }
 
-// Outcome is a run that was played.
+// Outcome is what a played run came to.
 type Outcome struct {
 	Scenario *scenario.Scenario
 	Result   *experiment.Result
 	Figures  Figures
 }
 
-// Broke tells whether a rule broke or a node crashed.
+// Broke tells whether a rule was broken or a node crashed.
 func (o *Outcome) Broke() bool { return len(o.Result.Breaches) > 0 || o.Figures.Crashes > 0 }
 
-// Play plays a plan with the nodes that a command starts. The error says that it could not be played, or proves nothing.
+// Play plays a plan with the nodes that a command starts. An error says that it could not be played, or proves nothing.
 func Play(ctx context.Context, s *scenario.Scenario, command, env []string, dir, build string) (*Outcome, error) {
 	clients := NewClients(s)
 	r, err := experiment.Run(ctx, experiment.Options{Scenario: s, Command: command, Env: env, Dir: dir, Build: build, Companion: clients})
@@ -40,11 +40,11 @@
 	if r.VoidReason != "" {
 		return nil, fmt.Errorf("%s is void: %s", s.Name, r.VoidReason)
 	}
-	return &Outcome{Scenario: s, Result: r, Figures: Sum(r, clients, s.KillAfter())}, nil
+	return &Outcome{Scenario: s, Result: r, Figures: Summarize(r, clients, s.KillAfter())}, nil
 }
 
-// Shrink removes one fault after the other for as long as what is left still breaks a rule, and gives the smallest plan
-// found. Breaks that depend on chance in the system may come back only in some plays.
+// Shrink removes one fault after the other for as long as what is left still breaks a rule, and returns the smallest
+// plan found. Breaches that depend on chance in the system may come back only in some plays.
 func Shrink(s *scenario.Scenario, breaks func(*scenario.Scenario) (bool, error)) (*scenario.Scenario, error) {
 	for i := len(s.Faults) - 1; i >= 0; i-- {
 		less := *s
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -13,50 +13,50 @@
 	"tackhub.example/tackhub/lab/experiment"
 )
 
-// lineWindow is how far around a break the time line reaches.
-const lineWindow = 1500 * time.Millisecond
+// timelineWindow is how far around a breach the time line reaches.
+const timelineWindow = 1500 * time.Millisecond
 
-// logLinesMost bounds the node's log lines in one time line.
-const logLinesMost = 40
+// maxLogLines bounds the node's log lines in one time line.
+const maxLogLines = 40
 
-// Drain is a node's own line of the end of a planned stop.
-type Drain struct {
-	Code       string `json:"code"`
-	TookMS     int    `json:"took_ms"`
-	OpenThen   int    `json:"open_at_signal"`
-	ReadSince  int    `json:"read_since"`
-	Answered   int    `json:"answered"`
-	Refused    int    `json:"refused"`
-	Unanswered int    `json:"unanswered"`
-	LatestMS   int    `json:"latest_answer_ms"`
+// ShutdownReport is a node's own log line at the end of a planned stop.
+type ShutdownReport struct {
+	Code             string `json:"code"`
+	TookMS           int    `json:"took_ms"`
+	InFlightAtSignal int    `json:"open_at_signal"`
+	ReadAfterSignal  int    `json:"read_since"`
+	Answered         int    `json:"answered"`
+	Rejected         int    `json:"refused"`
+	Unanswered       int    `json:"unanswered"`
+	LatestMS         int    `json:"latest_answer_ms"`
 }
 
 // Figures sum up one run, or several.
 type Figures struct {
-	Runs       int
-	Stops      int
-	Killed     int // stops that SIGKILL ended
-	OpenThen   int // requests in flight at the signals
-	ReadSince  int // requests read after them
-	Answered   int
-	Refused    int
-	Unanswered int
-	Tries      int
-	Crossed    int
-	Crashes    int
-	Breaches   map[string]int
-	Margins    []int // milliseconds between a stop's latest answer and the earliest kill, sorted
+	Runs             int
+	Stops            int
+	KilledStops      int // stops that SIGKILL ended
+	InFlightAtSignal int // requests in flight at the signals
+	ReadAfterSignal  int // requests read after them
+	Answered         int
+	Rejected         int
+	Unanswered       int
+	Attempts         int
+	RacedCloses      int
+	Crashes          int
+	Breaches         map[string]int
+	KillMargins      []int // milliseconds between a stop's latest answer and the earliest kill, sorted
 }
 
-// drains reads the nodes' lines of their stops' ends.
-func drains(logs []string) []Drain {
-	var out []Drain
+// shutdownReports reads the nodes' log lines of their planned stops.
+func shutdownReports(logs []string) []ShutdownReport {
+	var out []ShutdownReport
 	for _, log := range logs {
 		for line := range strings.Lines(log) {
 			if !strings.Contains(line, `"code":"drain_end"`) {
 				continue
 			}
-			var d Drain
+			var d ShutdownReport
 			if json.Unmarshal([]byte(line), &d) == nil {
 				out = append(out, d)
 			}
@@ -65,19 +65,19 @@
 	return out
 }
 
-// Sum gives the figures of one run.
-func Sum(r *experiment.Result, clients *Clients, kill time.Duration) Figures {
-	f := Figures{Runs: 1, Stops: len(clients.ObservedStops()), Killed: r.KilledStops, Crossed: clients.RacedCloses(), Tries: len(r.Record.Attempts),
+// Summarize works out the figures of one run. kill is the earliest time of SIGKILL after SIGTERM.
+func Summarize(r *experiment.Result, clients *Clients, kill time.Duration) Figures {
+	f := Figures{Runs: 1, Stops: len(clients.ObservedStops()), KilledStops: r.KilledStops, RacedCloses: clients.RacedCloses(), Attempts: len(r.Record.Attempts),
 		Crashes: r.Figures.Crashes, Breaches: r.BreachesByRule}
-	for _, d := range drains(r.Logs) {
-		f.OpenThen += d.OpenThen
-		f.ReadSince += d.ReadSince
+	for _, d := range shutdownReports(r.Logs) {
+		f.InFlightAtSignal += d.InFlightAtSignal
+		f.ReadAfterSignal += d.ReadAfterSignal
 		f.Answered += d.Answered
-		f.Refused += d.Refused
+		f.Rejected += d.Rejected
 		f.Unanswered += d.Unanswered
-		f.Margins = append(f.Margins, int(kill.Milliseconds())-d.LatestMS)
+		f.KillMargins = append(f.KillMargins, int(kill.Milliseconds())-d.LatestMS)
 	}
-	sort.Ints(f.Margins)
+	sort.Ints(f.KillMargins)
 	return f
 }
 
@@ -88,38 +88,38 @@
 	}
 	f.Runs += g.Runs
 	f.Stops += g.Stops
-	f.Killed += g.Killed
-	f.OpenThen += g.OpenThen
-	f.ReadSince += g.ReadSince
+	f.KilledStops += g.KilledStops
+	f.InFlightAtSignal += g.InFlightAtSignal
+	f.ReadAfterSignal += g.ReadAfterSignal
 	f.Answered += g.Answered
-	f.Refused += g.Refused
+	f.Rejected += g.Rejected
 	f.Unanswered += g.Unanswered
-	f.Tries += g.Tries
-	f.Crossed += g.Crossed
+	f.Attempts += g.Attempts
+	f.RacedCloses += g.RacedCloses
 	f.Crashes += g.Crashes
 	for rule, n := range g.Breaches {
 		f.Breaches[rule] += n
 	}
-	f.Margins = append(f.Margins, g.Margins...)
-	sort.Ints(f.Margins)
+	f.KillMargins = append(f.KillMargins, g.KillMargins...)
+	sort.Ints(f.KillMargins)
 }
 
 // String is the figures in one line.
 func (f Figures) String() string {
 	least, p1 := "none", "none"
-	if n := len(f.Margins); n > 0 {
-		least, p1 = fmt.Sprintf("%d ms", f.Margins[0]), fmt.Sprintf("%d ms", f.Margins[n/100])
+	if n := len(f.KillMargins); n > 0 {
+		least, p1 = fmt.Sprintf("%d ms", f.KillMargins[0]), fmt.Sprintf("%d ms", f.KillMargins[n/100])
 	}
 	share := 0.0
-	if all := f.Answered + f.Refused; all > 0 {
-		share = float64(f.Refused) / float64(all)
+	if all := f.Answered + f.Rejected; all > 0 {
+		share = float64(f.Rejected) / float64(all)
 	}
 	return fmt.Sprintf("runs %d stops %d killed %d in-flight %d read-after %d refused-share %.3f unanswered %d latest-answer-before-kill min %s p1 %s tries %d crossed %d crashes %d breaks %v",
-		f.Runs, f.Stops, f.Killed, f.OpenThen, f.ReadSince, share, f.Unanswered, least, p1, f.Tries, f.Crossed, f.Crashes, f.Breaches)
+		f.Runs, f.Stops, f.KilledStops, f.InFlightAtSignal, f.ReadAfterSignal, share, f.Unanswered, least, p1, f.Attempts, f.RacedCloses, f.Crashes, f.Breaches)
 }
 
-// TimeLine writes what clients, servers and the node recorded around a break.
-func TimeLine(w io.Writer, r *experiment.Result, b audit.Breach) {
+// WriteTimeline writes what clients, servers and the node recorded around a breach.
+func WriteTimeline(w io.Writer, r *experiment.Result, b audit.Breach) {
 	id, _, _ := strings.Cut(b.Text, " ")
 	type entry struct {
 		at   time.Duration
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, p := range r.Record.Pauses {
-		if p.Node == node && p.From <= b.At && p.To >= b.At-lineWindow {
+		if p.Node == node && p.From <= b.At && p.To >= b.At-timelineWindow {
 			add(p.From, "node %d: held up until %.3f", p.Node, p.To.Seconds())
 		}
 	}
@@ -161,10 +161,10 @@
 	}
 }
 
-// writeLog writes the node's lines that name the request or a stop around the break.
+// writeLog writes the node's log lines around a breach that name the request or a stop.
 func writeLog(w io.Writer, r *experiment.Result, node int, id string, at time.Duration) {
 	began := r.Began
-	left := logLinesMost
+	left := maxLogLines
 	for scan := bufio.NewScanner(strings.NewReader(r.Logs[node])); scan.Scan() && left > 0; {
 		line := scan.Text()
 		var head struct {
@@ -177,7 +177,7 @@
 		when := head.Time.Sub(began)
 		named := strings.Contains(line, id)
 		stop := strings.HasPrefix(head.Code, "drain_") || head.Code == "drain" || head.Code == "end" || head.Code == "start"
-		if named || stop && when > at-lineWindow && when < at+lineWindow {
+		if named || stop && when > at-timelineWindow && when < at+timelineWindow {
 			_, _ = fmt.Fprintf(w, "  %9.3f node %d's log: %s\n", when.Seconds(), node, line)
 			left--
 		}
