--- a/lab/audit/audit_test.go
+++ b/lab/audit/audit_test.go
@@ -30,13 +30,14 @@
 	}
 }
 
+// A run in which every rule was kept has no breach.
 func TestCleanRunHasNoBreach(t *testing.T) {
 	if got := clean().Judge(limits); len(got) != 0 {
 		t.Errorf("breaches in a clean run: %v", got)
 	}
 }
 
-// Each defect put into the clean run is seen, and as nothing else.
+// Each defect put into the clean run is seen under its own rule and no other.
 func TestEachBreachIsSeen(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
@@ -75,7 +76,9 @@
 	}
 }
 
-func TestWhatIsNobodysFault(t *testing.T) {
+// Attempts fail because the lab killed or suspended a node, or its own link held them back. None of that may count
+// against the node.
+func TestLabFaultsAreNoBreach(t *testing.T) {
 	for name, change := range map[string]func(*Record){
 		"killed with it in hand": func(r *Record) {
 			r.Attempts[3].Outcome = Lost
--- a/lab/audit/membership_test.go
+++ b/lab/audit/membership_test.go
@@ -41,8 +41,8 @@
 	return slices.Compact(out)
 }
 
-// A record without fault passes, and each fault put into it is found under its own rule.
-func TestMembersAreJudged(t *testing.T) {
+// A record without a breach passes, and each breach put into it is found under its own rule.
+func TestEachMembershipBreachIsSeen(t *testing.T) {
 	limits := MemberLimits{DetectWithin: 5 * sec, ConvergeWithin: 5 * sec}
 	out, f := record().Judge(limits)
 	if len(out) > 0 || f.Detection < 2.5 || f.Detection > 3.1 || f.Convergence < 0.5 || f.Convergence > 1.1 || f.ViewChanges != 2 {
@@ -89,8 +89,9 @@
 	}
 }
 
-// A cut on one side asks nothing of who cannot hear, a cut of all ways does, and a short standstill must leave no trace.
-func TestMembersBehindCuts(t *testing.T) {
+// Cuts and suspensions change what a view must show: a one-way cut expects nothing of the node that cannot hear, an
+// isolation does, and a short suspension must leave no trace.
+func TestMembershipDuringCuts(t *testing.T) {
 	limits := MemberLimits{DetectWithin: 5 * sec, ConvergeWithin: 5 * sec}
 	m := record()
 	m.Downtimes = nil
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -68,8 +68,8 @@
 	return r
 }
 
-// The node holds every rule and every expectation of a scenario with a crash and a drain.
-func TestNodeHoldsTheRules(t *testing.T) {
+// The node keeps every rule and meets every expectation of a scenario with a crash and a drain.
+func TestNodeKeepsTheRules(t *testing.T) {
 	r := playOut(t, small(t))
 	if r.Verdict != VerdictOK {
 		t.Errorf("verdict %s: short %v, void %q, breaches %v\nfigures %+v", r.Verdict, r.Unmet, r.VoidReason, r.Breaches, r.Figures)
@@ -82,8 +82,8 @@
 	}
 }
 
-// The auditor sees each defect that a balancer can be given, on sockets, under the rule that it breaks.
-func TestAuditorSeesBrokenNodes(t *testing.T) {
+// The auditor sees each defect that a baseline can be given, on sockets, under the rule that it breaks.
+func TestAuditorSeesEachDefect(t *testing.T) {
 	for defect, rule := range map[string]string{
 		"double-send":    audit.RuleDuplicateExecution,
 		"lost-answer":    audit.RuleUnanswered,
@@ -112,15 +112,16 @@
 	}
 }
 
-// A plain baseline breaks nothing on a calm day: what the auditor says of a broken one is the defect's.
-func TestPlainBaselineIsClean(t *testing.T) {
+// A baseline without a defect breaks no rule in a run without faults, so what the auditor reports of one with a defect
+// comes from the defect.
+func TestBaselineWithoutDefectIsClean(t *testing.T) {
 	r := playOut(t, small(t, "nodes.kind=random", "duration=3s", "fault=[]", "rig_late=1s"))
 	if len(r.Breaches) > 0 || r.Figures.Served < 0.99 {
 		t.Errorf("breaches %v, figures %+v", r.Breaches, r.Figures)
 	}
 }
 
-// A run that is cut off says that it is void and leaves no process behind; so does one whose rig was late.
+// A run that is interrupted is void and leaves no process behind. One in which the lab itself was late is void too.
 func TestVoidRuns(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := small(t, "duration=60s", "fault=[]")
@@ -143,6 +144,7 @@
 	}
 }
 
+// The time until worth is back is measured over whole windows.
 func TestRecoveryIsTimed(t *testing.T) {
 	s := small(t, "duration=20s", "warmup=0s", "expect.window=1s")
 	ops := opsOf(s, func(at time.Duration) bool { return at < 5*time.Second || at >= 8*time.Second })
--- a/lab/experiment/members_test.go
+++ b/lab/experiment/mesh_test.go
@@ -15,9 +15,9 @@
 	return s
 }
 
-// Five processes of the program, one stopped, one killed, a one-sided cut and half against half: nobody alive is taken out, who
-// is gone is noticed, all agree again, and all together never have more than the whole.
-func TestFiveMembers(t *testing.T) {
+// Five nodes have one suspended, one killed, a one-way cut and a cut into halves. No live member may be removed, a
+// failed one must be, all must agree again, and their quotas may never exceed the whole.
+func TestMembershipOfFiveNodes(t *testing.T) {
 	t.Parallel()
 	// Other tests take the machine's cores beside this one: times are given more room than where members are measured.
 	r := playOut(t, membersCI(t, "expect.mesh.notice=8s", "expect.mesh.heal=6s"))
@@ -29,8 +29,8 @@
 	}
 }
 
-// With a suspicion that is shorter than a pause the same rig finds that a live member was taken out.
-func TestTheRigSeesAFalseVerdict(t *testing.T) {
+// With a suspicion timeout shorter than a suspension a live member is removed, and the auditor must report it.
+func TestFalseRemovalIsSeen(t *testing.T) {
 	t.Parallel()
 	r := playOut(t, membersCI(t, "duration=8s", "mesh.suspicion=1s", `fault=[{at="7s", for="2s", kind="node-stop", target="node:1"}]`))
 	if r.BreachesByRule["members-taken-out"] == 0 {
--- a/lab/membersim/membersim_test.go
+++ b/lab/membersim/membersim_test.go
@@ -22,8 +22,8 @@
 	return 0
 }
 
-// Members join, most are killed, they come back, the cluster falls in two halves and heals.
-func TestLifeOfACluster(t *testing.T) {
+// Members join, most are killed, they come back, and the cluster is cut into halves and heals.
+func TestClusterLifeCycle(t *testing.T) {
 	for _, n := range []int{2, 5, 16, 64} {
 		s := New(options(n, 1))
 		joined := s.agree(t, "joining", 5*time.Second)
--- a/lab/membersim/schedules_test.go
+++ b/lab/membersim/schedules_test.go
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// Thousands of schedules with all faults mixed: no lasting disagreement once links are whole, whoever lives is in, and a
-// view's number never goes back.
-func TestSchedules(t *testing.T) {
+// Thousands of schedules mix all faults. Once the links are whole there must be no lasting disagreement, every live
+// member must be in, and a view's number may never go back.
+func TestRandomFaultSchedules(t *testing.T) {
 	for n, count := range map[int]int{5: 2000, 50: 16} {
 		if testing.Short() || raceEnabled {
 			count = count/40 + 1
@@ -139,8 +139,9 @@
 	return out
 }
 
-// No live member that most can hear is taken out of any view: pauses of 2 s all over, lost messages, one-sided cuts.
-func TestNobodyAliveIsTakenOut(t *testing.T) {
+// Members are suspended for 2 s, messages are lost, and links are cut one way. No live member that most can hear may be
+// removed from any view.
+func TestNoLiveMemberIsRemoved(t *testing.T) {
 	faults := map[string]func(*Sim, *rand.Rand){
 		"loss": func(s *Sim, _ *rand.Rand) { s.Impair(0.2, 50*time.Millisecond, 0.05) },
 		"much": func(s *Sim, _ *rand.Rand) { s.Impair(0.3, 100*time.Millisecond, 0.05) },
@@ -193,9 +194,9 @@
 	}
 }
 
-// A member that stands still for longer than the suspicion is taken out after it and not before, by everybody, and is
-// back within a second of waking, with no verdict of its own from the time in between.
-func TestStandstills(t *testing.T) {
+// A member is suspended for longer than the suspicion timeout. All must remove it after that time and not before, and
+// it must be back within a second of resuming, without removing anyone itself.
+func TestLongSuspension(t *testing.T) {
 	const n = 9
 	for _, stopped := range []int{1, 3, n - 1} {
 		for _, span := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
@@ -231,8 +232,9 @@
 	}
 }
 
-// A member that hears nobody, and one that nobody hears, find it out and say so; the first stays in, since all hear it.
-func TestDeafAndMute(t *testing.T) {
+// One member hears nobody, and another is heard by nobody. Each must find that out and report it; the first stays in
+// the views, since all hear it.
+func TestOneWayIsolation(t *testing.T) {
 	const n = 7
 	for _, deaf := range []bool{true, false} {
 		s := New(options(n, 4))
@@ -267,7 +269,7 @@
 	}
 }
 
-// Costs are flat in the number of members, and a datagram fits its packet.
+// Traffic for each member does not grow with their number, and a datagram fits into a packet.
 func TestCosts(t *testing.T) {
 	for _, n := range []int{5, 16, 64, 300} {
 		c := Costs(options(n, 2))
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -27,7 +27,7 @@
 
 // The Pollaczek-Khinchine formula gives the mean wait of M/M/1 as rho/(1-rho) and of M/D/1 as half of it, in units of
 // the mean work.
-func TestMeanWaitsAreThoseOfTheory(t *testing.T) {
+func TestMeanWaitsMatchTheory(t *testing.T) {
 	for _, rho := range []float64{0.3, 0.7} {
 		mm1 := rho / (1 - rho)
 		for _, c := range []struct {
@@ -46,6 +46,7 @@
 	}
 }
 
+// A cold server starts at a part of its speed and warms up linearly.
 func TestColdServer(t *testing.T) {
 	p := Params{Cores: 1, Speed: 1, ColdSpeed: 0.25, ColdFor: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 	s := NewServer(p, NewPod(0, 0), 1000)
@@ -60,8 +61,8 @@
 	}
 }
 
-// A cold server bears just under the multiple of its capacity for ever, and falls within the stated time above it.
-func TestColdServerFallsOnlyWhenPushed(t *testing.T) {
+// A cold server bears just under the multiple of its capacity for ever, and collapses within the stated time above it.
+func TestColdServerCollapsesOnlyUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		times float64
 		falls bool
@@ -85,7 +86,8 @@
 	}
 }
 
-func TestSlowModeAfterCrowding(t *testing.T) {
+// A long crowd makes a server slow, and a long rest ends that.
+func TestSlowModeAfterCrowd(t *testing.T) {
 	p := Params{Cores: 1, Speed: 1, CrowdDepth: 2, CrowdFor: 100, SlowFactor: 3, RestFor: 50}
 	s := NewServer(p, NewPod(0, 0), math.Inf(-1))
 	for i := range 6 {
@@ -109,7 +111,8 @@
 	}
 }
 
-func TestPodDropsRepeatsWithinItsWindow(t *testing.T) {
+// A pod drops a duplicate key at each of its servers until its window is over.
+func TestPodDropsDuplicatesWithinWindow(t *testing.T) {
 	pod := NewPod(0, 500)
 	a := NewServer(Params{Cores: 1, Speed: 1}, pod, math.Inf(-1))
 	b := NewServer(Params{Cores: 1, Speed: 1}, pod, math.Inf(-1))
@@ -126,7 +129,9 @@
 	}
 }
 
-func TestLimitsHaltAndCrash(t *testing.T) {
+// The queue and the pod have limits; a suspension keeps what is in flight, and a crash loses it. A crashed or draining server
+// accepts nothing.
+func TestLimitsSuspensionAndCrash(t *testing.T) {
 	pod := NewPod(3, 0)
 	a := NewServer(Params{Cores: 1, Speed: 1, QueueMax: 1}, pod, math.Inf(-1))
 	b := NewServer(Params{Cores: 1, Speed: 1}, pod, math.Inf(-1))
@@ -139,24 +144,24 @@
 	}
 	a.SetSuspended(4, true)
 	if d := a.Advance(100); len(d) != 0 {
-		t.Errorf("a halted server finished %v", d)
+		t.Errorf("a suspended server completed %v", d)
 	}
 	a.SetSuspended(100, false)
 	if d := a.Advance(106); len(d) != 1 || d[0].At != 106 {
-		t.Errorf("after the halt: %+v, want one done at 106", d)
+		t.Errorf("after the suspension: %+v, want one done at 106", d)
 	}
 	if n := a.Crash(); n != 1 {
 		t.Errorf("the crash lost %d, want 1", n)
 	}
 	if a.Arrive(200, Request{}) != NotRunning {
-		t.Error("a crashed server took a request")
+		t.Error("a crashed server accepted a request")
 	}
 	b.SetDraining(true)
 	if b.Arrive(200, Request{}) != Draining {
-		t.Error("a draining server took a request")
+		t.Error("a draining server accepted a request")
 	}
 	b.Advance(200)
 	if pod.inFlight != 0 {
-		t.Errorf("the pod still counts %d in hand", pod.inFlight)
+		t.Errorf("the pod still counts %d in flight", pod.inFlight)
 	}
 }
--- a/lab/netfault/netfault_test.go
+++ b/lab/netfault/netfault_test.go
@@ -13,7 +13,7 @@
 
 const patience = 10 * time.Second
 
-// The delay of segments follows from loss and time-out; the order is kept; the same seed gives the same delays.
+// The delay of segments follows from loss and timeout; the order is kept; one seed gives one sequence of delays.
 func TestShaper(t *testing.T) {
 	p := Impairment{Loss: 0.1, RTO: 300 * time.Millisecond, Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond}
 	a, b := NewShaper(p, 3, 1), NewShaper(p, 3, 1)
@@ -86,8 +86,8 @@
 	return c.(*net.TCPConn), s.(*net.TCPConn)
 }
 
-// Bytes come whole and in order both ways over a bad link, and each half-close comes once, after them.
-func TestRelayKeepsBytesAndHalfCloses(t *testing.T) {
+// Bytes arrive whole and in order in both directions over a bad link, and each half-close arrives once, after them.
+func TestRelayPreservesBytesAndHalfCloses(t *testing.T) {
 	p := Impairment{Delay: 5 * time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.01}
 	client, server := relayed(t, NewLink(p, p, 1))
 	up, down := bytes.Repeat([]byte("upwards "), 20_000), bytes.Repeat([]byte("down "), 30_000)
@@ -108,7 +108,8 @@
 	}
 }
 
-func TestDelayAndSilence(t *testing.T) {
+// A link delays what passes, and a stall holds it back until its end without breaking a connection.
+func TestDelayAndStall(t *testing.T) {
 	l := NewLink(Impairment{Delay: 60 * time.Millisecond}, Impairment{Delay: 60 * time.Millisecond}, 1)
 	client, server := relayed(t, l)
 	ask := func() time.Duration {
@@ -131,16 +132,17 @@
 	_, _ = client.Write([]byte("ping"))
 	_ = server.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if n, err := server.Read(make([]byte, 4)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a silent link passed %d bytes, %v", n, err)
+		t.Errorf("a stalled link passed %d bytes, %v", n, err)
 	}
 	l.Stall(false)
 	_ = server.SetReadDeadline(time.Now().Add(patience))
 	if _, err := io.ReadFull(server, make([]byte, 4)); err != nil {
-		t.Errorf("what was sent in the silence never came: %v", err)
+		t.Errorf("what was sent during the stall never came: %v", err)
 	}
 }
 
-func TestResetBreaksWhatIsOpen(t *testing.T) {
+// A reset of the link breaks all of its open connections.
+func TestResetBreaksOpenConnections(t *testing.T) {
 	l := NewLink(Impairment{Delay: time.Millisecond}, Impairment{}, 1)
 	client, server := relayed(t, l)
 	_, _ = client.Write([]byte("x"))
@@ -155,6 +157,7 @@
 	}
 }
 
+// Datagrams are lost and delayed by the link's impairment.
 func TestDatagramsAreLostAndDelayed(t *testing.T) {
 	a, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -64,7 +64,8 @@
 	return out
 }
 
-func TestOneSeedGivesOneSchedule(t *testing.T) {
+// One seed gives one schedule, byte for byte, and a further fault moves no arrival.
+func TestSeedDeterminesSchedule(t *testing.T) {
 	a := mustSchedule(t, mustParse(t, small))
 	if b := mustSchedule(t, mustParse(t, small)); !bytes.Equal(a.Bytes(), b.Bytes()) || a.Hash() != b.Hash() {
 		t.Error("two schedules of one seed differ")
@@ -98,6 +99,7 @@
 	}
 }
 
+// The arrivals follow the load's steps, ramps and bursts, and the classes' shares and work.
 func TestArrivalsFollowTheLoad(t *testing.T) {
 	s := mustParse(t, small, "warmup=0s", "duration=60s")
 	sched := mustSchedule(t, s)
@@ -135,7 +137,8 @@
 	}
 }
 
-func TestFaultsEndAndHitInTurn(t *testing.T) {
+// A fault ends after its time, and its targets are hit one after the other over its span.
+func TestFaultsEndAndSpread(t *testing.T) {
 	events := mustSchedule(t, mustParse(t, small)).Events
 	if len(events) != 4 {
 		t.Fatalf("%d events, want two servers' crash and end", len(events))
@@ -148,7 +151,8 @@
 	}
 }
 
-func TestWhatCannotBeIsNamed(t *testing.T) {
+// Each invalid scenario is rejected with the key that is wrong.
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`name = "small"`, ``, "name"},
 		{`servers = 8`, `servers = 0`, "fleet.servers"},
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -37,6 +37,8 @@
 	return schedule.Hash()
 }
 
+// One seed gives one plan, and what is printed of it replays the same schedule. A plan has planned stops, and a quiet one has
+// no faults.
 func TestPlansReplay(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(60) {
@@ -64,7 +66,8 @@
 	}
 }
 
-func TestShrinkKeepsWhatBreaks(t *testing.T) {
+// Shrinking removes every fault but the one that breaks a rule.
+func TestShrinkKeepsTheBreakingFault(t *testing.T) {
 	s := Plan(Options{Seed: 3})
 	want := s.Faults[len(s.Faults)/2]
 	isWanted := func(f scenario.Fault) bool { return f.At == want.At && f.Kind == want.Kind && f.Target == want.Target }
@@ -78,8 +81,9 @@
 // the binary would be the same after a change of the code, and `go test` would print the cached result of an older program.
 var started = baseline.Run
 
-// TestSoakSeesANodeThatDropsItsRequests plays the lab's plain balancer, which ends at SIGTERM whatever it has in hand.
-func TestSoakSeesANodeThatDropsItsRequests(t *testing.T) {
+// The lab's baseline exits soon after SIGTERM whatever it has in flight. The soak must report the requests that it
+// drops.
+func TestSoakSeesDroppedRequests(t *testing.T) {
 	runtime.KeepAlive(started)
 	lab := filepath.Join(t.TempDir(), "tacklab")
 	if out, err := exec.Command("go", "build", "-o", lab, "tackhub.example/tackhub/cmd/tacklab").CombinedOutput(); err != nil {
--- a/lab/stats/stats_test.go
+++ b/lab/stats/stats_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The interval at 95% holds the true mean in about 95 of 100 cases.
-func TestIntervalHoldsTheMean(t *testing.T) {
+// The interval at 95% contains the true mean in about 95 of 100 cases.
+func TestIntervalContainsTheMean(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	held := 0
 	const tries = 4000
@@ -26,7 +26,8 @@
 	}
 }
 
-func TestFewFiguresProveNothing(t *testing.T) {
+// A single figure gives an interval without bounds, which proves nothing.
+func TestTooFewFiguresGiveNoInterval(t *testing.T) {
 	if got := Paired([]float64{1}, []float64{5}, 0.95); got.ExcludesZero() || got.Mean != 4 {
 		t.Errorf("one pair gave %+v", got)
 	}
