--- a/lab/backend/discovery.go
+++ b/lab/backend/discovery.go
@@ -139,11 +139,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch e.Kind {
-	case "discovery-down":
+	case scenario.FaultDiscoveryDown:
 		d.down = !e.Ends
-	case "discovery-wrong":
+	case scenario.FaultDiscoveryWrong:
 		d.invalid = !e.Ends
-	case "discovery-stale":
+	case scenario.FaultDiscoveryStale:
 		d.extraDelay = e.Fault.Delay
 		if e.Ends {
 			d.extraDelay = 0
--- a/lab/backend/faults.go
+++ b/lab/backend/faults.go
@@ -11,26 +11,26 @@
 // apply begins or ends a fault of this server.
 func (s *Server) apply(e scenario.Event) error {
 	switch e.Kind {
-	case "crash":
+	case scenario.FaultCrash:
 		if e.Ends {
 			return s.restart(e.Fault.NewID)
 		}
 		s.crash()
-	case "cold-return":
+	case scenario.FaultColdReturn:
 		s.crash()
 		return s.restart(e.Fault.NewID)
-	case "drain":
+	case scenario.FaultDrain:
 		if e.Ends {
 			s.crash()
 			return s.restart(e.Fault.NewID)
 		}
 		s.drain()
-	case "servers-stall":
+	case scenario.FaultServersStall:
 		s.fleet.recordStall(s.name(), e.Ends)
 		for _, l := range s.fleet.links[s.index] { // the server's end is the wrapped one: up is what it reads
 			ApplyStall(l, e, netfault.In, netfault.Out)
 		}
-	case "servers-reset":
+	case scenario.FaultServersReset:
 		if !e.Ends {
 			s.reset()
 		}
@@ -68,21 +68,21 @@
 	s.pod.mu.Lock()
 	defer s.pod.mu.Unlock()
 	switch e.Kind {
-	case "vanish", "hang":
-		s.unresponsive = e.Kind == "vanish" && !e.Ends
+	case scenario.FaultVanish, scenario.FaultHang:
+		s.unresponsive = e.Kind == scenario.FaultVanish && !e.Ends
 		s.model.SetSuspended(s.fleet.now(), !e.Ends)
-	case "slow":
+	case scenario.FaultSlow:
 		times := e.Fault.Factor
 		if e.Ends {
 			times = 1
 		}
 		s.model.SetSlowdown(times)
-	case "errors":
+	case scenario.FaultErrors:
 		s.errorShare = e.Fault.Share
 		if e.Ends {
 			s.errorShare = 0
 		}
-	case "reports-off":
+	case scenario.FaultReportsOff:
 		s.hidesReports = !e.Ends
 	}
 	s.wakeWorker()
--- a/lab/backend/fleet.go
+++ b/lab/backend/fleet.go
@@ -86,7 +86,7 @@
 		up.Delay += f.scenario.Fleet.ZoneDelay
 		down.Delay += f.scenario.Fleet.ZoneDelay
 	}
-	if up.Clean() && down.Clean() && !f.scenario.HasFault("servers-stall") {
+	if up.Clean() && down.Clean() && !f.scenario.HasFault(scenario.FaultServersStall) {
 		return nil
 	}
 	return netfault.NewLink(down, up, f.scenario.Seed<<20+uint64(server)<<8+uint64(node)) // the wrapped side writes what goes down
--- a/lab/experiment/faults.go
+++ b/lab/experiment/faults.go
@@ -37,19 +37,19 @@
 // apply hands an event to whoever it concerns.
 func (r *run) apply(e scenario.Event) error {
 	switch {
-	case scenario.IsLinkFault(e.Kind):
+	case e.Kind.OfLink():
 		r.mesh.apply(e, time.Since(r.start))
 		return nil
-	case strings.HasPrefix(e.Kind, "node-") || e.Kind == "disk-lost":
+	case e.Kind.OfProcess():
 		return r.nodes.ApplyFault(e)
-	case strings.HasPrefix(e.Kind, "clients-"):
+	case e.Kind.OfClients():
 		r.load.Apply(e)
 		return nil
 	}
 	if err := r.fleet.ApplyFault(e); err != nil {
 		return err
 	}
-	if e.Server >= 0 && (e.Ends || e.Kind == "cold-return") {
+	if e.Server >= 0 && (e.Ends || e.Kind == scenario.FaultColdReturn) {
 		r.nodes.ForgetServer(r.fleet.Loads()[e.Server].ID)
 	}
 	return nil
@@ -57,7 +57,7 @@
 
 // mark records an event. Several of one kind within half a second share a mark.
 func (r *run) mark(e scenario.Event) {
-	what, target := e.Kind, fmt.Sprintf("s%03d", e.Server)
+	what, target := string(e.Kind), fmt.Sprintf("s%03d", e.Server)
 	if e.Server < 0 {
 		target = fmt.Sprintf("n%d", e.Node)
 	}
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -119,23 +119,23 @@
 	on := !e.Ends
 	m.links.SetFaults(e.Node, e.Peer, func(w *netfault.PacketFaults) {
 		switch f := e.Fault; e.Kind {
-		case "cut":
+		case scenario.FaultCut:
 			w.Cut = on
-		case "loss":
+		case scenario.FaultLoss:
 			w.Loss = f.Share * factor(on)
-		case "delay":
+		case scenario.FaultDelay:
 			w.Delay = f.Delay * time.Duration(factor(on))
 			w.Jitter = f.Jitter * time.Duration(factor(on))
-		case "duplicate":
+		case scenario.FaultDuplicate:
 			w.Duplicate = f.Share * factor(on)
-		case "reorder":
+		case scenario.FaultReorder:
 			w.Reorder = f.Share * factor(on)
 			w.ReorderDelay = f.Delay
 		}
 	})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if e.Kind == "cut" {
+	if e.Kind == scenario.FaultCut {
 		m.linkEvents = append(m.linkEvents, audit.LinkEvent{At: at, From: e.Node, To: e.Peer, Cut: on})
 	} else if e.Ends {
 		m.otherFaultEnds = append(m.otherFaultEnds, at)
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -15,11 +15,14 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// The verdicts on a run.
+// Verdict is what a run proves.
+type Verdict string
+
+// The verdicts.
 const (
-	VerdictOK    = "ok"    // no rule broke and every expectation is met
-	VerdictShort = "short" // a rule broke, or an expectation is not met
-	VerdictVoid  = "void"  // the run proves nothing: it was cut off, or the rig itself was late
+	VerdictOK    Verdict = "ok"    // no rule was broken and every expectation is met
+	VerdictShort Verdict = "short" // a rule was broken, or an expectation is not met
+	VerdictVoid  Verdict = "void"  // nothing: the run was interrupted, or the lab itself was late
 )
 
 // Progress is what happened in one second of a run, reported while it plays.
@@ -45,7 +48,7 @@
 type Result struct {
 	Scenario       string                 `json:"scenario"`
 	About          string                 `json:"about"`
-	Verdict        string                 `json:"verdict"`
+	Verdict        Verdict                `json:"verdict"`
 	Unmet          []string               `json:"short,omitempty"`
 	VoidReason     string                 `json:"void,omitempty"`
 	Breaches       []audit.Breach         `json:"breaches,omitempty"`
@@ -112,7 +115,7 @@
 }
 
 // verdict is the verdict that follows from the rest of the result.
-func (r *Result) verdict() string {
+func (r *Result) verdict() Verdict {
 	switch {
 	case r.VoidReason != "":
 		return VerdictVoid
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -68,7 +68,7 @@
 func New(o Options) *Generator {
 	g := &Generator{options: o, links: make([]*netfault.Link, len(o.Nodes))}
 	up, down := backend.Impairments(o.Scenario.Links.Clients)
-	stalls := o.Scenario.HasFault("clients-stall")
+	stalls := o.Scenario.HasFault(scenario.FaultClientsStall)
 	for i := range g.links {
 		if stalls || !up.Clean() || !down.Clean() {
 			g.links[i] = netfault.NewLink(up, down, o.Scenario.Seed<<8+uint64(i))
@@ -111,13 +111,13 @@
 // Apply begins or ends a fault of the clients' links.
 func (g *Generator) Apply(e scenario.Event) {
 	switch e.Kind {
-	case "clients-stall":
+	case scenario.FaultClientsStall:
 		backend.ApplyStall(g.links[e.Node], e, netfault.Out, netfault.In)
-	case "clients-half-close":
+	case scenario.FaultClientsHalfClose:
 		if !e.Ends {
 			g.pool.halfClose(e.Node)
 		}
-	case "clients-reset":
+	case scenario.FaultClientsReset:
 		if !e.Ends {
 			g.pool.reset(e.Node)
 		}
--- a/lab/nodeproc/faults.go
+++ b/lab/nodeproc/faults.go
@@ -18,20 +18,20 @@
 		return n.endFault(e.Kind)
 	}
 	switch e.Kind {
-	case "disk-lost":
+	case scenario.FaultDiskLost:
 		n.recordOutage(true)
 		return errors.Join(n.kill(), os.RemoveAll(n.dataDir))
-	case "node-kill":
+	case scenario.FaultNodeKill:
 		n.recordOutage(true)
 		return n.kill()
-	case "node-stop":
+	case scenario.FaultNodeStop:
 		n.recordOutage(true)
 		return n.signal(syscall.SIGSTOP)
-	case "node-replace":
+	case scenario.FaultNodeReplace:
 		return n.replace(e.Fault.FollowUpSignals)
-	case "node-pause":
+	case scenario.FaultNodePause:
 		return n.pause(e.Fault.For)
-	case "node-restart": // planned: nothing may be lost, so it is no outage
+	case scenario.FaultNodeRestart: // planned: nothing may be lost, so it is no outage
 		if err := n.stop(); err != nil {
 			return err
 		}
@@ -41,9 +41,9 @@
 }
 
 // endFault ends a fault that lasts for a time. The other kinds have no end of their own.
-func (n *Node) endFault(kind string) error {
+func (n *Node) endFault(kind scenario.FaultKind) error {
 	switch kind {
-	case "node-kill", "disk-lost":
+	case scenario.FaultNodeKill, scenario.FaultDiskLost:
 		var err error
 		if n.dataDir != "" {
 			err = os.MkdirAll(n.dataDir, 0o700)
@@ -51,7 +51,7 @@
 		err = errors.Join(err, n.start())
 		n.recordOutage(false)
 		return err
-	case "node-stop":
+	case scenario.FaultNodeStop:
 		err := n.signal(syscall.SIGCONT)
 		n.recordOutage(false)
 		return err
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -109,18 +109,18 @@
 	for i, f := range s.Faults {
 		switch {
 		case !slices.Contains(FaultKinds, f.Kind):
-			return fmt.Errorf("fault[%d].kind %q is not one of %s", i, f.Kind, strings.Join(FaultKinds, ", "))
+			return fmt.Errorf("fault[%d].kind %q is not one of %s", i, f.Kind, joinKinds(FaultKinds))
 		case f.At < 0 || f.At >= end:
 			return fmt.Errorf("fault[%d].at lies outside the run of %v", i, end)
-		case f.Kind == "slow" && f.Factor <= 0:
+		case f.Kind == FaultSlow && f.Factor <= 0:
 			return fmt.Errorf("fault[%d].times must be above 0", i)
-		case f.Kind == "node-pause" && (f.For <= 0 || f.For > MaxPause):
+		case f.Kind == FaultNodePause && (f.For <= 0 || f.For > MaxPause):
 			return fmt.Errorf("fault[%d].for must be above 0 and at most %v", i, MaxPause)
 		case slices.ContainsFunc(f.FollowUpSignals, func(name string) bool { return !slices.Contains(signals, name) }):
 			return fmt.Errorf("fault[%d].again may name %s", i, strings.Join(signals, ", "))
 		case !slices.Contains(directions, f.Direction):
 			return fmt.Errorf("fault[%d].way must be both, up or down", i)
-		case f.Kind == "errors" && (f.Share <= 0 || f.Share > 1):
+		case f.Kind == FaultErrors && (f.Share <= 0 || f.Share > 1):
 			return fmt.Errorf("fault[%d].share must be above 0 and at most 1", i)
 		}
 		if _, err := s.targets(f, nil); err != nil {
@@ -139,11 +139,6 @@
 	directions    = []string{"", "both", "up", "down"}
 	signals       = []string{"TERM", "INT", "HUP", "USR1"}
 
-	// FaultKinds are the faults a scenario can name.
-	FaultKinds = []string{"crash", "vanish", "hang", "slow", "errors", "drain", "cold-return", "node-kill", "node-stop",
-		"node-restart", "discovery-down", "discovery-stale", "discovery-wrong", "clients-stall", "clients-reset", "clients-half-close",
-		"node-replace", "node-pause", "servers-stall", "servers-reset", "reports-off", "disk-lost", "cut", "loss", "delay", "duplicate", "reorder"}
-
 	// Defects are what a baseline can be broken by, to try the auditor.
 	Defects = []string{"", "double-send", "lost-answer", "late-drain", "swapped-answer", "late-answer", "cold-push", "refuse-run"}
 )
--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -27,12 +27,6 @@
 	IgnorePartial  bool          `toml:"uneven_only"` // nothing is expected of members that only some can hear
 }
 
-// linkKinds are the faults of the mesh's links.
-var linkKinds = []string{"cut", "loss", "delay", "duplicate", "reorder"}
-
-// IsLinkFault tells whether a kind of fault concerns the mesh's links.
-func IsLinkFault(kind string) bool { return slices.Contains(linkKinds, kind) }
-
 // checkMesh names the first thing about the mesh that cannot be.
 func (s *Scenario) checkMesh() error {
 	if s.Mesh == nil && s.Expect.Mesh != nil {
@@ -49,14 +43,14 @@
 		}
 	}
 	for i, f := range s.Faults {
-		of := IsLinkFault(f.Kind)
+		of := f.Kind.OfLink()
 		switch {
-		case !of && f.Kind != "disk-lost":
+		case !of && f.Kind != FaultDiskLost:
 		case s.Mesh == nil:
 			return fmt.Errorf("fault[%d].kind %s needs a [mesh]", i, f.Kind)
-		case (f.Kind == "loss" || f.Kind == "duplicate" || f.Kind == "reorder") && (f.Share <= 0 || f.Share > 1):
+		case (f.Kind == FaultLoss || f.Kind == FaultDuplicate || f.Kind == FaultReorder) && (f.Share <= 0 || f.Share > 1):
 			return fmt.Errorf("fault[%d].share must be above 0 and at most 1", i)
-		case (f.Kind == "delay" || f.Kind == "reorder") && f.Delay <= 0 && f.Jitter <= 0:
+		case (f.Kind == FaultDelay || f.Kind == FaultReorder) && f.Delay <= 0 && f.Jitter <= 0:
 			return fmt.Errorf("fault[%d] needs a delay or a jitter", i)
 		}
 	}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -122,7 +122,7 @@
 type Fault struct {
 	At              time.Duration `toml:"at"`
 	For             time.Duration `toml:"for"` // when it ends; 0: it stays
-	Kind            string        `toml:"kind"`
+	Kind            FaultKind     `toml:"kind"`
 	Target          string        `toml:"target"` // "25%", "3" servers, "zone:b", "server:s004", "node:0", "all"
 	Spread          time.Duration `toml:"over"`   // the targets are hit one after the other over this span
 	Factor          float64       `toml:"times"`  // slow
@@ -186,7 +186,7 @@
 }
 
 // HasFault tells whether a fault of a kind is scheduled: then the links that it acts on must be there from the start.
-func (s *Scenario) HasFault(kind string) bool {
+func (s *Scenario) HasFault(kind FaultKind) bool {
 	for _, f := range s.Faults {
 		if f.Kind == kind {
 			return true
--- a/lab/scenario/schedule.go
+++ b/lab/scenario/schedule.go
@@ -27,7 +27,7 @@
 // Event is one fault at one target, or its end.
 type Event struct {
 	At     time.Duration
-	Kind   string
+	Kind   FaultKind
 	Ends   bool
 	Server int // -1: not a server
 	Node   int // -1: not a node
@@ -202,7 +202,7 @@
 			out = append(out, Event{At: at + f.For, Kind: f.Kind, Ends: true, Server: server, Node: node, Peer: peer, Fault: f})
 		}
 	}
-	if IsLinkFault(f.Kind) {
+	if f.Kind.OfLink() {
 		links, err := s.links(f.Target, rng)
 		if err != nil {
 			return nil, err
@@ -227,7 +227,7 @@
 
 // targetsOf are the servers and nodes that a target names.
 func (s *Scenario) targetsOf(f Fault, rng *rand.Rand) (servers, nodes []int, err error) {
-	if ofNode(f.Kind) {
+	if f.Kind.ofNode() {
 		nodes, err = s.targetNodes(f, rng)
 		return nil, nodes, err
 	}
@@ -235,16 +235,6 @@
 	return servers, nil, err
 }
 
-// ofNode tells whether a kind of fault concerns nodes, or what belongs to one node.
-func ofNode(kind string) bool {
-	for _, prefix := range []string{"node-", "discovery-", "clients-"} {
-		if strings.HasPrefix(kind, prefix) {
-			return true
-		}
-	}
-	return kind == "disk-lost"
-}
-
 // targetNodes are the nodes that a target names.
 func (s *Scenario) targetNodes(f Fault, rng *rand.Rand) ([]int, error) {
 	what, name, _ := strings.Cut(f.Target, ":")
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -116,10 +116,10 @@
 // addStop adds a planned stop with the faults around it.
 func (d *faultDrawer) addStop(at time.Duration, node int) {
 	target := fmt.Sprintf("node:%d", node%d.scenario.Nodes.Count)
-	d.add(scenario.Fault{At: at, Kind: "node-replace", Target: target, FollowUpSignals: drawSignals(d.rng)})
+	d.add(scenario.Fault{At: at, Kind: scenario.FaultNodeReplace, Target: target, FollowUpSignals: drawSignals(d.rng)})
 	for range d.rng.IntN(3) {
 		pauseAt := at + d.within(d.scenario.KillAfter())
-		d.add(scenario.Fault{At: pauseAt, Kind: "node-pause", Target: target, For: d.pauseLength()})
+		d.add(scenario.Fault{At: pauseAt, Kind: scenario.FaultNodePause, Target: target, For: d.pauseLength()})
 	}
 	share := fmt.Sprintf("%d%%", 25+d.rng.IntN(40))
 	from := at - d.within(400*time.Millisecond)
@@ -127,31 +127,34 @@
 	d.addServerFault(at, from, lasts, share)
 	switch d.rng.IntN(4) {
 	case 0:
-		d.add(scenario.Fault{At: from, For: lasts, Kind: "discovery-down", Target: "all"})
+		d.add(scenario.Fault{At: from, For: lasts, Kind: scenario.FaultDiscoveryDown, Target: "all"})
 	case 1:
-		d.add(scenario.Fault{At: from, For: lasts, Kind: "discovery-stale", Target: "all", Delay: 400 * time.Millisecond})
+		d.add(scenario.Fault{At: from, For: lasts, Kind: scenario.FaultDiscoveryStale, Target: "all", Delay: 400 * time.Millisecond})
 	case 2:
 		other := fmt.Sprintf("node:%d", (node+1)%d.scenario.Nodes.Count)
 		pauseAt := at + d.within(stopInterval/2)
-		d.add(scenario.Fault{At: pauseAt, For: d.pauseLength(), Kind: "node-pause", Target: other})
+		d.add(scenario.Fault{At: pauseAt, For: d.pauseLength(), Kind: scenario.FaultNodePause, Target: other})
 	}
 }
 
 // serverFaults are the faults of servers around a stop; one that stands twice is drawn twice as often.
-var serverFaults = []string{"hang", "hang", "vanish", "servers-reset", "errors", "cold-return", "drain", "servers-stall", "slow"}
+var serverFaults = []scenario.FaultKind{
+	scenario.FaultHang, scenario.FaultHang, scenario.FaultVanish, scenario.FaultServersReset, scenario.FaultErrors,
+	scenario.FaultColdReturn, scenario.FaultDrain, scenario.FaultServersStall, scenario.FaultSlow,
+}
 
 // addServerFault adds a fault of a share of the servers around a stop.
 func (d *faultDrawer) addServerFault(at, from, lasts time.Duration, share string) {
 	switch kind := serverFaults[d.rng.IntN(len(serverFaults))]; kind {
-	case "errors":
+	case scenario.FaultErrors:
 		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Share: 0.2 + 0.6*d.rng.Float64()})
-	case "slow":
+	case scenario.FaultSlow:
 		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Factor: 2 + 4*d.rng.Float64()})
-	case "servers-reset":
+	case scenario.FaultServersReset:
 		for range 3 {
 			d.add(scenario.Fault{At: at + d.within(d.scenario.KillAfter()), Kind: kind, Target: share})
 		}
-	case "cold-return":
+	case scenario.FaultColdReturn:
 		d.add(scenario.Fault{At: from, Kind: kind, Target: "1", NewID: d.rng.IntN(2) == 0})
 	default:
 		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share})
