--- a/cmd/tackhub/main.go
+++ b/cmd/tackhub/main.go
@@ -1,4 +1,4 @@
-// Command tackhub is one node: a load balancer on sockets, around the decision module. Without arguments it serves.
+// Command tackhub is one node of an HTTP load balancer. Without arguments it serves.
 //
 // Exit codes: 0 after a planned end or a check without a fault, 1 where a start or the serving failed or a check found
 // faults, 2 where the command line cannot be read.
@@ -19,7 +19,7 @@
 	"tackhub.example/tackhub/internal/node"
 )
 
-// edgeVariable names the operator file where no flag does.
+// edgeVariable is the environment variable that names the operator file where no flag does.
 const edgeVariable = "TACKHUB_EDGE"
 
 func main() { os.Exit(commands().Run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -27,7 +27,8 @@
 func commands() cli.Program {
 	var edge string
 	withEdge := func(f *flag.FlagSet) {
-		f.StringVar(&edge, "edge", os.Getenv(edgeVariable), "operator `FILE`; without it ("+edgeVariable+" names it too) all subsystems are off")
+		f.StringVar(&edge, "edge", os.Getenv(edgeVariable),
+			"operator `FILE`; without it ("+edgeVariable+" names it too) all subsystems are off")
 	}
 	return cli.Program{Name: "tackhub", Default: "serve", Commands: []cli.Command{
 		{Name: "serve", Help: "Serve as one node, told by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG", Flags: withEdge,
@@ -52,7 +53,7 @@
 	}}
 }
 
-// version prints what the tool chain noted of the build.
+// version prints what the Go tool chain recorded of the build.
 func version(out io.Writer) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/tacklab/members.go
+++ b/cmd/tacklab/members.go
@@ -27,7 +27,9 @@
 	fmt.Println("| members | period | suspicion | loss, jitter | p50 | p99 | foretold mean | taken out alive, a member and hour |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Time to detect against false verdicts", "p99 until out of every view, s", "taken out alive, a member and hour"
+	p.Title.Text = "Time to detect against false verdicts"
+	p.X.Label.Text = "p99 until out of every view, s"
+	p.Y.Label.Text = "taken out alive, a member and hour"
 	for i, loss := range []float64{0, 0.2} {
 		var points plotter.XYs
 		for _, suspicion := range []time.Duration{600, 1000, 1500, 2500, 4000} {
--- a/lab/audit/rules.go
+++ b/lab/audit/rules.go
@@ -68,7 +68,8 @@
 			continue
 		}
 		over := c.At - t.Ended
-		allowed := cancelSlack + a.limits.LinkDelay + t.LinkDelay + a.pausedFor(c.Node, t.Ended, c.At) + a.stalledFor(c.Server, t.Ended, c.At)
+		allowed := cancelSlack + a.limits.LinkDelay + t.LinkDelay
+		allowed += a.pausedFor(c.Node, t.Ended, c.At) + a.stalledFor(c.Server, t.Ended, c.At)
 		if over > allowed && !a.hadOutage(c.Node, t.Sent, c.At) {
 			a.breach(RuleSentAfterCancel, c.At, "%s came to %s from node %d %v after its client had left", c.ID, c.Server, c.Node, over)
 		}
@@ -172,7 +173,8 @@
 		if t == nil || !t.Outcome.hasResponse() {
 			continue
 		}
-		latest := t.Ended + a.limits.ResponseSlack + a.limits.LinkDelay + a.pausedFor(c.Node, t.Sent, c.At) + a.stalledFor(c.Server, t.Ended, c.At)
+		latest := t.Ended + a.limits.ResponseSlack + a.limits.LinkDelay
+		latest += a.pausedFor(c.Node, t.Sent, c.At) + a.stalledFor(c.Server, t.Ended, c.At)
 		if c.At > latest && !a.hadOutage(c.Node, t.Sent, c.At) {
 			a.breach(RuleSentAfterResponse, c.At, "%s came to %s %v after its final answer", c.ID, c.Server, c.At-t.Ended)
 		}
@@ -204,7 +206,8 @@
 		if last == nil || !last.Withdrawn {
 			continue
 		}
-		latest := last.At + a.limits.DrainGrace + a.limits.ResponseSlack + a.limits.LinkDelay + a.pausedFor(c.Node, last.At, c.At) + a.stalledFor(c.Server, last.At, c.At)
+		latest := last.At + a.limits.DrainGrace + a.limits.ResponseSlack + a.limits.LinkDelay
+		latest += a.pausedFor(c.Node, last.At, c.At) + a.stalledFor(c.Server, last.At, c.At)
 		if c.At > latest && !a.hadOutage(c.Node, last.At, c.At) {
 			a.breach(RuleDrain, c.At, "%s came to %s from node %d %v after its drain was told", c.ID, c.Server, c.Node,
 				c.At-last.At)
--- a/lab/backend/coap.go
+++ b/lab/backend/coap.go
@@ -16,6 +16,9 @@
 	"tackhub.example/tackhub/internal/coap/wire"
 )
 
+// practicallyUnlimited is more than any run needs: a stand-in server must not reject for want of memory.
+const practicallyUnlimited = 1 << 20
+
 // coapServer is a stand-in server's CoAP side for one node. It recognizes duplicate messages and assembles block-wise
 // uploads.
 type coapServer struct {
@@ -44,9 +47,23 @@
 		conn = l.WrapPacket(conn)
 	}
 	s.packets = append(s.packets, conn)
-	many := 1 << 20
-	b := &coapServer{server: s, node: node, conn: conn, duplicates: dedup.New(dedup.Limits{MaxEntries: many, MaxBytes: many << 8, MaxPerEndpoint: many}),
-		uploads: blocks.New(blocks.Limits{MaxTransfers: many, MaxPerEndpoint: many, MaxBytes: many << 6, MaxBodyBytes: 64 << 10, IdleTimeout: time.Minute})}
+	b := &coapServer{
+		server: s,
+		node:   node,
+		conn:   conn,
+		duplicates: dedup.New(dedup.Limits{
+			MaxEntries:     practicallyUnlimited,
+			MaxBytes:       practicallyUnlimited << 8,
+			MaxPerEndpoint: practicallyUnlimited,
+		}),
+		uploads: blocks.New(blocks.Limits{
+			MaxTransfers:   practicallyUnlimited,
+			MaxPerEndpoint: practicallyUnlimited,
+			MaxBytes:       practicallyUnlimited << 6,
+			MaxBodyBytes:   64 << 10,
+			IdleTimeout:    time.Minute,
+		}),
+	}
 	go b.run()
 	return nil
 }
@@ -78,7 +95,8 @@
 			_, _ = b.conn.WriteTo(wire.Empty(wire.Rst, key.ID), from)
 			continue
 		}
-		v, stored, _ := b.duplicates.Receive(time.Since(b.server.fleet.start), dedup.Message{Key: key, Confirmable: true, Fingerprint: dedup.Fingerprint(buf[:n])})
+		received := dedup.Message{Key: key, Confirmable: true, Fingerprint: dedup.Fingerprint(buf[:n])}
+		v, stored, _ := b.duplicates.Receive(b.now(), received)
 		switch {
 		case v == dedup.Replay:
 			_, _ = b.conn.WriteTo(stored, from)
@@ -109,7 +127,8 @@
 		return m.Payload, nil
 	}
 	id, _ := wire.Bytes(m, back.OptRequestID)
-	v, body := b.uploads.Add(time.Since(b.server.fleet.start), blocks.Key{Endpoint: from.String(), Resource: dedup.Fingerprint(id)}, block, m.Payload)
+	upload := blocks.Key{Endpoint: from.String(), Resource: dedup.Fingerprint(id)}
+	v, body := b.uploads.Add(b.now(), upload, block, m.Payload)
 	code := codes.RequestEntityIncomplete
 	switch v {
 	case blocks.Complete:
@@ -122,6 +141,16 @@
 	return nil, out
 }
 
+// fieldOfOption are the options that carry an HTTP field.
+var fieldOfOption = map[message.OptionID]string{
+	back.OptRequestID:      "X-Request-Id",
+	back.OptIdempotencyKey: "Idempotency-Key",
+	back.OptClass:          "X-Class",
+}
+
+// now is the time since the run's start.
+func (b *coapServer) now() time.Duration { return time.Since(b.server.fleet.start) }
+
 // serve executes a request and returns the response's datagram; nil where the process died with it.
 func (b *coapServer) serve(m *message.Message, body []byte, first time.Time) []byte {
 	var req fasthttp.Request
@@ -133,7 +162,7 @@
 		uri += map[bool]string{true: "?", false: "&"}[i == 0] + q
 	}
 	req.SetRequestURI(uri)
-	for id, name := range map[message.OptionID]string{back.OptRequestID: "X-Request-Id", back.OptIdempotencyKey: "Idempotency-Key", back.OptClass: "X-Class"} {
+	for id, name := range fieldOfOption {
 		if v, ok := wire.Bytes(m, id); ok {
 			req.Header.SetBytesV(name, v)
 		}
--- a/lab/backend/inventory.go
+++ b/lab/backend/inventory.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -144,7 +145,8 @@
 	case 2:
 		text := string(good)
 		lines := strings.Split(text, "\n")
-		return []byte(strings.Join(append(lines[:2:2], append([]string{strings.Replace(lines[1], "pod-", "pod-9", 1)}, lines[2:]...)...), "\n"))
+		contradiction := strings.Replace(lines[1], "pod-", "pod-9", 1) // the first server once more, in another pod
+		return []byte(strings.Join(slices.Insert(lines, 2, contradiction), "\n"))
 	}
 	return []byte("\x00\xff<html>502 Bad Gateway</html>\n")
 }
--- a/lab/backend/work.go
+++ b/lab/backend/work.go
@@ -1,6 +1,7 @@
 package backend
 
 import (
+	"fmt"
 	"strconv"
 	"time"
 
@@ -22,7 +23,7 @@
 	inFlight := s.model.InFlight()
 	queued := s.model.Queued()
 	util := float64(inFlight-queued) / float64(s.fleet.scenario.Fleet.Cores)
-	return "TEXT inflight=" + strconv.Itoa(inFlight) + ", queue=" + strconv.Itoa(queued) + ", util=" + strconv.FormatFloat(util, 'f', 2, 64)
+	return fmt.Sprintf("TEXT inflight=%d, queue=%d, util=%.2f", inFlight, queued, util)
 }
 
 // execute offers a request to the model and waits for its result. fresh says that it is the first one on its
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -71,7 +71,12 @@
 	if err != nil {
 		return err
 	}
-	n := &node{options: o, classes: map[string]balancer.Class{}, maxAttempts: max(1, c.Settings.Balancer.MaxAttempts), servers: map[string]*server{}}
+	n := &node{
+		options:     o,
+		classes:     map[string]balancer.Class{},
+		maxAttempts: max(1, c.Settings.Balancer.MaxAttempts),
+		servers:     map[string]*server{},
+	}
 	for _, class := range c.Settings.Balancer.Classes {
 		n.classes[class.Name] = class
 	}
@@ -149,8 +154,7 @@
 			continue
 		}
 		if s == nil || s.member.HostPort != m.HostPort {
-			s = &server{client: &fasthttp.HostClient{Addr: m.HostPort, MaxConns: 512, MaxIdemponentCallAttempts: 1,
-				NoDefaultUserAgentHeader: true, Dial: dial, RetryIfErr: func(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }}}
+			s = &server{client: newClient(m.HostPort)}
 			n.servers[m.ID] = s
 		}
 		s.member, s.draining = m, m.Phase != "SERVING"
@@ -162,6 +166,20 @@
 	}
 }
 
+// newClient makes a client for one server that never retries by itself.
+func newClient(address string) *fasthttp.HostClient {
+	return &fasthttp.HostClient{
+		Addr:                      address,
+		MaxConns:                  512,
+		MaxIdemponentCallAttempts: 1,
+		NoDefaultUserAgentHeader:  true,
+		Dial:                      dial,
+		RetryIfErr: func(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
+			return false, false
+		},
+	}
+}
+
 // remove removes a server. The defect of late drains keeps it.
 func (n *node) remove(id string) {
 	if n.options.Defect != "late-drain" {
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -32,12 +32,12 @@
 	P90          float64            `json:"p90_ms"`      //
 	P99          float64            `json:"p99_ms"`      //
 	P999         float64            `json:"p999_ms"`     //
-	RigLate      float64            `json:"rig_p99_ms"`  // by how much the rig itself was late
+	RigLate      float64            `json:"rig_p99_ms"`  // by how much the lab itself was late, p99
 	RigMax       float64            `json:"rig_max_ms"`  //
 	MemoryMB     float64            `json:"memory_mb"`   // the most of any node
 	Sockets      int                `json:"descriptors"` // the most of any node
 	CPU          float64            `json:"cpu_cores"`   // the mean over all nodes
-	Crashes      int                `json:"crashes"`     // of nodes, that nobody asked for
+	Crashes      int                `json:"crashes"`     // of nodes, beside injected faults and planned stops
 	Recovered    *float64           `json:"recovered_after_s,omitempty"`
 	Skew         float64            `json:"clock_skew_ms"`
 	MeshBytes    float64            `json:"mesh_bytes_per_s,omitempty"` // sent to other nodes, the most of any
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -22,7 +22,7 @@
 	// viewInterval is the time between two questions to a process for its view.
 	viewInterval = 50 * time.Millisecond
 
-	// maxViewAge is how long an answer may take to count: one that a process gave after it was suspended tells of another
+	// maxViewAge is how long an answer may take to count: one that a process gave after it was suspended belongs to another
 	// moment.
 	maxViewAge = 200 * time.Millisecond
 )
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -49,7 +49,7 @@
 	QueueFull                 // rejected: the queue is full
 	PodLimited                // rejected: the pod is at its shared limit
 	Draining                  // rejected: the server drains
-	NotRunning                // nobody is there
+	NotRunning                // its process does not run
 )
 
 // Completion is a request that was executed.
@@ -291,7 +291,7 @@
 		return
 	}
 	s.suspended = on
-	for i := range s.running { // what is left of a job is kept in ends while the server stands
+	for i := range s.running { // while the server is suspended, ends holds the time that a job has left
 		if on {
 			s.running[i].ends -= now
 		} else {
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -26,8 +26,8 @@
 	width  = 23 * vg.Centimeter
 	height = 6 * vg.Centimeter
 
-	// mostBreaches are shown one by one; the count by rule tells of the rest.
-	mostBreaches = 50
+	// maxBreaches are shown one by one; the rest is only counted.
+	maxBreaches = 50
 )
 
 var palette = []color.Color{
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	breaches := r.Breaches[:min(len(r.Breaches), mostBreaches)]
+	breaches := r.Breaches[:min(len(r.Breaches), maxBreaches)]
 	var out bytes.Buffer
 	err = page.Execute(&out, map[string]any{"R": r, "Plots": plots, "Figures": string(figures), "Breaches": breaches,
 		"More": len(r.Breaches) - len(breaches)})
@@ -199,7 +199,7 @@
 		return "", err
 	}
 	svg := out.Bytes()
-	if i := bytes.Index(svg, []byte("<svg")); i > 0 { // what stands before it has no place within a page
+	if i := bytes.Index(svg, []byte("<svg")); i > 0 { // the XML declaration before it must not stand within a page
 		svg = svg[i:]
 	}
 	return template.HTML(svg), nil
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -46,7 +46,7 @@
 			return fmt.Errorf("%s %s", c.key, c.why)
 		}
 	}
-	if i := s.Inventory; i != nil && (i.Form != "csv" && i.Form != "yaml" || i.Every <= 0 || i.Bad < 0 || i.InPlace < 0 || i.Bad+i.InPlace > 1) {
+	if s.Inventory != nil && !s.Inventory.valid() {
 		return fmt.Errorf("inventory: a form of csv or yaml, a time between rewrites, and shares from 0 to 1 are needed")
 	}
 	for name, l := range map[string]Impairment{"clients": s.Links.Clients, "servers": s.Links.Servers, "discovery": s.Links.Discovery} {
@@ -63,6 +63,13 @@
 	return s.checkTimes()
 }
 
+// valid tells whether the form is known, the time between rewrites is above 0, and the shares leave one for good rewrites.
+func (i *Inventory) valid() bool {
+	knownForm := i.Form == "csv" || i.Form == "yaml"
+	validShares := i.Bad >= 0 && i.InPlace >= 0 && i.Bad+i.InPlace <= 1
+	return knownForm && validShares && i.Every > 0
+}
+
 // checkClasses names the first class that cannot be.
 func (s *Scenario) checkClasses() error {
 	seen := map[string]bool{}
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -80,7 +80,7 @@
 	return s
 }
 
-// drawFaults draws the faults of a run: a planned stop every stopInterval, with servers in trouble around most of them.
+// drawFaults draws the faults of a run: a planned stop every stopInterval, with faults of servers and discovery around it.
 func drawFaults(s *scenario.Scenario, rng *rand.Rand) []scenario.Fault {
 	d := &faultDrawer{scenario: s, rng: rng, end: s.Warmup + s.Duration - quietEnd}
 	node := 0
