--- a/cmd/tackhub/admin_test.go
+++ b/cmd/tackhub/admin_test.go
@@ -184,7 +184,7 @@
 		}
 	}
 	if !health(503)() || adminCall(t, admin, "GET", "/healthcheck").status != 503 {
-		t.Error("a drained node says yes")
+		t.Error("a drained node reports healthy")
 	}
 	late := p.send(request("look", 1500))
 	close(gate)
@@ -201,7 +201,7 @@
 		adminCall(t, admin, "PUT", "/healthcheck/ok")
 	}
 	if !health(200)() || adminCall(t, admin, "GET", "/healthcheck").status != 200 {
-		t.Error("no yes after the drain")
+		t.Error("not healthy after the drain")
 	}
 	if a := p.mustDo(request("look", 500)); a.status != 200 {
 		t.Errorf("after the drain: %d", a.status)
--- a/cmd/tackhub/badrequest_test.go
+++ b/cmd/tackhub/badrequest_test.go
@@ -166,7 +166,7 @@
 		t.Fatalf("%d attempts, want one for the young", len(got))
 	}
 	if left, err := strconv.Atoi(got[0].header.Get("X-Deadline-Ms")); err != nil || left > 1020 {
-		t.Errorf("the server is told that %d ms are left", left)
+		t.Errorf("the server got a deadline of %d ms", left)
 	}
 }
 
--- a/cmd/tackhub/brokenresponse_test.go
+++ b/cmd/tackhub/brokenresponse_test.go
@@ -42,7 +42,7 @@
 				p, _ := startWithBackends(t, "", s)
 				a, err := p.do(strings.Replace(request("bill", 1400), "HTTP/1.1", "HTTP/"+version, 1))
 				if err == nil && a.status != 502 {
-					t.Errorf("%d with %d bytes passed for whole", a.status, len(a.body))
+					t.Errorf("%d with %d bytes passed for a whole response", a.status, len(a.body))
 				}
 				if n := len(s.requests()); n != 1 {
 					t.Errorf("%d attempts of what may have run", n)
@@ -127,10 +127,10 @@
 				began := time.Now()
 				c.write(strings.Replace(request("bill", 600), "HTTP/1.1", "HTTP/"+version, 1))
 				if a, err := c.read(); err == nil && a.status == 200 {
-					t.Errorf("%d bytes passed for whole", len(a.body))
+					t.Errorf("%d bytes passed for a whole response", len(a.body))
 				}
 				if took := time.Since(began); took > 2*time.Second {
-					t.Errorf("the client was told after %v of its 600 ms", took)
+					t.Errorf("the client saw the end after %v, with a deadline of 600 ms", took)
 				}
 				eventually(t, "one failure", func() bool { return p.counts().Requests["failed"] == 1 })
 				eventually(t, "nothing left open", func() bool { return p.counts().Servers["open"] == 0 })
@@ -148,8 +148,8 @@
 		pieces int
 		pause  time.Duration // between them: so all ends long after the deadline
 	}{
-		"of told size, with a long pause":    {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 70<<10), 70, 20 * time.Millisecond},
-		"of untold size, a little at a time": {headWithoutLength, 10, 100 * time.Millisecond},
+		"of known size, with a long pause":    {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 70<<10), 70, 20 * time.Millisecond},
+		"of unknown size, a little at a time": {headWithoutLength, 10, 100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startBackend(t, "s1", func(conn net.Conn, _ receivedRequest) bool {
--- a/cmd/tackhub/cancel_test.go
+++ b/cmd/tackhub/cancel_test.go
@@ -79,7 +79,7 @@
 			eventually(t, "the server's coming up", func() bool { return p.mustDo(request("look", 1500)).status == 200 })
 			for _, g := range s.requests() {
 				if strings.HasPrefix(g.line, "POST /bill") {
-					t.Error("the request was sent on after its client had left")
+					t.Error("the request was forwarded after its client had left")
 				}
 			}
 		})
--- a/cmd/tackhub/clientconn_test.go
+++ b/cmd/tackhub/clientconn_test.go
@@ -33,7 +33,7 @@
 	for name, c := range said {
 		a, err := c.read()
 		if took := time.Since(began); took > maxCloseTime {
-			t.Errorf("%s: told or closed after %v", name, took)
+			t.Errorf("%s: answered or closed after %v", name, took)
 		}
 		if err == nil && (a.status < 400 || !a.closesConn) {
 			t.Errorf("%s: %d, last %v", name, a.status, a.closesConn)
--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -112,7 +112,7 @@
 	}
 	cut(b.links, 1, 0, false)
 	b.waitViews("one view again", both, "m0", "m1")
-	eventually(t, "both to be whole", func() bool {
+	eventually(t, "both to be connected", func() bool {
 		return b.status(0).Connectivity == swim.Connected && b.status(1).Connectivity == swim.Connected
 	})
 	if after := b.status(0).View.Number; after <= before {
--- a/cmd/tackhub/coapfrontend_test.go
+++ b/cmd/tackhub/coapfrontend_test.go
@@ -104,7 +104,7 @@
 	}
 	s.setBehavior(respond(503, "", "X-Not-Run: 1"))
 	if got := coapDo(t, c, coap.Request{Code: codes.GET, Path: "look", Query: []string{"wait=200"}}); got.Code != codes.ServiceUnavailable || got.MaxAge < 1 {
-		t.Errorf("a refusal is %v with Max-Age %d", got.Code, got.MaxAge)
+		t.Errorf("a rejection is %v with Max-Age %d", got.Code, got.MaxAge)
 	}
 	s.setBehavior(resetConn)
 	if got := coapDo(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("x")}); got.Code != codes.BadGateway {
@@ -257,7 +257,7 @@
 		t.Errorf("a ping got %v", m)
 	}
 	if m := roundTrip(t, conn, to, []byte{0x40, 0x45, 1, 3}); m.Type != wire.Rst {
-		t.Errorf("an answer nobody waits for got %v", m)
+		t.Errorf("an unexpected response got %v", m)
 	}
 	if m := roundTrip(t, conn, to, []byte{0x4f, 1, 1, 4}); m.Type != wire.Rst {
 		t.Errorf("a token of 15 bytes got %v", m)
--- a/cmd/tackhub/discovery_test.go
+++ b/cmd/tackhub/discovery_test.go
@@ -26,7 +26,7 @@
 	held.unblock()
 	// Its connection may come up so late that it is refused; that is harmless, since nothing of it was written.
 	if a := await(t, "the request", pending); a.status != 503 && (a.status != 200 || a.body != "done") {
-		t.Errorf("%d %q, want the other server's answer or a refusal", a.status, a.body)
+		t.Errorf("%d %q, want the other server's response or a rejection", a.status, a.body)
 	}
 	if n := len(held.requests()); n > 0 {
 		t.Errorf("%d requests went to a server that drains", n)
@@ -141,7 +141,7 @@
 	d.announce(member{ID: "s1", Phase: "DELETED"})
 	eventually(t, "the end", func() bool { return p.counts().List["delta"] == 2 })
 	if a := p.mustDo(request("look", 1000)); a.status != 503 || a.took > 500*time.Millisecond {
-		t.Errorf("%d after %v with no server, want a refusal at once", a.status, a.took)
+		t.Errorf("%d after %v with no server, want a rejection at once", a.status, a.took)
 	}
 	eventually(t, "closed connections", func() bool { return p.counts().Servers["open"] == 0 })
 }
@@ -188,7 +188,7 @@
 		`{"revision":9,"complete":true,"members":[{"id":"x","host_port":"nowhere"}]}`, `[]`} {
 		before := p.counts().List["failed"]
 		d.respondWith(raw)
-		eventually(t, "refused nonsense", func() bool { return p.counts().List["failed"] > before })
+		eventually(t, "a rejected response", func() bool { return p.counts().List["failed"] > before })
 		if a := p.mustDo(request("look", 1000)); a.status != 200 {
 			t.Errorf("status %d after %s", a.status, raw)
 		}
--- a/cmd/tackhub/forward_test.go
+++ b/cmd/tackhub/forward_test.go
@@ -33,6 +33,6 @@
 		}
 	}
 	if left, err := strconv.Atoi(g.header.Get("X-Deadline-Ms")); err != nil || left < 1 || left > 1000 {
-		t.Errorf("the server is told %q of 1000 ms", g.header.Get("X-Deadline-Ms"))
+		t.Errorf("the server got a deadline of %q of 1000 ms", g.header.Get("X-Deadline-Ms"))
 	}
 }
--- a/cmd/tackhub/inventory_test.go
+++ b/cmd/tackhub/inventory_test.go
@@ -64,7 +64,7 @@
 		t.Error("a server was used that only files that were not taken name")
 	}
 	before := len(s2.requests())
-	eventually(t, "the old list to stand", func() bool { return len(s2.requests()) > before })
+	eventually(t, "the old list to stay in force", func() bool { return len(s2.requests()) > before })
 	writeFile(t, path, whole)
 	p.waitLog(`"code":"inventory_list"`, 2)
 	eventually(t, "the new server", func() bool { return len(s3.requests()) > 0 })
--- a/cmd/tackhub/largerequest_test.go
+++ b/cmd/tackhub/largerequest_test.go
@@ -138,7 +138,7 @@
 	eventually(t, "its file", func() bool { f, _ := p.bodyCounts(); return f == 1 })
 	began := time.Now()
 	if a, err := c.read(); err != nil || a.status != 408 || time.Since(began) > 6*time.Second {
-		t.Errorf("told %d after %v, %v", a.status, time.Since(began), err)
+		t.Errorf("status %d after %v, %v", a.status, time.Since(began), err)
 	}
 	eventually(t, "no room held", func() bool { f, b := p.bodyCounts(); return f == 0 && b == 0 })
 	if left, err := os.ReadDir(strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "TMPDIR=")); err != nil || len(left) > 1 {
@@ -210,7 +210,7 @@
 	<-broken // which the node notices now, if it is still writing, or with the last piece
 	select {
 	case <-whole:
-		t.Error("a server got the whole before its end had come")
+		t.Error("a server got the whole body before its end had come")
 	case <-time.After(50 * time.Millisecond): // it must not come
 	}
 	c.write(string(b[len(b)-1:]))
--- a/cmd/tackhub/operatorfile_test.go
+++ b/cmd/tackhub/operatorfile_test.go
@@ -70,7 +70,7 @@
 		t.Error("the fault is not named with line and key")
 	}
 	before := said(`"code":"vitals"`)
-	eventually(t, "the last good file to stand", func() bool { return said(`"code":"vitals"`) > before })
+	eventually(t, "the last good file to stay in force", func() bool { return said(`"code":"vitals"`) > before })
 	writeFile(t, edge, "")
 	p.reload("edge")
 	if said(`"off":["vitals"]`) != 1 {
--- a/cmd/tackhub/retry_test.go
+++ b/cmd/tackhub/retry_test.go
@@ -9,7 +9,7 @@
 // A 503 promises that the request was not executed. For each class and each failure of its servers the status must keep
 // that promise, and no more servers may be tried than the class allows.
 func TestRejectionOnlyWhereHarmless(t *testing.T) {
-	turnedAway := respond(503, "", "X-Not-Run: 1")
+	rejects := respond(503, "", "X-Not-Run: 1")
 	for _, c := range []struct {
 		name   string
 		class  string
@@ -21,13 +21,13 @@
 		{"unsafe, error", "bill", respond(500, "boom"), 502, 1},
 		{"unsafe, 503 that may have run", "bill", respond(503, ""), 502, 1},
 		{"unsafe, 504 that may have run", "bill", respond(504, "", "X-Not-Run: 0"), 502, 1},
-		{"unsafe, turned away", "bill", turnedAway, 503, 2},
+		{"unsafe, rejected", "bill", rejects, 503, 2},
 		{"unsafe, truncated", "bill", respondTruncated, 502, 1},
 		{"unsafe, garbage", "bill", respondGarbage, 502, 1},
 		{"unsafe, silent", "bill", neverRespond, 504, 1},
 		{"unsafe, served", "bill", respond(200, "done"), 200, 1},
 		{"keyed, reset", "store", resetConn, 502, 2}, // both servers are in the group
-		{"keyed, turned away", "store", turnedAway, 503, 2},
+		{"keyed, rejected", "store", rejects, 503, 2},
 		{"safe, reset", "look", resetConn, 503, 2},
 		{"safe, silent", "look", neverRespond, 503, 1},
 		{"safe, error", "look", respond(500, ""), 503, 2},
@@ -79,7 +79,7 @@
 	p, _ := startWithBackends(t, "", dead)
 	a := p.mustDo(request("bill", 1000))
 	if a.status != 503 || a.took > 900*time.Millisecond {
-		t.Errorf("status %d after %v, want a refusal at once", a.status, a.took)
+		t.Errorf("status %d after %v, want a rejection at once", a.status, a.took)
 	}
 	if n, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64); err != nil || n <= 0 || n > 2 {
 		t.Errorf("Retry-After %q", a.header.Get("Retry-After"))
--- a/cmd/tackhub/shadow_test.go
+++ b/cmd/tackhub/shadow_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("status %d: the settings watched decided", a.status)
 	}
 	if got := p.counts().Watch.Differ["failed"]; got == 0 {
-		t.Error("a request refused that the other settings would fail is not counted")
+		t.Error("a request that is rejected here and failed by the other settings is not counted")
 	}
 	bad := writeTempFile(t, "bad.json", strings.Replace(testSettings, `"goal":{"whole":1}`, `"goal":{"whole":1,"nines_wanted":0}`, 1))
 	before := p.counts().Watch.Steps
--- a/cmd/tackhub/shutdown_test.go
+++ b/cmd/tackhub/shutdown_test.go
@@ -177,7 +177,7 @@
 			})
 			p.terminate()
 			if a, err := c.read(); err != nil || a.status != 503 || !a.closesConn {
-				t.Errorf("%v, %v: want a refusal that ends the connection", a, err)
+				t.Errorf("%v, %v: want a rejection that ends the connection", a, err)
 			}
 			if code := p.exit(); code != 0 {
 				t.Errorf("exit code %d", code)
@@ -187,7 +187,7 @@
 	p.terminate()
 	p.exit()
 	if n := len(s.requests()); n > 0 {
-		t.Errorf("%d requests went on", n)
+		t.Errorf("%d requests were forwarded", n)
 	}
 }
 
--- a/cmd/tackhub/upgrade_test.go
+++ b/cmd/tackhub/upgrade_test.go
@@ -42,7 +42,7 @@
 	u.t.Helper()
 	admin = freeAddress(u.t)
 	p = launch(u.t, u.old.addr, u.setup(admin))
-	eventually(u.t, "the new process's yes", func() bool { return adminHealth(admin) == 200 })
+	eventually(u.t, "the new process's health", func() bool { return adminHealth(admin) == 200 })
 	return p, admin
 }
 
@@ -185,7 +185,7 @@
 	}
 	adminCall(t, admin, "PUT", "/healthcheck/ok")
 	if adminHealth(admin) != 200 {
-		t.Error("no yes after the drain")
+		t.Error("not healthy after the drain")
 	}
 }
 
@@ -301,7 +301,7 @@
 			next := u.setup(admin)
 			change(&next)
 			p := launch(t, u.old.addr, next)
-			eventually(t, "the new process's yes", func() bool { return adminHealth(admin) == 200 })
+			eventually(t, "the new process's health", func() bool { return adminHealth(admin) == 200 })
 			entries := map[string]int{"settings": 2, "discovery": 1}[name]
 			eventually(t, "its list", func() bool { return queryAdminStats(t, admin).Entries == entries })
 			avoided := map[string]int{"settings": 0, "discovery": 1}[name] // the same settings' records of a server that both list
