--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -6,6 +6,8 @@
 import (
 	"sort"
 	"time"
+
+	"tackhub.example/tackhub/lab/scenario"
 )
 
 // Offset is a moment of the run: the time since its start.
@@ -45,9 +47,9 @@
 // EffectOf is the effect that a scenario names: safe, keyed or unsafe. An unknown name counts as safe.
 func EffectOf(name string) Effect {
 	switch name {
-	case "keyed":
+	case scenario.EffectKeyed:
 		return Keyed
-	case "unsafe":
+	case scenario.EffectUnsafe:
 		return Unsafe
 	}
 	return Safe
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -108,11 +108,11 @@
 		fmt.Sprintf("tenant=t%03d", a.Tenant),
 		fmt.Sprintf("wait=%d", max(1, left.Milliseconds())),
 	}}
-	if c.Effect != "safe" {
+	if c.Effect != scenario.EffectSafe {
 		req.Code = codes.POST
 		req.Body = make([]byte, c.Body)
 	}
-	if c.Effect == "keyed" {
+	if c.Effect == scenario.EffectKeyed {
 		req.Query = append(req.Query, fmt.Sprintf("key=k%012x", op))
 	}
 	if n > 0 && g.options.Scenario.Clients.MarksRetry {
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -192,7 +192,7 @@
 	switch r.outcome {
 	case audit.Rejected, audit.NotConnected:
 	case audit.Failed, audit.Lost, audit.LinkReset, audit.InTransit:
-		if c.Effect != "safe" {
+		if c.Effect != scenario.EffectSafe {
 			return 0, false
 		}
 	default:
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -61,7 +61,7 @@
 	if g.pool.wasReset(c) || g.now() >= deadline {
 		return false
 	}
-	return class.Effect == "safe" || g.options.Alive(c.node)
+	return class.Effect == scenario.EffectSafe || g.options.Alive(c.node)
 }
 
 // finish records an attempt, and keeps or closes its connection. A missing response is put down to the lab's own link where
@@ -98,13 +98,13 @@
 func (g *Generator) request(id string, op, n int, a scenario.Arrival, left time.Duration) []byte {
 	c := g.options.Scenario.Classes[a.Class]
 	method := "GET"
-	if c.Effect != "safe" {
+	if c.Effect != scenario.EffectSafe {
 		method = "POST"
 	}
 	b := make([]byte, 0, 320+c.Body)
 	b = fmt.Appendf(b, "%s /%s?w=%d HTTP/1.1\r\nHost: lab\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t%03d\r\nX-Deadline-Ms: %d\r\n",
 		method, c.Name, a.Work.Microseconds(), id, c.Name, a.Tenant, max(1, left.Milliseconds()))
-	if c.Effect == "keyed" {
+	if c.Effect == scenario.EffectKeyed {
 		b = fmt.Appendf(b, "Idempotency-Key: k%012x\r\n", op)
 	}
 	if n > 0 && g.options.Scenario.Clients.MarksRetry {
--- a/lab/nodeproc/settings.go
+++ b/lab/nodeproc/settings.go
@@ -65,7 +65,7 @@
 }
 
 // effectSetting maps a class's effect in a scenario to the settings' word for it.
-var effectSetting = map[string]string{"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
+var effectSetting = map[string]string{scenario.EffectSafe: "free", scenario.EffectKeyed: "guarded", scenario.EffectUnsafe: "single_shot"}
 
 func classSettings(s *scenario.Scenario) []map[string]any {
 	classes := []map[string]any{}
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -92,7 +92,7 @@
 			return fmt.Errorf("%s needs an aim above 0 and a deadline no shorter", at)
 		case c.Body < 0 || c.Body > 64<<10:
 			return fmt.Errorf("%s.body must be 0 to 65536", at)
-		case c.Effect == "keyed" && c.Window <= 0:
+		case c.Effect == EffectKeyed && c.Window <= 0:
 			return fmt.Errorf("%s.window must be above 0 for a keyed class", at)
 		}
 		seen[c.Name] = true
@@ -138,7 +138,7 @@
 }
 
 var (
-	effectNames   = []string{"safe", "keyed", "unsafe"}
+	effectNames   = []string{EffectSafe, EffectKeyed, EffectUnsafe}
 	groupNames    = []string{"", "all", "zone", "cell"}
 	distributions = []string{"", "fixed", "exponential", "lognormal"}
 	retries       = []string{"none", "now", "backoff", "follow", "ignore"}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -77,6 +77,13 @@
 	DiscoveryDelay time.Duration `toml:"discovery_delay"` // from a change until discovery announces it
 }
 
+// The effects of a class: what a second execution of a request would do.
+const (
+	EffectSafe   = "safe"   // nothing
+	EffectKeyed  = "keyed"  // nothing within the window, since its idempotency key is remembered
+	EffectUnsafe = "unsafe" // harm
+)
+
 // Class is one class of requests.
 type Class struct {
 	Name     string        `toml:"name"`
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -270,11 +270,11 @@
 func (c *Clients) newRequest(rng *rand.Rand, op int) (class scenario.Class, raw string) {
 	class = c.scenario.Classes[rng.IntN(len(c.scenario.Classes))]
 	method, more, body := "GET", "", ""
-	if class.Effect != "safe" {
+	if class.Effect != scenario.EffectSafe {
 		method, body = "POST", strings.Repeat("x", class.Body)
 		more = fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
-	if class.Effect == "keyed" {
+	if class.Effect == scenario.EffectKeyed {
 		more += fmt.Sprintf("Idempotency-Key: k%012x\r\n", op)
 	}
 	raw = fmt.Sprintf("%s /%s?w=%d HTTP/1.1\r\nHost: lab\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t000\r\nX-Deadline-Ms: %d\r\n%s\r\n%s",
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -40,9 +40,9 @@
 	share, worth        float64
 	window              time.Duration
 }{
-	{"read", "safe", "", 0.5, 1, 0},
-	{"put", "keyed", "cell", 0.3, 3, 2 * time.Second},
-	{"charge", "unsafe", "", 0.2, 6, 0},
+	{"read", scenario.EffectSafe, "", 0.5, 1, 0},
+	{"put", scenario.EffectKeyed, "cell", 0.3, 3, 2 * time.Second},
+	{"charge", scenario.EffectUnsafe, "", 0.2, 6, 0},
 }
 
 // Plan works out a run.
