--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -68,7 +68,7 @@
 	b.schedulePoll(b.now + b.pollInterval())
 }
 
-// pollTimeout is the longest time between two polls, in ms.
+// pollInterval is the longest time between two polls, in ms.
 func (b *Balancer) pollInterval() Millis {
 	if b.settings.MaxPollInterval > 0 {
 		return min(pollAnswerTimeout, b.settings.MaxPollInterval/2)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -43,7 +43,7 @@
 func (b *Balancer) updateEjection(s *server, outcome Outcome, sentAt Millis) {
 	state := &s.outlier
 	if state.ejected && sentAt < state.trialAt {
-		return // sent before the ejection: not the trial
+		return // sent before trialAt: not the trial
 	}
 	switch outcome {
 	case OK:
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -10,7 +10,7 @@
 
 const (
 	// MaxConnections is how many connections may be open at once. Administrators and their tools are few; beyond it the
-	// connection that has been silent longest is closed. The node reserves this many descriptors, and one for the listener.
+	// oldest connection whose request has not arrived is closed. The node reserves this many descriptors, and one for the listener.
 	MaxConnections = 12
 
 	// evictionGrace is how long a new connection is never evicted. Its request is on the way, and a crowd of connections
--- a/internal/cluster/datagram.go
+++ b/internal/cluster/datagram.go
@@ -12,8 +12,6 @@
 )
 
 const (
-	// maxDatagram is the most bytes of a datagram.
-	maxDatagram = 1200
 
 	// readErrorPause keeps an error that persists, such as a lack of buffers, from taking a CPU.
 	readErrorPause = time.Millisecond
@@ -67,7 +65,7 @@
 		return
 	}
 	raw, err := out.Message.MarshalMsg(nil)
-	if err != nil || len(raw) > maxDatagram {
+	if err != nil || len(raw) > membership.MaxDatagramBytes {
 		l.drop(dropTooLong)
 		return
 	}
@@ -81,7 +79,7 @@
 
 // readDatagrams hands datagrams to the core until the socket is closed.
 func (l *link) readDatagrams(ctx context.Context) {
-	buffer := make([]byte, maxDatagram+1) // one byte more, so that a longer one is noticed
+	buffer := make([]byte, membership.MaxDatagramBytes+1) // one byte more, so that a longer one is noticed
 	secondBegan := l.now()
 	taken := 0 // in this second
 	for {
@@ -108,7 +106,7 @@
 }
 
 func (l *link) receiveDatagram(ctx context.Context, raw []byte, from netip.Addr) {
-	if len(raw) > maxDatagram {
+	if len(raw) > membership.MaxDatagramBytes {
 		l.drop(dropTooLong)
 		return
 	}
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -45,9 +45,9 @@
 	ReceiveGossip(balancer.GossipReceived)
 	// SetBroadcaster has the balancer's messages to other nodes go over a Broadcaster; nil: no longer.
 	SetBroadcaster(Broadcaster)
-	// TookOver reports whether another process of this node ran when this one started.
+	// HasPredecessor reports whether another process of this node ran when this one started.
 	HasPredecessor() bool
-	// Succeeded reports whether another process is taking over from this one.
+	// HasSuccessor reports whether another process is taking over from this one.
 	HasSuccessor() bool
 }
 
--- a/internal/coap/back/attempt.go
+++ b/internal/coap/back/attempt.go
@@ -34,9 +34,9 @@
 	cancel  context.CancelFunc
 	request engine.OutgoingRequest
 
-	mu      sync.Mutex
-	written bool // the message that makes the request complete was handed to the socket: from then on it may run
-	aborted bool
+	mu         sync.Mutex
+	mayHaveRun bool // the message that makes the request complete was handed to the socket: from then on it may run
+	aborted    bool
 }
 
 // Abort cancels the attempt and tells whether the server may have got the whole request.
@@ -45,7 +45,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.aborted = true
-	return a.written
+	return a.mayHaveRun
 }
 
 // isAborted tells whether the attempt was cancelled, after which its end is not reported.
@@ -59,15 +59,15 @@
 func (a *attempt) isWritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.written
+	return a.mayHaveRun
 }
 
 // markWritten notes that the message goes out that makes the request complete. It does so again when that message is sent
 // anew after an Echo challenge; the attempt is counted once.
 func (a *attempt) markWritten() {
 	a.mu.Lock()
-	first := !a.written
-	a.written = true
+	first := !a.mayHaveRun
+	a.mayHaveRun = true
 	a.mu.Unlock()
 	if first {
 		a.request.NotifyWritten()
@@ -89,7 +89,7 @@
 	defer conn.release()
 	if err := a.request.CheckWritable(); err != nil {
 		t.options.Count.Outcomes.Inc(outcomeUnsent)
-		return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(err, engine.ErrClientGone)}
+		return engine.Completion{Outcome: balancer.NotSent, ClientDisconnected: errors.Is(err, engine.ErrClientDisconnected)}
 	}
 	request, body, err := convertRequest(a.request.Bytes)
 	if err != nil {
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,18 +1,19 @@
 // Package counters holds what a node counts. Every request that it receives has one ending: Taken is the sum of Served, Refused,
 // Failed, Rejected, Left and Open.
 //
-// The fields have the names of the JSON at /_counters, which operators' tools read.
+// Operators' tools read the JSON at /_counters, so its keys stay as they are. Where a field was renamed
+// its tag has the former name.
 package counters
 
 import "encoding/json"
 
 // Requests counts requests and their endings.
 type Requests struct {
-	Taken      Count `json:"taken"`      // read as a whole
+	Taken      Count `json:"taken"`      // handed to the proxy: complete, or up to the rest of a large body
 	Served     Count `json:"served"`     // answered 200
 	Refused    Count `json:"refused"`    // answered 503 by the balancer's decision
 	Failed     Count `json:"failed"`     // answered 502 or 504
-	Rejected   Count `json:"rejected"`   // answered 4xx: malformed
+	Rejected   Count `json:"rejected"`   // answered without the balancer: malformed (4xx), draining or no capacity (503), deadline passed (504)
 	Left       Count `json:"left"`       // the client closed or reset its connection before the answer
 	Open       Count `json:"open"`       // in flight now
 	Overdue    Count `json:"overdue"`    // of the failed: ended by the watchdog, since the balancer had not decided
@@ -29,7 +30,7 @@
 // ends.
 type Operation struct {
 	Fulfilled Count `json:"fulfilled"` // answered 200
-	Throttled Count `json:"throttled"` // answered 429 or 503, by a server or by this node
+	Throttled Count `json:"throttled"` // answered 503 (or 429) by this node; servers' refusals are not passed on
 	Faulted   Count `json:"faulted"`   // every other ending
 	Relayed   Count `json:"relayed"`   // attempts written to a server as a whole
 }
@@ -45,7 +46,7 @@
 	return &Operation{}
 }
 
-// Registry describes the server list.
+// EndpointCounts describes the endpoint list.
 type EndpointCounts struct {
 	Entries Count `json:"entries"` // servers in the list, as the balancer has it
 	Avoided Count `json:"avoided"` // of these, the ones that get no requests in the ordinary way
@@ -101,7 +102,7 @@
 	Opened      Count `json:"opened"`
 	Open        Count `json:"open"`              // now
 	HeldUnknown Count `json:"held_back_unknown"` // times the kernel did not say whether it defers accepting silent connections
-	Paused      Count `json:"paused"`            // times accepting paused for lack of descriptors
+	Paused      Count `json:"paused"`            // times accepting paused: at the limit of connections, or after a failed accept
 	Short       Count `json:"short"`             // times a connection took one of the reserved descriptors
 }
 
@@ -205,7 +206,7 @@
 	Requests      Requests          `json:"requests"`
 	Stop          Shutdown          `json:"stop"`
 	Operations    Operations        `json:"operations"`
-	Rejections    ByCode            `json:"rejections"` // why requests were answered 4xx
+	Rejections    ByCode            `json:"rejections"` // why requests were answered without the balancer, by code; also before they count as taken
 	Endpoints     EndpointCounts    `json:"registry"`
 	Bodies        Bodies            `json:"large_bodies"`
 	Handover      Handover          `json:"handover"`
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -28,7 +28,7 @@
 	// Nodes is how many nodes poll the same discovery service; 0: not known, taken for few.
 	Nodes int
 
-	// Subscribe has the client call only after WatchEndpoints, instead of all the time.
+	// WatchOnRequest has the client call discovery only after WatchEndpoints, instead of all the time.
 	WatchOnRequest bool
 
 	// MaxPollInterval is the time after which discovery takes a node that has not called for informed; 0: never.
@@ -114,7 +114,7 @@
 	return list
 }
 
-// WatchEndpoints requests that the list be followed, for a client with Options.Subscribe. It does not block.
+// WatchEndpoints requests that the list be followed, for a client with Options.WatchOnRequest. It does not block.
 func (c *Client) WatchEndpoints() {
 	select {
 	case c.requested <- struct{}{}:
@@ -175,5 +175,5 @@
 		h.HandleMembers(list, kind)
 		return
 	}
-	c.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: kind, Endpoints: list.Entries()})
+	c.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: kind, Endpoints: list.Endpoints()})
 }
--- a/internal/discovery/intervals.go
+++ b/internal/discovery/intervals.go
@@ -9,7 +9,7 @@
 )
 
 // informDeadline is the time after which a change counts as known to this node, from when discovery had it and could be
-// reached, whatever the calls before met. The drain grace of a server runs from then on. No sequence of waits between a
+// reached, whatever the earlier calls met. The drain grace of a server runs from then on. No sequence of waits between a
 // change and its answer may take longer; see intervals.worstCase.
 const informDeadline = 6 * time.Second
 
@@ -21,10 +21,10 @@
 	// watchOverrun is how long the answer to a watch may take beyond the time for which discovery holds it.
 	watchOverrun = time.Second
 
-	// callTimeoutFewNodes is the timeout of any other call.
+	// callTimeoutFewNodes is the timeout of a call that is no watch.
 	callTimeoutFewNodes = 1500 * time.Millisecond
 
-	// callTimeoutManyNodes is the same where nodes are many, since discovery then lets calls wait for up to 2 s. A call that
+	// callTimeoutManyNodes is the timeout of a call that is no watch where nodes are many, since discovery then lets calls wait for up to 2 s. A call that
 	// is given up sooner has waited for nothing, and costs discovery as much.
 	callTimeoutManyNodes = 2500 * time.Millisecond
 )
@@ -45,7 +45,7 @@
 	// the grace. A longer pause has this node send requests to servers that drain.
 	silentBackoffGraceShare = 1.0 / 3
 
-	// minSilentBackoff bounds the above from below, for a very short grace.
+	// minSilentBackoff is the least pause after a call that got no answer, however short the grace.
 	minSilentBackoff = 20 * time.Millisecond
 )
 
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// Entries converts the members to the balancer's form. A member in an unknown phase counts as draining: it gets no new
+// Endpoints converts the members to the balancer's form. A member in an unknown phase counts as draining: it gets no new
 // requests.
-func (l List) Entries() []balancer.Endpoint {
+func (l List) Endpoints() []balancer.Endpoint {
 	entries := make([]balancer.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
 		state, known := states[m.Phase]
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -5,20 +5,20 @@
 import "time"
 
 const (
-	// KillAfter is the shortest time between SIGTERM and SIGKILL beyond the longest deadline of the deployment (PROTOCOL,
-	// planned restarts).
+	// KillAfter is the shortest time between SIGTERM and SIGKILL beyond the longest timeout of the deployment
+	// (docs/operating/stops.md).
 	KillAfter = 700 * time.Millisecond
 
-	// MaxDeadline is the longest deadline that the earliest SIGKILL allows for, whatever the settings say.
-	MaxDeadline = 3 * time.Second
+	// MaxTimeout is the longest timeout of a request that the earliest SIGKILL allows for, whatever the settings say.
+	MaxTimeout = 3 * time.Second
 
 	// MaxPause is how long the process may be paused between any two steps.
 	MaxPause = 150 * time.Millisecond
 
-	// newConnectionTime is how long new connections go on coming after the signal: 0.4 s by the protocol, and a little for
+	// NewConnectionTime is how long new connections go on coming after the signal: 0.4 s by the protocol, and a little for
 	// their first request. Until then idle connections stay open too: a client whose connection is closed would only come
 	// back.
-	newConnectionTime = 450 * time.Millisecond
+	NewConnectionTime = 450 * time.Millisecond
 
 	// minListenTime is how long the listener stays open at least: closing it resets the connections in its queue.
 	minListenTime = 550 * time.Millisecond
@@ -32,8 +32,9 @@
 	CloseListener time.Duration
 	// RejectIncomplete is when requests that are incomplete begin to be rejected.
 	RejectIncomplete time.Duration
-	// LastForward is until when requests are forwarded. What is read later is rejected at once: nothing of it has run.
-	LastForward time.Duration
+	// LastAdmission is until when requests are admitted. What is read later is rejected at once: nothing of it has run.
+	// Admitted requests may still be forwarded or retried until LastResponse.
+	LastAdmission time.Duration
 	// LastResponse is by when every response is written. A request waits for its response no longer, and the listener is closed
 	// whatever its queue holds.
 	LastResponse time.Duration
@@ -43,18 +44,18 @@
 
 // NewPlan plans the shutdown of a node whose clients wait for so long at most; 0: there is no limit.
 func NewPlan(longest time.Duration) Plan {
-	if longest <= 0 || longest > MaxDeadline {
-		longest = MaxDeadline
+	if longest <= 0 || longest > MaxTimeout {
+		longest = MaxTimeout
 	}
 	kill := longest + KillAfter
 	// The process may be paused before it notices the signal, and again right before it writes the last response.
 	lastResponse := kill - 2*MaxPause
-	lastForward := lastResponse - MaxPause
+	lastAdmission := lastResponse - MaxPause
 	return Plan{
-		CloseIdle:        min(newConnectionTime, lastResponse),
+		CloseIdle:        min(NewConnectionTime, lastResponse),
 		CloseListener:    min(minListenTime, lastResponse),
-		RejectIncomplete: min(minListenTime, lastForward),
-		LastForward:      lastForward,
+		RejectIncomplete: min(minListenTime, lastAdmission),
+		LastAdmission:    lastAdmission,
 		LastResponse:     lastResponse,
 		Kill:             kill,
 	}
--- a/internal/endpointmerge/move.go
+++ b/internal/endpointmerge/move.go
@@ -3,25 +3,25 @@
 import "sort"
 
 // group is where servers drop repetitions of a keyed request together.
-type group struct{ zone, pod string }
+type dedupScope struct{ zone, pod string }
 
-func (g group) String() string { return g.zone + "/" + g.pod }
+func (g dedupScope) String() string { return g.zone + "/" + g.pod }
 
 // move is a member's change to another group. Its zero value is none. It is queued first, while too many others move, and
 // started then: the member gets no new requests until the move ends.
 type move struct {
 	queued bool
 	ends   Millis // once started; 0 before
-	to     group
+	to     dedupScope
 }
 
 func (m move) started() bool { return m.ends > 0 }
 func (m move) pending() bool { return m.queued || m.started() }
 
-func (m *member) group() group { return group{m.Zone, m.Pod} }
+func (m *member) group() dedupScope { return dedupScope{m.Zone, m.Pod} }
 
 // planMove has a member keep its present group, and queues its move if its sources now give it another.
-func (v *View) planMove(m *member, present group) {
+func (v *View) planMove(m *member, present dedupScope) {
 	wanted := m.group()
 	if wanted == present {
 		if m.move.started() { // back before the move ended: no new requests went to it meanwhile
@@ -112,7 +112,7 @@
 		v.pods.rename(m.cell, m.Pod, m.move.to.pod)
 		m.Pod = m.move.to.pod
 		m.move.queued = false
-		m.move.to = group{}
+		m.move.to = dedupScope{}
 		m.MovingTo = ""
 		delete(v.relocating, m.ID)
 	}
@@ -120,8 +120,8 @@
 }
 
 // renamedGroups are the groups whose queued moves are a renaming.
-func (v *View) renamedGroups(queue []*member) map[group]bool {
-	groupSize := map[group]int{}
+func (v *View) renamedGroups(queue []*member) map[dedupScope]bool {
+	groupSize := map[dedupScope]int{}
 	podSize := map[string]int{} // in all zones
 	for _, m := range v.members {
 		groupSize[m.group()]++
@@ -131,15 +131,15 @@
 	for _, m := range v.relocating {
 		joining[m.move.to.pod]++
 	}
-	leaving := map[group]map[group]int{} // by present and new group
+	leaving := map[dedupScope]map[dedupScope]int{} // by present and new group
 	for _, m := range queue {
 		from := m.group()
 		if leaving[from] == nil {
-			leaving[from] = map[group]int{}
+			leaving[from] = map[dedupScope]int{}
 		}
 		leaving[from][m.move.to]++
 	}
-	renamed := map[group]bool{}
+	renamed := map[dedupScope]bool{}
 	for from, destinations := range leaving {
 		for to, n := range destinations {
 			allLeave := n == groupSize[from] && n == podSize[from.pod]
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -72,7 +72,7 @@
 		consumer.handleDiscovery(l, kind)
 		return
 	}
-	d.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: kind, Endpoints: l.Entries()})
+	d.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: kind, Endpoints: l.Endpoints()})
 }
 
 // attach turns the inventory on: addresses and lists come from publish from now on. Discovery's complete list is requested
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -32,7 +32,7 @@
 type Node interface {
 	Endpoints() *Directory
 	Clock() clock.Clock
-	// IdempotencyWindow is the longest time for which servers drop repetitions of a request with an idempotency key.
+	// LongestDedupWindow is the longest time for which servers drop repetitions of a request with an idempotency key.
 	LongestDedupWindow() time.Duration
 	Counters() *counters.Counters
 }
@@ -192,7 +192,8 @@
 
 // publish hands the first list to the balancer as a whole, once it is complete, and then the changes of each event.
 func (i *Inventory) publish(e sourceEvent, outcome endpointmerge.Outcome) {
-	// A balancer that requests discovery's list waits for an answer, also where that changes nothing.
+	// A balancer that requests discovery's list waits for an answer, also where a delta changes nothing. A complete list that
+	// changes nothing is not passed on.
 	_, discoveryAnswered := e.event.(endpointmerge.Delta)
 	switch {
 	case !i.published && !i.firstListReady():
@@ -208,7 +209,7 @@
 	i.unsaved = i.unsaved || len(outcome.Changes) > 0
 	count := &i.node.Counters().Inventory
 	count.Pushes.Inc()
-	count.Entries.Add(int64(len(outcome.Changes)))
+	count.Entries.Add(int64(len(outcome.Changes))) // of the first list, the changes of the event that completed it
 }
 
 // firstListReady reports whether there is a list to begin with, and no source has to be waited for.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,7 +17,7 @@
 // noTimerWait is how long the engine sleeps where no timer is set.
 const noTimerWait = time.Hour
 
-// Module is what decides.
+// Balancer is what decides.
 type Balancer interface {
 	// Step takes one event at the given time and returns what is to be done, in order.
 	Step(now balancer.Millis, event balancer.Event) []balancer.Action
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -116,7 +116,7 @@
 		c.discard()
 		return
 	}
-	if c.ClientGone { // the client's own cancellation may be waiting in the mailbox
+	if c.ClientDisconnected { // the client's own cancellation may be waiting in the mailbox
 		e.counters.Attempts.Unwanted.Inc()
 		e.handleCancelled(a.request)
 		return
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -10,9 +10,10 @@
 // Request is one client's request. Its methods do not wait.
 type Request interface {
 	Arrival() balancer.Arrival
-	// StartAttempt starts an attempt that is waited for during wait, and that must be written whole
-	// by writeDeadline; 0: no limit. done is called once, unless the attempt is aborted first.
-	StartAttempt(server balancer.ServerID, wait, writeDeadline balancer.Millis, done func(Completion)) Attempt
+	// StartAttempt starts an attempt with a timeout, which must be written whole by writeDeadline; 0: no
+	// limit. An infinite timeout means that the body is still being uploaded. done is called once,
+	// unless the attempt is aborted first.
+	StartAttempt(server balancer.ServerID, timeout, writeDeadline balancer.Millis, done func(Completion)) Attempt
 	Respond(Response)
 }
 
@@ -25,12 +26,12 @@
 
 // Completion is how an attempt or a probe ended. Whoever waits for the response gets the body with it.
 type Completion struct {
-	Outcome    balancer.Outcome
-	Elapsed    balancer.Millis
-	Report     balancer.LoadReport
-	Body       []byte        // of a served response, or its beginning
-	Remaining  RemainingBody // what is still to come of it; nil where it is complete
-	ClientGone bool          // nothing was written whole, since the client had gone
+	Outcome            balancer.Outcome
+	Elapsed            balancer.Millis
+	Report             balancer.LoadReport
+	Body               []byte        // of a served response, or its beginning
+	Remaining          RemainingBody // what is still to come of it; nil where it is complete
+	ClientDisconnected bool          // nothing was written whole, since the client had gone
 }
 
 // discard lets go of a response that nobody gets.
@@ -95,13 +96,13 @@
 	// ErrWriteDeadline says that a request could not be written whole in time. Nothing that a
 	// server could begin has been.
 	ErrWriteDeadline = errors.New("not written whole in time")
-	// ErrClientGone says that a request was not written whole since its client has gone. Nothing
+	// ErrClientDisconnected says that a request was not written whole since its client has gone. Nothing
 	// that a server could begin has been.
-	ErrClientGone = errors.New("the client has gone")
+	ErrClientDisconnected = errors.New("the client has gone")
 )
 
 // CheckWritable says why the last byte must not be written any more: ErrWriteDeadline or
-// ErrClientGone; nil where it may.
+// ErrClientDisconnected; nil where it may.
 //
 // A repeat that is written after its window may run a second time, and one whose client has gone
 // does work for nobody.
@@ -110,7 +111,7 @@
 		return ErrWriteDeadline
 	}
 	if r.ClientWaiting != nil && !r.ClientWaiting() {
-		return ErrClientGone
+		return ErrClientDisconnected
 	}
 	return nil
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -37,14 +37,14 @@
 type dropReason string
 
 const (
-	dropTooLong   dropReason = "too_long"
-	dropQueueFull dropReason = "queue_full"
-	dropWrite     dropReason = "write"
-	dropRead      dropReason = "read"
-	dropRate      dropReason = "rate"
-	dropStranger  dropReason = "stranger" // the sender's address is no other node's
-	dropSize      dropReason = "size"
-	dropNumber    dropReason = "number" // the message has another number than its address
+	dropTooLong       dropReason = "too_long"
+	dropQueueFull     dropReason = "queue_full"
+	dropWrite         dropReason = "write"
+	dropRead          dropReason = "read"
+	dropRate          dropReason = "rate"
+	dropUnknownSender dropReason = "stranger" // the sender's address is no other node's
+	dropSize          dropReason = "size"
+	dropNumber        dropReason = "number" // the message has another number than its address
 )
 
 // Receiver takes other nodes' messages.
@@ -172,7 +172,7 @@
 	number, known := t.numbers[from]
 	switch {
 	case !known || number == t.options.Node:
-		t.drop(dropStranger)
+		t.drop(dropUnknownSender)
 	case len(message) <= headerBytes || len(message) > headerBytes+balancer.MaxGossipBytes:
 		t.drop(dropSize)
 	case binary.BigEndian.Uint32(message) != uint32(number):
--- a/internal/ingress/admindrain.go
+++ b/internal/ingress/admindrain.go
@@ -1,12 +1,15 @@
 package ingress
 
-import "time"
+import (
+	"time"
+
+	"tackhub.example/tackhub/internal/drain"
+)
 
 const (
-	// adminDrainDelay is how long after the call idle connections stay open. For so long new connections still come: the
-	// front proxy checks the health ten times a second and acts on it 0.2 s later. A client whose connection is closed
-	// earlier only comes back.
-	adminDrainDelay = 450 * time.Millisecond
+	// adminDrainDelay is how long after the call idle connections stay open: for so long new connections still come, and a
+	// client whose connection is closed earlier only comes back.
+	adminDrainDelay = drain.NewConnectionTime
 
 	// adminDrainInterval and adminDrainBatch spread the closing, so that the other nodes do not get all clients at one
 	// moment. The most connections in use, 512, take 1.1 s, well within the 4 s after which none may be left.
@@ -19,8 +22,8 @@
 	ended chan struct{}
 }
 
-// AdminDrained reports whether an administrative drain is on.
-func (s *Server) AdminDrained() bool {
+// AdminDraining reports whether an administrative drain is in progress.
+func (s *Server) AdminDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.adminDrain != nil
--- a/internal/ingress/connstate.go
+++ b/internal/ingress/connstate.go
@@ -16,7 +16,7 @@
 	closeSlowRequest  = "slow_request"  // a request was not complete in time
 	closeBadRequest   = proxy.ReasonBadRequest
 	closeWriteFailed  = "write_failed"     // a response could not be written
-	closeEvicted      = "descriptor_limit" // closed to make room
+	closeEvicted      = "descriptor_limit" // closed to make room at a limit of connections or descriptors
 	closeDrained      = "drained"          // by a graceful shutdown or an administrative drain
 	closeOther        = "ended"            // none of these
 )
@@ -39,7 +39,7 @@
 func (c *conn) closeAfterResponse() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing == "" && (c.server.draining() || c.server.AdminDrained()) {
+	if c.closing == "" && (c.server.draining() || c.server.AdminDraining()) {
 		return closeDrained
 	}
 	return c.closing
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -12,16 +12,16 @@
 	// so long.
 	drainInterval = 10 * time.Millisecond
 
-	// lateQuietTime is the latter once every request that is read is rejected.
+	// lateQuietTime replaces drainInterval as that time once every request that is read is rejected.
 	lateQuietTime = 2 * time.Millisecond
 
 	// firstRequestTime is how long a connection that came late may take to send its first request.
 	firstRequestTime = 100 * time.Millisecond
 )
 
-// Drain begins a graceful shutdown: clients that come are still served, and connections are closed between requests. Later
+// BeginShutdown begins a graceful shutdown: clients that come are still served, and connections are closed between requests. Later
 // calls change nothing.
-func (s *Server) Drain(l Listener, schedule *drain.Schedule) {
+func (s *Server) BeginShutdown(l Listener, schedule *drain.Schedule) {
 	if !s.schedule.CompareAndSwap(nil, schedule) {
 		return
 	}
@@ -40,7 +40,7 @@
 // quietTime is how long nothing must have come for the accept queue to count as empty.
 func (s *Server) quietTime() time.Duration {
 	schedule := s.schedule.Load()
-	if schedule != nil && schedule.Reached(schedule.LastForward, time.Now()) {
+	if schedule != nil && schedule.Reached(schedule.LastAdmission, time.Now()) {
 		return lateQuietTime
 	}
 	return drainInterval
--- a/internal/ingress/handle.go
+++ b/internal/ingress/handle.go
@@ -19,6 +19,7 @@
 	headerTooLarge = "Tackhub-Too-Large"
 
 	codeBodyTooLarge = "body_too_large"
+	codeNoRoom       = "no_room" // no capacity for a large body
 )
 
 // serve serves a connection until it ends, and logs that.
@@ -132,7 +133,7 @@
 func (s *Server) health(ctx *fasthttp.RequestCtx) {
 	// With a successor the node goes on, whichever of its processes is asked.
 	stopping := s.draining() && !s.hasSuccessor.Load()
-	if stopping || s.AdminDrained() {
+	if stopping || s.AdminDraining() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
--- a/internal/ingress/requestbody.go
+++ b/internal/ingress/requestbody.go
@@ -131,7 +131,7 @@
 		// Nothing was forwarded completely, so a retry is harmless, and another node may have capacity.
 		s.logNoCapacity(err)
 		ctx.Response.Header.Set("Retry-After", "1")
-		return proxy.Rejection{Status: fasthttp.StatusServiceUnavailable, Code: "no_room"}
+		return proxy.Rejection{Status: fasthttp.StatusServiceUnavailable, Code: codeNoRoom}
 	case isTimeout(err):
 		return slowRejection(c)
 	}
@@ -142,7 +142,7 @@
 // In the latter case nothing of it has run, and another node may have time for it.
 func slowRejection(c *conn) proxy.Rejection {
 	if c != nil && c.closesFor(closeDrained) {
-		return proxy.Rejection{Status: fasthttp.StatusServiceUnavailable, Code: "draining"}
+		return proxy.Rejection{Status: fasthttp.StatusServiceUnavailable, Code: proxy.CodeDraining}
 	}
 	return proxy.Rejection{Status: fasthttp.StatusRequestTimeout, Code: "slow"}
 }
@@ -152,7 +152,7 @@
 	if !s.allowLog(&s.logLimits.noCapacity) {
 		return
 	}
-	s.options.Log.Warn("large requests are rejected", "code", "no_room", "error", err,
+	s.options.Log.Warn("large requests are rejected", "code", codeNoRoom, "error", err,
 		"refused", s.options.Counters.Bodies.Refused.Get())
 }
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,8 +19,8 @@
 	// syncIntervals is how many probe intervals pass between two exchanges of full states, and between pings of the seeds.
 	syncIntervals = 40
 
-	// maxDatagram is what a datagram may hold, in bytes: every usual link carries that in one packet.
-	maxDatagram = 1200
+	// MaxDatagramBytes is what a datagram may hold, in bytes: every usual link carries that in one packet.
+	MaxDatagramBytes = 1200
 
 	// What a message takes besides its updates, and what an update takes besides its texts, at most and in bytes.
 	maxHeaderBytes = 160
@@ -98,7 +98,7 @@
 	if len(c.updates) == 0 {
 		return updates
 	}
-	room := maxDatagram - maxHeaderBytes
+	room := MaxDatagramBytes - maxHeaderBytes
 	for _, u := range updates {
 		room -= sizeOf(u)
 	}
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -16,7 +16,7 @@
 // endpoints.Node, front.Node and cluster.Node.
 
 // Ready reports whether this process serves clients and is not drained.
-func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.AdminDrained() }
+func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.AdminDraining() }
 
 // Stats is the counters' summary for administrators, in JSON.
 func (n *node) Stats() []byte { return n.counters.AdminSummary() }
@@ -48,7 +48,7 @@
 // Counters are the node's counters.
 func (n *node) Counters() *counters.Counters { return n.counters }
 
-// IdempotencyWindow is the longest time in which the repeats of a request with an idempotency key
+// LongestDedupWindow is the longest time in which the repeats of a request with an idempotency key
 // are dropped.
 func (n *node) LongestDedupWindow() time.Duration { return n.dedupWindow }
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// TookOver reports whether another process of this node ran when this one started.
+// HasPredecessor reports whether another process of this node ran when this one started.
 func (n *node) HasPredecessor() bool { return n.upgrade != nil && n.upgrade.predecessorLink != nil }
 
-// Succeeded reports whether another process takes over now.
+// HasSuccessor reports whether another process takes over now.
 func (n *node) HasSuccessor() bool { return n.upgrade != nil && n.upgrade.successorServes.Load() }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -30,12 +30,12 @@
 func (n *node) beginShutdown(schedule *drain.Schedule, l ingress.Listener, signal string, log *slog.Logger) {
 	n.serving.Store(false)
 	n.inFlight.BeginShutdown(schedule.Began)
-	n.handler.Drain(schedule)
-	n.ingress.Drain(l, schedule)
+	n.handler.BeginShutdown(schedule)
+	n.ingress.BeginShutdown(l, schedule)
 	log.Info("draining", "code", "drain", "signal", signal, "open", n.inFlight.Open(),
 		"close_idle_ms", schedule.CloseIdle.Milliseconds(),
 		"close_listener_ms", schedule.CloseListener.Milliseconds(),
-		"last_forward_ms", schedule.LastForward.Milliseconds(),
+		"last_forward_ms", schedule.LastAdmission.Milliseconds(),
 		"last_answer_ms", schedule.LastResponse.Milliseconds(),
 		"kill_ms", schedule.Kill.Milliseconds())
 }
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -154,7 +154,7 @@
 
 // State is what the successor gets.
 func (u *upgrade) State() (json.RawMessage, error) {
-	state := transferredNode{List: u.node.discovery.List(), Drained: u.node.ingress.AdminDrained()}
+	state := transferredNode{List: u.node.discovery.List(), Drained: u.node.ingress.AdminDraining()}
 	if !u.node.engine.RunBetweenSteps(func() { state.Balancer = u.node.shadow.Snapshot() }) {
 		return nil, errEngineEnded
 	}
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -21,10 +21,9 @@
 	// recoveryDecisions in a row must have capacity for everything before the overload ends.
 	recoveryDecisions = 8
 
-	// So much more than was accepted is admitted: fullGrowth where no more than lowAccepted of the admitted requests were
-	// accepted, as a part of what it is without overload, spareGrowth where it was highAccepted or more, and a value between the
-	// two in between. With fullGrowth full servers keep a short queue; with spareGrowth the admitted requests double in some
-	// three windows once servers are back.
+	// The limit is the accepted rate times a growth factor. Relative to before the overload: if at most lowAccepted of the
+	// admitted requests are accepted, the factor is fullGrowth, which keeps a short queue at the servers; from highAccepted on it
+	// is spareGrowth, which doubles the limit in about three windows; in between it is interpolated.
 	fullGrowth   = 1.04
 	spareGrowth  = 1.35
 	lowAccepted  = 0.94
@@ -79,23 +78,23 @@
 	byPriority []int // indices of the classes, the highest priority first
 	reporters  []string
 
-	active        bool
-	overloadedFor int     // decisions in a row with more rejections than overloadRatio
-	recoveredFor  int     // decisions in a row with capacity for everything
-	admitted      float64 // fraction of all requests; 0: not decided in this overload
-	calmAccepted  float64 // fraction of all requests that was accepted before the overload
-	fractions     []float64
-	retryHoldback float64
-	rates         FleetRates
+	active                bool
+	overloadedFor         int     // decisions in a row with more rejections than overloadRatio
+	recoveredFor          int     // decisions in a row with capacity for everything
+	admitted              float64 // fraction of all requests; 0: not decided in this overload
+	baselineAcceptedRatio float64 // fraction of all requests that was accepted before the overload
+	fractions             []float64
+	retryHoldback         float64
+	rates                 FleetRates
 }
 
 // New returns the state of a process that knows of no load.
 func New(options Options) *Controller {
 	c := &Controller{
-		options:      options,
-		sources:      map[string]*source{},
-		fractions:    make([]float64, len(options.Classes)),
-		calmAccepted: 1,
+		options:               options,
+		sources:               map[string]*source{},
+		fractions:             make([]float64, len(options.Classes)),
+		baselineAcceptedRatio: 1,
 	}
 	for i := range options.Classes {
 		c.byPriority = append(c.byPriority, i)
@@ -129,7 +128,7 @@
 		c.recoveredFor = 0
 	}
 	if c.active {
-		rates.Limit = c.limit(rates, requested, accepted)
+		rates.Limit = c.updateLimit(rates, requested, accepted)
 		c.detectRecovery(rates.Limit, requested)
 		c.admitByPriority(rates)
 	}
@@ -150,7 +149,7 @@
 		c.recoveredFor = 0
 		c.admitted = 0
 	case c.overloadedFor == 0:
-		c.calmAccepted = accepted / requested
+		c.baselineAcceptedRatio = accepted / requested
 	}
 }
 
@@ -165,15 +164,15 @@
 	}
 }
 
-// limit returns how many requests a second are admitted: what was accepted, and somewhat more so that the limit finds the capacity
-// of the servers.
-func (c *Controller) limit(rates FleetRates, requested, accepted float64) float64 {
-	const nothing = 1e-9 // avoids a division by zero
-	admittedBefore := max(nothing, requested-rates.Shed)
-	acceptedRatio := min(1, accepted/admittedBefore/c.calmAccepted)
+// updateLimit smooths the admitted fraction towards the latest decision and returns the requests admitted per second: what was
+// accepted, and somewhat more so that the limit finds the capacity of the servers.
+func (c *Controller) updateLimit(rates FleetRates, requested, accepted float64) float64 {
+	const epsilon = 1e-9 // avoids a division by zero
+	admittedBefore := max(epsilon, requested-rates.Shed)
+	acceptedRatio := min(1, accepted/admittedBefore/c.baselineAcceptedRatio)
 	spare := min(1, max(0, acceptedRatio-lowAccepted)/(highAccepted-lowAccepted))
 	growth := fullGrowth + (spareGrowth-fullGrowth)*spare
-	next := max(minAdmitted, growth*accepted/c.calmAccepted/requested)
+	next := max(minAdmitted, growth*accepted/c.baselineAcceptedRatio/requested)
 	if c.admitted == 0 {
 		c.admitted = next
 	}
@@ -188,11 +187,11 @@
 		failures := 1 - rates.Successes/rates.Attempts
 		wanted = min(1, max(0, failures-fewFailures)/(manyFailures-fewFailures))
 	}
-	c.retryHoldback = max(wanted*strength(rates), c.retryHoldback-retryRecovery)
+	c.retryHoldback = max(wanted*coverageWeight(rates), c.retryHoldback-retryRecovery)
 }
 
-// strength is the effect that a decision has, from 0 to 1: with part of the fleet unheard of it is less.
-func strength(rates FleetRates) float64 {
+// coverageWeight is the effect that a decision has, from 0 to 1: with part of the fleet unheard of it is less.
+func coverageWeight(rates FleetRates) float64 {
 	return min(1, max(0, 2*rates.Coverage/fullCoverage-1))
 }
 
@@ -202,7 +201,7 @@
 	for _, requested := range rates.Requested {
 		left -= minClassAdmitted * requested
 	}
-	effect := strength(rates)
+	effect := coverageWeight(rates)
 	for _, i := range c.byPriority {
 		requested := rates.Requested[i]
 		admitted := min(requested*(1-minClassAdmitted), max(0, left))
--- a/internal/overload/rates.go
+++ b/internal/overload/rates.go
@@ -89,15 +89,15 @@
 	}
 	slices.SortFunc(all, func(a, b processRates) int { return cmp.Compare(a.allRequested, b.allRequested) })
 	for _, r := range all {
-		out.add(r, credibility(r, all))
+		out.add(r, reporterWeight(r, all))
 	}
 	out.Coverage = min(1, float64(out.Members)/float64(max(1, len(c.reporters))))
 	return out
 }
 
-// credibility is the factor by which a process's rates count, given all of them in the order of their requests: 1, or less for one
+// reporterWeight is the factor by which a process's rates count, given all of them in the order of their requests: 1, or less for one
 // that claims more than maxOfMedian times the median.
-func credibility(r processRates, sorted []processRates) float64 {
+func reporterWeight(r processRates, sorted []processRates) float64 {
 	limit := maxOfMedian * sorted[len(sorted)/2].allRequested
 	if len(sorted) > 2 && r.allRequested > limit && limit > 0 {
 		return limit / r.allRequested
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -22,7 +22,7 @@
 	if rejected := in.validate(class, known); rejected != nil {
 		return rejected
 	}
-	timeout, ok := parseDeadline(in.deadline)
+	timeout, ok := parseTimeout(in.timeout)
 	if !ok {
 		return &Rejection{fasthttp.StatusBadRequest, "bad_deadline"}
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,12 +11,12 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// codeDraining is why a request is rejected that was read too late in a graceful shutdown.
-const codeDraining = "draining"
+// CodeDraining is why a request is rejected that was read too late in a graceful shutdown.
+const CodeDraining = "draining"
 
-// Drain begins a graceful shutdown: no request waits for its response beyond the schedule's last response, and what is read
-// after its last forward is rejected at once. Later calls change nothing.
-func (h *Handler) Drain(schedule *drain.Schedule) {
+// BeginShutdown begins a graceful shutdown: no request waits for its response beyond the schedule's last response, and what is read
+// after its last admission is rejected at once. Later calls change nothing.
+func (h *Handler) BeginShutdown(schedule *drain.Schedule) {
 	if h.schedule.CompareAndSwap(nil, schedule) {
 		close(h.draining)
 	}
@@ -26,10 +26,10 @@
 // and another node has time for it.
 func (h *Handler) rejectLate() *Rejection {
 	schedule := h.schedule.Load()
-	if schedule == nil || !schedule.Reached(schedule.LastForward, time.Now()) {
+	if schedule == nil || !schedule.Reached(schedule.LastAdmission, time.Now()) {
 		return nil
 	}
-	return &Rejection{fasthttp.StatusServiceUnavailable, codeDraining}
+	return &Rejection{fasthttp.StatusServiceUnavailable, CodeDraining}
 }
 
 // limitDeadline limits a request's deadline to what a shutdown allows: its watchdog must still fire before the shutdown's
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -13,10 +13,10 @@
 // outgoing is a request as it is forwarded: without hop-by-hop fields, and with the time left in place of the client's
 // deadline. It shares no memory with the client's connection, since an attempt may outlive the request.
 type outgoing struct {
-	head      []byte // request line and fields, without the empty line that ends them
-	body      []byte
-	largeBody engine.RequestBody // in place of body
-	expires   balancer.Millis
+	head              []byte // request line and fields, without the empty line that ends them
+	body              []byte
+	largeBody         engine.RequestBody // in place of body
+	submittedDeadline balancer.Millis
 }
 
 // notForwarded are the hop-by-hop fields, and those that are written anew.
@@ -55,7 +55,7 @@
 		head = append(head, "\r\n"...)
 	}
 	body := append([]byte(nil), in.body...)
-	return outgoing{head: head, body: body, largeBody: in.largeBody, expires: expires}
+	return outgoing{head: head, body: body, largeBody: in.largeBody, submittedDeadline: expires}
 }
 
 func appendField(head, name, value []byte) []byte {
@@ -76,9 +76,9 @@
 }
 
 // StartAttempt starts an attempt. The engine calls it for each one that the balancer decides on. An infinite timeout is that
-// of a request whose body is still uploaded; the last byte must be written by writeBy, where that is not 0.
+// of a request whose body is still uploaded; the last byte must be written by writeDeadline, where that is not 0.
 func (r *request) StartAttempt(
-	server balancer.ServerID, timeout, writeBy balancer.Millis, done func(engine.Completion),
+	server balancer.ServerID, timeout, writeDeadline balancer.Millis, done func(engine.Completion),
 ) engine.Attempt {
 	if math.IsInf(timeout, 1) {
 		timeout = r.timeout // it begins once the body is complete
@@ -90,8 +90,8 @@
 		OnWritten:     relayed.Inc,
 		ClientWaiting: r.clientWaiting,
 	}
-	if writeBy > 0 {
-		c.WriteDeadline = time.Now().Add(clock.Span(writeBy - r.handler.options.Clock.Now()))
+	if writeDeadline > 0 {
+		c.WriteDeadline = time.Now().Add(clock.Span(writeDeadline - r.handler.options.Clock.Now()))
 	}
 	return r.handler.options.Send(server, c, done)
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -1,5 +1,6 @@
 // Package proxy handles one HTTP request from its arrival to its final response. A request passes these stages, each in a
-// file of its own: receive, admit, route to the balancer, forward to servers, respond, and record in the counters.
+// file of that name: receive, admit, upload, forward, respond, stream and record. Its hand-over to the balancer is route, in
+// request.go.
 package proxy
 
 import (
@@ -110,7 +111,7 @@
 func (r *request) process(ctx *fasthttp.RequestCtx) outcome {
 	// The request may have waited in the kernel or in a queue while its client gave it up.
 	if r.client.Disconnected() {
-		return r.clientLeft(ctx)
+		return r.clientDisconnected(ctx)
 	}
 	r.route()
 	if o := r.upload(ctx); o != nil {
--- a/internal/proxy/receive.go
+++ b/internal/proxy/receive.go
@@ -34,7 +34,7 @@
 	id             string
 	class          string
 	tenant         string
-	deadline       string
+	timeout        string
 	idempotencyKey string
 	isRetry        bool
 	costHint       string
@@ -54,7 +54,7 @@
 		id:             string(header.Peek(HeaderID)),
 		class:          string(header.Peek(HeaderClass)),
 		tenant:         string(header.Peek(HeaderTenant)),
-		deadline:       string(header.Peek(HeaderDeadline)),
+		timeout:        string(header.Peek(HeaderDeadline)),
 		idempotencyKey: string(header.Peek(HeaderIdempotencyKey)),
 		isRetry:        string(header.Peek(headerRetry)) == "1",
 		costHint:       string(header.Peek(headerCostHint)),
@@ -109,8 +109,8 @@
 // in vain. The protocol's longest deadline is 3 s.
 const maxTimeout = 60_000
 
-// parseDeadline parses the deadline field: whole milliseconds in digits alone, so neither a sign nor an exponent.
-func parseDeadline(s string) (balancer.Millis, bool) {
+// parseTimeout parses the deadline field: whole milliseconds in digits alone, so neither a sign nor an exponent.
+func parseTimeout(s string) (balancer.Millis, bool) {
 	n, err := strconv.ParseUint(s, 10, 63)
 	return balancer.Millis(min(n, maxTimeout)), err == nil
 }
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -24,7 +24,7 @@
 	case o.rejectCode != "":
 		c.Rejected.Inc()
 		r.handler.options.Counters.Rejections.Inc(o.rejectCode)
-	case o.clientLeft:
+	case o.clientDisconnected:
 		c.Left.Inc()
 	case o.status == fasthttp.StatusOK:
 		c.Served.Inc()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -47,7 +47,7 @@
 		WorkHint:      parseCostHint(in.costHint),
 		IsRetry:       in.isRetry,
 		SamplingMark:  xxhash.Sum64String(in.id),
-		Deadline:      r.outgoing.expires,
+		Deadline:      r.outgoing.submittedDeadline,
 		UploadTimeout: r.maxUploadTime(),
 	}
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -21,14 +21,14 @@
 
 // outcome is what became of a request.
 type outcome struct {
-	status     int
-	kind       engine.ResponseKind
-	body       []byte
-	retryAfter float64         // milliseconds; 0: none
-	rejectCode string          // why the request was not admitted; "": it was
-	clientLeft bool            // the client disconnected before its response
-	overdue    bool            // ended by the watchdog
-	stream     *responseStream // a large response, which is still being written
+	status             int
+	kind               engine.ResponseKind
+	body               []byte
+	retryAfter         float64         // milliseconds; 0: none
+	rejectCode         string          // why the request was not admitted; "": it was
+	clientDisconnected bool            // the client disconnected before its response
+	overdue            bool            // ended by the watchdog
+	stream             *responseStream // a large response, which is still being written
 }
 
 // awaitResponse waits for the final response. It ends early when the client disconnects. Its watchdog ends it should the
@@ -49,7 +49,7 @@
 			return outcomeOf(resp)
 		case <-left:
 			r.cancel()
-			return r.clientLeft(ctx)
+			return r.clientDisconnected(ctx)
 		case <-draining:
 			draining = nil // a closed channel would be ready for good
 			shortened = r.shorten(watchdog)
@@ -63,11 +63,11 @@
 	}
 }
 
-// clientLeft closes the connection of a client that has disconnected.
-func (r *request) clientLeft(ctx *fasthttp.RequestCtx) outcome {
+// clientDisconnected closes the connection of a client that has disconnected.
+func (r *request) clientDisconnected(ctx *fasthttp.RequestCtx) outcome {
 	r.client.SetCloseReason(ReasonClientLeft)
 	ctx.SetConnectionClose()
-	return outcome{status: statusClientLeft, clientLeft: true}
+	return outcome{status: statusClientLeft, clientDisconnected: true}
 }
 
 // outcomeOf gives a response its status. A server's own refusals and errors are never passed on: only the balancer knows
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -65,11 +65,11 @@
 func (r *request) routeAgain(ctx *fasthttp.RequestCtx) *outcome {
 	discard(<-r.response)
 	if r.client.Disconnected() {
-		o := r.clientLeft(ctx)
+		o := r.clientDisconnected(ctx)
 		return &o
 	}
 	r.received.uploading = false
-	r.outgoing.expires = r.deadline
+	r.outgoing.submittedDeadline = r.deadline
 	r.route()
 	return nil
 }
--- a/internal/shadow/evaluator.go
+++ b/internal/shadow/evaluator.go
@@ -32,7 +32,7 @@
 	return e
 }
 
-// Follow evaluates other settings from the next step on; none where nil. It is safe for concurrent use.
+// SetSettings evaluates other settings from the next step on; none where nil. It is safe for concurrent use.
 func (e *Evaluator) SetSettings(other *balancer.Settings) {
 	if old := e.settings.Swap(other); (old == nil) != (other == nil) {
 		e.log.Info("evaluating shadow settings", "code", "watch", "on", other != nil)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -23,11 +23,11 @@
 	cancel  context.CancelFunc
 	done    func(engine.Completion)
 
-	mu       sync.Mutex
-	began    time.Time // from which its duration is counted
-	conn     *conn     // nil: it has none, or returned it
-	mayBegin bool      // the server may have received the complete request
-	aborted  bool
+	mu         sync.Mutex
+	began      time.Time // from which its duration is counted
+	conn       *conn     // nil: it has none, or returned it
+	mayHaveRun bool      // the server may have received the complete request
+	aborted    bool
 }
 
 // Send starts to write a copy of a request to a server and does not wait. Done is called once with the completion, unless
@@ -48,7 +48,7 @@
 	a.mu.Lock()
 	a.aborted = true
 	c := a.conn
-	mayHaveRun = a.mayBegin
+	mayHaveRun = a.mayHaveRun
 	a.mu.Unlock()
 	a.cancel()
 	if c != nil {
@@ -74,7 +74,7 @@
 	}
 	if err := a.request.CheckWritable(); err != nil { // the connection came up too late, and can serve another request
 		a.detach()
-		a.pool.put(c)
+		a.pool.put(c) // it counts as idle from now, though its server counts from its last response
 		a.report(notSent(err))
 		return
 	}
@@ -91,7 +91,7 @@
 
 // notSent is the completion of an attempt that was not written completely, for a reason that is not the server's fault.
 func notSent(reason error) engine.Completion {
-	return engine.Completion{Outcome: balancer.NotSent, ClientGone: errors.Is(reason, engine.ErrClientGone)}
+	return engine.Completion{Outcome: balancer.NotSent, ClientDisconnected: errors.Is(reason, engine.ErrClientDisconnected)}
 }
 
 // attach puts the connection within Abort's reach. It reports false if the attempt was aborted meanwhile.
@@ -102,7 +102,7 @@
 		return false
 	}
 	a.conn = c
-	a.mayBegin = a.request.Body == nil
+	a.mayHaveRun = a.request.Body == nil
 	return true
 }
 
@@ -155,7 +155,7 @@
 	c.requests++
 	if err := a.write(c); err != nil {
 		a.mu.Lock()
-		a.mayBegin = false // the last byte was never written
+		a.mayHaveRun = false // the last byte was never written
 		a.mu.Unlock()
 		return response{}, closeWriteFailed, err
 	}
@@ -176,7 +176,7 @@
 				return err
 			}
 			a.mu.Lock()
-			a.mayBegin = true
+			a.mayHaveRun = true
 			a.began = time.Now() // the server cannot begin before
 			a.mu.Unlock()
 		}
@@ -207,7 +207,7 @@
 // could not be read from where it is stored, came too late for a retry, or nobody wants it any more.
 func isOwnWriteError(err error) bool {
 	return errors.Is(err, body.ErrNoCapacity) || errors.Is(err, body.ErrStorage) ||
-		errors.Is(err, engine.ErrWriteDeadline) || errors.Is(err, engine.ErrClientGone)
+		errors.Is(err, engine.ErrWriteDeadline) || errors.Is(err, engine.ErrClientDisconnected)
 }
 
 // report passes the completion on, unless the attempt was aborted.
--- a/internal/upstream/close.go
+++ b/internal/upstream/close.go
@@ -25,7 +25,7 @@
 	closeServerAsked    closeReason = "server_asked"     // the response said that the connection closes
 	closeAddressGone    closeReason = "address_gone"     // the server was removed, moved or drains
 	closeSpare          closeReason = "spare"            // more idle connections than MaxIdlePerServer
-	closeEvicted        closeReason = "descriptor_limit" // closed to make room for another
+	closeEvicted        closeReason = "descriptor_limit" // closed to make room at a limit, or no descriptor for a new one
 	closeExit           closeReason = "exit"             // the node exits
 	closePanic          closeReason = "panic"            // handling a response panicked
 )
--- a/internal/upstream/janitor.go
+++ b/internal/upstream/idlesweep.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// janitorInterval is how often idle connections are checked; well under any idle timeout in use.
-	janitorInterval = time.Second
+	// sweepInterval is how often idle connections are checked; well under any idle timeout in use.
+	sweepInterval = time.Second
 
 	// idleShare of the idle timeout is how long a connection is kept unused. A request that is written while the server
 	// closes the connection ends with a reset, and then it may have run.
@@ -17,7 +17,7 @@
 // Run closes idle connections that are too old, broken or lead to a server that is gone, until the context ends. Then it
 // closes all idle ones.
 func (p *Pool) Run(ctx context.Context) {
-	ticker := time.NewTicker(janitorInterval)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -44,7 +44,7 @@
 	dialer  net.Dialer
 
 	mu        sync.Mutex
-	idle      map[balancer.ServerID][]*conn // the latest to become idle is last
+	idle      map[balancer.ServerID][]*conn // roughly by when they became idle; one put back unused is last
 	reserved  map[balancer.ServerID]int     // connections to each server: idle, in use and coming up
 	total     int                           // sum of reserved
 	processes int                           // that share the limits
@@ -162,37 +162,37 @@
 	if p.total <= p.maxTotal() {
 		return
 	}
-	if victim := p.takeLongestIdle(); victim != nil { // another process shares the limits now
-		go p.closeIdle(victim, closeEvicted, nil)
+	if evicted := p.takeLongestIdle(); evicted != nil { // another process shares the limits now
+		go p.closeIdle(evicted, closeEvicted, nil)
 	}
 }
 
 // reserve makes room for a new connection, where needed by closing the one that has been idle longest. It reports false
 // where the limits allow none.
 func (p *Pool) reserve(id balancer.ServerID) bool {
-	ok, victim := p.tryReserve(id)
-	if victim != nil {
-		p.closeIdle(victim, closeEvicted, nil)
+	ok, evicted := p.tryReserve(id)
+	if evicted != nil {
+		p.closeIdle(evicted, closeEvicted, nil)
 	}
 	return ok
 }
 
 // tryReserve also returns an idle connection that the caller must close.
-func (p *Pool) tryReserve(id balancer.ServerID) (ok bool, victim *conn) {
+func (p *Pool) tryReserve(id balancer.ServerID) (ok bool, evicted *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reserved[id] >= p.maxPerServer() {
 		return false, nil
 	}
 	if p.total >= p.maxTotal() {
-		victim = p.takeLongestIdle()
-		if victim == nil {
+		evicted = p.takeLongestIdle()
+		if evicted == nil {
 			return false, nil
 		}
 	}
 	p.reserved[id]++
 	p.total++
-	return true, victim
+	return true, evicted
 }
 
 // unreserve frees the reservation of a connection that was closed or did not come up.
