--- a/cmd/tackhub/harness_test.go
+++ b/cmd/tackhub/harness_test.go
@@ -198,7 +198,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// suspended tells whether all threads of the process are stopped.
+// suspended reports whether all threads of the process are stopped.
 func (p *nodeProcess) suspended() bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
--- a/cmd/tackhub/main.go
+++ b/cmd/tackhub/main.go
@@ -1,4 +1,4 @@
-// Command tackhub is one node of an HTTP load balancer. Without arguments it serves.
+// Command tackhub is one node of a load balancer for HTTP and CoAP. Without arguments it serves.
 //
 // Exit codes: 0 after a planned end or a check without a fault, 1 where a start or the serving failed or a check found
 // faults, 2 where the command line cannot be read.
--- a/cmd/tackhub/shutdownload_test.go
+++ b/cmd/tackhub/shutdownload_test.go
@@ -17,8 +17,8 @@
 	// earliestKill is when SIGKILL may come after SIGTERM: the longest deadline and 0.7 s.
 	earliestKill = (shortDeadline + 700) * time.Millisecond
 
-	// crossingTime is how shortly before a connection's end a request may have been written and still count as one that
-	// crossed the end unread.
+	// raceTime is how shortly before a connection's end a request may have been written and still count as one that raced
+	// with the close and was not read.
 	raceTime = 20 * time.Millisecond
 )
 
@@ -36,8 +36,8 @@
 	err    error
 }
 
-// lost tells whether the node had taken the request and never answered it: its end came too long after its last byte for the
-// two to have crossed.
+// wasLost reports whether the node read the request and never answered it: the connection ended too long after the request's
+// last byte for the close to have raced with it.
 func (r sentRequest) wasLost() bool { return r.status == 0 && r.ended.Sub(r.sent) > raceTime }
 
 // shutdownClients collects what the clients of a shutdown test saw.
--- a/cmd/tacklab/compare.go
+++ b/cmd/tacklab/compare.go
@@ -84,7 +84,7 @@
 	return os.WriteFile(c.JSON, append(raw, '\n'), 0o644)
 }
 
-// playOne plays one run of one arm. A void run ends the comparison: a pair with a hole proves nothing.
+// playOne plays one run of one arm. A void run ends the comparison, since its pair is incomplete.
 func (c *compareCmd) playOne(ctx context.Context, side int, seed uint64) (*experiment.Result, error) {
 	file, set, program := c.A, c.SetA, c.ProgramA
 	if side == 1 {
--- a/conventions_test.go
+++ b/conventions_test.go
@@ -169,7 +169,7 @@
 	return names
 }
 
-// receiverIsExported tells whether a function is none of an unexported type's methods.
+// receiverIsExported reports whether a function is none of an unexported type's methods.
 func receiverIsExported(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return true
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -36,7 +36,7 @@
 
 // Node is what administrators may read and change. Its methods are called from many goroutines.
 type Node interface {
-	// Ready tells whether this process serves clients and is not draining.
+	// Ready reports whether this process serves clients and is not draining.
 	Ready() bool
 	// Stats gives the statistics as a JSON object.
 	Stats() []byte
--- a/internal/coap/back/attempt.go
+++ b/internal/coap/back/attempt.go
@@ -48,14 +48,14 @@
 	return a.mayHaveRun
 }
 
-// isAborted tells whether the attempt was cancelled, after which its end is not reported.
+// isAborted reports whether the attempt was cancelled, after which its end is not reported.
 func (a *attempt) isAborted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.aborted
 }
 
-// isWritten tells whether the server may have got the whole request.
+// isWritten reports whether the server may have got the whole request.
 func (a *attempt) isWritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/coap/back/conn.go
+++ b/internal/coap/back/conn.go
@@ -91,7 +91,7 @@
 	c.usedAt = time.Now()
 }
 
-// isIdle tells whether the socket has not been used for idleTimeout.
+// isIdle reports whether the socket has not been used for idleTimeout.
 func (c *serverConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coap/back/transport.go
+++ b/internal/coap/back/transport.go
@@ -52,7 +52,7 @@
 	return &Transport{options: o, conns: map[string]*serverConn{}}
 }
 
-// Handles tells whether a server speaks CoAP.
+// Handles reports whether a server speaks CoAP.
 func (t *Transport) Handles(server balancer.ServerID) bool {
 	address, ok := t.options.Resolver.Address(server)
 	return ok && strings.HasPrefix(address, Scheme)
--- a/internal/coap/blocks/store.go
+++ b/internal/coap/blocks/store.go
@@ -88,7 +88,7 @@
 	return s.extend(now, upload, block, part)
 }
 
-// follows tells whether a block continues an upload, which is nil where none is in progress: it begins where the upload
+// follows reports whether a block continues an upload, which is nil where none is in progress: it begins where the upload
 // ends, and only the last block may be short.
 func follows(upload *transfer, block Block, part []byte) bool {
 	if block.More && len(part) != block.Size() {
@@ -160,10 +160,10 @@
 // Abandoned is the number of transfers that were evicted or timed out.
 func (s *Store) Abandoned() int64 { return s.abandoned }
 
-// isFull tells whether the store has as many transfers as it may.
+// isFull reports whether the store has as many transfers as it may.
 func (s *Store) isFull() bool { return len(s.transfers) >= s.limits.MaxTransfers }
 
-// endpointIsFull tells whether an endpoint has as many transfers as it may.
+// endpointIsFull reports whether an endpoint has as many transfers as it may.
 func (s *Store) endpointIsFull(endpoint string) bool {
 	return s.perEndpoint[endpoint] >= s.limits.MaxPerEndpoint
 }
--- a/internal/coap/client/exchange.go
+++ b/internal/coap/client/exchange.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// isTimeout tells whether a read ended by its deadline.
+// isTimeout reports whether a read ended by its deadline.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/coap/front/mapping.go
+++ b/internal/coap/front/mapping.go
@@ -63,7 +63,7 @@
 	message.Accept:   true,
 }
 
-// isCritical tells whether whoever does not understand an option must reject the request: its number is odd.
+// isCritical reports whether whoever does not understand an option must reject the request: its number is odd.
 func isCritical(id message.OptionID) bool { return id%2 == 1 }
 
 // mapRequest maps a message to a request in HTTP's terms, or gives the reason why it cannot be. It is pure.
--- a/internal/coap/front/proven.go
+++ b/internal/coap/front/proven.go
@@ -18,7 +18,7 @@
 // their time. Times are spans since the server's start.
 type provenEndpoints map[string]time.Duration
 
-// contains tells whether an endpoint is proven.
+// contains reports whether an endpoint is proven.
 func (p provenEndpoints) contains(now time.Duration, endpoint string) bool {
 	return p[endpoint] > now
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -35,8 +35,8 @@
 	// LastAdmission is until when requests are admitted. What is read later is rejected at once: nothing of it has run.
 	// Admitted requests may still be forwarded or retried until LastResponse.
 	LastAdmission time.Duration
-	// LastResponse is by when every response is written. A request waits for its response no longer, and the listener is closed
-	// whatever its queue holds.
+	// LastResponse is by when every response is written. A request waits for its response no longer. The listener is closed once
+	// its queue is empty, and MaxPause later whatever its queue holds.
 	LastResponse time.Duration
 	// Kill is the earliest SIGKILL.
 	Kill time.Duration
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -34,7 +34,7 @@
 
 // Node is the process that serves, as its successor finds it.
 type Node interface {
-	// SetSibling says whether there is a second process of the node.
+	// SetSibling reports whether there is a second process of the node.
 	SetSibling(present bool)
 	// State returns what the successor should know.
 	State() (json.RawMessage, error)
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// LinkState says whether this process and a member reach each other.
+// LinkState reports whether this process and a member reach each other.
 type LinkState string
 
 // The values, as the status shows them.
--- a/internal/subsystem/manager.go
+++ b/internal/subsystem/manager.go
@@ -38,7 +38,7 @@
 // Change names the sections whose subsystems a file turned on, turned off, or restarted with other options.
 type Change struct{ Started, Stopped, Restarted []string }
 
-// Any tells whether anything changed.
+// Any reports whether anything changed.
 func (c Change) Any() bool {
 	return len(c.Started) > 0 || len(c.Stopped) > 0 || len(c.Restarted) > 0
 }
--- a/lab/audit/groundtruth.go
+++ b/lab/audit/groundtruth.go
@@ -49,10 +49,10 @@
 	return t
 }
 
-// hears tells whether one node can hear another directly.
+// hears reports whether one node can hear another directly.
 func (t *groundTruth) hears(to, from int) bool { return !slices.Contains(t.cuts, [2]int{from, to}) }
 
-// heardByMajority tells whether most of the other running nodes hear a node.
+// heardByMajority reports whether most of the other running nodes hear a node.
 func (t *groundTruth) heardByMajority(node int) bool {
 	hear, of := 0, 0
 	for k := range t.record.Nodes {
@@ -67,7 +67,7 @@
 	return 2*hear > of
 }
 
-// reaches tells whether anything from one node can come to another, through others that run.
+// reaches reports whether anything from one node can come to another, through others that run.
 func (t *groundTruth) reaches(from, to int) bool {
 	seen, next := map[int]bool{from: true}, []int{from}
 	for len(next) > 0 {
@@ -99,7 +99,7 @@
 	return slices.Compact(out)
 }
 
-// absentFor tells whether a node has had no process, or has not been able to reach the sample's, and for how long
+// absentFor reports whether a node has had no process, or has not been able to reach the sample's, and for how long
 // without a break.
 func (a *memberAuditor) absentFor(k int, s MemberSample, node int) (time.Duration, bool) {
 	since := Offset(-1)
@@ -120,7 +120,7 @@
 	return s.At - since, true
 }
 
-// present tells whether a node has been there, heard by most and able to reach the sample's, for as long as it takes to
+// present reports whether a node has been there, heard by most and able to reach the sample's, for as long as it takes to
 // rejoin. A short suspension does not count as absence.
 func (a *memberAuditor) present(k int, s MemberSample, node int) bool {
 	for ; k >= 0; k-- {
@@ -137,12 +137,12 @@
 	return true
 }
 
-// suspended tells whether a node is suspended at a moment.
+// suspended reports whether a node is suspended at a moment.
 func (m MembershipRecord) suspended(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool { return d.Node == node && d.Suspended && d.From <= at && at < d.To })
 }
 
-// suspendedTooLong tells whether a node is suspended at a moment for longer than a suspicion lasts.
+// suspendedTooLong reports whether a node is suspended at a moment for longer than a suspicion lasts.
 func (m MembershipRecord) suspendedTooLong(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool {
 		return d.Node == node && d.Suspended && d.From <= at && at < d.To && d.To-d.From > maxUnnoticedSuspension
--- a/lab/audit/rules.go
+++ b/lab/audit/rules.go
@@ -17,7 +17,7 @@
 	a.breaches = append(a.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// hadOutage tells whether a node could not act at some time between two moments.
+// hadOutage reports whether a node could not act at some time between two moments.
 func (a *auditor) hadOutage(node int, from, to Offset) bool {
 	for _, o := range a.record.Outages {
 		if o.Node == node && o.From <= to && o.To >= from {
@@ -144,7 +144,7 @@
 	}
 }
 
-// hasResponse tells whether an attempt ended with a response. NotConnected counts as one: nothing may be sent for it. For the
+// hasResponse reports whether an attempt ended with a response. NotConnected counts as one: nothing may be sent for it. For the
 // others it is not known when the node learned that its client is gone.
 func (e Outcome) hasResponse() bool {
 	switch e {
--- a/lab/backend/coap.go
+++ b/lab/backend/coap.go
@@ -29,7 +29,7 @@
 	uploads    *blocks.Store
 }
 
-// speaksCoap tells whether a server is listed by the scheme coap://.
+// speaksCoap reports whether a server is listed by the scheme coap://.
 func (f *Fleet) speaksCoap(server int) bool {
 	return float64(server%10) < f.scenario.Fleet.Coap*10
 }
--- a/lab/backend/inventory.go
+++ b/lab/backend/inventory.go
@@ -84,7 +84,7 @@
 	return inventory.WriteCSV(out)
 }
 
-// coapAt tells whether the server at an address speaks CoAP.
+// coapAt reports whether the server at an address speaks CoAP.
 func (f *Fleet) coapAt(hostPort string, node int) bool {
 	for i, srv := range f.servers {
 		if f.speaksCoap(i) && srv.member(node).HostPort == hostPort {
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -171,8 +171,8 @@
 	return record
 }
 
-// maxLinkDelay is the most that the lab's links delay one message between node and server. It allows for four losses of
-// one segment in a row, which is one in ten thousand at a loss of a tenth.
+// maxLinkDelay is the most that the lab's links usually delay one message between node and server. The four RTOs cover two
+// losses of one segment in a row (1+2 RTO); three or more are one in a thousand at a loss of a tenth.
 func maxLinkDelay(s *scenario.Scenario) time.Duration {
 	most := func(l scenario.Impairment) time.Duration {
 		d := l.Delay + l.Jitter
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// usesCoap tells whether an operation is requested over CoAP. That depends on its own random number, so it is the same
+// usesCoap reports whether an operation is requested over CoAP. That depends on its own random number, so it is the same
 // in each run.
 func (g *Generator) usesCoap(a scenario.Arrival) bool {
 	return len(g.freeDevices) > 0 && float64(a.Random>>40)/float64(1<<24) < g.options.Scenario.Clients.Coap
--- a/lab/load/connpool.go
+++ b/lab/load/connpool.go
@@ -25,7 +25,7 @@
 	sendWhileStopping = 400 * time.Millisecond
 )
 
-// connPool deals out connections among the nodes, as a balancer in front of them would.
+// connPool distributes the clients' connections over the nodes, as a balancer in front of them would.
 type connPool struct {
 	nodes       []string
 	links       []*netfault.Link             // by node; nil: nothing is done to it
@@ -63,7 +63,7 @@
 	return 0
 }
 
-// inTransit tells whether the link still holds bytes.
+// inTransit reports whether the link still holds bytes.
 func (c *conn) inTransit() bool {
 	l, ok := c.Conn.(*netfault.Conn)
 	return ok && l.InFlight()
@@ -174,7 +174,7 @@
 	delete(p.open, c)
 }
 
-// wasReset tells whether the lab itself broke the connection.
+// wasReset reports whether the lab itself broke the connection.
 func (p *connPool) wasReset(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -23,8 +23,7 @@
 	// the wait; what comes in this time is late.
 	lateWindow = 300 * time.Millisecond
 
-	// maxInFlight bounds the operations in flight: beyond it the system is not being loaded but buried, and the run is
-	// void.
+	// maxInFlight bounds the operations in flight. Beyond it the system is far past its capacity and the run is void.
 	maxInFlight = 50_000
 )
 
@@ -182,7 +181,7 @@
 	g.operations = append(g.operations, out)
 }
 
-// retryDelay tells whether this client retries, and after what delay. What failed and may have been executed is retried
+// retryDelay reports whether this client retries, and after what delay. What failed and may have been executed is retried
 // only where the class is safe to repeat: that is the client's part of the rules.
 func (g *Generator) retryDelay(c scenario.Class, r response, try int, rng *rand.Rand) (time.Duration, bool) {
 	h := g.options.Scenario.Clients
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// mayResend tells whether a request whose connection ended without a response may be sent on another one. Where the node was
+// mayResend reports whether a request whose connection ended without a response may be sent on another one. Where the node was
 // killed the request did not race with the close of an idle connection: it may have been executed, and a client that sent it
 // again would break a rule by itself.
 func (g *Generator) mayResend(c *conn, class scenario.Class, deadline time.Duration) bool {
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -130,7 +130,7 @@
 // Node returns a member.
 func (s *Sim) Node(i int) *Node { return s.nodes[i] }
 
-// Running tells whether a member's process runs and is not suspended.
+// Running reports whether a member's process runs and is not suspended.
 func (s *Sim) Running(i int) bool { return s.nodes[i].up && !s.nodes[i].stopped }
 
 // Now is the time since the start.
@@ -217,7 +217,7 @@
 	s.options.Loss, s.options.Duplicate, s.options.Jitter = 0, 0, 0
 }
 
-// IsCut tells whether a link is cut.
+// IsCut reports whether a link is cut.
 func (s *Sim) IsCut(from, to int) bool { return s.cut[[2]int{from, to}] }
 
 // Impair sets what every link does.
@@ -315,7 +315,7 @@
 	return out
 }
 
-// Converged tells whether all that run have exactly those that run in their views.
+// Converged reports whether all that run have exactly those that run in their views.
 func (s *Sim) Converged() bool {
 	var want []string
 	for i := range s.nodes {
@@ -331,7 +331,7 @@
 	return true
 }
 
-// HasMember tells whether a member's view has another.
+// HasMember reports whether a member's view has another.
 func (s *Sim) HasMember(i, j int) bool {
 	return slices.Contains(s.nodes[i].Core.View().Members, name(j))
 }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -11,18 +11,18 @@
 // Params are the figures of one server.
 type Params struct {
 	Cores    int     // requests worked on at once
-	Speed    float64 // work done in a millisecond by one core; 1 is the yardstick
+	Speed    float64 // work in ms that one core does per ms; 1 is the speed that Request.Work refers to
 	QueueMax int     // queued requests beyond which new ones are rejected; 0: no limit
 
-	// Slow mode: more than CrowdDepth requests wait for each core during CrowdFor, and every core then runs SlowTimes
-	// slower until nothing has waited for RestFor.
+	// Slow mode: once more than CrowdDepth requests per core have been queued for CrowdFor, every core runs SlowFactor times
+	// slower, until nothing has been queued for RestFor.
 	CrowdDepth float64 // 0: never
 	CrowdFor   Millis
 	SlowFactor float64
 	RestFor    Millis
 
-	// A cold server begins at ColdFrom of its speed and is warm, linearly, after ColdFor. Offered more than FallMultiple
-	// of what it can do during FallFor, it falls over.
+	// A cold server begins at ColdSpeed, a share of its speed, and reaches full speed linearly after ColdFor. It collapses if
+	// the work offered within CollapseWindow exceeds CollapseMultiple times what it can do in that window.
 	ColdSpeed        float64
 	ColdFor          Millis
 	CollapseMultiple float64
@@ -106,7 +106,7 @@
 	crowdedSince Millis // since when too many wait; NaN: they do not
 	idleSince    Millis // since when nothing waits; NaN: something does
 
-	justStarted []Request // whose work has begun since TakeBegun
+	justStarted []Request // whose work has started since the last TakeStarted
 
 	offered   meter // work that came while it was cold
 	possible  meter // work that it could have done
@@ -153,10 +153,10 @@
 // Queued is the number of requests that no core has started.
 func (s *Server) Queued() int { return len(s.queue) }
 
-// Slow tells whether a crowd has made the server slow.
+// Slow reports whether a crowd has made the server slow.
 func (s *Server) Slow() bool { return s.slow }
 
-// Collapsed tells whether the server was overloaded while it was cold until it fell over.
+// Collapsed reports whether the server was overloaded while it was cold until it fell over.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
 // Arrive offers a request. Advance must have been called for the time before.
--- a/lab/netfault/conn.go
+++ b/lab/netfault/conn.go
@@ -78,7 +78,7 @@
 	return sum
 }
 
-// InFlight tells whether the link still holds bytes of either direction.
+// InFlight reports whether the link still holds bytes of either direction.
 func (c *Conn) InFlight() bool {
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
--- a/lab/netfault/pipe.go
+++ b/lab/netfault/pipe.go
@@ -22,14 +22,14 @@
 	shaper         *Shaper
 	queue          []chunk
 	bytes          int
-	maxDelay       time.Duration // delay since Mark
+	maxDelay       time.Duration // the largest delay since Conn.ResetMaxDelay
 	done           error         // no more comes; what is queued still passes
 	failed         error         // nothing passes any more
 	timer          *time.Timer
 	deadlinePassed bool     // the read deadline has passed
 	ready          [][]byte // due, not yet read
 	rest           []byte
-	end            error // what follows the last parcel that was due
+	end            error // what follows the last chunk that was due
 }
 
 func newPipe(s *Shaper) *pipe {
--- a/lab/netfault/shaper.go
+++ b/lab/netfault/shaper.go
@@ -18,7 +18,7 @@
 	Bandwidth float64       // bytes a second; 0: no limit
 }
 
-// Clean tells whether nothing at all is done.
+// Clean reports whether nothing at all is done.
 func (p Impairment) Clean() bool {
 	return p.Loss == 0 && p.Delay == 0 && p.Jitter == 0 && p.Bandwidth == 0
 }
--- a/lab/nodeproc/group.go
+++ b/lab/nodeproc/group.go
@@ -116,7 +116,7 @@
 	return out
 }
 
-// Alive tells whether a node's process runs, as far as the lab knows.
+// Alive reports whether a node's process runs, as far as the lab knows.
 func (g *Group) Alive(node int) bool { return g.nodes[node].healthy.Load() }
 
 // now is the time since the run's start.
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -63,7 +63,8 @@
 	return s.checkTimes()
 }
 
-// valid tells whether the form is known, the time between rewrites is above 0, and the shares leave one for good rewrites.
+// valid reports whether the form is known, the time between rewrites is above 0, and the shares are not negative and add up
+// to at most 1.
 func (i *Inventory) valid() bool {
 	knownForm := i.Form == "csv" || i.Form == "yaml"
 	validShares := i.Bad >= 0 && i.InPlace >= 0 && i.Bad+i.InPlace <= 1
--- a/lab/scenario/faultkind.go
+++ b/lab/scenario/faultkind.go
@@ -59,7 +59,7 @@
 	FaultDiskLost, FaultCut, FaultLoss, FaultDelay, FaultDuplicate, FaultReorder,
 }
 
-// OfLink tells whether the fault concerns the links between nodes.
+// OfLink reports whether the fault concerns the links between nodes.
 func (k FaultKind) OfLink() bool {
 	switch k {
 	case FaultCut, FaultLoss, FaultDelay, FaultDuplicate, FaultReorder:
@@ -68,15 +68,15 @@
 	return false
 }
 
-// OfProcess tells whether the fault concerns a node's process or its disk.
+// OfProcess reports whether the fault concerns a node's process or its disk.
 func (k FaultKind) OfProcess() bool {
 	return k == FaultDiskLost || strings.HasPrefix(string(k), prefixOfNode)
 }
 
-// OfClients tells whether the fault concerns the clients' links to a node.
+// OfClients reports whether the fault concerns the clients' links to a node.
 func (k FaultKind) OfClients() bool { return strings.HasPrefix(string(k), prefixOfClients) }
 
-// ofNode tells whether a target names nodes: the fault concerns their processes, or what belongs to one node.
+// ofNode reports whether a target names nodes: the fault concerns their processes, or what belongs to one node.
 func (k FaultKind) ofNode() bool {
 	return k.OfProcess() || k.OfClients() || strings.HasPrefix(string(k), prefixOfDiscovery)
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -192,7 +192,7 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-// HasFault tells whether a fault of a kind is scheduled: then the links that it acts on must be there from the start.
+// HasFault reports whether a fault of a kind is scheduled: then the links that it acts on must be there from the start.
 func (s *Scenario) HasFault(kind FaultKind) bool {
 	for _, f := range s.Faults {
 		if f.Kind == kind {
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -247,7 +247,7 @@
 
 func (c *connection) close() { _ = c.Close() }
 
-// hasInput tells whether something has come on a connection on which nothing was requested, or its end.
+// hasInput reports whether something has come on a connection on which nothing was requested, or its end.
 func hasInput(c *connection) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -27,7 +27,7 @@
 	Figures  Figures
 }
 
-// Broke tells whether a rule was broken or a node crashed.
+// Broke reports whether a rule was broken or a node crashed.
 func (o *Outcome) Broke() bool { return len(o.Result.Breaches) > 0 || o.Figures.Crashes > 0 }
 
 // Play plays a plan with the nodes that a command starts. An error says that it could not be played, or proves nothing.
--- a/lab/stats/stats.go
+++ b/lab/stats/stats.go
@@ -41,5 +41,5 @@
 	return Mean(d, level)
 }
 
-// ExcludesZero tells whether the interval leaves zero out.
+// ExcludesZero reports whether the interval leaves zero out.
 func (i Interval) ExcludesZero() bool { return i.N > 1 && (i.Low > 0 || i.High < 0) }
--- a/pages_test.go
+++ b/pages_test.go
@@ -108,7 +108,7 @@
 	return missing
 }
 
-// exists tells whether what a text names exists; a text that names nothing of the module does.
+// exists reports whether what a text names exists; a text that names nothing of the module does.
 func exists(text string, declared names) bool {
 	if pathName.MatchString(text) {
 		path := strings.TrimSuffix(text, "/...")
@@ -154,7 +154,7 @@
 	return declared
 }
 
-// anywhere tells whether one package declares all of some names.
+// anywhere reports whether one package declares all of some names.
 func (n names) anywhere(wanted ...string) bool {
 	for _, members := range n.members {
 		if !slices.ContainsFunc(wanted, func(name string) bool { return !members[name] }) {
