--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,36 +14,36 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// Attempt is one copy of a request on one connection. It is written once and never resent.
+// Attempt sends one copy of a request to one server over one connection. It writes the request at most once.
 type Attempt struct {
 	pool    *Pool
 	server  balancer.ServerID
 	request engine.OutgoingRequest
-	context context.Context // ends with the attempt
+	context context.Context // cancelled when the attempt ends
 	cancel  context.CancelFunc
 	done    func(engine.Completion)
 
 	mu         sync.Mutex
-	began      time.Time // from which its duration is counted
-	conn       *conn     // nil: it has none, or returned it
+	startTime  time.Time // Completion.Elapsed is measured from here
+	conn       *conn     // nil before attach and after detach
 	mayHaveRun bool      // the server may have received the complete request
 	aborted    bool
 }
 
-// Send starts to write a copy of a request to a server and does not wait. Done is called once with the completion, unless
-// Abort comes first.
+// Send starts an attempt to send a request to a server and returns without waiting. It calls done once with the completion,
+// unless Abort is called first.
 func (p *Pool) Send(server balancer.ServerID, request engine.OutgoingRequest, done func(engine.Completion)) *Attempt {
 	if request.Body != nil {
 		request.Body.Retain()
 	}
-	a := &Attempt{pool: p, server: server, request: request, began: time.Now(), done: done}
+	a := &Attempt{pool: p, server: server, request: request, startTime: time.Now(), done: done}
 	a.context, a.cancel = context.WithCancel(context.Background())
 	go a.run()
 	return a
 }
 
-// Abort closes the attempt's connection, which frees its descriptor at once. It reports whether the server may have received
-// the complete request.
+// Abort cancels the attempt and closes its connection, which frees the file descriptor at once. It reports whether the server
+// may have received the complete request.
 func (a *Attempt) Abort() (mayHaveRun bool) {
 	a.mu.Lock()
 	a.aborted = true
@@ -52,49 +52,53 @@
 	a.mu.Unlock()
 	a.cancel()
 	if c != nil {
-		_ = c.Close() // run notices it and frees the reservation
+		_ = c.Close() // run gets an error from the closed connection and frees the reservation
 	}
 	return mayHaveRun
 }
 
+// run acquires a connection and sends the request on it, unless the attempt is aborted or the request must no longer be
+// written.
 func (a *Attempt) run() {
 	defer a.cancel()
 	if a.request.Body != nil {
 		defer a.request.Body.Release()
 	}
-	defer a.pool.recoverPanic(func() { a.report(engine.Completion{Outcome: balancer.ConnectionLost}) })
+	defer a.pool.recoverPanic(func() { a.reportCompletion(engine.Completion{Outcome: balancer.ConnectionLost}) })
 	c, err := a.pool.acquire(a.context, a.server)
 	if err != nil {
-		a.report(engine.Completion{Outcome: connectOutcome(err)})
+		a.reportCompletion(engine.Completion{Outcome: connectOutcome(err)})
 		return
 	}
 	if !a.attach(c) {
 		a.pool.close(c, closeAborted, nil)
 		return
 	}
-	if err := a.request.CheckWritable(); err != nil { // the connection came up too late, and can serve another request
+	if err := a.request.CheckWritable(); err != nil { // the connection is still unused, so another request can use it
 		a.detach()
 		a.pool.putUnused(c)
-		a.report(notSent(err))
+		a.reportCompletion(notSent(err))
 		return
 	}
 	a.roundTrip(c)
 }
 
-// connectOutcome is the outcome of an attempt that got no connection.
+// connectOutcome returns the outcome of an attempt for which no connection could be acquired.
 func connectOutcome(err error) balancer.Outcome {
-	if isLocal(err) { // the server must not be ejected for it
+	if isLocalFailure(err) { // must not count towards ejecting the server
 		return balancer.NotSent
 	}
 	return balancer.Unreachable
 }
 
-// notSent is the completion of an attempt that was not written completely, for a reason that is not the server's fault.
+// notSent returns the completion of an attempt whose request was not written completely for a reason other than a server
+// fault.
 func notSent(reason error) engine.Completion {
 	return engine.Completion{Outcome: balancer.NotSent, ClientDisconnected: errors.Is(reason, engine.ErrClientDisconnected)}
 }
 
-// attach puts the connection within Abort's reach. It reports false if the attempt was aborted meanwhile.
+// attach stores the connection so that Abort can close it, and sets mayHaveRun for a request without a large body, which is
+// written in one call. It reports false if the attempt was already aborted.
 func (a *Attempt) attach(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,7 +110,7 @@
 	return true
 }
 
-// detach takes the connection out of Abort's reach. It reports false if Abort has closed it.
+// detach clears the connection so that Abort no longer closes it. It reports false if Abort has already closed it.
 func (a *Attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,12 +118,13 @@
 	return !a.aborted
 }
 
-// roundTrip writes the request, reads the response, reports the completion and finishes with the connection.
+// roundTrip writes the request, reads the response and reports the completion. It then returns the connection to the pool or
+// closes it, unless a Stream takes the connection over.
 func (a *Attempt) roundTrip(c *conn) {
 	var err error
 	resp := fasthttp.AcquireResponse()
-	reason := closePanic // unless it is set below
-	streamed := false    // a Stream has taken over the connection and resp
+	reason := closePanic // stays only if a panic skips the assignments below
+	streamed := false    // a Stream now owns the connection and resp
 	defer func() {
 		if streamed {
 			return
@@ -128,34 +133,34 @@
 		fasthttp.ReleaseResponse(resp)
 		a.pool.finish(c, reason, err)
 	}()
-	var got response
+	var received response
 	var readReason closeReason
-	got, readReason, err = a.exchange(c, resp)
-	end := a.completion(resp, got.body, readReason, err)
+	received, readReason, err = a.exchange(c, resp)
+	result := a.completion(resp, received.body, readReason, err)
 	if !a.detach() {
 		reason = closeAborted
-		a.report(end)
+		a.reportCompletion(result)
 		return
 	}
 	switch {
-	case got.rest == nil:
+	case received.rest == nil:
 		reason = readReason
-	case end.Outcome == balancer.OK:
+	case result.Outcome == balancer.OK:
 		streamed = true
-		end.Remaining = got.rest
-	default: // nobody gets an error's body, so what is left of it is not read
+		result.Remaining = received.rest
+	default: // the body of an error response is not forwarded, so the rest is not read
 		reason = closeAborted
 	}
-	a.report(end)
+	a.reportCompletion(result)
 }
 
-// exchange writes the request and reads the response. The reason is why the connection cannot be reused, or
-// reusable.
+// exchange writes the request and reads the response. The closeReason is reusable, or the reason why the connection cannot be
+// reused.
 func (a *Attempt) exchange(c *conn, resp *fasthttp.Response) (response, closeReason, error) {
 	c.requests++
 	if err := a.write(c); err != nil {
 		a.mu.Lock()
-		a.mayHaveRun = false // the last byte was never written
+		a.mayHaveRun = false // the last byte was not written
 		a.mu.Unlock()
 		return response{}, closeWriteFailed, err
 	}
@@ -164,75 +169,75 @@
 	return a.pool.readResponse(c, resp)
 }
 
-// write writes the request. A server begins only with a complete request, so until the last piece of a large body is written
-// the attempt can be aborted as one that has not run.
+// write writes the request. A server starts to process a request only after it has received all of it, so an attempt that is
+// aborted before the last chunk of a large body is written cannot have run.
 func (a *Attempt) write(c *conn) error {
 	if _, err := c.Write(a.request.Bytes); err != nil || a.request.Body == nil {
 		return err
 	}
-	return a.request.Body.ForEachChunk(func(piece []byte, last bool) error {
+	return a.request.Body.ForEachChunk(func(chunk []byte, last bool) error {
 		if last {
 			if err := a.request.CheckWritable(); err != nil {
 				return err
 			}
 			a.mu.Lock()
 			a.mayHaveRun = true
-			a.began = time.Now() // the server cannot begin before
+			a.startTime = time.Now() // the server cannot start earlier
 			a.mu.Unlock()
 		}
-		_, err := c.Write(piece)
+		_, err := c.Write(chunk)
 		return err
 	})
 }
 
-// completion is that of an attempt whose exchange is over.
+// completion returns the completion of an attempt after exchange has returned.
 func (a *Attempt) completion(resp *fasthttp.Response, body []byte, reason closeReason, err error) engine.Completion {
 	switch reason {
 	case closeWriteFailed:
-		if isOwnWriteError(err) {
+		if isLocalWriteError(err) {
 			return notSent(err)
 		}
 		return engine.Completion{Outcome: balancer.Unreachable}
 	case closeReset, closeBadResponse:
 		return engine.Completion{Outcome: balancer.ConnectionLost}
 	}
-	end := engine.Completion{Outcome: classify(resp), Report: a.pool.parseLoad(resp.Header.Peek(headerLoad), false)}
-	if end.Outcome == balancer.OK {
-		end.Body = body
+	result := engine.Completion{Outcome: classifyResponse(resp), Report: a.pool.parseLoad(resp.Header.Peek(headerLoad), false)}
+	if result.Outcome == balancer.OK {
+		result.Body = body
 	}
-	return end
+	return result
 }
 
-// isOwnWriteError reports whether a request was not written completely for a reason of this node's or the client's: its large body
-// could not be read from where it is stored, came too late for a retry, or nobody wants it any more.
-func isOwnWriteError(err error) bool {
+// isLocalWriteError reports whether writing a request failed because of this node or the client, not because of the server: the
+// large body could not be read from its storage, the write deadline has passed, or the client has disconnected.
+func isLocalWriteError(err error) bool {
 	return errors.Is(err, body.ErrNoCapacity) || errors.Is(err, body.ErrStorage) ||
 		errors.Is(err, engine.ErrWriteDeadline) || errors.Is(err, engine.ErrClientDisconnected)
 }
 
-// report passes the completion on, unless the attempt was aborted.
-func (a *Attempt) report(end engine.Completion) {
+// reportCompletion calls done with the completion, unless the attempt was aborted.
+func (a *Attempt) reportCompletion(result engine.Completion) {
 	a.mu.Lock()
 	aborted := a.aborted
-	began := a.began
+	startTime := a.startTime
 	a.mu.Unlock()
 	if aborted {
 		a.pool.options.Counters.Attempts.Late.Inc()
-		if end.Remaining != nil {
-			end.Remaining.Close()
+		if result.Remaining != nil {
+			result.Remaining.Close()
 		}
 		return
 	}
-	end.Elapsed = clock.Millis(time.Since(began))
-	a.done(end)
+	result.Elapsed = clock.Millis(time.Since(startTime))
+	a.done(result)
 }
 
-// headerNotRun is set to 1 by a server that answers 503 or 504 and has not run the request.
+// headerNotRun is the response header that a server sets to 1 if it answers 503 or 504 without having run the request.
 const headerNotRun = "X-Not-Run"
 
-// classify is the outcome that a response stands for. A server that answers 503 or 504 without headerNotRun may have run the
-// request.
-func classify(resp *fasthttp.Response) balancer.Outcome {
+// classifyResponse returns the outcome for a response. A 503 or 504 without headerNotRun counts as Errored, because
+// the server may have run the request.
+func classifyResponse(resp *fasthttp.Response) balancer.Outcome {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
 		return balancer.OK
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -13,7 +13,7 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-func TestClassify(t *testing.T) {
+func TestClassifyResponse(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		notRun string
@@ -29,15 +29,15 @@
 		if c.notRun != "" {
 			resp.Header.Set(headerNotRun, c.notRun)
 		}
-		if got := classify(&resp); got != c.want {
+		if got := classifyResponse(&resp); got != c.want {
 			t.Errorf("%d with %q: %s, want %s", c.status, c.notRun, engine.OutcomeName(got), engine.OutcomeName(c.want))
 		}
 	}
 }
 
-// TestOwnLimitsAreNotTheServersFault: an attempt fails at the node's own connection limit. The server must not be ejected
+// TestLocalFailureReportsNotSent: an attempt fails at the node's own connection limit. The server must not be ejected
 // for it.
-func TestOwnLimitsAreNotTheServersFault(t *testing.T) {
+func TestLocalFailureReportsNotSent(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	closed, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestUnwrittenRequestLeavesTheIdleTimeAlone: a request takes an idle connection and is not written on it. The server goes on counting from
+// TestUnwrittenRequestPreservesIdleSince: a request takes an idle connection and is not written on it. The server goes on counting from
 // its last response, and closes the connection by that: were it idle from now on for the pool, a later request would be lost on it.
-func TestUnwrittenRequestLeavesTheIdleTimeAlone(t *testing.T) {
+func TestUnwrittenRequestPreservesIdleSince(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
 	older, newer := mustAcquire(t, p, "s1"), mustAcquire(t, p, "s1")
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestUnwantedRequestIsNotWritten: a client disconnects while the connection comes up. Nothing is written, and the connection
+// TestRequestNotWrittenAfterClientDisconnectOrDeadline: a client disconnects while the connection comes up. Nothing is written, and the connection
 // serves another request.
-func TestUnwantedRequestIsNotWritten(t *testing.T) {
+func TestRequestNotWrittenAfterClientDisconnectOrDeadline(t *testing.T) {
 	addr, accepted := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
 	wanted := false
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestAbortBeforeAConnection(t *testing.T) {
+func TestAbortBeforeConnectionIsAttached(t *testing.T) {
 	p, _ := testPool(fixedResolver{}, 1, 1)
 	a := &Attempt{pool: p, cancel: func() {}}
 	if a.Abort() {
--- a/internal/upstream/close.go
+++ b/internal/upstream/close.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// closeReason is why a connection to a server was closed or did not come up. It is a code in the log and among the
-// counters; docs/oncall.md lists them.
+// closeReason is the reason why a connection to a server was closed or could not be established. It is the code of the log
+// entry and the key of the counter; docs/oncall.md lists the values.
 type closeReason string
 
-// reusable is the reason of a connection that is not to be closed.
+// reusable means that the connection stays open and can be used again.
 const reusable closeReason = ""
 
 const (
-	closeConnectRefused closeReason = "connect_refused"  // did not come up: refused or reset
-	closeConnectLocal   closeReason = "connect_local"    // did not come up: this machine has no route or denies it
-	closeConnectTimeout closeReason = "connect_timeout"  // did not come up in time
-	closeIdleTimeout    closeReason = "idle"             // idle nearly as long as the server allows
-	closePeerClosed     closeReason = "server_closed"    // closed by the server while idle
-	closeAborted        closeReason = "gave_up"          // the attempt on it was aborted
-	closeReset          closeReason = "server_reset"     // broke with an attempt on it
-	closeBadResponse    closeReason = "bad_answer"       // the response is malformed, too long or incomplete
-	closeWriteFailed    closeReason = "write_failed"     // broke before the request was written completely
-	closeServerAsked    closeReason = "server_asked"     // the response said that the connection closes
-	closeAddressGone    closeReason = "address_gone"     // the server was removed, moved or drains
-	closeSpare          closeReason = "spare"            // more idle connections than MaxIdlePerServer
-	closeEvicted        closeReason = "descriptor_limit" // closed to make room at a limit, or no descriptor for a new one
-	closeExit           closeReason = "exit"             // the node exits
-	closePanic          closeReason = "panic"            // handling a response panicked
+	closeConnectRefused    closeReason = "connect_refused"  // dial failed: the server refused or reset the connection
+	closeConnectLocal      closeReason = "connect_local"    // dial failed: this machine has no route or denies the connection
+	closeConnectTimeout    closeReason = "connect_timeout"  // dial failed: ConnectTimeout passed
+	closeIdleTimeout       closeReason = "idle"             // idle for nearly as long as the server allows
+	closePeerClosed        closeReason = "server_closed"    // the server closed it, or sent unsolicited bytes, while it was idle
+	closeAborted           closeReason = "gave_up"          // the attempt or probe was aborted, timed out or left the response unread
+	closeReset             closeReason = "server_reset"     // the connection broke during an attempt or probe
+	closeBadResponse       closeReason = "bad_answer"       // the response is malformed, too long or incomplete
+	closeWriteFailed       closeReason = "write_failed"     // the request could not be written completely
+	closeRequestedByServer closeReason = "server_asked"     // the response announced the close, or unsolicited bytes followed it
+	closeAddressGone       closeReason = "address_gone"     // the server was removed, moved or is draining
+	closeExcessIdle        closeReason = "spare"            // the server has more idle connections than MaxIdlePerServer
+	closeEvicted           closeReason = "descriptor_limit" // closed for another connection at a limit, or no descriptor to dial
+	closeExit              closeReason = "exit"             // the node exits
+	closePanic             closeReason = "panic"            // handling a response panicked
 )
 
-// close closes a connection, frees its reservation and records why.
+// close closes a connection, frees its reservation and records the reason.
 func (p *Pool) close(c *conn, reason closeReason, err error) {
-	_ = c.Close() // nothing is left to be written
+	_ = c.Close() // no buffered data can be lost, so the error does not matter
 	p.options.Counters.Servers.Open.Add(-1)
 	p.unreserve(c.server)
 	p.recordClose(c, reason, err)
 }
 
-// closeIdle closes a connection that the balancer takes to be idle, and notifies it.
+// closeIdle closes a connection that the balancer counts as idle, and calls OnIdleClosed.
 func (p *Pool) closeIdle(c *conn, reason closeReason, err error) {
 	p.close(c, reason, err)
 	if p.options.OnIdleClosed != nil {
@@ -51,13 +51,14 @@
 	switch reason {
 	case reusable:
 		p.put(c)
-	case closeServerAsked: // its response was complete, so the balancer takes it to be idle
+	case closeRequestedByServer: // the response was complete, so the balancer counts the connection as idle
 		p.closeIdle(c, reason, err)
 	default:
 		p.close(c, reason, err)
 	}
 }
 
+// recordClose counts and logs a connection that was closed or could not be established.
 func (p *Pool) recordClose(c *conn, reason closeReason, err error) {
 	p.options.Counters.ServerEnds.Inc(string(reason))
 	args := []any{"code", string(reason), "server", string(c.server), "addr", c.addr, "requests", c.requests,
@@ -68,14 +69,14 @@
 	p.options.Log.Info("server connection ended", args...)
 }
 
-// recoverPanic is deferred around the handling of a response: what a server sends must not end the node. It logs a panic
-// and calls then.
-func (p *Pool) recoverPanic(then func()) {
+// recoverPanic must be deferred by goroutines that handle responses, so that no response can crash the node. If there was a
+// panic, it logs the panic and calls onPanic.
+func (p *Pool) recoverPanic(onPanic func()) {
 	r := recover()
 	if r == nil {
 		return
 	}
-	p.options.Log.Error("panic on a server's connection", "code", string(closePanic), "panic", r,
+	p.options.Log.Error("panic while handling a server connection", "code", string(closePanic), "panic", r,
 		"stack", string(debug.Stack()))
-	then()
+	onPanic()
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// readBufferSize, in bytes, holds any response's head and most bodies at once.
+	// readBufferSize is the size in bytes of a connection's read buffer. A response head must fit into it, and most bodies do.
 	readBufferSize = 4096
 
-	// settleTime is how long a connection is not used after a response. A server that closes the connection, or sends a
-	// second response or noise, does so within some milliseconds; the next request would take such bytes for its own
-	// response. Where no other connection is idle a request waits for the rest of this time, which is less than a new
-	// connection takes.
-	settleTime = 8 * time.Millisecond
+	// reuseDelay is the minimum time between a response and the next request on the same connection. A server that closes
+	// the connection, or sends a second response or other unsolicited bytes, does so within a few milliseconds. Without the
+	// delay the next request would read those bytes as its own response. If no other connection is idle, a request waits
+	// until the delay has passed, which is faster than opening a new connection.
+	reuseDelay = 8 * time.Millisecond
 )
 
-// conn is one connection to a server. While it is idle the pool owns it, else the attempt or the stream on it does.
+// conn is a connection to a server. The pool owns it while it is idle; otherwise the attempt, probe or Stream that uses it does.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
@@ -31,36 +31,36 @@
 	addr      string
 	opened    time.Time
 	idleSince time.Time
-	requests  int // written on it
+	requests  int // requests written on this connection, including incomplete ones
 }
 
-// awaitSettled waits until settleTime has passed since the last response. It reports false if the context ends before.
-func (c *conn) awaitSettled(ctx context.Context) bool {
-	left := settleTime - time.Since(c.idleSince)
-	if left <= 0 {
+// awaitReuseDelay waits until reuseDelay has passed since the last response. It reports false if the context ends first.
+func (c *conn) awaitReuseDelay(ctx context.Context) bool {
+	remaining := reuseDelay - time.Since(c.idleSince)
+	if remaining <= 0 {
 		return true
 	}
-	t := time.NewTimer(left)
-	defer t.Stop()
+	timer := time.NewTimer(remaining)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// quiet reports whether nothing has come on an idle connection, not even its end. It consumes nothing.
-func (c *conn) quiet() bool {
-	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+// hasNoPendingInput reports whether an idle connection has neither unread bytes nor an end of file. It consumes nothing.
+func (c *conn) hasNoPendingInput() bool {
+	rawConn, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil || c.reader.Buffered() > 0 {
 		return false
 	}
-	nothing := false
-	err = raw.Read(func(fd uintptr) bool {
+	noInput := false
+	err = rawConn.Read(func(fd uintptr) bool {
 		_, peekErr := socket.Peek(fd)
-		nothing = errors.Is(peekErr, syscall.EAGAIN)
+		noInput = errors.Is(peekErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && noInput
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -11,13 +11,13 @@
 	"tackhub.example/tackhub/internal/socket"
 )
 
-// dial opens a connection within the limits.
+// dial opens a connection to a server if the connection limits allow it.
 func (p *Pool) dial(ctx context.Context, id balancer.ServerID, addr string) (*conn, error) {
 	if !p.reserve(id) {
 		return nil, errNoCapacity
 	}
 	p.options.Counters.Servers.Dialed.Inc()
-	nc, err := p.dialer.DialContext(ctx, "tcp", addr)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		p.unreserve(id)
 		p.recordClose(&conn{server: id, addr: addr, opened: time.Now()}, dialReason(ctx, err), err)
@@ -26,8 +26,8 @@
 	p.options.Counters.Servers.Open.Inc()
 	opened := time.Now()
 	return &conn{
-		Conn:      nc,
-		reader:    bufio.NewReaderSize(nc, readBufferSize),
+		Conn:      netConn,
+		reader:    bufio.NewReaderSize(netConn, readBufferSize),
 		server:    id,
 		addr:      addr,
 		opened:    opened,
@@ -35,7 +35,7 @@
 	}, nil
 }
 
-// dialReason is why a connection did not come up.
+// dialReason returns the reason why a connection could not be established.
 func dialReason(ctx context.Context, err error) closeReason {
 	var netErr net.Error
 	switch {
@@ -45,21 +45,21 @@
 		return closeEvicted
 	case socket.IsLocalFailure(err):
 		return closeConnectLocal
-	case errors.As(err, &netErr) && netErr.Timeout(): // the dialer's own timeout, not the deadline of a connection
+	case errors.As(err, &netErr) && netErr.Timeout(): // the dialer's own timeout; the context has not ended
 		return closeConnectTimeout
 	}
 	return closeConnectRefused
 }
 
-// hasEnded reports whether a context is over. A dialer gives the context's deadline to the socket, whose timer may fire before the
-// context's own: then the context is not done yet though its deadline has passed.
+// hasEnded reports whether a context is done or its deadline has passed. A dialer also sets the context's deadline on the
+// socket. If the socket's timer fires before the context's timer, the dial fails while ctx.Err is still nil.
 func hasEnded(ctx context.Context) bool {
-	deadline, ok := ctx.Deadline()
-	return ctx.Err() != nil || ok && !time.Now().Before(deadline)
+	deadline, hasDeadline := ctx.Deadline()
+	return ctx.Err() != nil || hasDeadline && !time.Now().Before(deadline)
 }
 
-// isLocal reports whether an attempt failed for a reason of this node's: its limits, its machine, or a server that has just
-// been removed. Nothing was sent, and the server is not at fault.
-func isLocal(err error) bool {
+// isLocalFailure reports whether an attempt failed before anything was sent and without a fault of the server: this node reached
+// a connection limit, its machine failed to connect, or the server has no address any more.
+func isLocalFailure(err error) bool {
 	return errors.Is(err, errNoCapacity) || errors.Is(err, errNoAddress) || socket.IsLocalFailure(err)
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -12,12 +12,12 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-func TestNoDescriptorIsNotTheServersFault(t *testing.T) {
+func TestDescriptorExhaustionIsLocalFailure(t *testing.T) {
 	for errno, local := range map[syscall.Errno]bool{syscall.EMFILE: true, syscall.ENFILE: true,
 		syscall.ECONNREFUSED: false} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)}
-		if isLocal(err) != local || dialReason(context.Background(), err) == closeEvicted != local {
-			t.Errorf("%v: local %v, reason %s", errno, isLocal(err), dialReason(context.Background(), err))
+		if isLocalFailure(err) != local || dialReason(context.Background(), err) == closeEvicted != local {
+			t.Errorf("%v: local %v, reason %s", errno, isLocalFailure(err), dialReason(context.Background(), err))
 		}
 	}
 }
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestLocalConnectErrorsAreNotTheServersFault: connect(2) fails for a reason of this machine's, or of the server's.
-func TestLocalConnectErrorsAreNotTheServersFault(t *testing.T) {
+// TestConnectErrorOutcome: connect(2) fails for a reason of this machine's, or of the server's.
+func TestConnectErrorOutcome(t *testing.T) {
 	for errno, want := range map[syscall.Errno]balancer.Outcome{
 		syscall.ENFILE:        balancer.NotSent,
 		syscall.EMFILE:        balancer.NotSent,
--- a/internal/upstream/idlesweep.go
+++ b/internal/upstream/idlesweep.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// sweepInterval is how often idle connections are checked; well under any idle timeout in use.
+	// sweepInterval is the time between two checks of the idle connections. It is well below any idle timeout in use.
 	sweepInterval = time.Second
 
-	// idleShare of the idle timeout is how long a connection is kept unused. A request that is written while the server
-	// closes the connection ends with a reset, and then it may have run.
-	idleShare = 0.7
+	// maxIdleFraction is the fraction of IdleTimeout after which an idle connection is closed. A request that is written while
+	// the server closes the connection ends with a reset, and may have run nevertheless.
+	maxIdleFraction = 0.7
 )
 
-// Run closes idle connections that are too old, broken or lead to a server that is gone, until the context ends. Then it
-// closes all idle ones.
+// Run periodically closes idle connections that are broken, have been idle too long, or lead to a server that has no address
+// any more. When the context ends, Run closes all idle connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -30,14 +30,15 @@
 	}
 }
 
-// sweep closes idle connections that cannot be used any more, or all.
+// sweep closes the idle connections that can no longer be used, or all idle connections.
 func (p *Pool) sweep(all bool) {
 	for c, reason := range p.takeUnusable(all) {
 		p.closeIdle(c, reason, nil)
 	}
 }
 
-// takeUnusable removes the idle connections that cannot be used any more, or all.
+// takeUnusable removes the idle connections that can no longer be used, or all of them, from the pool. It returns them with
+// the reason for each.
 func (p *Pool) takeUnusable(all bool) map[*conn]closeReason {
 	taken := map[*conn]closeReason{}
 	p.mu.Lock()
@@ -53,7 +54,7 @@
 			case !known:
 				reason = closeAddressGone
 			default:
-				reason = p.unusable(c, addr)
+				reason = p.unusableReason(c, addr)
 			}
 			if reason == reusable {
 				kept = append(kept, c)
@@ -67,21 +68,21 @@
 	return taken
 }
 
-// unusable is why an idle connection cannot be used for the server at an address, or reusable.
-func (p *Pool) unusable(c *conn, addr string) closeReason {
+// unusableReason returns why an idle connection cannot be used for a server with this address, or reusable if it can.
+func (p *Pool) unusableReason(c *conn, addr string) closeReason {
 	switch {
 	case c.addr != addr:
 		return closeAddressGone
-	case p.tooOld(c):
+	case p.idleTooLong(c):
 		return closeIdleTimeout
-	case !c.quiet():
+	case !c.hasNoPendingInput():
 		return closePeerClosed
 	}
 	return reusable
 }
 
-// tooOld reports whether a connection has been idle so long that the server may be closing it.
-func (p *Pool) tooOld(c *conn) bool {
-	limit := time.Duration(float64(p.options.IdleTimeout) * idleShare)
+// idleTooLong reports whether a connection has been idle for so long that the server may be closing it.
+func (p *Pool) idleTooLong(c *conn) bool {
+	limit := time.Duration(float64(p.options.IdleTimeout) * maxIdleFraction)
 	return limit > 0 && time.Since(c.idleSince) > limit
 }
--- a/internal/upstream/janitor_test.go
+++ b/internal/upstream/janitor_test.go
@@ -8,7 +8,7 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-func TestRemovedMovedAndOldConnectionsAreClosed(t *testing.T) {
+func TestUnusableIdleConnectionsAreClosed(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	other, _ := acceptingListener(t)
 	a := fixedResolver{"s1": addr, "s2": addr, "s3": addr}
@@ -73,7 +73,7 @@
 	if p.sweep(false); gone["s2"] != 1 {
 		t.Errorf("notified of %d closed by the janitor, want 1", gone["s2"])
 	}
-	p.finish(mustAcquire(t, p, "s2"), closeServerAsked, nil)
+	p.finish(mustAcquire(t, p, "s2"), closeRequestedByServer, nil)
 	p.finish(mustAcquire(t, p, "s2"), closeReset, nil)
 	if gone["s2"] != 2 {
 		t.Errorf("notified of %d, want one more: response complete and closed", gone["s2"])
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -8,26 +8,28 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// headerLoad carries a load report.
+// headerLoad is the response header with which servers report their load.
 const headerLoad = "X-Load"
 
-// maxLoadValue is the largest figure in a load report that is believed.
+// maxLoadValue is the exclusive upper limit of a valid number in a load report.
 const maxLoadValue = 1e9
 
 var (
-	// inFlightNames are the names under which servers report their requests in flight. The settings speak of "concurrent";
-	// the servers' own format says "inflight".
+	// inFlightNames are the names under which servers report their number of requests in flight: "inflight" in the servers'
+	// own format, "concurrent" in the settings.
 	inFlightNames = [][]byte{[]byte("inflight"), []byte("concurrent")}
 
-	// queueNames are those of the length of their queue, "depth" in the settings.
+	// queueNames are the names under which servers report the length of their queue: "queue" in the servers' own format,
+	// "depth" in the settings.
 	queueNames = [][]byte{[]byte("queue"), []byte("depth")}
 )
 
-// ParseLoad parses a load report that came by another protocol. The zero value stands for a report without a known figure.
+// ParseLoad parses a load report that was received over another protocol. It returns the zero value if the report contains no
+// valid number of requests in flight.
 func (p *Pool) ParseLoad(report []byte) balancer.LoadReport { return p.parseLoad(report, false) }
 
-// parseLoad parses a load report: an optional word for the format, then name=value pairs between commas. A report without a
-// known figure is counted; so is a missing one where a report is expected, as in a probe's response.
+// parseLoad parses a load report: an optional format name, then name=value pairs separated by commas. It counts a report without
+// a valid number of requests in flight as unknown, and also a missing report if one is expected, as in a probe's response.
 func (p *Pool) parseLoad(report []byte, expected bool) balancer.LoadReport {
 	if !p.options.LoadReports || len(report) == 0 && !expected {
 		return balancer.LoadReport{}
@@ -45,11 +47,11 @@
 	return load
 }
 
-// loadValue finds the first value under one of the names. It reports false where there is none, or none that is a valid
-// figure.
+// loadValue returns the first value that has one of the names. It reports false if no pair has such a name, or if the first
+// value is not a number from 0 to below maxLoadValue.
 func loadValue(report []byte, names [][]byte) (float64, bool) {
 	report = bytes.TrimSpace(report)
-	if word, rest, found := bytes.Cut(report, []byte(" ")); found && !bytes.ContainsRune(word, '=') {
+	if format, rest, found := bytes.Cut(report, []byte(" ")); found && !bytes.ContainsRune(format, '=') {
 		report = rest
 	}
 	for pair := range bytes.SplitSeq(report, []byte(",")) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,5 +1,5 @@
-// Package upstream holds the node's connections to servers: the connection pool, the attempts and probes that run on it,
-// the outcome of each, and the load reports that come back.
+// Package upstream implements the node's HTTP connections to servers: the connection pool, the attempts and probes that use
+// it, the classification of their outcomes, and the parsing of load reports.
 package upstream
 
 import (
@@ -16,7 +16,7 @@
 	"tackhub.example/tackhub/internal/faults"
 )
 
-// Resolver resolves the address of a server. It reports false for a server that was removed or is draining.
+// Resolver returns the current address of a server. It reports false for a server that was removed or is draining.
 type Resolver interface {
 	Address(balancer.ServerID) (string, bool)
 }
@@ -24,83 +24,85 @@
 // Options configure a Pool.
 type Options struct {
 	Resolver          Resolver
-	ConnectTimeout    time.Duration // for a connection to come up
-	IdleTimeout       time.Duration // after which servers close idle connections; 0: unknown
-	ProbeTimeout      time.Duration // for a probe, its connection included
-	MaxConns          int           // connections in all
+	ConnectTimeout    time.Duration // limit for establishing a connection
+	IdleTimeout       time.Duration // idle time after which servers close a connection; 0: unknown
+	ProbeTimeout      time.Duration // limit for a probe, including establishing a connection
+	MaxConns          int           // connections to all servers together
 	MaxConnsPerServer int
 	MaxIdlePerServer  int  // 0: as many as MaxConnsPerServer
 	LoadReports       bool // servers report their load
-	QueueReports      bool // ... and in it the length of their queue
-	// OnIdleClosed is called when an idle connection to a server was closed, from any goroutine. It may block; nil: no call.
+	QueueReports      bool // load reports contain the queue length
+	// OnIdleClosed is called after an idle connection to a server was closed. It may be called from any goroutine and may
+	// block. It may be nil.
 	OnIdleClosed func(balancer.ServerID)
 	Log          *slog.Logger
 	Counters     *counters.Counters
 }
 
-// Pool holds the connections to all servers.
+// Pool manages the connections to all servers and enforces the connection limits.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
 
-	mu        sync.Mutex
-	idle      map[balancer.ServerID][]*conn // roughly by when they became idle; one put back unused is last
-	reserved  map[balancer.ServerID]int     // connections to each server: idle, in use and coming up
-	total     int                           // sum of reserved
-	processes int                           // that share the limits
+	mu           sync.Mutex
+	idle         map[balancer.ServerID][]*conn // each list ordered by idleSince, longest idle first
+	reserved     map[balancer.ServerID]int     // connections to each server: idle, in use and being dialed
+	total        int                           // sum of reserved
+	processCount int                           // processes that divide the limits among themselves
 }
 
 var (
-	// errNoCapacity is returned where the limits allow no further connection.
+	// errNoCapacity is returned if the limits allow no further connection.
 	errNoCapacity = errors.New("connection limit reached")
 
 	// errNoAddress is returned for a server that was removed, has moved or is draining.
-	errNoAddress = errors.New("server has no address")
+	errNoAddress = errors.New("server has no address: it was removed, has moved or is draining")
 )
 
 // New returns an empty Pool.
 func New(o Options) *Pool {
 	return &Pool{
-		options:   o,
-		dialer:    net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1, Control: faults.Connect},
-		processes: 1,
-		idle:      map[balancer.ServerID][]*conn{},
-		reserved:  map[balancer.ServerID]int{},
+		options:      o,
+		dialer:       net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1, Control: faults.Connect},
+		processCount: 1,
+		idle:         map[balancer.ServerID][]*conn{},
+		reserved:     map[balancer.ServerID]int{},
 	}
 }
 
-// SetProcessCount divides the limits among so many processes. Connections beyond the new limits are closed as they become
-// idle.
+// SetProcessCount divides the connection limits evenly among this number of processes. While the pool has more connections than
+// the new total limit, it closes an idle connection each time one becomes idle.
 func (p *Pool) SetProcessCount(processes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.processes = processes
+	p.processCount = processes
 }
 
-// maxTotal is this process's limit of connections in all. The caller holds the lock.
-func (p *Pool) maxTotal() int { return p.options.MaxConns / p.processes }
+// maxTotal returns this process's limit of connections to all servers together. The caller must hold p.mu.
+func (p *Pool) maxTotal() int { return p.options.MaxConns / p.processCount }
 
-// maxPerServer is this process's limit of connections to one server. The caller holds the lock.
-func (p *Pool) maxPerServer() int { return max(1, p.options.MaxConnsPerServer/p.processes) }
+// maxPerServer returns this process's limit of connections to one server. The caller must hold p.mu.
+func (p *Pool) maxPerServer() int { return max(1, p.options.MaxConnsPerServer/p.processCount) }
 
-// acquire returns a connection to a server: an idle one if one can be used, else a new one.
+// acquire returns an idle connection to a server if one can be used, and otherwise opens a new one.
 func (p *Pool) acquire(ctx context.Context, id balancer.ServerID) (*conn, error) {
 	addr, ok := p.options.Resolver.Address(id)
 	if !ok {
 		return nil, errNoAddress
 	}
-	// The balancer counts the connection that this request takes as no longer idle. Only further ones are news to it.
+	// The balancer already counts one idle connection fewer for this request, so OnIdleClosed must not be called for the first
+	// connection that is closed here, only for further ones.
 	closeUnusable := p.close
 	for {
 		c := p.takeIdle(id)
 		if c == nil {
 			return p.connect(ctx, id, addr)
 		}
-		if !c.awaitSettled(ctx) { // given up meanwhile; the connection was not used
+		if !c.awaitReuseDelay(ctx) { // the context has ended; the connection was not used
 			p.putUnused(c)
 			return nil, ctx.Err()
 		}
-		reason := p.unusable(c, addr)
+		reason := p.unusableReason(c, addr)
 		if reason == reusable {
 			p.options.Counters.Servers.Reused.Inc()
 			return c, nil
@@ -110,22 +112,22 @@
 	}
 }
 
-// connect opens a connection. It is not returned if the server was removed, moved or began to drain meanwhile: a server's
-// drain period is counted from the announcement, however long connections take.
+// connect opens a connection. It closes the connection and returns errNoAddress if the server was removed, moved or started to
+// drain in the meantime: a server's drain period starts with its announcement, however long a connection takes to establish.
 func (p *Pool) connect(ctx context.Context, id balancer.ServerID, addr string) (*conn, error) {
 	c, err := p.dial(ctx, id, addr)
 	if err != nil {
 		return nil, err
 	}
-	if now, ok := p.options.Resolver.Address(id); !ok || now != addr {
+	if current, ok := p.options.Resolver.Address(id); !ok || current != addr {
 		p.close(c, closeAddressGone, nil)
 		return nil, errNoAddress
 	}
 	return c, nil
 }
 
-// takeIdle removes the connection that became idle last among those that have settled, or else the one that became idle
-// first; nil where there is none.
+// takeIdle removes and returns the connection that became idle most recently among those whose reuseDelay has passed. If there
+// is no such connection, it takes the one that has been idle longest; if none is idle, it returns nil.
 func (p *Pool) takeIdle(id balancer.ServerID) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +136,7 @@
 		return nil
 	}
 	i := len(list) - 1
-	for i > 0 && time.Since(list[i].idleSince) < settleTime {
+	for i > 0 && time.Since(list[i].idleSince) < reuseDelay {
 		i--
 	}
 	c := list[i]
@@ -142,39 +144,39 @@
 	return c
 }
 
-// put makes a connection idle.
+// put makes a connection idle after a response. Its idle time starts now.
 func (p *Pool) put(c *conn) {
 	c.idleSince = time.Now()
 	p.putUnused(c)
 }
 
-// putUnused returns a connection that has not been used since it was taken or opened. It is as idle as before: the server counts from
-// its last response, or from the beginning.
+// putUnused makes a connection idle that was not used since it was taken or opened. It keeps idleSince, because the server
+// measures the idle time from its last response or from the opening of the connection.
 func (p *Pool) putUnused(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.server]
-	at := len(list)
-	for at > 0 && list[at-1].idleSince.After(c.idleSince) { // the one that is idle longest is the first
-		at--
+	position := len(list)
+	for position > 0 && list[position-1].idleSince.After(c.idleSince) { // keeps the longest idle connection first
+		position--
 	}
-	list = slices.Insert(list, at, c)
+	list = slices.Insert(list, position, c)
 	p.idle[c.server] = list
 	if p.options.MaxIdlePerServer > 0 && len(list) > p.options.MaxIdlePerServer {
 		p.idle[c.server] = slices.Clone(list[1:])
-		go p.closeIdle(list[0], closeSpare, nil) // it takes the lock
+		go p.closeIdle(list[0], closeExcessIdle, nil) // in a goroutine, because it locks p.mu
 		return
 	}
 	if p.total <= p.maxTotal() {
 		return
 	}
-	if evicted := p.takeLongestIdle(); evicted != nil { // another process shares the limits now
+	if evicted := p.takeLongestIdle(); evicted != nil { // the limit was lowered when another process started
 		go p.closeIdle(evicted, closeEvicted, nil)
 	}
 }
 
-// reserve makes room for a new connection, where needed by closing the one that has been idle longest. It reports false
-// where the limits allow none.
+// reserve reserves capacity for a new connection. At the total limit it closes the connection that has been idle longest. It
+// reports false if the limits allow no further connection.
 func (p *Pool) reserve(id balancer.ServerID) bool {
 	ok, evicted := p.tryReserve(id)
 	if evicted != nil {
@@ -183,7 +185,7 @@
 	return ok
 }
 
-// tryReserve also returns an idle connection that the caller must close.
+// tryReserve does the work of reserve except for closing: the caller must close the evicted connection if it is not nil.
 func (p *Pool) tryReserve(id balancer.ServerID) (ok bool, evicted *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,7 +203,7 @@
 	return true, evicted
 }
 
-// unreserve frees the reservation of a connection that was closed or did not come up.
+// unreserve frees the reservation of a connection that was closed or could not be established.
 func (p *Pool) unreserve(id balancer.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,16 +215,17 @@
 	}
 }
 
-// takeLongestIdle removes the connection that has been idle longest; nil where there is none. The caller holds the lock.
+// takeLongestIdle removes and returns the connection that has been idle longest, or nil if none is idle. The caller must hold
+// p.mu.
 func (p *Pool) takeLongestIdle() *conn {
-	var oldest *conn
+	var longestIdle *conn
 	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
-			oldest = list[0]
+		if len(list) > 0 && (longestIdle == nil || list[0].idleSince.Before(longestIdle.idleSince)) {
+			longestIdle = list[0]
 		}
 	}
-	if oldest != nil {
-		p.idle[oldest.server] = slices.Clone(p.idle[oldest.server][1:])
+	if longestIdle != nil {
+		p.idle[longestIdle.server] = slices.Clone(p.idle[longestIdle.server][1:])
 	}
-	return oldest
+	return longestIdle
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestAcquireTakesTheNewestSettled: a server closes a connection, or sends a second response, right behind a response. The
+// TestAcquirePrefersNewestConnectionPastReuseDelay: a server closes a connection, or sends a second response, right behind a response. The
 // next request must not be written on such a connection while another one is idle.
-func TestAcquireTakesTheNewestSettled(t *testing.T) {
+func TestAcquirePrefersNewestConnectionPastReuseDelay(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
 	one := mustAcquire(t, p, "s1")
@@ -31,7 +31,7 @@
 			t.Errorf("%d: not the connection wanted", i)
 		}
 	}
-	if settled := time.Since(three.idleSince); settled < settleTime {
+	if settled := time.Since(three.idleSince); settled < reuseDelay {
 		t.Errorf("used after settling for %v", settled)
 	}
 	if n := count.Servers.Dialed.Get(); n != 3 {
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestUnsolicitedResponseIsNotTakenForTheNext: the only connection has just had its response, and a second one comes some
+// TestAcquireRejectsConnectionWithUnsolicitedResponse: the only connection has just had its response, and a second one comes some
 // milliseconds behind it. The connection was once reused at once, and the next client got the second response for its own.
-func TestUnsolicitedResponseIsNotTakenForTheNext(t *testing.T) {
+func TestAcquireRejectsConnectionWithUnsolicitedResponse(t *testing.T) {
 	addr, accepted := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
 	c := mustAcquire(t, p, "s1")
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestAcquireGivenUpWhileSettling: a request is cancelled while it waits for its connection to settle. The connection stays
+// TestAcquireCancelledDuringReuseDelay: a request is cancelled while it waits for its connection to settle. The connection stays
 // idle for the next one.
-func TestAcquireGivenUpWhileSettling(t *testing.T) {
+func TestAcquireCancelledDuringReuseDelay(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
 	c := mustAcquire(t, p, "s1")
@@ -76,13 +76,13 @@
 	if _, err := p.acquire(ctx, "s1"); !errors.Is(err, context.Canceled) {
 		t.Errorf("given up: %v", err)
 	}
-	c.idleSince = time.Now().Add(-settleTime)
+	c.idleSince = time.Now().Add(-reuseDelay)
 	if mustAcquire(t, p, "s1") != c {
 		t.Error("the connection is gone")
 	}
 }
 
-func TestAcquireSkipsClosedAndNoisy(t *testing.T) {
+func TestAcquireSkipsClosedConnectionsAndUnreadInput(t *testing.T) {
 	addr, accepted := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
 	for i, spoil := range []func(net.Conn){
@@ -91,7 +91,7 @@
 	} {
 		c := mustAcquire(t, p, "s1")
 		spoil(accepted(i))
-		for end := time.Now().Add(10 * time.Second); c.quiet() && time.Now().Before(end); {
+		for end := time.Now().Add(10 * time.Second); c.hasNoPendingInput() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		p.put(c)
@@ -158,7 +158,7 @@
 		for end := time.Now().Add(10 * time.Second); count.Servers.Open.Get() != want && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if n := count.Servers.Open.Get(); n != want || count.ServerEnds.Get(string(closeSpare)) != 3-want {
+		if n := count.Servers.Open.Get(); n != want || count.ServerEnds.Get(string(closeExcessIdle)) != 3-want {
 			t.Errorf("at most %d idle: %d stay open", limit, n)
 		}
 		p.sweep(true)
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	// maxProbeBytes bounds the body of a probe's response; a load report is one line.
-	maxProbeBytes = 64 << 10
+	// maxProbeBodyBytes is the largest accepted body of a probe's response. A load report is a single line.
+	maxProbeBodyBytes = 64 << 10
 
 	healthPath = "/ping"
-	loadPath   = "/_load" // in place of healthPath where servers report their load
+	loadPath   = "/_load" // used instead of healthPath if servers report their load
 )
 
-// ProbeLoad checks a server's health and, where servers report it, its load. It does not wait; done is called with the
-// completion.
+// ProbeLoad probes a server's health and, if servers report their load, its load. It returns without waiting and calls done
+// with the completion.
 func (p *Pool) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
 	go p.runProbe(server, done)
 }
 
+// runProbe sends one probe within ProbeTimeout and calls done with its completion, also after a panic.
 func (p *Pool) runProbe(server balancer.ServerID, done func(engine.Completion)) {
-	began := time.Now()
+	startTime := time.Now()
 	defer p.recoverPanic(func() {
-		done(engine.Completion{Outcome: balancer.ConnectionLost, Elapsed: clock.Millis(time.Since(began))})
+		done(engine.Completion{Outcome: balancer.ConnectionLost, Elapsed: clock.Millis(time.Since(startTime))})
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.ProbeTimeout)
 	defer cancel()
-	end := p.probe(ctx, server)
-	end.Elapsed = clock.Millis(time.Since(began))
-	done(end)
+	result := p.probe(ctx, server)
+	result.Elapsed = clock.Millis(time.Since(startTime))
+	done(result)
 }
 
-// probe sends one probe. If this node's own limits prevent it, the outcome is NotSent, which is no statement on the server.
+// probe sends one probe. If a failure of this node prevents it, such as a connection limit, the outcome is NotSent, which does
+// not count for or against the server.
 func (p *Pool) probe(ctx context.Context, server balancer.ServerID) engine.Completion {
 	c, err := p.acquire(ctx, server)
 	switch {
-	case isLocal(err):
+	case isLocalFailure(err):
 		return engine.Completion{Outcome: balancer.NotSent}
 	case err != nil && hasEnded(ctx):
 		return engine.Completion{Outcome: balancer.TimedOut}
@@ -52,17 +54,17 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	reason := closePanic // unless it is set below
+	reason := closePanic // stays only if a panic skips the assignment below
 	defer func() { p.finish(c, reason, err) }()
 	reason, err = p.exchangeProbe(ctx, c, resp)
 	return p.probeCompletion(resp, reason, err)
 }
 
-// exchangeProbe writes the probe and reads its response, within the context's time. The reason is why the connection
-// cannot be reused, or reusable.
+// exchangeProbe writes the probe and reads its response before the context's deadline. The closeReason is reusable, or the
+// reason why the connection cannot be reused.
 func (p *Pool) exchangeProbe(ctx context.Context, c *conn, resp *fasthttp.Response) (closeReason, error) {
 	deadline, _ := ctx.Deadline()
-	_ = c.SetDeadline(deadline) // it fails only on a broken connection, where the write fails too
+	_ = c.SetDeadline(deadline) // fails only on a broken connection, on which the write fails too
 	c.requests++
 	reason := closeWriteFailed
 	_, err := c.Write(p.probeRequest(c.addr))
@@ -76,7 +78,7 @@
 	return reason, err
 }
 
-// probeRequest is the request of a probe.
+// probeRequest returns the HTTP request of a probe.
 func (p *Pool) probeRequest(addr string) []byte {
 	path := healthPath
 	if p.options.LoadReports {
@@ -85,24 +87,25 @@
 	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
 }
 
-// readProbeResponse reads a complete response.
+// readProbeResponse reads the complete response to a probe. The closeReason is reusable, or the reason why the connection
+// cannot be reused.
 func readProbeResponse(c *conn, resp *fasthttp.Response) (closeReason, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return closeReset, err
 	}
-	if err := skipInterim(c.reader); err != nil {
+	if err := skipInterimResponses(c.reader); err != nil {
 		return closeBadResponse, err
 	}
-	if err := resp.ReadLimitBody(c.reader, maxProbeBytes); err != nil {
+	if err := resp.ReadLimitBody(c.reader, maxProbeBodyBytes); err != nil {
 		return closeBadResponse, err
 	}
-	if resp.ConnectionClose() || c.reader.Buffered() > 0 { // unsolicited bytes could pass for the next response
-		return closeServerAsked, nil
+	if resp.ConnectionClose() || c.reader.Buffered() > 0 { // unsolicited bytes could be read as the next response
+		return closeRequestedByServer, nil
 	}
 	return reusable, nil
 }
 
-// probeCompletion is that of a probe whose exchange is over.
+// probeCompletion returns the completion of a probe after exchangeProbe has returned.
 func (p *Pool) probeCompletion(resp *fasthttp.Response, reason closeReason, err error) engine.Completion {
 	switch {
 	case reason == closeAborted:
@@ -112,17 +115,17 @@
 	case err != nil:
 		return engine.Completion{Outcome: balancer.ConnectionLost}
 	}
-	end := engine.Completion{Outcome: classifyProbe(resp.StatusCode())}
+	result := engine.Completion{Outcome: classifyProbe(resp.StatusCode())}
 	report := resp.Header.Peek(headerLoad)
 	if len(report) == 0 {
 		report = resp.Body()
 	}
-	end.Report = p.parseLoad(report, end.Outcome == balancer.OK)
-	return end
+	result.Report = p.parseLoad(report, result.Outcome == balancer.OK)
+	return result
 }
 
-// classifyProbe is the outcome that a probe's status stands for. With 503 a server says that it is overloaded, which is not a
-// fault.
+// classifyProbe returns the outcome for the status of a probe's response. Status 503 means that the server is overloaded, which
+// is not a fault.
 func classifyProbe(status int) balancer.Outcome {
 	switch status {
 	case fasthttp.StatusOK:
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -20,7 +20,7 @@
 
 // A probe's time ends while its connection comes up, and the socket's timer fires before the context's; or before it is written on one
 // that is there. The probe timed out: it must not count as a server that cannot be reached, nor as the end of the dialer's own timeout.
-func TestProbeTimesOutBeforeItIsSent(t *testing.T) {
+func TestProbeTimesOutBeforeRequestIsSent(t *testing.T) {
 	for _, idle := range []bool{false, true} {
 		addr, _ := acceptingListener(t)
 		p, count := testPool(fixedResolver{"s1": addr}, 1, 1)
@@ -43,8 +43,8 @@
 	}{
 		{"complete", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", ""},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", ""},
-		{"connection closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", closeServerAsked},
-		{"unsolicited bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1", closeServerAsked},
+		{"connection closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", closeRequestedByServer},
+		{"unsolicited bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1", closeRequestedByServer},
 		{"empty", "", closeReset},
 		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", closeBadResponse},
 		{"half a head", "HTTP/1.1 200 OK\r\nContent-", closeBadResponse},
@@ -53,7 +53,7 @@
 		{"malformed without end", "hello there", closeBadResponse},
 		{"1xx first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", ""},
 		{"1xx only", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20), closeBadResponse},
-		{"until it closes", "HTTP/1.0 200 OK\r\nConnection: close\r\n\r\nok", closeServerAsked},
+		{"until it closes", "HTTP/1.0 200 OK\r\nConnection: close\r\n\r\nok", closeRequestedByServer},
 		{"no delimiter", "HTTP/1.1 200 OK\r\n\r\nok", closeBadResponse},
 	} {
 		var resp fasthttp.Response
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	// maxHold is how long a response of unknown size is held back to see whether it is small. A small one is passed on
-	// whole, so if it breaks off the request can be retried elsewhere; a large one is timed by its first bytes, and servers
-	// may write it slowly.
-	maxHold = 20 * time.Millisecond
+	// maxBufferTime is how long a response of unknown size is buffered to find out whether it is small. A small response is
+	// forwarded only when it is complete, so that the request can be retried on another server if the connection breaks. The
+	// latency of a large response is measured at its first bytes, so these must not wait for the rest, which servers may
+	// write slowly.
+	maxBufferTime = 20 * time.Millisecond
 
-	// firstPieceBytes is read of a large response before it is passed on.
-	firstPieceBytes = 4 << 10
+	// initialBufferBytes is the size of the first read of a large response, and of the first buffer of one of unknown size.
+	initialBufferBytes = 4 << 10
 
-	// untilClose is fasthttp's content length of a response that only the connection's end delimits.
-	untilClose = -2
+	// contentLengthUntilClose is fasthttp's content length for a response that ends when the server closes the connection.
+	contentLengthUntilClose = -2
 )
 
 var errTooLarge = errors.New("response body too large")
 
-// response is what was read of a server's response: a complete small body, or the beginning of a large one.
+// response is a server's response: its complete body if it is small, or the beginning of the body and a Stream for the rest.
 type response struct {
 	body []byte
 	rest *Stream // nil: body is complete
 }
 
-// readResponse reads a response, or the beginning of a large one. The reason is why the connection cannot be reused,
-// or reusable.
+// readResponse reads a response, or the beginning of a large one. The closeReason is reusable, or the reason why the connection
+// cannot be reused.
 func (p *Pool) readResponse(c *conn, resp *fasthttp.Response) (response, closeReason, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return response{}, closeReset, err
 	}
-	if err := skipInterim(c.reader); err != nil {
+	if err := skipInterimResponses(c.reader); err != nil {
 		return response{}, closeBadResponse, err
 	}
 	resp.StreamBody = true
-	if err := resp.ReadLimitBody(c.reader, 0); err != nil { // reads the head alone
+	if err := resp.ReadLimitBody(c.reader, 0); err != nil { // with StreamBody, this reads only the head
 		return response{}, closeBadResponse, err
 	}
 	s := p.newStream(c, resp)
@@ -57,7 +58,7 @@
 	return s.readSmall()
 }
 
-// newStream returns the body of a response whose head was read.
+// newStream returns a Stream for the body of a response whose head has been read.
 func (p *Pool) newStream(c *conn, resp *fasthttp.Response) *Stream {
 	s := &Stream{
 		pool: p,
@@ -75,69 +76,69 @@
 
 // readFirst reads the first bytes of a large response.
 func (s *Stream) readFirst() (response, closeReason, error) {
-	first := make([]byte, firstPieceBytes)
-	n, err := io.ReadAtLeast(s, first, 1)
+	buf := make([]byte, initialBufferBytes)
+	n, err := io.ReadAtLeast(s, buf, 1)
 	if err != nil {
-		return response{}, closeBadResponse, s.incomplete(err)
+		return response{}, closeBadResponse, s.wrapReadError(err)
 	}
-	return response{body: first[:n], rest: s}, reusable, nil
+	return response{body: buf[:n], rest: s}, reusable, nil
 }
 
-// readSmall reads a response that is small or of unknown size.
+// readSmall reads a response that is small or of unknown size. If the latter turns out to be large, its rest stays unread.
 func (s *Stream) readSmall() (response, closeReason, error) {
-	b, err := s.readHeld()
+	buf, err := s.bufferBody()
 	if err != nil {
-		return response{}, closeBadResponse, s.incomplete(err)
+		return response{}, closeBadResponse, s.wrapReadError(err)
 	}
 	if !s.ended {
-		return response{body: b, rest: s}, reusable, nil
+		return response{body: buf, rest: s}, reusable, nil
 	}
-	unsolicited := s.conn.reader.Buffered() > 0 // such bytes could pass for the next response
-	if s.resp.ConnectionClose() || s.resp.Header.ContentLength() == untilClose || unsolicited {
-		return response{body: b}, closeServerAsked, nil
+	unsolicited := s.conn.reader.Buffered() > 0 // such bytes could be read as the next response
+	if s.resp.ConnectionClose() || s.resp.Header.ContentLength() == contentLengthUntilClose || unsolicited {
+		return response{body: buf}, closeRequestedByServer, nil
 	}
-	return response{body: b}, reusable, nil
+	return response{body: buf}, reusable, nil
 }
 
-// readHeld reads to the end of the body. It stops before where the size is unknown and the body turns out to be large, or
-// does not end within maxHold.
-func (s *Stream) readHeld() ([]byte, error) {
-	unknown := s.size == unknownSize
-	capacity := s.size + 1 // the end shows in a read beyond the last byte
-	if unknown {
-		capacity = firstPieceBytes
-	}
-	b := make([]byte, 0, capacity)
-	var firstAt time.Time // when the first bytes were read
+// bufferBody reads the body to its end. If the size is unknown, it stops early when the body exceeds MaxInMemory or does not end
+// within maxBufferTime after its first bytes.
+func (s *Stream) bufferBody() ([]byte, error) {
+	sizeUnknown := s.size == unknownSize
+	capacity := s.size + 1 // only a read beyond the last byte returns io.EOF
+	if sizeUnknown {
+		capacity = initialBufferBytes
+	}
+	buf := make([]byte, 0, capacity)
+	var firstReadTime time.Time // when the first bytes were read
 	for {
-		if unknown && len(b) > 0 {
-			more, err := s.awaitMore(firstAt.Add(maxHold))
+		if sizeUnknown && len(buf) > 0 {
+			more, err := s.awaitMore(firstReadTime.Add(maxBufferTime))
 			if !more {
-				return b, err
+				return buf, err
 			}
 		}
-		b = slices.Grow(b, 1)
-		n, err := s.Read(b[len(b):cap(b)])
-		b = b[:len(b)+n]
+		buf = slices.Grow(buf, 1)
+		n, err := s.Read(buf[len(buf):cap(buf)])
+		buf = buf[:len(buf)+n]
 		if errors.Is(err, io.EOF) {
-			return b, nil
+			return buf, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		if firstAt.IsZero() {
-			firstAt = time.Now()
+		if firstReadTime.IsZero() {
+			firstReadTime = time.Now()
 		}
-		large := len(b) > body.MaxInMemory || time.Since(firstAt) > maxHold
-		if unknown && large {
-			return b, nil
+		large := len(buf) > body.MaxInMemory || time.Since(firstReadTime) > maxBufferTime
+		if sizeUnknown && large {
+			return buf, nil
 		}
 	}
 }
 
-// awaitMore waits until there is something to read, or until a time. Peeking allows the wait to be given up without losing
-// the position in the response. A reset must be reported here, since the kernel reports it once: the next read would find an
-// end of file, and take a response that the connection's end delimits for complete.
+// awaitMore waits until there is input or the given time has passed, and reports whether there is input. It peeks, so a timeout
+// does not lose the position in the response. It must keep a reset as the stream's error, because the kernel reports a reset only
+// once: the next read would return an end of file, and a response that ends with the connection would count as complete.
 func (s *Stream) awaitMore(until time.Time) (bool, error) {
 	if s.conn.reader.Buffered() > 0 {
 		return true, nil
@@ -148,7 +149,7 @@
 	}
 	_, err := s.conn.reader.Peek(1)
 	switch {
-	case err == nil, errors.Is(err, io.EOF): // the next read finds either again
+	case err == nil, errors.Is(err, io.EOF): // the next read returns the same
 		return true, nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return false, nil
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	// maxStall is how long a server may pause within a large response. What it still sends must be passed on, however
-	// slowly; after such a pause it counts as dead.
-	maxStall = 5 * time.Second
+	// stallTimeout is the longest accepted pause in a large response. A slow response must be forwarded as long as bytes
+	// arrive, but after such a pause the server is considered dead.
+	stallTimeout = 5 * time.Second
 
-	// maxStallLate is the same for a response of unknown size once the request's deadline has passed. It may be a small one,
-	// which is lost half a second after its deadline.
-	maxStallLate = 400 * time.Millisecond
+	// stallTimeoutAfterDeadline is the longest accepted pause in a response of unknown size after the request's deadline. Such
+	// a response may turn out to be small, and a small response counts as lost half a second after the deadline.
+	stallTimeoutAfterDeadline = 400 * time.Millisecond
 
-	// unknownSize is the size of a body that the server did not announce.
+	// unknownSize is the size of a body without a Content-Length.
 	unknownSize = -1
 )
 
-// Stream is the rest of a large response that is still coming. Whoever gets it must close it; that returns its connection to
-// the pool.
+// Stream reads the rest of a large response that the server is still sending. Its owner must call Close, which returns the
+// connection to the pool or closes it.
 type Stream struct {
-	pool     *Pool
-	conn     *conn
-	resp     *fasthttp.Response
-	body     io.Reader
-	size     int64 // of the whole body in bytes, or unknownSize
-	got      int64 // bytes of the whole body that were read
-	ended    bool  // the body was read to its end
-	err      error
-	deadline time.Time // when the client gives up; zero: unknown
+	pool      *Pool
+	conn      *conn
+	resp      *fasthttp.Response
+	body      io.Reader
+	size      int64 // size of the whole body in bytes, or unknownSize
+	bytesRead int64 // bytes of the body read so far
+	ended     bool  // the body was read to its end
+	err       error
+	deadline  time.Time // deadline of the request; zero: unknown
 }
 
-// Size is the size of the whole body in bytes, what was read before the stream included; -1 where the server did not
-// announce it.
+// Size returns the size of the whole body in bytes, including the part that was read before the Stream was returned. It is -1
+// if the server did not announce the size.
 func (s *Stream) Size() int64 { return s.size }
 
-// SetDeadline sets when the client gives the request up.
+// SetDeadline sets the time at which the client stops waiting for the response.
 func (s *Stream) SetDeadline(t time.Time) { s.deadline = t }
 
-// Read returns what has come, and io.EOF once the response is complete.
+// Read reads the next bytes of the body. It returns io.EOF when the body is complete.
 func (s *Stream) Read(p []byte) (int, error) {
 	switch {
-	case s.err != nil: // the kernel reports a reset once, and an end of file from then on
+	case s.err != nil: // the kernel reports a reset only once; later reads return an end of file
 		return 0, s.err
 	case s.ended:
 		return 0, io.EOF
@@ -57,9 +57,9 @@
 		return 0, err
 	}
 	n, err := s.body.Read(p)
-	s.got += int64(n)
+	s.bytesRead += int64(n)
 	switch {
-	case s.got > body.MaxSize:
+	case s.bytesRead > body.MaxSize:
 		s.err = errTooLarge
 	case errors.Is(err, io.EOF):
 		s.ended = true
@@ -72,22 +72,24 @@
 	return n, err
 }
 
-// readDeadline is when the next bytes must have come. Of a body over 64 KiB only the first bytes are timed by the request's
-// deadline, and a body of unknown size may become one: what its server sends is passed on, also late, but a pause ends it.
+// readDeadline returns the time by which the next bytes must arrive. The request's deadline applies only to the first bytes of a
+// body over 64 KiB; after them only stallTimeout applies. A body of unknown size may exceed 64 KiB, so it is forwarded even after
+// the request's deadline, but with the shorter stallTimeoutAfterDeadline.
 func (s *Stream) readDeadline() time.Time {
 	now := time.Now()
-	latest := now.Add(maxStall)
+	latest := now.Add(stallTimeout)
 	large := s.size > body.MaxInMemory
 	if large || s.deadline.IsZero() || s.deadline.After(latest) {
 		return latest
 	}
-	if late := now.Add(maxStallLate); late.After(s.deadline) {
-		return late
+	if minDeadline := now.Add(stallTimeoutAfterDeadline); minDeadline.After(s.deadline) {
+		return minDeadline
 	}
 	return s.deadline
 }
 
-// Close returns the connection to the pool if the response was read to its end, and closes it otherwise.
+// Close returns the connection to the pool if the response was read to its end and the connection can be reused. Otherwise it
+// closes the connection.
 func (s *Stream) Close() {
 	reason := s.closeReason()
 	if s.conn.SetReadDeadline(time.Time{}) != nil && reason == reusable {
@@ -98,21 +100,21 @@
 	s.pool.finish(s.conn, reason, s.err)
 }
 
-// closeReason is why the connection cannot be reused, or reusable.
+// closeReason returns reusable, or the reason why the connection cannot be reused.
 func (s *Stream) closeReason() closeReason {
-	delimitedByClose := s.size == unknownSize && s.resp.Header.ContentLength() == untilClose
+	delimitedByClose := s.size == unknownSize && s.resp.Header.ContentLength() == contentLengthUntilClose
 	switch {
 	case s.err != nil:
 		return closeBadResponse
 	case !s.ended:
 		return closeAborted
 	case s.resp.ConnectionClose() || s.conn.reader.Buffered() > 0 || delimitedByClose:
-		return closeServerAsked
+		return closeRequestedByServer
 	}
 	return reusable
 }
 
-// incomplete wraps an error with how much of the response had come, by which a slow server differs from a broken one.
-func (s *Stream) incomplete(err error) error {
-	return fmt.Errorf("after %d bytes of %d: %w", s.got, s.size, err)
+// wrapReadError adds the number of bytes read to an error, which distinguishes a slow server from a broken one.
+func (s *Stream) wrapReadError(err error) error {
+	return fmt.Errorf("response body ended after %d of %d bytes (-1: unknown size): %w", s.bytesRead, s.size, err)
 }
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -13,14 +13,14 @@
 		s    Stream
 		want time.Duration // from now
 	}{
-		"no deadline":                   {Stream{size: -1}, maxStall},
-		"long before":                   {Stream{size: -1, deadline: now.Add(time.Minute)}, maxStall},
-		"unknown size, before":          {Stream{size: -1, got: 11, deadline: now.Add(time.Second)}, time.Second},
-		"unknown size, shortly before":  {Stream{size: -1, got: 11, deadline: now.Add(time.Millisecond)}, maxStallLate},
-		"unknown size, after":           {Stream{size: -1, got: 11, deadline: now.Add(-time.Hour)}, maxStallLate},
-		"unknown size and large, after": {Stream{size: -1, got: 1 << 20, deadline: now.Add(-time.Hour)}, maxStallLate},
-		"large, before":                 {Stream{size: 1 << 20, deadline: now.Add(time.Second)}, maxStall},
-		"large, after":                  {Stream{size: 1 << 20, deadline: now.Add(-time.Hour)}, maxStall},
+		"no deadline":                   {Stream{size: -1}, stallTimeout},
+		"long before":                   {Stream{size: -1, deadline: now.Add(time.Minute)}, stallTimeout},
+		"unknown size, before":          {Stream{size: -1, bytesRead: 11, deadline: now.Add(time.Second)}, time.Second},
+		"unknown size, shortly before":  {Stream{size: -1, bytesRead: 11, deadline: now.Add(time.Millisecond)}, stallTimeoutAfterDeadline},
+		"unknown size, after":           {Stream{size: -1, bytesRead: 11, deadline: now.Add(-time.Hour)}, stallTimeoutAfterDeadline},
+		"unknown size and large, after": {Stream{size: -1, bytesRead: 1 << 20, deadline: now.Add(-time.Hour)}, stallTimeoutAfterDeadline},
+		"large, before":                 {Stream{size: 1 << 20, deadline: now.Add(time.Second)}, stallTimeout},
+		"large, after":                  {Stream{size: 1 << 20, deadline: now.Add(-time.Hour)}, stallTimeout},
 	} {
 		due := c.s.readDeadline().Sub(now)
 		passed := time.Since(now)
