--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -30,13 +30,13 @@
 			resp.Header.Set(headerNotRun, c.notRun)
 		}
 		if got := classifyResponse(&resp); got != c.want {
-			t.Errorf("%d with %q: %s, want %s", c.status, c.notRun, engine.OutcomeName(got), engine.OutcomeName(c.want))
+			t.Errorf("status %d, X-Not-Run %q: outcome = %s, want %s", c.status, c.notRun, engine.OutcomeName(got), engine.OutcomeName(c.want))
 		}
 	}
 }
 
-// TestLocalFailureReportsNotSent: an attempt fails at the node's own connection limit. The server must not be ejected
-// for it.
+// An attempt or a probe that fails at the node's own connection limit, or for a server without an address, must end as NotSent.
+// Any other outcome would count towards ejecting the server.
 func TestLocalFailureReportsNotSent(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	closed, err := net.Listen("tcp", "127.0.0.2:0")
@@ -44,10 +44,10 @@
 		t.Fatal(err)
 	}
 	_ = closed.Close()
-	a := fixedResolver{"full": addr, "dead": closed.Addr().String()}
-	p, _ := testPool(a, 8, 1)
-	held := mustAcquire(t, p, "full")
-	defer p.close(held, closeExit, nil)
+	resolver := fixedResolver{"full": addr, "dead": closed.Addr().String()}
+	p, _ := testPool(resolver, 8, 1)
+	onlyConn := mustAcquire(t, p, "full")
+	defer p.close(onlyConn, closeExit, nil)
 	for id, want := range map[balancer.ServerID]balancer.Outcome{"full": balancer.NotSent, "left": balancer.NotSent,
 		"dead": balancer.Unreachable} {
 		ended := make(chan engine.Completion, 1)
@@ -60,23 +60,23 @@
 			select {
 			case e := <-ended:
 				if e.Outcome != want {
-					t.Errorf("%s: %s, want %s", id, engine.OutcomeName(e.Outcome), engine.OutcomeName(want))
+					t.Errorf("server %s: outcome = %s, want %s", id, engine.OutcomeName(e.Outcome), engine.OutcomeName(want))
 				}
 			case <-time.After(10 * time.Second):
-				t.Fatal("no completion")
+				t.Fatalf("server %s: no completion after 10 s", id)
 			}
 		}
 	}
 }
 
-// TestUnwrittenRequestPreservesIdleSince: a request takes an idle connection and is not written on it. The server goes on counting from
-// its last response, and closes the connection by that: were it idle from now on for the pool, a later request would be lost on it.
+// A request acquires an idle connection and returns it without writing. The server measures the idle time from its last
+// response. If the pool restarted the idle time, a later request would be lost on a connection that the server is closing.
 func TestUnwrittenRequestPreservesIdleSince(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
-	older, newer := mustAcquire(t, p, "s1"), mustAcquire(t, p, "s1")
-	since := map[*conn]time.Time{older: time.Now().Add(-30 * time.Second), newer: time.Now().Add(-20 * time.Second)}
-	for _, c := range []*conn{older, newer} {
+	longer, shorter := mustAcquire(t, p, "s1"), mustAcquire(t, p, "s1")
+	since := map[*conn]time.Time{longer: time.Now().Add(-30 * time.Second), shorter: time.Now().Add(-20 * time.Second)}
+	for _, c := range []*conn{longer, shorter} {
 		p.put(c)
 		c.idleSince = since[c]
 	}
@@ -84,48 +84,50 @@
 		ended := make(chan engine.Completion, 1)
 		p.Send("s1", engine.OutgoingRequest{Bytes: []byte("too late"), WriteDeadline: time.Now()}, func(e engine.Completion) { ended <- e })
 		if e := <-ended; e.Outcome != balancer.NotSent {
-			t.Fatalf("ended as %s", engine.OutcomeName(e.Outcome))
+			t.Fatalf("outcome = %s, want %s", engine.OutcomeName(e.Outcome), engine.OutcomeName(balancer.NotSent))
 		}
 	}
 	for c, want := range since {
 		if c.idleSince != want {
-			t.Errorf("a connection that was idle for %v is idle for %v", time.Since(want), time.Since(c.idleSince))
+			t.Errorf("idle time = %v, want %v", time.Since(c.idleSince), time.Since(want))
 		}
 	}
 	p.putUnused(p.takeIdle("s1"))
 	taken := []*conn{p.takeIdle("s1"), p.takeIdle("s1")}
-	for _, c := range taken { // the newer one comes back first
+	for _, c := range taken { // the one with the shorter idle time is returned first
 		p.putUnused(c)
 	}
-	if list := p.idle["s1"]; len(list) != 2 || list[0] != older || list[1] != newer {
-		t.Error("the connection that is idle longest is not the first")
+	if list := p.idle["s1"]; len(list) != 2 || list[0] != longer || list[1] != shorter {
+		t.Errorf("idle list has %d connections, want 2 with the longest idle one first", len(list))
 	}
 }
 
-// TestRequestNotWrittenAfterClientDisconnectOrDeadline: a client disconnects while the connection comes up. Nothing is written, and the connection
-// serves another request.
+// A client disconnects, or the write deadline passes, while the connection is being established. The request must not be
+// written, and the next request must use the same connection.
 func TestRequestNotWrittenAfterClientDisconnectOrDeadline(t *testing.T) {
 	addr, accepted := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
-	wanted := false
+	clientWaiting := false
 	for _, c := range []engine.OutgoingRequest{
-		{Bytes: []byte("unwanted"), ClientWaiting: func() bool { return wanted }},
+		{Bytes: []byte("unwanted"), ClientWaiting: func() bool { return clientWaiting }},
 		{Bytes: []byte("too late"), WriteDeadline: time.Now()},
 	} {
 		ended := make(chan engine.Completion, 1)
 		p.Send("s1", c, func(e engine.Completion) { ended <- e })
 		if e := <-ended; e.Outcome != balancer.NotSent || e.ClientDisconnected != (c.ClientWaiting != nil) {
-			t.Errorf("%s: %s, client gone %v", c.Bytes, engine.OutcomeName(e.Outcome), e.ClientDisconnected)
+			t.Errorf("request %q: outcome = %s, ClientDisconnected = %v, want %s, %v", c.Bytes, engine.OutcomeName(e.Outcome),
+				e.ClientDisconnected, engine.OutcomeName(balancer.NotSent), c.ClientWaiting != nil)
 		}
 	}
-	wanted = true
-	p.Send("s1", engine.OutgoingRequest{Bytes: []byte("wanted"), ClientWaiting: func() bool { return wanted }}, func(engine.Completion) {})
+	clientWaiting = true
+	p.Send("s1", engine.OutgoingRequest{Bytes: []byte("wanted"), ClientWaiting: func() bool { return clientWaiting }},
+		func(engine.Completion) {})
 	got := make([]byte, len("wanted"))
 	if _, err := io.ReadFull(accepted(0), got); err != nil || string(got) != "wanted" {
-		t.Errorf("the first bytes at the server are %q, %v", got, err)
+		t.Errorf("first bytes at the server = %q (error %v), want %q", got, err, "wanted")
 	}
 	if n := count.Servers.Dialed.Get(); n != 1 {
-		t.Errorf("%d connections, want one", n)
+		t.Errorf("dialed %d connections, want 1", n)
 	}
 }
 
@@ -133,14 +135,15 @@
 	p, _ := testPool(fixedResolver{}, 1, 1)
 	a := &Attempt{pool: p, cancel: func() {}}
 	if a.Abort() {
-		t.Error("an attempt without a connection may have run")
+		t.Error("Abort before a connection was attached = true (may have run), want false")
 	}
 	if a.attach(&conn{}) {
-		t.Error("an aborted attempt took a connection")
+		t.Error("attach after Abort = true, want false")
 	}
 }
 
-// TestAbortReleasesEveryReservation aborts attempts at every moment of a connection's dialing, and counts what stays reserved.
+// Aborts attempts at many different moments while a connection is dialed or written to. Every reservation must be freed, except
+// those of idle connections.
 func TestAbortReleasesEveryReservation(t *testing.T) {
 	addr := silentListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 64, 64)
@@ -150,7 +153,7 @@
 			runtime.Gosched()
 		}
 		if i%3 == 0 {
-			time.Sleep(time.Duration(i) * time.Microsecond) // some connections are up and written on by then
+			time.Sleep(time.Duration(i) * time.Microsecond) // by then some connections are established and written to
 		}
 		a.Abort()
 	}
@@ -164,11 +167,12 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections and %d of the server are reserved, %d open, %d idle", total, reserved, count.Servers.Open.Get(), idle)
+			t.Fatalf("%d reserved in total, %d reserved for the server and %d open, want each equal to %d idle",
+				total, reserved, count.Servers.Open.Get(), idle)
 		}
 	}
 	p.sweep(true)
 	if p.total != 0 || count.Servers.Open.Get() != 0 {
-		t.Errorf("%d connections reserved at the end, %d open", p.total, count.Servers.Open.Get())
+		t.Errorf("after closing all: %d connections reserved, %d open, want 0", p.total, count.Servers.Open.Get())
 	}
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -12,20 +12,22 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
+// A dial that fails because this node has no file descriptor left must not count against the server.
 func TestDescriptorExhaustionIsLocalFailure(t *testing.T) {
 	for errno, local := range map[syscall.Errno]bool{syscall.EMFILE: true, syscall.ENFILE: true,
 		syscall.ECONNREFUSED: false} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)}
 		if isLocalFailure(err) != local || dialReason(context.Background(), err) == closeEvicted != local {
-			t.Errorf("%v: local %v, reason %s", errno, isLocalFailure(err), dialReason(context.Background(), err))
+			t.Errorf("%v: isLocalFailure = %v, want %v; dialReason = %s, want %s only if local", errno, isLocalFailure(err), local,
+				dialReason(context.Background(), err), closeEvicted)
 		}
 	}
 }
 
-// TestDialReason: the reason tells an operator a dead process from a silent machine.
+// Operators distinguish a dead process (refused) from an unreachable machine (timeout) by the reason of a failed dial.
 func TestDialReason(t *testing.T) {
 	addr, _ := acceptingListener(t)
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for name, c := range map[string]struct {
 		ctx     context.Context
@@ -33,19 +35,21 @@
 		addr    string
 		reason  closeReason
 	}{
-		"silent":   {context.Background(), time.Nanosecond, addr, closeConnectTimeout},
-		"refused":  {context.Background(), time.Minute, "127.0.0.1:1", closeConnectRefused},
-		"given up": {gone, time.Minute, addr, closeAborted},
+		"silent":            {context.Background(), time.Nanosecond, addr, closeConnectTimeout},
+		"refused":           {context.Background(), time.Minute, "127.0.0.1:1", closeConnectRefused},
+		"cancelled context": {cancelled, time.Minute, addr, closeAborted},
 	} {
 		p, count := testPool(fixedResolver{"s1": c.addr}, 1, 1)
 		p.dialer.Timeout = c.timeout
 		if _, err := p.acquire(c.ctx, "s1"); err == nil || count.ServerEnds.Get(string(c.reason)) != 1 {
-			t.Errorf("%s: %v, counted %d as %s", name, err, count.ServerEnds.Get(string(c.reason)), c.reason)
+			t.Errorf("%s: error %v, %d closes counted as %s, want an error and 1", name, err,
+				count.ServerEnds.Get(string(c.reason)), c.reason)
 		}
 	}
 }
 
-// TestConnectErrorOutcome: connect(2) fails for a reason of this machine's, or of the server's.
+// Errors of connect(2) caused by this machine must end an attempt as NotSent, which does not count against the server; other
+// errors must end it as Unreachable.
 func TestConnectErrorOutcome(t *testing.T) {
 	for errno, want := range map[syscall.Errno]balancer.Outcome{
 		syscall.ENFILE:        balancer.NotSent,
@@ -62,10 +66,10 @@
 		ended := make(chan engine.Completion, 1)
 		p.Send("s", engine.OutgoingRequest{Bytes: []byte("x")}, func(e engine.Completion) { ended <- e })
 		if got := (<-ended).Outcome; got != want {
-			t.Errorf("%v: %s, want %s", errno, engine.OutcomeName(got), engine.OutcomeName(want))
+			t.Errorf("%v: outcome = %s, want %s", errno, engine.OutcomeName(got), engine.OutcomeName(want))
 		}
 		if p.total != 0 {
-			t.Errorf("%v: a reservation is lost", errno)
+			t.Errorf("%v: %d connections reserved after the failure, want 0", errno, p.total)
 		}
 	}
 }
--- a/internal/upstream/fixtures_test.go
+++ b/internal/upstream/fixtures_test.go
@@ -12,15 +12,16 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// fixedResolver resolves by a table.
+// fixedResolver is a Resolver with a fixed table of addresses.
 type fixedResolver map[balancer.ServerID]string
 
-func (a fixedResolver) Address(id balancer.ServerID) (string, bool) {
-	addr, ok := a[id]
+func (r fixedResolver) Address(id balancer.ServerID) (string, bool) {
+	addr, ok := r[id]
 	return addr, ok
 }
 
-// acceptingListener accepts connections and keeps them open. The function returned waits for the i-th.
+// acceptingListener accepts connections and keeps them open. It returns its address and a function that waits for the i-th
+// connection, counted from 0.
 func acceptingListener(t *testing.T) (string, func(int) net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,14 +52,14 @@
 			case c := <-accepted:
 				all = append(all, c)
 			case <-time.After(10 * time.Second):
-				t.Fatalf("connection %d never came", i)
+				t.Fatalf("connection %d was not accepted within 10 s", i)
 			}
 		}
 		return all[i]
 	}
 }
 
-// silentListener accepts any number of connections and reads what comes.
+// silentListener accepts any number of connections, discards all input and never responds.
 func silentListener(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,10 +82,11 @@
 	return l.Addr().String()
 }
 
-func testPool(a fixedResolver, maxConns, maxPerServer int) (*Pool, *counters.Counters) {
+// testPool returns a pool with the given connection limits, and its counters.
+func testPool(resolver fixedResolver, maxConns, maxPerServer int) (*Pool, *counters.Counters) {
 	count := &counters.Counters{}
 	return New(Options{
-		Resolver:          a,
+		Resolver:          resolver,
 		ConnectTimeout:    time.Second,
 		IdleTimeout:       time.Minute,
 		ProbeTimeout:      time.Second,
@@ -95,6 +97,7 @@
 	}), count
 }
 
+// mustAcquire acquires a connection and fails the test if there is an error.
 func mustAcquire(t *testing.T, p *Pool, id balancer.ServerID) *conn {
 	t.Helper()
 	c, err := p.acquire(context.Background(), id)
--- a/internal/upstream/janitor_test.go
+++ b/internal/upstream/janitor_test.go
@@ -8,51 +8,53 @@
 	"tackhub.example/tackhub/balancer"
 )
 
+// Idle connections of a server that was removed or moved, and connections that the server may be closing, must be neither
+// reused nor left open.
 func TestUnusableIdleConnectionsAreClosed(t *testing.T) {
 	addr, _ := acceptingListener(t)
-	other, _ := acceptingListener(t)
-	a := fixedResolver{"s1": addr, "s2": addr, "s3": addr}
-	p, count := testPool(a, 8, 8)
+	newAddr, _ := acceptingListener(t)
+	resolver := fixedResolver{"s1": addr, "s2": addr, "s3": addr}
+	p, count := testPool(resolver, 8, 8)
 	for _, id := range []balancer.ServerID{"s1", "s2", "s3"} {
 		p.put(mustAcquire(t, p, id))
 	}
-	delete(a, "s1")
-	a["s2"] = other
+	delete(resolver, "s1")
+	resolver["s2"] = newAddr
 	if _, err := p.acquire(context.Background(), "s1"); err != errNoAddress {
-		t.Errorf("a removed server: %v", err)
+		t.Errorf("acquire for a removed server: error = %v, want %v", err, errNoAddress)
 	}
-	if c := mustAcquire(t, p, "s2"); c.addr != other {
-		t.Errorf("connection to %s, want %s", c.addr, other)
+	if c := mustAcquire(t, p, "s2"); c.addr != newAddr {
+		t.Errorf("connection to a moved server: address = %s, want %s", c.addr, newAddr)
 	} else {
 		p.close(c, closeExit, nil)
 	}
 	old := p.idle["s3"][0]
 	old.idleSince = time.Now().Add(-50 * time.Second)
-	fresh := mustAcquire(t, p, "s3") // before the janitor comes by
+	fresh := mustAcquire(t, p, "s3") // before the next sweep
 	if fresh == old {
-		t.Error("a connection that the server may be closing was used")
+		t.Error("acquire returned a connection that had been idle too long")
 	}
 	p.put(fresh)
 	fresh.idleSince = time.Now().Add(-50 * time.Second)
 	p.sweep(false)
-	gone := count.ServerEnds.Get(string(closeAddressGone))
-	idle := count.ServerEnds.Get(string(closeIdleTimeout))
-	if gone != 2 || idle != 2 {
-		t.Errorf("%d removed, %d idle too long", gone, idle)
+	addressGone := count.ServerEnds.Get(string(closeAddressGone))
+	idleTimeouts := count.ServerEnds.Get(string(closeIdleTimeout))
+	if addressGone != 2 || idleTimeouts != 2 {
+		t.Errorf("closes: %d as %s, %d as %s, want 2 of each", addressGone, closeAddressGone, idleTimeouts, closeIdleTimeout)
 	}
 	if p.total != 0 {
-		t.Errorf("%d connections still reserved", p.total)
+		t.Errorf("%d connections reserved at the end, want 0", p.total)
 	}
 }
 
-// TestOnIdleClosed: the balancer took connections for idle that were closed already, and requests paid for new ones unawares.
-// The balancer counts the connection that a request takes itself, so of the stale ones that a request meets the first is not
-// notified.
+// Guards against the balancer counting connections as idle that are already closed, so that requests open new connections when
+// the balancer expects none to be needed. The balancer itself counts one idle connection fewer for each request, so the pool must
+// not notify it of the first stale connection that a request finds.
 func TestOnIdleClosed(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr, "s2": addr}, 8, 8)
-	gone := map[balancer.ServerID]int{}
-	p.options.OnIdleClosed = func(id balancer.ServerID) { gone[id]++ }
+	closed := map[balancer.ServerID]int{}
+	p.options.OnIdleClosed = func(id balancer.ServerID) { closed[id]++ }
 	one := mustAcquire(t, p, "s1")
 	two := mustAcquire(t, p, "s1")
 	three := mustAcquire(t, p, "s1")
@@ -61,21 +63,21 @@
 		c.idleSince = time.Now().Add(-50 * time.Second)
 	}
 	p.close(mustAcquire(t, p, "s1"), closeExit, nil)
-	if gone["s1"] != 2 {
-		t.Errorf("notified of %d connections beside the one taken, want 2", gone["s1"])
+	if closed["s1"] != 2 {
+		t.Errorf("OnIdleClosed calls = %d after acquiring with three stale connections, want 2", closed["s1"])
 	}
 	c := mustAcquire(t, p, "s2")
 	p.put(c)
-	if p.sweep(false); gone["s2"] != 0 {
-		t.Errorf("notified of %d while the connection is open", gone["s2"])
+	if p.sweep(false); closed["s2"] != 0 {
+		t.Errorf("OnIdleClosed calls = %d while the connection is open, want 0", closed["s2"])
 	}
 	c.idleSince = time.Now().Add(-50 * time.Second)
-	if p.sweep(false); gone["s2"] != 1 {
-		t.Errorf("notified of %d closed by the janitor, want 1", gone["s2"])
+	if p.sweep(false); closed["s2"] != 1 {
+		t.Errorf("OnIdleClosed calls = %d after the sweep closed a connection, want 1", closed["s2"])
 	}
 	p.finish(mustAcquire(t, p, "s2"), closeRequestedByServer, nil)
 	p.finish(mustAcquire(t, p, "s2"), closeReset, nil)
-	if gone["s2"] != 2 {
-		t.Errorf("notified of %d, want one more: response complete and closed", gone["s2"])
+	if closed["s2"] != 2 {
+		t.Errorf("OnIdleClosed calls = %d after a complete response and a reset, want 2: only the complete one adds a call", closed["s2"])
 	}
 }
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -14,7 +14,7 @@
 	} {
 		n, ok := loadValue([]byte(text), inFlightNames)
 		if ok != (want >= 0) || ok && n != want {
-			t.Errorf("%q: %v %v, want %v", text, n, ok, want)
+			t.Errorf("loadValue(%q) = %v, %v, want %v (-1: invalid)", text, n, ok, want)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		n, ok := loadValue(bytes.Clone(text), inFlightNames)
 		if ok && !(n >= 0 && n < 1e9) {
-			t.Errorf("%q: read as %v", text, n)
+			t.Errorf("loadValue(%q) = %v, want a number from 0 to below 1e9", text, n)
 		}
 	})
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestAcquirePrefersNewestConnectionPastReuseDelay: a server closes a connection, or sends a second response, right behind a response. The
-// next request must not be written on such a connection while another one is idle.
+// A server may close a connection, or send a second response, shortly after a response. While another connection is idle, the
+// next request must not use a connection whose reuseDelay has not passed.
 func TestAcquirePrefersNewestConnectionPastReuseDelay(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
@@ -22,35 +22,35 @@
 	p.put(three)
 	one.idleSince = one.idleSince.Add(-2 * time.Minute / 10)
 	two.idleSince = two.idleSince.Add(-time.Minute / 10)
-	three.idleSince = time.Now().Add(time.Minute) // it has not settled, however long this test takes
+	three.idleSince = time.Now().Add(time.Minute) // its reuseDelay has not passed, however long this test takes
 	for i, want := range []*conn{two, one, three} {
 		if want == three {
 			three.idleSince = time.Now()
 		}
 		if got := mustAcquire(t, p, "s1"); got != want {
-			t.Errorf("%d: not the connection wanted", i)
+			t.Errorf("acquire %d returned the connection idle since %v, want the one idle since %v", i, got.idleSince, want.idleSince)
 		}
 	}
-	if settled := time.Since(three.idleSince); settled < reuseDelay {
-		t.Errorf("used after settling for %v", settled)
+	if idle := time.Since(three.idleSince); idle < reuseDelay {
+		t.Errorf("connection reused after %v, want at least %v", idle, reuseDelay)
 	}
 	if n := count.Servers.Dialed.Get(); n != 3 {
-		t.Errorf("%d dialed: one that has not settled is better than a new one", n)
+		t.Errorf("dialed %d connections, want 3: waiting for reuseDelay is preferred to a new connection", n)
 	}
 }
 
-// TestAcquireRejectsConnectionWithUnsolicitedResponse: the only connection has just had its response, and a second one comes some
-// milliseconds behind it. The connection was once reused at once, and the next client got the second response for its own.
+// A server sends a second response some milliseconds after the first one, on the only connection. When connections were reused
+// without a delay, the next client received that second response as its own.
 func TestAcquireRejectsConnectionWithUnsolicitedResponse(t *testing.T) {
 	addr, accepted := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
 	c := mustAcquire(t, p, "s1")
 	server := accepted(0)
 	p.put(c)
-	c.idleSince = time.Now().Add(time.Second) // it settles so long that the second response surely comes within that time
+	c.idleSince = time.Now().Add(time.Second) // extends the wait in acquire until after the second response
 	got := make(chan *conn, 1)
 	go func() { got <- mustAcquire(t, p, "s1") }()
-	for taken := false; !taken; time.Sleep(time.Millisecond) { // by the goroutine above
+	for taken := false; !taken; time.Sleep(time.Millisecond) { // until the goroutine above has taken the connection
 		p.mu.Lock()
 		taken = len(p.idle["s1"]) == 0
 		p.mu.Unlock()
@@ -59,12 +59,11 @@
 		t.Fatal(err)
 	}
 	if <-got == c {
-		t.Error("the connection with the second response was reused")
+		t.Error("acquire returned the connection with the unsolicited response, want another one")
 	}
 }
 
-// TestAcquireCancelledDuringReuseDelay: a request is cancelled while it waits for its connection to settle. The connection stays
-// idle for the next one.
+// A request is cancelled while it waits for the reuseDelay of its connection. The connection must stay idle for the next request.
 func TestAcquireCancelledDuringReuseDelay(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
@@ -74,29 +73,30 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := p.acquire(ctx, "s1"); !errors.Is(err, context.Canceled) {
-		t.Errorf("given up: %v", err)
+		t.Errorf("acquire with a cancelled context: error = %v, want %v", err, context.Canceled)
 	}
 	c.idleSince = time.Now().Add(-reuseDelay)
 	if mustAcquire(t, p, "s1") != c {
-		t.Error("the connection is gone")
+		t.Error("acquire returned another connection, want the one that the cancelled request did not use")
 	}
 }
 
+// An idle connection that the server has closed, or on which it has sent unsolicited bytes, must not be reused.
 func TestAcquireSkipsClosedConnectionsAndUnreadInput(t *testing.T) {
 	addr, accepted := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
-	for i, spoil := range []func(net.Conn){
+	for i, breakConn := range []func(net.Conn){
 		func(c net.Conn) { _ = c.Close() },
 		func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") },
 	} {
 		c := mustAcquire(t, p, "s1")
-		spoil(accepted(i))
+		breakConn(accepted(i))
 		for end := time.Now().Add(10 * time.Second); c.hasNoPendingInput() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		p.put(c)
 		if got := mustAcquire(t, p, "s1"); got == c {
-			t.Errorf("connection %d was used again", i)
+			t.Errorf("acquire returned unusable connection %d again, want a new one", i)
 		} else {
 			p.close(got, closeExit, nil)
 			_ = accepted(i + 1)
@@ -106,13 +106,14 @@
 		}
 	}
 	if n := count.ServerEnds.Get(string(closePeerClosed)); n != 2 {
-		t.Errorf("%d closes counted", n)
+		t.Errorf("%d closes counted as %s, want 2", n, closePeerClosed)
 	}
 	if n := count.Servers.Open.Get(); n != 0 {
-		t.Errorf("%d connections still counted open", n)
+		t.Errorf("%d connections counted as open, want 0", n)
 	}
 }
 
+// skip returns a function that waits for the connection n places after the i-th one.
 func skip(accepted func(int) net.Conn, n int) func(int) net.Conn {
 	return func(i int) net.Conn { return accepted(i + n) }
 }
@@ -123,43 +124,44 @@
 	one := mustAcquire(t, p, "s1")
 	two := mustAcquire(t, p, "s1")
 	if _, err := p.acquire(context.Background(), "s1"); err != errNoCapacity {
-		t.Errorf("third connection to one server: %v", err)
+		t.Errorf("third connection to one server: error = %v, want %v", err, errNoCapacity)
 	}
 	three := mustAcquire(t, p, "s2")
 	if _, err := p.acquire(context.Background(), "s2"); err != errNoCapacity {
-		t.Errorf("fourth connection in all: %v", err)
+		t.Errorf("fourth connection in total: error = %v, want %v", err, errNoCapacity)
 	}
 	p.put(one)
 	four := mustAcquire(t, p, "s2") // the idle one is evicted
 	if n := count.ServerEnds.Get(string(closeEvicted)); n != 1 {
-		t.Errorf("%d evictions", n)
+		t.Errorf("evictions = %d, want 1", n)
 	}
 	for _, c := range []*conn{two, three, four} {
 		p.close(c, closeExit, nil)
 	}
 	if p.total != 0 || len(p.reserved) != 0 {
-		t.Errorf("%d connections reserved, by server %v", p.total, p.reserved)
+		t.Errorf("reserved: %d connections, by server %v, want none", p.total, p.reserved)
 	}
 }
 
-// TestMaxIdlePerServer makes more connections to a server idle than may stay so.
+// Returns more connections to the pool than MaxIdlePerServer allows. The excess must be closed, and 0 must mean no limit.
 func TestMaxIdlePerServer(t *testing.T) {
 	for limit, want := range map[int]int64{0: 3, 1: 1, 2: 2} {
 		addr, _ := acceptingListener(t)
 		p, count := testPool(fixedResolver{"s": addr}, 8, 8)
 		p.options.MaxIdlePerServer = limit
-		var held []*conn
+		var acquired []*conn
 		for range 3 {
-			held = append(held, mustAcquire(t, p, "s"))
+			acquired = append(acquired, mustAcquire(t, p, "s"))
 		}
-		for _, c := range held {
+		for _, c := range acquired {
 			p.put(c)
 		}
 		for end := time.Now().Add(10 * time.Second); count.Servers.Open.Get() != want && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if n := count.Servers.Open.Get(); n != want || count.ServerEnds.Get(string(closeExcessIdle)) != 3-want {
-			t.Errorf("at most %d idle: %d stay open", limit, n)
+			t.Errorf("MaxIdlePerServer %d: %d open, %d closed as %s, want %d and %d", limit, n,
+				count.ServerEnds.Get(string(closeExcessIdle)), closeExcessIdle, want, 3-want)
 		}
 		p.sweep(true)
 	}
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -13,13 +13,14 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// lateTimerContext is a context whose deadline has passed and whose timer has not fired yet.
+// lateTimerContext is a context whose deadline has passed but whose timer has not fired yet.
 type lateTimerContext struct{ context.Context }
 
 func (lateTimerContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
-// A probe's time ends while its connection comes up, and the socket's timer fires before the context's; or before it is written on one
-// that is there. The probe timed out: it must not count as a server that cannot be reached, nor as the end of the dialer's own timeout.
+// A probe's deadline passes before the probe is written, either while its connection is dialed (the socket's timer fires before
+// the context's timer) or on an idle connection. The outcome must be TimedOut: Unreachable would wrongly count against the
+// server, and the connection must not be counted as ended by the dialer's own timeout.
 func TestProbeTimesOutBeforeRequestIsSent(t *testing.T) {
 	for _, idle := range []bool{false, true} {
 		addr, _ := acceptingListener(t)
@@ -28,10 +29,10 @@
 			p.putUnused(mustAcquire(t, p, "s1"))
 		}
 		if got := p.probe(lateTimerContext{context.Background()}, "s1").Outcome; got != balancer.TimedOut {
-			t.Errorf("idle connection %v: %s, want timed_out", idle, engine.OutcomeName(got))
+			t.Errorf("idle connection %v: outcome = %s, want timed_out", idle, engine.OutcomeName(got))
 		}
 		if n := count.ServerEnds.Get(string(closeAborted)); n != 1 {
-			t.Errorf("idle connection %v: %d connections counted as given up", idle, n)
+			t.Errorf("idle connection %v: %d connections counted as %s, want 1", idle, n, closeAborted)
 		}
 	}
 }
@@ -47,19 +48,19 @@
 		{"unsolicited bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1", closeRequestedByServer},
 		{"empty", "", closeReset},
 		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", closeBadResponse},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-", closeBadResponse},
+		{"incomplete head", "HTTP/1.1 200 OK\r\nContent-", closeBadResponse},
 		{"oversized", "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), closeBadResponse},
 		{"malformed", "hello\r\n\r\n", closeBadResponse},
-		{"malformed without end", "hello there", closeBadResponse},
+		{"malformed without end of head", "hello there", closeBadResponse},
 		{"1xx first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", ""},
 		{"1xx only", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20), closeBadResponse},
-		{"until it closes", "HTTP/1.0 200 OK\r\nConnection: close\r\n\r\nok", closeRequestedByServer},
+		{"delimited by close", "HTTP/1.0 200 OK\r\nConnection: close\r\n\r\nok", closeRequestedByServer},
 		{"no delimiter", "HTTP/1.1 200 OK\r\n\r\nok", closeBadResponse},
 	} {
 		var resp fasthttp.Response
 		reason, err := readProbeResponse(&conn{reader: bufio.NewReader(strings.NewReader(c.raw))}, &resp)
 		if reason != c.reason {
-			t.Errorf("%s: %q (%v), want %q", c.name, reason, err, c.reason)
+			t.Errorf("%s: reason = %q (error %v), want %q", c.name, reason, err, c.reason)
 		}
 	}
 }
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -13,28 +13,28 @@
 	"tackhub.example/tackhub/internal/body"
 )
 
-// readAll reads a response from raw bytes, and all of its body.
+// readAll parses raw bytes as a response and returns its whole body, and whether the response was complete.
 func readAll(raw []byte) (got []byte, complete bool) {
-	mine, theirs := net.Pipe()
-	defer func() { _ = mine.Close() }()
+	clientConn, serverConn := net.Pipe()
+	defer func() { _ = clientConn.Close() }()
 	go func() {
-		_, _ = theirs.Write(raw) // it fails once the reader has closed
-		_ = theirs.Close()
+		_, _ = serverConn.Write(raw) // fails if the reader has already closed its end
+		_ = serverConn.Close()
 	}()
-	c := &conn{Conn: mine, reader: bufio.NewReaderSize(mine, readBufferSize)}
+	c := &conn{Conn: clientConn, reader: bufio.NewReaderSize(clientConn, readBufferSize)}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	defer resp.Reset()
-	a, _, err := (&Pool{}).readResponse(c, resp)
-	if err != nil || a.rest == nil {
-		return a.body, err == nil
+	received, _, err := (&Pool{}).readResponse(c, resp)
+	if err != nil || received.rest == nil {
+		return received.body, err == nil
 	}
-	rest, err := io.ReadAll(a.rest)
-	return append(a.body, rest...), err == nil
+	rest, err := io.ReadAll(received.rest)
+	return append(received.body, rest...), err == nil
 }
 
-// FuzzReadResponse compares what is read of a response with the standard library: a body that counts as complete here must be
-// the same there.
+// FuzzReadResponse compares response bodies with those that net/http reads. If both parsers accept a response as complete, the
+// bodies must be equal.
 func FuzzReadResponse(f *testing.F) {
 	big := bytes.Repeat([]byte("x"), body.MaxInMemory+1)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
@@ -51,14 +51,14 @@
 		for {
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil {
-				return // it is stricter about heads, so there is nothing to compare
+				return // net/http is stricter about heads, so there is nothing to compare
 			}
 			if resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 				continue
 			}
 			want, err := io.ReadAll(resp.Body)
 			if err == nil && !bytes.Equal(got, want) {
-				t.Errorf("%q was read as %q, is %q", raw, got, want)
+				t.Errorf("body of %q = %q, want %q", raw, got, want)
 			}
 			return
 		}
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestReadDeadline: a response of unknown size must not pause for half a second once the request's deadline has passed. Over
-// 64 KiB only the first bytes are timed.
+// Checks that a response of unknown size may pause for less than half a second after the request's deadline, and that the
+// deadline does not limit a response over 64 KiB, of which only the first bytes are timed.
 func TestReadDeadline(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
@@ -25,7 +25,7 @@
 		due := c.s.readDeadline().Sub(now)
 		passed := time.Since(now)
 		if due < c.want || due > c.want+passed {
-			t.Errorf("%s: due in %v, want %v to %v", name, due, c.want, c.want+passed)
+			t.Errorf("%s: read deadline in %v, want %v to %v", name, due, c.want, c.want+passed)
 		}
 	}
 }
