--- a/internal/body/file.go
+++ b/internal/body/file.go
@@ -8,32 +8,32 @@
 	"sync/atomic"
 )
 
-// File is the body of a request. One goroutine fills it, while others may read it with ForEachChunk from the beginning on.
-// Whoever uses it beyond its creator's Release calls Retain.
+// File holds the body of a request in an unnamed file. One goroutine fills it with Fill while others may already read it
+// with ForEachChunk. A user that may still need the File after its creator calls Release must call Retain first.
 type File struct {
-	store     *Store
-	file      *os.File
-	announced int64 // size in bytes; -1: unknown
-	users     atomic.Int64
+	store         *Store
+	file          *os.File
+	announcedSize int64 // bytes; -1 if unknown
+	refCount      atomic.Int64
 
 	mu      sync.Mutex
 	size    int64         // bytes written so far
-	ended   bool          // nothing more will come
-	err     error         // why it ended incomplete; nil: it is complete
-	changed chan struct{} // closed, and replaced, when size grows; closed when the file ends
+	ended   bool          // no more bytes will be written
+	err     error         // why the ended body is incomplete; nil if it is complete
+	changed chan struct{} // closed and replaced when size grows; closed when the body ends
 }
 
-// Create returns an empty body that its sender announced to have so many bytes, or -1 where it announced none. It may wait up to
-// 1.5 s. The errors are ErrTooLarge, ErrNoCapacity and ErrStorage.
+// Create returns an empty body. Size is the size in bytes that the sender announced, or -1 if it announced none. Create
+// waits up to 1.5 s for a free file. The errors are ErrTooLarge, ErrNoCapacity and ErrStorage.
 func (s *Store) Create(size int64) (*File, error) {
 	if s.dir == "" || size > MaxSize {
 		return nil, ErrTooLarge
 	}
-	if !s.acquire(s.files) {
+	if !s.acquire(s.fileSlots) {
 		return nil, ErrNoCapacity
 	}
-	f := &File{store: s, announced: size, changed: make(chan struct{})}
-	f.users.Store(1)
+	f := &File{store: s, announcedSize: size, changed: make(chan struct{})}
+	f.refCount.Store(1)
 	s.count.Files.Inc()
 	if err := f.create(); err != nil {
 		f.Release()
@@ -42,7 +42,7 @@
 	return f, nil
 }
 
-// create creates the file and removes its name, so that it goes with the process however that ends.
+// create creates the file and removes its name, so that the kernel deletes the file even if the process is killed.
 func (f *File) create() error {
 	var err error
 	f.file, err = os.CreateTemp(f.store.dir, "tackhub-body-*")
@@ -52,67 +52,68 @@
 	return os.Remove(f.file.Name())
 }
 
-// Retain keeps the body until one more Release.
-func (f *File) Retain() { f.users.Add(1) }
+// Retain adds a reference to the body, which needs one more call of Release.
+func (f *File) Retain() { f.refCount.Add(1) }
 
-// Release gives the body up. The last Release deletes it.
+// Release drops a reference to the body. Dropping the last one deletes the body.
 func (f *File) Release() {
-	if f.users.Add(-1) > 0 {
+	if f.refCount.Add(-1) > 0 {
 		return
 	}
 	if f.file != nil {
-		_ = f.file.Close() // it has no name, so nothing is left
+		_ = f.file.Close() // the file has no name, so the kernel deletes it
 	}
 	f.store.count.FileBytes.Add(-f.size)
 	f.store.count.Files.Add(-1)
-	<-f.store.files
+	<-f.store.fileSlots
 }
 
-// Fill reads the body to its end, or until pause returns true after some bytes; a later Fill goes on. It reports whether the
-// body is complete. Ended is called once the end was read, before a reader can know of it. With an error the body ends
-// incomplete, of which readers learn too: ErrTooLarge, ErrNoCapacity, ErrStorage or the error of from. Pause and ended may be
-// nil.
-func (f *File) Fill(from io.Reader, pause func(got int64) bool, ended func()) (complete bool, err error) {
-	b, err := f.store.AcquireBuffer()
+// Fill copies source into the body until source ends, or until shouldPause returns true for the number of bytes received;
+// another call of Fill then continues. It reports whether the body is complete. It calls onComplete after it has read the
+// last byte and before readers see the body as complete. Both functions may be nil. The errors are ErrTooLarge,
+// ErrNoCapacity, ErrStorage, io.ErrUnexpectedEOF and those of source. After an error the body stays incomplete, and readers
+// get the error too.
+func (f *File) Fill(source io.Reader, shouldPause func(received int64) bool, onComplete func()) (complete bool, err error) {
+	buffer, err := f.store.AcquireBuffer()
 	if err != nil {
 		f.end(err)
 		return false, err
 	}
-	defer f.store.ReleaseBuffer(b)
+	defer f.store.ReleaseBuffer(buffer)
 	for {
-		n, err := from.Read(b[:])
-		if writeErr := f.append(b[:n]); writeErr != nil {
+		n, err := source.Read(buffer[:])
+		if writeErr := f.append(buffer[:n]); writeErr != nil {
 			f.end(writeErr)
 			return false, writeErr
 		}
 		if errors.Is(err, io.EOF) {
-			err = f.finish(ended)
+			err = f.finish(onComplete)
 			return err == nil, err
 		}
 		if err != nil {
 			f.end(err)
 			return false, err
 		}
-		if pause != nil && pause(f.size) {
+		if shouldPause != nil && shouldPause(f.size) {
 			return false, nil
 		}
 	}
 }
 
-// finish ends a body whose sender has sent its last byte.
-func (f *File) finish(ended func()) error {
-	if f.announced >= 0 && f.size != f.announced {
+// finish ends a body after its source has ended. The body is incomplete if it is not as long as announced.
+func (f *File) finish(onComplete func()) error {
+	if f.announcedSize >= 0 && f.size != f.announcedSize {
 		f.end(io.ErrUnexpectedEOF)
 		return io.ErrUnexpectedEOF
 	}
-	if ended != nil {
-		ended()
+	if onComplete != nil {
+		onComplete()
 	}
 	f.end(nil)
 	return nil
 }
 
-// append writes bytes to the file and lets readers know of them.
+// append writes bytes to the file and wakes the readers that wait for them.
 func (f *File) append(p []byte) error {
 	if len(p) == 0 {
 		return nil
@@ -137,7 +138,7 @@
 	f.changed = make(chan struct{})
 }
 
-// end ends the body, complete or with the error that it is incomplete for. Only its first call counts.
+// end marks the body as ended: complete if err is nil, else incomplete because of err. Later calls have no effect.
 func (f *File) end(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,69 +150,69 @@
 	close(f.changed)
 }
 
-// Abort ends a body that will not be filled any more. One that is complete stays so.
+// Abort ends a body that will not be filled any further. It has no effect on a complete body.
 func (f *File) Abort() { f.end(io.ErrUnexpectedEOF) }
 
-// Size is the size in bytes: the announced one, or, where none was announced, what has come so far.
+// Size returns the announced size in bytes or, if none was announced, the number of bytes received so far.
 func (f *File) Size() int64 {
-	if f.announced >= 0 {
-		return f.announced
+	if f.announcedSize >= 0 {
+		return f.announcedSize
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.size
 }
 
-// Complete reports whether the whole body has come.
+// Complete reports whether the whole body was received.
 func (f *File) Complete() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ended && f.err == nil
 }
 
-// ForEachChunk calls each with one chunk of the body after the other, as they come; a chunk is valid during the call. Last
-// marks the last chunk, which is never passed before the body is complete: a server begins to run a request once it has the
-// last byte, and what does not become complete must not run. The errors are ErrNoCapacity, ErrStorage, also for a body that
-// ends incomplete, and those of each.
-func (f *File) ForEachChunk(each func(chunk []byte, last bool) error) error {
-	b, err := f.store.AcquireBuffer()
+// ForEachChunk calls handle for each chunk of the body in order, as the chunks are received. A chunk is valid only during
+// the call. Last marks the last chunk, which is not passed until the body is complete: a server runs a request once it has
+// the last byte, and an incomplete request must not run. The errors are ErrNoCapacity, ErrStorage (also if the body ends
+// incomplete) and those of handle.
+func (f *File) ForEachChunk(handle func(chunk []byte, last bool) error) error {
+	buffer, err := f.store.AcquireBuffer()
 	if err != nil {
 		return err
 	}
-	defer f.store.ReleaseBuffer(b)
+	defer f.store.ReleaseBuffer(buffer)
 	offset := int64(0)
 	for {
-		size, ended, err := f.await(offset)
+		size, ended, err := f.waitForMore(offset)
 		if err != nil {
 			return errors.Join(ErrStorage, err)
 		}
-		if !ended && size == f.announced {
-			size-- // the last byte waits until the body is complete
+		if !ended && size == f.announcedSize {
+			size-- // withhold the last byte until the body is complete
 		}
 		n := min(int64(BufferSize), size-offset)
 		if n == 0 && ended {
 			return nil
 		}
 		if n == 0 {
-			if _, _, err := f.await(f.announced); err != nil {
+			if _, _, err := f.waitForMore(f.announcedSize); err != nil {
 				return errors.Join(ErrStorage, err)
 			}
 			continue
 		}
-		if _, err := f.file.ReadAt(b[:n], offset); err != nil {
+		if _, err := f.file.ReadAt(buffer[:n], offset); err != nil {
 			return errors.Join(ErrStorage, err)
 		}
 		offset += n
 		last := ended && offset == size
-		if err := each(b[:n], last); err != nil {
+		if err := handle(buffer[:n], last); err != nil {
 			return err
 		}
 	}
 }
 
-// await waits until the body has more than so many bytes, or has ended. The error is why it ended incomplete. No reader
-// waits for good: the sender must keep its rate, or the body ends.
-func (f *File) await(beyond int64) (size int64, ended bool, err error) {
+// waitForMore waits until the body has more than offset bytes or has ended. The error is why the body ended incomplete. The
+// wait is bounded, because a body whose sender falls below the minimum rate is ended.
+func (f *File) waitForMore(offset int64) (size int64, ended bool, err error) {
 	for {
 		f.mu.Lock()
 		size = f.size
@@ -219,7 +220,7 @@
 		err = f.err
 		changed := f.changed
 		f.mu.Unlock()
-		if size > beyond || ended {
+		if size > offset || ended {
 			return size, ended, err
 		}
 		<-changed
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -7,29 +7,29 @@
 )
 
 var (
-	// resourceErrors are returned if the system has no descriptor, memory or address for a call.
+	// resourceErrors are returned if the system has no free descriptor, memory or address for a call.
 	resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 		syscall.EADDRNOTAVAIL}
 
-	// networkErrors are those of socket(2) and connect(2) that come from this machine before anything is sent: it has no
-	// route or no network, or its own rules deny the call.
+	// networkErrors are returned by socket(2) and connect(2) if this machine fails before it sends anything: it has no network
+	// or no route, or its own rules deny the call.
 	networkErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM}
 
-	// listenerErrors are those of accept(2) for a descriptor that is no listener any more.
+	// listenerErrors are returned by accept(2) if the descriptor is no longer a listening socket.
 	listenerErrors = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 )
 
-// IsLocalFailure reports whether a connection did not come up for a reason of this machine's, so that the peer is not at fault.
+// IsLocalFailure reports whether connecting failed because of this machine, so that the peer must not be blamed.
 func IsLocalFailure(err error) bool { return IsResourceExhausted(err) || isOneOf(err, networkErrors) }
 
-// IsResourceExhausted reports whether the system has no descriptor, memory or address for a call.
+// IsResourceExhausted reports whether a call failed because the system has no free descriptor, memory or address.
 func IsResourceExhausted(err error) bool { return isOneOf(err, resourceErrors) }
 
-// IsListenerBroken reports whether, by an error of accept(2), the listener cannot be used any more.
+// IsListenerBroken reports whether an error of accept(2) shows that the listener is unusable.
 func IsListenerBroken(err error) bool { return isOneOf(err, listenerErrors) }
 
-// isOneOf reports whether an error wraps one of the errnos. syscall.Errno's own Is method, which errors.Is uses, matches more
-// than equality.
+// isOneOf reports whether err wraps one of the errnos. It does not use errors.Is, because the Is method of syscall.Errno also
+// matches errors that are not equal.
 func isOneOf(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
--- a/internal/socket/errors_test.go
+++ b/internal/socket/errors_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-func TestErrorClasses(t *testing.T) {
+func TestErrnosAreClassified(t *testing.T) {
 	wrap := func(errno syscall.Errno) error {
 		return fmt.Errorf("wrapped: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)})
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		errno                    syscall.Errno
 		local, exhausted, broken bool
 	}{
@@ -22,12 +22,13 @@
 		{syscall.EHOSTUNREACH, false, false, false}, {syscall.ETIMEDOUT, false, false, false},
 		{syscall.ECONNABORTED, false, false, false}, {syscall.EBADF, false, false, true},
 	} {
-		err := wrap(c.errno)
-		if IsLocalFailure(err) != c.local || IsResourceExhausted(err) != c.exhausted || IsListenerBroken(err) != c.broken {
-			t.Errorf("%v: local %v, exhausted %v, listener broken %v", c.errno, IsLocalFailure(err), IsResourceExhausted(err), IsListenerBroken(err))
+		err := wrap(test.errno)
+		if IsLocalFailure(err) != test.local || IsResourceExhausted(err) != test.exhausted || IsListenerBroken(err) != test.broken {
+			t.Errorf("%v: local, exhausted, listener broken = %v, %v, %v, want %v, %v, %v", test.errno, IsLocalFailure(err),
+				IsResourceExhausted(err), IsListenerBroken(err), test.local, test.exhausted, test.broken)
 		}
 	}
 	if IsLocalFailure(errors.New("text alone")) {
-		t.Error("an error without an errno was classified")
+		t.Error("IsLocalFailure = true for an error without an errno, want false")
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket inspects sockets without consuming anything from them, and classifies the errors of system calls on them.
+// Package socket inspects sockets without consuming received bytes, and classifies the errors of system calls on sockets.
 package socket
 
 import (
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// A system call that a signal has interrupted (EINTR) is repeated here. Its failure would count as "nothing has come", and the
-// caller would wait until something further comes.
+// The functions below repeat a system call that a signal interrupted (EINTR). Otherwise the caller would take the failure for
+// "no data available" and wait until further data arrives.
 
-// Peek looks at what has come. It returns the number of bytes, at most one, and the error of recvfrom(2): EAGAIN where nothing
-// has come. No byte and no error stand for the peer's close.
+// Peek checks for received data without consuming it. It returns the number of bytes found, which is 0 or 1, and the error of
+// recvfrom(2), which is EAGAIN if no data is available. The result 0, nil means that the peer has closed the connection.
 func Peek(fd uintptr) (int, error) {
 	var b [1]byte
 	for {
@@ -23,26 +23,26 @@
 	}
 }
 
-// PeerClosed reports whether the peer has closed the connection or it has broken, even if unread bytes precede that.
+// PeerClosed reports whether the peer has closed the connection or the connection has failed, even if unread bytes remain.
 func PeerClosed(fd uintptr) bool {
 	const closed = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	return poll(fd, unix.POLLRDHUP)&closed != 0
 }
 
-// Readable reports whether something can be read from a connection, or a connection be accepted from a listener.
+// Readable reports whether a read from a connection, or an accept from a listener, would return at once.
 func Readable(fd uintptr) bool { return poll(fd, unix.POLLIN)&unix.POLLIN != 0 }
 
-// poll returns the events that hold for a descriptor now; none where poll(2) fails.
+// poll returns the events that are pending on a descriptor. It returns none if poll(2) fails.
 func poll(fd uintptr, events int16) int16 {
-	p := []unix.PollFd{{Fd: int32(fd), Events: events}}
+	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
-		n, err := unix.Poll(p, 0)
+		n, err := unix.Poll(fds, 0)
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
 		if err != nil || n == 0 {
 			return 0
 		}
-		return p[0].Revents
+		return fds[0].Revents
 	}
 }
