--- a/internal/ingress/accept.go
+++ b/internal/ingress/accept.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// acceptPause is how long accepting pauses when there is no room. A connection that is evicted has closed by then, and a
-	// busy loop would take the CPU from those that close.
-	acceptPause = time.Millisecond
+	// acceptRetryDelay is the wait before the next accept after a failed accept or at the connection limit. An evicted
+	// connection is closed within that time, and a busy loop would take CPU time from the connections that are closing.
+	acceptRetryDelay = time.Millisecond
 
-	// brokenTime is how long accept(2) must keep failing with an error of a broken listener before that is believed.
-	brokenTime = time.Second
+	// listenerFailureTimeout is how long accept(2) must keep failing with a listener error before the listener counts as
+	// broken.
+	listenerFailureTimeout = time.Second
 )
 
-// Serve accepts connections until a graceful shutdown ends that or the listener fails for good, and returns once every
-// connection has ended. Every request that was read gets its response in either case, however long that takes. The error is
-// the listener's.
+// Serve accepts connections until a graceful shutdown stops it or the listener fails permanently, and returns once every
+// connection has ended. In both cases it waits until every request that was read has its response, without a time limit. The
+// error is that of the listener.
 func (s *Server) Serve(l Listener) error {
 	err := s.acceptAll(l)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return err
 }
 
-// ignoreClosed drops the error of a listener that was closed already.
+// ignoreClosed returns err, or nil if err only says that the listener was already closed.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -43,47 +44,47 @@
 	return err
 }
 
-// acceptAll accepts connections until a graceful shutdown ends that. The error is non-nil if the listener has failed
-// for good.
+// acceptAll accepts connections until a graceful shutdown stops it. It returns an error only if the listener has failed
+// permanently.
 func (s *Server) acceptAll(l Listener) error {
-	queueEmpty := false       // as the last accept found it
-	var brokenSince time.Time // zero: the last accept gave no sign that the listener is broken
+	queueEmpty := false       // the last accept timed out
+	var brokenSince time.Time // zero if the last accept returned no listener error
 	for !s.stopsAccepting(l, queueEmpty) {
 		queueEmpty = false
-		if !s.hasRoom() {
+		if !s.hasCapacity() {
 			s.options.Counters.Clients.Paused.Inc()
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if s.draining() {
-			_ = l.SetDeadline(time.Now().Add(s.quietTime())) // a broken listener shows in accept
+			_ = l.SetDeadline(time.Now().Add(s.emptyQueueTimeout())) // on a broken listener the accept below fails too
 		}
-		nc, err := acceptTCP(l)
+		tcpConn, err := acceptTCP(l)
 		if !socket.IsListenerBroken(err) {
 			brokenSince = time.Time{}
 		}
 		switch {
 		case err == nil:
-			s.checkDescriptor(nc)
-			s.add(nc)
+			s.checkDescriptor(tcpConn)
+			s.add(tcpConn)
 		case isTimeout(err):
 			queueEmpty = true
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case socket.IsListenerBroken(err) && brokenSince.IsZero():
 			brokenSince = time.Now()
-		case socket.IsListenerBroken(err) && time.Since(brokenSince) >= brokenTime:
+		case socket.IsListenerBroken(err) && time.Since(brokenSince) >= listenerFailureTimeout:
 			return err
-		default: // out of descriptors or buffers, or the connection has closed already
+		default: // no descriptors or buffers left, or the connection is already closed
 			s.options.Counters.Clients.Paused.Inc()
-			s.makeRoom(err)
-			time.Sleep(acceptPause)
+			s.evictIfExhausted(err)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 	return nil
 }
 
-// acceptTCP accepts the next connection.
+// acceptTCP accepts the next connection, or returns the error of an injected fault.
 func acceptTCP(l Listener) (*net.TCPConn, error) {
 	if err := faults.Accept(); err != nil {
 		return nil, err
@@ -91,16 +92,16 @@
 	return l.AcceptTCP()
 }
 
-// add begins to serve a connection.
-func (s *Server) add(nc *net.TCPConn) {
-	c, err := newConn(nc, s)
+// add starts serving a connection.
+func (s *Server) add(tcpConn *net.TCPConn) {
+	c, err := newConn(tcpConn, s)
 	if err != nil {
-		_ = nc.Close() // it has broken already
+		_ = tcpConn.Close() // the connection has already failed
 		return
 	}
-	if !c.hasUnread() && !s.draining() { // the kernel deferred it, so it has been silent that long
-		c.idleSince = c.idleSince.Add(-deferTime)
-		c.requestBegan = c.requestBegan.Add(-deferTime)
+	if !c.hasUnread() && !s.draining() { // the kernel has deferred the silent connection for deferAcceptTime
+		c.idleSince = c.idleSince.Add(-deferAcceptTime)
+		c.requestBegan = c.requestBegan.Add(-deferAcceptTime)
 	}
 	s.options.Counters.Clients.Opened.Inc()
 	s.options.Counters.Clients.Open.Inc()
@@ -111,26 +112,26 @@
 	go s.serve(c)
 }
 
-// connCount is how many connections there are.
+// connCount returns the number of open connections.
 func (s *Server) connCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// allConns are the connections that there are.
+// allConns returns all open connections.
 func (s *Server) allConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]*conn, 0, len(s.conns))
+	conns := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
-		out = append(out, c)
+		conns = append(conns, c)
 	}
-	return out
+	return conns
 }
 
-// isTimeout reports whether a deadline of the node's own has passed. ETIMEDOUT, with which the kernel gives a connection up,
-// is none.
+// isTimeout reports whether err means that a deadline set by the node has passed. It excludes ETIMEDOUT, with which the kernel
+// ends a connection whose peer does not respond.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
--- a/internal/ingress/accept_test.go
+++ b/internal/ingress/accept_test.go
@@ -18,85 +18,85 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// failingListener is a listener whose accept fails with errno while that is set.
+// failingListener is a listener whose AcceptTCP fails with errno while errno is not 0.
 type failingListener struct {
 	*net.TCPListener
 	errno  atomic.Int64
-	failed atomic.Int64
+	failed atomic.Int64 // number of failed calls
 }
 
-func (f *failingListener) AcceptTCP() (*net.TCPConn, error) {
-	if errno := syscall.Errno(f.errno.Load()); errno != 0 {
-		f.failed.Add(1)
+func (l *failingListener) AcceptTCP() (*net.TCPConn, error) {
+	if errno := syscall.Errno(l.errno.Load()); errno != 0 {
+		l.failed.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 	}
-	_ = f.SetDeadline(time.Now().Add(10 * time.Millisecond)) // so that an errno that is set meanwhile takes effect
-	return f.TCPListener.AcceptTCP()
+	_ = l.SetDeadline(time.Now().Add(10 * time.Millisecond)) // so that errno takes effect within 10 ms after it is set
+	return l.TCPListener.AcceptTCP()
 }
 
-// gatedHandler handles a request once its gate is open.
-type gatedHandler struct{ open chan struct{} }
+// gatedHandler responds to requests after gate is closed.
+type gatedHandler struct{ gate chan struct{} }
 
 func (g gatedHandler) Serve(ctx *fasthttp.RequestCtx, _ proxy.Client) {
-	<-g.open
+	<-g.gate
 	ctx.SetBodyString("done")
 }
 
-// serveFailing starts a server on a listener that can fail. The channel gives what Serve returns.
+// serveFailing starts a server on a failingListener. The channel receives the result of Serve.
 func serveFailing(t *testing.T, handler Handler) (*failingListener, *Server, <-chan error) {
 	t.Helper()
-	config := net.ListenConfig{Control: DeferAccept} // as the node's
+	config := net.ListenConfig{Control: DeferAccept} // as for the node's listener
 	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &failingListener{TCPListener: l.(*net.TCPListener)}
+	listener := &failingListener{TCPListener: l.(*net.TCPListener)}
 	var s *Server
 	s = New(Options{Handler: handler, MaxConns: 100, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: &counters.Counters{},
 		OnListenerBroken: func(l Listener, _ error) { s.BeginShutdown(l, drain.NewPlan(100*time.Millisecond).Start(time.Now())) }})
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(f) }()
-	return f, s, done
+	go func() { done <- s.Serve(listener) }()
+	return listener, s, done
 }
 
-// TestAcceptGoesOnAfterErrors: accept(2) fails for a while with each error that Linux documents. Accepting goes on, and does
-// not spin meanwhile.
-func TestAcceptGoesOnAfterErrors(t *testing.T) {
-	opened := make(chan struct{})
-	close(opened)
-	f, s, done := serveFailing(t, gatedHandler{opened})
+// accept(2) fails for 30 ms with each error that Linux documents, except the listener errors. Serve must keep accepting, and
+// must not retry in a busy loop.
+func TestServeKeepsAcceptingAfterAcceptErrors(t *testing.T) {
+	gate := make(chan struct{})
+	close(gate)
+	listener, s, done := serveFailing(t, gatedHandler{gate})
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EINTR} {
-		before := f.failed.Load()
-		f.errno.Store(int64(errno))
-		for f.failed.Load() == before {
+		failuresBefore := listener.failed.Load()
+		listener.errno.Store(int64(errno))
+		for listener.failed.Load() == failuresBefore {
 			time.Sleep(time.Millisecond)
 		}
-		time.AfterFunc(30*time.Millisecond, func() { f.errno.Store(0) })
-		resp, err := client.Get("http://" + f.Addr().String() + "/look")
+		time.AfterFunc(30*time.Millisecond, func() { listener.errno.Store(0) })
+		resp, err := client.Get("http://" + listener.Addr().String() + "/look")
 		if err != nil {
 			t.Fatalf("%v: %v", errno, err)
 		}
 		_ = resp.Body.Close()
-		if tries := f.failed.Load() - before; tries > 100 {
-			t.Errorf("%v: accept was tried %d times in 30 ms: it spins", errno, tries)
+		if failures := listener.failed.Load() - failuresBefore; failures > 100 {
+			t.Errorf("%v: accept was called %d times in 30 ms, want at most 100", errno, failures)
 		}
 	}
-	s.BeginShutdown(f, drain.NewPlan(100*time.Millisecond).Start(time.Now()))
+	s.BeginShutdown(listener, drain.NewPlan(100*time.Millisecond).Start(time.Now()))
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("Serve: error = %v, want nil", err)
 	}
 }
 
-// TestBrokenListenerLosesNothing: the listener fails for good with a request in flight. The server shuts down gracefully and
-// reports the error once the request has its response.
-func TestBrokenListenerLosesNothing(t *testing.T) {
-	opened := make(chan struct{})
-	f, s, done := serveFailing(t, gatedHandler{opened})
+// The listener fails permanently while a request is in flight. The server must shut down gracefully, and Serve must return the
+// error only after the request has its response.
+func TestServeCompletesRequestInFlightAfterListenerBreaks(t *testing.T) {
+	gate := make(chan struct{})
+	listener, s, done := serveFailing(t, gatedHandler{gate})
 	status := make(chan int, 1)
 	go func() {
-		resp, err := http.Get("http://" + f.Addr().String() + "/look")
+		resp, err := http.Get("http://" + listener.Addr().String() + "/look")
 		if err != nil {
 			status <- 0
 			return
@@ -106,25 +106,25 @@
 	}()
 	for end := time.Now().Add(10 * time.Second); s.options.InFlight.Open() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the request was not read")
+			t.Fatal("requests in flight = 0 after 10 s, want 1")
 		}
 	}
-	f.errno.Store(int64(syscall.EBADF))
+	listener.errno.Store(int64(syscall.EBADF))
 	for end := time.Now().Add(10 * time.Second); !s.draining(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no shutdown began")
+			t.Fatal("draining = false 10 s after the listener broke, want true")
 		}
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("ended with a request in flight: %v", err)
+		t.Fatalf("Serve returned with a request in flight, error = %v", err)
 	case <-time.After(drain.NewPlan(100 * time.Millisecond).Kill):
 	}
-	close(opened)
+	close(gate)
 	if got := <-status; got != http.StatusOK {
-		t.Errorf("the request in flight got status %d", got)
+		t.Errorf("status of the request in flight = %d, want %d", got, http.StatusOK)
 	}
 	if err := <-done; err == nil {
-		t.Error("a broken listener was not reported")
+		t.Error("Serve: error = nil after the listener broke, want the error of accept")
 	}
 }
--- a/internal/ingress/admindrain.go
+++ b/internal/ingress/admindrain.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// adminDrainDelay is how long after the call idle connections stay open: for so long new connections still come, and a
-	// client whose connection is closed earlier only comes back.
-	adminDrainDelay = drain.NewConnectionTime
+	// adminDrainIdleDelay is how long idle connections stay open after a drain begins. New connections still arrive during
+	// that time, and a client whose connection is closed earlier would only reconnect.
+	adminDrainIdleDelay = drain.NewConnectionTime
 
-	// adminDrainInterval and adminDrainBatch spread the closing, so that the other nodes do not get all clients at one
-	// moment. The most connections in use, 512, take 1.1 s, well within the 4 s after which none may be left.
+	// adminDrainInterval and adminDrainBatch limit how fast idle connections are closed, so that the clients do not all
+	// reconnect to the other nodes at the same moment. Closing 512 connections, the most that are in use, takes 1.1 s, well
+	// within the 4 s after which no connection may remain.
 	adminDrainInterval = 25 * time.Millisecond
 	adminDrainBatch    = 12
 )
 
-// adminDrain is a drain that an administrator began and may end: clients are sent elsewhere, and the process runs on.
+// adminDrain is a drain that an administrator begins and can end. It moves clients to other nodes while the process keeps
+// running.
 type adminDrain struct {
-	ended chan struct{}
+	ended chan struct{} // closed by EndAdminDrain
 }
 
 // AdminDraining reports whether an administrative drain is in progress.
@@ -29,8 +31,8 @@
 	return s.adminDrain != nil
 }
 
-// BeginAdminDrain begins an administrative drain: the health check fails, responses close their connections, and idle
-// connections are closed step by step. Clients that come nevertheless are served.
+// BeginAdminDrain begins an administrative drain: the health check fails, each connection is closed after its next response,
+// and idle connections are closed in batches. New connections and their requests are still served.
 func (s *Server) BeginAdminDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +40,7 @@
 		return
 	}
 	s.adminDrain = &adminDrain{ended: make(chan struct{})}
-	s.options.Log.Info("administrative drain", "code", "hand_drain", "on", true)
+	s.options.Log.Info("administrative drain began", "code", "hand_drain", "on", true)
 	go s.closeInBatches(s.adminDrain)
 }
 
@@ -51,12 +53,13 @@
 	}
 	close(s.adminDrain.ended)
 	s.adminDrain = nil
-	s.options.Log.Info("administrative drain", "code", "hand_drain", "on", false)
+	s.options.Log.Info("administrative drain ended", "code", "hand_drain", "on", false)
 }
 
-// closeInBatches closes idle connections until the drain ends or a shutdown begins, which closes them itself.
+// closeInBatches closes idle connections until the drain ends or a graceful shutdown begins, which closes idle connections
+// itself.
 func (s *Server) closeInBatches(d *adminDrain) {
-	delay := time.NewTimer(adminDrainDelay)
+	delay := time.NewTimer(adminDrainIdleDelay)
 	defer delay.Stop()
 	select {
 	case <-delay.C:
@@ -82,7 +85,7 @@
 		if closed == adminDrainBatch {
 			return
 		}
-		if _, ok := c.idleFor(firstRequestTime); ok && c.closeWhenIdle(closeDrained) {
+		if _, ok := c.idleFor(firstRequestTimeout); ok && c.closeWhenIdle(closeDrained) {
 			closed++
 		}
 	}
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -16,55 +16,57 @@
 )
 
 const (
-	// lingerTime and lingerBytes bound how long a connection that closes with unread bytes is kept open, so that its last
-	// response arrives: closing at once would reset it.
+	// lingerTime and lingerBytes limit how long, and for how many unread bytes, Close keeps reading so that the client gets the
+	// last response. Closing a connection with unread bytes at once would reset it.
 	lingerTime  = 200 * time.Millisecond
 	lingerBytes = 256 << 10
 
-	// minKernelTime is the shortest time in the kernel's buffer that is believed: the kernel counts in ticks of up to 10 ms.
-	minKernelTime = 20 * time.Millisecond
+	// minKernelBufferTime is the shortest time in the kernel's buffer that is taken into account, because the kernel measures it
+	// in ticks of up to 10 ms.
+	minKernelBufferTime = 20 * time.Millisecond
 )
 
-// inThePast is a deadline that ends a pending read, and every later one.
-var inThePast = time.Unix(1, 0)
+// pastDeadline is a read deadline that makes the pending read and every later read fail at once.
+var pastDeadline = time.Unix(1, 0)
 
-// conn is a client's connection. It knows whether it is idle, that is between requests: only then the node may close it.
+// conn is a client's connection. It records whether it is idle, which means between two requests, because the node may close
+// only an idle connection or one whose request is incomplete.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
 	server *Server
 	opened time.Time
 
-	mu          sync.Mutex
-	idle        bool   // waiting for a request's first byte
-	inFlight    bool   // a request was read and has no response yet ...
-	uploading   bool   // ... but for the rest of a large body
-	handled     bool   // the last request has its response, which may not be written yet
-	closing     string // why the node closes the connection; "": it does not
-	cutShort    bool   // closing with an incomplete request: only what has already come is read
-	closeReason string // why the connection ends, which the first cause decides; "": it does not
+	mu                sync.Mutex
+	idle              bool   // waiting for a request's first byte
+	inFlight          bool   // a request was read and has no response yet
+	uploading         bool   // the rest of the body of the request in flight is still being read
+	handled           bool   // the latest request has its response, which may not be written yet
+	nodeCloseReason   string // why the node closes the connection; "" if it does not
+	closingIncomplete bool   // closing with an incomplete request: only bytes received already are read
+	closeReason       string // the first reason for which the connection ends; "" if there is none yet
 
 	idleSince    time.Time
 	lastRead     time.Time
-	requestBegan time.Time // when the first byte of the current request came
-	requests     int
+	requestBegan time.Time // arrival of the current request's first byte; for the first request, when the connection was accepted
+	requests     int       // requests whose head was read
 
-	tracked        []trackedRequest // requests whose responses are not all handed to the kernel
-	responseBroken bool             // a response was broken off
+	tracked        []trackedRequest // requests whose responses are not yet completely written to the kernel
+	responseBroken bool             // a response was aborted before its end
 
-	// The connection's goroutine alone uses these.
-	largeBody *body.File   // of the current request
-	bodyRest  *pacedReader // what is still to come of largeBody
+	// Only the goroutine that serves the connection uses these fields.
+	largeBody     *body.File     // body of the current request if it is large, else nil
+	bodyRemainder *minRateReader // reads the part of largeBody that is not yet stored
 }
 
-func newConn(nc *net.TCPConn, s *Server) (*conn, error) {
-	raw, err := nc.SyscallConn()
+func newConn(tcpConn *net.TCPConn, s *Server) (*conn, error) {
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	return &conn{
-		Conn:         nc,
+		Conn:         tcpConn,
 		raw:          raw,
 		server:       s,
 		opened:       now,
@@ -75,34 +77,35 @@
 	}, nil
 }
 
-// Read notes when bytes come, and why none come any more.
+// Read records when bytes arrive and, if reading ends, the reason why.
 func (c *conn) Read(p []byte) (int, error) {
 	c.beginRead()
 	n, err := c.Conn.Read(p)
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.mayHaveCrossed() && c.hasUnread() {
-		n, err = c.readCrossed(p, n, err)
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.mayHavePendingRequest() && c.hasUnread() {
+		n, err = c.readPendingRequest(p, n, err)
 	}
 	arrived := time.Now()
 	if n > 0 {
-		arrived = arrived.Add(-c.timeInKernel())
+		arrived = arrived.Add(-c.kernelBufferTime())
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n > 0 {
-		c.noteArrival(arrived)
+		c.recordArrival(arrived)
 		return n, err
 	}
-	if c.closing != "" {
-		c.setCloseReason(c.closing)
+	if c.nodeCloseReason != "" {
+		c.setCloseReason(c.nodeCloseReason)
 	}
-	if c.closing != "" && c.idle {
-		return 0, io.EOF // with another error the server would respond to a request that never came
+	if c.nodeCloseReason != "" && c.idle {
+		return 0, io.EOF // for any other error the server would send a response although there is no request
 	}
-	c.setCloseReason(c.readFailure(err))
+	c.setCloseReason(c.readFailureReason(err))
 	return n, err
 }
 
-// beginRead makes the connection idle if its last request was handled: the server reads on only once the response is written.
+// beginRead marks the connection as idle if its latest request was handled. The server reads again only after it has written
+// the response.
 func (c *conn) beginRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,29 +117,30 @@
 	}
 }
 
-// readCrossed reads a request that arrived just as the node closed the connection, for a shutdown, for room or after the idle
-// timeout. It is here, so it is served. N and err are what the read before returned.
-func (c *conn) readCrossed(p []byte, n int, err error) (int, error) {
+// readPendingRequest reads a request that arrived while the node was closing the connection because of a shutdown, an eviction
+// or the idle timeout. Such a request is still served. N and err are the results of the previous read, which are returned
+// if no new deadline can be set.
+func (c *conn) readPendingRequest(p []byte, n int, err error) (int, error) {
 	if deadlineErr := c.Conn.SetReadDeadline(time.Now().Add(headTimeout)); deadlineErr == nil {
 		n, err = c.Conn.Read(p)
 	}
-	if n > 0 && c.isCutShort() { // the rest of it must be here as well
-		_ = c.Conn.SetReadDeadline(inThePast) // it fails only on a broken connection
+	if n > 0 && c.isClosingIncomplete() { // the rest of the request must have arrived already
+		_ = c.Conn.SetReadDeadline(pastDeadline) // fails only on a broken connection
 	}
 	return n, err
 }
 
-// noteArrival notes that bytes came. The caller holds the lock.
-func (c *conn) noteArrival(at time.Time) {
-	if c.idle && c.requests > 0 { // the first request's time is counted from the connection's beginning
+// recordArrival records when bytes arrived. The caller must hold c.mu.
+func (c *conn) recordArrival(at time.Time) {
+	if c.idle && c.requests > 0 { // the first request begins when the connection is accepted
 		c.requestBegan = at
 	}
 	c.idle = false
 	c.lastRead = at
 }
 
-// readFailure is the reason of a read that returned no bytes. The caller holds the lock.
-func (c *conn) readFailure(err error) string {
+// readFailureReason returns the close reason for a read that returned no bytes. The caller must hold c.mu.
+func (c *conn) readFailureReason(err error) string {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	ended := errors.Is(err, io.EOF)
 	switch {
@@ -147,38 +151,39 @@
 	case ended && c.idle:
 		return closeClientClosed
 	case ended:
-		return closeClientCut
+		return closeClientAborted
 	}
 	return closeClientReset
 }
 
-// timeInKernel is how long what was just read has waited in the kernel's buffer. After a pause of the process, or behind a
-// long backlog, an old request would otherwise count as new, and the node would work for a client that has given up.
-func (c *conn) timeInKernel() time.Duration {
-	var waited time.Duration
-	_ = c.raw.Control(func(fd uintptr) { // where it fails nothing is known to have waited
+// kernelBufferTime returns how long the bytes just read were waiting in the kernel's buffer. Without it, an old request would
+// count as new after a pause of the process or behind a long backlog, and the node would work for a client that has already
+// given up.
+func (c *conn) kernelBufferTime() time.Duration {
+	var buffered time.Duration
+	_ = c.raw.Control(func(fd uintptr) { // if it fails, the time is taken as 0
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
-			waited = time.Duration(info.Last_data_recv) * time.Millisecond
+			buffered = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	if waited < minKernelTime {
+	if buffered < minKernelBufferTime {
 		return 0
 	}
-	return waited
+	return buffered
 }
 
-// hasUnread reports whether bytes have come that were not read.
+// hasUnread reports whether the kernel's buffer holds unread bytes.
 func (c *conn) hasUnread() bool {
 	unread := false
-	_ = c.raw.Control(func(fd uintptr) { // it fails on a closed connection, which has none
+	_ = c.raw.Control(func(fd uintptr) { // fails on a closed connection, which has no unread bytes
 		n, err := socket.Peek(fd)
 		unread = err == nil && n > 0
 	})
 	return unread
 }
 
-// Write notes a failure: the client did not get its response.
+// Write writes part of a response. It sets a deadline for this write and records a failure as the close reason.
 func (c *conn) Write(p []byte) (int, error) {
 	deadlineErr := c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := c.Conn.Write(p)
@@ -194,49 +199,50 @@
 	return n, err
 }
 
-// SetReadDeadline sets the deadline, unless the node closes the connection: the server sets one as it begins to read, and that
-// must not undo the closing.
-func (c *conn) SetReadDeadline(t time.Time) error {
+// SetReadDeadline sets the read deadline, unless the node is closing the connection. The HTTP server sets a deadline whenever
+// it begins to read, which must not undo the past deadline that closes the connection.
+func (c *conn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	closingIdle := c.closing != "" && c.idle
-	if c.cutShort || closingIdle {
+	closingIdle := c.nodeCloseReason != "" && c.idle
+	if c.closingIncomplete || closingIdle {
 		return nil
 	}
-	if first := c.requestBegan.Add(headTimeout); c.requests == 0 && t.After(first) {
-		t = first // the kernel may have held the connection back for a part of its time
+	if firstRequestDeadline := c.requestBegan.Add(headTimeout); c.requests == 0 && deadline.After(firstRequestDeadline) {
+		deadline = firstRequestDeadline // the kernel may have deferred the connection for a part of headTimeout
 	}
-	return c.Conn.SetReadDeadline(t)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
-// SetWriteDeadline does nothing: each write sets its own, since a large response may take long in all.
+// SetWriteDeadline does nothing. Write sets a deadline for each write instead, because a large response may take long in total.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// LastRead is when the latest bytes came.
+// LastRead returns when the latest bytes arrived.
 func (c *conn) LastRead() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastRead
 }
 
-// Reset makes the connection end with a reset, so that the client does not take a broken response for a complete one.
+// Reset makes Close reset the connection, so that the client does not mistake an incomplete response for a complete one.
 func (c *conn) Reset() {
 	c.mu.Lock()
 	c.responseBroken = true
 	c.mu.Unlock()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it fails only on a broken connection
+		_ = tcp.SetLinger(0) // fails only on a broken connection
 	}
 }
 
-// Close closes the connection. Where bytes have come that are not read it lets the last response arrive first.
+// Close closes the connection. If there are unread bytes or the request was rejected, it first reads and discards bytes for up
+// to lingerTime, so that the client gets the last response.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	linger := c.closeReason == closeBadRequest
 	c.mu.Unlock()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && (linger || c.hasUnread()) {
 		if tcp.CloseWrite() == nil && tcp.SetReadDeadline(time.Now().Add(lingerTime)) == nil {
-			_, _ = io.CopyN(io.Discard, tcp, lingerBytes) // what comes is discarded anyway
+			_, _ = io.CopyN(io.Discard, tcp, lingerBytes) // an error does not matter for discarded bytes
 		}
 	}
 	return c.Conn.Close()
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -10,7 +10,7 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// connPair returns a client's end of a connection and the node's.
+// connPair returns the client's and the node's end of a connection.
 func connPair(t *testing.T) (net.Conn, *conn) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -22,32 +22,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nc, err := l.AcceptTCP()
+	serverSide, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := New(Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Counters: &counters.Counters{}})
-	c, err := newConn(nc, s)
+	c, err := newConn(serverSide, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = client.Close(), nc.Close() })
+	t.Cleanup(func() { _, _ = client.Close(), serverSide.Close() })
 	return client, c
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits up to 10 s until condition returns true.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the condition never held")
+			t.Fatal("the condition is still false after 10 s")
 		}
 	}
 }
 
-// TestCrossedRequestIsRead: a request arrives just before the node's closing takes effect. It is read and served.
-func TestCrossedRequestIsRead(t *testing.T) {
-	for name, closing := range map[string]func(*conn){
+// A request arrives just before the node's close of the connection takes effect. It must still be read.
+func TestReadReturnsRequestThatArrivesDuringClose(t *testing.T) {
+	for name, startClose := range map[string]func(*conn){
 		"closing":      func(c *conn) { c.closeWhenIdle(closeDrained) },
 		"idle timeout": func(c *conn) { _ = c.SetReadDeadline(time.Unix(1, 0)) },
 	} {
@@ -56,21 +56,22 @@
 			t.Fatal(err)
 		}
 		waitFor(t, c.hasUnread)
-		closing(c)
+		startClose(c)
 		b := make([]byte, 8)
 		if n, err := c.Read(b); err != nil || string(b[:n]) != "GET" {
-			t.Errorf("%s: read %q, %v", name, b[:n], err)
+			t.Errorf("%s: Read = %q, %v, want \"GET\", nil", name, b[:n], err)
 		}
 	}
 }
 
+// The node may close a connection only between requests. A close while a request is in flight would lose the request.
 func TestCloseWhenIdle(t *testing.T) {
 	_, c := connPair(t)
 	if !c.closeWhenIdle(closeEvicted) {
-		t.Fatal("an idle connection cannot be closed")
+		t.Fatal("closeWhenIdle = false on an idle connection, want true")
 	}
 	if n, err := c.Read(make([]byte, 8)); n != 0 || err != io.EOF || c.closeReason != closeEvicted {
-		t.Errorf("read %d, %v, ended by %q", n, err, c.closeReason)
+		t.Errorf("Read = %d, %v with close reason %q, want 0, EOF, %q", n, err, c.closeReason, closeEvicted)
 	}
 	client, busy := connPair(t)
 	if _, err := client.Write([]byte("GET")); err != nil {
@@ -80,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if busy.closeWhenIdle(closeEvicted) {
-		t.Error("a connection with a request in flight was closed")
+		t.Error("closeWhenIdle = true with a request in flight, want false")
 	}
 }
 
@@ -91,7 +92,7 @@
 	}{
 		{"closed between requests", closeClientClosed, func(client net.Conn, _ *conn) { _ = client.Close() }},
 		{"idle", closeIdleTimeout, func(_ net.Conn, c *conn) { _ = c.SetReadDeadline(time.Unix(1, 0)) }},
-		{"cut", closeClientCut, func(client net.Conn, c *conn) {
+		{"cut", closeClientAborted, func(client net.Conn, c *conn) {
 			_, _ = client.Write([]byte("GET"))
 			_, _ = c.Read(make([]byte, 8))
 			_ = client.Close()
@@ -109,7 +110,7 @@
 		client, server := connPair(t)
 		c.act(client, server)
 		if _, err := server.Read(make([]byte, 8)); err == nil || server.closeReason != c.reason {
-			t.Errorf("%s: %v, reason %q, want %q", c.name, err, server.closeReason, c.reason)
+			t.Errorf("%s: read error = %v, close reason = %q, want an error and %q", c.name, err, server.closeReason, c.reason)
 		}
 	}
 }
--- a/internal/ingress/connstate.go
+++ b/internal/ingress/connstate.go
@@ -6,22 +6,22 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// Reasons for which a client's connection ends, besides those of the proxy. They are codes in the log and among the counters;
-// docs/oncall.md lists them.
+// Reasons for which a client's connection ends, in addition to those of package proxy. They are used as codes in the log and in
+// the counters; docs/oncall.md lists them.
 const (
-	closeClientClosed = "client_closed" // by the client, between requests
-	closeClientCut    = "client_cut"    // by the client, with an incomplete request
-	closeClientReset  = "client_reset"  // by the client or the network, with a reset
-	closeIdleTimeout  = "idle"          // idle for idleTimeout
-	closeSlowRequest  = "slow_request"  // a request was not complete in time
-	closeBadRequest   = proxy.ReasonBadRequest
-	closeWriteFailed  = "write_failed"     // a response could not be written
-	closeEvicted      = "descriptor_limit" // closed to make room at a limit of connections or descriptors
-	closeDrained      = "drained"          // by a graceful shutdown or an administrative drain
-	closeOther        = "ended"            // none of these
+	closeClientClosed  = "client_closed" // closed by the client between requests
+	closeClientAborted = "client_cut"    // closed by the client during an incomplete request
+	closeClientReset   = "client_reset"  // reset by the client or the network
+	closeIdleTimeout   = "idle"          // idle for idleTimeout
+	closeSlowRequest   = "slow_request"  // a request was not complete before its deadline
+	closeBadRequest    = proxy.ReasonBadRequest
+	closeWriteFailed   = "write_failed"     // a response could not be written
+	closeEvicted       = "descriptor_limit" // evicted because of the limit on connections or descriptors
+	closeDrained       = "drained"          // closed by a graceful shutdown or an administrative drain
+	closeOther         = "ended"            // any other reason
 )
 
-// setCloseReason sets why the connection ends. Only the first reason counts. The caller holds the lock.
+// setCloseReason sets why the connection ends. Only the first reason counts. The caller must hold c.mu.
 func (c *conn) setCloseReason(reason string) {
 	if c.closeReason == "" {
 		c.closeReason = reason
@@ -35,82 +35,85 @@
 	c.setCloseReason(reason)
 }
 
-// closeAfterResponse is why the node closes the connection after the next response; "": it does not.
+// closeAfterResponse returns why the node closes the connection after the next response, or "" if it keeps it open.
 func (c *conn) closeAfterResponse() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing == "" && (c.server.draining() || c.server.AdminDraining()) {
+	if c.nodeCloseReason == "" && (c.server.draining() || c.server.AdminDraining()) {
 		return closeDrained
 	}
-	return c.closing
+	return c.nodeCloseReason
 }
 
-// closesFor reports whether the node closes the connection for a reason.
-func (c *conn) closesFor(reason string) bool {
+// isClosingFor reports whether the node is closing the connection for the given reason.
+func (c *conn) isClosingFor(reason string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closing == reason
+	return c.nodeCloseReason == reason
 }
 
-// closeWhenIdle closes an idle connection, and reports whether it does. A request that has arrived meanwhile is still served.
+// closeWhenIdle starts to close the connection if it is idle, and reports whether it did. A request that arrives before the
+// close takes effect is still served.
 func (c *conn) closeWhenIdle(reason string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idle || c.closing != "" {
+	if !c.idle || c.nodeCloseReason != "" {
 		return false
 	}
-	c.closing = reason
-	return c.Conn.SetReadDeadline(inThePast) == nil
+	c.nodeCloseReason = reason
+	return c.Conn.SetReadDeadline(pastDeadline) == nil
 }
 
-// closeIncomplete closes a connection whose request is incomplete, and reports whether it does. If the rest of the request
-// has arrived meanwhile it is still served.
+// closeIncomplete starts to close the connection if its request is incomplete, and reports whether it did. If the rest of the
+// request arrives before the close takes effect, the request is still served.
 func (c *conn) closeIncomplete(reason string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	complete := c.inFlight && !c.uploading
-	if c.idle || complete || c.handled || c.cutShort {
+	if c.idle || complete || c.handled || c.closingIncomplete {
 		return false
 	}
-	if c.closing != "" && reason != closeDrained {
-		return false // the request crossed the closing, for which it is served already
+	if c.nodeCloseReason != "" && reason != closeDrained {
+		return false // the request arrived during an earlier close, so it is being served
 	}
-	if c.closing == "" {
-		c.closing = reason
+	if c.nodeCloseReason == "" {
+		c.nodeCloseReason = reason
 	}
-	c.cutShort = true
-	return c.Conn.SetReadDeadline(inThePast) == nil
+	c.closingIncomplete = true
+	return c.Conn.SetReadDeadline(pastDeadline) == nil
 }
 
-// mayHaveCrossed reports whether bytes that come now may have crossed the node's closing.
-func (c *conn) mayHaveCrossed() bool {
+// mayHavePendingRequest reports whether unread bytes may belong to a request that arrived while the node was closing the
+// connection.
+func (c *conn) mayHavePendingRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.idle || c.cutShort
+	return c.idle || c.closingIncomplete
 }
 
-func (c *conn) isCutShort() bool {
+func (c *conn) isClosingIncomplete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cutShort
+	return c.closingIncomplete
 }
 
-// idleFor is how long the connection has been idle. It reports false if it is not idle, is closing, or has had no request yet
-// and is younger than firstTime.
-func (c *conn) idleFor(firstTime time.Duration) (time.Duration, bool) {
+// idleFor returns how long the connection has been idle. It reports false if the connection is not idle, is closing, or has
+// been waiting less than firstRequestTime for its first request.
+func (c *conn) idleFor(firstRequestTime time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := time.Since(c.idleSince)
+	idleTime := time.Since(c.idleSince)
 	served := c.requests > 0
-	return d, c.idle && c.closing == "" && (served || d >= firstTime)
+	return idleTime, c.idle && c.nodeCloseReason == "" && (served || idleTime >= firstRequestTime)
 }
 
-// silentFor is how long nothing has come on a connection whose request is incomplete. It reports false if it has none such.
+// silentFor returns how long a connection with an incomplete request has received nothing. It reports false if the connection
+// has no incomplete request or is closing.
 func (c *conn) silentFor() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	incomplete := !c.idle && !c.inFlight && !c.handled
-	return time.Since(c.lastRead), incomplete && c.closing == ""
+	return time.Since(c.lastRead), incomplete && c.nodeCloseReason == ""
 }
 
 // countRequest counts a request whose head was read.
@@ -120,7 +123,7 @@
 	c.requests++
 }
 
-// markHandled notes that the current request has its response, which the server will write.
+// markHandled records that the current request has a response, which the server will write next.
 func (c *conn) markHandled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +131,7 @@
 	c.inFlight = false
 }
 
-// setUploading notes whether the rest of a large body is awaited.
+// setUploading records whether the rest of a large body is still being read.
 func (c *conn) setUploading(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ingress/deferaccept.go
+++ b/internal/ingress/deferaccept.go
@@ -8,14 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// deferTime is how long the kernel holds a silent connection back from the listener. It is the shortest there is: the kernel
-// counts in repeats of its SYN-ACK, the first of which is due after a second.
-const deferTime = time.Second
+// deferAcceptTime is how long the kernel defers accepting a connection without data. One second is the minimum: the kernel
+// measures the time in retransmissions of the SYN-ACK, and the first one follows after a second.
+const deferAcceptTime = time.Second
 
-// DeferAccept is a net.ListenConfig.Control. It has the kernel hand connections over only once something has come on them, or
-// after a second. Hundreds of clients that connect and say nothing then take no descriptors, and delay no other client.
+// DeferAccept is a net.ListenConfig.Control function. It makes the kernel queue a connection for accept only when data has
+// arrived on it, or after a second. Hundreds of clients that connect without sending anything then use no descriptors
+// and do not delay other clients.
 func DeferAccept(_, _ string, raw syscall.RawConn) error {
-	return setDeferTime(raw, deferTime)
+	return setDeferAcceptTime(raw, deferAcceptTime)
 }
 
 // setDeferAccept turns deferred accept on or off.
@@ -25,12 +26,12 @@
 		return err
 	}
 	if on {
-		return setDeferTime(raw, deferTime)
+		return setDeferAcceptTime(raw, deferAcceptTime)
 	}
-	return setDeferTime(raw, 0)
+	return setDeferAcceptTime(raw, 0)
 }
 
-func setDeferTime(raw syscall.RawConn, d time.Duration) error {
+func setDeferAcceptTime(raw syscall.RawConn, d time.Duration) error {
 	var err error
 	controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_DEFER_ACCEPT, int(d/time.Second))
--- a/internal/ingress/descriptors.go
+++ b/internal/ingress/descriptors.go
@@ -8,51 +8,53 @@
 	"tackhub.example/tackhub/internal/socket"
 )
 
-// minConns is how many connections there may be however few descriptors there are: a node that accepts none serves none.
+// minConns is the lowest connection limit that a shortage of descriptors can cause. A node with a limit of 0 would serve no
+// client.
 const minConns = 4
 
-// limit is how many connections there may be: as many as were set, and no more than leave the reserved descriptors free.
-func (s *Server) limit() int { return int(min(s.maxConns.Load(), s.maxByFDs.Load())) }
+// connLimit returns the maximum number of connections. It is the configured maximum, unless the reserved descriptors require a
+// lower one.
+func (s *Server) connLimit() int { return int(min(s.maxConns.Load(), s.maxConnsByDescriptors.Load())) }
 
-// checkDescriptor looks at the descriptor that a connection was given. The kernel gives the lowest that is free, so a high one
-// says how few are left, whoever holds the others. The system's limit is read each time, since it may be lowered while the
-// process runs.
-func (s *Server) checkDescriptor(nc *net.TCPConn) {
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
+// checkDescriptor adapts the connection limit to the descriptor number of a new connection. The kernel assigns the lowest free
+// number, so a high one shows that few descriptors are left, whatever uses the others. The limit of the process is read each
+// time, because it can be lowered while the process runs.
+func (s *Server) checkDescriptor(tcpConn *net.TCPConn) {
+	var fdLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &fdLimit); err != nil {
 		return
 	}
-	maxFD := min(files.Cur, math.MaxInt32)
+	maxFD := min(fdLimit.Cur, math.MaxInt32)
 	firstReserved := maxFD - min(uint64(s.options.ReservedDescriptors), maxFD/2)
-	raw, err := nc.SyscallConn()
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return
 	}
 	reserved := false
-	_ = raw.Control(func(fd uintptr) { reserved = uint64(fd) >= firstReserved }) // it fails on a closed one, which has none
+	_ = raw.Control(func(fd uintptr) { reserved = uint64(fd) >= firstReserved }) // fails on a closed connection, which has no descriptor
 	if reserved {
 		s.lowerLimit()
 		return
 	}
-	if n := int64(s.connCount()) + 1; n >= s.maxByFDs.Load() {
-		s.maxByFDs.Store(n + 1) // there is room for one more at least
+	if conns := int64(s.connCount()) + 1; conns >= s.maxConnsByDescriptors.Load() {
+		s.maxConnsByDescriptors.Store(conns + 1) // one more connection fits at least
 	}
 }
 
-// lowerLimit allows no more connections than there are now.
+// lowerLimit sets the limit on connections to the current number of connections, but at least to minConns.
 func (s *Server) lowerLimit() {
 	n := max(minConns, int64(s.connCount()))
-	s.maxByFDs.Store(n)
+	s.maxConnsByDescriptors.Store(n)
 	s.options.Counters.Clients.Short.Inc()
-	if s.allowLog(&s.logLimits.descriptors) {
-		s.options.Log.Warn("file descriptors run short, closing the clients that are idle longest",
+	if s.allowLog(&s.lastLogged.descriptors) {
+		s.options.Log.Warn("few file descriptors left, closing the client connections that are idle longest",
 			"code", "descriptors_short", "clients", n)
 	}
 }
 
-// makeRoom closes idle connections where accept(2) fails for want of descriptors or memory. Its other errors concern one
-// connection or pass by themselves, and no client has to go for them.
-func (s *Server) makeRoom(err error) {
+// evictIfExhausted evicts connections if accept(2) failed because descriptors or memory are exhausted. Other errors of accept
+// affect a single connection or are temporary, so they need no eviction.
+func (s *Server) evictIfExhausted(err error) {
 	if socket.IsResourceExhausted(err) {
 		s.lowerLimit()
 		s.evict(0)
--- a/internal/ingress/disconnect.go
+++ b/internal/ingress/disconnect.go
@@ -8,54 +8,55 @@
 	"tackhub.example/tackhub/internal/socket"
 )
 
-// peekResult is what a look at a connection shows.
+// peekResult is the state of a connection's receive buffer.
 type peekResult int
 
 const (
-	peekNothing peekResult = iota
+	peekNoData peekResult = iota
 	peekData
 	peekClosed
 )
 
-// peek looks at what has come on a connection and consumes nothing. A close behind unread bytes counts as a close: a client
-// may have sent more than its request and gone.
+// peek returns the state of a connection without consuming bytes. It returns peekClosed even if there are unread bytes before
+// the close, because a client may send bytes after its request and then disconnect.
 func peek(fd uintptr) peekResult {
 	n, err := socket.Peek(fd)
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
-		return peekNothing
+		return peekNoData
 	case err == nil && n > 0 && !socket.PeerClosed(fd):
 		return peekData
 	}
 	return peekClosed
 }
 
-// Disconnected reports whether the client has closed the connection already.
+// Disconnected reports whether the client has closed the connection.
 func (c *conn) Disconnected() bool {
-	seen := peekNothing
-	err := c.raw.Control(func(fd uintptr) { seen = peek(fd) })
-	return err != nil || seen == peekClosed
+	result := peekNoData
+	err := c.raw.Control(func(fd uintptr) { result = peek(fd) })
+	return err != nil || result == peekClosed
 }
 
-// WatchDisconnect closes left when the client closes the connection, until stop is called. It only peeks, so that no byte of
-// the next request is lost, and goes on behind such bytes: whatever comes wakes it once.
-func (c *conn) WatchDisconnect() (left <-chan struct{}, stop func()) {
+// WatchDisconnect returns a channel that is closed when the client closes the connection, and a function that stops the watch.
+// The watch only peeks, so that no byte of a following request is lost. It continues when such bytes arrive, and wakes once
+// for each arrival.
+func (c *conn) WatchDisconnect() (clientClosed <-chan struct{}, stop func()) {
 	disconnected := make(chan struct{})
 	done := make(chan struct{})
-	_ = c.Conn.SetReadDeadline(time.Time{}) // the request was read before its deadline
+	_ = c.Conn.SetReadDeadline(time.Time{}) // the request is complete, so its read deadline no longer applies
 	go func() {
 		defer close(done)
-		seen := peekNothing
+		result := peekNoData
 		err := c.raw.Read(func(fd uintptr) bool {
-			seen = peek(fd)
-			return seen == peekClosed
+			result = peek(fd)
+			return result == peekClosed
 		})
-		if err == nil && seen == peekClosed {
+		if err == nil && result == peekClosed {
 			close(disconnected)
 		}
 	}()
 	return disconnected, func() {
-		_ = c.Conn.SetReadDeadline(inThePast) // wakes the goroutine
+		_ = c.Conn.SetReadDeadline(pastDeadline) // ends the goroutine's pending read
 		<-done
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
+// A client sends its next request while WatchDisconnect runs. The watch must neither consume these bytes nor report a
+// disconnect.
 func TestWatchDisconnectConsumesNothing(t *testing.T) {
 	client, c := connPair(t)
-	left, stop := c.WatchDisconnect()
+	disconnected, stop := c.WatchDisconnect()
 	if _, err := client.Write([]byte("next")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, c.hasUnread)
 	stop()
 	select {
-	case <-left:
-		t.Error("a client that sent its next request counts as disconnected")
+	case <-disconnected:
+		t.Error("the channel of WatchDisconnect is closed although the client only sent its next request")
 	default:
 	}
 	b := make([]byte, 8)
 	if n, err := c.Read(b); err != nil || string(b[:n]) != "next" {
-		t.Errorf("the next request reads %q, %v", b[:n], err)
+		t.Errorf("Read of the next request = %q, %v, want \"next\", nil", b[:n], err)
 	}
-	left, stop = c.WatchDisconnect()
+	disconnected, stop = c.WatchDisconnect()
 	defer stop()
 	_ = client.Close()
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(10 * time.Second):
-		t.Error("the disconnect was not seen")
+		t.Error("the channel of WatchDisconnect is not closed 10 s after the client disconnected")
 	}
 }
 
-// TestDisconnectBehindUnreadBytes: a client sends more than its request and disconnects. The close comes behind bytes that are
-// not read, and must be seen.
-func TestDisconnectBehindUnreadBytes(t *testing.T) {
+// A client sends bytes after its request and then disconnects. The close arrives behind unread bytes and must still be detected.
+func TestDisconnectDetectedBehindUnreadBytes(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn) error{
 		"closed":      (*net.TCPConn).Close,
 		"half closed": (*net.TCPConn).CloseWrite,
@@ -44,25 +45,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, c := connPair(t)
-			left, stop := c.WatchDisconnect()
+			disconnected, stop := c.WatchDisconnect()
 			defer stop()
 			if _, err := client.Write([]byte("next")); err != nil {
 				t.Fatal(err)
 			}
 			waitFor(t, c.hasUnread)
 			if c.Disconnected() {
-				t.Error("a client that sent its next request counts as disconnected")
+				t.Error("Disconnected = true for a client that only sent its next request, want false")
 			}
 			if err := end(client.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
 			select {
-			case <-left:
+			case <-disconnected:
 			case <-time.After(10 * time.Second):
-				t.Error("the disconnect was not seen")
+				t.Error("the channel of WatchDisconnect is not closed 10 s after the client disconnected")
 			}
 			if !c.Disconnected() {
-				t.Error("a client that has disconnected does not count as such")
+				t.Error("Disconnected = false after the client disconnected, want true")
 			}
 		})
 	}
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	// drainInterval is how often a shutdown checks its progress. The accept queue counts as empty when nothing has come for
-	// so long.
+	// drainInterval is how often a graceful shutdown checks its progress. It is also how long no new connection must arrive for
+	// the accept queue to count as empty.
 	drainInterval = 10 * time.Millisecond
 
-	// lateQuietTime replaces drainInterval as that time once every request that is read is rejected.
-	lateQuietTime = 2 * time.Millisecond
+	// lateEmptyQueueTimeout replaces drainInterval in the check for an empty accept queue after Schedule.LastAdmission, when
+	// every request that is read is rejected.
+	lateEmptyQueueTimeout = 2 * time.Millisecond
 
-	// firstRequestTime is how long a connection that came late may take to send its first request.
-	firstRequestTime = 100 * time.Millisecond
+	// firstRequestTimeout is how long a connection accepted during a drain may take to send its first request.
+	firstRequestTimeout = 100 * time.Millisecond
 )
 
-// BeginShutdown begins a graceful shutdown: clients that come are still served, and connections are closed between requests. Later
-// calls change nothing.
+// BeginShutdown begins a graceful shutdown: new connections are still accepted and served, and connections are closed between
+// requests. Further calls have no effect.
 func (s *Server) BeginShutdown(l Listener, schedule *drain.Schedule) {
 	if !s.schedule.CompareAndSwap(nil, schedule) {
 		return
 	}
-	if !s.hasSuccessor.Load() { // a successor shares the listener
-		// Silent connections are accepted from now on, and closed in order. Otherwise the kernel would hold them back and
-		// reset them with the listener.
+	if !s.hasSuccessor.Load() { // a successor accepts the deferred connections itself
+		// From now on connections without data are accepted too, and closed without a reset. Otherwise the kernel would keep
+		// deferring them and reset them when the listener closes.
 		if err := setDeferAccept(l, false); err != nil {
 			s.options.Log.Warn("cannot turn off deferred accept", "code", "defer_accept", "error", err)
 		}
 	}
-	_ = l.SetDeadline(time.Now()) // wakes Serve; a broken listener shows there
+	_ = l.SetDeadline(time.Now()) // wakes Serve, which also detects a broken listener
 }
 
 func (s *Server) draining() bool { return s.schedule.Load() != nil }
 
-// quietTime is how long nothing must have come for the accept queue to count as empty.
-func (s *Server) quietTime() time.Duration {
+// emptyQueueTimeout returns how long no new connection must arrive for the accept queue to count as empty.
+func (s *Server) emptyQueueTimeout() time.Duration {
 	schedule := s.schedule.Load()
 	if schedule != nil && schedule.Reached(schedule.LastAdmission, time.Now()) {
-		return lateQuietTime
+		return lateEmptyQueueTimeout
 	}
 	return drainInterval
 }
 
-// stopsAccepting reports whether the listener is to be closed. QueueEmpty is what the last accept found. It also closes the
-// connections that a shutdown can close by now.
+// stopsAccepting reports whether the listener must be closed now. QueueEmpty reports whether the last accept timed out. During a
+// shutdown it also closes the connections that can be closed already.
 func (s *Server) stopsAccepting(l Listener, queueEmpty bool) bool {
 	schedule := s.schedule.Load()
 	if schedule == nil {
@@ -59,31 +60,33 @@
 	now := time.Now()
 	s.closeUnused(schedule, now)
 	if schedule.Reached(schedule.LastResponse, now) {
-		// What is queued now is still rejected in time, unless new connections never end.
+		// Queued connections can still be rejected in time, but MaxPause later the listener closes even if new connections keep
+		// arriving.
 		return !hasQueued(l) || schedule.Reached(schedule.LastResponse+drain.MaxPause, now)
 	}
 	mayClose := queueEmpty && schedule.Reached(schedule.CloseListener, now)
 	return mayClose && !s.hasHalfOpen(l, now) && !hasQueued(l)
 }
 
-// allClosed closes the connections that can be closed by now, and reports whether none is left.
+// allClosed closes the connections that can be closed already, and reports whether no connection remains.
 func (s *Server) allClosed() bool {
 	s.closeUnused(s.schedule.Load(), time.Now())
 	return s.connCount() == 0
 }
 
-// closeUnused closes idle connections, and those whose request is not complete in time.
+// closeUnused closes idle connections after Schedule.CloseIdle, and connections with an incomplete request after
+// Schedule.RejectIncomplete.
 func (s *Server) closeUnused(schedule *drain.Schedule, now time.Time) {
 	if !schedule.Reached(schedule.CloseIdle, now) {
 		return
 	}
-	firstTime := firstRequestTime
+	firstRequestLimit := firstRequestTimeout
 	if schedule.Reached(schedule.LastResponse, now) {
-		firstTime = 0
+		firstRequestLimit = 0
 	}
 	rejectIncomplete := schedule.Reached(schedule.RejectIncomplete, now)
 	for _, c := range s.allConns() {
-		if _, ok := c.idleFor(firstTime); ok {
+		if _, ok := c.idleFor(firstRequestLimit); ok {
 			c.closeWhenIdle(closeDrained)
 		}
 		if rejectIncomplete {
@@ -92,14 +95,14 @@
 	}
 }
 
-// hasQueued reports whether a connection waits in the accept queue. A timeout of accept does not show
-// that: after a pause of the process it returns one without looking at the queue.
+// hasQueued reports whether a connection is waiting in the accept queue. A timeout of accept is not sufficient: after a pause of
+// the process, accept returns a timeout without checking the queue.
 func hasQueued(l Listener) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
 	}
 	queued := false
-	_ = raw.Control(func(fd uintptr) { queued = socket.Readable(fd) }) // it fails on a closed one, which has no queue
+	_ = raw.Control(func(fd uintptr) { queued = socket.Readable(fd) }) // fails on a closed listener, which has no queue
 	return queued
 }
--- a/internal/ingress/evict.go
+++ b/internal/ingress/evict.go
@@ -7,81 +7,85 @@
 )
 
 const (
-	// softLimitShare of the limit is where connections that have been idle longest begin to be evicted. Clients that connect
-	// anew for each request then find room without waiting for an eviction. Clients together hold a third of the
-	// descriptors at most, beyond which they send nothing, so idle connections must not use that up.
-	softLimitShare = 0.3
+	// softLimitFraction is the fraction of the connection limit above which the connections that are idle longest are evicted.
+	// Clients that open a connection for each request then need not wait for an eviction. All clients together use at most a
+	// third of the descriptors and send nothing beyond that, so idle connections must not use up that third.
+	softLimitFraction = 0.3
 
-	// minIdle is how long a connection must have been idle to be evicted below the limit. The next request of a busy client
-	// comes sooner.
-	minIdle = 50 * time.Millisecond
+	// minEvictIdleTime is how long a connection must be idle before it is evicted below the connection limit. A busy client sends
+	// its next request sooner.
+	minEvictIdleTime = 50 * time.Millisecond
 
-	// minFirstIdle is how long a connection without any request yet stays open. A client with a request sends it at once, and
-	// hundreds that never do must not keep the others out for long.
-	minFirstIdle = 150 * time.Millisecond
+	// minEvictUnusedTime is how long a connection that has not sent a request is not evicted. A client that has a request sends it
+	// at once, and hundreds of clients that never send one must not block the others for long.
+	minEvictUnusedTime = 150 * time.Millisecond
 
-	// minSilent is how long a connection with an incomplete request must have been silent to be evicted. A client that takes
-	// 2 s to send a request sends parts of it all the while.
-	minSilent = 300 * time.Millisecond
+	// minEvictSilentTime is how long a connection with an incomplete request must receive nothing before it is evicted. A client
+	// that takes 2 s to send a request sends parts of it throughout that time.
+	minEvictSilentTime = 300 * time.Millisecond
 
-	// evictBatch is how many connections are evicted at once: checking all of them for each new one costs too much CPU.
+	// evictBatch is the number of connections that are evicted at once. Evicting one at a time would check all connections for
+	// each new one, which costs too much CPU time.
 	evictBatch = 16
 )
 
-// hasRoom reports whether another connection may be accepted. It begins to evict connections well before the limit.
-func (s *Server) hasRoom() bool {
-	n := s.connCount()
-	limit := s.limit()
+// hasCapacity reports whether another connection may be accepted. It starts evicting connections at softLimitFraction of the
+// limit.
+func (s *Server) hasCapacity() bool {
+	conns := s.connCount()
+	limit := s.connLimit()
 	switch {
-	case s.evicting.Load() > 0: // room is being made
-	case n >= limit:
+	case s.evicting.Load() > 0: // wait until the evicted connections are closed
+	case conns >= limit:
 		s.evict(0)
-	case n >= int(softLimitShare*float64(limit)):
-		s.evict(minIdle)
+	case conns >= int(softLimitFraction*float64(limit)):
+		s.evict(minEvictIdleTime)
 	}
-	return n < s.limit()
+	return conns < s.connLimit()
 }
 
-// evictable is a connection that may be closed to make room.
-type evictable struct {
-	conn     *conn
-	duration time.Duration // for which it has been idle or silent
+// evictionCandidate is a connection that may be evicted.
+type evictionCandidate struct {
+	conn        *conn
+	inactiveFor time.Duration // time without a request, or without bytes of an incomplete one
 }
 
-// evict closes the connections that have been idle longest, and for some time at least. At the limit, where that time is 0
-// and none is idle, it closes connections with incomplete requests: thousands of clients may connect and never complete one.
-func (s *Server) evict(least time.Duration) {
-	candidates := s.idleConns(least)
+// evict closes up to evictBatch connections: those that have been idle longest, and for at least minIdleTime. If no connection
+// is idle and minIdleTime is 0, which means that the limit is reached, it closes connections with incomplete requests instead,
+// because thousands of clients may connect and never complete a request.
+func (s *Server) evict(minIdleTime time.Duration) {
+	candidates := s.idleConns(minIdleTime)
 	closeConn := (*conn).closeWhenIdle
-	if len(candidates) == 0 && least == 0 {
+	if len(candidates) == 0 && minIdleTime == 0 {
 		candidates = s.silentConns()
 		closeConn = (*conn).closeIncomplete
 	}
-	slices.SortFunc(candidates, func(a, b evictable) int { return cmp.Compare(b.duration, a.duration) })
-	for _, e := range candidates[:min(evictBatch, len(candidates))] {
-		if closeConn(e.conn, closeEvicted) {
+	slices.SortFunc(candidates, func(a, b evictionCandidate) int { return cmp.Compare(b.inactiveFor, a.inactiveFor) })
+	for _, candidate := range candidates[:min(evictBatch, len(candidates))] {
+		if closeConn(candidate.conn, closeEvicted) {
 			s.evicting.Add(1)
 		}
 	}
 }
 
-// idleConns are the connections that have been idle for some time. One just made is about to send its first request.
-func (s *Server) idleConns(least time.Duration) []evictable {
-	var idle []evictable
+// idleConns returns the connections that have been idle for at least minIdleTime. It leaves out new connections, whose first
+// request may be about to arrive.
+func (s *Server) idleConns(minIdleTime time.Duration) []evictionCandidate {
+	var idle []evictionCandidate
 	for _, c := range s.allConns() {
-		if d, ok := c.idleFor(minFirstIdle); ok && d >= least {
-			idle = append(idle, evictable{c, d})
+		if idleTime, ok := c.idleFor(minEvictUnusedTime); ok && idleTime >= minIdleTime {
+			idle = append(idle, evictionCandidate{c, idleTime})
 		}
 	}
 	return idle
 }
 
-// silentConns are the connections with incomplete requests that have been silent for minSilent.
-func (s *Server) silentConns() []evictable {
-	var silent []evictable
+// silentConns returns the connections with incomplete requests that have received nothing for minEvictSilentTime.
+func (s *Server) silentConns() []evictionCandidate {
+	var silent []evictionCandidate
 	for _, c := range s.allConns() {
-		if d, ok := c.silentFor(); ok && d >= minSilent {
-			silent = append(silent, evictable{c, d})
+		if silentTime, ok := c.silentFor(); ok && silentTime >= minEvictSilentTime {
+			silent = append(silent, evictionCandidate{c, silentTime})
 		}
 	}
 	return silent
--- a/internal/ingress/framing.go
+++ b/internal/ingress/framing.go
@@ -8,13 +8,14 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// Framing that two parsers could read in two ways is rejected before anything is forwarded: a second request hidden in the
-// first one's body must not reach a server (RFC 9112, sections 5 and 6). fasthttp rejects signed and repeated lengths and bad
-// names; version 1.79 accepts a length beside an encoding, the encoding "identity", folded lines, names with spaces, and
-// single fields that come twice.
+// A request whose framing is ambiguous is rejected before any part of it is forwarded. Otherwise another parser could find a
+// second request in the body of the first one (request smuggling; RFC 9112, sections 5 and 6). fasthttp itself rejects signed
+// and repeated values of Content-Length and invalid field names. Version 1.79 accepts Content-Length together with
+// Transfer-Encoding, the encoding "identity", folded lines, names with spaces, and repeated singleton fields, so these are
+// checked here.
 
-// singleFields are the fields that may come only once.
-var singleFields = []string{
+// singletonFields are the header fields that a request may contain only once.
+var singletonFields = []string{
 	proxy.HeaderID,
 	proxy.HeaderClass,
 	proxy.HeaderTenant,
@@ -22,18 +23,18 @@
 	proxy.HeaderIdempotencyKey,
 }
 
-// badFraming returns the code of what is wrong with a request's head; "": nothing is.
-func badFraming(h *fasthttp.RequestHeader) string {
+// framingErrorCode returns the code of the first framing error in a request's head, or "" if there is none.
+func framingErrorCode(header *fasthttp.RequestHeader) string {
 	hasLength := false
 	hasEncoding := false
-	for line := range bytes.Lines(h.RawHeaders()) {
+	for line := range bytes.Lines(header.RawHeaders()) {
 		if line[0] == ' ' || line[0] == '\t' {
 			return "folded_field"
 		}
-		name, value, ok := bytes.Cut(line, []byte(":"))
+		name, value, hasColon := bytes.Cut(line, []byte(":"))
 		switch {
-		case !ok:
-			continue // the line that ends the head
+		case !hasColon:
+			continue // the empty line that ends the head
 		case bytes.ContainsAny(name, " \t"):
 			return "bad_field_name"
 		case bytes.EqualFold(name, []byte("Content-Length")):
@@ -48,8 +49,8 @@
 	if hasLength && hasEncoding {
 		return "length_and_encoding"
 	}
-	for _, name := range singleFields {
-		if len(h.PeekAll(name)) > 1 {
+	for _, name := range singletonFields {
+		if len(header.PeekAll(name)) > 1 {
 			return "repeated_field"
 		}
 	}
--- a/internal/ingress/halfopen.go
+++ b/internal/ingress/halfopen.go
@@ -9,49 +9,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// The kernel lists half-open connections over its socket diagnosis (sock_diag(7)): the request names a local port and a TCP
-// state, the response has one message for each socket and a final one.
+// The kernel lists half-open connections through its socket diagnosis interface (sock_diag(7)). The request specifies a local
+// port and a TCP state. The response has one message for each socket and a final message.
 const (
-	diagRequestSize    = unix.SizeofNlMsghdr + 56 // struct inet_diag_req_v2
+	diagRequestSize    = unix.SizeofNlMsghdr + 56 // bytes: header and struct inet_diag_req_v2
 	diagFamilyOffset   = unix.SizeofNlMsghdr
 	diagProtocolOffset = diagFamilyOffset + 1
 	diagStatesOffset   = diagFamilyOffset + 4
 	diagPortOffset     = diagFamilyOffset + 8
-	sockDiagByFamily   = 20 // SOCK_DIAG_BY_FAMILY
-	tcpSynRecv         = 3  // TCP_SYN_RECV
-	diagResponseSize   = 8 << 10
+	sockDiagByFamily   = 20      // SOCK_DIAG_BY_FAMILY
+	tcpSynRecv         = 3       // TCP_SYN_RECV
+	diagResponseSize   = 8 << 10 // bytes, of the receive buffer
 
-	// diagTimeout bounds the wait for the response, which the kernel gives at once.
+	// diagTimeout limits the wait for the response, which the kernel normally sends at once.
 	diagTimeout = 20 * time.Millisecond
 )
 
-// halfOpenInterval is how often the kernel is asked for half-open connections.
+// halfOpenInterval is the shortest time between two queries for half-open connections.
 const halfOpenInterval = 50 * time.Millisecond
 
-var errDiagResponse = errors.New("malformed socket diagnosis")
+var errDiagResponse = errors.New("malformed sock_diag response from the kernel")
 
-// halfOpenCheck is what the kernel last said of half-open connections. Serve alone uses it.
+// halfOpenCheck is the result of the latest query for half-open connections. Only the goroutine that runs Serve uses it.
 type halfOpenCheck struct {
-	at    time.Time
-	found bool
+	checkedAt time.Time
+	found     bool
 }
 
-// hasHalfOpen reports whether the kernel holds connections back from the listener. It asks the kernel only now and then.
+// hasHalfOpen reports whether the kernel defers connections of the listener. It queries the kernel at most once per
+// halfOpenInterval and returns the latest result in between.
 func (s *Server) hasHalfOpen(l Listener, now time.Time) bool {
-	if now.Sub(s.halfOpen.at) < halfOpenInterval {
+	if now.Sub(s.halfOpen.checkedAt) < halfOpenInterval {
 		return s.halfOpen.found
 	}
-	s.halfOpen.at = now
+	s.halfOpen.checkedAt = now
 	found, err := anyHalfOpen(l.Addr())
-	if err != nil { // where the kernel may not be asked, such connections are reset with the listener
+	if err != nil { // without a result, deferred connections are reset when the listener closes
 		s.options.Counters.Clients.HeldUnknown.Inc()
 	}
 	s.halfOpen.found = found
 	return found
 }
 
-// anyHalfOpen reports whether the kernel holds connections back from a listener: their clients are connected, and they are
-// not handed over since nothing has come on them (TCP_DEFER_ACCEPT).
+// anyHalfOpen reports whether the kernel defers connections of a listener (TCP_DEFER_ACCEPT). The clients of such connections
+// are connected, but accept does not return the connections until data arrives on them.
 func anyHalfOpen(listener net.Addr) (bool, error) {
 	tcp, ok := listener.(*net.TCPAddr)
 	if !ok {
@@ -66,7 +67,7 @@
 	return false, nil
 }
 
-// queryHalfOpen reports whether there are half-open connections of one address family at a local port.
+// queryHalfOpen reports whether there are half-open connections of one address family on a local port.
 func queryHalfOpen(family byte, port uint16) (bool, error) {
 	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_RAW|unix.SOCK_CLOEXEC, unix.NETLINK_INET_DIAG)
 	if err != nil {
@@ -77,8 +78,8 @@
 	if err := unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout); err != nil {
 		return false, err
 	}
-	kernel := &unix.SockaddrNetlink{Family: unix.AF_NETLINK}
-	if err := unix.Sendto(fd, diagRequest(family, port), 0, kernel); err != nil {
+	kernelAddr := &unix.SockaddrNetlink{Family: unix.AF_NETLINK}
+	if err := unix.Sendto(fd, diagRequest(family, port), 0, kernelAddr); err != nil {
 		return false, err
 	}
 	response := make([]byte, diagResponseSize)
@@ -86,24 +87,25 @@
 	if err != nil {
 		return false, err
 	}
-	return beginsWithSocket(response[:n])
+	return startsWithSocketMessage(response[:n])
 }
 
-// diagRequest encodes the request.
+// diagRequest encodes a sock_diag request for the half-open connections of one address family on a local port.
 func diagRequest(family byte, port uint16) []byte {
-	b := make([]byte, diagRequestSize)
-	binary.NativeEndian.PutUint32(b[0:], diagRequestSize)
-	binary.NativeEndian.PutUint16(b[4:], sockDiagByFamily)
-	binary.NativeEndian.PutUint16(b[6:], unix.NLM_F_REQUEST|unix.NLM_F_DUMP)
-	b[diagFamilyOffset] = family
-	b[diagProtocolOffset] = unix.IPPROTO_TCP
-	binary.NativeEndian.PutUint32(b[diagStatesOffset:], 1<<tcpSynRecv)
-	binary.BigEndian.PutUint16(b[diagPortOffset:], port)
-	return b
+	request := make([]byte, diagRequestSize)
+	binary.NativeEndian.PutUint32(request[0:], diagRequestSize)
+	binary.NativeEndian.PutUint16(request[4:], sockDiagByFamily)
+	binary.NativeEndian.PutUint16(request[6:], unix.NLM_F_REQUEST|unix.NLM_F_DUMP)
+	request[diagFamilyOffset] = family
+	request[diagProtocolOffset] = unix.IPPROTO_TCP
+	binary.NativeEndian.PutUint32(request[diagStatesOffset:], 1<<tcpSynRecv)
+	binary.BigEndian.PutUint16(request[diagPortOffset:], port)
+	return request
 }
 
-// beginsWithSocket reports whether a response begins with a socket's message, or is only the final one.
-func beginsWithSocket(response []byte) (bool, error) {
+// startsWithSocketMessage returns true if the response starts with the message of a socket, and false if it consists of the
+// final message only.
+func startsWithSocketMessage(response []byte) (bool, error) {
 	if len(response) < unix.SizeofNlMsghdr {
 		return false, errDiagResponse
 	}
--- a/internal/ingress/handle.go
+++ b/internal/ingress/handle.go
@@ -12,17 +12,17 @@
 
 const (
 	healthPath   = "/_health"
-	countersPath = "/_counters" // no class can have it: a class's path is its name from the settings
+	countersPath = "/_counters" // no class has this path, because the path of a class is its name in the settings
 
-	// headerTooLarge marks a request that announced a body larger than any that is accepted. A client that sets it itself
-	// gets the same response.
+	// headerTooLarge marks a request that announced a body above the maximum size. A request in which the client sets this
+	// header itself is rejected in the same way.
 	headerTooLarge = "Tackhub-Too-Large"
 
 	codeBodyTooLarge = "body_too_large"
-	codeNoRoom       = "no_room" // no capacity for a large body
+	codeNoCapacity   = "no_room" // no file, buffer or disk space for a large body
 )
 
-// serve serves a connection until it ends, and logs that.
+// serve serves a connection until it ends, then releases and logs it.
 func (s *Server) serve(c *conn) {
 	defer s.serving.Done()
 	err := s.serveHTTP(c)
@@ -30,7 +30,7 @@
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	if c.closesFor(closeEvicted) {
+	if c.isClosingFor(closeEvicted) {
 		s.evicting.Add(-1)
 	}
 	s.options.Counters.Clients.Open.Add(-1)
@@ -44,11 +44,11 @@
 	s.options.Log.Info("client connection ended", args...)
 }
 
-// serveHTTP serves a connection and closes it. A panic on what a client sends ends that connection only.
+// serveHTTP serves a connection and closes it. A panic while serving ends only this connection.
 func (s *Server) serveHTTP(c *conn) (err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			s.options.Log.Error("panic on a client's connection", "code", proxy.ReasonPanic, "panic", p,
+		if panicValue := recover(); panicValue != nil {
+			s.options.Log.Error("panic while serving a client connection", "code", proxy.ReasonPanic, "panic", panicValue,
 				"stack", string(debug.Stack()))
 			c.SetCloseReason(proxy.ReasonPanic)
 			err = c.Close()
@@ -57,18 +57,18 @@
 	return s.http.ServeConn(c)
 }
 
-// headReceived looks at a request's head before its body is waited for. A body that is too large is not read: the request is
-// rejected at once.
-func (s *Server) headReceived(h *fasthttp.RequestHeader) (none fasthttp.RequestConfig) {
-	if s.options.Bodies != nil && h.ContentLength() > s.options.Bodies.MaxRequestSize() {
-		h.SetContentLength(0)
-		h.Del(fasthttp.HeaderExpect)
-		h.Set(headerTooLarge, "1")
+// headReceived checks a request's head before its body is read. If the announced body is too large, it marks the request so
+// that dispatch rejects it at once, without reading the body.
+func (s *Server) headReceived(header *fasthttp.RequestHeader) (unchanged fasthttp.RequestConfig) {
+	if s.options.Bodies != nil && header.ContentLength() > s.options.Bodies.MaxRequestSize() {
+		header.SetContentLength(0)
+		header.Del(fasthttp.HeaderExpect)
+		header.Set(headerTooLarge, "1")
 	}
-	return none
+	return unchanged
 }
 
-// handle handles one request whose head was read.
+// handle handles a request whose head was read, and decides whether the connection stays open.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	c, ok := ctx.Conn().(*conn)
 	if !ok {
@@ -76,11 +76,11 @@
 		return
 	}
 	c.countRequest()
-	defer c.dropBody()
+	defer c.releaseBody()
 	s.dispatch(ctx, c)
-	// With this deadline fasthttp flushes each response. Otherwise a response would wait for the body of the next pipelined
-	// request.
-	_ = ctx.SetWriteDeadline(time.Now().Add(writeTimeout)) // conn's always succeeds
+	// fasthttp flushes each response if a write deadline is set. Otherwise it would delay a response until it has the body of
+	// the next pipelined request.
+	_ = ctx.SetWriteDeadline(time.Now().Add(writeTimeout)) // conn.SetWriteDeadline never fails
 	c.markHandled()
 	if ctx.Request.Header.ConnectionClose() {
 		c.SetCloseReason(proxy.ReasonClientAsked)
@@ -90,9 +90,10 @@
 	}
 }
 
+// dispatch rejects a malformed request, or passes the request on by its path.
 func (s *Server) dispatch(ctx *fasthttp.RequestCtx, c *conn) {
 	header := &ctx.Request.Header
-	if code := badFraming(header); code != "" {
+	if code := framingErrorCode(header); code != "" {
 		s.reject(ctx, c, proxy.Rejection{Status: fasthttp.StatusBadRequest, Code: code})
 		return
 	}
@@ -113,14 +114,14 @@
 
 // serveRequest reads a request's body and passes the request to the handler.
 func (s *Server) serveRequest(ctx *fasthttp.RequestCtx, c *conn) {
-	rejected := s.readBody(ctx, c)
+	rejection := s.readBody(ctx, c)
 	id := string(ctx.Request.Header.Peek(proxy.HeaderID))
 	class := string(ctx.Request.Header.Peek(proxy.HeaderClass))
-	if rejected != nil {
-		if rejected.Status == fasthttp.StatusServiceUnavailable { // the handler does not see it, so it is counted here
+	if rejection != nil {
+		if rejection.Status == fasthttp.StatusServiceUnavailable { // counted here because the handler does not get the request
 			s.options.Counters.Operations.For(class).Throttled.Inc()
 		}
-		s.reject(ctx, c, *rejected)
+		s.reject(ctx, c, *rejection)
 		return
 	}
 	c.track(id, class)
@@ -128,37 +129,37 @@
 	c.setOutcome(ctx.Response.StatusCode())
 }
 
-// health responds 200 if clients should come, else 503. The node listens only once it can decide on requests, so one that can
-// be asked is ready.
+// health responds 200 if clients should use this node, else 503. There is no check of readiness, because the node opens its
+// listener only once it can decide on requests.
 func (s *Server) health(ctx *fasthttp.RequestCtx) {
-	// With a successor the node goes on, whichever of its processes is asked.
+	// If a successor process accepts from the same queue, the node continues to serve, so either process responds 200.
 	stopping := s.draining() && !s.hasSuccessor.Load()
 	if stopping || s.AdminDraining() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// handleMalformed responds to what cannot be read as a request, and the connection ends.
+// handleMalformed rejects input that cannot be read as a request, and ends the connection.
 func (s *Server) handleMalformed(ctx *fasthttp.RequestCtx, err error) {
 	c, _ := ctx.Conn().(*conn)
-	rejected := proxy.Rejection{Status: fasthttp.StatusBadRequest, Code: codeUnreadable}
-	var small *fasthttp.ErrSmallBuffer
+	rejection := proxy.Rejection{Status: fasthttp.StatusBadRequest, Code: codeUnreadable}
+	var bufferTooSmall *fasthttp.ErrSmallBuffer
 	switch {
-	case errors.As(err, &small):
-		rejected = proxy.Rejection{Status: fasthttp.StatusRequestHeaderFieldsTooLarge, Code: "head_too_large"}
+	case errors.As(err, &bufferTooSmall):
+		rejection = proxy.Rejection{Status: fasthttp.StatusRequestHeaderFieldsTooLarge, Code: "head_too_large"}
 	case isTimeout(err):
-		rejected = slowRejection(c)
+		rejection = timeoutRejection(c)
 	}
-	s.reject(ctx, c, rejected)
+	s.reject(ctx, c, rejection)
 }
 
-// reject responds to a request that the handler does not get, and closes its connection: where the next request begins is
-// unknown.
-func (s *Server) reject(ctx *fasthttp.RequestCtx, c *conn, rejected proxy.Rejection) {
-	s.options.Counters.Rejections.Inc(rejected.Code)
+// reject responds to a request that is not passed to the handler. It closes the connection, because the start of the next
+// request cannot be determined.
+func (s *Server) reject(ctx *fasthttp.RequestCtx, c *conn, rejection proxy.Rejection) {
+	s.options.Counters.Rejections.Inc(rejection.Code)
 	if c != nil {
 		c.SetCloseReason(closeBadRequest)
 	}
-	ctx.SetStatusCode(rejected.Status)
+	ctx.SetStatusCode(rejection.Status)
 	ctx.SetConnectionClose()
 }
--- a/internal/ingress/requestbody.go
+++ b/internal/ingress/requestbody.go
@@ -13,172 +13,176 @@
 )
 
 const (
-	// headTimeout bounds the arrival of a request's head, and of a small request as a whole. A client may take 2 s to send
-	// it; one that sends nothing, or a part, must be rejected or closed within 3 s of connecting.
+	// headTimeout limits how long a client may take to send a request's head, or all of a small request. A client is allowed
+	// 2 s. A client that sends nothing or only a part must be rejected or disconnected within 3 s of connecting.
 	headTimeout = 2500 * time.Millisecond
 
-	// minBodyRate, in bytes a second, is the least average rate of a body. Clients send at least 64 kB a second; the fifth
-	// below is for pieces that come unevenly.
+	// minBodyRate is the lowest average rate, in bytes per second, at which a body may arrive. Clients send at least 64 kB/s;
+	// the limit is a fifth lower because the pieces of a body arrive at uneven intervals.
 	minBodyRate = 64_000 * 4 / 5
 
-	// bodySlack is how far a body may lag behind that rate: one late piece.
-	bodySlack = 500 * time.Millisecond
+	// maxBodyLag is how far a body may fall behind minBodyRate. It allows for one late piece.
+	maxBodyLag = 500 * time.Millisecond
 
-	// aheadTime is how long before its expected end a large request of known size is passed to the handler. A server takes
-	// about as long to read a megabyte or two, and a slow client must not occupy a connection to one for long.
-	aheadTime = 500 * time.Millisecond
+	// earlyHandlingTime is how long before its expected completion a large request of known size is passed to the handler. A
+	// back end takes about as long to read 1 to 2 MB. Passing a request on earlier would let a slow client occupy a connection
+	// to a back end for long.
+	earlyHandlingTime = 500 * time.Millisecond
 
-	// unknownSize is the size of a body that the client did not announce.
+	// unknownSize is the size of a body whose size the client did not announce.
 	unknownSize = -1
 
 	codeUnreadable = "unreadable"
 )
 
-// pacedReader reads a body as long as it comes fast enough.
-type pacedReader struct {
-	conn  *conn
-	from  io.Reader
-	began time.Time
-	got   int // bytes
+// minRateReader reads a body and fails with a timeout if the body falls more than maxBodyLag behind minBodyRate.
+type minRateReader struct {
+	conn      *conn
+	source    io.Reader
+	startedAt time.Time
+	received  int // bytes read so far
 }
 
-func (p *pacedReader) Read(b []byte) (int, error) {
-	if err := p.conn.setBodyDeadline(p.began, p.got); err != nil {
+// Read sets the deadline for the next bytes and reads them.
+func (r *minRateReader) Read(b []byte) (int, error) {
+	if err := r.conn.setBodyDeadline(r.startedAt, r.received); err != nil {
 		return 0, err
 	}
-	n, err := p.from.Read(b)
-	p.got += n
+	n, err := r.source.Read(b)
+	r.received += n
 	return n, err
 }
 
-// setBodyDeadline sets until when the next bytes of a body must come.
-func (c *conn) setBodyDeadline(began time.Time, got int) error {
+// setBodyDeadline sets the deadline for the next bytes of a body, of which received bytes were read since startedAt. The deadline
+// is at least headTimeout after the request began. The call has no effect if the node is closing the connection because its
+// request is incomplete.
+func (c *conn) setBodyDeadline(startedAt time.Time, received int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cutShort {
+	if c.closingIncomplete {
 		return nil
 	}
 	deadline := c.requestBegan.Add(headTimeout)
-	atMinRate := began.Add(bodySlack + time.Duration(got)*time.Second/minBodyRate)
-	if atMinRate.After(deadline) {
-		deadline = atMinRate
+	minRateDeadline := startedAt.Add(maxBodyLag + time.Duration(received)*time.Second/minBodyRate)
+	if minRateDeadline.After(deadline) {
+		deadline = minRateDeadline
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// endsSoon returns a function that reports whether the rest of a body of some size should come within aheadTime, at its rate
-// so far.
-func (p *pacedReader) endsSoon(size int64) func(got int64) bool {
-	return func(got int64) bool {
-		took := time.Since(p.began)
-		if took <= 0 || got <= 0 {
+// completesSoon returns a function that reports whether a body of the given size is expected to be complete within
+// earlyHandlingTime, at its average rate so far.
+func (r *minRateReader) completesSoon(size int64) func(received int64) bool {
+	return func(received int64) bool {
+		elapsed := time.Since(r.startedAt)
+		if elapsed <= 0 || received <= 0 {
 			return false
 		}
-		rest := float64(size-got) * float64(took) / float64(got)
-		return rest <= float64(aheadTime)
+		remaining := float64(size-received) * float64(elapsed) / float64(received)
+		return remaining <= float64(earlyHandlingTime)
 	}
 }
 
-// readBody reads a request's body: a small one completely into the request, a large one into a file, as far as it must be
-// there for the request to be handled. It returns why the request is rejected; nil: it is not.
+// readBody reads a small request body completely into the request. It reads a large body into a file until the request can be
+// passed to the handler, which may be before the body is complete. It returns the rejection of the request, or nil.
 func (s *Server) readBody(ctx *fasthttp.RequestCtx, c *conn) *proxy.Rejection {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
 		return nil
 	}
 	size := int64(ctx.Request.Header.ContentLength())
-	in := &pacedReader{conn: c, from: stream, began: time.Now()}
-	var first []byte
+	reader := &minRateReader{conn: c, source: stream, startedAt: time.Now()}
+	var prefix []byte
 	var err error
 	if size <= body.MaxInMemory {
-		first, err = io.ReadAll(io.LimitReader(in, body.MaxInMemory+1))
+		prefix, err = io.ReadAll(io.LimitReader(reader, body.MaxInMemory+1))
 	}
-	large := size > body.MaxInMemory || len(first) > body.MaxInMemory
+	large := size > body.MaxInMemory || len(prefix) > body.MaxInMemory
 	if err == nil && large {
-		err = s.readLargeBody(c, in, first, size)
-		first = nil
+		err = s.readLargeBody(c, reader, prefix, size)
+		prefix = nil
 	}
 	if err != nil {
-		rejected := s.bodyRejection(ctx, c, err)
-		return &rejected
+		rejection := s.bodyRejection(ctx, c, err)
+		return &rejection
 	}
-	ctx.Request.SetBodyRaw(first)
+	ctx.Request.SetBodyRaw(prefix)
 	return nil
 }
 
-// readLargeBody reads a large body into a file. First was read of it already.
-func (s *Server) readLargeBody(c *conn, in *pacedReader, first []byte, size int64) error {
-	f, err := s.options.Bodies.Create(max(unknownSize, size))
+// readLargeBody reads a large body into a file. Prefix is the part of the body that was already read.
+func (s *Server) readLargeBody(c *conn, reader *minRateReader, prefix []byte, size int64) error {
+	file, err := s.options.Bodies.Create(max(unknownSize, size))
 	if err != nil {
 		return err
 	}
-	c.largeBody = f // dropBody releases it
-	c.bodyRest = in
-	var pause func(int64) bool
+	c.largeBody = file // released by releaseBody
+	c.bodyRemainder = reader
+	var shouldPause func(int64) bool
 	if size >= 0 {
-		pause = in.endsSoon(size)
+		shouldPause = reader.completesSoon(size)
 	}
-	_, err = f.Fill(io.MultiReader(bytes.NewReader(first), in), pause, nil)
+	_, err = file.Fill(io.MultiReader(bytes.NewReader(prefix), reader), shouldPause, nil)
 	return err
 }
 
-// bodyRejection rejects a request whose body could not be read.
+// bodyRejection returns the rejection of a request whose body could not be read because of err.
 func (s *Server) bodyRejection(ctx *fasthttp.RequestCtx, c *conn, err error) proxy.Rejection {
 	switch {
 	case errors.Is(err, body.ErrTooLarge):
 		return proxy.Rejection{Status: fasthttp.StatusRequestEntityTooLarge, Code: codeBodyTooLarge}
 	case errors.Is(err, body.ErrNoCapacity), errors.Is(err, body.ErrStorage):
-		// Nothing was forwarded completely, so a retry is harmless, and another node may have capacity.
+		// No server got the complete request, so a retry is safe, and another node may have capacity.
 		s.logNoCapacity(err)
 		ctx.Response.Header.Set("Retry-After", "1")
-		return proxy.Rejection{Status: fasthttp.StatusServiceUnavailable, Code: codeNoRoom}
+		return proxy.Rejection{Status: fasthttp.StatusServiceUnavailable, Code: codeNoCapacity}
 	case isTimeout(err):
-		return slowRejection(c)
+		return timeoutRejection(c)
 	}
 	return proxy.Rejection{Status: fasthttp.StatusBadRequest, Code: codeUnreadable}
 }
 
-// slowRejection rejects a request that was not complete in time, because the client was slow or because the node shuts down.
-// In the latter case nothing of it has run, and another node may have time for it.
-func slowRejection(c *conn) proxy.Rejection {
-	if c != nil && c.closesFor(closeDrained) {
+// timeoutRejection returns the rejection of a request that was not complete before its deadline, because the client was slow or
+// the node is shutting down. In the latter case no part of the request has run, and another node may still serve it.
+func timeoutRejection(c *conn) proxy.Rejection {
+	if c != nil && c.isClosingFor(closeDrained) {
 		return proxy.Rejection{Status: fasthttp.StatusServiceUnavailable, Code: proxy.CodeDraining}
 	}
 	return proxy.Rejection{Status: fasthttp.StatusRequestTimeout, Code: "slow"}
 }
 
-// logNoCapacity logs that large bodies are rejected. The error shows whether the disk is the cause.
+// logNoCapacity logs that a request with a large body is rejected. The error shows whether the disk is the cause.
 func (s *Server) logNoCapacity(err error) {
-	if !s.allowLog(&s.logLimits.noCapacity) {
+	if !s.allowLog(&s.lastLogged.noCapacity) {
 		return
 	}
-	s.options.Log.Warn("large requests are rejected", "code", codeNoRoom, "error", err,
+	s.options.Log.Warn("cannot store a large request body, rejecting the request", "code", codeNoCapacity, "error", err,
 		"refused", s.options.Counters.Bodies.Refused.Get())
 }
 
-// LargeBody is the current request's body if it is a large one, else nil.
+// LargeBody returns the body of the current request if it is large, else nil.
 func (c *conn) LargeBody() *body.File { return c.largeBody }
 
-// ReadBody reads the rest of a large body, and calls ended before its last byte can be forwarded. It returns why the request
-// is rejected; nil: it is not.
-func (c *conn) ReadBody(ctx *fasthttp.RequestCtx, ended func()) *proxy.Rejection {
+// ReadBody reads the rest of a large body. It calls onComplete before the last byte can be forwarded. It returns the rejection
+// of the request, or nil if the body was read.
+func (c *conn) ReadBody(ctx *fasthttp.RequestCtx, onComplete func()) *proxy.Rejection {
 	c.setUploading(true)
-	_, err := c.largeBody.Fill(c.bodyRest, nil, ended)
+	_, err := c.largeBody.Fill(c.bodyRemainder, nil, onComplete)
 	c.setUploading(false)
 	if err != nil {
-		rejected := c.server.bodyRejection(ctx, c, err)
-		return &rejected
+		rejection := c.server.bodyRejection(ctx, c, err)
+		return &rejection
 	}
 	return nil
 }
 
-// dropBody releases the current request's large body.
-func (c *conn) dropBody() {
+// releaseBody releases the current request's large body.
+func (c *conn) releaseBody() {
 	if c.largeBody == nil {
 		return
 	}
 	c.largeBody.Abort()
 	c.largeBody.Release()
 	c.largeBody = nil
-	c.bodyRest = nil
+	c.bodyRemainder = nil
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,5 +1,5 @@
-// Package ingress holds the clients' side of the node: the listener, the HTTP server on each connection, the limits on
-// connections, and their graceful shutdown.
+// Package ingress implements the client side of the node: the accept loop, the HTTP server on each connection, the limits on
+// connections, and the graceful shutdown.
 package ingress
 
 import (
@@ -21,18 +21,19 @@
 )
 
 const (
-	// writeTimeout bounds the writing of one piece of a response. A client that takes nothing for so long does not read.
+	// writeTimeout limits one write of a response. A client that receives nothing for that time is no longer reading.
 	writeTimeout = 3 * time.Second
 
-	// idleTimeout is how long a client's connection may be idle. Clients that send one request and stay would otherwise
-	// hold a descriptor and buffers for good; the protocol allows a close after 2 s.
+	// idleTimeout is how long a client's connection may be idle. Without it, clients that send one request and stay connected
+	// would occupy a descriptor and buffers indefinitely. The protocol allows closing idle connections after 2 s.
 	idleTimeout = 3 * time.Second
 
-	// maxHeadBytes bounds a request's line and fields. It is also the size of each connection's read buffer.
+	// maxHeadBytes limits the size of a request's request line and header fields. It is also the size of each connection's read
+	// buffer.
 	maxHeadBytes = 8 << 10
 )
 
-// Listener is where clients' connections come from: a *net.TCPListener, or in tests one that fails.
+// Listener accepts the clients' connections. It is a *net.TCPListener, except in tests that inject accept errors.
 type Listener interface {
 	net.Listener
 	AcceptTCP() (*net.TCPConn, error)
@@ -40,7 +41,7 @@
 	SyscallConn() (syscall.RawConn, error)
 }
 
-// Handler handles requests.
+// Handler handles the requests that ingress has accepted.
 type Handler interface {
 	Serve(*fasthttp.RequestCtx, proxy.Client)
 }
@@ -48,20 +49,20 @@
 // Options configure a Server.
 type Options struct {
 	Handler  Handler
-	Bodies   *body.Store // nil: no large request bodies
-	MaxConns int         // connections; SetMaxConns changes it
-	// ReservedDescriptors is how many of the process's descriptors connections must leave free, but no more than half of
-	// them.
+	Bodies   *body.Store // nil if large request bodies are not supported
+	MaxConns int         // maximum number of connections; SetMaxConns changes it
+	// ReservedDescriptors is the number of the process's descriptors that connections must leave free. At most half of the
+	// descriptors are reserved.
 	ReservedDescriptors int
 	Log                 *slog.Logger
 	Counters            *counters.Counters
-	// OnListenerBroken is called when the listener has failed for good. It must begin a graceful shutdown.
+	// OnListenerBroken is called when the listener has failed permanently. It must begin a graceful shutdown.
 	OnListenerBroken func(l Listener, err error)
-	// InFlight tracks the requests that were read; nil: a tracker of the server's own.
+	// InFlight tracks the requests that were read. If it is nil, the server creates a tracker.
 	InFlight *inflight.Tracker
 }
 
-// Server serves clients' connections.
+// Server accepts and serves the clients' connections.
 type Server struct {
 	options Options
 	http    fasthttp.Server
@@ -69,35 +70,35 @@
 
 	mu         sync.Mutex
 	conns      map[*conn]struct{}
-	adminDrain *adminDrain // nil: none
+	adminDrain *adminDrain // nil if there is no administrative drain
 	serving    sync.WaitGroup
 
-	schedule     atomic.Pointer[drain.Schedule] // nil: no graceful shutdown has begun
-	hasSuccessor atomic.Bool                    // another process accepts connections at the same queue
+	schedule     atomic.Pointer[drain.Schedule] // nil until a graceful shutdown begins
+	hasSuccessor atomic.Bool                    // another process accepts connections from the same queue
 	halfOpen     halfOpenCheck
 
-	maxConns  atomic.Int64
-	maxByFDs  atomic.Int64 // connections that leave the reserved descriptors free, as far as is known
-	evicting  atomic.Int64 // connections that are evicted and not closed yet
-	logLimits struct {     // when the log last said something, as allowLog counts
-		noCapacity  atomic.Int64 // large bodies are rejected
-		descriptors atomic.Int64 // descriptors run short
+	maxConns              atomic.Int64
+	maxConnsByDescriptors atomic.Int64 // estimated limit that leaves the reserved descriptors free
+	evicting              atomic.Int64 // connections that are being evicted and are not yet closed
+	lastLogged            struct {     // time of the last log line of each kind, in the units of allowLog
+		noCapacity  atomic.Int64 // a request with a large body was rejected
+		descriptors atomic.Int64 // few descriptors are left
 		unanswered  atomic.Int64 // a request ended without a complete response
 	}
 }
 
-// New returns a Server.
-func New(o Options) *Server {
-	if o.InFlight == nil {
-		o.InFlight = &inflight.Tracker{}
+// New returns a Server that accepts connections once Serve is called.
+func New(options Options) *Server {
+	if options.InFlight == nil {
+		options.InFlight = &inflight.Tracker{}
 	}
-	s := &Server{options: o, conns: map[*conn]struct{}{}, created: time.Now()}
-	s.SetMaxConns(o.MaxConns)
-	s.maxByFDs.Store(math.MaxInt64)
-	s.http = fasthttp.Server{
-		Handler:                      s.handle,
-		ErrorHandler:                 s.handleMalformed,
-		HeaderReceived:               s.headReceived,
+	server := &Server{options: options, conns: map[*conn]struct{}{}, created: time.Now()}
+	server.SetMaxConns(options.MaxConns)
+	server.maxConnsByDescriptors.Store(math.MaxInt64)
+	server.http = fasthttp.Server{
+		Handler:                      server.handle,
+		ErrorHandler:                 server.handleMalformed,
+		HeaderReceived:               server.headReceived,
 		ReadTimeout:                  headTimeout,
 		WriteTimeout:                 writeTimeout,
 		IdleTimeout:                  idleTimeout,
@@ -110,29 +111,31 @@
 		NoDefaultContentType:         true,
 		Logger:                       discardLogger{},
 	}
-	return s
+	return server
 }
 
-// discardLogger drops fasthttp's own log: the end of each connection is logged here.
+// discardLogger discards the log lines of fasthttp, because Server logs the end of each connection itself.
 type discardLogger struct{}
 
+// Printf does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
-// SetMaxConns sets how many connections there may be. Beyond it idle ones are closed, and no others.
+// SetMaxConns sets the maximum number of connections. At the maximum, connections are evicted: idle ones first, else those that
+// have stopped sending an incomplete request.
 func (s *Server) SetMaxConns(n int) { s.maxConns.Store(int64(n)) }
 
-// SetSuccessor sets whether another process accepts connections from the same queue. If so, a shutdown leaves the queue to it
-// at once.
+// SetSuccessor sets whether another process accepts connections from the same queue. If so, a shutdown stops accepting at once
+// and leaves the queued connections to that process.
 func (s *Server) SetSuccessor(on bool) { s.hasSuccessor.Store(on) }
 
-// logInterval is the shortest time between two log lines of one kind, where each case is counted.
+// logInterval is the shortest time between two log lines of one kind whose every occurrence is also counted.
 const logInterval = 10 * time.Second
 
-// allowLog reports whether a line may be logged whose last one is remembered in last, in nanoseconds since the server was
-// created.
+// allowLog reports whether logInterval has passed since the previous log line of a kind, and records the current time in last if
+// so. Last holds nanoseconds since the server was created, and 0 before the first line.
 func (s *Server) allowLog(last *atomic.Int64) bool {
 	now := int64(time.Since(s.created))
-	before := last.Load()
-	due := before == 0 || now-before >= int64(logInterval)
-	return due && last.CompareAndSwap(before, now)
+	previous := last.Load()
+	due := previous == 0 || now-previous >= int64(logInterval)
+	return due && last.CompareAndSwap(previous, now)
 }
--- a/internal/ingress/tracking.go
+++ b/internal/ingress/tracking.go
@@ -7,22 +7,23 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// trackedRequest is a request in flight, with the outcome that it will have.
+// trackedRequest is a request in flight and the outcome that is recorded when the request ends.
 type trackedRequest struct {
 	request *inflight.Request
 	outcome inflight.Outcome
 }
 
-// track begins to track a request that was read.
+// track starts tracking a request that was read. Until setOutcome is called, its outcome is Unanswered.
 func (c *conn) track(id, class string) {
-	r := c.server.options.InFlight.Begin(id, class)
+	request := c.server.options.InFlight.Begin(id, class)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight = true
-	c.tracked = append(c.tracked, trackedRequest{request: r, outcome: inflight.Unanswered})
+	c.tracked = append(c.tracked, trackedRequest{request: request, outcome: inflight.Unanswered})
 }
 
-// setOutcome sets the latest request's outcome by its status. The request stays in flight until the response was written.
+// setOutcome sets the outcome of the latest request from its response status. The request stays in flight until the response is
+// written.
 func (c *conn) setOutcome(status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +37,7 @@
 	c.tracked[len(c.tracked)-1].outcome = outcome
 }
 
-// releaseAll ends the requests in flight of a connection that has ended. With an error, a response was not written
+// releaseAll ends the requests in flight of a connection that has ended. A non-nil err means that a response was not written
 // completely.
 func (c *conn) releaseAll(err error) {
 	c.mu.Lock()
@@ -44,8 +45,8 @@
 	c.release(err != nil || c.responseBroken || c.closeReason == closeWriteFailed)
 }
 
-// release ends the connection's requests in flight: their responses were handed to the kernel, or broke off. The caller holds
-// the lock.
+// release ends the connection's requests in flight after their responses were written to the kernel. Broken means that this
+// failed, so the requests count as unanswered unless the client disconnected. The caller must hold c.mu.
 func (c *conn) release(broken bool) {
 	for _, t := range c.tracked {
 		if broken && t.outcome != inflight.ClientDisconnected {
@@ -59,11 +60,11 @@
 	c.tracked = c.tracked[:0]
 }
 
-// recordUnanswered counts a request that ended without a complete response. It is logged during a shutdown, else now and
-// then.
+// recordUnanswered counts a request that ended without a complete response. It logs every such request during a shutdown, and
+// at most one per logInterval otherwise.
 func (s *Server) recordUnanswered(c *conn, r *inflight.Request) {
 	s.options.Counters.Requests.Unanswered.Inc()
-	if !s.draining() && !s.allowLog(&s.logLimits.unanswered) {
+	if !s.draining() && !s.allowLog(&s.lastLogged.unanswered) {
 		return
 	}
 	s.options.Log.Warn("request ended without a complete response", "code", "unanswered", "request", r.ID, "class", r.Class,
