--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -2,7 +2,7 @@
 
 import "tackhub.example/tackhub/balancer"
 
-// outcomeNames are the outcomes' keys in counters and log lines.
+// outcomeNames maps each outcome to its key in counters and log lines.
 var outcomeNames = [...]string{
 	balancer.OK:             "served",
 	balancer.Errored:        "error",
@@ -14,7 +14,7 @@
 	balancer.NotSent:        "void",
 }
 
-// reasonNames are the reasons' keys in counters.
+// reasonNames maps each reject reason to its key in counters.
 var reasonNames = [...]string{
 	balancer.UnknownClass:      "no_class",
 	balancer.LateRetry:         "stale",
@@ -23,11 +23,11 @@
 	balancer.FleetOverload:     "fleet_cut",
 }
 
-// OutcomeName is an outcome's key in counters and log lines.
+// OutcomeName returns the key of an outcome in counters and log lines.
 func OutcomeName(o balancer.Outcome) string { return outcomeNames[o] }
 
-// carryOut hands one action to whoever carries it out.
-func (e *Engine) carryOut(action balancer.Action) {
+// execute carries out one action, or passes it to the prober, watcher, broadcaster or logger.
+func (e *Engine) execute(action balancer.Action) {
 	switch a := action.(type) {
 	case balancer.StartAttempt:
 		e.startAttempt(a)
@@ -38,10 +38,10 @@
 		}
 	case balancer.Reject:
 		e.counters.Rejected.Inc(reasonNames[a.Reason])
-		e.respondWithout(a.ID, Response{Kind: Rejected, RetryAfter: a.RetryAfter})
+		e.respondUnserved(a.ID, Response{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
 		e.counters.Rejected.Inc(reasonNames[a.Reason])
-		e.respondWithout(a.ID, Response{Kind: Failed})
+		e.respondUnserved(a.ID, Response{Kind: Failed})
 	case balancer.SetTimer:
 		e.timers.add(a.At, a.Token, nil)
 	case balancer.ProbeLoad:
@@ -55,6 +55,6 @@
 			e.broadcaster.Broadcast(a.Body)
 		}
 	case balancer.Log:
-		e.log.Info(a.Text, "code", "module") // the code is older than the balancer's name
+		e.log.Info(a.Text, "code", "module") // this code predates the name "balancer"
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine holds the one goroutine that owns the balancer. Events reach it through a mailbox;
-// the balancer takes a step on each, and its actions are handed to whoever carries them out. The
-// engine decides nothing and never waits for I/O; nor may whoever carries out an action.
+// Package engine runs the single goroutine that owns the balancer. Events arrive through a mailbox.
+// The engine passes each one to the balancer and executes the actions that the balancer returns. It
+// makes no decisions of its own and never blocks on I/O; neither may the interfaces through which it
+// executes actions.
 package engine
 
 import (
@@ -14,45 +15,48 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// noTimerWait is how long the engine sleeps where no timer is set.
+// noTimerWait is how long the engine sleeps if no timer is set and no message arrives.
 const noTimerWait = time.Hour
 
-// Balancer is what decides.
+// Balancer decides how requests are routed.
 type Balancer interface {
-	// Step takes one event at the given time and returns what is to be done, in order.
+	// Step handles one event at the given time and returns the resulting actions in the order of
+	// their execution.
 	Step(now balancer.Millis, event balancer.Event) []balancer.Action
 }
 
-// EndpointCounter is a balancer that tells how many servers are listed and how many of them it avoids.
+// EndpointCounter is implemented by balancers that count the servers in the endpoint list and those
+// of them that the balancer avoids.
 type EndpointCounter interface {
 	CountEndpoints() (listed, avoided int)
-	EndpointVersion() int // CountEndpoints gives the same while this does
+	EndpointVersion() int // changes whenever the result of CountEndpoints may have changed
 }
 
-// Prober asks a server for its load. It does not wait.
+// Prober sends load probes. ProbeLoad does not block; done is called with the result.
 type Prober interface {
 	ProbeLoad(server balancer.ServerID, done func(Completion))
 }
 
-// EndpointWatcher follows the endpoint list from now on. It does not wait.
+// EndpointWatcher starts to watch the endpoint list. WatchEndpoints does not block.
 type EndpointWatcher interface{ WatchEndpoints() }
 
-// Broadcaster sends a message to the other nodes. It does not wait.
+// Broadcaster sends a message to the other nodes. Broadcast does not block.
 type Broadcaster interface{ Broadcast(body []byte) }
 
-// Options are what an engine works with.
+// Options configure an Engine.
 type Options struct {
 	Balancer        Balancer
 	Clock           clock.Clock
 	Prober          Prober
 	EndpointWatcher EndpointWatcher
-	Broadcaster     Broadcaster // nil where nodes don't send messages to one another
-	MaxAttempts     int         // for each request
+	Broadcaster     Broadcaster // nil if the nodes exchange no messages
+	MaxAttempts     int         // per request
 	Log             *slog.Logger
 	Counters        *counters.Counters
 }
 
-// Engine drives the balancer. All fields but the mailbox belong to the goroutine of Run.
+// Engine drives the balancer. Except for the mailbox and stopped, its fields belong to the goroutine
+// that executes Run.
 type Engine struct {
 	balancer    Balancer
 	clock       clock.Clock
@@ -64,18 +68,18 @@
 	counters    *counters.Counters
 
 	mailbox chan message
-	stopped chan struct{} // closed when Run has returned
+	stopped chan struct{} // closed when Run returns
 
-	timers   timers
-	requests map[balancer.RequestID]*pendingRequest
-	nextID   balancer.RequestID
-	queue    []balancer.Event // events that actions brought about; they follow at once
+	timers        timers
+	requests      map[balancer.RequestID]*pendingRequest
+	nextID        balancer.RequestID
+	pendingEvents []balancer.Event // events to be handled in this step, the current one first
 
-	endpointCounter EndpointCounter // nil where the balancer is none
-	endpointVersion int             // as last counted
+	endpointCounter EndpointCounter // nil if the balancer does not implement it
+	endpointVersion int             // the version at the last count
 }
 
-// New makes an engine; Run starts it.
+// New returns an Engine. Run starts it.
 func New(o Options) *Engine {
 	endpointCounter, _ := o.Balancer.(EndpointCounter)
 	return &Engine{
@@ -94,7 +98,7 @@
 	}
 }
 
-// Run works until the context ends.
+// Run handles messages and timers until the context is cancelled.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.stopped)
 	wake := time.NewTimer(noTimerWait)
@@ -114,65 +118,66 @@
 }
 
 func (e *Engine) untilNextTimer() time.Duration {
-	at, ok := e.timers.next()
+	fireAt, ok := e.timers.nextFireTime()
 	if !ok {
 		return noTimerWait
 	}
-	return clock.Span(max(0, at-e.clock.Now()))
+	return clock.Span(max(0, fireAt-e.clock.Now()))
 }
 
-// recoverPanic keeps a panic over one event from ending the node. The events that this one brought
-// about are dropped.
+// recoverPanic calls f and recovers from a panic in it, so that a fault in the handling of one event
+// does not end the node. Events that are still pending from the failed step are dropped.
 func (e *Engine) recoverPanic(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			e.counters.Engine.Panics.Inc()
-			e.queue = nil
+			e.pendingEvents = nil
 			e.log.Error("panic in the engine", "code", "panic", "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
 	f()
 }
 
-// fireDueTimers handles the timers that are due, those of the balancer and the deadlines of attempts.
+// fireDueTimers handles all due timers: those that the balancer set and the deadlines of attempts.
 func (e *Engine) fireDueTimers() {
 	for {
 		now := e.clock.Now()
-		t, ok := e.timers.due(now)
+		t, ok := e.timers.popDue(now)
 		if !ok {
 			return
 		}
-		e.counters.Engine.LateBy.Max(int64((now - t.at) * 1000))
+		e.counters.Engine.LateBy.Max(int64((now - t.fireAt) * 1000))
 		switch {
 		case t.attempt == nil:
 			e.step(balancer.TimerFired{Token: t.token})
-		case t.attempt.open:
+		case t.attempt.inFlight:
 			e.timeOut(t.attempt)
 		}
 	}
 }
 
-// step lets the balancer decide on one event, and on those that carrying its actions out brings about.
+// step passes an event to the balancer and executes the resulting actions. Events that are raised by
+// executing an action are handled after the current one, in the same call.
 func (e *Engine) step(event balancer.Event) {
-	e.queue = append(e.queue, event)
-	if len(e.queue) > 1 {
-		return // called while an action is carried out: the loop of the outer call takes it next
+	e.pendingEvents = append(e.pendingEvents, event)
+	if len(e.pendingEvents) > 1 {
+		return // called from execute: the loop of the outer call handles the event
 	}
-	for len(e.queue) > 0 {
+	for len(e.pendingEvents) > 0 {
 		began := time.Now()
-		actions := e.balancer.Step(e.clock.At(began), e.queue[0])
+		actions := e.balancer.Step(e.clock.At(began), e.pendingEvents[0])
 		e.counters.Engine.Events.Inc()
 		e.counters.Engine.StepMax.Max(time.Since(began).Microseconds())
 		for _, a := range actions {
-			e.carryOut(a)
+			e.execute(a)
 		}
-		e.queue = e.queue[1:]
+		e.pendingEvents = e.pendingEvents[1:]
 	}
-	e.queue = nil
+	e.pendingEvents = nil
 	e.countEndpoints()
 }
 
-// countEndpoints renews the counters of the endpoint list once it has changed.
+// countEndpoints updates the counters of the endpoint list if it has changed.
 func (e *Engine) countEndpoints() {
 	if e.endpointCounter == nil || e.endpointCounter.EndpointVersion() == e.endpointVersion {
 		return
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,46 +13,47 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-func TestTimersInOrder(t *testing.T) {
-	var h timers
+func TestTimersFireInOrderOfTime(t *testing.T) {
+	var pending timers
 	for _, x := range []struct {
 		at    float64
 		token string
 	}{{30, "c"}, {10, "a"}, {30, "d"}, {20, "b"}, {30, "e"}} {
-		h.add(x.at, x.token, nil)
+		pending.add(x.at, x.token, nil)
 	}
-	if at, ok := h.next(); !ok || at != 10 {
-		t.Fatalf("next at %v %v", at, ok)
+	if at, ok := pending.nextFireTime(); !ok || at != 10 {
+		t.Fatalf("first timer fires at %v (set: %v), want 10", at, ok)
 	}
-	if _, ok := h.due(9); ok {
-		t.Error("due before its time")
+	if _, ok := pending.popDue(9); ok {
+		t.Error("a timer set for 10 fired at 9")
 	}
 	var got []string
-	for x, ok := h.due(30); ok; x, ok = h.due(30) {
+	for x, ok := pending.popDue(30); ok; x, ok = pending.popDue(30) {
 		got = append(got, x.token)
 	}
 	if !slices.Equal(got, []string{"a", "b", "c", "d", "e"}) {
-		t.Errorf("order %v", got)
+		t.Errorf("timers fired in order %v, want a to e", got)
 	}
-	if _, ok := h.next(); ok {
-		t.Error("something is left")
+	if _, ok := pending.nextFireTime(); ok {
+		t.Error("a timer is still set, want none")
 	}
 }
 
-// script is a balancer that answers each event by what a test says, and keeps the events.
-type script struct {
-	act    func(balancer.Event) []balancer.Action
+// scriptedBalancer answers each event with the actions that a test's function returns, and records the
+// events.
+type scriptedBalancer struct {
+	decide func(balancer.Event) []balancer.Action
 	events chan balancer.Event
 }
 
-func (s *script) Step(_ balancer.Millis, e balancer.Event) []balancer.Action {
-	actions := s.act(e)
+func (s *scriptedBalancer) Step(_ balancer.Millis, e balancer.Event) []balancer.Action {
+	actions := s.decide(e)
 	s.events <- e
 	return actions
 }
 
-// want waits for the next event of a kind.
-func want[E balancer.Event](t *testing.T, s *script) E {
+// waitForEvent returns the next event of type E and skips all others.
+func waitForEvent[E balancer.Event](t *testing.T, s *scriptedBalancer) E {
 	t.Helper()
 	for {
 		select {
@@ -61,49 +62,49 @@
 				return x
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("the event never came")
+			t.Fatal("no event of the wanted type within 10 s")
 		}
 	}
 }
 
-// fakeAttempt is an attempt under a test's control.
+// fakeAttempt is an attempt that a test completes.
 type fakeAttempt struct {
 	server  balancer.ServerID
-	wait    balancer.Millis
+	timeout balancer.Millis
 	done    func(Completion)
 	written bool
 	aborted chan struct{}
 }
 
-func (c *fakeAttempt) Abort() bool {
-	close(c.aborted)
-	return c.written
+func (a *fakeAttempt) Abort() bool {
+	close(a.aborted)
+	return a.written
 }
 
-// fakeRequest is a client's request under a test's control.
+// fakeRequest is a client's request that records its attempts and responses.
 type fakeRequest struct {
-	arrival balancer.Arrival
-	written bool
-	sent    chan *fakeAttempt
-	answers chan Response
+	arrival   balancer.Arrival
+	written   bool
+	attempts  chan *fakeAttempt
+	responses chan Response
 }
 
-func newFakeRequest(expires float64) *fakeRequest {
-	return &fakeRequest{arrival: balancer.Arrival{Class: "look", Deadline: expires}, written: true,
-		sent: make(chan *fakeAttempt, 8), answers: make(chan Response, 8)}
+func newFakeRequest(deadline float64) *fakeRequest {
+	return &fakeRequest{arrival: balancer.Arrival{Class: "look", Deadline: deadline}, written: true,
+		attempts: make(chan *fakeAttempt, 8), responses: make(chan Response, 8)}
 }
 
-func (x *fakeRequest) Arrival() balancer.Arrival { return x.arrival }
-func (x *fakeRequest) Respond(a Response)        { x.answers <- a }
-func (x *fakeRequest) StartAttempt(s balancer.ServerID, wait, _ balancer.Millis, done func(Completion)) Attempt {
-	c := &fakeAttempt{server: s, wait: wait, done: done, written: x.written, aborted: make(chan struct{})}
-	x.sent <- c
-	return c
+func (r *fakeRequest) Arrival() balancer.Arrival { return r.arrival }
+func (r *fakeRequest) Respond(resp Response)     { r.responses <- resp }
+func (r *fakeRequest) StartAttempt(id balancer.ServerID, timeout, _ balancer.Millis, done func(Completion)) Attempt {
+	a := &fakeAttempt{server: id, timeout: timeout, done: done, written: r.written, aborted: make(chan struct{})}
+	r.attempts <- a
+	return a
 }
 
-func start(t *testing.T, act func(balancer.Event) []balancer.Action) (*Engine, *script, clock.Clock, *counters.Counters) {
+func startEngine(t *testing.T, decide func(balancer.Event) []balancer.Action) (*Engine, *scriptedBalancer, clock.Clock, *counters.Counters) {
 	t.Helper()
-	s := &script{act: act, events: make(chan balancer.Event, 64)}
+	s := &scriptedBalancer{decide: decide, events: make(chan balancer.Event, 64)}
 	count, clk := &counters.Counters{}, clock.New()
 	e := New(Options{Balancer: s, Clock: clk, MaxAttempts: 2, Counters: count,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
@@ -113,7 +114,7 @@
 	return e, s, clk, count
 }
 
-// sendOnArrival sends every request to one server.
+// sendOnArrival sends every request to server s1.
 func sendOnArrival(e balancer.Event) []balancer.Action {
 	if a, ok := e.(balancer.Arrival); ok {
 		return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1"}}
@@ -121,19 +122,21 @@
 	return nil
 }
 
-func receive[T any](t *testing.T, from <-chan T) T {
+func receiveOrFail[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case x := <-from:
 		return x
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within 10 s")
 		panic("unreachable")
 	}
 }
 
-func TestFirstServedAttemptAnswers(t *testing.T) {
-	e, s, clk, count := start(t, func(ev balancer.Event) []balancer.Action {
+// If two attempts succeed, the client gets the response of the one that completes first. Attempts
+// beyond the limit are not sent.
+func TestFirstSuccessfulAttemptAnswersRequest(t *testing.T) {
+	e, s, clk, count := startEngine(t, func(ev balancer.Event) []balancer.Action {
 		a, ok := ev.(balancer.Arrival)
 		if !ok {
 			return nil
@@ -141,73 +144,75 @@
 		return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1"}, balancer.StartAttempt{ID: a.ID, Server: "s2"},
 			balancer.StartAttempt{ID: a.ID, Server: "s3"}}
 	})
-	x := newFakeRequest(clk.Now() + 5000)
-	e.Submit(x)
-	one, two := receive(t, x.sent), receive(t, x.sent)
-	want[balancer.Arrival](t, s)
-	if v := want[balancer.AttemptCompleted](t, s); v.Outcome != balancer.NotSent || v.Attempt != 2 {
-		t.Errorf("an attempt beyond the limit ended as %+v", v)
+	request := newFakeRequest(clk.Now() + 5000)
+	e.Submit(request)
+	one, two := receiveOrFail(t, request.attempts), receiveOrFail(t, request.attempts)
+	waitForEvent[balancer.Arrival](t, s)
+	if v := waitForEvent[balancer.AttemptCompleted](t, s); v.Outcome != balancer.NotSent || v.Attempt != 2 {
+		t.Errorf("an attempt beyond the limit ended as %+v, want attempt 2 as NotSent", v)
 	}
 	two.done(Completion{Outcome: balancer.OK, Body: []byte("two")})
-	if a := receive(t, x.answers); a.Kind != Served || string(a.Body) != "two" {
-		t.Errorf("answer %+v", a)
+	if a := receiveOrFail(t, request.responses); a.Kind != Served || string(a.Body) != "two" {
+		t.Errorf("response %+v, want Served with body \"two\"", a)
 	}
-	if v := want[balancer.AttemptCompleted](t, s); !v.RequestFinished || v.Attempt != 1 {
-		t.Errorf("told %+v", v)
+	if v := waitForEvent[balancer.AttemptCompleted](t, s); !v.RequestFinished || v.Attempt != 1 {
+		t.Errorf("event %+v, want attempt 1 with the request finished", v)
 	}
 	one.done(Completion{Outcome: balancer.OK, Body: []byte("one")})
-	if v := want[balancer.AttemptCompleted](t, s); !v.RequestFinished || v.Attempt != 0 {
-		t.Errorf("told %+v", v)
+	if v := waitForEvent[balancer.AttemptCompleted](t, s); !v.RequestFinished || v.Attempt != 0 {
+		t.Errorf("event %+v, want attempt 0 with the request finished", v)
 	}
-	if len(x.answers) != 0 || count.Attempts.Open.Get() != 0 {
-		t.Errorf("%d more answers, %d attempts open", len(x.answers), count.Attempts.Open.Get())
+	if len(request.responses) != 0 || count.Attempts.Open.Get() != 0 {
+		t.Errorf("%d more responses and %d attempts in flight, want none", len(request.responses), count.Attempts.Open.Get())
 	}
 }
 
-func TestAttemptDeadline(t *testing.T) {
+// An attempt that is aborted at its deadline has timed out if the server may have received the request,
+// else it has not run. Its late completion must not answer the client.
+func TestAttemptIsAbortedAtDeadline(t *testing.T) {
 	for written, result := range map[bool]balancer.Outcome{true: balancer.TimedOut, false: balancer.Unreachable} {
-		e, s, clk, _ := start(t, sendOnArrival)
-		x := newFakeRequest(clk.Now() + 30)
-		x.written = written
-		e.Submit(x)
-		c := receive(t, x.sent)
-		receive(t, c.aborted)
-		if v := want[balancer.AttemptCompleted](t, s); v.Outcome != result || v.RequestFinished || v.Elapsed < 25 {
-			t.Errorf("written %v: told %+v", written, v)
+		e, s, clk, _ := startEngine(t, sendOnArrival)
+		request := newFakeRequest(clk.Now() + 30)
+		request.written = written
+		e.Submit(request)
+		sent := receiveOrFail(t, request.attempts)
+		receiveOrFail(t, sent.aborted)
+		if v := waitForEvent[balancer.AttemptCompleted](t, s); v.Outcome != result || v.RequestFinished || v.Elapsed < 25 {
+			t.Errorf("written %v: event %+v, want outcome %v after 30 ms", written, v, result)
 		}
-		c.done(Completion{Outcome: balancer.OK}) // too late: it has its end
+		sent.done(Completion{Outcome: balancer.OK}) // late: the attempt has ended already
 		e.UpdateEndpoints(balancer.EndpointUpdate{})
-		want[balancer.EndpointUpdate](t, s)
-		if len(x.answers) != 0 {
-			t.Error("a late end answered the client")
+		waitForEvent[balancer.EndpointUpdate](t, s)
+		if len(request.responses) != 0 {
+			t.Error("a late completion answered the client")
 		}
 	}
 }
 
-func TestCancelledRequestCancelsItsAttempts(t *testing.T) {
-	e, s, clk, _ := start(t, sendOnArrival)
-	x := newFakeRequest(clk.Now() + 5000)
-	ticket := e.Submit(x)
-	c := receive(t, x.sent)
+func TestCancelRequestAbortsItsAttempts(t *testing.T) {
+	e, s, clk, _ := startEngine(t, sendOnArrival)
+	request := newFakeRequest(clk.Now() + 5000)
+	ticket := e.Submit(request)
+	sent := receiveOrFail(t, request.attempts)
 	ticket.Cancel()
-	receive(t, c.aborted)
-	want[balancer.ClientCancelled](t, s)
-	if v := want[balancer.AttemptCompleted](t, s); v.Outcome != balancer.Cancelled || !v.RequestFinished {
-		t.Errorf("told %+v", v)
+	receiveOrFail(t, sent.aborted)
+	waitForEvent[balancer.ClientCancelled](t, s)
+	if v := waitForEvent[balancer.AttemptCompleted](t, s); v.Outcome != balancer.Cancelled || !v.RequestFinished {
+		t.Errorf("event %+v, want Cancelled with the request finished", v)
 	}
-	ticket.Cancel() // a second time changes nothing
+	ticket.Cancel() // a second call has no effect
 	e.UpdateEndpoints(balancer.EndpointUpdate{})
-	want[balancer.EndpointUpdate](t, s)
-	if len(e.requests) != 0 || len(x.answers) != 0 {
-		t.Errorf("%d requests kept, %d answers", len(e.requests), len(x.answers))
+	waitForEvent[balancer.EndpointUpdate](t, s)
+	if len(e.requests) != 0 || len(request.responses) != 0 {
+		t.Errorf("%d requests kept and %d responses, want none", len(e.requests), len(request.responses))
 	}
 }
 
-func TestPanicEndsOneEvent(t *testing.T) {
-	e, s, clk, count := start(t, func(ev balancer.Event) []balancer.Action {
+func TestPanicDropsOnlyItsEvent(t *testing.T) {
+	e, s, clk, count := startEngine(t, func(ev balancer.Event) []balancer.Action {
 		a, ok := ev.(balancer.Arrival)
 		if ok && a.Class == "bad" {
-			panic("as the test wants")
+			panic("injected by the test")
 		}
 		if ok {
 			return []balancer.Action{balancer.Fail{ID: a.ID}}
@@ -218,19 +223,19 @@
 	bad.arrival.Class = "bad"
 	e.Submit(bad)
 	e.Submit(good)
-	if a := receive(t, good.answers); a.Kind != Failed {
-		t.Errorf("answer %+v", a)
+	if a := receiveOrFail(t, good.responses); a.Kind != Failed {
+		t.Errorf("response %+v, want Failed", a)
 	}
-	want[balancer.Arrival](t, s)
+	waitForEvent[balancer.Arrival](t, s)
 	if count.Engine.Panics.Get() != 1 {
-		t.Errorf("%d panics counted", count.Engine.Panics.Get())
+		t.Errorf("%d panics counted, want 1", count.Engine.Panics.Get())
 	}
 }
 
-func TestTimersReachTheModule(t *testing.T) {
-	const farAhead = 1e15 // of any clock
+func TestTimersOfBalancerFireInOrder(t *testing.T) {
+	const farAhead = 1e15 // of any clock, in milliseconds
 	now := clock.New().Now()
-	e, s, clk, _ := start(t, func(ev balancer.Event) []balancer.Action {
+	e, s, clk, _ := startEngine(t, func(ev balancer.Event) []balancer.Action {
 		if _, ok := ev.(balancer.EndpointUpdate); ok {
 			return []balancer.Action{balancer.SetTimer{Token: "never", At: farAhead},
 				balancer.SetTimer{Token: "soon", At: now + 40}, balancer.SetTimer{Token: "past", At: 1}}
@@ -239,7 +244,7 @@
 	})
 	e.UpdateEndpoints(balancer.EndpointUpdate{})
 	for _, token := range []string{"past", "soon"} {
-		if v := want[balancer.TimerFired](t, s); v.Token != token {
+		if v := waitForEvent[balancer.TimerFired](t, s); v.Token != token {
 			t.Errorf("%q fired, want %q", v.Token, token)
 		}
 	}
@@ -248,44 +253,45 @@
 	}
 }
 
-func TestFailureAfterTheDeadlineSaysSo(t *testing.T) {
-	e, _, clk, _ := start(t, func(ev balancer.Event) []balancer.Action {
+// A request that fails after its deadline must be answered as timed out, not as failed.
+func TestFailureAfterDeadlineIsTimeout(t *testing.T) {
+	e, _, clk, _ := startEngine(t, func(ev balancer.Event) []balancer.Action {
 		if a, ok := ev.(balancer.Arrival); ok {
 			return []balancer.Action{balancer.Fail{ID: a.ID}}
 		}
 		return nil
 	})
-	for expires, kind := range map[float64]ResponseKind{clk.Now() - 1: TimedOut, clk.Now() + 5000: Failed} {
-		x := newFakeRequest(expires)
-		e.Submit(x)
-		if a := receive(t, x.answers); a.Kind != kind {
-			t.Errorf("kind %v, want %v", a.Kind, kind)
+	for deadline, kind := range map[float64]ResponseKind{clk.Now() - 1: TimedOut, clk.Now() + 5000: Failed} {
+		request := newFakeRequest(deadline)
+		e.Submit(request)
+		if a := receiveOrFail(t, request.responses); a.Kind != kind {
+			t.Errorf("response kind = %v, want %v", a.Kind, kind)
 		}
 	}
 }
 
-// TestAttemptThatFindsItsClientGoneEndsTheRequest: the balancer hears of the leaving alone, and has
-// nothing to decide on.
-func TestAttemptThatFindsItsClientGoneEndsTheRequest(t *testing.T) {
-	e, s, clk, count := start(t, func(event balancer.Event) []balancer.Action {
+// An attempt that is not sent because its client has disconnected must cancel the whole request. The
+// balancer must get the cancellation and not an outcome on which it would retry.
+func TestAttemptWithDisconnectedClientCancelsRequest(t *testing.T) {
+	e, s, clk, count := startEngine(t, func(event balancer.Event) []balancer.Action {
 		if a, ok := event.(balancer.Arrival); ok {
 			return []balancer.Action{balancer.StartAttempt{ID: a.ID, Server: "s1", Deadline: a.Deadline}}
 		}
 		return nil
 	})
-	x := newFakeRequest(clk.Now() + 60_000)
-	ticket := e.Submit(x)
-	c := <-x.sent
-	c.done(Completion{Outcome: balancer.NotSent, ClientDisconnected: true})
-	want[balancer.ClientCancelled](t, s)
-	if end := want[balancer.AttemptCompleted](t, s); end.Outcome != balancer.Cancelled || !end.RequestFinished {
-		t.Errorf("%+v", end)
+	request := newFakeRequest(clk.Now() + 60_000)
+	ticket := e.Submit(request)
+	sent := <-request.attempts
+	sent.done(Completion{Outcome: balancer.NotSent, ClientDisconnected: true})
+	waitForEvent[balancer.ClientCancelled](t, s)
+	if end := waitForEvent[balancer.AttemptCompleted](t, s); end.Outcome != balancer.Cancelled || !end.RequestFinished {
+		t.Errorf("event %+v, want Cancelled with the request finished", end)
 	}
-	ticket.Cancel() // as the connection's own watch tells a moment later
+	ticket.Cancel() // as the watcher of the client's connection does shortly after
 	if !e.RunBetweenSteps(func() {}) || count.Attempts.Unwanted.Get() != 1 || count.Attempts.Open.Get() != 0 {
-		t.Errorf("unwanted %d, open %d", count.Attempts.Unwanted.Get(), count.Attempts.Open.Get())
+		t.Errorf("unwanted = %d, in flight = %d, want 1 and 0", count.Attempts.Unwanted.Get(), count.Attempts.Open.Get())
 	}
-	if len(x.answers) > 0 {
-		t.Error("a client that has gone was answered")
+	if len(request.responses) > 0 {
+		t.Error("a disconnected client was answered")
 	}
 }
--- a/internal/engine/mailbox.go
+++ b/internal/engine/mailbox.go
@@ -2,11 +2,11 @@
 
 import "tackhub.example/tackhub/balancer"
 
-// mailboxSize is how many messages may wait. Senders wait beyond it; the engine never does, so it
-// bounds memory and can't deadlock.
+// mailboxSize is the number of messages that the mailbox buffers; the limit bounds its memory. Senders
+// block while it is full. This cannot deadlock, because the engine never waits for a sender.
 const mailboxSize = 4096
 
-// message is anything that reaches the engine from outside. It is delivered on the engine's goroutine.
+// message is an input from another goroutine. The engine's goroutine calls deliver.
 type message interface{ deliver(e *Engine) }
 
 type (
@@ -24,8 +24,8 @@
 		server     balancer.ServerID
 		completion Completion
 	}
-	postEvent   struct{ event balancer.Event }
-	runFunction struct{ function func() }
+	eventPosted    struct{ event balancer.Event }
+	functionPosted struct{ function func() }
 )
 
 func (m requestSubmitted) deliver(e *Engine) { e.handleSubmitted(m.request) }
@@ -38,46 +38,47 @@
 
 func (m probeCompleted) deliver(e *Engine) { e.handleProbeCompleted(m.server, m.completion) }
 
-func (m postEvent) deliver(e *Engine) { e.step(m.event) }
+func (m eventPosted) deliver(e *Engine) { e.step(m.event) }
 
-func (m runFunction) deliver(*Engine) { m.function() }
+func (m functionPosted) deliver(*Engine) { m.function() }
 
-// Ticket names a request that the engine has taken.
+// Ticket is a handle for a request that was submitted to the engine.
 type Ticket struct {
 	engine  *Engine
 	request *pendingRequest
 }
 
-// Submit hands a request to the balancer. Its Respond is called once, unless Cancel comes first.
+// Submit passes a request to the balancer. The engine calls the request's Respond method once, unless
+// the request is cancelled first.
 func (e *Engine) Submit(r Request) Ticket {
 	request := &pendingRequest{source: r}
 	e.post(requestSubmitted{request})
 	return Ticket{e, request}
 }
 
-// BodyReceived says that the body of a request that was submitted before it was complete has come,
-// and when its client gives it up.
+// BodyReceived reports that the body of a request that was submitted during its upload is complete.
+// The deadline is the time at which the client gives up.
 func (t Ticket) BodyReceived(deadline balancer.Millis) {
 	t.engine.post(bodyReceived{t.request, deadline})
 }
 
-// Cancel says that nobody waits for the response any more.
+// Cancel withdraws the request because its response is no longer wanted.
 func (t Ticket) Cancel() { t.engine.post(requestCancelled{t.request}) }
 
-// UpdateEndpoints tells the balancer what discovery told of the endpoint list.
-func (e *Engine) UpdateEndpoints(update balancer.EndpointUpdate) { e.post(postEvent{update}) }
+// UpdateEndpoints passes a change of the endpoint list from discovery to the balancer.
+func (e *Engine) UpdateEndpoints(update balancer.EndpointUpdate) { e.post(eventPosted{update}) }
 
-// ReceiveGossip hands the balancer another node's message.
-func (e *Engine) ReceiveGossip(m balancer.GossipReceived) { e.post(postEvent{m}) }
+// ReceiveGossip passes a message from another node to the balancer.
+func (e *Engine) ReceiveGossip(m balancer.GossipReceived) { e.post(eventPosted{m}) }
 
-// Post hands the balancer an event that concerns no request.
-func (e *Engine) Post(event balancer.Event) { e.post(postEvent{event}) }
+// Post passes an event that concerns no request to the balancer.
+func (e *Engine) Post(event balancer.Event) { e.post(eventPosted{event}) }
 
-// RunBetweenSteps runs f between two steps, on the goroutine that owns the balancer, and waits until
-// it has run. It reports whether it has: an engine that ends may not run it.
+// RunBetweenSteps runs f between two steps on the goroutine that owns the balancer, and waits for it
+// to return. It returns false if the engine stopped before that.
 func (e *Engine) RunBetweenSteps(f func()) bool {
 	ran := make(chan struct{})
-	e.post(runFunction{func() { defer close(ran); f() }})
+	e.post(functionPosted{func() { defer close(ran); f() }})
 	select {
 	case <-ran:
 		return true
@@ -89,6 +90,6 @@
 func (e *Engine) post(m message) {
 	select {
 	case e.mailbox <- m:
-	case <-e.stopped: // the engine has ended: the message reaches nobody
+	case <-e.stopped: // the message is dropped
 	}
 }
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -6,31 +6,31 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// pendingRequest is a request that the engine holds, until it is answered and its attempts have ended.
+// pendingRequest is a request that has not been answered yet or still has attempts in flight.
 type pendingRequest struct {
-	id           balancer.RequestID
-	source       Request
-	deadline     balancer.Millis
-	attempts     []*attempt
-	openAttempts int
-	finished     bool // answered, or cancelled by its client
-	// bodyPending says that its body is still coming: its time runs only from the end of that,
-	// which ends it in any case.
+	id               balancer.RequestID
+	source           Request
+	deadline         balancer.Millis
+	attempts         []*attempt
+	attemptsInFlight int
+	finished         bool // answered or cancelled
+	// bodyPending is set while the body is uploaded. Attempts have no deadline until the upload
+	// ends: a complete body sets one, and a failed upload cancels the request.
 	bodyPending bool
 }
 
 // attempt is one attempt of a pending request.
 type attempt struct {
-	request *pendingRequest
-	index   int // among the request's attempts
-	server  balancer.ServerID
-	sentAt  balancer.Millis
-	handle  Attempt // nil once it has ended
-	open    bool
+	request  *pendingRequest
+	index    int // position among the request's attempts, from 0
+	server   balancer.ServerID
+	sentAt   balancer.Millis
+	handle   Attempt // nil before the attempt is sent and after it has ended
+	inFlight bool
 }
 
 func (e *Engine) handleSubmitted(r *pendingRequest) {
-	if r.finished { // cancelled before it was looked at
+	if r.finished { // cancelled before it was submitted to the balancer
 		return
 	}
 	e.nextID++
@@ -43,7 +43,8 @@
 	e.step(arrival)
 }
 
-// handleBodyReceived gives a request whose body has come its true deadline, and its attempts theirs.
+// handleBodyReceived sets the deadline of a request whose body is complete and those of its attempts.
+// The elapsed time of the attempts is counted from here.
 func (e *Engine) handleBodyReceived(r *pendingRequest, deadline balancer.Millis) {
 	if r.finished {
 		return
@@ -51,7 +52,7 @@
 	r.deadline = deadline
 	r.bodyPending = false
 	for _, a := range r.attempts {
-		if a.open {
+		if a.inFlight {
 			a.sentAt = e.clock.Now()
 			e.timers.add(deadline, "", a)
 		}
@@ -59,7 +60,7 @@
 	e.step(balancer.BodyReceived{ID: r.id, Deadline: deadline})
 }
 
-// handleCancelled ends a request that nobody waits for; its attempts are cancelled.
+// handleCancelled ends a request whose response is no longer wanted, and cancels its attempts.
 func (e *Engine) handleCancelled(r *pendingRequest) {
 	if r.finished {
 		return
@@ -72,8 +73,8 @@
 	e.forgetIfFinished(r)
 }
 
-// startAttempt starts an attempt. One for a request that is closed, out of time or out of attempts
-// is not sent, and the balancer is told so.
+// startAttempt starts an attempt. If the request is finished, past its deadline or out of attempts,
+// nothing is sent and the balancer gets the outcome NotSent.
 func (e *Engine) startAttempt(action balancer.StartAttempt) {
 	r := e.requests[action.ID]
 	if r == nil {
@@ -88,8 +89,8 @@
 		e.step(balancer.AttemptCompleted{ID: r.id, Attempt: a.index, Server: a.server, Outcome: balancer.NotSent, RequestFinished: r.finished})
 		return
 	}
-	a.open = true
-	r.openAttempts++
+	a.inFlight = true
+	r.attemptsInFlight++
 	e.counters.Attempts.Sent.Inc()
 	e.counters.Attempts.Open.Inc()
 	done := func(c Completion) { e.post(attemptCompleted{a, c}) }
@@ -99,7 +100,8 @@
 	}
 }
 
-// attemptDeadline is when an attempt is given up; never while the request's body is still coming.
+// attemptDeadline returns the time at which the attempt is aborted: the earlier of its own deadline and
+// the request's, and none while the body is still being uploaded.
 func (r *pendingRequest) attemptDeadline(action balancer.StartAttempt) balancer.Millis {
 	if r.bodyPending {
 		return math.Inf(1)
@@ -111,12 +113,12 @@
 }
 
 func (e *Engine) handleAttemptCompleted(a *attempt, c Completion) {
-	if !a.open {
+	if !a.inFlight {
 		e.counters.Attempts.Late.Inc()
 		c.discard()
 		return
 	}
-	if c.ClientDisconnected { // the client's own cancellation may be waiting in the mailbox
+	if c.ClientDisconnected { // the cancellation may still be queued in the mailbox
 		e.counters.Attempts.Unwanted.Inc()
 		e.handleCancelled(a.request)
 		return
@@ -124,7 +126,8 @@
 	e.completeAttempt(a, c)
 }
 
-// timeOut gives an attempt up whose deadline has passed. One that was not written whole never ran.
+// timeOut aborts an attempt whose deadline has passed. If its request was not completely written, the
+// server cannot have run it, so the outcome is Unreachable.
 func (e *Engine) timeOut(a *attempt) {
 	outcome := balancer.Unreachable
 	if a.handle.Abort() {
@@ -134,19 +137,19 @@
 }
 
 func (e *Engine) cancelAttempt(a *attempt) {
-	if !a.open {
+	if !a.inFlight {
 		return
 	}
 	a.handle.Abort()
 	e.completeAttempt(a, Completion{Outcome: balancer.Cancelled, Elapsed: e.clock.Now() - a.sentAt})
 }
 
-// completeAttempt records an attempt's end. The first one that was served answers the client.
+// completeAttempt records the end of an attempt. The first successful attempt answers the client.
 func (e *Engine) completeAttempt(a *attempt, c Completion) {
 	r := a.request
-	a.open = false
+	a.inFlight = false
 	a.handle = nil
-	r.openAttempts--
+	r.attemptsInFlight--
 	e.counters.Attempts.Open.Add(-1)
 	e.counters.Outcomes.Inc(OutcomeName(c.Outcome))
 	if c.Outcome == balancer.OK && !r.finished {
@@ -165,8 +168,9 @@
 	e.step(balancer.LoadProbeCompleted{Server: server, Outcome: c.Outcome, Elapsed: c.Elapsed, Report: c.Report})
 }
 
-// respondWithout answers a request that was not served.
-func (e *Engine) respondWithout(id balancer.RequestID, response Response) {
+// respondUnserved answers a request that no attempt served. A failure after the deadline is answered
+// as a timeout.
+func (e *Engine) respondUnserved(id balancer.RequestID, response Response) {
 	r := e.requests[id]
 	if r == nil {
 		return
@@ -178,7 +182,7 @@
 	e.forgetIfFinished(r)
 }
 
-// respond gives a request its final answer, exactly once.
+// respond passes the final response to the request unless it is finished already.
 func (e *Engine) respond(r *pendingRequest, response Response) {
 	if r.finished {
 		return
@@ -188,7 +192,7 @@
 }
 
 func (e *Engine) forgetIfFinished(r *pendingRequest) {
-	if r.finished && r.openAttempts == 0 {
+	if r.finished && r.attemptsInFlight == 0 {
 		delete(e.requests, r.id)
 	}
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -7,57 +7,58 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Request is one client's request. Its methods do not wait.
+// Request is a client's request. Its methods do not block.
 type Request interface {
 	Arrival() balancer.Arrival
-	// StartAttempt starts an attempt with a timeout, which must be written whole by writeDeadline; 0: no
-	// limit. An infinite timeout means that the body is still being uploaded. done is called once,
-	// unless the attempt is aborted first.
+	// StartAttempt starts an attempt. An infinite timeout means that the body is still being
+	// uploaded. The request must be completely written by writeDeadline; 0: no limit. done is
+	// called once, unless the attempt is aborted first.
 	StartAttempt(server balancer.ServerID, timeout, writeDeadline balancer.Millis, done func(Completion)) Attempt
 	Respond(Response)
 }
 
-// Attempt is one attempt of a request under way.
+// Attempt is an attempt in flight.
 type Attempt interface {
-	// Abort ends it at once and without waiting, and reports whether the server may have received it
-	// whole.
+	// Abort ends the attempt without blocking. It reports whether the server may have received the
+	// complete request and thus may have run it.
 	Abort() (mayHaveRun bool)
 }
 
-// Completion is how an attempt or a probe ended. Whoever waits for the response gets the body with it.
+// Completion is the result of an attempt or a load probe. A body is passed on only if its request still
+// waits for a response.
 type Completion struct {
 	Outcome            balancer.Outcome
 	Elapsed            balancer.Millis
 	Report             balancer.LoadReport
-	Body               []byte        // of a served response, or its beginning
-	Remaining          RemainingBody // what is still to come of it; nil where it is complete
-	ClientDisconnected bool          // nothing was written whole, since the client had gone
+	Body               []byte        // of a served response: all of it, or its beginning if Remaining is set
+	Remaining          RemainingBody // the rest of the body; nil if Body is complete
+	ClientDisconnected bool          // not completely written, because the client had disconnected
 }
 
-// discard lets go of a response that nobody gets.
+// discard releases the rest of a response body that is not passed on.
 func (c Completion) discard() {
 	if c.Remaining != nil {
 		c.Remaining.Close()
 	}
 }
 
-// RemainingBody is the part of a large response that is still coming. Whoever gets it closes it.
+// RemainingBody is the part of a large response that has not been received yet. Its receiver closes it.
 type RemainingBody interface {
-	Size() int64           // of the whole body in bytes, -1 where it isn't known
-	SetDeadline(time.Time) // when the client gives the request up; called before the first Read, if at all
+	Size() int64           // of the complete body in bytes; -1 if unknown
+	SetDeadline(time.Time) // the time at which the client gives up; called before the first Read, if at all
 	Read([]byte) (int, error)
 	Close()
 }
 
-// Response is a request's final answer.
+// Response is the final response to a request.
 type Response struct {
 	Kind       ResponseKind
-	Body       []byte          // of a served one, or its beginning
-	Remaining  RemainingBody   // what is still to come of it; nil where it is complete
-	RetryAfter balancer.Millis // of a rejected one; 0: nothing is said
+	Body       []byte          // of a served request: all of it, or its beginning if Remaining is set
+	Remaining  RemainingBody   // the rest of the body; nil if Body is complete
+	RetryAfter balancer.Millis // of a rejected request; 0: none
 }
 
-// ResponseKind says what became of a request.
+// ResponseKind is the result of a request.
 type ResponseKind int
 
 // The kinds of responses.
@@ -65,47 +66,46 @@
 	Served ResponseKind = iota
 	Rejected
 	Failed
-	TimedOut // failed after its deadline
+	TimedOut // failed after the deadline
 )
 
-// OutgoingRequest is a request as it is sent to one server.
+// OutgoingRequest is a request in the form that is sent to one server.
 type OutgoingRequest struct {
 	Bytes     []byte
-	Body      RequestBody // what follows the bytes; nil for none
-	OnWritten func()      // called once when the last byte has been written; nil where nobody asks
+	Body      RequestBody // follows Bytes; nil: none
+	OnWritten func()      // called once when the last byte has been written; may be nil
 
-	// WriteDeadline is when the last byte must have been written, or must not be any more; zero: no
-	// limit.
+	// WriteDeadline is the time after which the last byte must not be written; zero: no limit.
 	WriteDeadline time.Time
-	// ClientWaiting reports whether the client is still there. It is asked right before the first
-	// byte is written, and before the last chunk of a large body: what the engine knows of a client
-	// may have waited behind other messages. Nil: it always is.
+	// ClientWaiting reports whether the client is still connected; nil: it always is. It is called
+	// right before the first byte is written and before the last chunk of a large body, because the
+	// client's cancellation may still be queued in the engine's mailbox.
 	ClientWaiting func() bool
 }
 
-// RequestBody is a large body that is kept outside memory.
+// RequestBody is a large request body that is stored outside memory.
 type RequestBody interface {
 	Size() int64 // in bytes
-	Retain()     // it stays until one more Release
+	Retain()     // keeps the body until one more call of Release
 	Release()
-	// ForEachChunk gives it chunk by chunk, each valid during the call, the last one marked.
+	// ForEachChunk calls each with every chunk in order. A chunk is valid during the call only.
 	ForEachChunk(each func(chunk []byte, last bool) error) error
 }
 
 var (
-	// ErrWriteDeadline says that a request could not be written whole in time. Nothing that a
-	// server could begin has been.
-	ErrWriteDeadline = errors.New("not written whole in time")
-	// ErrClientDisconnected says that a request was not written whole since its client has gone. Nothing
-	// that a server could begin has been.
-	ErrClientDisconnected = errors.New("the client has gone")
+	// ErrWriteDeadline is returned if a request could not be completely written by its write
+	// deadline. The server has not received the complete request, so it cannot have run it.
+	ErrWriteDeadline = errors.New("request not completely written by its write deadline")
+	// ErrClientDisconnected is returned if a request was not completely written because its client
+	// disconnected. The server has not received the complete request, so it cannot have run it.
+	ErrClientDisconnected = errors.New("client disconnected before the request was completely written")
 )
 
-// CheckWritable says why the last byte must not be written any more: ErrWriteDeadline or
-// ErrClientDisconnected; nil where it may.
+// CheckWritable returns ErrWriteDeadline or ErrClientDisconnected if the last byte must no longer be
+// written, else nil.
 //
-// A repeat that is written after its window may run a second time, and one whose client has gone
-// does work for nobody.
+// A retry that is written after the end of its dedup window may run a second time, and the response to
+// a request whose client has disconnected is of no use.
 func (r OutgoingRequest) CheckWritable() error {
 	if !r.WriteDeadline.IsZero() && !time.Now().Before(r.WriteDeadline) {
 		return ErrWriteDeadline
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// NotifyWritten says that the last byte has been written.
+// NotifyWritten calls OnWritten. The sender calls it when the last byte has been written.
 func (r OutgoingRequest) NotifyWritten() {
 	if r.OnWritten != nil {
 		r.OnWritten()
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -2,36 +2,36 @@
 
 import "container/heap"
 
-// timer is one entry of the heap: a timer that the balancer set, or an attempt's deadline.
+// timer is a timer that the balancer set, or the deadline of an attempt.
 type timer struct {
-	at      float64
-	seq     uint64 // timers due at the same time fire in the order they were set
-	token   string // the balancer's, where attempt is nil
-	attempt *attempt
+	fireAt  float64  // Unix milliseconds of the node's clock
+	seq     uint64   // timers due at the same time fire in the order they were set
+	token   string   // passed back to the balancer when its timer fires; unused if attempt is set
+	attempt *attempt // the attempt that times out; nil for a timer of the balancer
 }
 
-// timers is a heap of all that falls due.
+// timers holds all pending timers, ordered by their due time.
 type timers struct {
 	heap timerHeap
 	seq  uint64
 }
 
-func (t *timers) add(at float64, token string, a *attempt) {
+func (t *timers) add(fireAt float64, token string, a *attempt) {
 	t.seq++
-	heap.Push(&t.heap, timer{at: at, seq: t.seq, token: token, attempt: a})
+	heap.Push(&t.heap, timer{fireAt: fireAt, seq: t.seq, token: token, attempt: a})
 }
 
-// next is when the first falls due; false where there is none.
-func (t *timers) next() (float64, bool) {
+// nextFireTime returns the time of the earliest timer, or false if no timer is set.
+func (t *timers) nextFireTime() (float64, bool) {
 	if len(t.heap) == 0 {
 		return 0, false
 	}
-	return t.heap[0].at, true
+	return t.heap[0].fireAt, true
 }
 
-// due takes the first timer out if its time has come.
-func (t *timers) due(now float64) (timer, bool) {
-	if len(t.heap) == 0 || t.heap[0].at > now {
+// popDue removes and returns the earliest timer, or returns false if none is due.
+func (t *timers) popDue(now float64) (timer, bool) {
+	if len(t.heap) == 0 || t.heap[0].fireAt > now {
 		return timer{}, false
 	}
 	return heap.Pop(&t.heap).(timer), true
@@ -42,7 +42,7 @@
 func (h timerHeap) Len() int { return len(h) }
 
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	return h[i].fireAt < h[j].fireAt || h[i].fireAt == h[j].fireAt && h[i].seq < h[j].seq
 }
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
