--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -6,51 +6,52 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Rejection is why a request is not processed.
+// Rejection is the reason why a request is not processed.
 type Rejection struct {
 	Status int    // of the response
-	Code   string // its key among the counted rejections
+	Code   string // its key in the counters of rejections
 }
 
 func (r *Rejection) outcome() outcome { return outcome{status: r.Status, rejectCode: r.Code} }
 
-// admit checks a request against the protocol and the settings, and prepares it to be forwarded. A request that is not
+// admit validates a request against the protocol and the settings, and prepares it for forwarding. A request that is not
 // admitted is answered without an attempt.
 func (r *request) admit() *Rejection {
 	in := &r.received
-	class, known := r.handler.classes[in.class]
-	if rejected := in.validate(class, known); rejected != nil {
+	class, classFound := r.handler.classes[in.class]
+	if rejected := in.validate(class, classFound); rejected != nil {
 		return rejected
 	}
 	timeout, ok := parseTimeout(in.timeout)
 	if !ok {
 		return &Rejection{fasthttp.StatusBadRequest, "bad_deadline"}
 	}
-	if r.handler.options.Clock.Now() >= in.at+timeout { // nothing was sent, so nothing is to be waited for
+	if r.handler.options.Clock.Now() >= in.receivedAt+timeout { // expired before anything was sent to a server
 		return &Rejection{fasthttp.StatusGatewayTimeout, "deadline_past"}
 	}
-	if rejected := r.handler.rejectLate(); rejected != nil {
+	if rejected := r.handler.rejectIfDraining(); rejected != nil {
 		return rejected
 	}
 	if !r.claimID() {
 		return &Rejection{fasthttp.StatusConflict, "id_in_use"}
 	}
-	if class.TotalTimeout > 0 { // no client of the class waits longer
+	if class.TotalTimeout > 0 { // the class limits how long its clients wait
 		timeout = min(timeout, class.TotalTimeout)
 	}
 	r.class = class
-	r.deadline = r.handler.limitDeadline(in.at + timeout)
-	r.timeout = r.deadline - in.at
+	r.deadline = r.handler.limitDeadline(in.receivedAt + timeout)
+	r.timeout = r.deadline - in.receivedAt
 	r.outgoing = newOutgoing(in, r.deadline)
 	return nil
 }
 
-// validate checks a request's form. Known reports whether the settings have the class that the request names.
-func (in *received) validate(class balancer.Class, known bool) *Rejection {
+// validate checks whether a request is well-formed. classFound is whether the settings contain the class that the request
+// names.
+func (in *received) validate(class balancer.Class, classFound bool) *Rejection {
 	switch {
 	case in.id == "" || len(in.id) > maxIDBytes:
 		return &Rejection{fasthttp.StatusBadRequest, "bad_request_id"}
-	case !known:
+	case !classFound:
 		return &Rejection{fasthttp.StatusBadRequest, "unknown_class"}
 	case firstSegment(in.uri) != in.class:
 		return &Rejection{fasthttp.StatusBadRequest, "class_and_path_differ"}
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// methodOf is the HTTP method of a class's requests.
+// methodOf returns the HTTP method that requests of a class must have.
 func methodOf(c balancer.Class) string {
 	if c.Idempotency == balancer.Idempotent {
 		return fasthttp.MethodGet
--- a/internal/proxy/admit_test.go
+++ b/internal/proxy/admit_test.go
@@ -16,12 +16,12 @@
 		balancer.NonIdempotent:     "POST",
 	} {
 		if got := methodOf(balancer.Class{Idempotency: idempotency}); got != want {
-			t.Errorf("%v by %s, want %s", idempotency, got, want)
+			t.Errorf("%v: method = %s, want %s", idempotency, got, want)
 		}
 	}
 }
 
-// FuzzAdmit checks that only well-formed requests are admitted, whatever comes.
+// FuzzAdmit checks that only well-formed requests are admitted, and that the others are rejected with a client error or 504.
 func FuzzAdmit(f *testing.F) {
 	f.Add("GET", "/look?x=1", "1", "look", "480", "12", "")
 	f.Add("POST", "/store", "1", "store", "480", "-1", "key")
@@ -34,25 +34,25 @@
 	h := NewHandler(Options{Clock: clock.New(), Classes: classes})
 	f.Fuzz(func(t *testing.T, method, uri, id, class, deadline, hint, key string) {
 		var header fasthttp.RequestHeader
-		r := &request{handler: h, received: received{at: h.options.Clock.Now(), method: method, uri: []byte(uri), id: id,
+		r := &request{handler: h, received: received{receivedAt: h.options.Clock.Now(), method: method, uri: []byte(uri), id: id,
 			class: class, timeout: deadline, costHint: hint, idempotencyKey: key, header: &header}}
 		if rejected := r.admit(); rejected != nil {
 			clientError := rejected.Status >= 400 && rejected.Status <= 499
 			if rejected.Code == "" || rejected.Status != 504 && !clientError {
-				t.Errorf("rejected as %+v", rejected)
+				t.Errorf("rejection %+v, want a code and status 4xx or 504", rejected)
 			}
 			return
 		}
 		a := r.Arrival()
 		switch {
 		case firstSegment([]byte(uri)) != class || id == "":
-			t.Errorf("%q of class %q with id %q was admitted", uri, class, id)
+			t.Errorf("path %q of class %q with id %q was admitted", uri, class, id)
 		case r.class.Idempotency == balancer.IdempotentWithKey && key == "":
 			t.Error("a keyed request without an idempotency key was admitted")
-		case !(a.Deadline > r.received.at) || a.Deadline > r.received.at+maxTimeout:
-			t.Errorf("expires %v after %v", a.Deadline, r.received.at)
+		case !(a.Deadline > r.received.receivedAt) || a.Deadline > r.received.receivedAt+maxTimeout:
+			t.Errorf("deadline = %v for a request received at %v", a.Deadline, r.received.receivedAt)
 		case !(a.WorkHint >= 0 && a.WorkHint < 1e12):
-			t.Errorf("cost hint %v from %q", a.WorkHint, hint)
+			t.Errorf("work hint = %v for cost hint %q, want from 0 to 1e12", a.WorkHint, hint)
 		}
 	})
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,20 +11,20 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// CodeDraining is why a request is rejected that was read too late in a graceful shutdown.
+// CodeDraining is the rejection code of a request that was read after the last admission of a graceful shutdown.
 const CodeDraining = "draining"
 
-// BeginShutdown begins a graceful shutdown: no request waits for its response beyond the schedule's last response, and what is read
-// after its last admission is rejected at once. Later calls change nothing.
+// BeginShutdown begins a graceful shutdown: no request waits for its response beyond the schedule's LastResponse, and requests
+// that are read after its LastAdmission are rejected at once. Later calls have no effect.
 func (h *Handler) BeginShutdown(schedule *drain.Schedule) {
 	if h.schedule.CompareAndSwap(nil, schedule) {
 		close(h.draining)
 	}
 }
 
-// rejectLate rejects a request that was read after a shutdown's last forward; nil where it may go on. Nothing of it has run,
-// and another node has time for it.
-func (h *Handler) rejectLate() *Rejection {
+// rejectIfDraining rejects a request that was read after the last admission of a shutdown, else returns nil. No server has run
+// the request, and the client still has time to retry it at another node.
+func (h *Handler) rejectIfDraining() *Rejection {
 	schedule := h.schedule.Load()
 	if schedule == nil || !schedule.Reached(schedule.LastAdmission, time.Now()) {
 		return nil
@@ -32,8 +32,8 @@
 	return &Rejection{fasthttp.StatusServiceUnavailable, CodeDraining}
 }
 
-// limitDeadline limits a request's deadline to what a shutdown allows: its watchdog must still fire before the shutdown's
-// last response.
+// limitDeadline shortens a request's deadline during a shutdown, so that its watchdog fires no later than the shutdown's
+// LastResponse.
 func (h *Handler) limitDeadline(deadline balancer.Millis) balancer.Millis {
 	schedule := h.schedule.Load()
 	if schedule == nil {
@@ -43,27 +43,27 @@
 	return min(deadline, latest)
 }
 
-// watchdogDelay is how long after a request's deadline its watchdog fires, in milliseconds.
+// watchdogDelay returns how long after a request's deadline its watchdog fires, in milliseconds.
 func (h *Handler) watchdogDelay() balancer.Millis { return h.options.DeadlineSlack + watchdogMargin }
 
-// shorten limits a request that was in flight when a shutdown began. It reports whether the new deadline is earlier than the
-// request's own.
-func (r *request) shorten(watchdog *time.Timer) bool {
+// shortenDeadline applies the limit of a shutdown to a request that was in flight when it began, and resets the watchdog. It
+// reports whether the new deadline is earlier than the previous one.
+func (r *request) shortenDeadline(watchdog *time.Timer) bool {
 	deadline := r.handler.limitDeadline(r.deadline)
 	if deadline >= r.deadline {
 		return false
 	}
 	r.deadline = deadline
-	watchdog.Reset(r.untilWatchdog())
+	watchdog.Reset(r.timeUntilWatchdog())
 	return true
 }
 
-// untilWatchdog is how long from now the request's watchdog fires.
-func (r *request) untilWatchdog() time.Duration {
+// timeUntilWatchdog returns the time from now until the request's watchdog fires.
+func (r *request) timeUntilWatchdog() time.Duration {
 	return clock.Span(r.deadline + r.handler.watchdogDelay() - r.handler.options.Clock.Now())
 }
 
-// shortenedOutcome is the outcome of a request whose time a shutdown has cut short.
-func shortenedOutcome() outcome {
+// shutdownTimeoutOutcome is the outcome of a request that ran into a deadline shortened by a shutdown.
+func shutdownTimeoutOutcome() outcome {
 	return outcome{status: fasthttp.StatusGatewayTimeout, kind: engine.TimedOut}
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -7,24 +7,24 @@
 	"tackhub.example/tackhub/internal/drain"
 )
 
-// A request that is read after a shutdown's last admission has no time left for a server's answer. It must be rejected at once as one that
-// has not run; one that is read before is admitted.
-func TestRequestsAfterTheLastAdmissionAreRejected(t *testing.T) {
+// A request that is read after a shutdown's last admission has no time left for a server's response. It must be rejected at once
+// as not run. A request that is read earlier is admitted.
+func TestRejectRequestsAfterLastAdmission(t *testing.T) {
 	plan := drain.NewPlan(time.Second)
 	for name, c := range map[string]struct {
 		schedule *drain.Schedule
 		rejected bool
 	}{
-		"no shutdown":         {nil, false},
-		"before the last one": {plan.Start(time.Now().Add(-plan.LastAdmission / 2)), false},
-		"after the last one":  {plan.Start(time.Now().Add(-plan.LastAdmission)), true},
-		"long after":          {plan.Start(time.Now().Add(-time.Hour)), true},
+		"no shutdown":               {nil, false},
+		"before the last admission": {plan.Start(time.Now().Add(-plan.LastAdmission / 2)), false},
+		"after the last admission":  {plan.Start(time.Now().Add(-plan.LastAdmission)), true},
+		"long after the shutdown":   {plan.Start(time.Now().Add(-time.Hour)), true},
 	} {
 		var h Handler
 		h.schedule.Store(c.schedule)
-		got := h.rejectLate()
+		got := h.rejectIfDraining()
 		if (got != nil) != c.rejected || got != nil && (got.Status != 503 || got.Code != CodeDraining) {
-			t.Errorf("%s: %+v", name, got)
+			t.Errorf("%s: rejection = %+v, want rejected = %v", name, got, c.rejected)
 		}
 	}
 }
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -10,16 +10,16 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// outgoing is a request as it is forwarded: without hop-by-hop fields, and with the time left in place of the client's
-// deadline. It shares no memory with the client's connection, since an attempt may outlive the request.
+// outgoing is a request in the form that is forwarded: without hop-by-hop fields, and with the remaining time in place of the
+// client's deadline. It shares no memory with the client's connection, because an attempt may outlive the request.
 type outgoing struct {
-	head              []byte // request line and fields, without the empty line that ends them
+	head              []byte // request line and header fields, without the empty line after them
 	body              []byte
-	largeBody         engine.RequestBody // in place of body
-	submittedDeadline balancer.Millis
+	largeBody         engine.RequestBody // replaces body if not nil
+	submittedDeadline balancer.Millis    // the deadline that the balancer gets at the arrival
 }
 
-// notForwarded are the hop-by-hop fields, and those that are written anew.
+// notForwarded contains the hop-by-hop fields and the fields that the node writes itself.
 var notForwarded = map[string]bool{
 	"Connection":        true,
 	"Content-Length":    true,
@@ -34,11 +34,11 @@
 }
 
 const (
-	headCapacity  = 512 // bytes that an ordinary head fits in
-	deadlineBytes = 32  // bytes that the deadline field and the end of the head fit in
+	headCapacity  = 512 // bytes; enough for the head of most requests
+	deadlineBytes = 32  // bytes; enough for the deadline field and the end of the head
 )
 
-func newOutgoing(in *received, expires balancer.Millis) outgoing {
+func newOutgoing(in *received, deadline balancer.Millis) outgoing {
 	head := make([]byte, 0, headCapacity)
 	head = append(head, in.method...)
 	head = append(head, ' ')
@@ -55,7 +55,7 @@
 		head = append(head, "\r\n"...)
 	}
 	body := append([]byte(nil), in.body...)
-	return outgoing{head: head, body: body, largeBody: in.largeBody, submittedDeadline: expires}
+	return outgoing{head: head, body: body, largeBody: in.largeBody, submittedDeadline: deadline}
 }
 
 func appendField(head, name, value []byte) []byte {
@@ -65,7 +65,7 @@
 	return append(head, "\r\n"...)
 }
 
-// bytes encodes one copy of the request. Its deadline field is how long the node will wait, at least 1 ms.
+// bytes encodes the request for one attempt. Its deadline field is the timeout of the attempt, at least 1 ms.
 func (o outgoing) bytes(timeout balancer.Millis) []byte {
 	out := make([]byte, 0, len(o.head)+len(o.body)+deadlineBytes)
 	out = append(out, o.head...)
@@ -75,27 +75,27 @@
 	return append(out, o.body...)
 }
 
-// StartAttempt starts an attempt. The engine calls it for each one that the balancer decides on. An infinite timeout is that
-// of a request whose body is still uploaded; the last byte must be written by writeDeadline, where that is not 0.
+// StartAttempt starts an attempt. The engine calls it for each attempt that the balancer decides on. An infinite timeout means
+// that the request's body is still being uploaded. The last byte must be written by writeDeadline; 0: no limit.
 func (r *request) StartAttempt(
 	server balancer.ServerID, timeout, writeDeadline balancer.Millis, done func(engine.Completion),
 ) engine.Attempt {
 	if math.IsInf(timeout, 1) {
-		timeout = r.timeout // it begins once the body is complete
+		timeout = r.timeout // runs from the time at which the body is complete
 	}
 	relayed := &r.handler.options.Counters.Operations.For(r.class.Name).Relayed
-	c := engine.OutgoingRequest{
+	attempt := engine.OutgoingRequest{
 		Bytes:         r.outgoing.bytes(timeout),
 		Body:          r.outgoing.largeBody,
 		OnWritten:     relayed.Inc,
 		ClientWaiting: r.clientWaiting,
 	}
 	if writeDeadline > 0 {
-		c.WriteDeadline = time.Now().Add(clock.Span(writeDeadline - r.handler.options.Clock.Now()))
+		attempt.WriteDeadline = time.Now().Add(clock.Span(writeDeadline - r.handler.options.Clock.Now()))
 	}
-	return r.handler.options.Send(server, c, done)
+	return r.handler.options.Send(server, attempt, done)
 }
 
-// clientWaiting reports whether the client is still connected. The engine learns that a client has left only behind the other
-// events in its mailbox, which may be hundreds; an attempt that begins meanwhile would run for nobody.
+// clientWaiting reports whether the client is still connected. A client's cancellation may be queued behind hundreds of other
+// messages in the engine's mailbox. An attempt that starts meanwhile would produce a response that no client receives.
 func (r *request) clientWaiting() bool { return !r.client.Disconnected() }
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -16,22 +16,22 @@
 	}
 	in := received{method: "POST", uri: []byte("/bill?a=%20"), header: &header, body: []byte("body")}
 	o := newOutgoing(&in, 1000)
-	in.body[0] = 'X' // the copy must not follow the connection's buffer
+	in.body[0] = 'X' // the forwarded body must not share the connection's buffer
 	got := string(o.bytes(123.9))
 	if !strings.HasPrefix(got, "POST /bill?a=%20 HTTP/1.1\r\n") || !strings.HasSuffix(got, "X-Deadline-Ms: 123\r\n\r\nbody") {
-		t.Errorf("%q", got)
+		t.Errorf("forwarded request = %q", got)
 	}
 	for _, part := range []string{"Host: app.svc\r\n", "X-Request-Id: 1\r\n", "Content-Length: 4\r\n"} {
 		if strings.Count(got, part) != 1 {
-			t.Errorf("%q does not come once in %q", part, got)
+			t.Errorf("field %q not exactly once in %q", part, got)
 		}
 	}
 	for _, part := range []string{"Connection", "chunked", "480", "Expect", "Te:"} {
 		if strings.Contains(got, part) {
-			t.Errorf("%q was forwarded in %q", part, got)
+			t.Errorf("%q was forwarded in %q, want it dropped", part, got)
 		}
 	}
 	if last := string(o.bytes(0.2)); !strings.Contains(last, "X-Deadline-Ms: 1\r\n") {
-		t.Errorf("a deadline below 1 ms is sent as %q", last)
+		t.Errorf("timeout of 0.2 ms sent as %q, want 1 ms", last)
 	}
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -1,6 +1,6 @@
-// Package proxy handles one HTTP request from its arrival to its final response. A request passes these stages, each in a
-// file of that name: receive, admit, upload, forward, respond, stream and record. Its hand-over to the balancer is route, in
-// request.go.
+// Package proxy handles HTTP requests from their arrival to their final response. A request passes these stages, each in a
+// file of that name: receive, admit, upload, forward, respond, stream and record. The method route in request.go submits it to
+// the balancer.
 package proxy
 
 import (
@@ -23,28 +23,28 @@
 const (
 	ReasonClientLeft  = "client_left"  // the client disconnected while its request was in flight
 	ReasonPanic       = "panic"        // the handler panicked on the request
-	ReasonClientAsked = "client_asked" // the request carried "Connection: close"
+	ReasonClientAsked = "client_asked" // the request had the field "Connection: close"
 	ReasonBadRequest  = "bad_request"  // the request is malformed or could not be read
 )
 
-// Router decides what becomes of a request.
+// Router routes requests to servers.
 type Router interface {
 	Submit(engine.Request) engine.Ticket
 }
 
-// Sender starts one attempt: it writes a copy of a request to a server and does not wait. Done is called once with the
-// result.
-type Sender func(server balancer.ServerID, c engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt
+// Sender starts an attempt: it writes a request to a server without blocking. done is called once with the result.
+type Sender func(server balancer.ServerID, request engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt
 
-// Client is the connection on which a request came.
+// Client is the connection on which a request was received.
 type Client interface {
-	// LastRead is when the latest bytes arrived.
+	// LastRead returns when the latest bytes were received.
 	LastRead() time.Time
-	// WatchDisconnect closes left when the client disconnects, until stop is called. It consumes no bytes.
-	WatchDisconnect() (left <-chan struct{}, stop func())
-	// Disconnected reports whether the client has disconnected already.
+	// WatchDisconnect returns a channel that is closed when the client disconnects. The watch ends when stop is called. It
+	// consumes no bytes of the connection.
+	WatchDisconnect() (disconnected <-chan struct{}, stop func())
+	// Disconnected reports whether the client has disconnected.
 	Disconnected() bool
-	// SetCloseReason sets why the connection closes. Only the first reason counts.
+	// SetCloseReason sets the reason for closing the connection. Only the first call has an effect.
 	SetCloseReason(reason string)
 }
 
@@ -55,12 +55,12 @@
 	Clock         clock.Clock
 	Bodies        *body.Store
 	Classes       []balancer.Class
-	DeadlineSlack balancer.Millis // how long after its deadline a response still counts
+	DeadlineSlack balancer.Millis // how many milliseconds after its deadline a response still counts
 	Log           *slog.Logger
 	Counters      *counters.Counters
 }
 
-// Handler takes requests through all stages.
+// Handler handles requests in all stages.
 type Handler struct {
 	options Options
 	classes map[string]balancer.Class // by name
@@ -70,7 +70,7 @@
 	draining chan struct{}                  // closed when one begins
 }
 
-// NewHandler returns a Handler.
+// NewHandler returns a Handler for the classes of the options.
 func NewHandler(o Options) *Handler {
 	h := &Handler{
 		options:  o,
@@ -84,14 +84,14 @@
 	return h
 }
 
-// Serve takes one request through all stages. A panic ends this request and its connection only.
+// Serve handles one request in all stages. A panic ends only this request and its connection.
 func (h *Handler) Serve(ctx *fasthttp.RequestCtx, client Client) {
 	r := newRequest(h, client)
 	h.options.Counters.Requests.Taken.Inc()
 	h.options.Counters.Requests.Open.Inc()
 	streaming := false
 	defer func() {
-		if !streaming { // a stream releases the id when it is closed
+		if !streaming { // a stream releases the request id when it is closed
 			r.releaseID()
 		}
 	}()
@@ -109,7 +109,7 @@
 
 // process handles an admitted request until its outcome is known.
 func (r *request) process(ctx *fasthttp.RequestCtx) outcome {
-	// The request may have waited in the kernel or in a queue while its client gave it up.
+	// The client may have disconnected while the request was queued in the kernel or in the node.
 	if r.client.Disconnected() {
 		return r.clientDisconnected(ctx)
 	}
@@ -124,19 +124,20 @@
 func (r *request) reject(ctx *fasthttp.RequestCtx, rejected *Rejection) {
 	r.finish(ctx, rejected.outcome())
 	if rejected.Status < fasthttp.StatusInternalServerError {
-		// The client is at fault: what else it has sent goes unread, so a flood ends with its first request.
+		// The client is at fault. The connection is closed without reading further requests from it, which stops a flood
+		// at its first bad request.
 		r.client.SetCloseReason(ReasonBadRequest)
 		ctx.SetConnectionClose()
 	}
 }
 
-// recoverPanic is deferred by Serve. It answers a request whose handling panicked, and closes its connection.
+// recoverPanic is deferred by Serve. If the handling of the request panicked, it answers with 502 and closes the connection.
 func (r *request) recoverPanic(ctx *fasthttp.RequestCtx) {
 	p := recover()
 	if p == nil {
 		return
 	}
-	r.handler.options.Log.Error("panic in a request", "code", ReasonPanic, "panic", p, "stack", string(debug.Stack()))
+	r.handler.options.Log.Error("panic while handling a request", "code", ReasonPanic, "panic", p, "stack", string(debug.Stack()))
 	r.cancel()
 	r.client.SetCloseReason(ReasonPanic)
 	ctx.SetConnectionClose()
--- a/internal/proxy/receive.go
+++ b/internal/proxy/receive.go
@@ -11,26 +11,26 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// Header fields of a request that a decision needs. They may come only once.
+// Header fields that decide how a request is handled. Each may occur only once.
 const (
 	HeaderID             = "X-Request-Id"
 	HeaderClass          = "X-Class"
 	HeaderTenant         = "X-Tenant"
-	HeaderDeadline       = "X-Deadline-Ms" // milliseconds that the client waits
+	HeaderDeadline       = "X-Deadline-Ms" // how long the client waits, in milliseconds
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// Header fields that only inform a decision.
+// Header fields that are optional hints for the balancer.
 const (
-	headerRetry    = "X-Retry"     // 1: the request is the client's retry
+	headerRetry    = "X-Retry"     // 1: the client marks the request as a retry
 	headerCostHint = "X-Cost-Hint" // expected work in microseconds
 )
 
-// received is a request as it came, with the header fields that a decision needs as text. Nothing in it is validated.
+// received is a request as it was read. The values of its header fields are not validated yet.
 type received struct {
-	at             balancer.Millis // when its last byte came, as early as the node can know
+	receivedAt     balancer.Millis // when the last byte was read, the earliest time that the node knows
 	method         string
-	uri            []byte // valid while the request is served
+	uri            []byte // valid until Serve returns
 	id             string
 	class          string
 	tenant         string
@@ -40,15 +40,15 @@
 	costHint       string
 	header         *fasthttp.RequestHeader
 	body           []byte
-	largeBody      engine.RequestBody // in place of body where that is stored in a file
+	largeBody      engine.RequestBody // replaces body if the body is stored in a file
 	uploading      bool               // largeBody is not complete yet
 }
 
-// receive reads a request's fields and the time of its arrival.
+// receive extracts a request's header fields, body and time of arrival.
 func receive(ctx *fasthttp.RequestCtx, client Client, c clock.Clock) received {
 	header := &ctx.Request.Header
 	in := received{
-		at:             c.At(client.LastRead()),
+		receivedAt:     c.At(client.LastRead()),
 		method:         string(header.Method()),
 		uri:            originForm(header.RequestURI()),
 		id:             string(header.Peek(HeaderID)),
@@ -71,7 +71,7 @@
 // hasBody reports whether the request has a body.
 func (in *received) hasBody() bool { return len(in.body) > 0 || in.largeBody != nil }
 
-// bodySize is the size of the body in bytes.
+// bodySize returns the size of the body in bytes.
 func (in *received) bodySize() int64 {
 	if in.largeBody != nil {
 		return in.largeBody.Size()
@@ -79,21 +79,21 @@
 	return int64(len(in.body))
 }
 
-// originForm reduces a request target in absolute form (RFC 9112, section 3.2.2) to the origin form that servers get.
+// originForm converts a request target in absolute form (RFC 9112, section 3.2.2) to the origin form, in which servers get it.
 func originForm(target []byte) []byte {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(target) < len(scheme) || !bytes.EqualFold(target[:len(scheme)], []byte(scheme)) {
 			continue
 		}
 		rest := target[len(scheme):]
-		if at := bytes.IndexAny(rest, "/?#"); at > 0 && rest[at] == '/' {
-			return rest[at:]
+		if pathStart := bytes.IndexAny(rest, "/?#"); pathStart > 0 && rest[pathStart] == '/' {
+			return rest[pathStart:]
 		}
 	}
 	return target
 }
 
-// firstSegment is the first segment of a request target's path; "" where the target does not begin with a slash.
+// firstSegment returns the first segment of a request target's path, or "" if the target does not begin with a slash.
 func firstSegment(uri []byte) string {
 	path, ok := bytes.CutPrefix(uri, []byte("/"))
 	if !ok {
@@ -105,21 +105,22 @@
 	return string(path)
 }
 
-// maxTimeout is the longest deadline that is believed, in milliseconds: a request that waits longer occupies a connection
-// in vain. The protocol's longest deadline is 3 s.
+// maxTimeout is the limit for a client's timeout, in milliseconds; longer ones are reduced to it. A request that waited longer
+// would only occupy its connection. The protocol's longest timeout is 3 s.
 const maxTimeout = 60_000
 
-// parseTimeout parses the deadline field: whole milliseconds in digits alone, so neither a sign nor an exponent.
+// parseTimeout parses the deadline field: an integer number of milliseconds, without a sign or an exponent. It reports whether
+// the field is valid.
 func parseTimeout(s string) (balancer.Millis, bool) {
 	n, err := strconv.ParseUint(s, 10, 63)
 	return balancer.Millis(min(n, maxTimeout)), err == nil
 }
 
-// maxCostHint is the largest cost hint that is believed, in microseconds.
+// maxCostHint is the largest cost hint that is accepted, in microseconds.
 const maxCostHint = 1e12
 
-// parseCostHint converts the cost hint from microseconds to milliseconds. A hint that is malformed or out of range counts
-// as none, which is 0.
+// parseCostHint converts the cost hint from microseconds to milliseconds. It returns 0, which means no hint, if the field is
+// malformed or out of range.
 func parseCostHint(s string) balancer.Millis {
 	n, err := strconv.ParseFloat(s, 64)
 	inRange := n > 0 && n <= maxCostHint // false for NaN
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -6,7 +6,7 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// finish writes the response and counts the outcome. A stream writes its response itself and is counted when it is closed.
+// finish writes the response and counts the outcome. A stream writes its own response and is counted when it is closed.
 func (r *request) finish(ctx *fasthttp.RequestCtx, o outcome) {
 	if o.stream != nil {
 		return
@@ -15,7 +15,7 @@
 	r.count(o)
 }
 
-// count counts the request's one outcome.
+// count counts the outcome of the request. It is called once for each request.
 func (r *request) count(o outcome) {
 	c := &r.handler.options.Counters.Requests
 	c.Open.Add(-1)
@@ -40,8 +40,8 @@
 	}
 }
 
-// countByClass counts the outcome under the request's class. A rejection below 500 is not counted there: what is malformed
-// is no request of a class.
+// countByClass counts the outcome under the request's class. Rejections with a status below 500 are not counted, because a
+// malformed request belongs to no class.
 func (r *request) countByClass(o outcome) {
 	c := r.handler.options.Counters.Operations.For(r.received.class)
 	malformed := o.rejectCode != "" && o.status < fasthttp.StatusInternalServerError
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,29 +9,29 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// request is one client's request on its way through the stages. It is the engine.Request that the engine works with.
+// request is the state of a client's request in all stages. It implements engine.Request.
 type request struct {
 	handler  *Handler
 	client   Client
 	received received
 	class    balancer.Class
 	outgoing outgoing
-	response chan engine.Response // the one final response
+	response chan engine.Response // receives the final response; buffered
 	ticket   engine.Ticket
-	routed   bool            // the engine has it: ticket is valid
-	claimed  bool            // its id is claimed
-	timeout  balancer.Millis // how long the client waits, counted from the request's last byte
-	deadline balancer.Millis // when the client gives up
+	routed   bool            // submitted to the engine; ticket is valid
+	claimed  bool            // its id is in the handler's set of open ids
+	timeout  balancer.Millis // how long the client waits after the request's last byte
+	deadline balancer.Millis // when the client gives up, or earlier during a shutdown
 
 	mu        sync.Mutex
-	cancelled bool // nobody waits for the response
+	cancelled bool // a response that arrives later is discarded
 }
 
 func newRequest(h *Handler, client Client) *request {
 	return &request{handler: h, client: client, response: make(chan engine.Response, 1)}
 }
 
-// route hands the request to the balancer.
+// route submits the request to the balancer.
 func (r *request) route() {
 	r.ticket = r.handler.options.Router.Submit(r)
 	r.routed = true
@@ -52,7 +52,7 @@
 	}
 }
 
-// Respond takes the final response. The engine calls it once.
+// Respond accepts the final response. The engine calls it once for each submission.
 func (r *request) Respond(resp engine.Response) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +63,7 @@
 	r.response <- resp
 }
 
-// cancel withdraws the request from the balancer and discards a response that has come meanwhile.
+// cancel withdraws the request from the balancer and discards a response that has arrived already.
 func (r *request) cancel() {
 	if r.routed {
 		r.ticket.Cancel()
@@ -78,7 +78,7 @@
 	}
 }
 
-// discard closes what is still to come of a response that nobody gets.
+// discard closes the rest of a response that is not sent to the client.
 func discard(resp engine.Response) {
 	if resp.Remaining != nil {
 		resp.Remaining.Close()
--- a/internal/proxy/requestids.go
+++ b/internal/proxy/requestids.go
@@ -3,28 +3,28 @@
 import "sync"
 
 const (
-	// maxIDBytes bounds the length of a request id; clients send sixteen characters.
+	// maxIDBytes is the maximum length of a request id; clients send sixteen characters.
 	maxIDBytes = 256
 
-	// maxSiblingIDs bounds how many ids of the sibling process are stored. That process has at most one open request for
-	// each client connection.
+	// maxSiblingIDs is the maximum number of stored ids of the sibling process. That process has at most one open request
+	// for each client connection.
 	maxSiblingIDs = 4096
 )
 
-// requestIDs holds the ids of open requests: this process's and, during an upgrade, its sibling's. A server
-// could not distinguish two open requests with one id, and a response to one might be taken for the other's.
+// requestIDs holds the ids of open requests: those of this process and, during an upgrade, those of its sibling process. A
+// server could not distinguish two open requests with the same id, so a response to one might be mistaken for the other's.
 type requestIDs struct {
 	mu      sync.Mutex
-	open    map[string]struct{}
-	sibling map[string]struct{}
-	publish func(id string, open bool) // notifies the sibling process; nil: there is none
+	open    map[string]struct{}        // of this process
+	sibling map[string]struct{}        // of the sibling process
+	publish func(id string, open bool) // notifies the sibling process; nil: none
 }
 
 func newRequestIDs() *requestIDs {
 	return &requestIDs{open: map[string]struct{}{}, sibling: map[string]struct{}{}}
 }
 
-// claim reserves an id. It reports false where another open request has it.
+// claim reserves an id. It returns false if another open request has the id.
 func (ids *requestIDs) claim(id string) bool {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// setPublisher publishes the ids that are open and, from then on, each change. It forgets the sibling's ids.
+// setPublisher publishes the ids that are open and, from then on, each change. It deletes the sibling's ids.
 func (ids *requestIDs) setPublisher(publish func(id string, open bool)) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -65,7 +65,8 @@
 	}
 }
 
-// trackSibling notes an id that the sibling process has opened or closed. It reports false where there is no room for it.
+// trackSibling records that the sibling process has opened or closed an id. It returns false if the id is too long or the set
+// is full.
 func (ids *requestIDs) trackSibling(id string, open bool) bool {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -80,25 +81,25 @@
 	return true
 }
 
-// PublishRequestIDs calls publish with each id of a request that opens or closes, beginning with those open now; nil ends
-// that. Publish must not wait. The ids that TrackSiblingRequestID has noted are forgotten.
+// PublishRequestIDs calls publish for each request id that is open now, and from then on whenever an id is opened or closed,
+// until it is called with nil. publish must not block. The ids recorded by TrackSiblingRequestID are deleted.
 func (h *Handler) PublishRequestIDs(publish func(id string, open bool)) { h.ids.setPublisher(publish) }
 
-// TrackSiblingRequestID notes an id that the sibling process of an upgrade has opened or closed. Requests with an open id
-// are rejected here.
+// TrackSiblingRequestID records that the sibling process has opened or closed an id during an upgrade. This process rejects
+// requests with an id that is open there.
 func (h *Handler) TrackSiblingRequestID(id string, open bool) {
 	if !h.ids.trackSibling(id, open) {
 		h.options.Counters.Handover.Dropped.Inc()
 	}
 }
 
-// claimID claims the request's id. It reports false where another open request has it.
+// claimID claims the request's id. It returns false if another open request has the id.
 func (r *request) claimID() bool {
 	r.claimed = r.handler.ids.claim(r.received.id)
 	return r.claimed
 }
 
-// releaseID frees the request's id. Only its first call counts.
+// releaseID frees the request's id. Only the first call has an effect.
 func (r *request) releaseID() {
 	if !r.claimed {
 		return
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// watchdogMargin, in milliseconds, is how long after the last moment that counts by the settings the watchdog ends a
-	// request that the balancer has not answered. Clients wait 50 ms beyond that moment; half of it is left for the
-	// response's way to them.
+	// watchdogMargin is how long the watchdog waits, in milliseconds, after the last time at which a response counts by the
+	// settings (the deadline and DeadlineSlack), before it ends a request that the balancer has not answered. Clients wait
+	// 50 ms after that time; half of it is left for the transmission of the response.
 	watchdogMargin = 25
 
-	// statusClientLeft is the status for a client that has disconnected, or has closed its sending half only.
-	statusClientLeft = 499
+	// statusClientClosedRequest is the status for a client that has disconnected, or has closed only its sending side.
+	statusClientClosedRequest = 499
 )
 
-// outcome is what became of a request.
+// outcome is the result of a request.
 type outcome struct {
 	status             int
 	kind               engine.ResponseKind
 	body               []byte
-	retryAfter         float64         // milliseconds; 0: none
-	rejectCode         string          // why the request was not admitted; "": it was
+	retryAfter         float64         // in milliseconds; 0: no Retry-After field
+	rejectCode         string          // code of the rejection; "" if the request was admitted
 	clientDisconnected bool            // the client disconnected before its response
 	overdue            bool            // ended by the watchdog
-	stream             *responseStream // a large response, which is still being written
+	stream             *responseStream // a large response that is still being written
 }
 
-// awaitResponse waits for the final response. It ends early when the client disconnects. Its watchdog ends it should the
-// balancer never answer, so that the client has a response in time whatever goes wrong in the node.
+// awaitResponse waits for the final response. It returns early if the client disconnects. If the balancer does not answer, the
+// watchdog ends the wait, so that the client gets a response in time even if the node has a fault.
 func (r *request) awaitResponse(ctx *fasthttp.RequestCtx) outcome {
-	left, stop := r.client.WatchDisconnect()
+	disconnected, stop := r.client.WatchDisconnect()
 	defer stop()
-	watchdog := time.NewTimer(r.untilWatchdog())
+	watchdog := time.NewTimer(r.timeUntilWatchdog())
 	defer watchdog.Stop()
 	draining := r.handler.draining
-	shortened := false
+	deadlineShortened := false
 	for {
 		select {
 		case resp := <-r.response:
@@ -47,31 +47,31 @@
 				return r.startStream(ctx, resp)
 			}
 			return outcomeOf(resp)
-		case <-left:
+		case <-disconnected:
 			r.cancel()
 			return r.clientDisconnected(ctx)
 		case <-draining:
-			draining = nil // a closed channel would be ready for good
-			shortened = r.shorten(watchdog)
+			draining = nil // a closed channel is always ready
+			deadlineShortened = r.shortenDeadline(watchdog)
 		case <-watchdog.C:
 			r.cancel()
-			if shortened {
-				return shortenedOutcome()
+			if deadlineShortened {
+				return shutdownTimeoutOutcome()
 			}
 			return outcome{status: fasthttp.StatusGatewayTimeout, kind: engine.TimedOut, overdue: true}
 		}
 	}
 }
 
-// clientDisconnected closes the connection of a client that has disconnected.
+// clientDisconnected closes the connection of a client that has disconnected and returns the outcome.
 func (r *request) clientDisconnected(ctx *fasthttp.RequestCtx) outcome {
 	r.client.SetCloseReason(ReasonClientLeft)
 	ctx.SetConnectionClose()
-	return outcome{status: statusClientLeft, clientDisconnected: true}
+	return outcome{status: statusClientClosedRequest, clientDisconnected: true}
 }
 
-// outcomeOf gives a response its status. A server's own refusals and errors are never passed on: only the balancer knows
-// whether a retry is harmless.
+// outcomeOf converts a response to an outcome with its status. A server's own rejections and errors are never passed on,
+// because only the balancer can decide whether a retry is safe.
 func outcomeOf(resp engine.Response) outcome {
 	return outcome{status: statusOf(resp.Kind), kind: resp.Kind, body: resp.Body, retryAfter: resp.RetryAfter}
 }
--- a/internal/proxy/respond_test.go
+++ b/internal/proxy/respond_test.go
@@ -10,41 +10,42 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-func TestStatuses(t *testing.T) {
+func TestResponseKindDeterminesStatus(t *testing.T) {
 	for kind, want := range map[engine.ResponseKind]int{engine.Served: 200, engine.Rejected: 503, engine.Failed: 502,
 		engine.TimedOut: 504} {
 		var ctx fasthttp.RequestCtx
 		outcomeOf(engine.Response{Kind: kind, RetryAfter: 250}).write(&ctx)
 		if got := ctx.Response.StatusCode(); got != want {
-			t.Errorf("kind %v: %d, want %d", kind, got, want)
+			t.Errorf("kind %v: status = %d, want %d", kind, got, want)
 		}
 		if got := string(ctx.Response.Header.Peek("Retry-After")); got != "0.250" {
-			t.Errorf("Retry-After %q", got)
+			t.Errorf("Retry-After = %q, want 0.250", got)
 		}
 	}
 }
 
-// TestWatchdogAnswersInTime: the balancer never answers. The client gets its 504 from the watchdog, neither early nor late.
-func TestWatchdogAnswersInTime(t *testing.T) {
+// If the balancer never answers, the watchdog must answer with 504, neither before the deadline nor long after it.
+func TestWatchdogAnswersAfterDeadline(t *testing.T) {
 	count := &counters.Counters{}
 	ctx := lookRequest(50)
 	began := time.Now()
 	testHandler(silentEngine(t, count), count).Serve(ctx, newFakeClient())
 	if took := time.Since(began); took < 70*time.Millisecond || took > 5*time.Second {
-		t.Errorf("answered after %v", took)
+		t.Errorf("answered after %v, want 70 ms to 5 s", took)
 	}
 	if ctx.Response.StatusCode() != 504 || count.Requests.Overdue.Get() != 1 || count.Requests.Failed.Get() != 1 {
-		t.Errorf("status %d, counted %s", ctx.Response.StatusCode(), count.JSON())
+		t.Errorf("status = %d, counters = %s, want 504 counted as overdue and failed", ctx.Response.StatusCode(), count.JSON())
 	}
 }
 
-func TestDisconnectEndsTheWait(t *testing.T) {
+func TestClientDisconnectEndsWaitForResponse(t *testing.T) {
 	count := &counters.Counters{}
 	c := newFakeClient()
-	close(c.left)
+	close(c.disconnect)
 	ctx := lookRequest(60_000)
 	testHandler(silentEngine(t, count), count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != statusClientLeft || c.closeReason != ReasonClientLeft || count.Requests.Left.Get() != 1 {
-		t.Errorf("status %d, closed for %q, counted %s", ctx.Response.StatusCode(), c.closeReason, count.JSON())
+	if ctx.Response.StatusCode() != statusClientClosedRequest || c.closeReason != ReasonClientLeft || count.Requests.Left.Get() != 1 {
+		t.Errorf("status = %d, close reason = %q, counters = %s, want 499 for a disconnected client", ctx.Response.StatusCode(),
+			c.closeReason, count.JSON())
 	}
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -13,21 +13,21 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// statusNoStream is for a client whose protocol carries no large responses.
-const statusNoStream = fasthttp.StatusBadGateway
+// statusStreamingUnsupported is the status for a client whose protocol does not support large responses.
+const statusStreamingUnsupported = fasthttp.StatusBadGateway
 
-// responseStream is a large response that is written to its client as it comes. It holds one buffer at a time, so a client
-// that reads slowly slows the server down. fasthttp writes the head, calls WriteTo, and closes the connection where that
-// fails, before the length or the last chunk, so that the client can tell.
+// responseStream is a large response that is written to the client while it is received from the server. It buffers one block
+// at a time, so a client that reads slowly slows the server down. fasthttp writes the head and calls WriteTo. If that fails,
+// fasthttp closes the connection before the announced length or the last chunk is written, so the client detects the failure.
 type responseStream struct {
-	request  *request
-	first    []byte // read ahead of rest
-	rest     engine.RemainingBody
-	conn     io.Writer // the client's connection
-	buffers  *body.Store
-	complete bool
-	closed   bool
-	written  int64 // bytes
+	request   *request
+	prefix    []byte // the beginning of the body, sent before remaining
+	remaining engine.RemainingBody
+	conn      io.Writer // the client's connection
+	buffers   *body.Store
+	complete  bool // the server's response has been read to its end
+	closed    bool
+	written   int64 // bytes written to the client
 }
 
 // SupportsBodyWriteTo makes fasthttp call WriteTo.
@@ -35,20 +35,20 @@
 
 // Read returns the response's next bytes, and io.EOF at its end.
 func (s *responseStream) Read(b []byte) (int, error) {
-	if len(s.first) > 0 {
-		n := copy(b, s.first)
-		s.first = s.first[n:]
+	if len(s.prefix) > 0 {
+		n := copy(b, s.prefix)
+		s.prefix = s.prefix[n:]
 		return n, nil
 	}
-	n, err := s.rest.Read(b)
+	n, err := s.remaining.Read(b)
 	s.complete = errors.Is(err, io.EOF)
 	return n, err
 }
 
-// WriteTo writes what comes as it comes. Where the size is known it bypasses w, which would hold the latest bytes back until
-// more come. Where it is not, w makes a chunk of each write and holds nothing back.
+// WriteTo writes the body as it is received. If the size is known, it writes to the connection and not to w, which would
+// buffer the latest bytes until more arrive. If the size is unknown, w sends each write as a chunk without buffering.
 func (s *responseStream) WriteTo(w io.Writer) (int64, error) {
-	if s.rest.Size() >= 0 {
+	if s.remaining.Size() >= 0 {
 		w = s.conn
 	}
 	b, err := s.buffers.AcquireBuffer()
@@ -66,7 +66,7 @@
 			}
 		}
 		switch {
-		case s.complete && s.truncated():
+		case s.complete && s.sizeMismatch():
 			s.complete = false
 			return s.written, io.ErrUnexpectedEOF
 		case s.complete:
@@ -77,18 +77,18 @@
 	}
 }
 
-// truncated reports whether less, or more, was written than the server announced.
-func (s *responseStream) truncated() bool {
-	return s.rest.Size() >= 0 && s.written != s.rest.Size()
+// sizeMismatch reports whether the server announced a size and another number of bytes was written.
+func (s *responseStream) sizeMismatch() bool {
+	return s.remaining.Size() >= 0 && s.written != s.remaining.Size()
 }
 
-// Close ends the request: only now its outcome is known. Only its first call counts.
+// Close ends the request and counts its outcome, which is not known earlier. Only the first call has an effect.
 func (s *responseStream) Close() error {
 	if s.closed {
 		return nil
 	}
 	s.closed = true
-	s.rest.Close()
+	s.remaining.Close()
 	s.request.releaseID()
 	count := &s.request.handler.options.Counters.Bodies
 	if s.complete {
@@ -101,16 +101,16 @@
 	return nil
 }
 
-// startStream begins a large response.
+// startStream prepares a large response to be streamed to the client.
 func (r *request) startStream(ctx *fasthttp.RequestCtx, resp engine.Response) outcome {
 	conn, ok := r.client.(io.Writer)
-	if !ok { // CoAP has no streams
+	if !ok { // CoAP does not support streaming
 		resp.Remaining.Close()
-		return outcome{status: statusNoStream, kind: engine.Failed}
+		return outcome{status: statusStreamingUnsupported, kind: engine.Failed}
 	}
-	// From here on the stream's own timeouts end it, and no other: the request counts as answered.
+	// From here on, the request counts as answered, and only the stream's own timeouts apply.
 	resp.Remaining.SetDeadline(time.Now().Add(clock.Span(r.deadline - r.handler.options.Clock.Now())))
-	s := &responseStream{request: r, first: resp.Body, rest: resp.Remaining, conn: conn, buffers: r.handler.options.Bodies}
+	s := &responseStream{request: r, prefix: resp.Body, remaining: resp.Remaining, conn: conn, buffers: r.handler.options.Bodies}
 	if resp.Remaining.Size() < 0 && !ctx.Request.Header.IsHTTP11() {
 		s.writeHTTP10(ctx)
 		return outcome{stream: s}
@@ -120,8 +120,8 @@
 	return outcome{status: fasthttp.StatusOK, stream: s}
 }
 
-// writeHTTP10 answers a client of HTTP/1.0, which knows no chunks: the connection's end is the body's. A response that breaks
-// off ends with a reset, so that the client can tell.
+// writeHTTP10 answers an HTTP/1.0 client, which does not support chunks: the end of the connection marks the end of the body.
+// An incomplete response ends with a connection reset, so the client detects it.
 func (s *responseStream) writeHTTP10(ctx *fasthttp.RequestCtx) {
 	_, err := s.conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"))
 	if err == nil {
@@ -130,11 +130,11 @@
 	if c, ok := s.request.client.(interface{ Reset() }); ok && err != nil {
 		c.Reset()
 	}
-	_ = s.Close() // it never fails
+	_ = s.Close() // always returns nil
 	ctx.SetConnectionClose()
 	ctx.HijackSetNoResponse(true)
-	ctx.Hijack(noHijack)
+	ctx.Hijack(noopHijackHandler)
 }
 
-// noHijack does nothing: the response has been written, and the connection closes.
-func noHijack(net.Conn) {}
+// noopHijackHandler does nothing, because the response is written already. fasthttp closes the connection after it.
+func noopHijackHandler(net.Conn) {}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -8,16 +8,16 @@
 	"tackhub.example/tackhub/internal/clock"
 )
 
-// uploader is a Client whose request may have a large body that is still coming.
+// uploader is a Client whose request may have a large body that is still being uploaded.
 type uploader interface {
-	// LargeBody is the body's file; nil where the request has no large body.
+	// LargeBody returns the file that stores the body; nil if the request has no large body.
 	LargeBody() *body.File
-	// ReadBody reads the rest of the body. It calls ended before the last byte can be forwarded, and returns why the body
-	// could not be read; nil: it was.
-	ReadBody(ctx *fasthttp.RequestCtx, ended func()) *Rejection
+	// ReadBody reads the rest of the body. It calls beforeLastByte before the last byte can be forwarded. It returns a
+	// Rejection if the body could not be read, else nil.
+	ReadBody(ctx *fasthttp.RequestCtx, beforeLastByte func()) *Rejection
 }
 
-// largeBodyOf is the large body of a client's request; nil where it has none.
+// largeBodyOf returns the large body of a client's request; nil if it has none.
 func largeBodyOf(client Client) *body.File {
 	c, ok := client.(uploader)
 	if !ok {
@@ -26,8 +26,8 @@
 	return c.LargeBody()
 }
 
-// maxUploadTime is how long a body that is still uploaded may take; 0 where there is none. The client's connection ends an
-// upload that is too slow for its size: this bound only keeps the request from expiring before that.
+// maxUploadTime returns how long the rest of the upload may take, in milliseconds; 0 if the body is complete. The client's
+// connection ends an upload that is too slow for its size. This limit only prevents the request from expiring before that.
 func (r *request) maxUploadTime() balancer.Millis {
 	if !r.received.uploading {
 		return 0
@@ -35,22 +35,22 @@
 	return clock.Millis(body.MaxTransferTime)
 }
 
-// upload reads the rest of a large body while the request is already routed. It returns the request's outcome where the
-// body did not become complete, else nil.
+// upload reads the rest of a large body while the request is already routed. It returns the request's outcome if the request
+// ended during the upload, else nil.
 func (r *request) upload(ctx *fasthttp.RequestCtx) *outcome {
 	if !r.received.uploading {
 		return nil
 	}
-	respondedEarly := false // answered before any server could have the last byte, so nothing has run
-	ended := func() { respondedEarly = len(r.response) > 0 }
-	if rejected := r.client.(uploader).ReadBody(ctx, ended); rejected != nil {
-		r.cancel() // no attempt has the last byte: nothing has run
+	respondedEarly := false // answered before any server could have the last byte, so no server has run the request
+	beforeLastByte := func() { respondedEarly = len(r.response) > 0 }
+	if rejected := r.client.(uploader).ReadBody(ctx, beforeLastByte); rejected != nil {
+		r.cancel() // no server has the last byte, so none has run the request
 		r.client.SetCloseReason(ReasonBadRequest)
 		ctx.SetConnectionClose()
 		o := rejected.outcome()
 		return &o
 	}
-	// The request's time counts from its last byte.
+	// The timeout runs from the request's last byte.
 	r.deadline = r.handler.limitDeadline(r.handler.options.Clock.At(r.client.LastRead()) + r.timeout)
 	if !respondedEarly {
 		r.ticket.BodyReceived(r.deadline)
@@ -59,9 +59,9 @@
 	return r.routeAgain(ctx)
 }
 
-// routeAgain routes a request anew whose response came before its body was complete: there was no capacity for it then, or
-// its server failed. Such a response is void, since nothing has run. One that comes after the last byte stands, since the
-// request may have run.
+// routeAgain routes a request again if its response arrived before its body was complete, because there was no capacity for it
+// at that time or its server failed. That response is discarded, since no server has run the request. A response that arrives
+// after the last byte is final, since the request may have run.
 func (r *request) routeAgain(ctx *fasthttp.RequestCtx) *outcome {
 	discard(<-r.response)
 	if r.client.Disconnected() {
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -14,47 +14,47 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// uploadingClient is a client whose large body lacks its last byte.
+// uploadingClient is a client that has uploaded its large body except for the last byte.
 type uploadingClient struct {
 	*fakeClient
-	file       *body.File
-	beforeLast func() // called before the last byte can be forwarded
-	afterLast  func()
+	file           *body.File
+	beforeLastByte func() // called before the last byte can be forwarded
+	afterLastByte  func() // called after the last byte can be forwarded
 }
 
 func (u *uploadingClient) LargeBody() *body.File { return u.file }
 
-func (u *uploadingClient) ReadBody(_ *fasthttp.RequestCtx, ended func()) *Rejection {
-	u.beforeLast()
-	_, err := u.file.Fill(strings.NewReader("x"), nil, ended)
-	u.afterLast()
+func (u *uploadingClient) ReadBody(_ *fasthttp.RequestCtx, onEnd func()) *Rejection {
+	u.beforeLastByte()
+	_, err := u.file.Fill(strings.NewReader("x"), nil, onEnd)
+	u.afterLastByte()
 	if err != nil {
 		return &Rejection{Status: 400, Code: "unreadable"}
 	}
 	return nil
 }
 
-// countingRouter counts arrivals and remembers the last one.
+// countingRouter counts the submitted requests and stores the last one.
 type countingRouter struct {
-	next     Router
-	arrivals atomic.Int64
-	last     atomic.Pointer[request]
+	next        Router
+	arrivals    atomic.Int64
+	lastRequest atomic.Pointer[request]
 }
 
-func (c *countingRouter) Submit(x engine.Request) engine.Ticket {
+func (c *countingRouter) Submit(r engine.Request) engine.Ticket {
 	c.arrivals.Add(1)
-	c.last.Store(x.(*request))
-	return c.next.Submit(x)
+	c.lastRequest.Store(r.(*request))
+	return c.next.Submit(r)
 }
 
-// TestResponseBeforeTheUploadsEnd: a response that comes before the last byte can have been forwarded is to a request that has
-// not run, and the request is routed again. One that comes after may be to a request that has run, and it must not be.
-func TestResponseBeforeTheUploadsEnd(t *testing.T) {
+// If a response arrives before the last byte of the upload can be forwarded, no server has run the request, and the request
+// must be routed again. If it arrives later, the request may have run, and must not be routed again.
+func TestRequestIsRoutedAgainOnlyAfterEarlyResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		late     bool
 		arrivals int64
 		status   int
-	}{"before its end": {false, 2, 504}, "after its end": {true, 1, 502}} {
+	}{"response before the last byte": {false, 2, 504}, "response after the last byte": {true, 1, 502}} {
 		t.Run(name, func(t *testing.T) {
 			count := &counters.Counters{}
 			r := &countingRouter{next: silentEngine(t, count)}
@@ -67,21 +67,21 @@
 			defer f.Release()
 			respond := func() {
 				for end := time.Now().Add(10 * time.Second); count.Engine.Events.Get() == 0 && time.Now().Before(end); {
-					time.Sleep(time.Millisecond) // until the engine has taken the arrival: it answers no sooner
+					time.Sleep(time.Millisecond) // the engine answers a request only after it has handled its arrival
 				}
-				r.last.Load().Respond(engine.Response{Kind: engine.Failed})
+				r.lastRequest.Load().Respond(engine.Response{Kind: engine.Failed})
 			}
 			nothing := func() {}
-			u := &uploadingClient{fakeClient: newFakeClient(), file: f, beforeLast: respond, afterLast: nothing}
+			u := &uploadingClient{fakeClient: newFakeClient(), file: f, beforeLastByte: respond, afterLastByte: nothing}
 			if c.late {
-				u.beforeLast = nothing
-				u.afterLast = respond
+				u.beforeLastByte = nothing
+				u.afterLastByte = respond
 			}
 			ctx := lookRequest(50)
 			ctx.Request.Header.SetMethod("POST")
 			h.Serve(ctx, u)
 			if n := r.arrivals.Load(); n != c.arrivals || ctx.Response.StatusCode() != c.status {
-				t.Errorf("routed %d times, status %d", n, ctx.Response.StatusCode())
+				t.Errorf("routed %d times with status %d, want %d times with %d", n, ctx.Response.StatusCode(), c.arrivals, c.status)
 			}
 		})
 	}
