--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,53 +1,55 @@
 // Package drain plans a graceful shutdown. The plan is computed backwards from the earliest SIGKILL, so that every response is
-// written before it even if the process is paused between any two steps. The package is pure: it reads no clock.
+// written before it even if the process is paused between any two steps. The package does not read the clock.
 package drain
 
 import "time"
 
 const (
-	// KillAfter is the shortest time between SIGTERM and SIGKILL beyond the longest timeout of the deployment
+	// KillAfter is the shortest time between SIGTERM and SIGKILL in addition to the longest timeout of the deployment
 	// (docs/operating/stops.md).
 	KillAfter = 700 * time.Millisecond
 
-	// MaxTimeout is the longest timeout of a request that the earliest SIGKILL allows for, whatever the settings say.
+	// MaxTimeout is the longest timeout of a request for which the earliest SIGKILL leaves time. Longer timeouts in the
+	// settings do not delay it.
 	MaxTimeout = 3 * time.Second
 
-	// MaxPause is how long the process may be paused between any two steps.
+	// MaxPause is the longest pause of the process between two steps for which the plan leaves time.
 	MaxPause = 150 * time.Millisecond
 
-	// NewConnectionTime is how long new connections go on coming after the signal: 0.4 s by the protocol, and a little for
-	// their first request. Until then idle connections stay open too: a client whose connection is closed would only come
-	// back.
+	// NewConnectionTime is how long new connections may still arrive after the signal: 0.4 s by the protocol, plus a margin
+	// for their first request. Idle connections stay open for the same time, because a client whose connection is closed
+	// would only reconnect.
 	NewConnectionTime = 450 * time.Millisecond
 
-	// minListenTime is how long the listener stays open at least: closing it resets the connections in its queue.
+	// minListenTime is the minimum time for which the listener stays open. Closing it resets the connections in its accept
+	// queue.
 	minListenTime = 550 * time.Millisecond
 )
 
-// Plan holds the steps of a shutdown, each as the time since the signal was noticed.
+// Plan holds the times of a shutdown's steps, each counted from when the process noticed the signal.
 type Plan struct {
-	// CloseIdle is when idle connections begin to be closed.
+	// CloseIdle is when the node starts to close idle connections.
 	CloseIdle time.Duration
-	// CloseListener is when the listener is closed, as soon as its queue is empty.
+	// CloseListener is the earliest time at which the listener is closed. It is closed only when its queue is empty.
 	CloseListener time.Duration
-	// RejectIncomplete is when requests that are incomplete begin to be rejected.
+	// RejectIncomplete is when the node starts to reject requests that have not been received completely.
 	RejectIncomplete time.Duration
-	// LastAdmission is until when requests are admitted. What is read later is rejected at once: nothing of it has run.
-	// Admitted requests may still be forwarded or retried until LastResponse.
+	// LastAdmission is the time until which requests are admitted. A request that is read later is rejected at once as not
+	// run. Admitted requests may still be forwarded or retried until LastResponse.
 	LastAdmission time.Duration
-	// LastResponse is by when every response is written. A request waits for its response no longer. The listener is closed once
-	// its queue is empty, and MaxPause later whatever its queue holds.
+	// LastResponse is the time by which every response is written; no request waits longer. From then on the listener is
+	// closed when its queue is empty, and MaxPause later in any case.
 	LastResponse time.Duration
-	// Kill is the earliest SIGKILL.
+	// Kill is the earliest time of SIGKILL.
 	Kill time.Duration
 }
 
-// NewPlan plans the shutdown of a node whose clients wait for so long at most; 0: there is no limit.
-func NewPlan(longest time.Duration) Plan {
-	if longest <= 0 || longest > MaxTimeout {
-		longest = MaxTimeout
+// NewPlan returns the plan for a node whose clients wait at most for longestTimeout; 0: no limit.
+func NewPlan(longestTimeout time.Duration) Plan {
+	if longestTimeout <= 0 || longestTimeout > MaxTimeout {
+		longestTimeout = MaxTimeout
 	}
-	kill := longest + KillAfter
+	kill := longestTimeout + KillAfter
 	// The process may be paused before it notices the signal, and again right before it writes the last response.
 	lastResponse := kill - 2*MaxPause
 	lastAdmission := lastResponse - MaxPause
@@ -61,17 +63,17 @@
 	}
 }
 
-// Start begins a plan at the time at which the signal was noticed.
+// Start returns the schedule of a plan that starts now, when the process noticed the signal.
 func (p Plan) Start(now time.Time) *Schedule { return &Schedule{Plan: p, Began: now} }
 
-// Schedule is a plan that has begun.
+// Schedule is a plan with its start time.
 type Schedule struct {
 	Plan
-	Began time.Time // when the signal was noticed
+	Began time.Time // when the process noticed the signal
 }
 
-// Reached reports whether a step's time has come.
+// Reached reports whether the time of a step has been reached.
 func (s *Schedule) Reached(step time.Duration, now time.Time) bool { return now.Sub(s.Began) >= step }
 
-// At is the time of a step.
+// At returns the time of a step.
 func (s *Schedule) At(step time.Duration) time.Time { return s.Began.Add(step) }
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,6 +1,6 @@
-// Package inflight tracks the requests that a node is responsible for: each from when its last byte was read until its
-// complete response was handed to the kernel, whichever listener, protocol or goroutine handles it. A graceful shutdown ends only once
-// none is left.
+// Package inflight tracks the requests that a node must answer, over all listeners, protocols and goroutines. A request is in
+// flight from the time when its last byte was read until its complete response was passed to the kernel. A graceful shutdown
+// ends only when no request is in flight.
 package inflight
 
 import (
@@ -8,78 +8,78 @@
 	"time"
 )
 
-// Outcome is how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome int
 
 // The outcomes.
 const (
-	Answered           Outcome = iota // the complete response was handed to the kernel
-	Rejected                          // the same, and the response was a rejection
-	ClientDisconnected                // the client had disconnected before its response
+	Answered           Outcome = iota // the complete response was passed to the kernel
+	Rejected                          // as Answered, and the response was a rejection
+	ClientDisconnected                // the client disconnected before its response
 	Unanswered                        // the response could not be written completely
 
 	outcomeCount = iota
 )
 
-// Tracker holds the requests in flight. The zero value is ready for use.
+// Tracker tracks the requests in flight. The zero value is ready for use.
 type Tracker struct {
-	mu    sync.Mutex
-	open  map[*Request]struct{}
-	empty chan struct{}  // closed, and removed, when no request is left; nil: nobody waits
-	stats *ShutdownStats // nil: no shutdown has begun
+	mu       sync.Mutex
+	requests map[*Request]struct{}
+	empty    chan struct{}  // closed and set to nil when no request is in flight; nil: not requested
+	stats    *ShutdownStats // nil: no shutdown has begun
 }
 
 // Request is one request in flight.
 type Request struct {
 	tracker *Tracker
-	// ID, Class and Began are for the log.
+	// ID, Class and Began are logged.
 	ID, Class string
 	Began     time.Time
 }
 
-// ShutdownStats are figures of a graceful shutdown.
+// ShutdownStats are statistics of a graceful shutdown.
 type ShutdownStats struct {
 	Began         time.Time
-	OpenAtStart   int               // requests that were in flight when it began
-	ReceivedSince int               // requests that were read since
-	Outcomes      [outcomeCount]int // requests that ended since, by Outcome
-	LastAnswer    time.Duration     // when the last response was written, counted from the beginning; 0: none yet
+	OpenAtStart   int               // requests in flight when the shutdown began
+	ReceivedSince int               // requests received since then
+	Outcomes      [outcomeCount]int // number of requests that ended since then, by Outcome
+	LastAnswer    time.Duration     // from Began until the last response was written; 0: none yet
 }
 
-// Begin begins to track a request. The caller ends it with End.
+// Begin starts to track a request. The caller must call End on it.
 func (t *Tracker) Begin(id, class string) *Request {
 	r := &Request{tracker: t, ID: id, Class: class, Began: time.Now()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.open == nil {
-		t.open = map[*Request]struct{}{}
+	if t.requests == nil {
+		t.requests = map[*Request]struct{}{}
 	}
-	t.open[r] = struct{}{}
+	t.requests[r] = struct{}{}
 	if t.stats != nil {
 		t.stats.ReceivedSince++
 	}
 	return r
 }
 
-// End ends a request. Only its first call counts.
+// End stops tracking the request. Only the first call has an effect.
 func (r *Request) End(outcome Outcome) {
 	t := r.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, ok := t.open[r]; !ok {
+	if _, ok := t.requests[r]; !ok {
 		return
 	}
-	delete(t.open, r)
+	delete(t.requests, r)
 	if t.stats != nil {
 		t.stats.add(outcome)
 	}
-	if len(t.open) == 0 && t.empty != nil {
+	if len(t.requests) == 0 && t.empty != nil {
 		close(t.empty)
 		t.empty = nil
 	}
 }
 
-// add counts a request that ended now.
+// add counts a request that has just ended.
 func (s *ShutdownStats) add(outcome Outcome) {
 	s.Outcomes[outcome]++
 	if outcome == Answered || outcome == Rejected {
@@ -87,14 +87,14 @@
 	}
 }
 
-// Open is how many requests are in flight.
+// Open returns the number of requests in flight.
 func (t *Tracker) Open() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.open)
+	return len(t.requests)
 }
 
-// Empty returns a channel that is closed once no request is in flight.
+// Empty returns a channel that is closed as soon as no request is in flight.
 func (t *Tracker) Empty() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,23 +102,23 @@
 		t.empty = make(chan struct{})
 	}
 	empty := t.empty
-	if len(t.open) == 0 {
+	if len(t.requests) == 0 {
 		close(empty)
 		t.empty = nil
 	}
 	return empty
 }
 
-// BeginShutdown starts the figures of a graceful shutdown. Later calls change nothing.
+// BeginShutdown starts the statistics of a graceful shutdown. Later calls have no effect.
 func (t *Tracker) BeginShutdown(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.stats == nil {
-		t.stats = &ShutdownStats{Began: now, OpenAtStart: len(t.open)}
+		t.stats = &ShutdownStats{Began: now, OpenAtStart: len(t.requests)}
 	}
 }
 
-// ShutdownStats returns the figures so far; ok is false where no shutdown has begun.
+// ShutdownStats returns the statistics up to now; ok is false if no shutdown has begun.
 func (t *Tracker) ShutdownStats() (stats ShutdownStats, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// closed reports whether a channel is closed.
-func closed(c <-chan struct{}) bool {
+// isClosed reports whether a channel is isClosed.
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -15,22 +15,22 @@
 	}
 }
 
-func TestEmptyOnlyAfterTheLastEnd(t *testing.T) {
+func TestEmptyClosesAfterLastRequestEnds(t *testing.T) {
 	var tracker Tracker
-	if !closed(tracker.Empty()) {
-		t.Error("a tracker without requests is not empty")
+	if !isClosed(tracker.Empty()) {
+		t.Error("Empty is not closed for a tracker without requests")
 	}
-	one := tracker.Begin("1", "look")
-	two := tracker.Begin("2", "bill")
+	first := tracker.Begin("1", "look")
+	second := tracker.Begin("2", "bill")
 	empty := tracker.Empty()
-	one.End(Answered)
-	one.End(Answered)
-	if tracker.Open() != 1 || closed(empty) {
-		t.Errorf("%d open after one of two ended, empty %v", tracker.Open(), closed(empty))
+	first.End(Answered)
+	first.End(Answered) // has no effect
+	if tracker.Open() != 1 || isClosed(empty) {
+		t.Errorf("after one of two requests ended: open = %d, empty = %v, want 1 and false", tracker.Open(), isClosed(empty))
 	}
-	two.End(Unanswered)
-	if !closed(empty) || !closed(tracker.Empty()) {
-		t.Error("not empty after both ended")
+	second.End(Unanswered)
+	if !isClosed(empty) || !isClosed(tracker.Empty()) {
+		t.Error("Empty is not closed after both requests ended")
 	}
 }
 
@@ -38,15 +38,15 @@
 	var tracker Tracker
 	before := tracker.Begin("1", "look")
 	if _, ok := tracker.ShutdownStats(); ok {
-		t.Error("figures of a shutdown that has not begun")
+		t.Error("ShutdownStats returned statistics before a shutdown began")
 	}
 	tracker.BeginShutdown(time.Now().Add(-time.Second))
-	tracker.BeginShutdown(time.Now()) // a second signal begins nothing
+	tracker.BeginShutdown(time.Now()) // a repeated signal has no effect
 	after := tracker.Begin("2", "look")
 	before.End(Answered)
 	after.End(Rejected)
 	got, ok := tracker.ShutdownStats()
 	if !ok || got.OpenAtStart != 1 || got.ReceivedSince != 1 || got.Outcomes != [4]int{1, 1, 0, 0} || got.LastAnswer < time.Second {
-		t.Errorf("%+v, %v", got, ok)
+		t.Errorf("stats = %+v, %v, want one request of each kind and LastAnswer after 1 s", got, ok)
 	}
 }
