--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -9,17 +9,17 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Fault is one thing that is wrong with the settings. Key is where it stands, with places in lists
-// as numbers; the text names it as whoever wrote the file does, with a class by its name.
+// Fault is an error in one setting. Key is the path of the setting, in which list entries are numbers
+// from 0. Text describes the error for operators and refers to a class by its name.
 type Fault struct{ Key, Text string }
 
-// Error is the fault's text.
+// Error returns the fault's text with the prefix "options: ".
 func (f Fault) Error() string { return "options: " + f.Text }
 
-// faults are all that is wrong, as one error.
+// faults is an error that contains all faults of a settings object.
 type faults []Fault
 
-// Error names every fault, in one line.
+// Error returns the texts of all faults in one line.
 func (f faults) Error() string {
 	out := make([]string, len(f))
 	for i := range f {
@@ -28,40 +28,42 @@
 	return strings.Join(out, "; ")
 }
 
-// All are the faults that an error of Parse holds, at least one.
+// All returns the faults that an error of Parse contains, at least one.
 func All(err error) []Fault {
-	var many faults
-	if errors.As(err, &many) {
-		return many
+	var found faults
+	if errors.As(err, &found) {
+		return found
 	}
 	return []Fault{{Text: strings.TrimPrefix(err.Error(), "options: ")}}
 }
 
-// checkClasses names every class whose effect or group is not known.
+// checkClasses returns a fault for each class whose name is empty or repeated, or whose effect or group is
+// unknown. The group matters only to idempotent classes with a key.
 func checkClasses(o *options) faults {
 	var out faults
 	for i, c := range o.Classes {
-		at := fmt.Sprintf("classes[%d].", i)
-		effect, ok := idempotency[c.Effect]
-		if !ok {
-			out = append(out, Fault{at + "effect", fmt.Sprintf("classes[%s].effect: %q is not known", c.Name, c.Effect)})
+		path := fmt.Sprintf("classes[%d].", i)
+		effect, effectKnown := idempotency[c.Effect]
+		if !effectKnown {
+			out = append(out, Fault{path + "effect",
+				fmt.Sprintf("classes[%s].effect: %q is unknown, want free, guarded or single_shot", c.Name, c.Effect)})
 		}
 		if c.Name == "" || slices.ContainsFunc(o.Classes[:i], func(b class) bool { return b.Name == c.Name }) {
-			out = append(out, Fault{at + "name", fmt.Sprintf("classes[%d].name: %q is empty or comes twice", i, c.Name)})
+			out = append(out, Fault{path + "name", fmt.Sprintf("classes[%d].name: %q is empty or used by an earlier class", i, c.Name)})
 		}
-		if _, known := dedupScopes[c.Group]; ok && !known && effect == balancer.IdempotentWithKey {
-			out = append(out, Fault{at + "group", fmt.Sprintf("classes[%s].group: %q is not known", c.Name, c.Group)})
+		if _, groupKnown := dedupScopes[c.Group]; effectKnown && !groupKnown && effect == balancer.IdempotentWithKey {
+			out = append(out, Fault{path + "group", fmt.Sprintf("classes[%s].group: %q is unknown, want all, zone or cell", c.Name, c.Group)})
 		}
 	}
 	return out
 }
 
-// checkRequired names every missing key that a rule needs.
+// checkRequired returns a fault for each required setting that is missing.
 func checkRequired(o *options) faults {
 	var out faults
 	for _, k := range []struct {
-		name string
-		ok   bool
+		name    string
+		present bool
 	}{
 		{"fleet_size", o.FleetSize != nil},
 		{"obligations.cold_from", o.Rules.ColdFrom != nil},
@@ -72,60 +74,61 @@
 		{"policy_limits.attempts_cap", o.Limits.Attempts != nil},
 		{"discovery", o.Discovery == "subscribe" || o.Discovery == "automatic"},
 	} {
-		if !k.ok {
-			out = append(out, Fault{k.name, k.name + " is missing or not known"})
+		if !k.present {
+			out = append(out, Fault{k.name, k.name + " is missing or has an unknown value"})
 		}
 	}
 	return out
 }
 
-// reportForms are where load reports come along; empty stands for a file that names none.
-var reportForms = []string{"", "answers", "probe", "none"}
+// reportModes lists the values of report.how: load reports arrive with responses, with load probes or not at
+// all. The empty value is that of a missing key.
+var reportModes = []string{"", "answers", "probe", "none"}
 
-// checkRanges names every value that is out of range. A missing key counts as 0.
+// checkRanges returns a fault for each value that is out of range. A missing key has the value 0.
 func checkRanges(o *options) faults {
 	var out faults
 	fault := func(key, format string, args ...any) {
 		out = append(out, Fault{key, key + ": " + fmt.Sprintf(format, args...)})
 	}
-	if !slices.Contains(reportForms, o.Report.How) {
-		fault("report.how", "%q is not known", o.Report.How)
+	if !slices.Contains(reportModes, o.Report.How) {
+		fault("report.how", "%q is unknown, want answers, probe or none", o.Report.How)
 	}
 	if n := o.Goal.NinesWanted; n != nil && !(*n > 0) {
-		fault("goal.nines_wanted", "%v nines cannot be wanted, they must be over 0", *n)
+		fault("goal.nines_wanted", "%v is out of range, want a number greater than 0", *n)
 	}
 	if m := o.Goal.MissAllowed; m != nil && !(*m >= 0 && *m <= 1) {
-		fault("goal.miss_allowed", "%v is not a share from 0 to 1", *m)
+		fault("goal.miss_allowed", "%v is out of range, want a fraction from 0 to 1", *m)
 	}
-	for _, k := range []figure{{"goal.log_loss_part", o.Goal.Nines}, {"goal.tail", o.Goal.Tail}} {
+	for _, k := range []numericOption{{"goal.log_loss_part", o.Goal.Nines}, {"goal.tail", o.Goal.Tail}} {
 		if !(k.value >= 0 && k.value <= 1) {
-			fault(k.key, "%v is not a share from 0 to 1", k.value)
+			fault(k.key, "%v is out of range, want a fraction from 0 to 1", k.value)
 		}
 	}
-	for i, r := range o.Realms { // of two by one name the later one's quota would hold for both
+	for i, r := range o.Realms { // with a repeated name, the last quota would apply to all realms of that name
 		if slices.ContainsFunc(o.Realms[:i], func(b realm) bool { return b.Name == r.Name }) {
-			fault(fmt.Sprintf("realms[%d].name", i), "%q comes twice", r.Name)
+			fault(fmt.Sprintf("realms[%d].name", i), "%q is used by an earlier realm", r.Name)
 		}
 	}
 	for i, c := range o.Classes {
 		if !(c.LateShare >= 0 && c.LateShare <= 1) {
 			out = append(out, Fault{fmt.Sprintf("classes[%d].late_share", i),
-				fmt.Sprintf("classes[%s].late_share: %v is not a share from 0 to 1", c.Name, c.LateShare)})
+				fmt.Sprintf("classes[%s].late_share: %v is out of range, want a fraction from 0 to 1", c.Name, c.LateShare)})
 		}
 	}
-	for _, k := range []figure{{"prices.cross_zone", o.Prices.CrossZone}, {"prices.handshake", o.Prices.Handshake}, {"prices.peer", o.Prices.Peer},
-		{"prices.probe", o.Prices.Probe}, {"policy_limits.cpu_us_per_request", o.Limits.CPUPerRequest},
+	for _, k := range []numericOption{{"prices.cross_zone", o.Prices.CrossZone}, {"prices.handshake", o.Prices.Handshake},
+		{"prices.peer", o.Prices.Peer}, {"prices.probe", o.Prices.Probe}, {"policy_limits.cpu_us_per_request", o.Limits.CPUPerRequest},
 		{"policy_limits.conn_idle_ms", o.Limits.IdleMs}, {"policy_limits.connect_timeout_ms", o.Limits.ConnectMs},
 		{"obligations.answer_slack_ms", o.Rules.AnswerSlackMs}, {"obligations.must_ask_in_ms", o.Rules.MustAskMs}} {
 		if k.value < 0 {
-			fault(k.key, "%v is under 0", k.value)
+			fault(k.key, "%v is negative, want 0 or more", k.value)
 		}
 	}
 	return out
 }
 
-// figure is a number and where it stands.
-type figure struct {
+// numericOption is a numeric setting with its path.
+type numericOption struct {
 	key   string
 	value float64
 }
--- a/internal/settings/digest.go
+++ b/internal/settings/digest.go
@@ -8,11 +8,11 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Two processes of one node compare the digests of their settings in an upgrade: records that hang
-// on the settings are taken over only if the digests are equal. So the digested form must stay the
-// same from version to version. The types below are that form: their names and their order never
-// change, whatever the balancer calls these settings, and they keep values that no longer decide
-// anything.
+// During an upgrade, the old and the new process of a node compare the digests of their settings. State
+// that depends on the settings is transferred only if the digests are equal. The digested form must
+// therefore be the same in every version. The types below define it. The names and the order of their
+// fields must never change, even if the balancer renames a setting, and they keep values that are no
+// longer used elsewhere.
 
 type digestedSettings struct {
 	Logic       digestedBalancer
@@ -82,7 +82,7 @@
 
 type digestedGoal struct{ Whole, WorstWindow, WorstClass, WorstTenant, Tail, Nines float64 }
 
-// digest is the digest of a settings object and of the settings made of it.
+// digest returns the digest of a settings object and of the Settings that were parsed from it.
 func digest(o *options, s Settings) string {
 	raw, err := json.Marshal(digestedSettings{
 		Logic:       digestedForm(o, s.Balancer),
@@ -92,7 +92,7 @@
 		ConnIdle:    s.ServerIdleTimeout,
 		AnswerSlack: s.ResponseSlack,
 	})
-	if err != nil { // a number without end, which no JSON has
+	if err != nil { // an infinite number, which JSON cannot represent
 		return ""
 	}
 	sum := sha256.Sum256(raw)
--- a/internal/settings/mapping.go
+++ b/internal/settings/mapping.go
@@ -2,22 +2,22 @@
 
 import "tackhub.example/tackhub/balancer"
 
-// idempotency maps the values of a class's "effect".
+// idempotency maps the values of "effect", a key of a class.
 var idempotency = map[string]balancer.Idempotency{
 	"free":        balancer.Idempotent,
 	"guarded":     balancer.IdempotentWithKey,
 	"single_shot": balancer.NonIdempotent,
 }
 
-// dedupScopes maps the values of a class's "group".
+// dedupScopes maps the values of "group", a key of a class.
 var dedupScopes = map[string]balancer.DedupScope{
 	"all":  balancer.DedupAcrossFleet,
 	"zone": balancer.DedupWithinZone,
 	"cell": balancer.DedupWithinCell,
 }
 
-// balancerSettings maps the settings object to the balancer's settings. What the object says on
-// load reports is mapped by reportIndexes and Parse.
+// balancerSettings converts the settings object to the balancer's settings, except for the settings of
+// load reports, which are converted by reportIndexes and Parse.
 func balancerSettings(o *options) balancer.Settings {
 	return balancer.Settings{
 		Node:    o.Me,
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,7 +1,8 @@
 package settings
 
-// The settings object as it stands in a configuration file and on the simulator's wire. The JSON
-// names are the operators'; mapping.go maps them to the balancer's terms.
+// The types in this file are the settings object as it is written in a configuration file and on the
+// simulator's wire. The JSON keys are defined by the operators; mapping.go converts the values to the
+// balancer's terms.
 
 // class is an entry of "classes".
 type class struct {
@@ -13,11 +14,11 @@
 	Group      string  `json:"group"`
 	HardMs     float64 `json:"hard_limit_ms"`
 	LateShare  float64 `json:"late_share"`
-	Streamed   bool    `json:"streamed"`
+	Streamed   bool    `json:"streamed"` // used only for the digest
 	Worth      float64 `json:"worth"`
 }
 
-// realm is an entry of "realms": a tenant.
+// realm is an entry of "realms", which lists the tenants.
 type realm struct {
 	Name  string  `json:"name"`
 	Quota float64 `json:"quota_per_s"`
@@ -41,9 +42,9 @@
 		WorstTenant float64  `json:"worst_tenant"`
 		WorstWindow float64  `json:"worst_window"`
 		Tail        float64  `json:"tail"`
-		MissAllowed *float64 `json:"miss_allowed"`
+		MissAllowed *float64 `json:"miss_allowed"` // validated, otherwise unused
 		Nines       float64  `json:"log_loss_part"`
-		NinesWanted *float64 `json:"nines_wanted"`
+		NinesWanted *float64 `json:"nines_wanted"` // validated, otherwise unused
 	} `json:"goal"`
 	Me     int `json:"me"`
 	Limits struct {
@@ -56,7 +57,7 @@
 		Peers         bool    `json:"peers"`
 		Probes        bool    `json:"probes"`
 		RetryAfter    bool    `json:"retry_after"`
-		SecondCopies  bool    `json:"second_copies"`
+		SecondCopies  bool    `json:"second_copies"` // used only for the digest
 	} `json:"policy_limits"`
 	Rules struct {
 		AnswerSlackMs float64  `json:"answer_slack_ms"`
@@ -71,7 +72,7 @@
 	Prices    struct {
 		CrossZone float64 `json:"cross_zone"`
 		Handshake float64 `json:"handshake"`
-		LateFail  float64 `json:"late_fail"`
+		LateFail  float64 `json:"late_fail"` // used only for the digest
 		Peer      float64 `json:"peer"`
 		Probe     float64 `json:"probe"`
 	} `json:"prices"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the operators' settings object, which is the same in a node's
-// configuration file and on the simulator's wire, into the balancer's settings.
+// Package settings parses the operators' settings object into the balancer's settings. The object has
+// the same form in a node's configuration file and on the simulator's wire.
 package settings
 
 import (
@@ -10,32 +10,32 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Settings are the balancer's settings, and what whoever carries its decisions out needs besides.
+// Settings are the balancer's settings and those of the code that executes its decisions.
 type Settings struct {
 	Balancer balancer.Settings
 
-	// InFlightIndex and QueuedIndex are the places of the requests in flight, and of those of them
-	// that are queued, in a load report; -1 where there are none.
+	// InFlightIndex and QueuedIndex are the indexes of two fields of a load report: the number of
+	// requests in flight at the server, and how many of them are queued. -1: not reported.
 	InFlightIndex int
 	QueuedIndex   int
-	ReportFields  []string // the names of a report's figures, in order
+	ReportFields  []string // the names of a load report's fields, in order
 
-	ServerIdleTimeout balancer.Millis // servers close a connection that has been idle for so long; 0: never
-	ResponseSlack     balancer.Millis // how late after the client's deadline a final answer still counts
+	ServerIdleTimeout balancer.Millis // idle time after which servers close a connection; 0: never
+	ResponseSlack     balancer.Millis // how long after the client's deadline a final response still counts
 
-	// Digest is equal for equal settings, in every version of the program.
+	// Digest is equal for equal settings in every version of the program.
 	Digest string
 }
 
-// Parse reads the settings object. Its error names every key that a rule needs and that is missing
-// or unknown, and every value that can't be; All gives them one by one.
+// Parse parses and validates the settings object. Its error names every required key that is missing and
+// every value that is unknown or out of range; All returns them as a list.
 func Parse(raw json.RawMessage) (Settings, error) {
 	var o options
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return Settings{}, fmt.Errorf("options: %w", err)
 	}
-	if wrong := slices.Concat(checkRequired(&o), checkClasses(&o), checkRanges(&o)); len(wrong) > 0 {
-		return Settings{}, wrong
+	if found := slices.Concat(checkRequired(&o), checkClasses(&o), checkRanges(&o)); len(found) > 0 {
+		return Settings{}, found
 	}
 	set := Settings{
 		Balancer:          balancerSettings(&o),
@@ -50,8 +50,9 @@
 	return set, nil
 }
 
-// reportIndexes are the places of the requests in flight and of the queued ones in a load report;
-// -1 where there are none.
+// reportIndexes returns the indexes of the requests in flight and of the queued requests in a load
+// report. They are -1 if the report does not contain them or no reports can arrive: reports that come
+// with load probes require that probes are allowed.
 func reportIndexes(o *options) (inFlight, queued int) {
 	probesForbidden := o.Report.How == "probe" && !o.Limits.Probes
 	if o.Report.How == "none" || probesForbidden {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-const good = `{"classes":[{"name":"look","effect":"free","aim_ms":300,"hard_limit_ms":900,"worth":1},
+const validSettings = `{"classes":[{"name":"look","effect":"free","aim_ms":300,"hard_limit_ms":900,"worth":1},
  {"name":"store","effect":"guarded","group":"zone","aim_ms":300,"hard_limit_ms":900,"dedup_window_ms":500,"worth":2}],
  "client_habits":{"marks_retry":true},"counted_by":"work","discovery":"subscribe","fleet_size":3,"me":1,"goal":{"whole":1},
  "obligations":{"answer_slack_ms":5,"cold_from":0.3,"cold_ms":9000,"fall_ms":1000,"fall_multiple":3,
@@ -16,24 +16,25 @@
  "report":{"how":"answers","names":["depth","concurrent"]},"weights":"rough","zone":"a","unheard_of":{"x":1}}`
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := s.Balancer
-	if l.Nodes != 3 || l.Node != 1 || !l.WatchEndpoints || !l.WeightByWork || !l.CapacitiesListed || !l.ClientsMarkRetries || !l.LoadReports ||
-		l.MaxAttempts != 4 || l.MaxPollInterval != 10000 || l.DrainGrace != 1500 || l.ConnectTimeout != 250 {
-		t.Errorf("settings %+v", l)
+	got := s.Balancer
+	if got.Nodes != 3 || got.Node != 1 || !got.WatchEndpoints || !got.WeightByWork || !got.CapacitiesListed ||
+		!got.ClientsMarkRetries || !got.LoadReports || got.MaxAttempts != 4 || got.MaxPollInterval != 10000 || got.DrainGrace != 1500 || got.ConnectTimeout != 250 {
+		t.Errorf("balancer settings = %+v", got)
 	}
-	if len(l.Classes) != 2 || l.Classes[1].Idempotency != balancer.IdempotentWithKey || l.Classes[1].DedupScope != balancer.DedupWithinZone {
-		t.Errorf("classes %+v", l.Classes)
+	if len(got.Classes) != 2 || got.Classes[1].Idempotency != balancer.IdempotentWithKey || got.Classes[1].DedupScope != balancer.DedupWithinZone {
+		t.Errorf("classes = %+v", got.Classes)
 	}
 	if s.InFlightIndex != 1 || s.ServerIdleTimeout != 10000 || s.ResponseSlack != 5 {
-		t.Errorf("load at %d, idle %v, slack %v", s.InFlightIndex, s.ServerIdleTimeout, s.ResponseSlack)
+		t.Errorf("in-flight index = %d, idle timeout = %v ms, response slack = %v ms, want 1, 10000 and 5",
+			s.InFlightIndex, s.ServerIdleTimeout, s.ResponseSlack)
 	}
 }
 
-func TestMissingKeysAreNamed(t *testing.T) {
+func TestParseNamesMissingKeys(t *testing.T) {
 	for key, change := range map[string][2]string{
 		"fleet_size":             {`"fleet_size":3,`, ``},
 		"cold_from":              {`"cold_from":0.3,`, ``},
@@ -41,37 +42,39 @@
 		"stop_sending_within_ms": {`"stop_sending_within_ms":1500`, `"other":1`},
 		"discovery":              {`"discovery":"subscribe",`, ``},
 	} {
-		if _, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil ||
+		if _, err := Parse([]byte(strings.Replace(validSettings, change[0], change[1], 1))); err == nil ||
 			!strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v", key, err)
+			t.Errorf("without %s: error = %v, want one that names the key", key, err)
 		}
 	}
-	if s, err := Parse([]byte(strings.Replace(good, `"answers"`, `"none"`, 1))); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 {
-		t.Errorf("without reports: %+v %v", s, err)
+	if s, err := Parse([]byte(strings.Replace(validSettings, `"answers"`, `"none"`, 1))); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 {
+		t.Errorf("without load reports: settings = %+v, error = %v", s, err)
 	}
 }
 
-func TestNewKeysAreReadAndChecked(t *testing.T) {
-	with := func(old, new string) (Settings, error) { return Parse([]byte(strings.Replace(good, old, new, 1))) }
-	s, err := with(`"goal":{"whole":1}`, `"goal":{"whole":1,"log_loss_part":0.2,"nines_wanted":2},
+func TestParseReadsAndValidatesOptionalKeys(t *testing.T) {
+	parseWith := func(old, replacement string) (Settings, error) {
+		return Parse([]byte(strings.Replace(validSettings, old, replacement, 1)))
+	}
+	s, err := parseWith(`"goal":{"whole":1}`, `"goal":{"whole":1,"log_loss_part":0.2,"nines_wanted":2},
  "family_info":{"warm_keys":true},"prices":{"cross_zone":0.13,"handshake":0.02,"peer":0.01,"probe":0.008}`)
-	if l := s.Balancer; err != nil || l.Goal.Availability != 0.2 || !l.KeyAffinity || l.Prices.CrossZone != 0.13 || l.Prices.Handshake != 0.02 || l.Prices.Gossip != 0.01 ||
-		l.Prices.Probe != 0.008 || l.ReportsFromProbesOnly || l.GossipAllowed || l.CPUPerRequest != 0 {
-		t.Errorf("read %+v, %v", l, err)
+	if got := s.Balancer; err != nil || got.Goal.Availability != 0.2 || !got.KeyAffinity || got.Prices.CrossZone != 0.13 || got.Prices.Handshake != 0.02 ||
+		got.Prices.Gossip != 0.01 || got.Prices.Probe != 0.008 || got.ReportsFromProbesOnly || got.GossipAllowed || got.CPUPerRequest != 0 {
+		t.Errorf("balancer settings = %+v, error = %v", got, err)
 	}
-	s, err = with(`"probes":true}`, `"probes":true,"peers":true,"cpu_us_per_request":10}`)
+	s, err = parseWith(`"probes":true}`, `"probes":true,"peers":true,"cpu_us_per_request":10}`)
 	if err != nil || !s.Balancer.GossipAllowed || s.Balancer.CPUPerRequest != 10 || s.QueuedIndex != 0 {
-		t.Errorf("read %+v, %v", s, err)
+		t.Errorf("settings = %+v, error = %v", s, err)
 	}
-	if s, err = with(`"how":"answers"`, `"how":"probe"`); err != nil || !s.Balancer.ReportsFromProbesOnly || !s.Balancer.LoadReports {
-		t.Errorf("read %+v, %v", s.Balancer, err)
+	if s, err = parseWith(`"how":"answers"`, `"how":"probe"`); err != nil || !s.Balancer.ReportsFromProbesOnly || !s.Balancer.LoadReports {
+		t.Errorf("balancer settings = %+v, error = %v", s.Balancer, err)
 	}
-	// Reports that come with probes alone, which nobody may send: the module waited for news that
-	// never came.
-	if s, err = with(`"probes":true},"realms":[{"name":"t","quota_per_s":5}],
+	// If load reports come only with load probes and probes are forbidden, no reports arrive. The
+	// balancer must not wait for them.
+	if s, err = parseWith(`"probes":true},"realms":[{"name":"t","quota_per_s":5}],
  "report":{"how":"answers"`, `"probes":false},"realms":[{"name":"t","quota_per_s":5}],
  "report":{"how":"probe"`); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 || s.Balancer.ProbesAllowed {
-		t.Errorf("reports that nobody may ask for: %+v, %v", s.Balancer, err)
+		t.Errorf("reports with forbidden probes: balancer settings = %+v, error = %v", s.Balancer, err)
 	}
 	for key, change := range map[string][2]string{
 		"goal.nines_wanted":     {`"whole":1}`, `"whole":1,"nines_wanted":0}`},
@@ -87,9 +90,9 @@
 		"obligations.answer":    {`"answer_slack_ms":5`, `"answer_slack_ms":-5`},
 		"policy_limits.cpu_us":  {`"probes":true}`, `"probes":true,"cpu_us_per_request":-1}`},
 	} {
-		_, err := with(change[0], change[1])
+		_, err := parseWith(change[0], change[1])
 		if err == nil || !strings.HasPrefix(All(err)[0].Key, key) {
-			t.Errorf("%s: error %v", key, err)
+			t.Errorf("%s: error = %v, want a fault with this key first", key, err)
 		}
 	}
 }
