--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -3,43 +3,44 @@
 import "math"
 
 const (
-	// assumedSuccesses are added to a server's outcomes: one failure among few requests is chance.
+	// assumedSuccesses is added to the number of outcomes of a server, because one failure among few
+	// requests may be chance.
 	assumedSuccesses = 5.0
-	// gossipedOutcomeDivisor: an outcome that another node saw counts as this part of one ...
+	// gossipedOutcomeDivisor divides the numbers of outcomes that other nodes report in gossip.
 	gossipedOutcomeDivisor = 2
-	// ... for so many ms after its message.
-	gossipedOutcomesFor = 3 * outcomeGossipInterval
-	// healthyChancePerFailure is the chance of being healthy that each consecutive failure leaves to a
-	// server.
-	healthyChancePerFailure = 0.5
+	// gossipedOutcomesMaxAge, in ms, is how long outcomes reported in gossip count.
+	gossipedOutcomesMaxAge = 3 * outcomeGossipInterval
+	// healthyProbabilityPerFailure is the factor by which each consecutive failure reduces the
+	// probability that a server is healthy.
+	healthyProbabilityPerFailure = 0.5
 )
 
-// fleetEstimate is what this node estimates of the servers as a whole.
+// fleetEstimate holds what this node estimates about all servers together.
 type fleetEstimate struct {
-	unitTime        Millis  // typical time for each request that a server of capacity 1 holds
-	initialUnitTime Millis  // what unitTime was taken to be before any was measured
-	pace            float64 // the servers' times now, as a multiple of what their own records say
-	parallelism     float64 // requests that a server works on at once; more of them wait
-	warmCapacity    float64 // share of the capacity that warming servers may still lack and seem to have
-	othersLoad      float64 // requests of other nodes at a server, the mean over the fleet by recent reports
-	reportLag       Millis  // how old load reports are when they arrive
-	meanWorkHint    Millis  // mean of the work hints
+	unitTime        Millis  // typical time in which a server of capacity 1 serves a request of mean work
+	initialUnitTime Millis  // unitTime assumed before any was measured
+	pace            float64 // slowdown factor: service times now, divided by the servers' unit times
+	parallelism     float64 // requests that a server works on in parallel; further ones wait
+	warmCapacity    float64 // fraction of the capacity above its minimum that a server in slow start has
+	othersLoad      float64 // mean number of requests of other nodes at a server, by recent reports
+	reportLag       Millis  // age of load reports on arrival
+	meanWorkHint    Millis  // smoothed mean of the work hints
 }
 
-// serverEstimate is what is estimated of one server. It is worked out at most once for each time,
-// unless something happens at the server: many requests ask for it.
+// serverEstimate caches the estimates about one server, because many requests use them. They are
+// computed at most once for each value of the clock, unless an event at the server invalidates them.
 type serverEstimate struct {
-	at           Millis  // when it was worked out; estimateOutdated: to be worked out again
-	requests     float64 // requests that the server holds, of all nodes
-	doubt        float64 // how little of the requests is known, from 0 to 1
-	unitTime     Millis  // time for each of them
-	failureShare float64 // share of requests that fail there
+	at           Millis  // when the estimates were computed; estimateOutdated if they are invalid
+	requests     float64 // number of requests at the server, of all nodes
+	uncertainty  float64 // of requests: 0 if fully known, 1 if unknown
+	unitTime     Millis  // time in which the server serves a request of mean work
+	failureShare float64 // fraction of requests that fail at the server
 }
 
-// estimateOutdated marks an estimate that has to be worked out again.
+// estimateOutdated marks a server estimate that must be recomputed.
 const estimateOutdated Millis = -1
 
-// refreshEstimate works a server's estimate out, if that hasn't been done for this time.
+// refreshEstimate recomputes the estimates about a server unless they are current.
 func (b *Balancer) refreshEstimate(s *server) {
 	if s.estimate.at == b.now {
 		return
@@ -50,25 +51,26 @@
 	s.estimate.failureShare = b.failureShare(s)
 }
 
-// estimatedRequests is how many requests a server is taken to hold.
+// estimatedRequests returns the estimated number of requests at a server.
 func (b *Balancer) estimatedRequests(s *server) float64 {
 	b.refreshEstimate(s)
 	return s.estimate.requests
 }
 
-// estimatedUnitTime is the time that a server is taken to need for each request that it holds.
+// estimatedUnitTime returns the estimated time in which a server serves a request of mean work.
 func (b *Balancer) estimatedUnitTime(s *server) Millis {
 	b.refreshEstimate(s)
 	return s.estimate.unitTime
 }
 
-// expectedTime is the time that a request sent now would take.
+// expectedTime returns the expected duration of a request that is sent to a server now.
 func (b *Balancer) expectedTime(s *server, r *request) Millis {
 	return b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), r.work)
 }
 
-// failureShare is the share of requests that fail at a server, by own and gossiped outcomes. Where
-// gossip is not allowed it is 0: own failures then count by score and ejection alone.
+// failureShare returns the estimated fraction of requests that fail at a server, by this node's
+// outcomes and those that other nodes report in gossip. It is 0 if gossip is not allowed: this node's
+// failures then count only in the score and for ejection.
 func (b *Balancer) failureShare(s *server) float64 {
 	noOwnFailure := s.outcomes.failedAt < b.now-outcomeBucketCount*outcomeBucketLength
 	if !b.settings.GossipAllowed || len(s.gossipReports) == 0 && noOwnFailure {
@@ -78,13 +80,14 @@
 	failed := float64(failures)
 	total := float64(successes+failures) + assumedSuccesses
 	for _, report := range s.gossipReports {
-		if report.kind == gossipOutcomes && b.now < report.at+gossipedOutcomesFor {
+		if report.kind == gossipOutcomes && b.now < report.at+gossipedOutcomesMaxAge {
 			failed += report.second / gossipedOutcomeDivisor
 			total += (report.first + report.second) / gossipedOutcomeDivisor
 		}
 	}
-	// A server that just failed several times is likelier to fail again than its long record says.
-	streak := 1 - math.Pow(healthyChancePerFailure, float64(s.outlier.consecutiveFailures))
-	streak *= math.Exp(-(b.now - s.timing.outcomeAt) / staleTimeConstant)
-	return max(streak, failed/total)
+	// A server that has just failed several times is more likely to fail again than its failure rate in
+	// the error window suggests.
+	streakProbability := 1 - math.Pow(healthyProbabilityPerFailure, float64(s.outlier.consecutiveFailures))
+	streakProbability *= math.Exp(-(b.now - s.timing.outcomeAt) / staleTimeConstant)
+	return max(streakProbability, failed/total)
 }
--- a/balancer/failurerate.go
+++ b/balancer/failurerate.go
@@ -3,34 +3,36 @@
 import "math"
 
 const (
-	// failureGain is how far one failure moves a failure share toward 1: one is a warning, two are
-	// believed.
+	// failureGain is the fraction by which a failure moves a failure rate toward 1. A single failure
+	// is only a warning; two in a row count as evidence.
 	failureGain = 0.35
-	// successGain is how far one success moves it toward 0: many are needed to forget a failure.
+	// successGain is the fraction by which a success moves a failure rate toward 0. It is smaller than
+	// failureGain, so that one failure is offset only by many successes.
 	successGain = 0.1
-	// faultyClassShare is the failure share from which a class is taken to fail at a server: one
-	// failure reaches it, two keep it.
-	faultyClassShare = 0.3
-	// healthyOtherDivisor: another class or zone is served well if its share is under this part of the
-	// failing one's, or of the one from which a class fails.
+	// faultyClassRate is the failure rate from which a class is considered to fail at a server. One
+	// failure reaches it; after two in a row, the rate stays above it for several successes.
+	faultyClassRate = 0.3
+	// healthyOtherDivisor defines when another class or zone is healthy: a class if its failure rate is
+	// below faultyClassRate divided by this, a zone if its rate is below the failing zone's divided by
+	// this.
 	healthyOtherDivisor = 3
-	// classFailureTimeConstant, in ms, is the time constant with which a class's failures at a
-	// server are forgotten.
+	// classFailureTimeConstant, in ms, is the time constant with which the failure rate of a class at
+	// a server decays.
 	classFailureTimeConstant = 3 * ejectionTime
-	// silentZoneShare is the share of unanswered attempts from which a zone may be unreachable.
-	silentZoneShare = 0.5
-	// connectSilenceFraction is the part of the connect timeout after which a failed connection
-	// counts as silence. An earlier failure is a refused connection, which shows that the zone is
+	// unreachableZoneRate is the rate of unanswered attempts from which a zone may be unreachable.
+	unreachableZoneRate = 0.5
+	// connectTimeoutFraction is the fraction of the connect timeout after which a failed connection
+	// counts as unanswered. An earlier failure is a refused connection, which shows that the zone is
 	// reachable.
-	connectSilenceFraction = 0.9
+	connectTimeoutFraction = 0.9
 )
 
-// failureRate is a smoothed share of failures: of one class at one server, or of attempts to one
-// zone that nothing came back from.
+// failureRate is a smoothed failure rate: of the requests of one class at one server, or of the
+// attempts to one zone, where only an unanswered attempt counts as a failure.
 type failureRate struct {
-	share     float64 // 0 to 1, as of updatedAt
+	share     float64 // rate from 0 to 1, as of updatedAt
 	observed  bool    // at least one outcome was recorded
-	logged    bool    // a log line says that the zone is avoided
+	logged    bool    // it has been logged that the zone is avoided
 	updatedAt Millis
 }
 
@@ -38,12 +40,12 @@
 
 func (f *failureRate) recordSuccess() { f.share -= successGain * f.share }
 
-// decayed is the share as it counts now, forgotten with the given time constant.
+// decayed returns the rate at the time now, decayed with the time constant memory.
 func (f *failureRate) decayed(now, memory Millis) float64 {
 	return f.share * math.Exp(-(now-f.updatedAt)/memory)
 }
 
-// classFailure is the failure record of a class at this server.
+// classFailure returns the failure rate record of a class at this server, which it creates if needed.
 func (s *server) classFailure(c *classState) *failureRate {
 	for len(s.classFailures) <= c.index {
 		s.classFailures = append(s.classFailures, failureRate{})
@@ -51,9 +53,10 @@
 	return &s.classFailures[c.index]
 }
 
-// classFailureShare is the share of a class's requests that fail at a server, forgotten slowly. The
-// picker prices it as time, since a server may fail one class and serve the others well.
-func (b *Balancer) classFailureShare(s *server, c *classState) float64 {
+// classFailureRate returns the rate at which requests of a class fail at a server. It decays slowly.
+// The picker adds it to the placement cost as time, because a server may fail one class and serve the
+// others well.
+func (b *Balancer) classFailureRate(s *server, c *classState) float64 {
 	record := s.classFailure(c)
 	if record.share == 0 {
 		return 0
@@ -61,15 +64,15 @@
 	return record.decayed(b.now, classFailureTimeConstant)
 }
 
-// recordClassOutcome records an outcome for its class and reports whether the fault is the class's
-// own at this server (classFault). Such a failure says nothing about the server: counting it would
-// eject a server that is good for all other classes.
+// recordClassOutcome updates the failure rate of a class at a server and reports whether the outcome
+// is a failure limited to that class (see classFault). Such a failure is not counted against the
+// server, because that would eject a server that serves all other classes well.
 func (b *Balancer) recordClassOutcome(s *server, c *classState, outcome Outcome) (classOnly bool) {
 	if outcome == Overloaded || outcome == Cancelled {
 		return false
 	}
 	record := s.classFailure(c)
-	record.share = b.classFailureShare(s, c)
+	record.share = b.classFailureRate(s, c)
 	record.observed = true
 	record.updatedAt = b.now
 	if outcome == OK {
@@ -82,19 +85,20 @@
 
 // classFault reports whether a class fails at a server that serves another class well.
 func (b *Balancer) classFault(s *server, c *classState) bool {
-	if b.classFailureShare(s, c) < faultyClassShare {
+	if b.classFailureRate(s, c) < faultyClassRate {
 		return false
 	}
 	for i := range s.classFailures {
 		other := &s.classFailures[i]
-		if i != c.index && other.observed && other.share < faultyClassShare/healthyOtherDivisor {
+		if i != c.index && other.observed && other.share < faultyClassRate/healthyOtherDivisor {
 			return true
 		}
 	}
 	return false
 }
 
-// zoneRecord is the record of a zone as seen from this node.
+// zoneRecord returns the failure rate record of a zone as seen from this node, which it creates if
+// needed.
 func (b *Balancer) zoneRecord(name string) *failureRate {
 	if b.zones[name] == nil {
 		b.zones[name] = &failureRate{}
@@ -102,14 +106,14 @@
 	return b.zones[name]
 }
 
-// recordZoneOutcome records whether anything came back from a server's zone. A rejection or an
-// error did.
+// recordZoneOutcome records whether a server's zone answered an attempt. A rejection and an error
+// are answers too.
 func (b *Balancer) recordZoneOutcome(s *server, outcome Outcome, elapsed Millis) {
 	record := s.zoneFailures
 	record.share = b.zoneUnansweredShare(record)
 	record.observed = true
 	record.updatedAt = b.now
-	connectTimedOut := outcome == Unreachable && elapsed >= connectSilenceFraction*b.settings.ConnectTimeout
+	connectTimedOut := outcome == Unreachable && elapsed >= connectTimeoutFraction*b.settings.ConnectTimeout
 	if outcome == TimedOut || connectTimedOut {
 		record.recordFailure()
 	} else {
@@ -117,21 +121,22 @@
 	}
 }
 
-// zoneUnansweredShare is the share of attempts to a zone that nothing came back from, forgotten as
-// fast as the record of an unused server.
+// zoneUnansweredShare returns the rate of unanswered attempts to a zone. It decays with the same time
+// constant as the unit time of an unused server.
 func (b *Balancer) zoneUnansweredShare(zone *failureRate) float64 {
 	return zone.decayed(b.now, staleTimeConstant)
 }
 
-// zoneFailureShare is a zone's share of unanswered attempts while another zone answers; otherwise
-// 0. The zone is then lost or cut off from here. A node that contacts each server once in several
-// seconds would otherwise wait for a timeout at each of them in turn.
+// zoneFailureShare returns the rate of unanswered attempts to a zone if it is high while another zone
+// answers, which means that the zone is down or unreachable from this node; otherwise 0. Without it, a
+// node that contacts each server once in several seconds would wait for a timeout at each server of
+// the zone in turn.
 func (b *Balancer) zoneFailureShare(zone *failureRate) float64 {
-	if zone.share < silentZoneShare {
+	if zone.share < unreachableZoneRate {
 		return 0
 	}
 	unanswered := b.zoneUnansweredShare(zone)
-	if unanswered < silentZoneShare/2 {
+	if unanswered < unreachableZoneRate/2 {
 		return 0
 	}
 	for _, other := range b.zones {
--- a/balancer/failurerate_test.go
+++ b/balancer/failurerate_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against counting a class's own fault against the server: the others' capacity would go unused.
-func TestClassFaultIsNotCountedAgainstServer(t *testing.T) {
+func TestClassFaultDoesNotEjectServer(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for i := 0; i < 40; i++ {
 		b.serve("read", 20, allOK)
@@ -23,7 +23,7 @@
 	if s.outlier.ejected {
 		t.Error("a server that serves other classes was ejected for one class")
 	}
-	if b.balancer.classFailureShare(s, r.class) < faultyClassShare || b.balancer.classFailureShare(s, b.balancer.classes["read"]) > 0.1 {
+	if b.balancer.classFailureRate(s, r.class) < faultyClassRate || b.balancer.classFailureRate(s, b.balancer.classes["read"]) > 0.1 {
 		t.Error("the class's failures were not kept apart")
 	}
 	if s.timing.unitTime > 20*unit {
@@ -41,7 +41,7 @@
 // Guards against finding out one server after the other that a zone is cut off, where a node meets
 // each of them once in seconds: of 3,800 pairs of a node and a server 3,109 waited for a connection
 // once (split+mass).
-func TestSilentZoneIsAvoided(t *testing.T) {
+func TestUnreachableZoneIsAvoided(t *testing.T) {
 	play := func(zones []string, silent func(zone string) Outcome, took Millis) (there int) {
 		set := fleet(0.1)
 		set.ConnectTimeout = 150
@@ -78,7 +78,7 @@
 }
 
 // Guards against a zone that stays shunned once it is back.
-func TestZoneIsTriedAgain(t *testing.T) {
+func TestRecoveredZoneIsUsedAgain(t *testing.T) {
 	set := fleet(0.1)
 	set.ConnectTimeout = 150
 	entries := testEndpoints(20)
--- a/balancer/healthscore.go
+++ b/balancer/healthscore.go
@@ -3,35 +3,35 @@
 import "math"
 
 const (
-	// scoreInterval, in ms, is the greatest age of the scores that a request is placed by.
+	// scoreInterval, in ms, is the maximum age of the scores used to place a request.
 	scoreInterval = 100.0
-	// Weights of a score's parts (docs/design.md). They need not sum to 1.
+	// Weights of the components of a score (docs/design.md). They need not sum to 1.
 	latencyWeight       = 0.4
 	errorRateWeight     = 0.3
 	recentSuccessWeight = 0.1
-	// minLatency, in ms, keeps quotients finite.
+	// minLatency, in ms, is a lower bound that keeps quotients finite.
 	minLatency = 1e-3
 )
 
-// updateScores scores each ready server from 0 to 1 and renews the typical unit time.
+// updateScores computes the score of each ready server, from 0 to 1, and updates the typical unit time.
 func (b *Balancer) updateScores() {
 	b.scoredAt = b.now
 	b.logZoneChanges()
 	best := math.Inf(1)
 	for _, s := range b.servers.ready {
-		best = min(best, b.effectiveLatency(s)) // by the typical unit time of before
+		best = min(best, b.effectiveLatency(s)) // uses the previous typical unit time
 	}
 	b.updateTypicalUnitTime()
 	for _, s := range b.servers.ready {
 		if s.outcomes.recentLen == 0 {
-			continue // a new server keeps the others' mean
+			continue // a new server keeps its initial score
 		}
 		s.score = b.score(s, best)
 	}
 }
 
-// score is the weighted mean of a server's latency against the best one, its error rate and its
-// recent successes.
+// score returns the weighted mean of three components: the best latency divided by the server's
+// latency, one minus its error rate, and its recent success rate.
 func (b *Balancer) score(s *server, bestLatency Millis) float64 {
 	latency := latencyWeight * bestLatency / b.effectiveLatency(s)
 	errors := errorRateWeight * (1 - s.errorRate(b.now))
@@ -39,7 +39,8 @@
 	return (latency + errors + recent) / (latencyWeight + errorRateWeight + recentSuccessWeight)
 }
 
-// setInitialScore gives a new or readmitted server the others' mean score.
+// setInitialScore sets the score of a new or readmitted server to the mean score of the other ready
+// servers, or to 1 if there are none.
 func (b *Balancer) setInitialScore(s *server) {
 	sum, n := 0.0, 0.0
 	for _, other := range b.servers.ready {
@@ -54,28 +55,32 @@
 	}
 }
 
-// effectiveLatency is the smoothed latency, raised at once by attempts that are out for longer:
-// silence counts before the outcome arrives. A record that nothing renews fades toward the typical
-// one.
+// effectiveLatency returns the smoothed latency of a server, or the time that its oldest attempt has
+// been unanswered if that is longer, so that a hung server is detected before its attempts time out.
+// A stale latency decays toward the typical unit time.
 func (b *Balancer) effectiveLatency(s *server) Millis {
 	return max(minLatency, b.decayToTypical(s, s.timing.latency), b.unansweredTime(s))
 }
 
-// unansweredTime is how long a server has kept silent over its oldest attempt. It ignores attempts
-// that an answer to a later one has overtaken: those are lost or heavy, and say nothing about the
-// server.
+// unansweredTime returns how long the oldest attempt at a server has been unanswered. It ignores
+// attempts that were sent before an attempt that has already been answered: those are lost or heavy
+// and give no evidence about the server.
 func (b *Balancer) unansweredTime(s *server) Millis {
-	silent, _ := b.oldestUnanswered(s)
-	return silent
+	unanswered, _ := b.oldestUnanswered(s)
+	return unanswered
 }
 
-// unansweredTimePerRound is the same, divided by the unit times that the attempt should have taken.
-func (b *Balancer) unansweredTimePerRound(s *server) Millis {
-	silent, rounds := b.oldestUnanswered(s)
-	return silent / rounds
+// unansweredTimePerServiceRound returns unansweredTime divided by the number of unit times that the
+// attempt was expected to take.
+func (b *Balancer) unansweredTimePerServiceRound(s *server) Millis {
+	unanswered, rounds := b.oldestUnanswered(s)
+	return unanswered / rounds
 }
 
-func (b *Balancer) oldestUnanswered(s *server) (silent Millis, serviceRounds float64) {
+// oldestUnanswered returns how long the oldest attempt at a server has been unanswered, and its
+// expected number of unit times. The time counts from the last outcome if that came after the attempt
+// was sent. It is 0 if there is no such attempt or if the server fails only that attempt's class.
+func (b *Balancer) oldestUnanswered(s *server) (unanswered Millis, serviceRounds float64) {
 	r, a := s.oldestAttempt()
 	if a == nil || b.classFault(s, r.class) {
 		return 0, 1
@@ -83,11 +88,11 @@
 	return b.now - max(a.sentAt, s.timing.outcomeAt), a.serviceRounds
 }
 
-// recordAttemptOutcome records how an attempt ended in its server's health.
+// recordAttemptOutcome updates the health records of a server with the outcome of an attempt.
 func (b *Balancer) recordAttemptOutcome(s *server, r *request, a *attempt, outcome Outcome, elapsed Millis) {
 	cancelledEarly := outcome == Cancelled && elapsed < a.expected
 	if outcome == NotSent || cancelledEarly {
-		return // says nothing about the server
+		return // no evidence about the server
 	}
 	success := outcome == OK
 	b.recordZoneOutcome(s, outcome, elapsed)
--- a/balancer/healthscore_test.go
+++ b/balancer/healthscore_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestScoreFollowsLatencyErrorsAndRecent(t *testing.T) {
+func TestScoreReflectsLatencyErrorsAndRecentSuccess(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(2)...)
 	for i := 0; i < 60; i++ {
 		id, acts := b.arrive("read", 2000)
@@ -40,7 +40,7 @@
 }
 
 // Silence counts before the outcome arrives: a hung server must not go on being drawn.
-func TestSilenceLowersScoreBeforeTimeout(t *testing.T) {
+func TestUnansweredAttemptsLowerScoreBeforeTimeout(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for i := 0; i < 60; i++ {
 		b.serve("read", 20, allOK)
@@ -63,7 +63,7 @@
 
 // All bad together: the fleet's pace follows a shared slowdown, and its end, from all answers at
 // once, long before any one server's own record does.
-func TestFleetPaceFollowsSharedSlowness(t *testing.T) {
+func TestTypicalUnitTimeFollowsFleetSlowdown(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(12)...)
 	for i := 0; i < 120; i++ {
 		b.serve("read", 20, allOK)
@@ -90,7 +90,7 @@
 }
 
 // Guards against a rush: all nodes would run to a server that has just warmed up and looks far faster.
-func TestFastServerIsNotRushed(t *testing.T) {
+func TestUnitTimeOfFastServerIsBounded(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	for _, s := range b.balancer.servers.ready {
 		s.timing.measured, s.timing.unitTime = true, 100
@@ -103,7 +103,7 @@
 }
 
 // Guards against time-outs of lost requests making a server that answers all others look slow.
-func TestOvertakenTimeoutDoesNotSlowServer(t *testing.T) {
+func TestTimeoutOfSupersededAttemptKeepsUnitTime(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(1)...)
 	for range 30 {
 		b.serve("read", 20, allOK)
--- a/balancer/loadestimate.go
+++ b/balancer/loadestimate.go
@@ -3,95 +3,97 @@
 import "math"
 
 const (
-	// parallelismSmoothing is the weight of a new report of a queue in the estimate of parallelism.
+	// parallelismSmoothing is the weight of a new report of a queue in the estimated parallelism.
 	parallelismSmoothing = 0.05
-	// othersLoadSmoothing is the weight of a new report in the fleet's mean load by other nodes.
+	// othersLoadSmoothing is the weight of a new report in the mean number of requests that other
+	// nodes have at a server, over the fleet.
 	othersLoadSmoothing = 0.05
-	// serverLoadSmoothing is the weight of a new report in one server's mean load by other nodes.
+	// serverLoadSmoothing is the weight of a new report in the same mean of a single server.
 	serverLoadSmoothing = 0.2
-	// othersLoadTimeConstant is the time constant, in unit times, with which a server's own mean
-	// returns to the fleet's.
-	othersLoadTimeConstant = 4.0
-	// gossipTrustUnits and reportTrustUnits are the time constants, in unit times, with which
-	// gossip and a report lose their value.
-	gossipTrustUnits = 4
-	reportTrustUnits = 2
-	// reportLagSmoothing is the weight of a new sample of the lag of reports, and of the interval
-	// of gossip.
+	// othersTimeConstantUnits is the time constant, in unit times, with which the mean of a single
+	// server decays toward the fleet's mean.
+	othersTimeConstantUnits = 4.0
+	// gossipTimeConstantUnits and reportTimeConstantUnits are the time constants, in unit times, with
+	// which the weights of gossip and of a load report decay.
+	gossipTimeConstantUnits = 4
+	reportTimeConstantUnits = 2
+	// reportLagSmoothing is the weight of a new sample in the averages of the report lag and of the
+	// gossip interval.
 	reportLagSmoothing = 0.05
-	// reportFreshFor, in ms: within it a report needs no load probe, and does not contradict an
-	// attempt sent before it.
+	// reportFreshFor, in ms, is how long after a report the server is not probed, and how old an
+	// attempt must be to count as missing when a report does not include it.
 	reportFreshFor = 8.0
 )
 
-// serverLoad is what is known of a server's load by other nodes.
+// serverLoad holds what this node knows about the load that other nodes put on a server.
 type serverLoad struct {
-	others        float64 // requests of other nodes, by the latest report
-	othersAverage float64
-	reportedAt    Millis // 0: no report yet
+	others        float64 // requests of other nodes at the server, by the latest report
+	othersAverage float64 // smoothed
+	reportedAt    Millis  // 0: no report yet
 	probePending  bool
 }
 
-// recordLoadReport takes in a server's report of its load.
+// recordLoadReport updates the load estimates with a load report of a server.
 func (b *Balancer) recordLoadReport(s *server, report LoadReport) {
 	if !report.Valid {
 		return
 	}
 	b.markMissingAttempts(s, report)
 	s.estimate.at = estimateOutdated
-	if report.QueueKnown && report.Queued >= 1 { // a queue shows how many requests the server works on at once
-		working := max(1, report.InFlight-report.Queued)
-		b.estimate.parallelism += parallelismSmoothing * (working - b.estimate.parallelism)
+	if report.QueueKnown && report.Queued >= 1 { // with a queue, all of the server's parallelism is in use
+		inService := max(1, report.InFlight-report.Queued)
+		b.estimate.parallelism += parallelismSmoothing * (inService - b.estimate.parallelism)
 	}
-	s.load.others = max(0, report.InFlight-s.attempts.held())
+	s.load.others = max(0, report.InFlight-s.attempts.atServer())
 	typical := b.typicalOthersLoad(s)
 	s.load.othersAverage = typical + serverLoadSmoothing*(s.load.others-typical)
 	s.load.reportedAt = b.now
 	b.estimate.othersLoad += othersLoadSmoothing * (s.load.others/b.estimatedCapacity(s) - b.estimate.othersLoad)
 }
 
-// estimateRequests estimates how many requests a server holds, and how much of that is doubtful. A
-// report ages toward the mean.
+// estimateRequests estimates how many requests a server has, and sets the uncertainty of the estimate.
+// The estimate decays from the latest report toward the typical load as the report ages.
 func (b *Balancer) estimateRequests(s *server) float64 {
-	own := s.attempts.held()
-	s.estimate.doubt = 0
+	ownRequests := s.attempts.atServer()
+	s.estimate.uncertainty = 0
 	if !b.settings.LoadReports {
-		return own
+		return ownRequests
 	}
-	s.estimate.doubt = 1
+	s.estimate.uncertainty = 1
 	typical := b.typicalOthersLoad(s)
-	// One standard deviation above the mean, if it is a Poisson process, as far as probes could find a
-	// server with less load.
+	// If probes could find a server with less load, assume a load above the mean: by up to one standard
+	// deviation, if arrivals are a Poisson process.
 	typical += b.probeCoverage() * math.Sqrt(typical)
 	if b.gossipAlive() {
-		// A message is half an interval old in the mean.
-		trust := math.Exp(-b.gossip.interval / (gossipTrustUnits * max(1, b.estimate.unitTime)))
-		typical += trust * (s.gossipedLoad() - typical)
-		s.estimate.doubt -= trust
+		// On average, a gossip message is half an interval old.
+		gossipWeight := math.Exp(-b.gossip.interval / (gossipTimeConstantUnits * max(1, b.estimate.unitTime)))
+		typical += gossipWeight * (s.gossipedLoad() - typical)
+		s.estimate.uncertainty -= gossipWeight
 	}
 	if s.load.reportedAt == 0 {
-		return own + typical
+		return ownRequests + typical
 	}
 	age := b.now - s.load.reportedAt + b.estimate.reportLag
-	known := math.Exp(-age / (reportTrustUnits * max(1, b.estimate.unitTime)))
-	s.estimate.doubt *= 1 - known
-	return own + typical + (s.load.others-typical)*known
+	reportWeight := math.Exp(-age / (reportTimeConstantUnits * max(1, b.estimate.unitTime)))
+	s.estimate.uncertainty *= 1 - reportWeight
+	return ownRequests + typical + (s.load.others-typical)*reportWeight
 }
 
-// typicalOthersLoad is how many requests other nodes usually have at a server: its own mean, or the
-// fleet's where its last report is old. A node that hears of a server once a minute must not take
-// silence for an idle server.
+// typicalOthersLoad returns how many requests other nodes usually have at a server: the mean of this
+// server, which decays toward the fleet's mean as its latest report ages. A node that gets a report
+// of a server only once a minute must not treat it as idle between the reports.
 func (b *Balancer) typicalOthersLoad(s *server) float64 {
-	typical := b.estimate.othersLoad * b.estimatedCapacity(s) // all nodes send a warming server less
+	typical := b.estimate.othersLoad * b.estimatedCapacity(s) // all nodes send less to a server in slow start
 	if s.load.reportedAt == 0 {
 		return typical
 	}
 	age := b.now - s.load.reportedAt
-	return typical + (s.load.othersAverage-typical)*math.Exp(-age/(othersLoadTimeConstant*b.estimate.unitTime))
+	return typical + (s.load.othersAverage-typical)*math.Exp(-age/(othersTimeConstantUnits*b.estimate.unitTime))
 }
 
-// serviceRounds is how many unit times pass until a server that holds so many requests has finished
-// one more. It works on several at once; only what is beyond them waits.
+// serviceRounds returns how many unit times a server that has the given number of requests needs to
+// finish another one of the given work. The server works on several requests in parallel; only the
+// requests beyond its parallelism add waiting time.
 func (b *Balancer) serviceRounds(requests, work float64) float64 {
 	parallelism := math.Round(b.estimate.parallelism)
 	return work + max(0, requests+1-parallelism)/parallelism
--- a/balancer/loadestimate_test.go
+++ b/balancer/loadestimate_test.go
@@ -7,7 +7,7 @@
 
 // Guards against taking silence for an empty server: a node that hears of each server once a minute
 // must not prefer the one it last heard of long ago to one it has just asked.
-func TestUnreportedServerIsNotTakenForIdle(t *testing.T) {
+func TestServerWithoutReportIsNotAssumedIdle(t *testing.T) {
 	set := settings()
 	set.Nodes, set.LoadReports = 400, true
 	b := newTestNode(t, set, testEndpoints(60)...)
@@ -25,8 +25,8 @@
 	}
 }
 
-// lossy has two warm servers that report their load, and one request out at each of them in turn.
-func lossy(t *testing.T, class string) (b *testNode, lost RequestID, at ServerID) {
+// startLostAttempt has two warm servers that report their load, and one request out at each of them in turn.
+func startLostAttempt(t *testing.T, class string) (b *testNode, lost RequestID, at ServerID) {
 	t.Helper()
 	set := settings()
 	set.LoadReports = true
@@ -43,8 +43,8 @@
 }
 
 // Guards against a request that a server has taken and lost: its report, fresh, no longer holds it.
-func TestMissingAttemptIsRetriedAndNoLoad(t *testing.T) {
-	b, id, at := lossy(t, "read")
+func TestMissingAttemptIsRetriedAndNotCountedAsLoad(t *testing.T) {
+	b, id, at := startLostAttempt(t, "read")
 	acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}})
 	if count[CancelAttempt](acts) != 1 {
 		t.Fatalf("%v, want the lost attempt cancelled", acts)
@@ -62,12 +62,12 @@
 }
 
 // One that the report still holds is slow, not lost; one that must not run twice is left to its answer.
-func TestOnlyMissingAttemptsAreCancelled(t *testing.T) {
-	b, _, at := lossy(t, "read")
+func TestReportedOrNonIdempotentAttemptIsNotCancelled(t *testing.T) {
+	b, _, at := startLostAttempt(t, "read")
 	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 1}}); count[CancelAttempt](acts) != 0 {
 		t.Errorf("%v: the server has it", acts)
 	}
-	b, _, at = lossy(t, "bill")
+	b, _, at = startLostAttempt(t, "bill")
 	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}}); count[CancelAttempt](acts) != 0 {
 		t.Errorf("%v: it may have run", acts)
 	}
@@ -77,23 +77,23 @@
 }
 
 // Guards against taking a server whose load was just reported for one of which nothing is known.
-func TestDoubtGrowsWithReportAge(t *testing.T) {
+func TestUncertaintyGrowsWithReportAge(t *testing.T) {
 	b := newTestNode(t, fleet(0.1), testEndpoints(2)...)
 	s := b.balancer.servers.byID["s0"]
 	b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 2}})
 	b.balancer.refreshEstimate(s)
-	fresh := s.estimate.doubt
+	fresh := s.estimate.uncertainty
 	b.now += 20 * b.balancer.estimate.unitTime
 	b.step(TimerFired{"sweep"})
-	if b.balancer.refreshEstimate(s); fresh > 0.1 || s.estimate.doubt < 0.9 {
-		t.Errorf("doubt %v right after a report, %v long after it", fresh, s.estimate.doubt)
+	if b.balancer.refreshEstimate(s); fresh > 0.1 || s.estimate.uncertainty < 0.9 {
+		t.Errorf("doubt %v right after a report, %v long after it", fresh, s.estimate.uncertainty)
 	}
 }
 
 // Guards against taking a slow server of which nothing is known to hold as much as the others:
 // nodes that price its slowness send it as much less, and rejected 15 to 21% while it stood half
 // idle (join+vast).
-func TestWarmingServersAreTakenToHoldLess(t *testing.T) {
+func TestSlowStartServerIsEstimatedToHoldFewerRequests(t *testing.T) {
 	entries := testEndpoints(2)
 	b := newTestNode(t, fleet(0.1), entries...)
 	entries[1].Started = b.now
@@ -110,7 +110,7 @@
 }
 
 // Guards against counting a server's requests one after the other where it works on several at once.
-func TestServersWorkOnSeveralRequestsAtOnce(t *testing.T) {
+func TestServiceRoundsAccountForParallelism(t *testing.T) {
 	b := newTestNode(t, probed(1), testEndpoints(2)...)
 	for i := 0; i < 200; i++ {
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 5, QueueKnown: true, Queued: 3}})
--- a/balancer/loadprobe.go
+++ b/balancer/loadprobe.go
@@ -3,47 +3,47 @@
 import "math"
 
 const (
-	// probesPerRequest servers are probed for their load before a request is sent: one of them in a
-	// busy fleet is likely idle.
+	// probesPerRequest is the maximum number of servers that are probed for their load before a request
+	// is sent. Even in a busy fleet, one of that many is likely to be idle.
 	probesPerRequest = 6
-	// minProbeWait, in ms, is how long a request waits for its probes at least.
+	// minProbeWait, in ms, is the minimum time that a request waits for the results of its probes.
 	minProbeWait = 4.0
-	// probeBudgetFraction is the share of all priority weight that probes may cost.
+	// probeBudgetFraction is the fraction of all priority weight that probes may cost.
 	probeBudgetFraction = 0.012
-	// probeAgainAfter, in unit times, is when a queued request probes again: by then some busy
-	// servers have finished a request.
+	// probeAgainAfter, in unit times, is the time after which a queued request sends probes again. By
+	// then some busy servers have finished a request.
 	probeAgainAfter = 0.25
-	// probeRejectionStep: each probe that a server rejects lowers the acceptance by this share; one
-	// that is answered raises it by a tenth of it.
+	// probeRejectionStep is the fraction by which a rejected probe or a timeout lowers the acceptance
+	// rate. Each completed probe raises the rate by a tenth of this.
 	probeRejectionStep = 0.05
-	// probeRoundTripSmoothing is the weight of a new sample of the probes' round trip.
+	// probeRoundTripSmoothing is the weight of a new sample in the average round-trip time of probes.
 	probeRoundTripSmoothing = 0.05
-	// savedProbeRounds bounds the saved probes, in requests' worth of probes.
-	savedProbeRounds = 3
+	// maxSavedProbeRounds limits the saved probe budget, in multiples of probesPerRequest.
+	maxSavedProbeRounds = 3
 )
 
-// loadProbing is the budget of load probes.
+// loadProbing holds the budget and the statistics of load probes.
 type loadProbing struct {
 	tokens     tokenBucket // probes that may be sent
-	acceptance float64     // share of the probes that the servers accept, from 0 to 1
-	roundTrip  Millis      // usual time of a probe
+	acceptance float64     // smoothed fraction of probes that servers accept, from 0 to 1
+	roundTrip  Millis      // smoothed round-trip time
 }
 
-// sendLoadProbes probes a few servers, drawn by score, whose load isn't known. Their answers decide
-// where the request goes.
+// sendLoadProbes probes a few servers whose load is unknown. They are the servers preferred by the
+// request's key and servers drawn by score. The results are used to choose the request's server.
 func (b *Balancer) sendLoadProbes(r *request) {
 	if !b.settings.ProbesAllowed || !b.settings.LoadReports || len(b.servers.ready) < 2 {
 		return
 	}
 	sent := 0
 	candidates := b.candidates(r)
-	first, second := b.affinityServers(r)
+	primary, secondary := b.affinityServers(r)
 	for i := range probesPerRequest {
 		s := b.drawByScore(candidates)
-		if i < 2 && first != nil {
-			s = []*server{first, second}[i]
+		if i < 2 && primary != nil {
+			s = []*server{primary, secondary}[i]
 		}
-		if s == nil || !b.worthProbing(s) || !b.probing.tokens.take() {
+		if s == nil || !b.shouldProbe(s) || !b.probing.tokens.take() {
 			continue
 		}
 		s.load.probePending = true
@@ -51,15 +51,15 @@
 		b.emit(ProbeLoad{s.ID})
 		sent++
 	}
-	if sent > 0 && b.probing.roundTrip <= b.probeWait() { // otherwise the answers come too late for this request
+	if sent > 0 && b.probing.roundTrip <= b.probeWait() { // otherwise the results arrive too late
 		r.probesUntil = b.now + b.probeWait()
 		b.emit(SetTimer{timerProbes, r.probesUntil})
 	}
 }
 
-// worthProbing reports whether a server's load is unknown and a probe of it costs no expensive
-// connection as well.
-func (b *Balancer) worthProbing(s *server) bool {
+// shouldProbe reports whether a server's load is unknown and a probe does not require an expensive new
+// connection.
+func (b *Balancer) shouldProbe(s *server) bool {
 	needsConnection := s.idleConnections < 1
 	prices := b.settings.Prices
 	if needsConnection && prices.Handshake > prices.Probe/2 {
@@ -68,13 +68,14 @@
 	return !s.load.probePending && b.now-s.load.reportedAt >= reportFreshFor
 }
 
-// probeWait is how long a request waits for its probes, in ms: long enough for a node that looks at
-// answers once a tick.
+// probeWait returns the maximum time that a request waits for the results of its probes. It covers
+// two ticks, because a node processes results only once per tick.
 func (b *Balancer) probeWait() Millis { return max(minProbeWait, 2*b.settings.Tick) }
 
-// probeCoverage is the chance that a queued request hears of an idle server: the probes that may be
-// spent on each request, at most 1. Where probes are expensive and nodes are many, nothing is known of
-// nearly all servers and waiting tells nothing.
+// probeCoverage returns the probability that a queued request learns of an idle server. It is
+// estimated as the number of probes that the budget allows for each request, at most 1. If probes are
+// expensive and there are many nodes, the load of nearly all servers is unknown, so waiting gains no
+// information.
 func (b *Balancer) probeCoverage() float64 {
 	if !b.settings.ProbesAllowed {
 		return 0
@@ -82,14 +83,15 @@
 	return b.probing.acceptance * min(1, probeBudgetFraction/max(minPrice, b.settings.Prices.Probe))
 }
 
-// earnProbes adds what one new request allows to spend on probes. Little is gained by probing idle
-// servers.
+// earnProbes adds the probes that one new request allows to the budget. It adds fewer if servers are
+// mostly idle, because probing idle servers gains little.
 func (b *Balancer) earnProbes() {
 	perServer := b.estimate.othersLoad + float64(b.openAttempts)/max(1, float64(len(b.servers.ready)))
 	spend := b.probing.acceptance * probeBudgetFraction * min(1, perServer/math.Round(b.estimate.parallelism))
-	b.probing.tokens.earn(spend/max(minPrice, b.settings.Prices.Probe), savedProbeRounds*probesPerRequest)
+	b.probing.tokens.earn(spend/max(minPrice, b.settings.Prices.Probe), maxSavedProbeRounds*probesPerRequest)
 }
 
+// handleLoadProbeCompleted records the result of a load probe.
 func (b *Balancer) handleLoadProbeCompleted(e LoadProbeCompleted) {
 	s := b.servers.byID[e.Server]
 	if s == nil {
@@ -108,7 +110,7 @@
 		b.probing.acceptance *= 1 - probeRejectionStep
 		b.recordProbeRoundTrip(e.Elapsed)
 		queuedThere := b.settings.ReportsFromProbesOnly && e.Elapsed <= missingAfterFactor*b.probing.roundTrip
-		if !queuedThere { // where probes wait like requests, a slow one shows a queue and no fault
+		if !queuedThere { // if probes queue like requests, a slow probe indicates a queue, not a fault
 			b.recordFailedProbe(s, e)
 		}
 	case Errored, Unreachable, ConnectionLost:
@@ -121,8 +123,8 @@
 	b.probing.roundTrip += probeRoundTripSmoothing * (elapsed - b.probing.roundTrip)
 }
 
-// recordFailedProbe counts a failed probe against the server: one that doesn't answer a probe
-// serves nothing.
+// recordFailedProbe counts a failed probe as a failure of the server, because a server that does not
+// answer probes does not serve requests either.
 func (b *Balancer) recordFailedProbe(s *server, e LoadProbeCompleted) {
 	s.outcomes.record(b.now, false)
 	b.updateEjection(s, e.Outcome, b.now-e.Elapsed)
--- a/balancer/loadprobe_test.go
+++ b/balancer/loadprobe_test.go
@@ -6,7 +6,7 @@
 
 // With reports, a send waits a moment for the servers asked, and goes on without those that stay
 // silent.
-func TestProbesBeforeAttempt(t *testing.T) {
+func TestRequestWaitsForProbesBeforeAttempt(t *testing.T) {
 	set := settings()
 	set.ProbesAllowed, set.LoadReports = true, true
 	b := newTestNode(t, set, testEndpoints(3)...)
@@ -61,7 +61,7 @@
 }
 
 // Guards against ejecting busy servers where a probe waits its turn like a request.
-func TestSlowProbesAreNoFailures(t *testing.T) {
+func TestSlowProbesDoNotEjectServer(t *testing.T) {
 	b := newTestNode(t, probed(1), testEndpoints(3)...)
 	for i := 0; i < 50; i++ {
 		b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Elapsed: 120})
--- a/balancer/missingattempts.go
+++ b/balancer/missingattempts.go
@@ -2,25 +2,27 @@
 
 import "slices"
 
-// missingAfterFactor: an attempt that is out for this multiple of its expected time and not in the
-// server's report is missing.
+// missingAfterFactor is the multiple of its expected time after which an open attempt counts as
+// missing if the server's load report does not include it.
 const missingAfterFactor = 3.0
 
-// markMissingAttempts marks the attempts at a server that its report doesn't hold, oldest first, of
-// those that an answer to a later attempt has overtaken or that take far longer than expected. They
-// are no load, and their silence says nothing about the server's speed. One that may be repeated is
-// cancelled, so that it is retried elsewhere while it is in time; the retry costs no budget, since
-// no server works on the request.
+// markMissingAttempts marks open attempts at a server as missing, oldest first, if its load report
+// counts fewer requests than this node has there. It marks only attempts that were sent before an
+// attempt that has been answered, or that take far longer than expected. A missing attempt does not
+// count as load, and the time that it is unanswered is not counted against the server. If the request
+// may be repeated, the attempt is cancelled so that the request is retried at another server while it
+// can still meet its objective. Such a retry costs no retry budget, because no server works on the
+// request.
 func (b *Balancer) markMissingAttempts(s *server, report LoadReport) {
 	missing := b.unreportedAttempts(s, report)
 	s.attempts.missing = 0
 	for _, r := range slices.Clone(s.attempts.requests) {
 		a := r.openAttemptAt(s)
-		if a.sentAt > b.now { // its body is still coming: no server has the request yet
+		if a.sentAt > b.now { // its body is still being received, so the server does not have the request yet
 			continue
 		}
 		elapsed := b.now - a.sentAt
-		known := a.missing
+		wasMissing := a.missing
 		if missing >= 1 && a.missingAfter == 0 {
 			a.missingAfter = elapsed
 		}
@@ -33,14 +35,14 @@
 		missing--
 		s.attempts.missing++
 		repeatable := r.class.repeatable() && b.now < r.objectiveAt
-		if !known && b.settings.CancelAllowed && !r.finished && repeatable {
+		if !wasMissing && b.settings.CancelAllowed && !r.finished && repeatable {
 			b.emit(CancelAttempt{r.id, r.attemptIndex(a)})
 		}
 	}
 }
 
-// unreportedAttempts is how many of this node's attempts, of those out for longer than a report is
-// fresh, a report can't hold.
+// unreportedAttempts returns by how many this node's open attempts at a server that are older than
+// reportFreshFor exceed the number of requests in its load report.
 func (b *Balancer) unreportedAttempts(s *server, report LoadReport) float64 {
 	count := -report.InFlight
 	for _, r := range s.attempts.requests {
--- a/balancer/outcomewindow.go
+++ b/balancer/outcomewindow.go
@@ -1,30 +1,31 @@
 package balancer
 
 const (
-	// The error window (ten seconds: docs/design.md) is outcomeBucketCount buckets of
-	// outcomeBucketLength ms.
+	// The error window covers ten seconds (docs/design.md): outcomeBucketCount buckets of
+	// outcomeBucketLength ms each.
 	outcomeBucketCount  = 10
 	outcomeBucketLength = 1000.0
-	// recentOutcomeCount outcomes make the recent success rate (docs/design.md).
+	// recentOutcomeCount is the number of latest outcomes that the recent success rate covers
+	// (docs/design.md).
 	recentOutcomeCount = 10
 )
 
 // outcomeBucket counts the outcomes of one bucket of the error window.
 type outcomeBucket struct {
-	index               int64 // buckets since the clock's zero
+	index               int64 // start time of the bucket divided by outcomeBucketLength
 	successes, failures int
 }
 
-// outcomeWindow keeps a server's outcomes of the last ten seconds, and its last ten.
+// outcomeWindow holds a server's outcome counts of the last ten seconds and its last ten outcomes.
 type outcomeWindow struct {
 	buckets   [outcomeBucketCount]outcomeBucket
-	recent    [recentOutcomeCount]bool // a ring: true is a success
+	recent    [recentOutcomeCount]bool // ring buffer; true is a success
 	recentLen int
-	recentPos int
+	recentPos int    // index of the next write
 	failedAt  Millis // when the last failure was recorded
 }
 
-// record adds an outcome.
+// record adds an outcome to the error window and to the recent outcomes.
 func (w *outcomeWindow) record(now Millis, success bool) {
 	index := int64(now / outcomeBucketLength)
 	bucket := &w.buckets[((index%outcomeBucketCount)+outcomeBucketCount)%outcomeBucketCount]
@@ -46,14 +47,14 @@
 	w.recentLen = min(w.recentLen+1, recentOutcomeCount)
 }
 
-// reset forgets all outcomes, but not when the last failure was.
+// reset clears all outcomes. It keeps failedAt.
 func (w *outcomeWindow) reset() {
 	w.buckets = [outcomeBucketCount]outcomeBucket{}
 	w.recentLen = 0
 	w.recentPos = 0
 }
 
-// oldestFirst are the recent outcomes in the order in which they came.
+// oldestFirst returns the recent outcomes in the order in which they were recorded.
 func (w *outcomeWindow) oldestFirst() []bool {
 	var out []bool
 	for i := range w.recentLen {
@@ -62,7 +63,7 @@
 	return out
 }
 
-// outcomeCounts are the outcomes in the error window.
+// outcomeCounts returns the numbers of successes and failures in the error window.
 func (s *server) outcomeCounts(now Millis) (successes, failures int) {
 	index := int64(now / outcomeBucketLength)
 	for _, bucket := range s.outcomes.buckets {
@@ -74,13 +75,13 @@
 	return successes, failures
 }
 
-// errorRate is the share of failures in the error window.
+// errorRate returns the fraction of failures in the error window.
 func (s *server) errorRate(now Millis) float64 {
 	successes, failures := s.outcomeCounts(now)
 	return float64(failures) / max(1, float64(successes+failures))
 }
 
-// recentSuccessRate is the share of successes among the last outcomes; 1 without any.
+// recentSuccessRate returns the fraction of successes among the recent outcomes, or 1 without any.
 func (s *server) recentSuccessRate() float64 {
 	if s.outcomes.recentLen == 0 {
 		return 1
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -3,47 +3,51 @@
 import "math"
 
 const (
-	// ejectionConsecutiveFailures in a row eject a server (design: the profile for
-	// latency-sensitive services) ...
+	// ejectionConsecutiveFailures is the number of consecutive failures that ejects a server. It comes
+	// from the design's profile for latency-sensitive services.
 	ejectionConsecutiveFailures = 3
-	// ... unless such a row is likelier than this by the server's failure share before it.
-	ejectionMaxChance = 1e-6
-	// ejectionErrorRate is the share of failures in the window that ejects a server ...
-	ejectionErrorRate = 0.5
-	// ... once the window has this many outcomes.
+	// maxStreakProbability prevents the ejection of a server whose failure rate before the streak
+	// makes a streak of this length more probable than this.
+	maxStreakProbability = 1e-6
+	// ejectionErrorRate is the fraction of failures in the error window that ejects a server if the
+	// window has at least ejectionMinOutcomes outcomes.
+	ejectionErrorRate   = 0.5
 	ejectionMinOutcomes = 20
-	// ejectionTime, in ms, is how long an ejected server waits for its trial (design: the same
-	// profile).
+	// ejectionTime, in ms, is the time from the ejection of a server to its trial. It comes from the
+	// same profile of the design.
 	ejectionTime = 10000
-	// healthyFailureRatio: next to a failing server another one counts as healthy if it fails at
-	// most this many times as often.
+	// healthyFailureRatio limits the recent failure rate of a healthy server to this multiple of the
+	// failing server's rate.
 	healthyFailureRatio = 0.5
-	// healthyMinFraction of the remaining servers must be healthy; with fewer the cause is shared.
+	// healthyMinFraction is the fraction of the other servers that must be healthy for an ejection;
+	// with fewer, the failures are attributed to a shared cause.
 	healthyMinFraction = 0.3
 )
 
-// outlierDetector is what ejection needs to know beyond the single server.
+// outlierDetector holds the state of outlier detection that is not specific to one server.
 type outlierDetector struct {
-	sharedCauseUntil Millis      // until then further ejections that a shared cause prevents are not logged
-	trialIdempotency Idempotency // only classes of this idempotency carry trials: the least harm available
+	sharedCauseUntil Millis // until then, ejections prevented by a shared cause are not logged again
+	// trialIdempotency is the idempotency of the classes whose requests are used as trials: of those
+	// configured, the one with which a failed trial does the least harm.
+	trialIdempotency Idempotency
 }
 
-// ejectionState is whether one server is ejected.
+// ejectionState is the ejection state of one server.
 type ejectionState struct {
-	consecutiveFailures int // in the order of sending
+	consecutiveFailures int // in the order in which the attempts were sent
 	ejected             bool
 	trialAt             Millis // earliest time of the next trial, while ejected
 }
 
-// updateEjection ejects a server whose outcomes call for it, and readmits one that passed its
-// trial. An attempt is a trial if it was sent at or after trialAt.
+// updateEjection ejects a server that is an outlier and readmits one whose trial succeeded. A trial
+// is an attempt that was sent at or after trialAt.
 //
-// Rejections by a full server are load and no fault: ejecting for them would overload the next
-// server.
+// A rejection by a full server indicates load, not a fault. It never leads to ejection, because that
+// would overload the remaining servers.
 func (b *Balancer) updateEjection(s *server, outcome Outcome, sentAt Millis) {
 	state := &s.outlier
 	if state.ejected && sentAt < state.trialAt {
-		return // sent before trialAt: not the trial
+		return // sent before trialAt, so it is not the trial
 	}
 	switch outcome {
 	case OK:
@@ -55,7 +59,7 @@
 	case Overloaded, Cancelled:
 		return
 	}
-	if sentAt >= s.attempts.latestAnswered { // otherwise the answer to a later attempt has ended the row
+	if sentAt >= s.attempts.latestAnswered { // otherwise the response to a later attempt has ended the streak
 		state.consecutiveFailures++
 	}
 	if state.ejected {
@@ -73,23 +77,23 @@
 	b.eject(s)
 }
 
-// isOutlier reports whether a server's own record calls for ejection: too many failures in a row, or
-// too many in the window. Where a server fails a share of all requests anyway, a short streak
-// is chance.
+// isOutlier reports whether a server's outcomes justify ejection: too many consecutive failures, or
+// too many failures in the error window. A streak does not count if it is likely to occur by chance
+// at the failure rate that the server had before it.
 func (s *server) isOutlier(now Millis) bool {
 	successes, failures := s.outcomeCounts(now)
 	total := successes + failures
 	streak := s.outlier.consecutiveFailures
-	shareBefore := float64(max(0, failures-streak)) / float64(max(1, total-streak))
-	if streak >= ejectionConsecutiveFailures && math.Pow(shareBefore, float64(streak)) <= ejectionMaxChance {
+	rateBefore := float64(max(0, failures-streak)) / float64(max(1, total-streak))
+	if streak >= ejectionConsecutiveFailures && math.Pow(rateBefore, float64(streak)) <= maxStreakProbability {
 		return true
 	}
 	return total >= ejectionMinOutcomes && float64(failures) >= ejectionErrorRate*float64(total)
 }
 
-// othersHealthy reports whether enough servers remain that clearly fail less. If not, the cause is
-// shared or is this node, and ejecting one server after the other would move all load to the last
-// one.
+// othersHealthy reports whether enough of the other servers fail clearly less often. If not, the
+// servers share a cause or the cause is this node, and ejecting one server after another would move
+// all load to the last one.
 func (b *Balancer) othersHealthy(s *server) bool {
 	healthy, remaining := 0.0, 0.0
 	for _, other := range b.servers.ready {
@@ -104,6 +108,7 @@
 	return healthy > 0 && healthy >= healthyMinFraction*remaining
 }
 
+// eject ejects a server until its trial succeeds.
 func (b *Balancer) eject(s *server) {
 	s.outlier.ejected = true
 	s.outlier.trialAt = b.now + ejectionTime
@@ -113,6 +118,7 @@
 		s.ID, s.outlier.consecutiveFailures, failures, successes+failures)
 }
 
+// readmit ends the ejection of a server. It clears the server's outcomes and resets its score.
 func (b *Balancer) readmit(s *server) {
 	s.outlier.ejected = false
 	b.outliers.sharedCauseUntil = 0
@@ -122,13 +128,14 @@
 	b.logf("readmitted %s after its trial", s.ID)
 }
 
-// logSharedCause says that too few other servers are healthy: once for each time that this lasts. It is
-// over when a server is ejected or readmitted, or no ejection was prevented for the error window.
+// logSharedCause logs that an ejection was prevented because too few other servers are healthy. It
+// logs once per episode. An episode ends when a server is ejected or readmitted, or when no ejection
+// was prevented for the length of the error window.
 func (b *Balancer) logSharedCause() {
 	logged := b.now < b.outliers.sharedCauseUntil
 	b.outliers.sharedCauseUntil = b.now + outcomeBucketCount*outcomeBucketLength
 	if logged {
 		return
 	}
-	b.logf("too few other servers are healthy: a shared cause or this node; ejecting no more")
+	b.logf("no server is ejected: too few other servers are healthy, so the cause is shared or on this node")
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestEjectionTimeAndOneTrial(t *testing.T) {
+func TestEjectedServerGetsOneTrialAfterEjectionTime(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	failing(t, b, "s1", Errored)
 	if !b.balancer.servers.byID["s1"].outlier.ejected {
@@ -55,7 +55,7 @@
 }
 
 // Guards against readmitting a failing server on an answer to something sent before its ejection.
-func TestAnswerToEarlierAttemptIsNoTrial(t *testing.T) {
+func TestResponseToAttemptBeforeEjectionDoesNotReadmit(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	var old RequestID
 	for i := 0; i < 300 && old == 0; i++ {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestRejectionsNeverEject(t *testing.T) {
+func TestOverloadRejectionsDoNotEjectServer(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	failing(t, b, "s1", Overloaded)
 	s := b.balancer.servers.byID["s1"]
@@ -93,7 +93,7 @@
 }
 
 // Guards against ejecting the whole fleet for a cause that all servers share.
-func TestSharedFailureEjectsNone(t *testing.T) {
+func TestFleetWideFailureDoesNotEjectFleet(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for i := 0; i < 200; i++ {
 		b.serve("read", 5, func(ServerID) Outcome { return Errored })
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestAllEjectedMeansAllEligible(t *testing.T) {
+func TestAllServersAreCandidatesWhenAllAreEjected(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for _, s := range b.balancer.servers.ready {
 		s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
@@ -122,7 +122,7 @@
 
 // Guards against an unresponsive server: a server that answers no probe is ejected without losing requests
 // to it.
-func TestUnansweredProbesEject(t *testing.T) {
+func TestUnansweredProbesEjectServer(t *testing.T) {
 	set := settings()
 	set.ProbesAllowed, set.LoadReports = true, true
 	b := newTestNode(t, set, testEndpoints(3)...)
@@ -147,7 +147,7 @@
 
 // A group bad together: a lost hall is half the fleet, and all of it must be ejected while the rest
 // is well.
-func TestLostHalfOfFleetIsEjected(t *testing.T) {
+func TestUnreachableHalfOfFleetIsEjected(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for i := 0; i < 60; i++ {
 		b.serve("read", 20, allOK)
@@ -176,7 +176,7 @@
 
 // Two at once: the fleet slows down while one server fails fast. The one must not pass for the
 // fastest, and the slow ones must not be ejected.
-func TestFastErrorsInSlowFleet(t *testing.T) {
+func TestFastFailingServerIsAvoidedInSlowFleet(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(5)...)
 	for i := 0; i < 60; i++ {
 		b.serve("read", 20, allOK)
@@ -215,7 +215,7 @@
 }
 
 // Guards against ejecting one server after the other where all lose a third of what they get.
-func TestServersThatFailAlikeAreNotEjected(t *testing.T) {
+func TestServersWithEqualFailureRatesAreNotEjected(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for _, s := range b.balancer.servers.ready {
 		for i := range recentOutcomeCount {
@@ -245,7 +245,7 @@
 
 // Guards against ejecting servers for rows that chance makes where a tenth of all attempts break,
 // and against sparing one that has really gone.
-func TestShortRowIsChanceWhereAShareFails(t *testing.T) {
+func TestShortFailureStreakDoesNotEjectFlakyServer(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for _, s := range b.balancer.servers.ready {
 		for i := range 200 {
@@ -272,7 +272,7 @@
 }
 
 // Guards against losing an ejected server for good where no class is safe to repeat.
-func TestTrialByMostRepeatableClass(t *testing.T) {
+func TestTrialUsesMostRepeatableClass(t *testing.T) {
 	set := settings()
 	set.Classes = set.Classes[1:]
 	b := newTestNode(t, set, testEndpoints(4)...)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -6,52 +6,54 @@
 )
 
 const (
-	// maxCostRatio: servers that cost more than this multiple of the best one are not drawn.
+	// maxCostRatio is the highest placement cost of a server that is drawn, as a multiple of the lowest.
 	maxCostRatio = 1.25
-	// newRequestTimeFraction is the part of the time to the objective that a first attempt may be
-	// expected to use; the rest is for variance.
+	// newRequestTimeFraction is the fraction of the time from arrival to the objective that an attempt
+	// may be expected to take. The rest allows for variance.
 	newRequestTimeFraction = 0.4
-	// queuedRequestTimeFraction is the same for what is left to a queued request: with less, each
-	// newer request would pass it.
+	// queuedRequestTimeFraction is the fraction of the remaining time to the objective that an attempt
+	// may be expected to take. With a smaller fraction, newer requests would always be placed before
+	// a queued one.
 	queuedRequestTimeFraction = 0.7
-	// idleServerRequests: a server that holds fewer requests counts as idle.
+	// idleServerRequests is the estimated number of requests below which a server counts as idle.
 	idleServerRequests = 0.5
-	// idleTimeFraction is the part of the time to the objective that an idle server may be expected to
-	// use: its time varies less, and sparing it gains nothing.
+	// idleTimeFraction is the fraction of the time to the objective that an attempt at an idle server
+	// may be expected to take. It is larger because service times there vary less, and keeping an idle
+	// server free gains nothing.
 	idleTimeFraction = 0.7
-	// idleFleetTimeFraction is how much that part grows with the idle share of the fleet: up to the
-	// whole time when half is idle.
+	// idleFleetTimeFraction is multiplied by the idle fraction of the fleet and added to
+	// newRequestTimeFraction: from 0.3 of the fleet idle, an attempt may take the whole time.
 	idleFleetTimeFraction = 2.0
-	// saturationFactor: a server that holds more than this multiple of what it works on at once
-	// gets slower for all.
+	// saturationFactor is the number of requests, as a multiple of its parallelism, above which a
+	// server becomes slower for all of them.
 	saturationFactor = 3.0
-	// keyAffinitySaving is the share of the work that is taken to be saved where a request's key
-	// was met lately.
+	// keyAffinitySaving is the fraction of the work that is assumed to be saved at a server that has
+	// recently processed a request with the same key.
 	keyAffinitySaving = 0.5
-	// explorationFraction is the part of the servers' capacity that may be used by requests that only
-	// find out whether a slowdown is over.
+	// explorationFraction is the fraction of the servers' capacity that may be used by requests that are
+	// sent only to detect the end of a slowdown.
 	explorationFraction = 0.1
-	// minPriorityWeight keeps quotients finite.
+	// minPriorityWeight is a lower bound that keeps quotients finite.
 	minPriorityWeight = 1e-3
 )
 
-// placementEstimate is what a server would cost the request that is being placed.
+// placementEstimate is the estimated cost of sending the request that is being placed to a server.
 type placementEstimate struct {
-	expected Millis // time until the answer
-	cost     Millis // with everything else that counts against the server, expressed as time
+	expected Millis // expected time until the response
+	cost     Millis // expected, plus all other costs expressed as time (see placementCost)
 }
 
-// placementLimits bound which servers a request may be sent to.
+// placementLimits limit the servers that a request may be sent to.
 type placementLimits struct {
-	requests float64 // that the server may hold
-	expected Millis  // at a server whose load is known ...
-	unknown  Millis  // ... and so much longer where nothing is known of it
-	idle     Millis  // at an idle server
+	maxRequests     float64 // highest number of requests at the server
+	maxExpected     Millis  // longest expected time at a server whose load is known
+	extraIfUnknown  Millis  // added to maxExpected in proportion to the uncertainty about the load
+	maxExpectedIdle Millis  // longest expected time at an idle server
 }
 
-// eligible reports whether the rules let a request go to a server at all. Invariants: nothing new
-// goes to a draining server; a request that may have run is repeated only if it is idempotent or,
-// with an idempotency key, inside its dedup scope and window.
+// eligible reports whether a request is permitted to go to a server. Invariants: a draining server
+// gets no new attempts; a request that may have run is repeated only if it is idempotent or if it has
+// an idempotency key and the server is within its dedup scope and window.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
@@ -71,121 +73,131 @@
 	return true
 }
 
-// candidates are the servers that a request may be drawn to: eligible, with slow start budget left,
-// not ejected, not tried. An ejected server whose ejection time is over gets one trial, by a
-// request that can bear a failure. When all are ejected, all are candidates.
+// candidates returns the servers that a request may be sent to: those that are eligible, have enough
+// slow start budget, are not ejected and were not tried by this request. An ejected server whose
+// ejection time is over gets one request as a trial, of a class for which a failure does the least
+// harm. If all servers are ejected, the ejections are ignored.
 func (b *Balancer) candidates(r *request) []*server {
-	open := b.candidateBuffer[:0]
+	allowed := b.candidateBuffer[:0]
 	allEjected := !slices.ContainsFunc(b.servers.ready, func(s *server) bool { return !s.outlier.ejected })
 	for _, s := range b.servers.ready {
 		if !b.eligible(r, s) || !b.slowStartAllows(s, r.work) || r.triedServer(s) {
 			continue
 		}
-		if allEjected || !s.outlier.ejected || b.mayCarryTrial(r, s) {
-			open = append(open, s)
+		if allEjected || !s.outlier.ejected || b.canBeTrial(r, s) {
+			allowed = append(allowed, s)
 		}
 	}
-	b.candidateBuffer = open
+	b.candidateBuffer = allowed
 	if !b.polling.stale() {
-		return open
+		return allowed
 	}
-	// Where no server surely takes requests all stay open: a lost discovery must not stop the service.
-	if sure := slices.DeleteFunc(slices.Clone(open), b.mayBeDraining); len(sure) > 0 {
-		return sure
+	// If every server may be draining, none is excluded, because a failure of discovery must not stop
+	// the service.
+	if accepting := slices.DeleteFunc(slices.Clone(allowed), b.mayBeDraining); len(accepting) > 0 {
+		return accepting
 	}
-	return open
+	return allowed
 }
 
-// mayCarryTrial reports whether a request may be the trial of an ejected server.
-func (b *Balancer) mayCarryTrial(r *request, s *server) bool {
+// canBeTrial reports whether a request may be used as the trial of an ejected server.
+func (b *Balancer) canBeTrial(r *request, s *server) bool {
 	due := b.now >= s.outlier.trialAt && s.attempts.inFlight == 0
 	return due && r.class.Idempotency == b.outliers.trialIdempotency && len(r.attempts) == 0
 }
 
-// drawByScore draws one of the servers with a chance in proportion to its score; nil where there
-// are none.
+// drawByScore draws a server at random, with a probability proportional to its score. It returns nil
+// if there are no servers.
 func (b *Balancer) drawByScore(from []*server) *server {
 	sum := 0.0
 	for _, s := range from {
 		sum += s.score
 	}
-	at := b.rng.Float64() * sum
+	remaining := b.rng.Float64() * sum
 	for i, s := range from {
-		at -= s.score
-		if at < 0 || i == len(from)-1 {
+		remaining -= s.score
+		if remaining < 0 || i == len(from)-1 {
 			return s
 		}
 	}
 	return nil
 }
 
-// pickServer picks the server of a request: drawn by score among those that would answer in time
-// and cost little more than the best. Nil where none would answer in time.
+// pickServer chooses the server for a request among the candidates that are expected to respond in
+// time and cost little more than the best one: one that the request's key prefers, otherwise one drawn
+// by score. If no candidate is expected to respond in time, it returns nil, or a server drawn by score
+// if the request is used for exploration.
 func (b *Balancer) pickServer(r *request) *server {
-	first, second := b.affinityServers(r)
+	primary, secondary := b.affinityServers(r)
 	limits := b.placementLimits(r)
-	open := b.candidates(r)
+	allowed := b.candidates(r)
 	best := math.Inf(1)
-	fit := open[:0]
-	for _, s := range open {
+	inTime := allowed[:0]
+	for _, s := range allowed {
 		work := r.work
-		if s == first || s == second {
+		if s == primary || s == secondary {
 			work *= 1 - keyAffinitySaving
 		}
 		s.placement.expected = b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), work)
 		if b.answersInTime(r, s, limits) {
 			s.placement.cost = b.placementCost(r, s)
 			best = min(best, s.placement.cost)
-			fit = append(fit, s)
+			inTime = append(inTime, s)
 		}
 	}
-	if len(fit) == 0 && b.mayExplore(r) {
-		return b.drawByScore(open)
+	if len(inTime) == 0 && b.mayExplore(r) {
+		return b.drawByScore(allowed)
 	}
-	// Drawing among the servers that cost little more than the best one equals drawing among all and
-	// redrawing the others.
-	fit = slices.DeleteFunc(fit, func(s *server) bool { return s.placement.cost > best*maxCostRatio })
-	for _, preferred := range []*server{first, second} {
-		if preferred != nil && slices.Contains(fit, preferred) {
+	// Removing the servers that cost too much leaves the ratio of the probabilities of the others
+	// unchanged.
+	inTime = slices.DeleteFunc(inTime, func(s *server) bool { return s.placement.cost > best*maxCostRatio })
+	for _, preferred := range []*server{primary, secondary} {
+		if preferred != nil && slices.Contains(inTime, preferred) {
 			return preferred
 		}
 	}
-	return b.drawByScore(fit)
+	return b.drawByScore(inTime)
 }
 
-// placementLimits are the limits of a request's placement now.
+// placementLimits returns the current placement limits of a request.
 func (b *Balancer) placementLimits(r *request) placementLimits {
-	left := b.timeToObjective(r)
-	protected := r.class.protectedObjective // spares servers for what has a higher weight and less time
+	timeLeft := b.timeToObjective(r)
+	// Limiting a request by this objective keeps capacity free for classes with a higher priority weight
+	// and a shorter objective.
+	protectedTime := r.class.protectedObjective
 	parallelism := math.Round(b.estimate.parallelism)
-	limits := placementLimits{idle: min(b.idleServerTimeFraction()*left, idleTimeFraction*protected)}
-	if r.late { // what is late must make nothing else late
-		limits.requests = parallelism
-		limits.expected = min(queuedRequestTimeFraction*left, newRequestTimeFraction*protected)
+	limits := placementLimits{
+		maxExpectedIdle: min(b.idleServerTimeFraction()*timeLeft, idleTimeFraction*protectedTime),
+	}
+	if r.late { // a late request must not make other requests late
+		limits.maxRequests = parallelism
+		limits.maxExpected = min(queuedRequestTimeFraction*timeLeft, newRequestTimeFraction*protectedTime)
 		return limits
 	}
-	share := b.timeFraction(r.class, newRequestTimeFraction)
-	queuedShare := b.timeFraction(r.class, queuedRequestTimeFraction)
-	limits.requests = saturationFactor * parallelism * (share / newRequestTimeFraction)
-	whole := min(r.objectiveAt, r.deadline) - r.arrived
-	expected := min(share*whole, queuedShare*left)
-	limits.unknown = max(0, left-expected) * (1 - b.probeCoverage())
-	limits.expected = min(expected, newRequestTimeFraction*protected)
+	newFraction := b.timeFraction(r.class, newRequestTimeFraction)
+	queuedFraction := b.timeFraction(r.class, queuedRequestTimeFraction)
+	limits.maxRequests = saturationFactor * parallelism * (newFraction / newRequestTimeFraction)
+	totalTime := min(r.objectiveAt, r.deadline) - r.arrived
+	expectedTime := min(newFraction*totalTime, queuedFraction*timeLeft)
+	limits.extraIfUnknown = max(0, timeLeft-expectedTime) * (1 - b.probeCoverage())
+	limits.maxExpected = min(expectedTime, newRequestTimeFraction*protectedTime)
 	return limits
 }
 
-// answersInTime reports whether a candidate is within a request's limits.
+// answersInTime reports whether a candidate is within the placement limits of a request.
 func (b *Balancer) answersInTime(r *request, s *server, limits placementLimits) bool {
 	requests := b.estimatedRequests(s)
 	expected := s.placement.expected
-	if requests < limits.requests && expected <= limits.expected+s.estimate.doubt*limits.unknown {
+	if requests < limits.maxRequests &&
+		expected <= limits.maxExpected+s.estimate.uncertainty*limits.extraIfUnknown {
 		return true
 	}
-	return !r.late && requests < idleServerRequests && expected <= limits.idle
+	return !r.late && requests < idleServerRequests && expected <= limits.maxExpectedIdle
 }
 
-// placementCost is what a candidate costs a request, expressed as time: the expected answer, the
-// risk of a failure, another zone, a new connection.
+// placementCost returns the cost of sending a request to a candidate, expressed as time. It is the sum
+// of the expected response time, the risk of a failure, and the prices of crossing zones and of a new
+// connection.
 func (b *Balancer) placementCost(r *request, s *server) Millis {
 	objective := r.class.LatencyObjective
 	cost := s.placement.expected + (s.estimate.failureShare+b.zoneFailureShare(s.zoneFailures))*objective
@@ -197,14 +209,14 @@
 		cost += b.settings.Prices.Handshake * wholeWeight
 	}
 	if b.classFault(s, r.class) {
-		cost += b.classFailureShare(s, r.class) * objective
+		cost += b.classFailureRate(s, r.class) * objective
 	}
 	return cost
 }
 
-// idleServerTimeFraction is the part of the time to the objective that an idle server may be expected
-// to use. While much of the fleet is idle heavy requests may use more of it: hints are rough, and
-// nothing else is held up.
+// idleServerTimeFraction returns the fraction of the time to the objective that an attempt at an idle
+// server may be expected to take. It is larger while much of the fleet is idle, because work hints are
+// inaccurate and a heavy request then delays no others.
 func (b *Balancer) idleServerTimeFraction() float64 {
 	if !b.settings.LoadReports {
 		return idleTimeFraction
@@ -212,26 +224,27 @@
 	return max(idleTimeFraction, newRequestTimeFraction+idleFleetTimeFraction*(1-b.estimate.othersLoad))
 }
 
-// timeFraction widens a share of the time to the objective where a late answer still earns something,
-// since less is lost by a wrong guess. Where the operator's objective weighs the tail more would be
-// lost, and the share stays.
-func (b *Balancer) timeFraction(class *classState, share float64) float64 {
+// timeFraction increases a fraction of the time to the objective for a class whose late responses
+// still count, because a wrong estimate then costs less. It returns the fraction unchanged if the
+// operator's goal weights tail latency, because a late response then costs more.
+func (b *Balancer) timeFraction(class *classState, fraction float64) float64 {
 	if b.settings.Goal.TailLatency > 0 {
-		return share
+		return fraction
 	}
-	return share + (1-share)*class.LateFraction
+	return fraction + (1-fraction)*class.LateFraction
 }
 
-// mayExplore reports whether a request is sent though no server would answer in time, to find out
-// whether a slowdown is over.
+// mayExplore reports whether a request is sent although no server is expected to respond in time, to
+// detect the end of a slowdown.
 func (b *Balancer) mayExplore(r *request) bool {
 	return !r.late && b.openAttempts == 0 && b.timeToObjective(r) > 0 && b.takeExploration()
 }
 
-// takeExploration rations explorations. Without any, all requests would be rejected on old evidence
-// for good. One always out from each node would keep a crowded fleet down where nodes outnumber
-// servers, so the nodes' sum is kept to a share of the servers' capacity, each node in a random
-// phase.
+// takeExploration reports whether the exploration budget allows another request, and takes it from the
+// budget. Without exploration, outdated estimates could cause all requests to be rejected permanently.
+// If each node always had an exploration in flight, an overloaded fleet with more nodes than servers
+// would not recover. Therefore all nodes together are limited to a fraction of the servers' capacity,
+// with each node at a random phase of its budget.
 func (b *Balancer) takeExploration() bool {
 	unitTime := min(b.estimate.unitTime, b.estimate.initialUnitTime)
 	rate := explorationFraction * float64(len(b.servers.ready)) / unitTime / float64(b.fleet.size)
@@ -239,27 +252,27 @@
 	return b.explorations.take()
 }
 
-// affinityServers are the two servers that all nodes prefer for a request's key, where a server
-// that met the key lately does less work for it: the two highest by a hash of both, of those not
-// ejected (rendezvous hashing).
-func (b *Balancer) affinityServers(r *request) (first, second *server) {
+// affinityServers returns the two servers that all nodes prefer for a request's key, because a server
+// that has recently processed the key needs less work for it. They are the servers with the highest
+// hashes of key and server name among those that are not ejected (rendezvous hashing).
+func (b *Balancer) affinityServers(r *request) (primary, secondary *server) {
 	if r.affinityKey == 0 || r.affinity.version == b.servers.version {
 		return r.affinity.first, r.affinity.second
 	}
-	var highest, next uint64
+	var highest, secondHighest uint64
 	for _, s := range b.servers.ready {
-		h := (r.affinityKey ^ s.nameHash) * 0x9e3779b97f4a7c15
-		h ^= h >> 32
+		hash := (r.affinityKey ^ s.nameHash) * 0x9e3779b97f4a7c15
+		hash ^= hash >> 32
 		switch {
-		case s.outlier.ejected || h <= next:
-		case h > highest:
-			first, second = s, first
-			highest, next = h, highest
+		case s.outlier.ejected || hash <= secondHighest:
+		case hash > highest:
+			primary, secondary = s, primary
+			highest, secondHighest = hash, highest
 		default:
-			second = s
-			next = h
+			secondary = s
+			secondHighest = hash
 		}
 	}
-	r.affinity = affinityPair{first, second, b.servers.version}
-	return first, second
+	r.affinity = affinityPair{primary, secondary, b.servers.version}
+	return primary, secondary
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestDrawIsInProportionToScore(t *testing.T) {
+func TestDrawProbabilityIsProportionalToScore(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(2)...)
 	b.balancer.servers.ready[0].score, b.balancer.servers.ready[1].score = 0.9, 0.3
 	got := 0
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestPickAvoidsCrowdedServers(t *testing.T) {
+func TestConcurrentRequestsUseDifferentServers(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(2)...)
 	seen := map[ServerID]int{}
 	for i := 0; i < 2; i++ {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestNonIdempotentIsNeverRepeated(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	for res, again := range map[Outcome]bool{Errored: false, TimedOut: false, ConnectionLost: false, Overloaded: true, Unreachable: true} {
 		b := newTestNode(t, settings(), testEndpoints(3)...)
 		id, acts := b.arrive("bill", 2000)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestKeyedRetryStaysInCellAndWindow(t *testing.T) {
+func TestKeyedRetryStaysInDedupScopeAndWindow(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for i := 0; i < 40; i++ {
 		b.balancer.retryBudget.left = retryBurst
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestDrainingServerGetsNothing(t *testing.T) {
+func TestDrainingServerGetsNoRequests(t *testing.T) {
 	for _, form := range []UpdateKind{DeltaUpdate, FullUpdate} {
 		b := newTestNode(t, settings(), testEndpoints(3)...)
 		entries := []Endpoint{{ID: "s1", State: Draining, Capacity: 1}}
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestIdleServersTakeHeavyRequests(t *testing.T) {
+func TestIdleServerAcceptsHeavyRequest(t *testing.T) {
 	set := settings()
 	set.LoadReports = true
 	b := newTestNode(t, set, testEndpoints(4)...)
@@ -106,7 +106,7 @@
 }
 
 // The groups of a keyed class: where repeats may go, and when a rejection is harmless.
-func TestDedupScopes(t *testing.T) {
+func TestDedupScopeLimitsRetriesAndRejections(t *testing.T) {
 	servers := testEndpoints(4)
 	servers[3].Zone = "y"
 	for group, want := range map[DedupScope]int{DedupAcrossFleet: 4, DedupWithinZone: 3, DedupWithinCell: 2} {
@@ -134,7 +134,7 @@
 
 // Guards against rejecting everything on old evidence: the node would never learn that a slowdown
 // is over.
-func TestExplorationFindsEndOfSlowdown(t *testing.T) {
+func TestExplorationDetectsEndOfSlowdown(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	for i := 0; i < 60; i++ {
 		b.serve("read", 1500, allOK) // far beyond the latency objective
@@ -154,7 +154,7 @@
 // Guards against each node keeping a request out where nothing fits: with more nodes than servers
 // that alone holds a crowded fleet down. The nodes' sum stays a small share of what the servers can
 // do.
-func TestExplorationIsRationedOverAllNodes(t *testing.T) {
+func TestExplorationIsLimitedAcrossNodes(t *testing.T) {
 	const nodes, servers = 200, 4
 	set := settings()
 	set.Nodes = nodes
@@ -186,7 +186,7 @@
 
 // Guards against rejecting heavy requests while most of the fleet is idle: what is expected to take
 // more than the usual share of the time left may still go to a server with nothing in flight.
-func TestIdleFleetTakesHeavyRequests(t *testing.T) {
+func TestHeavyRequestIsSentOnlyIfFleetIsIdle(t *testing.T) {
 	for _, crowd := range []float64{0.1, 1.5} {
 		set := settings()
 		set.LoadReports = true
@@ -210,7 +210,7 @@
 // Guards against holding requests back, and rejecting them at their end, where nothing is known of
 // the servers and no probes are to be had that would tell more: with hundreds of nodes a fifth was
 // rejected while servers had room.
-func TestSendsAtOnceWithoutLoadInformation(t *testing.T) {
+func TestRequestIsSentAtOnceIfLoadCannotBeLearned(t *testing.T) {
 	sent := func(set Settings, crowd float64) bool {
 		b := newTestNode(t, set, testEndpoints(40)...)
 		b.balancer.estimate.othersLoad, b.balancer.probing.tokens.left = crowd, 0
@@ -233,7 +233,7 @@
 	}
 	dear.LoadReports = false
 	b := newTestNode(t, dear, testEndpoints(1)...)
-	if b.balancer.refreshEstimate(b.balancer.servers.byID["s0"]); b.balancer.servers.byID["s0"].estimate.doubt != 0 {
+	if b.balancer.refreshEstimate(b.balancer.servers.byID["s0"]); b.balancer.servers.byID["s0"].estimate.uncertainty != 0 {
 		t.Error("where servers report nothing there is no doubt to be had of them")
 	}
 }
@@ -278,7 +278,7 @@
 
 // Guards against a draw that favours whoever comes first in the list once crowded servers are set
 // aside: those that are left each get their part by score.
-func TestUncrowdedServersAreDrawnInProportion(t *testing.T) {
+func TestRemainingServersAreDrawnInProportionToScore(t *testing.T) {
 	set := settings()
 	b := newTestNode(t, set, testEndpoints(5)...)
 	for i, s := range b.balancer.servers.ready {
@@ -305,7 +305,7 @@
 }
 
 // Guards against crossing zones for nothing, and against staying where it would be late.
-func TestCrossZoneIsPriced(t *testing.T) {
+func TestRequestLeavesZoneOnlyIfZoneIsFull(t *testing.T) {
 	set := probed(1)
 	set.Zone, set.Prices.CrossZone, set.ProbesAllowed = "here", 0.13, false
 	list := []Endpoint{{ID: "near", Zone: "here", Capacity: 1}, {ID: "far", Zone: "there", Capacity: 1}}
@@ -334,7 +334,7 @@
 }
 
 // Guards against nodes that send one key to different servers, none of which then has it warm.
-func TestAffinityIsTheSameAtAllNodes(t *testing.T) {
+func TestAllNodesPreferSameServersForKey(t *testing.T) {
 	set := probed(2)
 	set.KeyAffinity = true
 	homes := map[ServerID]int{}
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// server is what this node knows of one server.
+// server holds what this node knows about one server.
 type server struct {
 	Endpoint
 	score    float64 // from 0 to 1; the picker draws in proportion to it
@@ -15,43 +15,44 @@
 	outlier  ejectionState
 
 	slowStart     slowStartState
-	classFailures []failureRate // by the class's index
-	zoneFailures  *failureRate  // shared by the servers of its zone
+	classFailures []failureRate // by class index
+	zoneFailures  *failureRate  // shared by all servers of the zone
 
 	attempts        serverAttempts
 	idleConnections int
 	load            serverLoad
 	estimate        serverEstimate
-	placement       placementEstimate // of the request that is being placed
+	placement       placementEstimate // for the request that is being placed
 
 	nameHash      uint64
-	gossipTag     uint16 // its name in gossip
+	gossipTag     uint16 // identifies the server in gossip messages
 	gossipReports []gossipReport
 }
 
-// serverSet is the servers that this node knows of.
+// serverSet holds the servers that this node knows.
 type serverSet struct {
 	byID    map[ServerID]*server
 	known   []*server // in the order in which they were first listed
-	ready   []*server // of these, the ones that may get requests
-	version int       // counts changes of the list and of ejections
+	ready   []*server // the known servers in state Ready
+	version int       // number of changes of the endpoint list and of ejections
 }
 
-// serverAttempts are this node's attempts at one server.
+// serverAttempts holds the attempts of this node at one server.
 type serverAttempts struct {
-	requests       []*request // with an open attempt here, oldest first
-	inFlight       int        // open attempts here
-	missing        int        // of these, not in the server's latest report
-	awaitingBody   int        // of these, still without their whole body: the server can't hold them yet
-	latestAnswered Millis     // when the latest attempt that was answered had been sent
+	requests       []*request // with an open attempt at the server, oldest first
+	inFlight       int        // number of open attempts
+	missing        int        // open attempts that the latest load report does not include
+	awaitingBody   int        // open attempts whose body is incomplete: the server does not have them yet
+	latestAnswered Millis     // latest send time of a successful attempt
 }
 
-// held is how many of this node's requests the server holds, as far as its latest report shows.
-func (a *serverAttempts) held() float64 {
+// atServer returns how many of this node's requests the server has, by its latest load report.
+func (a *serverAttempts) atServer() float64 {
 	return float64(a.inFlight - a.missing - a.awaitingBody)
 }
 
-// forgetRemovedServers drops the servers that have left the list, once no attempt is out at them.
+// forgetRemovedServers deletes the servers that were removed from the endpoint list and have no open
+// attempt.
 func (b *Balancer) forgetRemovedServers() {
 	b.servers.known = slices.DeleteFunc(b.servers.known, func(s *server) bool {
 		forget := s.State == Removed && s.attempts.inFlight == 0
@@ -62,21 +63,22 @@
 	})
 }
 
-// removeRequest takes a request off the ones with an open attempt here.
+// removeRequest removes a request from those with an open attempt at the server.
 func (s *server) removeRequest(r *request) {
 	if i := slices.Index(s.attempts.requests, r); i >= 0 {
 		s.attempts.requests = slices.Delete(s.attempts.requests, i, i+1)
 	}
 }
 
-// superseded reports whether an attempt is missing at the server or was overtaken by the answer to a
-// later one. An attempt whose body is still coming is with no server, so its silence says nothing
-// either.
+// superseded reports whether the time that an attempt is unanswered gives no evidence about the
+// server: the attempt is missing, a later attempt has been answered, or its body is still being
+// received.
 func (s *server) superseded(a *attempt) bool {
 	return a.missing || a.sentAt < s.attempts.latestAnswered || math.IsInf(a.sentAt, 1)
 }
 
-// oldestAttempt is the longest outstanding attempt that is not superseded.
+// oldestAttempt returns the oldest open attempt that is not superseded, and its request; nil if there
+// is none.
 func (s *server) oldestAttempt() (*request, *attempt) {
 	for _, r := range s.attempts.requests {
 		if a := r.openAttemptAt(s); a != nil && !s.superseded(a) {
@@ -86,22 +88,23 @@
 	return nil, nil
 }
 
-// recordConnection counts the connection that an attempt or a probe leaves open: one stays after an
-// answer.
+// recordConnection counts the idle connection that remains after an attempt or a probe that the
+// server answered.
 func (s *server) recordConnection(outcome Outcome) {
 	if outcome == OK || outcome == Errored || outcome == Overloaded {
 		s.idleConnections++
 	}
 }
 
+// handleConnectionClosed removes a closed connection from the count of idle connections.
 func (b *Balancer) handleConnectionClosed(e ConnectionClosed) {
 	if s := b.servers.byID[e.Server]; s != nil {
 		s.idleConnections = max(0, s.idleConnections-1)
 	}
 }
 
-// CountEndpoints counts the listed servers and, of these, the ones that get no requests in the
-// ordinary way: ejected or draining. The counts change only when EndpointVersion does.
+// CountEndpoints returns the number of listed servers and how many of them normally get no requests
+// because they are ejected or draining. The counts change only if EndpointVersion changes.
 func (b *Balancer) CountEndpoints() (listed, avoided int) {
 	for _, s := range b.servers.known {
 		if s.State == Removed {
@@ -115,10 +118,10 @@
 	return listed, avoided
 }
 
-// EndpointVersion counts the changes of the endpoint list and of the ejections.
+// EndpointVersion returns the number of changes of the endpoint list and of ejections so far.
 func (b *Balancer) EndpointVersion() int { return b.servers.version }
 
-// ZoneOf is a server's zone; empty where the server is not known.
+// ZoneOf returns the zone of a server, or an empty string if the server is unknown.
 func (b *Balancer) ZoneOf(id ServerID) string {
 	if s := b.servers.byID[id]; s != nil {
 		return s.Zone
@@ -126,7 +129,7 @@
 	return ""
 }
 
-// stableHash is the same at every node and in every version.
+// stableHash returns a hash of text that is the same on every node and in every version.
 func stableHash(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text))
--- a/balancer/server_test.go
+++ b/balancer/server_test.go
@@ -30,7 +30,7 @@
 
 // Guards against counting a connection twice or below none: a probe and an attempt take one, an
 // answer gives one back, and what broke or was cancelled gives none.
-func TestConnectionsAreCounted(t *testing.T) {
+func TestIdleConnectionsAreCounted(t *testing.T) {
 	b := newTestNode(t, fleet(0.1), testEndpoints(1)...)
 	s := b.balancer.servers.byID["s0"]
 	for _, step := range []struct {
--- a/balancer/serverhealth.go
+++ b/balancer/serverhealth.go
@@ -5,42 +5,46 @@
 	"slices"
 )
 
-// EjectionStatus says why a server is ejected or is not.
+// EjectionStatus is the reason why a server is or is not ejected.
 type EjectionStatus string
 
-// The statuses, in the order in which they are asked.
+// The ejection statuses, in the order in which they are checked.
 const (
-	// Ejected: it waits for its trial, or for the trial's answer.
+	// Ejected means that the server waits for its trial or for the trial's outcome.
 	Ejected EjectionStatus = "ejected"
-	// NoFailures: none in the window. Where SinceOutcome is long too, it gets no requests that could
-	// fail: the picker sends them to servers that it expects to be faster.
+	// NoFailures means that the error window has no failure. If SinceOutcome is also long, the server
+	// gets no requests that could fail, because the picker expects other servers to be faster.
 	NoFailures EjectionStatus = "no failures"
-	// TooFewFailures: fewer than eject a server, neither in a row nor as a share of the window.
+	// TooFewFailures means that the server has too few failures for an ejection, both consecutive ones
+	// and as a fraction of the error window.
 	TooFewFailures EjectionStatus = "too few failures"
-	// UsualFailures: enough in a row, but the server fails so often anyway that this is chance.
+	// UsualFailures means that the server has enough consecutive failures, but fails so often that such
+	// a streak is likely by chance.
 	UsualFailures EjectionStatus = "no more failures than usual"
-	// OthersUnhealthy: enough failures, but too few other servers fail clearly less.
+	// OthersUnhealthy means that the server has enough failures, but too few other servers fail clearly
+	// less often.
 	OthersUnhealthy EjectionStatus = "too few others are healthy"
-	// NextFailureEjects: enough failures, and others are healthy by now.
+	// NextFailureEjects means that the server has enough failures and enough other servers have become
+	// healthy since.
 	NextFailureEjects EjectionStatus = "ejected at its next failure"
 )
 
-// ServerHealth is what the balancer knows of one server's failures, for an operator who asks why it
-// is or is not ejected.
+// ServerHealth describes the failures of one server, for an operator who needs to find out why it is
+// or is not ejected.
 type ServerHealth struct {
 	Server              ServerID
 	Status              EjectionStatus
 	ConsecutiveFailures int
 	Failures            int     // in the error window of ten seconds
 	Outcomes            int     // in the error window, successes and failures
-	InFlight            int     // attempts of this node
+	InFlight            int     // open attempts of this node
 	Score               float64 // from 0 to 1
-	UnitTime            Millis  // expected for each request that it holds
-	SinceOutcome        Millis  // since its last outcome; since the clock's zero where it had none
+	UnitTime            Millis  // expected service time of a request of mean work
+	SinceOutcome        Millis  // since the last outcome; without any, since zero of the node's clock
 }
 
-// ServerHealth returns the health of the ready servers as of a time, at most limit of them: the ejected
-// first, then those with the most failures in the window, then those without an outcome for longest.
+// ServerHealth returns the health of at most limit ready servers at the time now. Ejected servers come
+// first, then those with the most failures in the error window, then those with the oldest outcome.
 func (b *Balancer) ServerHealth(now Millis, limit int) []ServerHealth {
 	all := make([]ServerHealth, 0, len(b.servers.ready))
 	for _, s := range b.servers.ready {
@@ -61,7 +65,8 @@
 	return all[:min(limit, len(all))]
 }
 
-// ejectionStatus asks what updateEjection asks, in its order.
+// ejectionStatus returns the ejection status of a server. It checks the same conditions as
+// updateEjection, in the same order.
 func (b *Balancer) ejectionStatus(s *server, now Millis) EjectionStatus {
 	_, failures := s.outcomeCounts(now)
 	switch {
@@ -79,7 +84,7 @@
 	return NextFailureEjects
 }
 
-// compareHealth orders servers by how much an operator has to see them.
+// compareHealth orders servers by their relevance to an operator, most relevant first.
 func compareHealth(a, b ServerHealth) int {
 	switch {
 	case (a.Status == Ejected) != (b.Status == Ejected):
--- a/balancer/serverhealth_test.go
+++ b/balancer/serverhealth_test.go
@@ -64,7 +64,7 @@
 }
 
 // Guards against a report of a large fleet that leaves out the servers that matter.
-func TestServerHealthBeginsWithTheWorst(t *testing.T) {
+func TestServerHealthListsWorstServersFirst(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(5)...)
 	servers := b.balancer.servers.byID
 	servers["s1"].outcomes.record(b.now, false)
@@ -82,7 +82,7 @@
 // A server that answered once 50 times as slowly as it does otherwise gets no requests while the others have capacity, and so is not
 // ejected, however it would fail: no request suffers, and the operator sees why. It is the disturbance behind the failures of
 // TestUpgradeTransfersState on a busy machine.
-func TestServerWithASlowRecordGetsNoRequestsThatCouldFail(t *testing.T) {
+func TestSlowServerGetsNoRequestsWhileOthersHaveCapacity(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(2)...)
 	servers := b.balancer.servers.byID
 	for servers["s0"].outcomes.recentLen < 5 || servers["s1"].outcomes.recentLen == 0 {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,32 +1,32 @@
 package balancer
 
 const (
-	// maxReportedAge, in ms, is the longest that a server can have been up when a list that is
-	// followed without a gap tells of its start.
-	maxReportedAge Millis = 1000
-	// slowStartMargin is the part of a warming server's budget that is used: this node's estimate
-	// of its capacity may be off by half.
-	slowStartMargin = 0.6
-	// slowStartBurst is how much of its budget a node may save, in overload windows.
-	slowStartBurst = 0.5
-	// warmCapacityStep is how far one answer of a warming server moves the estimate of all warming
-	// servers' capacity.
-	warmCapacityStep = 0.05
+	// maxNewServerAge, in ms, is the maximum age of a server that is new in an endpoint list that this
+	// node has watched without a gap.
+	maxNewServerAge Millis = 1000
+	// slowStartBudgetFraction is the fraction of a server's slow start budget that the nodes use. The
+	// rest is a margin, because this node's estimate of the server's capacity may be off by half.
+	slowStartBudgetFraction = 0.6
+	// slowStartBurstWindows is the length of time, in overload windows, for which a node may save its
+	// quota of a server's slow start budget.
+	slowStartBurstWindows = 0.5
+	// extraCapacityStep is how much one response of a server in slow start changes the estimated
+	// capacity of all servers in slow start.
+	extraCapacityStep = 0.05
 )
 
 // slowStartState is one server's slow start.
 type slowStartState struct {
-	since  Millis      // by this node's clock; 0: the server has been up for long
-	budget tokenBucket // in work units (1: the mean request), while the server warms up
+	since  Millis      // when it began, by this node's clock; 0 if the server started long ago
+	budget tokenBucket // work that may still be sent during slow start, in requests of mean work
 }
 
-// slowStartBegin is when a server's slow start began, by this node's clock, which runs on evenly
-// whatever the wall clock does.
+// slowStartBegin returns when a server's slow start began, by this node's monotonic clock.
 //
-// The start that discovery reports is wall time. Where the clocks of the two machines differ, a
-// server that has just started could be taken for warm and be overloaded, or a warm one for cold
-// until the clocks meet. So a start in the future counts as one now, and one that a live list
-// reports as news cannot be older than maxReportedAge.
+// The start time that discovery reports is wall time. If the clocks of the two machines differ, a
+// server that has just started could skip its slow start and be overloaded, or a server that started
+// long ago could remain in slow start until this node's clock has caught up. Therefore a start time
+// in the future counts as now, and one first reported by a live list as at most maxNewServerAge ago.
 func (b *Balancer) slowStartBegin(started Millis, live bool) Millis {
 	switch {
 	case started <= 0:
@@ -34,12 +34,13 @@
 	case started > b.now:
 		return b.now
 	case live:
-		return max(started, b.now-maxReportedAge)
+		return max(started, b.now-maxNewServerAge)
 	}
 	return started
 }
 
-// minimumCapacity is the least share of its capacity that a server can have by now, from 0 to 1.
+// minimumCapacity returns the fraction of its full capacity, from 0 to 1, that a server has at least
+// at this point of its slow start.
 func (b *Balancer) minimumCapacity(s *server) float64 {
 	slowStart := b.settings.SlowStart
 	if s.slowStart.since <= 0 || slowStart.Duration <= 0 {
@@ -49,46 +50,49 @@
 	return min(1, slowStart.InitialCapacity+(1-slowStart.InitialCapacity)*age/slowStart.Duration)
 }
 
-// estimatedCapacity is the share of its capacity that a server is taken to have: its minimum by
-// now, and of the rest as much as other warming servers show. Without the latter every node would
-// have to meet every new server with a first request that is late.
+// estimatedCapacity returns the estimated fraction of its full capacity that a server has now: the
+// minimum, plus the fraction of the remainder that responses of servers in slow start have shown.
+// Without such a common estimate, each node's first request to each new server would be late.
 func (b *Balancer) estimatedCapacity(s *server) float64 {
-	least := b.minimumCapacity(s)
-	return least + b.estimate.warmCapacity*(1-least)
+	minimum := b.minimumCapacity(s)
+	return minimum + b.estimate.warmCapacity*(1-minimum)
 }
 
-// unitTimeWhenWarm is the unit time that a warming server would have shown once warm. Each of its
-// answers tells which way the estimate of warming servers' capacity is off; by how much it can't
-// tell, since what else the server held is not known.
-func (b *Balancer) unitTimeWhenWarm(s *server, unitTime Millis, success bool) Millis {
+// unitTimeAtFullCapacity converts the measured unit time of a server in slow start to the unit time
+// that it would have had at full capacity. A success also moves the estimated capacity of the servers
+// in slow start by a fixed step. The size of the error cannot be measured, because the server's other
+// requests at the time are unknown.
+func (b *Balancer) unitTimeAtFullCapacity(s *server, unitTime Millis, success bool) Millis {
 	capacity := b.estimatedCapacity(s)
 	if capacity < 1 && success {
-		step := warmCapacityStep
+		step := extraCapacityStep
 		if unitTime*capacity > b.typicalUnitTime(s)*b.estimate.pace {
-			step = -warmCapacityStep
+			step = -extraCapacityStep
 		}
 		b.estimate.warmCapacity = min(1, max(0, b.estimate.warmCapacity+step))
 	}
 	return unitTime * capacity
 }
 
-// slowStartRate is the work per ms that this node may send to a warming server: its part of what
-// all nodes together may send. Rejected work counts too.
+// slowStartRate returns the work per ms that this node may send to a server in slow start: its quota
+// of what all nodes together may send. Rejected work counts too.
 func (b *Balancer) slowStartRate(s *server) float64 {
-	bearable := slowStartMargin * b.settings.SlowStart.OverloadFactor * b.minimumCapacity(s)
-	return bearable / b.typicalUnitTime(s) / b.fleetDivisor()
+	fleetLoad := slowStartBudgetFraction * b.settings.SlowStart.OverloadFactor * b.minimumCapacity(s)
+	return fleetLoad / b.typicalUnitTime(s) / b.fleetDivisor()
 }
 
-// slowStartAllows refills a warming server's budget and reports whether the work fits into it.
+// slowStartAllows refills this node's budget for a server in slow start and reports whether the work
+// fits into it.
 //
-// Invariant: what all nodes together send a warming server in any overload window stays within its
-// budget of N, but for chance (2√N+2; TestNodesTogetherKeepSlowStartBudget). Without it a server that
-// has just started is overloaded by the first requests of all nodes and stays down.
+// Invariant: in any overload window, all nodes together send a server in slow start at most its budget
+// of N requests of mean work, plus 2√N+2 for random variation (TestFleetStaysWithinSlowStartBudget).
+// Otherwise the first requests of all nodes would overload a server that has just started, and it
+// would not recover.
 func (b *Balancer) slowStartAllows(s *server, work float64) bool {
 	if b.minimumCapacity(s) >= 1 {
 		return true
 	}
 	rate := b.slowStartRate(s)
-	saved := rate * slowStartBurst * b.settings.SlowStart.OverloadWindow
+	saved := rate * slowStartBurstWindows * b.settings.SlowStart.OverloadWindow
 	return rate > 0 && s.slowStart.budget.refillPhased(b.now, rate, saved) >= max(1, min(work, saved))
 }
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -5,66 +5,66 @@
 	"testing"
 )
 
-// coldFleet is many balancers, each a node of its own, with one server that has just started.
-type coldFleet struct {
-	set   Settings
-	nodes []*testNode
-	unit  Millis
-	began Millis
-	sent  []coldCall // to the warming server, by all
+// slowStartFleet is many balancers, each a node of its own, with one server that has just started.
+type slowStartFleet struct {
+	set             Settings
+	nodes           []*testNode
+	typicalUnitTime Millis
+	serverStartedAt Millis
+	sent            []slowStartCall // to the warming server, by all
 }
 
-type coldCall struct {
+type slowStartCall struct {
 	at   Millis
 	cost float64
 }
 
-// newColdFleet has the warming server allow so many calls in its first window.
-func newColdFleet(t *testing.T, nodes int, allowed float64, seed int) *coldFleet {
+// newSlowStartFleet has the warming server allow so many calls in its first window.
+func newSlowStartFleet(t *testing.T, nodes int, allowed float64, seed int) *slowStartFleet {
 	t.Helper()
-	f := &coldFleet{set: settings(), began: 100000}
+	f := &slowStartFleet{set: settings(), serverStartedAt: 100000}
 	f.set.Nodes, f.set.Classes = nodes, f.set.Classes[:1]
-	f.unit = f.set.SlowStart.OverloadFactor * f.set.SlowStart.InitialCapacity * f.set.SlowStart.OverloadWindow / allowed
-	f.set.Classes[0].LatencyObjective = 40 * f.unit // long enough that the budget alone holds anything back
+	f.typicalUnitTime = f.set.SlowStart.OverloadFactor * f.set.SlowStart.InitialCapacity * f.set.SlowStart.OverloadWindow / allowed
+	f.set.Classes[0].LatencyObjective = 40 * f.typicalUnitTime // long enough that the budget alone holds anything back
 	for i := range nodes {
-		f.nodes = append(f.nodes, f.start(t, i, seed*10000+i))
+		f.nodes = append(f.nodes, f.startNode(t, i, seed*10000+i))
 	}
 	return f
 }
 
-func (f *coldFleet) start(t *testing.T, node, seed int) *testNode {
-	return f.startAt(t, node, seed, f.began)
+func (f *slowStartFleet) startNode(t *testing.T, node, seed int) *testNode {
+	return f.startNodeAt(t, node, seed, f.serverStartedAt)
 }
 
-// startAt starts a node that hears of the warming server then.
-func (f *coldFleet) startAt(t *testing.T, node, seed int, now Millis) *testNode {
+// startNodeAt starts a node that hears of the warming server then.
+func (f *slowStartFleet) startNodeAt(t *testing.T, node, seed int, now Millis) *testNode {
 	set := f.set
 	set.Node = node
 	l, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.estimate.unitTime, l.estimate.initialUnitTime, l.estimate.meanWorkHint = f.unit, f.unit, 10 // as after many requests
+	l.estimate.unitTime, l.estimate.initialUnitTime, l.estimate.meanWorkHint = f.typicalUnitTime, f.typicalUnitTime, 10 // as after many requests
 	b := &testNode{t: t, balancer: l, now: now}
 	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(4)})
-	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
+	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.serverStartedAt}}})
 	return b
 }
 
 // budget is what the settings allow the server in a window that begins then.
-func (f *coldFleet) budget(at Millis) float64 {
-	share := min(1, f.set.SlowStart.InitialCapacity+(1-f.set.SlowStart.InitialCapacity)*(at-f.began)/f.set.SlowStart.Duration)
-	return f.set.SlowStart.OverloadFactor * share * f.set.SlowStart.OverloadWindow / f.unit
+func (f *slowStartFleet) budget(at Millis) float64 {
+	share := min(1, f.set.SlowStart.InitialCapacity+(1-f.set.SlowStart.InitialCapacity)*(at-f.serverStartedAt)/f.set.SlowStart.Duration)
+	return f.set.SlowStart.OverloadFactor * share * f.set.SlowStart.OverloadWindow / f.typicalUnitTime
 }
 
-// rush has requests come to all nodes for a span, every so many ms, with only the warming server left.
-func (f *coldFleet) rush(from, span, every Millis, cost func(int) float64) {
+// sendBurst has requests come to all nodes for a span, every so many ms, with only the warming server left.
+func (f *slowStartFleet) sendBurst(from, span, every Millis, cost func(int) float64) {
 	costs := map[RequestID]float64{}
 	var carry func(b *testNode, acts []Action)
 	carry = func(b *testNode, acts []Action) {
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok && s.Server == "cold" {
-				f.sent = append(f.sent, coldCall{b.now, costs[s.ID]})
+				f.sent = append(f.sent, slowStartCall{b.now, costs[s.ID]})
 				b.balancer.retryBudget.left, b.balancer.servers.byID["cold"].outlier.ejected = 0, false
 				carry(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // rejected work counts too
 			}
@@ -72,7 +72,7 @@
 	}
 	for i, b := range f.nodes {
 		b.now = from
-		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.began}}})
+		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.serverStartedAt}}})
 		b.balancer.explorations.left = -1e9 // the test is on the budget alone: what is sent without a fit passes it too
 		for k := 0; b.now < from+span; k++ {
 			b.now += every * (0.5 + float64((i*7+k)%11)/10)
@@ -84,9 +84,9 @@
 	}
 }
 
-// worst is the window that went furthest beyond N calls and what is put down to chance, and that
+// worstWindow is the window that went furthest beyond N calls and what is put down to chance, and that
 // window's N.
-func (f *coldFleet) worst() (over, n float64) {
+func (f *slowStartFleet) worstWindow() (over, n float64) {
 	over = math.Inf(-1)
 	for _, from := range f.sent {
 		sum, allowed := 0.0, f.budget(from.at)
@@ -102,14 +102,14 @@
 	return over, n
 }
 
-func one(int) float64 { return 1 }
+func meanCost(int) float64 { return 1 }
 
 // Guards against nodes that each keep one call for a warming server and spend it at once: thirty of
 // them are beyond any small budget, however slowly each bucket refills. What all balancers send
 // together in any window stays within the server's budget of N calls and 2 x root of N + 2 for
 // chance.
-func TestNodesTogetherKeepSlowStartBudget(t *testing.T) {
-	saved := func(f *coldFleet) Millis { return f.began + 0.3*f.set.SlowStart.Duration } // by then each node has had time to save its part
+func TestFleetStaysWithinSlowStartBudget(t *testing.T) {
+	saved := func(f *slowStartFleet) Millis { return f.serverStartedAt + 0.3*f.set.SlowStart.Duration } // by then each node has had time to save its part
 	span, every := 1.5*settings().SlowStart.OverloadWindow, settings().SlowStart.OverloadWindow/40
 	heavy := func(k int) float64 { // the mean is one
 		if k%10 == 0 {
@@ -117,26 +117,26 @@
 		}
 		return 2.0 / 3
 	}
-	for name, play := range map[string]func(*coldFleet){
-		"a rush":                     func(f *coldFleet) { f.rush(saved(f), span, every, one) },
-		"a rush with heavy requests": func(f *coldFleet) { f.rush(saved(f), span, every, heavy) },
-		"a rush from the start":      func(f *coldFleet) { f.rush(f.began, span, every, one) },
-		"half of the nodes are restarted within it": func(f *coldFleet) {
-			f.rush(saved(f), span/2, every, one)
+	for name, play := range map[string]func(*slowStartFleet){
+		"a rush":                     func(f *slowStartFleet) { f.sendBurst(saved(f), span, every, meanCost) },
+		"a rush with heavy requests": func(f *slowStartFleet) { f.sendBurst(saved(f), span, every, heavy) },
+		"a rush from the start":      func(f *slowStartFleet) { f.sendBurst(f.serverStartedAt, span, every, meanCost) },
+		"half of the nodes are restarted within it": func(f *slowStartFleet) {
+			f.sendBurst(saved(f), span/2, every, meanCost)
 			for i := range f.nodes {
 				if i%2 == 0 {
-					f.nodes[i] = f.startAt(t, i, 1_000_000+i, saved(f)+span/2)
+					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, saved(f)+span/2)
 				}
 			}
-			f.rush(saved(f)+span/2, span/2, every, one)
+			f.sendBurst(saved(f)+span/2, span/2, every, meanCost)
 		},
-		"half of the nodes know it only now": func(f *coldFleet) {
+		"half of the nodes know it only now": func(f *slowStartFleet) {
 			for i := range f.nodes {
 				if i%2 == 0 {
-					f.nodes[i] = f.startAt(t, i, 1_000_000+i, saved(f))
+					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, saved(f))
 				}
 			}
-			f.rush(saved(f), span, every, one)
+			f.sendBurst(saved(f), span, every, meanCost)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -145,10 +145,10 @@
 			for _, nodes := range []int{2, 5, 20, 30, 300, 1024} {
 				for _, allowed := range []float64{5, 15, 100} {
 					for seed := range 6 {
-						f := newColdFleet(t, nodes, allowed, seed)
+						f := newSlowStartFleet(t, nodes, allowed, seed)
 						play(f)
 						runs++
-						if o, _ := f.worst(); o > 0 {
+						if o, _ := f.worstWindow(); o > 0 {
 							over++
 							worst = max(worst, o)
 							t.Logf("%d nodes, %v calls allowed, seed %d: %.1f calls beyond chance", nodes, allowed, seed, o)
@@ -163,14 +163,14 @@
 	}
 }
 
-// TestUnusedSlowStartBudget holds the price of it: what a fleet in want of servers uses of the budget.
-func TestUnusedSlowStartBudget(t *testing.T) {
+// TestFleetUsesSlowStartBudget holds the price of it: what a fleet in want of servers uses of the budget.
+func TestFleetUsesSlowStartBudget(t *testing.T) {
 	for _, nodes := range []int{2, 30, 300} {
 		used, allowed := 0.0, 0.0
 		for seed := range 10 {
-			f := newColdFleet(t, nodes, 60, seed)
-			f.rush(f.began, f.set.SlowStart.Duration/2, f.set.SlowStart.OverloadWindow/40, one)
-			for at := f.began; at < f.began+f.set.SlowStart.Duration/2; at += f.set.SlowStart.OverloadWindow {
+			f := newSlowStartFleet(t, nodes, 60, seed)
+			f.sendBurst(f.serverStartedAt, f.set.SlowStart.Duration/2, f.set.SlowStart.OverloadWindow/40, meanCost)
+			for at := f.serverStartedAt; at < f.serverStartedAt+f.set.SlowStart.Duration/2; at += f.set.SlowStart.OverloadWindow {
 				allowed += f.budget(at + f.set.SlowStart.OverloadWindow/2)
 			}
 			used += float64(len(f.sent))
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -69,7 +69,7 @@
 
 // Guards against a returned server that gets one request from each of hundreds of nodes at once,
 // and against one that gets none until it is warm because no node's part makes a whole request.
-func TestSlowStartBudgetHoldsOverAllNodes(t *testing.T) {
+func TestSlowStartBudgetHoldsAcrossNodes(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		const nodes, servers = 300, 30
 		set := settings()
@@ -110,7 +110,7 @@
 // replaced servers a first request at the fleet's speed, and up to 57% of those came late
 // (join+vast). What a few showed holds for the rest, and what was seen of one while it was cold
 // does not hold it down once it is warm.
-func TestWarmCapacityIsLearntFromAllServers(t *testing.T) {
+func TestSlowStartCapacityIsEstimatedFromAllServers(t *testing.T) {
 	for _, speed := range []float64{0.35, 0.8} {
 		entries := testEndpoints(4)
 		b := newTestNode(t, fleet(0.1), entries...)
--- a/balancer/unittime.go
+++ b/balancer/unittime.go
@@ -6,38 +6,40 @@
 )
 
 const (
-	// latencySmoothing is the weight of a new sample of latency and unit time.
+	// latencySmoothing is the weight of a new sample in the averages of latency and unit time.
 	latencySmoothing = 0.2
-	// paceSmoothing is the weight of a new sample of the fleet's pace.
-	paceSmoothing = 0.08
-	// maxPaceSample bounds a sample of the pace, so that one heavy request does not slow the whole
-	// fleet's estimate.
+	// slowdownSmoothing is the weight of a new sample in the fleet's slowdown factor.
+	slowdownSmoothing = 0.08
+	// maxPaceSample is the upper bound of a sample of the slowdown factor, and its inverse the lower
+	// one, so that one heavy request does not raise the estimate for the whole fleet.
 	maxPaceSample = 3.0
-	// paceReversion draws the pace back to 1, since in the long run the servers' own records hold a
-	// slowdown.
-	paceReversion = 0.01
-	// staleAfter, in ms: a record older than this begins to fade toward the fleet's typical one ...
+	// slowdownReversion is the weight with which each sample moves the slowdown factor back to 1,
+	// because a lasting slowdown shows in the unit times of the individual servers.
+	slowdownReversion = 0.01
+	// staleAfter, in ms, is the age from which a server's latency and unit time decay toward the
+	// fleet's typical unit time.
 	staleAfter = 2000.0
-	// ... with this time constant, in ms.
+	// staleTimeConstant, in ms, is the time constant of that decay.
 	staleTimeConstant = 4000.0
-	// minUnitTimeRatio: no server is taken to be faster than this multiple of the typical unit
-	// time. Otherwise all nodes would send to the one that looked fastest.
+	// minUnitTimeRatio is the lower bound of a server's unit time, as a multiple of the typical unit
+	// time. Without it, all nodes would send to the server that appears fastest.
 	minUnitTimeRatio = 0.6
 )
 
-// serverTiming is how fast a server has been.
+// serverTiming holds the measured speed of one server.
 type serverTiming struct {
-	latency   Millis // smoothed; a failure counts as its class's latency objective
-	unitTime  Millis // smoothed time for each request that the server holds, at pace 1
-	measured  bool   // unitTime comes from the server's own answers
+	latency   Millis // smoothed; a failure counts as the latency objective of its class
+	unitTime  Millis // smoothed service time of a request of mean work, divided by the fleet's slowdown factor
+	measured  bool   // unitTime was measured on responses of this server
 	outcomeAt Millis // when the last outcome was recorded
 }
 
-// updateTypicalUnitTime takes the median over the servers with a fresh record of their own.
+// updateTypicalUnitTime sets the typical unit time to the median over the servers that have recent
+// measurements.
 func (b *Balancer) updateTypicalUnitTime() {
 	var unitTimes []float64
 	for _, s := range b.servers.ready {
-		// The old record of an unused server would hold the median up.
+		// The outdated unit time of an unused server could keep the median too high.
 		fresh := b.now < s.timing.outcomeAt+staleAfter+staleTimeConstant
 		if !s.timing.measured || !fresh {
 			continue
@@ -55,13 +57,16 @@
 	b.setTypicalUnitTime(unitTimes[len(unitTimes)/2])
 }
 
-// setTypicalUnitTime sets the typical unit time, at least minLatency. Budgets and rates are divided by
-// it: after answers that took no time at all they would not be numbers, for good.
+// setTypicalUnitTime sets the typical unit time to at least minLatency. Budgets and rates are divided
+// by it, so a value of 0, measured on responses with an elapsed time of 0, would permanently turn
+// them into NaN or infinity.
 func (b *Balancer) setTypicalUnitTime(unitTime Millis) {
 	b.estimate.unitTime = max(minLatency, unitTime)
 }
 
-// currentUnitTime is the time that a server is taken to need for each request that it holds.
+// currentUnitTime returns the estimated time that a server now takes to serve a request of mean work.
+// It includes the fleet's slowdown factor, slow start, and the time that the oldest attempt has been
+// unanswered.
 func (b *Balancer) currentUnitTime(s *server) Millis {
 	typical := b.typicalUnitTime(s)
 	unitTime := typical
@@ -69,10 +74,10 @@
 		unitTime = b.decayToTypical(s, s.timing.unitTime*b.estimate.pace)
 	}
 	unitTime = max(minUnitTimeRatio*typical, unitTime)
-	return max(minLatency, unitTime/b.estimatedCapacity(s), b.unansweredTimePerRound(s))
+	return max(minLatency, unitTime/b.estimatedCapacity(s), b.unansweredTimePerServiceRound(s))
 }
 
-// typicalUnitTime is the fleet's time for each request that a server of this capacity holds.
+// typicalUnitTime returns the fleet's typical unit time for a server of this capacity.
 func (b *Balancer) typicalUnitTime(s *server) Millis {
 	if b.settings.CapacitiesListed && s.Capacity > 0 {
 		return b.estimate.unitTime / s.Capacity
@@ -80,7 +85,8 @@
 	return b.estimate.unitTime
 }
 
-// decayToTypical lets a server's figure return to the typical unit time once nothing renews it.
+// decayToTypical returns a server's latency or unit time, decayed toward the typical unit time if
+// the server has no attempt in flight and its last outcome is older than staleAfter.
 func (b *Balancer) decayToTypical(s *server, value Millis) Millis {
 	stale := b.now - s.timing.outcomeAt - staleAfter
 	if stale <= 0 || s.attempts.inFlight > 0 {
@@ -90,31 +96,31 @@
 	return typical + (value-typical)*math.Exp(-stale/staleTimeConstant)
 }
 
-// recordTiming takes an attempt's duration into the server's latency and unit time, and into the
-// fleet's pace: what slows all servers down shows in all answers long before it shows in each
-// server's own record.
+// recordTiming updates the server's latency and unit time, and the fleet's slowdown factor, with the
+// duration of an attempt. The slowdown factor is sampled on the responses of all servers, so it
+// reflects a slowdown of the whole fleet long before the unit time of each server does.
 func (b *Balancer) recordTiming(s *server, r *request, a *attempt, outcome Outcome, elapsed Millis) {
 	success := outcome == OK
 	timing := &s.timing
 	latency := elapsed
-	if !success { // a quick error must not look like a quick answer, a lost one not like a long queue
+	if !success { // a fast error must not count as low latency, nor a lost attempt as a long queue
 		latency = r.class.LatencyObjective
 	}
-	gain := 1.0 // the first answer replaces the initial guess
+	gain := 1.0 // the first response replaces the initial estimate
 	if timing.measured {
-		// An old record counts for less.
+		// The weight of the previous value decreases with its age.
 		gain = 1 - (1-latencySmoothing)*math.Exp(-(b.now-timing.outcomeAt)/staleTimeConstant)
 	}
 	timing.latency += gain * (latency - timing.latency)
-	unitTime := b.unitTimeWhenWarm(s, elapsed/a.serviceRounds, success)
+	unitTime := b.unitTimeAtFullCapacity(s, elapsed/a.serviceRounds, success)
 	if success && timing.measured {
 		sample := min(maxPaceSample, max(1/maxPaceSample, unitTime/max(minLatency, timing.unitTime)))
-		b.estimate.pace += paceSmoothing*(sample-b.estimate.pace) + paceReversion*(1-b.estimate.pace)
+		b.estimate.pace += slowdownSmoothing*(sample-b.estimate.pace) + slowdownReversion*(1-b.estimate.pace)
 	}
 	unitTime /= b.estimate.pace
 	unanswered := outcome == TimedOut || outcome == Cancelled
-	slowerThanKnown := unitTime > timing.unitTime && !s.superseded(a)
-	if success || unanswered && slowerThanKnown {
+	slowerThanRecorded := unitTime > timing.unitTime && !s.superseded(a)
+	if success || unanswered && slowerThanRecorded {
 		timing.unitTime += gain * (unitTime - timing.unitTime)
 	}
 	timing.measured = timing.measured || success
