--- a/balancer/failurerate_test.go
+++ b/balancer/failurerate_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// Guards against counting a class's own fault against the server: the others' capacity would go unused.
+// Guards against ejecting a server that fails only one class: its capacity for the other classes would
+// be unused.
 func TestClassFaultDoesNotEjectServer(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for i := 0; i < 40; i++ {
 		b.serve("read", 20, allOK)
 	}
 	s := b.balancer.servers.byID["s1"]
-	unit := s.timing.unitTime
+	before := s.timing.unitTime
 	r := &request{class: b.balancer.classes["bill"], work: 1}
 	for i := 0; i < 6; i++ {
 		b.now += 2000
@@ -21,28 +22,28 @@
 		b.serve("read", 20, allOK)
 	}
 	if s.outlier.ejected {
-		t.Error("a server that serves other classes was ejected for one class")
+		t.Error("a server that serves other classes was ejected for the failures of one class")
 	}
 	if b.balancer.classFailureRate(s, r.class) < faultyClassRate || b.balancer.classFailureRate(s, b.balancer.classes["read"]) > 0.1 {
-		t.Error("the class's failures were not kept apart")
+		t.Error("the failure rates of the failing class and of another class are not separate")
 	}
-	if s.timing.unitTime > 20*unit {
-		t.Errorf("unit time went from %.0f to %.0f", unit, s.timing.unitTime)
+	if s.timing.unitTime > 20*before {
+		t.Errorf("unit time = %.0f ms, want at most 20 times %.0f ms", s.timing.unitTime, before)
 	}
 	for i := 0; i < 30; i++ {
 		id, acts := b.arrive("bill", 2000)
 		if sentTo(acts) == "s1" {
-			t.Fatal("the class still goes where it fails")
+			t.Fatal("a request of the class was sent to the server at which the class fails")
 		}
 		b.end(id, 0, sentTo(acts), OK, 20)
 	}
 }
 
-// Guards against finding out one server after the other that a zone is cut off, where a node meets
-// each of them once in seconds: of 3,800 pairs of a node and a server 3,109 waited for a connection
-// once (split+mass).
+// Guards against waiting for a connect timeout at each server of an unreachable zone in turn, which
+// happens if a node contacts each server only once in several seconds. In the simulation split+mass,
+// 3,109 of 3,800 pairs of a node and a server had waited for a connection.
 func TestUnreachableZoneIsAvoided(t *testing.T) {
-	play := func(zones []string, silent func(zone string) Outcome, took Millis) (there int) {
+	countAttempts := func(zones []string, outcomeOf func(zone string) Outcome, failureTime Millis) (toCutZone int) {
 		set := fleet(0.1)
 		set.ConnectTimeout = 150
 		entries := testEndpoints(60)
@@ -57,27 +58,28 @@
 				s := sentTo(acts)
 				result, elapsed := OK, Millis(10)
 				if zone := b.balancer.servers.byID[s].Zone; zone == "cut" {
-					there++
-					result, elapsed = silent(zone), took
+					toCutZone++
+					result, elapsed = outcomeOf(zone), failureTime
 				}
 				acts = b.end(id, n, s, result, elapsed)
 			}
 		}
-		return there
+		return toCutZone
 	}
 	always := func(r Outcome) func(string) Outcome { return func(string) Outcome { return r } }
-	if n := play([]string{"a", "b", "cut"}, always(Unreachable), 150); n > 8 {
-		t.Errorf("%d of 100 requests waited at a zone that is cut off", n)
+	if n := countAttempts([]string{"a", "b", "cut"}, always(Unreachable), 150); n > 8 {
+		t.Errorf("attempts to the unreachable zone = %d for 100 requests, want at most 8", n)
 	}
-	if n := play([]string{"a", "b", "cut"}, always(Unreachable), 1); n < 15 { // rejected: the processes are gone, not the zone
-		t.Errorf("only %d sends to a zone whose servers refuse connections: each is to be judged alone", n)
+	if n := countAttempts([]string{"a", "b", "cut"}, always(Unreachable), 1); n < 15 { // connections refused: the processes are down, not the zone
+		t.Errorf("attempts to a zone whose servers refuse connections = %d, want at least 15", n)
 	}
-	if n := play([]string{"cut"}, always(Unreachable), 150); n < 60 {
-		t.Errorf("only %d sends where all there is is silent", n)
+	if n := countAttempts([]string{"cut"}, always(Unreachable), 150); n < 60 {
+		t.Errorf("attempts if the only zone is unreachable = %d, want at least 60", n)
 	}
 }
 
-// Guards against a zone that stays shunned once it is back.
+// Guards against avoiding a zone after it has become reachable again, and against logging more than one
+// line when it begins and one when it ends.
 func TestRecoveredZoneIsUsedAgain(t *testing.T) {
 	set := fleet(0.1)
 	set.ConnectTimeout = 150
@@ -86,33 +88,33 @@
 		entries[i].Zone = []string{"a", "cut"}[i%2]
 	}
 	b := newTestNode(t, set, entries...)
-	far, near := b.balancer.servers.byID["s1"], b.balancer.servers.byID["s0"]
-	b.balancer.recordZoneOutcome(near, OK, 10)
+	inCutZone, inOtherZone := b.balancer.servers.byID["s1"], b.balancer.servers.byID["s0"]
+	b.balancer.recordZoneOutcome(inOtherZone, OK, 10)
 	for range 5 {
-		b.balancer.recordZoneOutcome(far, TimedOut, 300)
+		b.balancer.recordZoneOutcome(inCutZone, TimedOut, 300)
 	}
-	if b.balancer.zoneFailureShare(far.zoneFailures) == 0 || b.balancer.zoneFailureShare(near.zoneFailures) != 0 {
-		t.Fatalf("fault %v there and %v here", b.balancer.zoneFailureShare(far.zoneFailures), b.balancer.zoneFailureShare(near.zoneFailures))
+	if b.balancer.zoneFailureShare(inCutZone.zoneFailures) == 0 || b.balancer.zoneFailureShare(inOtherZone.zoneFailures) != 0 {
+		t.Fatalf("failure rate of the unreachable zone = %v, want > 0; of the other zone = %v, want 0", b.balancer.zoneFailureShare(inCutZone.zoneFailures), b.balancer.zoneFailureShare(inOtherZone.zoneFailures))
 	}
-	for range 20 { // one answer in between is not the end of it
-		b.balancer.recordZoneOutcome(far, TimedOut, 300)
+	for range 20 { // a single response must not end the avoidance
+		b.balancer.recordZoneOutcome(inCutZone, TimedOut, 300)
 		b.balancer.updateScores()
-		b.balancer.recordZoneOutcome(far, OK, 10)
+		b.balancer.recordZoneOutcome(inCutZone, OK, 10)
 		b.balancer.updateScores()
 	}
-	if said := b.balancer.actions; count[Log](said) != 1 || !strings.Contains(said[len(said)-1].(Log).Text, "zone cut") {
-		t.Errorf("said of a zone that is cut off: %v, want one line", said)
+	if logged := b.balancer.actions; count[Log](logged) != 1 || !strings.Contains(logged[len(logged)-1].(Log).Text, "zone cut") {
+		t.Errorf("actions after the zone became unreachable = %v, want one log line about it", logged)
 	}
 	b.now += 3 * staleTimeConstant
 	b.step(TimerFired{"sweep"})
-	if f := b.balancer.zoneFailureShare(far.zoneFailures); f != 0 {
-		t.Errorf("still shunned with %v after some seconds without news", f)
+	if f := b.balancer.zoneFailureShare(inCutZone.zoneFailures); f != 0 {
+		t.Errorf("failure rate of the zone = %v some seconds after its last outcome, want 0", f)
 	}
 	b.balancer.actions = nil
 	for range 5 {
 		b.balancer.updateScores()
 	}
 	if n := count[Log](b.balancer.actions); n != 1 {
-		t.Errorf("%d lines once it is tried again, want one", n)
+		t.Errorf("log lines after the zone is used again = %d, want 1", n)
 	}
 }
--- a/balancer/healthscore_test.go
+++ b/balancer/healthscore_test.go
@@ -10,22 +10,22 @@
 	for i := 0; i < 60; i++ {
 		id, acts := b.arrive("read", 2000)
 		s := sentTo(acts)
-		took := 20.0
+		elapsed := 20.0
 		if s == "s1" {
-			took = 40
+			elapsed = 40
 		}
-		b.now += took
-		b.end(id, 0, s, OK, took)
+		b.now += elapsed
+		b.end(id, 0, s, OK, elapsed)
 		b.balancer.scoredAt = 0
 	}
 	b.balancer.scoredAt = 0
 	s0, s1 := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
 	if math.Abs(s0.score-1) > 0.01 {
-		t.Errorf("the fastest server without errors scores %.3f, want 1", s0.score)
+		t.Errorf("score of the fastest server without errors = %.3f, want 1", s0.score)
 	}
-	// Half the latency term is missing: (0.4*0.5+0.3+0.1)/0.8.
+	// The latency component is halved: (0.4*0.5+0.3+0.1)/0.8.
 	if s1.outcomes.recentLen > 0 && math.Abs(s1.score-0.75) > 0.12 {
-		t.Errorf("a server of twice the latency scores %.3f, want about 0.75", s1.score)
+		t.Errorf("score of a server with twice the latency = %.3f, want about 0.75", s1.score)
 	}
 }
 
@@ -35,11 +35,12 @@
 	b.balancer.servers.ready[0].outcomes.recentLen, b.balancer.servers.ready[1].outcomes.recentLen = 0, 0
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "new", Capacity: 1}}})
 	if got := b.balancer.servers.byID["new"].score; math.Abs(got-0.6) > 1e-9 {
-		t.Errorf("new server scores %.2f, want 0.6", got)
+		t.Errorf("score of a new server = %.2f, want 0.6", got)
 	}
 }
 
-// Silence counts before the outcome arrives: a hung server must not go on being drawn.
+// Guards against sending to a hung server until its first attempt times out: unanswered attempts must
+// lower its score before that.
 func TestUnansweredAttemptsLowerScoreBeforeTimeout(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for i := 0; i < 60; i++ {
@@ -57,39 +58,40 @@
 		b.step(TimerFired{"sweep"})
 	}
 	if hung > 5 {
-		t.Errorf("%d of 60 requests went to a silent server", hung)
+		t.Errorf("requests sent to a hung server = %d of 60, want at most 5", hung)
 	}
 }
 
-// All bad together: the fleet's pace follows a shared slowdown, and its end, from all answers at
-// once, long before any one server's own record does.
+// Guards against slow detection of a slowdown of the whole fleet: the typical unit time must follow
+// its begin and its end from the responses of all servers, before the record of each server does.
 func TestTypicalUnitTimeFollowsFleetSlowdown(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(12)...)
 	for i := 0; i < 120; i++ {
 		b.serve("read", 20, allOK)
 	}
 	before := b.balancer.estimate.unitTime
-	for i := 0; i < 36; i++ { // three answers a server
+	for i := 0; i < 36; i++ { // three responses per server
 		b.serve("read", 60, allOK)
 	}
 	if b.balancer.estimate.unitTime < 1.5*before {
-		t.Errorf("typical unit went from %.0f to %.0f ms after three slow answers a server", before, b.balancer.estimate.unitTime)
+		t.Errorf("typical unit time after three slow responses per server = %.0f ms, want at least 1.5 times %.0f ms", b.balancer.estimate.unitTime, before)
 	}
 	for i := 0; i < 120; i++ {
 		b.serve("read", 20, allOK)
-		b.now += 60 // servers shunned for their slowness are looked at again after some seconds
+		b.now += 60 // servers avoided for their slowness are used again after some seconds
 	}
 	if b.balancer.estimate.unitTime > 1.5*before {
-		t.Errorf("typical unit is %.0f ms after the slowdown, %.0f before", b.balancer.estimate.unitTime, before)
+		t.Errorf("typical unit time after the slowdown = %.0f ms, want at most 1.5 times %.0f ms", b.balancer.estimate.unitTime, before)
 	}
 	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected {
-			t.Errorf("%s was ejected for slowness that all share", s.ID)
+			t.Errorf("%s was ejected for a slowdown of the whole fleet", s.ID)
 		}
 	}
 }
 
-// Guards against a rush: all nodes would run to a server that has just warmed up and looks far faster.
+// Guards against all nodes sending to a server that has just left slow start and appears far faster
+// than the others.
 func TestUnitTimeOfFastServerIsBounded(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	for _, s := range b.balancer.servers.ready {
@@ -97,27 +99,27 @@
 	}
 	b.balancer.servers.ready[3].timing.unitTime = 10
 	b.balancer.updateScores()
-	if unit := b.balancer.estimatedUnitTime(b.balancer.servers.ready[3]); unit < minUnitTimeRatio*100 {
-		t.Errorf("believed to need %.0f ms where 100 is typical", unit)
+	if got := b.balancer.estimatedUnitTime(b.balancer.servers.ready[3]); got < minUnitTimeRatio*100 {
+		t.Errorf("estimated unit time = %.0f ms, want at least minUnitTimeRatio of the typical 100 ms", got)
 	}
 }
 
-// Guards against time-outs of lost requests making a server that answers all others look slow.
+// Guards against timeouts of lost requests making a server that answers all others appear slow.
 func TestTimeoutOfSupersededAttemptKeepsUnitTime(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(1)...)
 	for range 30 {
 		b.serve("read", 20, allOK)
 	}
-	unit := b.balancer.servers.byID["s0"].timing.unitTime
+	before := b.balancer.servers.byID["s0"].timing.unitTime
 	lost, _ := b.arrive("bill", 390)
 	b.now += 5
 	b.serve("read", 20, allOK)
 	b.now += 365
 	b.end(lost, 0, "s0", TimedOut, 390)
-	if got := b.balancer.servers.byID["s0"].timing.unitTime; got > unit*1.5 {
-		t.Errorf("unit time %v after the time-out, %v before", got, unit)
+	if got := b.balancer.servers.byID["s0"].timing.unitTime; got > before*1.5 {
+		t.Errorf("unit time after the timeout = %v ms, want at most 1.5 times %v ms", got, before)
 	}
 	if b.balancer.servers.byID["s0"].outlier.consecutiveFailures != 0 {
-		t.Error("a failure sent before the last answer counts as one in a row")
+		t.Error("the timeout of an attempt sent before the latest answered one counts as a consecutive failure")
 	}
 }
--- a/balancer/loadestimate_test.go
+++ b/balancer/loadestimate_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against taking silence for an empty server: a node that hears of each server once a minute
-// must not prefer the one it last heard of long ago to one it has just asked.
+// Guards against treating a server without a recent report as idle: a node that gets a report of each
+// server once a minute must not prefer one with an old report to one that has just reported low load.
 func TestServerWithoutReportIsNotAssumedIdle(t *testing.T) {
 	set := settings()
 	set.Nodes, set.LoadReports = 400, true
@@ -16,17 +16,18 @@
 		b.step(LoadProbeCompleted{Server: b.balancer.servers.ready[i].ID, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 3}})
 	}
 	if got := b.balancer.estimatedRequests(b.balancer.servers.ready[59]); got < 2 {
-		t.Errorf("a server never heard of is taken to hold %.1f where all others hold 3", got)
+		t.Errorf("estimated requests at a server without a report = %.1f, want at least 2 since all others have 3", got)
 	}
 	b.now += 60000
 	b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 0}})
-	if fresh, old := b.balancer.estimatedRequests(b.balancer.servers.byID["s1"]), b.balancer.estimatedRequests(b.balancer.servers.byID["s2"]); fresh >= old {
-		t.Errorf("just heard to be empty: %.1f, heard of a minute ago: %.1f", fresh, old)
+	if recent, outdated := b.balancer.estimatedRequests(b.balancer.servers.byID["s1"]), b.balancer.estimatedRequests(b.balancer.servers.byID["s2"]); recent >= outdated {
+		t.Errorf("estimated requests at a server just reported idle = %.1f, want less than %.1f at one with an outdated report", recent, outdated)
 	}
 }
 
-// startLostAttempt has two warm servers that report their load, and one request out at each of them in turn.
-func startLostAttempt(t *testing.T, class string) (b *testNode, lost RequestID, at ServerID) {
+// startLostAttempt returns a node with servers that report their load, and a request whose attempt at
+// server has been open for ten times the usual time.
+func startLostAttempt(t *testing.T, class string) (b *testNode, lost RequestID, server ServerID) {
 	t.Helper()
 	set := settings()
 	set.LoadReports = true
@@ -35,81 +36,82 @@
 		b.serve("read", 20, allOK)
 	}
 	lost, acts := b.arrive(class, 2000)
-	if at = sentTo(acts); at == "" {
-		t.Fatal("not sent")
+	if server = sentTo(acts); server == "" {
+		t.Fatal("the request was not sent")
 	}
-	b.now += 200 // ten times the usual
-	return b, lost, at
+	b.now += 200 // ten times the usual duration
+	return b, lost, server
 }
 
-// Guards against a request that a server has taken and lost: its report, fresh, no longer holds it.
+// Guards against waiting for a request that the server has lost: a recent load report does not include it.
 func TestMissingAttemptIsRetriedAndNotCountedAsLoad(t *testing.T) {
-	b, id, at := startLostAttempt(t, "read")
-	acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}})
+	b, id, lossyServer := startLostAttempt(t, "read")
+	acts := b.step(LoadProbeCompleted{Server: lossyServer, Outcome: OK, Report: LoadReport{Valid: true}})
 	if count[CancelAttempt](acts) != 1 {
-		t.Fatalf("%v, want the lost attempt cancelled", acts)
+		t.Fatalf("actions = %v, want the missing attempt cancelled", acts)
 	}
-	if occ := b.balancer.estimatedRequests(b.balancer.servers.byID[at]); occ >= 1 {
-		t.Errorf("the lost attempt counts as load: %v in flight", occ)
+	if got := b.balancer.estimatedRequests(b.balancer.servers.byID[lossyServer]); got >= 1 {
+		t.Errorf("estimated requests = %v, want less than 1 without the missing attempt", got)
 	}
-	if over := b.balancer.unansweredTime(b.balancer.servers.byID[at]); over != 0 {
-		t.Errorf("the server is held to be silent for %v ms over it", over)
+	if unanswered := b.balancer.unansweredTime(b.balancer.servers.byID[lossyServer]); unanswered != 0 {
+		t.Errorf("unanswered time = %v ms, want 0 without the missing attempt", unanswered)
 	}
-	acts = b.end(id, 0, at, Cancelled, 200)
-	if to := sentTo(acts); to == "" || to == at {
-		t.Errorf("sent to %q next, want another server", to)
+	acts = b.end(id, 0, lossyServer, Cancelled, 200)
+	if next := sentTo(acts); next == "" || next == lossyServer {
+		t.Errorf("retry sent to %q, want another server than %q", next, lossyServer)
 	}
 }
 
-// One that the report still holds is slow, not lost; one that must not run twice is left to its answer.
+// Guards against cancelling an attempt that the report includes, which is slow but not lost, and a missing
+// attempt of a request that must not run twice.
 func TestReportedOrNonIdempotentAttemptIsNotCancelled(t *testing.T) {
-	b, _, at := startLostAttempt(t, "read")
-	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 1}}); count[CancelAttempt](acts) != 0 {
-		t.Errorf("%v: the server has it", acts)
+	b, _, attemptServer := startLostAttempt(t, "read")
+	if acts := b.step(LoadProbeCompleted{Server: attemptServer, Outcome: OK, Report: LoadReport{Valid: true, InFlight: 1}}); count[CancelAttempt](acts) != 0 {
+		t.Errorf("actions = %v, want no cancellation of an attempt that the report includes", acts)
 	}
-	b, _, at = startLostAttempt(t, "bill")
-	if acts := b.step(LoadProbeCompleted{Server: at, Outcome: OK, Report: LoadReport{Valid: true}}); count[CancelAttempt](acts) != 0 {
-		t.Errorf("%v: it may have run", acts)
+	b, _, attemptServer = startLostAttempt(t, "bill")
+	if acts := b.step(LoadProbeCompleted{Server: attemptServer, Outcome: OK, Report: LoadReport{Valid: true}}); count[CancelAttempt](acts) != 0 {
+		t.Errorf("actions = %v, want no cancellation of a non-idempotent request", acts)
 	}
-	if b.balancer.servers.byID[at].attempts.missing != 1 {
-		t.Error("it counts as load, though the server does not have it")
+	if b.balancer.servers.byID[attemptServer].attempts.missing != 1 {
+		t.Error("an attempt that the report does not include is not counted as missing")
 	}
 }
 
-// Guards against taking a server whose load was just reported for one of which nothing is known.
+// Guards against treating a server whose load was just reported as one whose load is unknown.
 func TestUncertaintyGrowsWithReportAge(t *testing.T) {
 	b := newTestNode(t, fleet(0.1), testEndpoints(2)...)
 	s := b.balancer.servers.byID["s0"]
 	b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 2}})
 	b.balancer.refreshEstimate(s)
-	fresh := s.estimate.uncertainty
+	freshUncertainty := s.estimate.uncertainty
 	b.now += 20 * b.balancer.estimate.unitTime
 	b.step(TimerFired{"sweep"})
-	if b.balancer.refreshEstimate(s); fresh > 0.1 || s.estimate.uncertainty < 0.9 {
-		t.Errorf("doubt %v right after a report, %v long after it", fresh, s.estimate.uncertainty)
+	if b.balancer.refreshEstimate(s); freshUncertainty > 0.1 || s.estimate.uncertainty < 0.9 {
+		t.Errorf("uncertainty = %v right after a report, want <= 0.1; %v long after it, want >= 0.9", freshUncertainty, s.estimate.uncertainty)
 	}
 }
 
-// Guards against taking a slow server of which nothing is known to hold as much as the others:
-// nodes that price its slowness send it as much less, and rejected 15 to 21% while it stood half
-// idle (join+vast).
+// Guards against assuming that a server in slow start without a report has as many requests as the others,
+// although all nodes send it less: in the simulation join+vast, nodes rejected 15% to 21% of the requests
+// while such servers were half idle.
 func TestSlowStartServerIsEstimatedToHoldFewerRequests(t *testing.T) {
 	entries := testEndpoints(2)
 	b := newTestNode(t, fleet(0.1), entries...)
 	entries[1].Started = b.now
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[1:]})
 	b.balancer.estimate.othersLoad = 3
-	warm, cold := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
-	if w, c := b.balancer.estimateRequests(warm), b.balancer.estimateRequests(cold); c > 0.9*w || c <= 0 {
-		t.Errorf("%.2f requests at a warming server, %.2f at a warm one", c, w)
+	started, starting := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
+	if atStarted, atStarting := b.balancer.estimateRequests(started), b.balancer.estimateRequests(starting); atStarting > 0.9*atStarted || atStarting <= 0 {
+		t.Errorf("estimated requests at a server in slow start = %.2f, want above 0 and at most 0.9 times %.2f", atStarting, atStarted)
 	}
-	b.balancer.recordLoadReport(cold, LoadReport{Valid: true, InFlight: 3 * b.balancer.estimatedCapacity(cold)})
+	b.balancer.recordLoadReport(starting, LoadReport{Valid: true, InFlight: 3 * b.balancer.estimatedCapacity(starting)})
 	if math.Abs(b.balancer.estimate.othersLoad-3) > 1e-9 {
-		t.Errorf("a warming server with its part in flight moves the fleet's mean from 3 to %v", b.balancer.estimate.othersLoad)
+		t.Errorf("mean load after a report proportional to the capacity = %v, want 3", b.balancer.estimate.othersLoad)
 	}
 }
 
-// Guards against counting a server's requests one after the other where it works on several at once.
+// Guards against adding up the times of a server's requests although it works on several in parallel.
 func TestServiceRoundsAccountForParallelism(t *testing.T) {
 	b := newTestNode(t, probed(1), testEndpoints(2)...)
 	for i := 0; i < 200; i++ {
@@ -117,7 +119,7 @@
 	}
 	for ahead, want := range map[float64]float64{0: 1, 1: 1, 3: 2} {
 		if got := b.balancer.serviceRounds(ahead, 1); got != want {
-			t.Errorf("with %v ahead at two at once: %v requests' times, want %v", ahead, got, want)
+			t.Errorf("service rounds with %v requests ahead and parallelism 2 = %v, want %v", ahead, got, want)
 		}
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -137,5 +137,5 @@
 	if logged {
 		return
 	}
-	b.logf("no server is ejected: too few other servers are healthy, so the cause is shared or on this node")
+	b.logf("no further ejections: too few other servers are healthy, the cause is shared or on this node")
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// failing makes one server fail until it is ejected.
-func failing(t *testing.T, b *testNode, bad ServerID, res Outcome) {
+// failing sends requests until a server that fails all its requests is ejected.
+func failing(t *testing.T, b *testNode, bad ServerID, outcome Outcome) {
 	t.Helper()
 	for i := 0; i < 300 && !b.balancer.servers.byID[bad].outlier.ejected; i++ {
-		b.balancer.servers.byID[bad].timing.measured, b.balancer.servers.byID[bad].timing.unitTime = true, 1 // as fast as any by its record, so that it is drawn
+		b.balancer.servers.byID[bad].timing.measured, b.balancer.servers.byID[bad].timing.unitTime = true, 1 // fast, so that it is drawn
 		b.serve("read", 5, func(s ServerID) Outcome {
 			if s == bad {
-				return res
+				return outcome
 			}
 			return OK
 		})
@@ -23,11 +23,11 @@
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	failing(t, b, "s1", Errored)
 	if !b.balancer.servers.byID["s1"].outlier.ejected {
-		t.Fatal("a server that always fails is not ejected")
+		t.Fatal("a server that always fails was not ejected")
 	}
 	for i := 0; i < 100; i++ {
 		if s := b.serve("read", 5, allOK); s == "s1" {
-			t.Fatal("an ejected server was drawn before its ejectionTime ended")
+			t.Fatal("an ejected server got a request before the ejection time had passed")
 		}
 	}
 	b.pass(ejectionTime + 1000)
@@ -41,20 +41,20 @@
 		}
 	}
 	if trial == 0 {
-		t.Fatal("no trial after the ejectionTime")
+		t.Fatal("an ejected server got no trial after the ejection time")
 	}
 	for i := 0; i < 50; i++ {
 		if s := b.serve("read", 1, allOK); s == "s1" {
-			t.Fatal("a second request during the trial")
+			t.Fatal("an ejected server got a second request during its trial")
 		}
 	}
 	b.end(trial, 0, "s1", OK, 30)
 	if b.balancer.servers.byID["s1"].outlier.ejected {
-		t.Error("a good trial does not readmit")
+		t.Error("a successful trial did not readmit the server")
 	}
 }
 
-// Guards against readmitting a failing server on an answer to something sent before its ejection.
+// Guards against readmitting a failing server on the response to an attempt sent before its ejection.
 func TestResponseToAttemptBeforeEjectionDoesNotReadmit(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	var old RequestID
@@ -68,14 +68,14 @@
 		}
 	}
 	if old == 0 {
-		t.Fatal("never drawn")
+		t.Fatal("s1 got no request")
 	}
 	s := b.balancer.servers.byID["s1"]
 	s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	b.now += 50
 	b.end(old, 0, "s1", OK, 50)
 	if !s.outlier.ejected {
-		t.Error("an answer from before the ejection readmitted the server")
+		t.Error("the response to an attempt sent before the ejection readmitted the server")
 	}
 }
 
@@ -84,29 +84,29 @@
 	failing(t, b, "s1", Overloaded)
 	s := b.balancer.servers.byID["s1"]
 	if s.outlier.ejected {
-		t.Error("a full server was ejected")
+		t.Error("a server was ejected for rejecting requests as overloaded")
 	}
 	b.balancer.updateScores()
 	if s.score >= b.balancer.servers.byID["s0"].score {
-		t.Errorf("rejections do not lower the score: %.2f against %.2f", s.score, b.balancer.servers.byID["s0"].score)
+		t.Errorf("score of the overloaded server = %.2f, want less than %.2f of another", s.score, b.balancer.servers.byID["s0"].score)
 	}
 }
 
-// Guards against ejecting the whole fleet for a cause that all servers share.
+// Guards against ejecting the whole fleet for a failure whose cause all servers share.
 func TestFleetWideFailureDoesNotEjectFleet(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for i := 0; i < 200; i++ {
 		b.serve("read", 5, func(ServerID) Outcome { return Errored })
 		b.now += 50
 	}
-	out := 0
+	ejectedCount := 0
 	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected {
-			out++
+			ejectedCount++
 		}
 	}
-	if out > 3 {
-		t.Errorf("%d of 6 ejected though all fail alike", out)
+	if ejectedCount > 3 {
+		t.Errorf("ejected servers = %d of 6 that all fail, want at most 3", ejectedCount)
 	}
 }
 
@@ -116,12 +116,12 @@
 		s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	}
 	if _, acts := b.arrive("read", 2000); sentTo(acts) == "" {
-		t.Error("nothing was sent though all are ejected")
+		t.Error("no request was sent although all servers are ejected")
 	}
 }
 
-// Guards against an unresponsive server: a server that answers no probe is ejected without losing requests
-// to it.
+// Guards against losing requests to an unresponsive server: a server that answers no probes must be
+// ejected before it gets requests.
 func TestUnansweredProbesEjectServer(t *testing.T) {
 	set := settings()
 	set.ProbesAllowed, set.LoadReports = true, true
@@ -134,19 +134,19 @@
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: Overloaded})
 	}
 	if b.balancer.servers.byID["s0"].outlier.ejected {
-		t.Fatal("ejected for rejecting probes")
+		t.Fatal("a server was ejected for rejecting probes")
 	}
 	for i := 0; i < ejectionConsecutiveFailures; i++ {
 		b.now += 50
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 50})
 	}
 	if !b.balancer.servers.byID["s0"].outlier.ejected {
-		t.Error("a server that answers no probe is not ejected")
+		t.Error("a server that answers no probes was not ejected")
 	}
 }
 
-// A group bad together: a lost hall is half the fleet, and all of it must be ejected while the rest
-// is well.
+// Guards against treating the loss of half the fleet, such as one data hall, as a shared cause: all lost
+// servers must be ejected while the others are healthy.
 func TestUnreachableHalfOfFleetIsEjected(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for i := 0; i < 60; i++ {
@@ -167,15 +167,15 @@
 		}
 	}
 	if toLost > 10 {
-		t.Errorf("%d of the last 200 first sends still went to the lost hall", toLost)
+		t.Errorf("first attempts at unreachable servers = %d of the last 200, want at most 10", toLost)
 	}
 	if served < 300 {
-		t.Errorf("%d of 400 first sends served by the rest", served)
+		t.Errorf("successful first attempts = %d of 400, want at least 300", served)
 	}
 }
 
-// Two at once: the fleet slows down while one server fails fast. The one must not pass for the
-// fastest, and the slow ones must not be ejected.
+// Guards against two faults at the same time: the whole fleet is slow and one server fails fast. The
+// failing server must not count as the fastest, and the slow ones must not be ejected.
 func TestFastFailingServerIsAvoidedInSlowFleet(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(5)...)
 	for i := 0; i < 60; i++ {
@@ -192,11 +192,11 @@
 			bad++
 			b.now += 2
 			for n, next := 0, s; next != ""; n++ {
-				res := OK
+				outcome := OK
 				if next == "s2" {
-					res = Errored
+					outcome = Errored
 				}
-				next = sentTo(b.end(id, n, next, res, 2))
+				next = sentTo(b.end(id, n, next, outcome, 2))
 			}
 		default:
 			b.now += 70
@@ -205,16 +205,16 @@
 		b.balancer.scoredAt = 0
 	}
 	if bad > 30 {
-		t.Errorf("%d of 300 went to the server that fails fast", bad)
+		t.Errorf("requests sent to the failing server = %d of 300, want at most 30", bad)
 	}
 	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected && s.ID != "s2" {
-			t.Errorf("%s was ejected for being slow with the rest", s.ID)
+			t.Errorf("%s was ejected although the whole fleet is slow", s.ID)
 		}
 	}
 }
 
-// Guards against ejecting one server after the other where all lose a third of what they get.
+// Guards against ejecting one server after another when each fails a third of its requests.
 func TestServersWithEqualFailureRatesAreNotEjected(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for _, s := range b.balancer.servers.ready {
@@ -229,7 +229,7 @@
 	}
 	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected {
-			t.Errorf("%s is ejected and fails %v, as the others do", s.ID, 1-s.recentSuccessRate())
+			t.Errorf("%s was ejected with a recent failure rate of %v, which all servers have", s.ID, 1-s.recentSuccessRate())
 		}
 	}
 	for _, s := range b.balancer.servers.ready[1:] {
@@ -239,12 +239,12 @@
 	}
 	b.balancer.updateEjection(b.balancer.servers.ready[0], ConnectionLost, b.now)
 	if !b.balancer.servers.ready[0].outlier.ejected {
-		t.Error("the only one that fails is kept")
+		t.Error("the only failing server was not ejected")
 	}
 }
 
-// Guards against ejecting servers for rows that chance makes where a tenth of all attempts break,
-// and against sparing one that has really gone.
+// Guards against ejecting a server for a streak that is likely by chance because a tenth of its attempts
+// fail, and against not ejecting a server that is really down.
 func TestShortFailureStreakDoesNotEjectFlakyServer(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for _, s := range b.balancer.servers.ready {
@@ -252,7 +252,7 @@
 			s.outcomes.record(b.now, s.ID != "s0" || i%10 != 0)
 		}
 	}
-	row := func(s *server, n int) bool {
+	failStreak := func(s *server, n int) bool {
 		for range n {
 			s.outcomes.record(b.now, false)
 			b.balancer.updateEjection(s, ConnectionLost, b.now)
@@ -260,18 +260,19 @@
 		return s.outlier.ejected
 	}
 	flaky, clean := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
-	if row(flaky, ejectionConsecutiveFailures) {
-		t.Error("a row of three ejects a server of which a tenth fails anyway")
+	if failStreak(flaky, ejectionConsecutiveFailures) {
+		t.Error("a server with a failure rate of 0.1 was ejected after three consecutive failures")
 	}
-	if !row(flaky, 5) {
-		t.Error("a row of eight does not")
+	if !failStreak(flaky, 5) {
+		t.Error("a server with a failure rate of 0.1 was not ejected after eight consecutive failures")
 	}
-	if !row(clean, ejectionConsecutiveFailures) {
-		t.Error("a row of three does not exclude a server that never failed")
+	if !failStreak(clean, ejectionConsecutiveFailures) {
+		t.Error("a server that had never failed was not ejected after three consecutive failures")
 	}
 }
 
-// Guards against losing an ejected server for good where no class is safe to repeat.
+// Guards against never readmitting an ejected server if no class is idempotent: the class with the
+// safest retries is used for trials.
 func TestTrialUsesMostRepeatableClass(t *testing.T) {
 	set := settings()
 	set.Classes = set.Classes[1:]
@@ -282,17 +283,18 @@
 		b.serve("bill", 10, allOK)
 	}
 	if !s.outlier.ejected {
-		t.Fatal("an unsafe request carried the trial though a keyed class is there")
+		t.Fatal("a non-idempotent request was the trial although a class with an idempotency key exists")
 	}
 	for i := 0; i < 40 && s.outlier.ejected; i++ {
 		b.serve("put", 10, allOK)
 	}
 	if s.outlier.ejected {
-		t.Error("no trial in 40 keyed requests")
+		t.Error("no trial within 40 requests of the class with an idempotency key")
 	}
 }
 
-// Guards against a second shared cause, hours after the first, of which the log says nothing; and against a line for each failure of one.
+// Guards against not logging a second shared cause hours after the first, and against logging each
+// failure of one.
 func TestEachSharedCauseIsLoggedOnce(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	failAll := func() {
@@ -310,12 +312,12 @@
 		}
 		return n
 	}
-	for time := 1; time <= 3; time++ {
+	for episode := 1; episode <= 3; episode++ {
 		failAll()
-		if n := lines(); n != time {
-			t.Fatalf("%d lines after shared cause number %d", n, time)
+		if n := lines(); n != episode {
+			t.Fatalf("log lines after shared cause %d = %d, want %d", episode, n, episode)
 		}
-		for range 200 { // all recover; none was ejected, so none is readmitted
+		for range 200 { // all servers recover; none was ejected, so none is readmitted
 			b.serve("read", 5, allOK)
 			b.now += 100
 		}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -18,8 +18,8 @@
 	// idleServerRequests is the estimated number of requests below which a server counts as idle.
 	idleServerRequests = 0.5
 	// idleTimeFraction is the fraction of the time to the objective that an attempt at an idle server
-	// may be expected to take. It is larger because service times there vary less, and keeping an idle
-	// server free gains nothing.
+	// may be expected to take. It is larger than newRequestTimeFraction because service times there vary
+	// less, and keeping an idle server free gains nothing.
 	idleTimeFraction = 0.7
 	// idleFleetTimeFraction is multiplied by the idle fraction of the fleet and added to
 	// newRequestTimeFraction: from 0.3 of the fleet idle, an attempt may take the whole time.
@@ -52,8 +52,8 @@
 }
 
 // eligible reports whether a request is permitted to go to a server. Invariants: a draining server
-// gets no new attempts; a request that may have run is repeated only if it is idempotent or if it has
-// an idempotency key and the server is within its dedup scope and window.
+// gets no new attempts; a request that may have run is repeated only if it is idempotent or, with an
+// idempotency key, at a server in its dedup scope and until its dedup window ends.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -16,7 +16,7 @@
 		}
 	}
 	if got < 2900 || got > 3100 {
-		t.Errorf("drawn %d of 4000 times, want about 3000", got)
+		t.Errorf("draws of the server with score 0.9 = %d of 4000, want about 3000", got)
 	}
 }
 
@@ -28,21 +28,21 @@
 		seen[sentTo(acts)]++
 	}
 	if seen["s0"] != 1 || seen["s1"] != 1 {
-		t.Errorf("two requests at once went to %v, want one each", seen)
+		t.Errorf("servers of two concurrent requests = %v, want one request each", seen)
 	}
 }
 
 func TestNonIdempotentRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
-	for res, again := range map[Outcome]bool{Errored: false, TimedOut: false, ConnectionLost: false, Overloaded: true, Unreachable: true} {
+	for outcome, wantRetry := range map[Outcome]bool{Errored: false, TimedOut: false, ConnectionLost: false, Overloaded: true, Unreachable: true} {
 		b := newTestNode(t, settings(), testEndpoints(3)...)
 		id, acts := b.arrive("bill", 2000)
 		b.now += 10
-		acts = b.end(id, 0, sentTo(acts), res, 10)
-		if got := sentTo(acts) != ""; got != again {
-			t.Errorf("result %d: sent again %v, want %v", res, got, again)
+		acts = b.end(id, 0, sentTo(acts), outcome, 10)
+		if got := sentTo(acts) != ""; got != wantRetry {
+			t.Errorf("outcome %d: retried = %v, want %v", outcome, got, wantRetry)
 		}
-		if !again && count[Fail](acts) != 1 {
-			t.Errorf("result %d: answer %v, want one Fail", res, acts)
+		if !wantRetry && count[Fail](acts) != 1 {
+			t.Errorf("outcome %d: actions = %v, want one Fail", outcome, acts)
 		}
 	}
 }
@@ -57,33 +57,33 @@
 		acts = b.end(id, 0, first, Errored, 1)
 		second := sentTo(acts)
 		if second != "" && b.balancer.servers.byID[second].Cell != b.balancer.servers.byID[first].Cell {
-			t.Fatalf("repeated in cell %d after cell %d", b.balancer.servers.byID[second].Cell, b.balancer.servers.byID[first].Cell)
+			t.Fatalf("retried in cell %d after an attempt in cell %d", b.balancer.servers.byID[second].Cell, b.balancer.servers.byID[first].Cell)
 		}
 		if second == "" && count[Reject](acts) > 0 {
-			t.Fatal("rejected though an attempt may have run")
+			t.Fatal("the request was rejected although an attempt may have run")
 		}
 		if second != "" {
 			b.end(id, 1, second, OK, 1)
 		}
 	}
 	id, acts := b.arrive("put", 5000)
-	b.now += 1100 // past the window, and past the latency objective
+	b.now += 1100 // past the dedup window and the latency objective
 	if acts = b.end(id, 0, sentTo(acts), Errored, 1100); sentTo(acts) != "" || count[Fail](acts) != 1 {
-		t.Errorf("after the window: %v, want Fail", acts)
+		t.Errorf("actions after the dedup window = %v, want one Fail", acts)
 	}
 }
 
 func TestDrainingServerGetsNoRequests(t *testing.T) {
-	for _, form := range []UpdateKind{DeltaUpdate, FullUpdate} {
+	for _, kind := range []UpdateKind{DeltaUpdate, FullUpdate} {
 		b := newTestNode(t, settings(), testEndpoints(3)...)
 		entries := []Endpoint{{ID: "s1", State: Draining, Capacity: 1}}
-		if form == FullUpdate { // absent from a full list means gone
+		if kind == FullUpdate { // a server that is absent from a full list has been removed
 			entries = []Endpoint{testEndpoints(3)[0], testEndpoints(3)[2]}
 		}
-		b.step(EndpointUpdate{Kind: form, Endpoints: entries})
+		b.step(EndpointUpdate{Kind: kind, Endpoints: entries})
 		for i := 0; i < 100; i++ {
 			if b.serve("read", 5, allOK) == "s1" {
-				t.Fatalf("form %d: sent to a server that is draining or gone", form)
+				t.Fatalf("update kind %d: a request was sent to a server that is draining or removed", kind)
 			}
 		}
 	}
@@ -101,17 +101,17 @@
 	}
 	b.next++
 	if acts := b.step(Arrival{ID: b.next, Class: "read", WorkHint: 250, Deadline: b.now + 2000}); sentTo(acts) == "" {
-		t.Error("an idle fleet rejected a request for a rough hint")
+		t.Error("a request with a large work hint was rejected by an idle fleet")
 	}
 }
 
-// The groups of a keyed class: where repeats may go, and when a rejection is harmless.
+// Each dedup scope limits which servers a request that may have run can be retried at, and whether it can be rejected.
 func TestDedupScopeLimitsRetriesAndRejections(t *testing.T) {
 	servers := testEndpoints(4)
 	servers[3].Zone = "y"
-	for group, want := range map[DedupScope]int{DedupAcrossFleet: 4, DedupWithinZone: 3, DedupWithinCell: 2} {
+	for scope, want := range map[DedupScope]int{DedupAcrossFleet: 4, DedupWithinZone: 3, DedupWithinCell: 2} {
 		set := settings()
-		set.Classes[1].DedupScope = group
+		set.Classes[1].DedupScope = scope
 		b := newTestNode(t, set, servers...)
 		r := &request{class: b.balancer.classes["put"], work: 1, mayHaveRun: true, dedupServer: b.balancer.servers.byID["s0"], dedupUntil: b.now + 500}
 		got := 0
@@ -121,19 +121,19 @@
 			}
 		}
 		if got != want {
-			t.Errorf("group %d: %d servers allowed, want %d", group, got, want)
+			t.Errorf("scope %d: eligible servers = %d, want %d", scope, got, want)
 		}
 		b.actions = b.actions[:0]
 		b.balancer.actions = nil
 		b.balancer.rejectOrFail(r, NoCapacity)
-		if refused := count[Reject](b.balancer.actions) == 1; refused != (group == DedupAcrossFleet) {
-			t.Errorf("group %d: given up with %v", group, b.balancer.actions)
+		if rejected := count[Reject](b.balancer.actions) == 1; rejected != (scope == DedupAcrossFleet) {
+			t.Errorf("scope %d: actions = %v, want a Reject only for scope %d", scope, b.balancer.actions, DedupAcrossFleet)
 		}
 	}
 }
 
-// Guards against rejecting everything on old evidence: the node would never learn that a slowdown
-// is over.
+// Guards against rejecting all requests because of outdated estimates: the node would not detect the end
+// of a slowdown.
 func TestExplorationDetectsEndOfSlowdown(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	for i := 0; i < 60; i++ {
@@ -147,13 +147,13 @@
 		b.now += 30
 	}
 	if served < 300 {
-		t.Errorf("%d of 400 sent after the slowdown ended", served)
+		t.Errorf("requests sent after the slowdown = %d of 400, want at least 300", served)
 	}
 }
 
-// Guards against each node keeping a request out where nothing fits: with more nodes than servers
-// that alone holds a crowded fleet down. The nodes' sum stays a small share of what the servers can
-// do.
+// Guards against each node always having an exploration in flight while no server can respond in time:
+// if there are more nodes than servers, that alone keeps the fleet overloaded. All explorations together
+// must stay a small fraction of the servers' capacity.
 func TestExplorationIsLimitedAcrossNodes(t *testing.T) {
 	const nodes, servers = 200, 4
 	set := settings()
@@ -166,7 +166,7 @@
 		}
 		b := &testNode{t: t, balancer: l, now: 100000}
 		b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(servers)})
-		l.estimate.unitTime = 1000 // nothing fits
+		l.estimate.unitTime = 1000 // no server can respond in time
 		for _, s := range l.servers.ready {
 			s.timing.measured, s.timing.unitTime = true, 1000
 		}
@@ -178,71 +178,70 @@
 			}
 		}
 	}
-	// 4 servers with 100 ms a request can do 400 in 10 s; chance may add a few.
-	if most := int(explorationFraction*400) + 20; sent > most || sent < 20 {
-		t.Errorf("%d nodes sent %d feelers in 10 s, want 20 to %d", nodes, sent, most)
+	// 4 servers at 100 ms per request can serve 400 in 10 s. Random variation may add a few explorations.
+	if maxSent := int(explorationFraction*400) + 20; sent > maxSent || sent < 20 {
+		t.Errorf("explorations of %d nodes in 10 s = %d, want 20 to %d", nodes, sent, maxSent)
 	}
 }
 
-// Guards against rejecting heavy requests while most of the fleet is idle: what is expected to take
-// more than the usual share of the time left may still go to a server with nothing in flight.
+// Guards against rejecting heavy requests while most of the fleet is idle: a request that is expected to
+// take more than the usual fraction of the remaining time may still go to an idle server.
 func TestHeavyRequestIsSentOnlyIfFleetIsIdle(t *testing.T) {
-	for _, crowd := range []float64{0.1, 1.5} {
+	for _, load := range []float64{0.1, 1.5} {
 		set := settings()
 		set.LoadReports = true
 		b := newTestNode(t, set, testEndpoints(4)...)
-		b.balancer.estimate.othersLoad, b.balancer.openAttempts = crowd, 1 // no exploration
+		b.balancer.estimate.othersLoad, b.balancer.openAttempts = load, 1 // no exploration
 		for _, s := range b.balancer.servers.ready {
 			b.balancer.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
 		}
-		b.balancer.estimate.othersLoad = crowd
+		b.balancer.estimate.othersLoad = load
 		b.next++
 		b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 10})
 		b.balancer.estimate.meanWorkHint = 2
 		b.next++
 		acts := b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 8}) // four times the mean
-		if sent := sentTo(acts) != ""; sent != (crowd < 1) {
-			t.Errorf("mean load %.1f: sent %v", crowd, sent)
+		if sent := sentTo(acts) != ""; sent != (load < 1) {
+			t.Errorf("mean load %.1f: sent = %v, want %v", load, sent, load < 1)
 		}
 	}
 }
 
-// Guards against holding requests back, and rejecting them at their end, where nothing is known of
-// the servers and no probes are to be had that would tell more: with hundreds of nodes a fifth was
-// rejected while servers had room.
+// Guards against queuing requests, and rejecting them later, if the load of the servers is unknown and the
+// budget allows no probes to learn it: with hundreds of nodes, a fifth of the requests were rejected while
+// servers had free capacity.
 func TestRequestIsSentAtOnceIfLoadCannotBeLearned(t *testing.T) {
-	sent := func(set Settings, crowd float64) bool {
+	sent := func(set Settings, load float64) bool {
 		b := newTestNode(t, set, testEndpoints(40)...)
-		b.balancer.estimate.othersLoad, b.balancer.probing.tokens.left = crowd, 0
+		b.balancer.estimate.othersLoad, b.balancer.probing.tokens.left = load, 0
 		_, acts := b.arrive("read", 2000)
 		return sentTo(acts) != ""
 	}
-	dear, cheap := fleet(10*probeBudgetFraction), fleet(probeBudgetFraction/10)
-	if !sent(dear, 1) {
-		t.Error("a request is held although no news can come")
+	expensive, cheap := fleet(10*probeBudgetFraction), fleet(probeBudgetFraction/10)
+	if !sent(expensive, 1) {
+		t.Error("a request was queued although probes are too expensive")
 	}
 	if sent(cheap, 1) {
-		t.Error("a request is sent blindly although probes may be spent on it")
+		t.Error("a request was sent at unknown load although the budget allows probes")
 	}
-	if sent(dear, 8) {
-		t.Error("a request is sent although servers are taken to be full")
+	if sent(expensive, 8) {
+		t.Error("a request was sent although all servers are estimated to be full")
 	}
-	dear.ProbesAllowed = false
-	if !sent(dear, 1) {
-		t.Error("a request is held although nobody may be probed")
+	expensive.ProbesAllowed = false
+	if !sent(expensive, 1) {
+		t.Error("a request was queued although probes are not allowed")
 	}
-	dear.LoadReports = false
-	b := newTestNode(t, dear, testEndpoints(1)...)
+	expensive.LoadReports = false
+	b := newTestNode(t, expensive, testEndpoints(1)...)
 	if b.balancer.refreshEstimate(b.balancer.servers.byID["s0"]); b.balancer.servers.byID["s0"].estimate.uncertainty != 0 {
-		t.Error("where servers report nothing there is no doubt to be had of them")
+		t.Error("uncertainty is not 0 although servers send no load reports")
 	}
 }
 
-// Guards against a new connection for every fourth request where each of many nodes goes to any
-// server: servers close what stands idle for seconds, and a handshake may cost a twelfth of a
-// request.
+// Guards against a new connection for every fourth request if each of many nodes uses all servers: servers
+// close connections that are idle for seconds, and a handshake may cost a twelfth of a request.
 func TestIdleConnectionsArePreferred(t *testing.T) {
-	play := func(price float64, closing func(i int) bool) (dialed int) {
+	countDials := func(price float64, closesAfter func(i int) bool) (dialed int) {
 		set := fleet(0.1)
 		set.Prices.Handshake = price
 		b := newTestNode(t, set, testEndpoints(40)...)
@@ -257,7 +256,7 @@
 			}
 			b.now += 10
 			b.end(id, 0, s, OK, 10)
-			if open[s]++; closing(i) {
+			if open[s]++; closesAfter(i) {
 				open[s]--
 				b.step(ConnectionClosed{Server: s})
 			}
@@ -265,19 +264,19 @@
 		return dialed
 	}
 	never := func(int) bool { return false }
-	if free, dear := play(0, never), play(0.1, never); free < 30 || dear > free/2 {
-		t.Errorf("%d connections at no price, %d at a price", free, dear)
+	if free, priced := countDials(0, never), countDials(0.1, never); free < 30 || priced > free/2 {
+		t.Errorf("connections opened = %d without a price, want at least 30; %d at price 0.1, want at most half", free, priced)
 	}
-	if n := play(0.1, func(int) bool { return true }); n < 190 {
-		t.Errorf("%d connections opened where each is closed at once: the node was not told", n)
+	if n := countDials(0.1, func(int) bool { return true }); n < 190 {
+		t.Errorf("connections opened = %d although each is closed at once, want at least 190 of 200", n)
 	}
-	if free, dear := play(0, never), play(0.001, never); dear < free/2 {
-		t.Errorf("%d connections at next to no price, %d at none", dear, free)
+	if free, priced := countDials(0, never), countDials(0.001, never); priced < free/2 {
+		t.Errorf("connections opened = %d at price 0.001, want at least half of the %d without a price", priced, free)
 	}
 }
 
-// Guards against a draw that favours whoever comes first in the list once crowded servers are set
-// aside: those that are left each get their part by score.
+// Guards against a draw that favors servers early in the list after servers that cost too much are removed:
+// the remaining ones must be drawn in proportion to their scores.
 func TestRemainingServersAreDrawnInProportionToScore(t *testing.T) {
 	set := settings()
 	b := newTestNode(t, set, testEndpoints(5)...)
@@ -285,8 +284,8 @@
 		s.timing.measured, s.timing.unitTime, s.timing.outcomeAt, s.score = true, 20, b.now, float64(i+1)
 	}
 	b.balancer.estimate.unitTime, b.balancer.estimate.initialUnitTime, b.balancer.scoredAt = 20, 20, b.now
-	crowded := b.balancer.servers.ready[2]
-	crowded.timing.unitTime = 40 // twice the best's time, and still within the latency objective
+	slow := b.balancer.servers.ready[2]
+	slow.timing.unitTime = 40 // twice the unit time of the others, and still within the latency objective
 	const picks = 20000
 	got := map[ServerID]float64{}
 	for range picks {
@@ -295,21 +294,21 @@
 	}
 	for i, s := range b.balancer.servers.ready {
 		want := float64(i+1) / (1 + 2 + 4 + 5)
-		if s == crowded {
+		if s == slow {
 			want = 0
 		}
 		if math.Abs(got[s.ID]/picks-want) > 0.015 {
-			t.Errorf("%s was drawn %.3f of the time, want %.3f", s.ID, got[s.ID]/picks, want)
+			t.Errorf("drawn fraction of %s = %.3f, want %.3f", s.ID, got[s.ID]/picks, want)
 		}
 	}
 }
 
-// Guards against crossing zones for nothing, and against staying where it would be late.
+// Guards against sending to another zone without need, and against staying in a zone whose servers are full.
 func TestRequestLeavesZoneOnlyIfZoneIsFull(t *testing.T) {
 	set := probed(1)
 	set.Zone, set.Prices.CrossZone, set.ProbesAllowed = "here", 0.13, false
 	list := []Endpoint{{ID: "near", Zone: "here", Capacity: 1}, {ID: "far", Zone: "there", Capacity: 1}}
-	crossed := func(hands float64) int {
+	countCrossZone := func(nearLoad float64) int {
 		n := 0
 		for i := 0; i < 50; i++ {
 			b := newTestNode(t, set, list...)
@@ -317,7 +316,7 @@
 			for _, s := range b.balancer.servers.ready {
 				s.timing.measured, s.timing.unitTime, s.timing.outcomeAt = true, 20, b.now
 			}
-			b.step(LoadProbeCompleted{Server: "near", Outcome: OK, Report: LoadReport{Valid: true, InFlight: hands}})
+			b.step(LoadProbeCompleted{Server: "near", Outcome: OK, Report: LoadReport{Valid: true, InFlight: nearLoad}})
 			b.step(LoadProbeCompleted{Server: "far", Outcome: OK, Report: LoadReport{Valid: true}})
 			if _, acts := b.arrive("read", 2000); sentTo(acts) == "far" {
 				n++
@@ -325,36 +324,36 @@
 		}
 		return n
 	}
-	if n := crossed(0); n > 0 {
-		t.Errorf("%d of 50 crossed though the own zone is idle", n)
+	if n := countCrossZone(0); n > 0 {
+		t.Errorf("cross-zone requests = %d of 50 with an idle local zone, want 0", n)
 	}
-	if n := crossed(40); n < 50 {
-		t.Errorf("%d of 50 crossed though the own zone is full", n)
+	if n := countCrossZone(40); n < 50 {
+		t.Errorf("cross-zone requests = %d of 50 with a full local zone, want 50", n)
 	}
 }
 
-// Guards against nodes that send one key to different servers, none of which then has it warm.
+// Guards against nodes that send the requests of one key to different servers, so that none has it cached.
 func TestAllNodesPreferSameServersForKey(t *testing.T) {
 	set := probed(2)
 	set.KeyAffinity = true
-	homes := map[ServerID]int{}
+	keysByServer := map[ServerID]int{}
 	for k := 0; k < 60; k++ {
 		r := &request{affinityKey: stableHash(fmt.Sprint("key", k))}
-		first, second := newTestNode(t, set, testEndpoints(12)...).balancer.affinityServers(r)
+		primary, secondary := newTestNode(t, set, testEndpoints(12)...).balancer.affinityServers(r)
 		r.affinity.version = 0
 		other, _ := newTestNode(t, set, testEndpoints(12)...).balancer.affinityServers(&request{affinityKey: r.affinityKey})
-		if first == second || first.ID != other.ID {
-			t.Fatalf("preferred servers %s and %s, at another node %s", first.ID, second.ID, other.ID)
+		if primary == secondary || primary.ID != other.ID {
+			t.Fatalf("preferred servers = %s and %s, at another node %s, want two servers and the same first", primary.ID, secondary.ID, other.ID)
 		}
-		homes[first.ID]++
+		keysByServer[primary.ID]++
 	}
-	if len(homes) < 9 {
-		t.Errorf("60 keys live at %d of 12 servers", len(homes))
+	if len(keysByServer) < 9 {
+		t.Errorf("servers preferred by 60 keys = %d of 12, want at least 9", len(keysByServer))
 	}
 }
 
-// Guards against crowded servers, which slow down for all: neither more than some for each that is
-// worked on, nor any that is late already beside others.
+// Guards against saturated servers, which become slower for all requests: a server gets at most
+// saturationFactor times its parallelism, and no late requests while it is busy.
 func TestServersAreNotSaturated(t *testing.T) {
 	set := settings()
 	set.Classes[0].LateFraction, set.Goal.TailLatency = 0.5, 0.2
@@ -366,32 +365,31 @@
 		sent += count[StartAttempt](acts)
 	}
 	if sent != saturationFactor {
-		t.Errorf("%d requests sent to a server that works on one at once", sent)
+		t.Errorf("requests sent to a server with parallelism 1 = %d, want %v", sent, saturationFactor)
 	}
-	late := &request{class: b.balancer.classes["read"], work: 1, deadline: b.now + 1500, objectiveAt: b.now - 1, late: true}
-	if s := b.balancer.pickServer(late); s != nil {
+	lateRequest := &request{class: b.balancer.classes["read"], work: 1, deadline: b.now + 1500, objectiveAt: b.now - 1, late: true}
+	if s := b.balancer.pickServer(lateRequest); s != nil {
 		t.Error("a late request was sent to a busy server")
 	}
 }
 
-// TestLongObjectivesLeaveCapacityForHigherPriority: a class of low worth and a long latency
-// objective filled the servers until each answer took longer than the whole latency objective of
-// what is weighted most, and they stayed so after the load had gone (batumi-freight, calm+mass:
-// 0.2% in time). It is sent while a server's expected time leaves room for the other, and rejected
-// at once beyond.
+// Guards against a class with a low priority weight and a long objective that fills the servers until each
+// response takes longer than the objective of the class with the highest weight, and keeps them full after
+// the load has ended (batumi-freight, calm+mass: 0.2% in time). Its requests are sent while the expected
+// time leaves capacity for the other class, and rejected at once otherwise.
 func TestLongObjectivesLeaveCapacityForHigherPriority(t *testing.T) {
-	for took, sent := range map[Millis]bool{60: true, 250: false} {
+	for elapsed, wantSent := range map[Millis]bool{60: true, 250: false} {
 		set := settings()
 		set.Classes = []Class{{Name: "track", Idempotency: Idempotent, LatencyObjective: 1000, TotalTimeout: 3000, PriorityWeight: 1},
 			{Name: "book", Idempotency: NonIdempotent, LatencyObjective: 200, TotalTimeout: 400, PriorityWeight: 9}}
 		b := newTestNode(t, set, testEndpoints(2)...)
 		for range 40 {
-			b.serve("track", took, allOK)
+			b.serve("track", elapsed, allOK)
 		}
-		b.arrive("track", 3000) // so that the next one is not the odd one that finds out
+		b.arrive("track", 3000) // uses up the exploration
 		_, acts := b.arrive("track", 3000)
-		if got := sentTo(acts) != ""; got != sent || !sent && count[Reject](acts) != 1 {
-			t.Errorf("servers take %v ms: sent %v, want %v: %v", took, got, sent, acts)
+		if got := sentTo(acts) != ""; got != wantSent || !wantSent && count[Reject](acts) != 1 {
+			t.Errorf("service time %v ms: sent = %v, want %v; actions = %v", elapsed, got, wantSent, acts)
 		}
 	}
 }
--- a/balancer/server_test.go
+++ b/balancer/server_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// Guards against memory that grows with every server ever seen: fleets are renewed all day under
+// Guards against memory that grows with every server ever listed: fleets replace servers all day, with
 // new names.
 func TestRemovedServersAreForgotten(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(1)...)
 	id, acts := b.arrive("read", 2000)
-	at := sentTo(acts)
+	usedServer := sentTo(acts)
 	for i := range 500 {
 		e := Endpoint{ID: ServerID(fmt.Sprintf("n%d", i)), Zone: "z", Capacity: 1}
 		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
@@ -19,26 +19,26 @@
 	}
 	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
 	if len(b.balancer.servers.byID) != 2 || len(b.balancer.servers.known) != 2 {
-		t.Errorf("%d and %d servers remembered, want the last and the one with a request out", len(b.balancer.servers.byID), len(b.balancer.servers.known))
+		t.Errorf("servers in byID = %d and known = %d, want 2 each: the listed one and the one with an open attempt", len(b.balancer.servers.byID), len(b.balancer.servers.known))
 	}
-	b.end(id, 0, at, OK, 20)
+	b.end(id, 0, usedServer, OK, 20)
 	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
 	if len(b.balancer.servers.byID) != 1 || len(b.balancer.servers.known) != 1 {
-		t.Errorf("%d and %d servers remembered, want the last", len(b.balancer.servers.byID), len(b.balancer.servers.known))
+		t.Errorf("servers in byID = %d and known = %d, want 1 each: the listed one", len(b.balancer.servers.byID), len(b.balancer.servers.known))
 	}
 }
 
-// Guards against counting a connection twice or below none: a probe and an attempt take one, an
-// answer gives one back, and what broke or was cancelled gives none.
+// Guards against a wrong or negative number of idle connections: a probe and an attempt take one, and a
+// response returns it, but a failed or cancelled attempt does not.
 func TestIdleConnectionsAreCounted(t *testing.T) {
 	b := newTestNode(t, fleet(0.1), testEndpoints(1)...)
 	s := b.balancer.servers.byID["s0"]
 	for _, step := range []struct {
-		result Outcome
-		want   int
+		outcome Outcome
+		want    int
 	}{{OK, 1}, {Errored, 2}, {Overloaded, 3}, {ConnectionLost, 3}, {TimedOut, 3}, {Unreachable, 3}, {Cancelled, 3}, {NotSent, 3}} {
-		if s.recordConnection(step.result); s.idleConnections != step.want {
-			t.Errorf("%d connections idle after result %v, want %d", s.idleConnections, step.result, step.want)
+		if s.recordConnection(step.outcome); s.idleConnections != step.want {
+			t.Errorf("idle connections = %d after outcome %v, want %d", s.idleConnections, step.outcome, step.want)
 		}
 	}
 	for range 5 {
@@ -46,6 +46,6 @@
 	}
 	b.step(ConnectionClosed{Server: "unheard of"})
 	if s.idleConnections != 0 {
-		t.Errorf("%d connections idle after all were closed", s.idleConnections)
+		t.Errorf("idle connections = %d after all were closed, want 0", s.idleConnections)
 	}
 }
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -5,38 +5,40 @@
 	"testing"
 )
 
-// slowStartFleet is many balancers, each a node of its own, with one server that has just started.
+// slowStartFleet is a fleet of nodes, each with its own balancer, and one server in slow start.
 type slowStartFleet struct {
 	set             Settings
 	nodes           []*testNode
 	typicalUnitTime Millis
 	serverStartedAt Millis
-	sent            []slowStartCall // to the warming server, by all
+	sent            []slowStartCall // calls of all nodes to the server in slow start
 }
 
+// slowStartCall is a call to the server in slow start.
 type slowStartCall struct {
 	at   Millis
-	cost float64
+	cost float64 // in requests of mean work
 }
 
-// newSlowStartFleet has the warming server allow so many calls in its first window.
+// newSlowStartFleet makes a fleet in which the server may get allowed calls in its first overload window.
 func newSlowStartFleet(t *testing.T, nodes int, allowed float64, seed int) *slowStartFleet {
 	t.Helper()
 	f := &slowStartFleet{set: settings(), serverStartedAt: 100000}
 	f.set.Nodes, f.set.Classes = nodes, f.set.Classes[:1]
 	f.typicalUnitTime = f.set.SlowStart.OverloadFactor * f.set.SlowStart.InitialCapacity * f.set.SlowStart.OverloadWindow / allowed
-	f.set.Classes[0].LatencyObjective = 40 * f.typicalUnitTime // long enough that the budget alone holds anything back
+	f.set.Classes[0].LatencyObjective = 40 * f.typicalUnitTime // so long that only the budget limits the calls
 	for i := range nodes {
 		f.nodes = append(f.nodes, f.startNode(t, i, seed*10000+i))
 	}
 	return f
 }
 
+// startNode starts a node at the time at which the server starts.
 func (f *slowStartFleet) startNode(t *testing.T, node, seed int) *testNode {
 	return f.startNodeAt(t, node, seed, f.serverStartedAt)
 }
 
-// startNodeAt starts a node that hears of the warming server then.
+// startNodeAt starts a node that is notified of the server in slow start at the time now.
 func (f *slowStartFleet) startNodeAt(t *testing.T, node, seed int, now Millis) *testNode {
 	set := f.set
 	set.Node = node
@@ -51,41 +53,43 @@
 	return b
 }
 
-// budget is what the settings allow the server in a window that begins then.
+// budget returns the number of calls that the settings allow the server in an overload window that begins
+// at the given time.
 func (f *slowStartFleet) budget(at Millis) float64 {
-	share := min(1, f.set.SlowStart.InitialCapacity+(1-f.set.SlowStart.InitialCapacity)*(at-f.serverStartedAt)/f.set.SlowStart.Duration)
-	return f.set.SlowStart.OverloadFactor * share * f.set.SlowStart.OverloadWindow / f.typicalUnitTime
+	capacity := min(1, f.set.SlowStart.InitialCapacity+(1-f.set.SlowStart.InitialCapacity)*(at-f.serverStartedAt)/f.set.SlowStart.Duration)
+	return f.set.SlowStart.OverloadFactor * capacity * f.set.SlowStart.OverloadWindow / f.typicalUnitTime
 }
 
-// sendBurst has requests come to all nodes for a span, every so many ms, with only the warming server left.
+// sendBurst sends requests to all nodes for span ms, at a mean interval of every ms, while the server in
+// slow start is the only server.
 func (f *slowStartFleet) sendBurst(from, span, every Millis, cost func(int) float64) {
 	costs := map[RequestID]float64{}
-	var carry func(b *testNode, acts []Action)
-	carry = func(b *testNode, acts []Action) {
+	var perform func(b *testNode, acts []Action)
+	perform = func(b *testNode, acts []Action) {
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok && s.Server == "cold" {
 				f.sent = append(f.sent, slowStartCall{b.now, costs[s.ID]})
 				b.balancer.retryBudget.left, b.balancer.servers.byID["cold"].outlier.ejected = 0, false
-				carry(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // rejected work counts too
+				perform(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // rejected work counts too
 			}
 		}
 	}
 	for i, b := range f.nodes {
 		b.now = from
 		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.serverStartedAt}}})
-		b.balancer.explorations.left = -1e9 // the test is on the budget alone: what is sent without a fit passes it too
+		b.balancer.explorations.left = -1e9 // no explorations: they pass the same budget, and the test is on the budget alone
 		for k := 0; b.now < from+span; k++ {
 			b.now += every * (0.5 + float64((i*7+k)%11)/10)
 			b.next++
 			costs[b.next] = cost(i + k)
-			carry(b, b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + f.set.SlowStart.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
-			carry(b, b.step(TimerFired{"sweep"}))
+			perform(b, b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + f.set.SlowStart.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
+			perform(b, b.step(TimerFired{"sweep"}))
 		}
 	}
 }
 
-// worstWindow is the window that went furthest beyond N calls and what is put down to chance, and that
-// window's N.
+// worstWindow returns the budget n of the window that exceeded its limit of n calls plus 2√n+2 for random
+// variation the most, and by how many calls it did.
 func (f *slowStartFleet) worstWindow() (over, n float64) {
 	over = math.Inf(-1)
 	for _, from := range f.sent {
@@ -95,8 +99,8 @@
 				sum += c.cost
 			}
 		}
-		if o := sum - allowed - 2*math.Sqrt(allowed) - 2; o > over {
-			over, n = o, allowed
+		if excess := sum - allowed - 2*math.Sqrt(allowed) - 2; excess > over {
+			over, n = excess, allowed
 		}
 	}
 	return over, n
@@ -104,39 +108,38 @@
 
 func meanCost(int) float64 { return 1 }
 
-// Guards against nodes that each keep one call for a warming server and spend it at once: thirty of
-// them are beyond any small budget, however slowly each bucket refills. What all balancers send
-// together in any window stays within the server's budget of N calls and 2 x root of N + 2 for
-// chance.
+// Guards against nodes that each save one call for a server in slow start and send it at the same time:
+// thirty nodes then exceed any small budget, however slowly each bucket refills. In any window, all nodes
+// together must stay within the server's budget of N calls plus 2√N+2 for random variation.
 func TestFleetStaysWithinSlowStartBudget(t *testing.T) {
-	saved := func(f *slowStartFleet) Millis { return f.serverStartedAt + 0.3*f.set.SlowStart.Duration } // by then each node has had time to save its part
+	savedAt := func(f *slowStartFleet) Millis { return f.serverStartedAt + 0.3*f.set.SlowStart.Duration } // by then each node has had time to save its quota
 	span, every := 1.5*settings().SlowStart.OverloadWindow, settings().SlowStart.OverloadWindow/40
-	heavy := func(k int) float64 { // the mean is one
+	heavy := func(k int) float64 { // the mean is 1
 		if k%10 == 0 {
 			return 4
 		}
 		return 2.0 / 3
 	}
-	for name, play := range map[string]func(*slowStartFleet){
-		"a rush":                     func(f *slowStartFleet) { f.sendBurst(saved(f), span, every, meanCost) },
-		"a rush with heavy requests": func(f *slowStartFleet) { f.sendBurst(saved(f), span, every, heavy) },
-		"a rush from the start":      func(f *slowStartFleet) { f.sendBurst(f.serverStartedAt, span, every, meanCost) },
-		"half of the nodes are restarted within it": func(f *slowStartFleet) {
-			f.sendBurst(saved(f), span/2, every, meanCost)
+	for name, send := range map[string]func(*slowStartFleet){
+		"burst":                     func(f *slowStartFleet) { f.sendBurst(savedAt(f), span, every, meanCost) },
+		"burst with heavy requests": func(f *slowStartFleet) { f.sendBurst(savedAt(f), span, every, heavy) },
+		"burst from the start":      func(f *slowStartFleet) { f.sendBurst(f.serverStartedAt, span, every, meanCost) },
+		"half of the nodes restart during the burst": func(f *slowStartFleet) {
+			f.sendBurst(savedAt(f), span/2, every, meanCost)
 			for i := range f.nodes {
 				if i%2 == 0 {
-					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, saved(f)+span/2)
+					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, savedAt(f)+span/2)
 				}
 			}
-			f.sendBurst(saved(f)+span/2, span/2, every, meanCost)
+			f.sendBurst(savedAt(f)+span/2, span/2, every, meanCost)
 		},
-		"half of the nodes know it only now": func(f *slowStartFleet) {
+		"half of the nodes discover the server at the burst": func(f *slowStartFleet) {
 			for i := range f.nodes {
 				if i%2 == 0 {
-					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, saved(f))
+					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, savedAt(f))
 				}
 			}
-			f.sendBurst(saved(f), span, every, meanCost)
+			f.sendBurst(savedAt(f), span, every, meanCost)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -146,24 +149,24 @@
 				for _, allowed := range []float64{5, 15, 100} {
 					for seed := range 6 {
 						f := newSlowStartFleet(t, nodes, allowed, seed)
-						play(f)
+						send(f)
 						runs++
-						if o, _ := f.worstWindow(); o > 0 {
+						if excess, _ := f.worstWindow(); excess > 0 {
 							over++
-							worst = max(worst, o)
-							t.Logf("%d nodes, %v calls allowed, seed %d: %.1f calls beyond chance", nodes, allowed, seed, o)
+							worst = max(worst, excess)
+							t.Logf("%d nodes, %v calls allowed, seed %d: %.1f calls over the limit", nodes, allowed, seed, excess)
 						}
 					}
 				}
 			}
 			if over*50 > runs {
-				t.Errorf("%d of %d fleets passed a warming server's budget by more than chance, at the worst by %.1f calls", over, runs, worst)
+				t.Errorf("fleets that exceeded the limit = %d of %d, want at most 1 in 50; largest excess %.1f calls", over, runs, worst)
 			}
 		})
 	}
 }
 
-// TestFleetUsesSlowStartBudget holds the price of it: what a fleet in want of servers uses of the budget.
+// Guards against too much unused slow start budget: an overloaded fleet must use 0.45 to 0.8 of it.
 func TestFleetUsesSlowStartBudget(t *testing.T) {
 	for _, nodes := range []int{2, 30, 300} {
 		used, allowed := 0.0, 0.0
@@ -175,10 +178,10 @@
 			}
 			used += float64(len(f.sent))
 		}
-		if share := used / allowed; share < 0.45 || share > 0.8 {
-			t.Errorf("%d nodes use %.2f of a warming server's budget", nodes, share)
+		if fraction := used / allowed; fraction < 0.45 || fraction > 0.8 {
+			t.Errorf("%d nodes: used fraction of the slow start budget = %.2f, want 0.45 to 0.8", nodes, fraction)
 		} else {
-			t.Logf("%d nodes use %.2f of a warming server's budget", nodes, share)
+			t.Logf("%d nodes: used fraction of the slow start budget = %.2f", nodes, fraction)
 		}
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,37 +6,37 @@
 	"testing"
 )
 
-// TestSlowStartWithSteppedWallClock: the wall clock of this machine was stepped by an hour before
-// the node started, so that the starts that discovery tells lie an hour off.
+// Guards against a wall clock that was stepped by an hour before the node started: the start times
+// that discovery reports then differ by an hour from the node's clock.
 func TestSlowStartWithSteppedWallClock(t *testing.T) {
 	const hour = 3_600_000
 	set := settings()
 	set.SlowStart.InitialCapacity, set.SlowStart.Duration = 0.3, 9000
 	for name, c := range map[string]struct {
-		form  UpdateKind
-		off   Millis
-		least float64 // of the capacity that it counts with at once ...
-		most  float64
-		after Millis // ... and when it counts whole
+		kind        UpdateKind
+		startOffset Millis  // reported start time of the server, relative to now
+		minInitial  float64 // bounds of minimumCapacity right after the update
+		maxInitial  float64
+		fullAfter   Millis // time after which minimumCapacity is 1
 	}{
 		"clocks agree":           {DeltaUpdate, -1000, 0.3, 0.4, 9000},
 		"node's clock is ahead":  {DeltaUpdate, -hour, 0.3, 0.4, 9000},
 		"node's clock is behind": {DeltaUpdate, hour, 0.3, 0.3, 9000},
-		"behind, whole list":     {FullUpdate, hour, 0.3, 0.3, 9000},
+		"behind, full list":      {FullUpdate, hour, 0.3, 0.3, 9000},
 	} {
 		b := newTestNode(t, set, Endpoint{ID: "warm", Capacity: 1})
 		b.now += 2 * hour
 		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "warm", Capacity: 1}}})
-		entries := []Endpoint{{ID: "warm", Capacity: 1}, {ID: "cold", Capacity: 1, Started: b.now + c.off}}
-		b.step(EndpointUpdate{Kind: c.form, Endpoints: entries})
-		cold := b.balancer.servers.byID["cold"]
-		if got := b.balancer.minimumCapacity(cold); got < c.least-1e-9 || got > c.most {
-			t.Errorf("%s: counts %.2f of its capacity at once, want %.2f to %.2f", name, got, c.least, c.most)
+		entries := []Endpoint{{ID: "warm", Capacity: 1}, {ID: "cold", Capacity: 1, Started: b.now + c.startOffset}}
+		b.step(EndpointUpdate{Kind: c.kind, Endpoints: entries})
+		newServer := b.balancer.servers.byID["cold"]
+		if got := b.balancer.minimumCapacity(newServer); got < c.minInitial-1e-9 || got > c.maxInitial {
+			t.Errorf("%s: minimum capacity after the update = %.2f, want %.2f to %.2f", name, got, c.minInitial, c.maxInitial)
 		}
-		b.now += c.after
+		b.now += c.fullAfter
 		b.step(TimerFired{"sweep"})
-		if got := b.balancer.minimumCapacity(cold); math.Abs(got-1) > 1e-9 {
-			t.Errorf("%s: still counts %.2f of its capacity after its time", name, got)
+		if got := b.balancer.minimumCapacity(newServer); math.Abs(got-1) > 1e-9 {
+			t.Errorf("%s: minimum capacity after slow start = %.2f, want 1", name, got)
 		}
 	}
 }
@@ -63,12 +63,12 @@
 	}
 	budget := set.SlowStart.OverloadFactor * (set.SlowStart.InitialCapacity + 0.2*(1-set.SlowStart.InitialCapacity)) * set.SlowStart.OverloadWindow / unit / float64(set.Nodes)
 	if sent == 0 || float64(sent) > budget {
-		t.Errorf("sent %d to a warming server, want 1 to %.1f", sent, budget)
+		t.Errorf("requests sent to a server in slow start = %d, want 1 to %.1f", sent, budget)
 	}
 }
 
-// Guards against a returned server that gets one request from each of hundreds of nodes at once,
-// and against one that gets none until it is warm because no node's part makes a whole request.
+// Guards against a restarted server that gets one request from each of hundreds of nodes at once, and
+// against one that gets none during slow start because each node's quota is less than one request.
 func TestSlowStartBudgetHoldsAcrossNodes(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		const nodes, servers = 300, 30
@@ -84,56 +84,56 @@
 			b := &testNode{t: t, balancer: l, now: began}
 			b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(servers)})
 			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s7", Zone: "z", Capacity: 1, Started: began}}})
-			cold := b.balancer.servers.byID["s7"]
-			for ; b.now < began+set.SlowStart.Duration; b.now += 100 { // every node would send it one every 100 ms
+			restarted := b.balancer.servers.byID["s7"]
+			for ; b.now < began+set.SlowStart.Duration; b.now += 100 { // every node tries to send a request every 100 ms
 				l.now = b.now
 				r := &request{class: l.classes["read"], work: 1, deadline: b.now + 2000}
-				if slices.Contains(b.balancer.candidates(r), cold) {
-					cold.slowStart.budget.left--
+				if slices.Contains(b.balancer.candidates(r), restarted) {
+					restarted.slowStart.budget.left--
 					work[int((b.now-began)/set.SlowStart.OverloadWindow)] += b.balancer.estimate.unitTime
 				}
 			}
 		}
 		for window, sent := range work {
-			share := min(1, set.SlowStart.InitialCapacity+(1-set.SlowStart.InitialCapacity)*float64(window)*set.SlowStart.OverloadWindow/set.SlowStart.Duration)
-			if most := set.SlowStart.OverloadFactor * share * set.SlowStart.OverloadWindow; sent > most {
-				t.Errorf("reports %v: window %d got %.0f ms of work, %.0f push it over", reports, window, sent, most)
+			capacity := min(1, set.SlowStart.InitialCapacity+(1-set.SlowStart.InitialCapacity)*float64(window)*set.SlowStart.OverloadWindow/set.SlowStart.Duration)
+			if maxWork := set.SlowStart.OverloadFactor * capacity * set.SlowStart.OverloadWindow; sent > maxWork {
+				t.Errorf("load reports %v: work sent in window %d = %.0f ms, want at most %.0f ms", reports, window, sent, maxWork)
 			}
 		}
 		if work[0] < 0.1*set.SlowStart.OverloadFactor*set.SlowStart.InitialCapacity*set.SlowStart.OverloadWindow {
-			t.Errorf("reports %v: the first window got %.0f ms of work", reports, work[0])
+			t.Errorf("load reports %v: work sent in the first window = %.0f ms, want at least a tenth of its budget", reports, work[0])
 		}
 	}
 }
 
-// Guards against learning anew at each warming server that it is slow: 80 nodes sent each of 36
-// replaced servers a first request at the fleet's speed, and up to 57% of those came late
-// (join+vast). What a few showed holds for the rest, and what was seen of one while it was cold
-// does not hold it down once it is warm.
+// Guards against estimating the capacity of each server in slow start separately: in the simulation
+// join+vast, 80 nodes expected normal speed of each of 36 replaced servers, and up to 57% of the first
+// requests were late. An estimate from a few servers must apply to the others, and measurements during
+// slow start must not make a server appear slow afterwards.
 func TestSlowStartCapacityIsEstimatedFromAllServers(t *testing.T) {
 	for _, speed := range []float64{0.35, 0.8} {
 		entries := testEndpoints(4)
 		b := newTestNode(t, fleet(0.1), entries...)
 		entries[2].Started, entries[3].Started = b.now, b.now
 		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[2:]})
-		met, unseen := b.balancer.servers.byID["s2"], b.balancer.servers.byID["s3"]
+		measuredServer, unmeasuredServer := b.balancer.servers.byID["s2"], b.balancer.servers.byID["s3"]
 		b.balancer.estimate.unitTime = 20
-		for i := range 100 { // half of them wait for what else is there
-			took := b.balancer.estimate.unitTime / speed * []float64{0.7, 1.3}[i%2]
-			a := attempt{server: met, sentAt: b.now, serviceRounds: 1}
-			b.balancer.recordAttemptOutcome(met, &request{class: b.balancer.classes["read"], work: 1}, &a, OK, took)
+		for i := range 100 { // half of the requests wait for other requests at the server
+			elapsed := b.balancer.estimate.unitTime / speed * []float64{0.7, 1.3}[i%2]
+			a := attempt{server: measuredServer, sentAt: b.now, serviceRounds: 1}
+			b.balancer.recordAttemptOutcome(measuredServer, &request{class: b.balancer.classes["read"], work: 1}, &a, OK, elapsed)
 		}
-		if got := b.balancer.estimatedCapacity(unseen); math.Abs(got-speed) > 0.15 {
-			t.Errorf("a warming server never met is taken to have %.2f of its capacity, another showed %v", got, speed)
+		if got := b.balancer.estimatedCapacity(unmeasuredServer); math.Abs(got-speed) > 0.15 {
+			t.Errorf("estimated capacity of an unmeasured server in slow start = %.2f, want about %v as measured on another", got, speed)
 		}
-		if now := b.balancer.currentUnitTime(unseen); now < b.balancer.estimate.unitTime/(speed+0.15) {
-			t.Errorf("a warming server never met is taken to need %.1f ms, a warm one needs %.1f", now, b.balancer.estimate.unitTime)
+		if slowStartTime := b.balancer.currentUnitTime(unmeasuredServer); slowStartTime < b.balancer.estimate.unitTime/(speed+0.15) {
+			t.Errorf("unit time of an unmeasured server in slow start = %.1f ms, want clearly more than the typical %.1f ms", slowStartTime, b.balancer.estimate.unitTime)
 		}
 		b.now += b.balancer.settings.SlowStart.Duration
-		met.timing.outcomeAt = b.now // not by fading
+		measuredServer.timing.outcomeAt = b.now // so that the unit time does not decay
 		b.step(TimerFired{"sweep"})
-		if felt := b.balancer.currentUnitTime(met); felt > 1.6*b.balancer.estimate.unitTime || felt < b.balancer.estimate.unitTime/1.6 {
-			t.Errorf("warm by now it is taken to need %.1f ms, the fleet %.1f", felt, b.balancer.estimate.unitTime)
+		if fullTime := b.balancer.currentUnitTime(measuredServer); fullTime > 1.6*b.balancer.estimate.unitTime || fullTime < b.balancer.estimate.unitTime/1.6 {
+			t.Errorf("unit time after slow start = %.1f ms, want within a factor of 1.6 of the typical %.1f ms", fullTime, b.balancer.estimate.unitTime)
 		}
 	}
 }
--- a/balancer/unittime.go
+++ b/balancer/unittime.go
@@ -88,12 +88,12 @@
 // decayToTypical returns a server's latency or unit time, decayed toward the typical unit time if
 // the server has no attempt in flight and its last outcome is older than staleAfter.
 func (b *Balancer) decayToTypical(s *server, value Millis) Millis {
-	stale := b.now - s.timing.outcomeAt - staleAfter
-	if stale <= 0 || s.attempts.inFlight > 0 {
+	staleFor := b.now - s.timing.outcomeAt - staleAfter
+	if staleFor <= 0 || s.attempts.inFlight > 0 {
 		return value
 	}
 	typical := b.typicalUnitTime(s)
-	return typical + (value-typical)*math.Exp(-stale/staleTimeConstant)
+	return typical + (value-typical)*math.Exp(-staleFor/staleTimeConstant)
 }
 
 // recordTiming updates the server's latency and unit time, and the fleet's slowdown factor, with the
