--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,33 +2,34 @@
 
 import "fmt"
 
-// Action is something that the node is to do.
+// Action is an instruction of the balancer that its caller carries out.
 type Action interface{ action() }
 
-// StartAttempt sends a request to a server. A request's attempts are numbered from 0 in this order.
+// StartAttempt sends a request to a server. The attempts of a request are numbered from 0, in the order
+// of their StartAttempt actions.
 type StartAttempt struct {
 	ID       RequestID
 	Server   ServerID
-	Deadline Millis // when the attempt is given up; 0: when the client does
-	// WriteDeadline is when the request must have been written whole, or must not be any more:
-	// its repeats are dropped no longer. 0: no limit.
+	Deadline Millis // when the attempt times out; 0: when the client gives up
+	// WriteDeadline is the end of the dedup window. The request must be written completely before it, or
+	// not at all: afterwards a server no longer drops repeats. 0: no limit.
 	WriteDeadline Millis
 }
 
-// CancelAttempt stops waiting for one attempt.
+// CancelAttempt cancels one attempt that is in flight.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Reject is the final answer that promises a retry to be harmless.
+// Reject is a final answer after which the client can retry safely.
 type Reject struct {
 	ID         RequestID
 	RetryAfter Millis // 0: no Retry-After
 	Reason     RejectReason
 }
 
-// Fail is the final answer that promises nothing.
+// Fail is a final answer after which a retry may take effect twice.
 type Fail struct {
 	ID     RequestID
 	Reason RejectReason
@@ -37,19 +38,19 @@
 // RejectReason is why a request was rejected or failed.
 type RejectReason int
 
-// The reasons, each with the file that decides on it.
+// The reasons. Each names the file that decides on it.
 const (
 	// UnknownClass: the settings don't name the request's class (admission.go).
 	UnknownClass RejectReason = iota
-	// LateRetry: its objective had passed when it arrived, and a late answer earns nothing
-	// (admission.go).
+	// LateRetry: the latency objective had passed when the request arrived, and a late answer has no
+	// value (admission.go).
 	LateRetry
-	// NoCapacity: no server that it may go to was expected to answer in time (queue.go).
+	// NoCapacity: no eligible server is expected to answer in time (queue.go).
 	NoCapacity
-	// AttemptsExhausted: its attempts ended without an answer, and no retry is allowed or in time
+	// AttemptsExhausted: all attempts failed, and another one is not allowed or would be too late
 	// (retry.go).
 	AttemptsExhausted
-	// FleetOverload: the fleet as a whole has no capacity for it (admission.go).
+	// FleetOverload: the fleet is overloaded and sheds the request (admission.go).
 	FleetOverload
 )
 
@@ -61,7 +62,7 @@
 	FleetOverload:     "fleet overload",
 }
 
-// String names the reason.
+// String returns the name of the reason.
 func (r RejectReason) String() string {
 	if r < 0 || int(r) >= len(rejectReasonNames) {
 		return fmt.Sprintf("RejectReason(%d)", int(r))
@@ -69,32 +70,32 @@
 	return rejectReasonNames[r]
 }
 
-// SetTimer asks for a TimerFired with the same token at the given time.
+// SetTimer requests a TimerFired event with the same token at the given time.
 type SetTimer struct {
 	Token string
 	At    Millis
 }
 
-// The timers' tokens. They stand on the simulator's wire.
+// Tokens of the timers. They are part of the simulator's protocol and must not change.
 const (
-	timerSweep  = "sweep"  // look at the queued requests again
-	timerProbes = "probes" // the wait for load probes is over
-	timerPoll   = "ask"    // call for the endpoint list
+	timerSweep  = "sweep"  // dispatch the queued requests
+	timerProbes = "probes" // stop waiting for load probes
+	timerPoll   = "ask"    // poll the endpoint list
 )
 
-// ProbeLoad asks a server for its load.
+// ProbeLoad sends a load probe to a server.
 type ProbeLoad struct{ Server ServerID }
 
-// WatchEndpoints calls for the endpoint list and for its changes.
+// WatchEndpoints requests the endpoint list from discovery and then its changes.
 type WatchEndpoints struct{}
 
-// BroadcastGossip sends every other node a message of at most MaxGossipBytes; it may be lost.
+// BroadcastGossip sends a message of at most MaxGossipBytes to every other node. The message may be lost.
 type BroadcastGossip struct{ Body []byte }
 
-// MaxGossipBytes is the greatest length of a message between nodes.
+// MaxGossipBytes is the maximum length of a gossip message.
 const MaxGossipBytes = 256
 
-// Log is a line for whoever is on call.
+// Log writes a log line for the operators.
 type Log struct{ Text string }
 
 func (StartAttempt) action()    {}
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,19 +1,19 @@
 package balancer
 
 const (
-	// maxRecentRejections bounds the rejections that are remembered: seconds of a busy node.
+	// maxRecentRejections limits the stored rejections. A busy node reaches it within seconds.
 	maxRecentRejections = 4096
-	// samplingMarkBits of a request's sampling mark make a number from 0 to 1.
+	// samplingMarkBits is the number of bits of a sampling mark that are converted to a number from 0 to 1.
 	samplingMarkBits = 53
 )
 
-// rejection is a rejected request whose client may retry it.
+// rejection describes a rejected request that its client may retry.
 type rejection struct {
 	objectiveAt Millis
-	until       Millis // a request of the same identity is taken for the retry until then
+	expiresAt   Millis // until then a request with the same identity counts as the retry
 }
 
-// handleArrival takes a new request in: rejects it at once, or queues it and tries to place it.
+// handleArrival rejects a new request immediately, or queues it and tries to send it to a server.
 func (b *Balancer) handleArrival(e Arrival) {
 	class := b.classes[e.Class]
 	if b.requests[e.ID] != nil {
@@ -59,11 +59,11 @@
 	return r
 }
 
-// recognizeRetry takes a request that comes soon after a rejection of the same key for its retry,
-// where clients don't mark retries: its latency objective then counts from the first attempt.
+// recognizeRetry detects a retry if the clients don't mark retries: a request that follows a rejection
+// with the same key and class. The latency objective of a retry counts from the rejected request.
 func (b *Balancer) recognizeRetry(r *request) {
 	rejected, found := b.recentRejections[r.identity]
-	if !found || b.now >= rejected.until {
+	if !found || b.now >= rejected.expiresAt {
 		return
 	}
 	delete(b.recentRejections, r.identity)
@@ -71,21 +71,21 @@
 	r.late = rejected.objectiveAt <= b.now
 }
 
-// accountFirstAttempt earns what a request allows to spend, and records it for its tenant and its
-// class. Where clients don't mark retries every request counts as a first attempt.
+// accountFirstAttempt credits the budgets that grow with each first attempt, and records the request for
+// its tenant and its class. If clients don't mark retries, every request counts as a first attempt.
 func (b *Balancer) accountFirstAttempt(r *request) {
-	b.earnRetries()
-	b.earnGossip()
+	b.creditRetryBudget()
+	b.creditGossipBudget()
 	b.earnProbes()
 	if r.tenant != nil && r.tenant.Quota > 0 {
 		r.overQuota = b.overQuota(r.tenant)
 	}
-	b.addToShares(r, func(s *servedShare, weight float64) { s.asked += weight })
+	b.addToServedFractions(r, func(f *servedFraction, weight float64) { f.requested += weight })
 }
 
-// rejectedOnArrival reports whether a request is rejected before any server is considered, and why.
+// rejectedOnArrival reports whether a request is rejected before any server is considered, and the reason.
 func (b *Balancer) rejectedOnArrival(r *request, mark uint64) (RejectReason, bool) {
-	if r.late && r.class.LateFraction <= 0 { // worth nothing by now: work on it would make others late as well
+	if r.late && r.class.LateFraction <= 0 { // serving it has no value and would delay other requests
 		return LateRetry, true
 	}
 	if b.shedByFleet(r.class, mark) {
@@ -94,14 +94,14 @@
 	return 0, false
 }
 
-// shedByFleet reports whether the fleet has no capacity for a request. Its sampling mark decides,
-// which is the same at whichever node it arrives.
+// shedByFleet reports whether the fleet's load shedding rejects a request. The decision depends on the
+// request's sampling mark, so it is the same at every node.
 func (b *Balancer) shedByFleet(class *classState, mark uint64) bool {
 	admitted, limited := b.fleet.admittedFraction[class.Name]
 	return limited && float64(mark>>(64-samplingMarkBits))/(1<<samplingMarkBits) >= admitted
 }
 
-// rememberRejection keeps a rejection, so that an unmarked retry is recognized.
+// rememberRejection stores a rejection so that recognizeRetry can detect an unmarked retry.
 func (b *Balancer) rememberRejection(r *request) {
 	if len(b.recentRejections) >= maxRecentRejections {
 		clear(b.recentRejections)
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,9 +1,9 @@
 package balancer
 
-// startAttempt sends a request to a server.
+// startAttempt sends a request to a server and updates the bookkeeping of both.
 func (b *Balancer) startAttempt(r *request, s *server) {
-	s.slowStart.budget.left -= r.work // of a warm server too, where nobody reads it
-	b.gossip.changed = true
+	s.slowStart.budget.left -= r.work // unused if the server is not in slow start
+	b.gossip.loadsChanged = true
 	if r.bodyPending {
 		s.attempts.awaitingBody++
 	}
@@ -34,7 +34,7 @@
 	s := a.server
 	b.closeAttempt(r, a, e.Outcome)
 	b.recordLoadReport(s, e.Report)
-	if e.Outcome == OK { // a report that lacked this attempt was older than it
+	if e.Outcome == OK { // a report without this attempt was older than the attempt
 		b.estimate.reportLag += reportLagSmoothing * (a.missingAfter - b.estimate.reportLag)
 	}
 	b.recordAttemptOutcome(s, r, a, e.Outcome, e.Elapsed)
@@ -46,7 +46,7 @@
 		b.forgetIfFinished(r)
 	case e.RequestFinished || e.Outcome == OK:
 		if e.Outcome == OK && b.now <= r.objectiveAt {
-			b.addToShares(r, func(s *servedShare, weight float64) { s.served += weight })
+			b.addToServedFractions(r, func(f *servedFraction, weight float64) { f.served += weight })
 		}
 		b.finishRequest(r)
 	case r.openAttempts == 0 && !r.queued:
@@ -55,14 +55,14 @@
 	b.dispatchQueue()
 }
 
-// closeAttempt takes an attempt off its request and its server.
+// closeAttempt marks an attempt as ended and removes it from the counts of its request and its server.
 func (b *Balancer) closeAttempt(r *request, a *attempt, outcome Outcome) {
 	s := a.server
-	b.bodyDelivered(a)
+	b.markBodyDelivered(a)
 	a.open = false
 	r.openAttempts--
 	b.openAttempts--
-	b.gossip.changed = true
+	b.gossip.loadsChanged = true
 	s.attempts.inFlight--
 	s.recordConnection(outcome)
 	s.estimate.at = estimateOutdated
@@ -72,7 +72,7 @@
 	s.removeRequest(r)
 }
 
-// mayHaveRun reports whether the server may have begun the request.
+// mayHaveRun reports whether the server may have started to process the request.
 func (o Outcome) mayHaveRun() bool {
 	return o != Overloaded && o != Unreachable && o != NotSent
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// seedMix makes the second half of the generator's seed.
+	// seedMix is combined with the seed to form the second word of the generator's seed.
 	seedMix = 0x9e3779b97f4a7c15
-	// objectiveUnits: until one is measured, the unit time is taken to be the shortest latency
-	// objective divided by this.
-	objectiveUnits = 4
-	// initialWarmCapacity is the fraction of the capacity which a warming server may lack that it is
-	// taken to have, until warming servers have answered.
-	initialWarmCapacity = 0.5
+	// unitTimesPerObjective is the divisor of the shortest latency objective that gives the unit time
+	// assumed before the first measurement.
+	unitTimesPerObjective = 4
+	// initialCapacityEstimate is the initial estimate for servers in slow start: the fraction of the
+	// capacity above the slow start minimum that such a server already has. Their answers correct it.
+	initialCapacityEstimate = 0.5
 )
 
-// Balancer decides for one node. Time comes in through Step, random numbers come from New's seed.
-// It is not safe for concurrent use.
+// Balancer makes the decisions of one node. Step passes in the time, and all random numbers derive from
+// the seed given to New. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
-	now      Millis   // of the event that is being handled
-	actions  []Action // that it has brought about so far
+	now      Millis   // time of the event that is being handled
+	actions  []Action // emitted for this event so far
 	started  bool
 
-	randomSource *rand.PCG // kept for Clone
+	randomSource *rand.PCG // copied by Clone
 	rng          *rand.Rand
 
 	servers  serverSet
@@ -40,12 +40,12 @@
 
 	classes            map[string]*classState
 	tenants            map[string]*tenantState
-	meanPriorityWeight float64 // over the classes
+	meanPriorityWeight float64 // mean over the classes
 
 	requests         map[RequestID]*request
 	queue            requestQueue
 	openAttempts     int
-	candidateBuffer  []*server // scratch space
+	candidateBuffer  []*server // reused by candidates to avoid allocations
 	retryBudget      tokenBucket
 	explorations     tokenBucket
 	recentRejections map[requestIdentity]rejection
@@ -54,7 +54,7 @@
 	fleet  fleetLimits
 }
 
-// New makes the balancer of one node. Its error names the setting that makes deciding impossible.
+// New returns the balancer of one node. The error names the invalid setting.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
@@ -89,25 +89,26 @@
 	return b, nil
 }
 
-// initialEstimate is the estimate before any answer; addClass bounds its unit time.
+// initialEstimate returns the estimate before the first answer. addClass lowers its unit time, which
+// starts at +Inf.
 func initialEstimate() fleetEstimate {
 	return fleetEstimate{
 		unitTime:     math.Inf(1),
 		pace:         1,
 		parallelism:  1,
-		warmCapacity: initialWarmCapacity,
+		warmCapacity: initialCapacityEstimate,
 	}
 }
 
 func (b *Balancer) addClass(class Class, index int) {
 	protected := shortestMoreUrgentObjective(b.settings, class)
 	b.classes[class.Name] = &classState{Class: class, index: index, protectedObjective: protected}
-	b.estimate.unitTime = min(b.estimate.unitTime, class.LatencyObjective/objectiveUnits)
+	b.estimate.unitTime = min(b.estimate.unitTime, class.LatencyObjective/unitTimesPerObjective)
 	b.outliers.trialIdempotency = min(b.outliers.trialIdempotency, class.Idempotency)
 	b.meanPriorityWeight += class.PriorityWeight / float64(len(b.settings.Classes))
 }
 
-// Step takes one event at the given time and returns what is to be done, in order.
+// Step handles one event at the given time and returns the actions to carry out, in order.
 func (b *Balancer) Step(now Millis, event Event) []Action {
 	b.now = now
 	b.actions = nil
--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -36,7 +36,7 @@
 	for seed := range uint64(recordedSequences) {
 		player := newSequencePlayer(t, seed)
 		player.play()
-		lines = append(lines, fmt.Sprintf("%d %016x %d", seed, player.sum.Sum64(), player.actions))
+		lines = append(lines, fmt.Sprintf("%d %016x %d", seed, player.checksum.Sum64(), player.actions))
 		for kind, n := range player.kinds {
 			kinds[kind] += n
 		}
@@ -74,23 +74,23 @@
 
 // sequencePlayer plays one seeded sequence: a random client, network and discovery around one module.
 type sequencePlayer struct {
-	t        *testing.T
-	rng      *rand.Rand
-	set      Settings
-	balancer *Balancer
-	now      Millis
-	sum      interface{ Sum64() uint64 }
-	write    func(format string, args ...any)
-	actions  int
-	kinds    map[string]int
-	next     RequestID
-	open     []openAttempt
-	sent     map[RequestID]int
-	over     map[RequestID]bool
-	probes   []ServerID
-	timers   map[string]Millis
-	servers  []Endpoint
-	bodies   []RequestID
+	t             *testing.T
+	rng           *rand.Rand
+	set           Settings
+	balancer      *Balancer
+	now           Millis
+	checksum      interface{ Sum64() uint64 }
+	addToChecksum func(format string, args ...any)
+	actions       int
+	kinds         map[string]int
+	next          RequestID
+	openAttempts  []openAttempt
+	attemptCounts map[RequestID]int
+	finished      map[RequestID]bool
+	pendingProbes []ServerID
+	timers        map[string]Millis
+	servers       []Endpoint
+	pendingBodies []RequestID
 }
 
 // openAttempt is an attempt whose outcome is still to come.
@@ -104,10 +104,10 @@
 func newSequencePlayer(t *testing.T, seed uint64) *sequencePlayer {
 	t.Helper()
 	p := &sequencePlayer{t: t, rng: rand.New(rand.NewPCG(seed, 0x7ac4)), now: 1000 + float64(seed%7)*1e5, kinds: map[string]int{},
-		sent: map[RequestID]int{}, over: map[RequestID]bool{}, timers: map[string]Millis{}}
+		attemptCounts: map[RequestID]int{}, finished: map[RequestID]bool{}, timers: map[string]Millis{}}
 	sum := fnv.New64a()
-	p.sum = sum
-	p.write = func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
+	p.checksum = sum
+	p.addToChecksum = func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
 	p.set = p.randomSettings()
 	l, err := New(p.set, seed*31+7)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return p
 }
 
-func (p *sequencePlayer) flip() bool { return p.rng.IntN(2) == 0 }
+func (p *sequencePlayer) coinFlip() bool { return p.rng.IntN(2) == 0 }
 
 func (p *sequencePlayer) randomSettings() Settings {
 	set := settings()
@@ -133,13 +133,13 @@
 	set.MaxPollInterval = 10000 * float64(p.rng.IntN(2))
 	set.Tenants = []Tenant{{Name: "acme", Quota: 20}, {Name: "umbra", Quota: 5}}
 	set.Goal = GoalWeights{Overall: 0.4, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.2, Availability: 0.1}
-	if p.flip() {
+	if p.coinFlip() {
 		set.Goal.TailLatency = 0.1
 	}
-	set.WeightByWork, set.WatchEndpoints, set.CapacitiesListed, set.ClientsMarkRetries = p.flip(), p.flip(), p.flip(), p.flip()
-	set.LoadReports, set.GossipAllowed, set.KeyAffinity, set.ProbesAllowed = p.flip(), p.flip(), p.flip(), p.flip()
-	set.ReportsFromProbesOnly = set.LoadReports && p.flip()
-	set.CancelAllowed, set.RetryAfterAllowed = p.flip(), p.flip()
+	set.WeightByWork, set.WatchEndpoints, set.CapacitiesListed, set.ClientsMarkRetries = p.coinFlip(), p.coinFlip(), p.coinFlip(), p.coinFlip()
+	set.LoadReports, set.GossipAllowed, set.KeyAffinity, set.ProbesAllowed = p.coinFlip(), p.coinFlip(), p.coinFlip(), p.coinFlip()
+	set.ReportsFromProbesOnly = set.LoadReports && p.coinFlip()
+	set.CancelAllowed, set.RetryAfterAllowed = p.coinFlip(), p.coinFlip()
 	set.ConnectTimeout, set.Tick = 300, []float64{0, 1, 5}[p.rng.IntN(3)]
 	set.MaxAttempts = 1 + p.rng.IntN(5)
 	set.Prices.CrossZone = 0.02 * float64(p.rng.IntN(2))
@@ -151,47 +151,47 @@
 func (p *sequencePlayer) step(e Event) {
 	for _, a := range p.balancer.Step(p.now, e) {
 		p.actions++
-		p.note(a)
+		p.recordAction(a)
 	}
 }
 
-// note adds an action to the checksum and keeps what answers it later.
-func (p *sequencePlayer) note(a Action) {
+// recordAction adds an action to the checksum and keeps what answers it later.
+func (p *sequencePlayer) recordAction(a Action) {
 	kind := ""
 	switch a := a.(type) {
 	case StartAttempt:
 		kind = "send"
-		p.write("send %d %s %x %x", a.ID, a.Server, math.Float64bits(a.Deadline), math.Float64bits(a.WriteDeadline))
-		p.open = append(p.open, openAttempt{a.ID, p.sent[a.ID], a.Server, p.now})
-		p.sent[a.ID]++
+		p.addToChecksum("send %d %s %x %x", a.ID, a.Server, math.Float64bits(a.Deadline), math.Float64bits(a.WriteDeadline))
+		p.openAttempts = append(p.openAttempts, openAttempt{a.ID, p.attemptCounts[a.ID], a.Server, p.now})
+		p.attemptCounts[a.ID]++
 	case CancelAttempt:
 		kind = "cancel"
-		p.write("cancel %d %d", a.ID, a.Attempt)
+		p.addToChecksum("cancel %d %d", a.ID, a.Attempt)
 	case Reject:
 		kind = "refuse"
-		p.write("refuse %d %x %d", a.ID, math.Float64bits(a.RetryAfter), a.Reason)
-		p.over[a.ID] = true
+		p.addToChecksum("refuse %d %x %d", a.ID, math.Float64bits(a.RetryAfter), a.Reason)
+		p.finished[a.ID] = true
 	case Fail:
 		kind = "fail"
-		p.write("fail %d %d", a.ID, a.Reason)
-		p.over[a.ID] = true
+		p.addToChecksum("fail %d %d", a.ID, a.Reason)
+		p.finished[a.ID] = true
 	case SetTimer:
 		kind = "timer"
-		p.write("timer %s %x", a.Token, math.Float64bits(a.At))
+		p.addToChecksum("timer %s %x", a.Token, math.Float64bits(a.At))
 		p.timers[a.Token] = a.At
 	case ProbeLoad:
 		kind = "probe"
-		p.write("probe %s", a.Server)
-		p.probes = append(p.probes, a.Server)
+		p.addToChecksum("probe %s", a.Server)
+		p.pendingProbes = append(p.pendingProbes, a.Server)
 	case WatchEndpoints:
 		kind = "watch"
-		p.write("watch")
+		p.addToChecksum("watch")
 	case BroadcastGossip:
 		kind = "tell"
-		p.write("tell %x", a.Body)
+		p.addToChecksum("tell %x", a.Body)
 	case Log:
 		kind = "log"
-		p.write("log")
+		p.addToChecksum("log")
 	default:
 		p.t.Fatalf("unknown action %T", a)
 	}
@@ -205,9 +205,9 @@
 			p.now += p.rng.Float64() * 9000
 		}
 		p.fireTimers()
-		p.event()
+		p.playRandomEvent()
 	}
-	for len(p.open) > 0 {
+	for len(p.openAttempts) > 0 {
 		p.endAttempt(0, TimedOut)
 	}
 	p.writeState()
@@ -229,37 +229,37 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.write("state %s", raw)
+	p.addToChecksum("state %s", raw)
 	listed, avoided := p.balancer.CountEndpoints()
-	p.write("census %d %d %d", listed, avoided, p.balancer.EndpointVersion())
+	p.addToChecksum("census %d %d %d", listed, avoided, p.balancer.EndpointVersion())
 }
 
-func (p *sequencePlayer) event() {
+func (p *sequencePlayer) playRandomEvent() {
 	switch n := p.rng.IntN(100); {
 	case n < 38:
 		p.arrival()
 	case n < 72:
-		if len(p.open) > 0 {
-			p.endAttempt(p.rng.IntN(len(p.open)), p.outcome())
+		if len(p.openAttempts) > 0 {
+			p.endAttempt(p.rng.IntN(len(p.openAttempts)), p.randomOutcome())
 		}
 	case n < 80:
 		p.probeEnd()
 	case n < 86:
-		p.listChange()
+		p.updateEndpoints()
 	case n < 88:
-		if len(p.bodies) > 0 {
-			id := p.bodies[0]
-			p.bodies = p.bodies[1:]
+		if len(p.pendingBodies) > 0 {
+			id := p.pendingBodies[0]
+			p.pendingBodies = p.pendingBodies[1:]
 			p.step(BodyReceived{ID: id, Deadline: p.now + 900})
 		}
 	case n < 90:
-		if len(p.open) > 0 {
-			id := p.open[p.rng.IntN(len(p.open))].id
-			p.over[id] = true
+		if len(p.openAttempts) > 0 {
+			id := p.openAttempts[p.rng.IntN(len(p.openAttempts))].id
+			p.finished[id] = true
 			p.step(ClientCancelled{ID: id})
 		}
 	case n < 94:
-		p.message()
+		p.receiveGossip()
 	case n < 95:
 		p.step(ConnectionClosed{Server: p.servers[p.rng.IntN(len(p.servers))].ID})
 	case n < 96:
@@ -269,10 +269,10 @@
 	case n < 98:
 		p.step(SiblingProcesses{Count: 1 + p.rng.IntN(2)})
 	case n < 99:
-		p.handOver()
+		p.transferState()
 	default:
-		if len(p.open) > 0 {
-			a := p.open[0]
+		if len(p.openAttempts) > 0 {
+			a := p.openAttempts[0]
 			p.step(ResponseStarted{ID: a.id, Attempt: a.number})
 		}
 	}
@@ -283,53 +283,53 @@
 	class := []string{"read", "read", "read", "put", "put", "bill", "none"}[p.rng.IntN(7)]
 	e := Arrival{ID: p.next, Class: class, Tenant: []string{"acme", "umbra", ""}[p.rng.IntN(3)], SamplingMark: p.rng.Uint64(),
 		IsRetry: p.rng.IntN(5) == 0, Deadline: p.now + 300 + 1700*p.rng.Float64()}
-	if p.flip() {
+	if p.coinFlip() {
 		e.Key = fmt.Sprintf("k%d", p.rng.IntN(30))
 	}
-	if p.flip() {
+	if p.coinFlip() {
 		e.WorkHint = 5 + 60*p.rng.Float64()
 	}
 	if p.rng.IntN(12) == 0 {
 		e.UploadTimeout = 400
-		p.bodies = append(p.bodies, p.next)
+		p.pendingBodies = append(p.pendingBodies, p.next)
 	}
 	p.step(e)
 }
 
-func (p *sequencePlayer) outcome() Outcome {
+func (p *sequencePlayer) randomOutcome() Outcome {
 	if p.rng.IntN(10) < 7 {
 		return OK
 	}
 	return Outcome(p.rng.IntN(8))
 }
 
-func (p *sequencePlayer) load() LoadReport {
-	return LoadReport{Valid: p.rng.IntN(3) > 0, InFlight: float64(p.rng.IntN(9)), QueueKnown: p.flip(), Queued: float64(p.rng.IntN(4))}
+func (p *sequencePlayer) randomLoadReport() LoadReport {
+	return LoadReport{Valid: p.rng.IntN(3) > 0, InFlight: float64(p.rng.IntN(9)), QueueKnown: p.coinFlip(), Queued: float64(p.rng.IntN(4))}
 }
 
 func (p *sequencePlayer) endAttempt(i int, result Outcome) {
-	a := p.open[i]
-	p.open = append(p.open[:i], p.open[i+1:]...)
+	a := p.openAttempts[i]
+	p.openAttempts = append(p.openAttempts[:i], p.openAttempts[i+1:]...)
 	if phase := int(p.now/3000) % 3; a.server == "s01" && phase > 0 { // one server is bad, some of the time, so that ejections, trials and readmissions come about
 		result = Errored
 	}
-	closed := result == OK || p.over[a.id]
+	closed := result == OK || p.finished[a.id]
 	if closed {
-		p.over[a.id] = true
+		p.finished[a.id] = true
 	}
-	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: result, Elapsed: max(0.2, p.now-a.at), RequestFinished: closed, Report: p.load()})
+	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: result, Elapsed: max(0.2, p.now-a.at), RequestFinished: closed, Report: p.randomLoadReport()})
 }
 
 func (p *sequencePlayer) probeEnd() {
-	if len(p.probes) == 0 {
+	if len(p.pendingProbes) == 0 {
 		return
 	}
-	server := p.probes[0]
-	p.probes = p.probes[1:]
-	p.step(LoadProbeCompleted{Server: server, Outcome: p.outcome(), Elapsed: 3 * p.rng.Float64(), Report: p.load()})
+	server := p.pendingProbes[0]
+	p.pendingProbes = p.pendingProbes[1:]
+	p.step(LoadProbeCompleted{Server: server, Outcome: p.randomOutcome(), Elapsed: 3 * p.rng.Float64(), Report: p.randomLoadReport()})
 }
 
-func (p *sequencePlayer) listChange() {
+func (p *sequencePlayer) updateEndpoints() {
 	s := &p.servers[p.rng.IntN(len(p.servers))]
 	switch p.rng.IntN(8) {
 	case 0:
@@ -354,8 +354,8 @@
 	}
 }
 
-// message is one of another node: a well-formed one of each kind, or noise.
-func (p *sequencePlayer) message() {
+// receiveGossip is one of another node: a well-formed one of each kind, or noise.
+func (p *sequencePlayer) receiveGossip() {
 	body := []byte{0x10 | byte(p.rng.IntN(3))}
 	for range p.rng.IntN(5) {
 		name := uint16(stableHash(string(p.servers[p.rng.IntN(len(p.servers))].ID)))
@@ -367,9 +367,9 @@
 	p.step(GossipReceived{From: p.rng.IntN(6), Body: body})
 }
 
-// handOver continues with a new module that takes over what the old one knows, or with a copy of it.
-func (p *sequencePlayer) handOver() {
-	if p.flip() {
+// transferState continues with a new module that takes over what the old one knows, or with a copy of it.
+func (p *sequencePlayer) transferState() {
+	if p.coinFlip() {
 		c, err := p.balancer.Clone(p.set)
 		if err != nil {
 			p.t.Fatal(err)
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Clone is a copy that decides on the same state by other settings, with the same random numbers to
-// come; it shares nothing with the original. A class or tenant that the other settings don't name
-// is dropped, and its requests with it. It fails where New does.
+// Clone returns a deep copy with the same state and the same future random numbers, but with other
+// settings. The copy omits classes and tenants that the other settings don't contain, and the requests of
+// such classes. Clone returns an error for settings that New rejects.
 func (b *Balancer) Clone(settings Settings) (*Balancer, error) {
 	fresh, err := New(settings, 0)
 	if err != nil {
@@ -17,7 +17,7 @@
 	source := *b.randomSource
 	clone := *b
 	clone.settings = settings
-	clone.fleet.size = settings.Nodes * b.fleet.processes // during an upgrade each node of the fleet counts as often as this one
+	clone.fleet.size = settings.Nodes * b.fleet.processes // assuming as many processes in every node
 	clone.randomSource = &source
 	clone.rng = rand.New(&source)
 	clone.actions = nil
@@ -27,7 +27,7 @@
 	clone.outliers.trialIdempotency = fresh.outliers.trialIdempotency
 	clone.meanPriorityWeight = fresh.meanPriorityWeight
 	c := copier{from: b, to: &clone, servers: map[*server]*server{}, requests: map[*request]*request{}}
-	c.copyShares()
+	c.copyServedFractions()
 	c.copyZones()
 	c.copyServers()
 	c.copyRequests()
@@ -36,23 +36,24 @@
 	return &clone, nil
 }
 
-// copier copies one balancer's state into another, which has classes and tenants of its own.
+// copier copies the state of one balancer into another that has its own classes and tenants. The maps
+// hold the copy of each server and request.
 type copier struct {
 	from, to *Balancer
 	servers  map[*server]*server
 	requests map[*request]*request
 }
 
-func (c *copier) copyShares() {
+func (c *copier) copyServedFractions() {
 	for name, class := range c.to.classes {
 		if old := c.from.classes[name]; old != nil {
-			class.servedShare = old.servedShare
+			class.servedFraction = old.servedFraction
 			class.longestTimeout = old.longestTimeout
 		}
 	}
 	for name, tenant := range c.to.tenants {
 		if old := c.from.tenants[name]; old != nil {
-			tenant.servedShare = old.servedShare
+			tenant.servedFraction = old.servedFraction
 			tenant.rate = old.rate
 			tenant.rateAt = old.rateAt
 			tenant.quota = old.quota
@@ -67,8 +68,8 @@
 	}
 }
 
-// copyServers copies the servers that are known, and those that only requests still refer to: they
-// have restarted since.
+// copyServers copies the known servers and those that only requests refer to. The latter have been
+// replaced in the list after a restart.
 func (c *copier) copyServers() {
 	for _, s := range c.from.servers.known {
 		c.addServer(s)
@@ -94,11 +95,11 @@
 		return
 	}
 	n := *s
-	n.estimate.at = estimateOutdated // by other settings it may be another one
+	n.estimate.at = estimateOutdated // the estimate depends on the settings
 	n.zoneFailures = c.to.zoneRecord(s.Zone)
 	n.gossipReports = slices.Clone(s.gossipReports)
 	n.classFailures = nil
-	for name, class := range c.to.classes { // the order of classes may be another
+	for name, class := range c.to.classes { // the order of the classes may differ
 		if old := c.from.classes[name]; old != nil && old.index < len(s.classFailures) {
 			*n.classFailure(class) = s.classFailures[old.index]
 		}
@@ -161,7 +162,7 @@
 	}
 }
 
-// copiesOf are the copies of those that have one.
+// copiesOf returns the copies in the same order. Elements without a copy are omitted.
 func copiesOf[T any](from []*T, copies map[*T]*T) []*T {
 	out := make([]*T, 0, len(from))
 	for _, x := range from {
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -6,40 +6,41 @@
 )
 
 const (
-	// initialPollBackoff, in ms, is the backoff after a first failed poll: one failure may be chance.
+	// initialPollBackoff, in ms, is the backoff after the first failed poll. It is short because a single
+	// failure may be accidental.
 	initialPollBackoff = 200.0
-	// pollSpreadPerNode, in ms, spreads the first calls of nodes that start together: a hundred
-	// calls a second in all.
+	// pollSpreadPerNode, in ms, is multiplied by the number of other nodes to give the range over which
+	// the first polls of nodes that start together are spread: 100 polls per second from the fleet.
 	pollSpreadPerNode = 10.0
-	// pollBackoffPerNode, in ms, is the least backoff for each other node: forty polls a second in all.
+	// pollBackoffPerNode, in ms, is multiplied by the number of other nodes to give the minimum backoff:
+	// 40 polls per second from the fleet.
 	pollBackoffPerNode = 25.0
-	// maxPollBackoffBase, in ms, is the longest backoff before jitter, and jitter is what a backoff
-	// is multiplied by: from minPollJitter to minPollJitter+1.
+	// maxPollBackoffBase, in ms, is the longest backoff before jitter.
 	maxPollBackoffBase = 2000.0
-	minPollJitter      = 0.5
-	// MaxPollBackoff, in ms, is the longest that the balancer waits from a failed call for the
-	// endpoint list to the next one. What else a call waits for has to fit with it into the time
-	// within which a change of the list must be known.
+	// minPollJitter is the lowest factor by which jitter multiplies a backoff. The highest is 1 more.
+	minPollJitter = 0.5
+	// MaxPollBackoff, in ms, is the longest time from a failed poll to the next one. Together with all
+	// other delays of a poll it must fit into the time within which a change of the list must be known.
 	MaxPollBackoff = (minPollJitter + 1) * maxPollBackoffBase
-	// pollAnswerTimeout, in ms, is when the answer to a poll is taken to be lost.
+	// pollAnswerTimeout, in ms, is the time after which the answer to a poll counts as lost.
 	pollAnswerTimeout = 5000
 )
 
-// endpointPolling is how this node follows the endpoint list.
+// endpointPolling is the state of this node's polls and watch of the endpoint list.
 type endpointPolling struct {
-	listReceived bool   // discovery has sent the list since the start
-	staleSince   Millis // since when changes of the list may be missing; +Inf: the list is current
+	listReceived bool   // discovery has sent the list since this process started
+	staleSince   Millis // time since which changes may be missing; +Inf: the list is current
 	backoff      Millis // before jitter
 	nextAt       Millis // time of the next poll
-	pending      bool   // a poll is out
-	watching     bool   // a poll was answered, and changes come by themselves
+	pending      bool   // a poll is waiting for its answer
+	watching     bool   // a poll was answered and became a watch, which delivers changes
 }
 
-// stale reports whether changes of the list may be missing, as an UpdateStale said.
+// stale reports whether changes of the list may be missing since an UpdateStale.
 func (p *endpointPolling) stale() bool { return !math.IsInf(p.staleSince, 1) }
 
-// startPolling schedules the first call for the list. Nodes that start together must not all call
-// at once: most calls would fail.
+// startPolling schedules the first poll at a random time. If nodes that start together all polled at
+// once, most polls would fail.
 func (b *Balancer) startPolling() {
 	if !b.settings.WatchEndpoints {
 		return
@@ -53,22 +54,22 @@
 	b.emit(SetTimer{timerPoll, at})
 }
 
-// handlePollTimer polls the list, if a poll is due and no watch is open.
+// handlePollTimer polls the list if a poll is due and no watch is active.
 func (b *Balancer) handlePollTimer() {
 	if b.settings.WatchEndpoints && !b.polling.watching && b.now >= b.polling.nextAt {
 		b.pollEndpoints()
 	}
 }
 
-// pollEndpoints polls the list; the answer may become a watch. If the answer is lost, the next call
-// follows well before this node counts as informed.
+// pollEndpoints polls the list; the answer may start a watch. It also schedules the next poll in case the
+// answer is lost, early enough for this node to learn of changes within MaxPollInterval.
 func (b *Balancer) pollEndpoints() {
 	b.polling.pending = true
 	b.emit(WatchEndpoints{})
 	b.schedulePoll(b.now + b.pollInterval())
 }
 
-// pollInterval is the longest time between two polls, in ms.
+// pollInterval returns the time after which a poll without an answer is repeated, in ms.
 func (b *Balancer) pollInterval() Millis {
 	if b.settings.MaxPollInterval > 0 {
 		return min(pollAnswerTimeout, b.settings.MaxPollInterval/2)
@@ -77,8 +78,7 @@
 }
 
 func (b *Balancer) handleEndpointUpdate(e EndpointUpdate) {
-	// A change in a list that was followed without a gap is news: a server that it reports as
-	// started has just started.
+	// If no change has been missed, a server that a delta update reports as started has just started.
 	live := e.Kind == DeltaUpdate && b.polling.listReceived && !b.polling.stale()
 	switch e.Kind {
 	case UpdateFailed:
@@ -86,7 +86,7 @@
 		return
 	case UpdateStale:
 		b.polling.staleSince = b.now
-		b.logf("endpoint list: changes may be missing, preferring servers that just answered")
+		b.logf("endpoint list is stale, changes may be missing: preferring servers that answered recently")
 		return
 	case FullUpdate, DeltaUpdate:
 		b.handleListReceived()
@@ -109,7 +109,8 @@
 	}
 }
 
-// applyEndpoints takes the entries in. What a complete list doesn't name has been removed.
+// applyEndpoints updates the servers from the entries. Servers that a complete list omits have been
+// removed.
 func (b *Balancer) applyEndpoints(e EndpointUpdate, live bool) {
 	named := map[ServerID]bool{}
 	for _, entry := range e.Endpoints {
@@ -127,13 +128,13 @@
 	}
 }
 
-// addEndpoint takes in one entry. A server that has restarted, or moved to another zone or cell,
-// begins without a record.
+// addEndpoint adds or updates one server. A server that has restarted, or moved to another zone or cell,
+// starts without its previous state.
 func (b *Balancer) addEndpoint(entry Endpoint, live bool) {
 	s := b.servers.byID[entry.ID]
 	if s != nil && (entry.State != Ready || sameProcess(s.Endpoint, entry)) {
-		// Zone and cell stay: an entry of a removed server may lack them, and what ran there stays
-		// in its dedup scope.
+		// Zone and cell are not updated: the entry of a removed server may lack them, and they define the
+		// dedup scope of requests that ran there.
 		s.State = entry.State
 		s.Capacity = entry.Capacity
 		return
@@ -147,7 +148,8 @@
 	b.servers.known[slices.Index(b.servers.known, s)] = fresh
 }
 
-// sameProcess reports whether two entries of one server name the same process at the same place.
+// sameProcess reports whether two entries of one server describe the same process in the same zone and
+// cell.
 func sameProcess(a, b Endpoint) bool {
 	return a.Started == b.Started && a.Zone == b.Zone && a.Cell == b.Cell
 }
@@ -155,7 +157,7 @@
 func (b *Balancer) newServer(entry Endpoint, live bool) *server {
 	s := &server{Endpoint: entry, zoneFailures: b.zoneRecord(entry.Zone)}
 	s.slowStart.since = b.slowStartBegin(entry.Started, live)
-	// Each node is in a random phase of its budget, so that their first requests don't come at once.
+	// Each node starts with a random part of a token, so that the first requests of all nodes are spread.
 	s.slowStart.budget = tokenBucket{left: b.rng.Float64(), refilledAt: b.now}
 	s.timing.outcomeAt = b.now
 	s.timing.unitTime = b.typicalUnitTime(s)
@@ -164,44 +166,44 @@
 	return s
 }
 
-// handleUpdateFailed schedules the next poll after a backoff with jitter, which is longer the more
-// nodes there are: all lose discovery together, and polls that all came back at once would keep it
-// overloaded.
+// handleUpdateFailed schedules the next poll after a backoff with jitter. The backoff grows with the
+// number of nodes: all nodes lose discovery at the same time, and simultaneous polls of all nodes would
+// keep it overloaded.
 func (b *Balancer) handleUpdateFailed() {
 	b.polling.pending = false
 	b.polling.watching = false
 	if !b.settings.WatchEndpoints {
 		return
 	}
-	if b.polling.backoff == initialPollBackoff { // the first of a row
-		b.logf("endpoint list: call failed, keeping %d servers, retrying", len(b.servers.ready))
+	if b.polling.backoff == initialPollBackoff { // first failure after a success
+		b.logf("endpoint list: poll or watch failed, keeping %d ready servers and retrying", len(b.servers.ready))
 	}
-	least := pollBackoffPerNode * float64(b.fleet.size-1)
-	backoff := min(maxPollBackoffBase, max(b.polling.backoff, least))
+	minimum := pollBackoffPerNode * float64(b.fleet.size-1)
+	backoff := min(maxPollBackoffBase, max(b.polling.backoff, minimum))
 	nextAt := b.now + backoff*(minPollJitter+b.rng.Float64())
 	b.polling.backoff = min(backoff*2, maxPollBackoffBase)
 	b.schedulePoll(nextAt)
 }
 
-// mayBeDraining reports whether a server may have been told to drain without this node's knowing: the
-// list is overdue by more than half the drain grace, and for as long no attempt there was answered.
-// A server that drains takes nothing new.
+// mayBeDraining reports whether a server may be draining without this node's knowledge: for more than half
+// of the drain grace the list has been stale and no attempt sent to the server in that time has been
+// answered. A draining server accepts no new requests.
 func (b *Balancer) mayBeDraining(s *server) bool {
 	return b.now > max(b.polling.staleSince, s.attempts.latestAnswered)+b.settings.DrainGrace/2
 }
 
-// logZoneChanges logs once when a zone begins to be avoided, and once when nearly all attempts
-// there are answered again. In between it logs nothing.
+// logZoneChanges logs one line when the balancer starts to avoid a zone, and one when nearly all attempts
+// to the zone are answered again.
 func (b *Balancer) logZoneChanges() {
 	for _, name := range sortedKeys(b.zones) {
 		switch record := b.zones[name]; {
 		case !record.logged && b.zoneFailureShare(record) > 0:
 			record.logged = true
-			b.logf("zone %s: %.0f%% of the attempts there stay unanswered and another zone answers, preferring that",
+			b.logf("zone %s: %.0f%% of the attempts are unanswered while another zone answers, preferring other zones",
 				name, 100*b.zoneUnansweredShare(record))
 		case record.logged && b.zoneUnansweredShare(record) < successGain:
 			record.logged = false
-			b.logf("zone %s: as good as the others again, or not tried for long", name)
+			b.logf("zone %s: no longer avoided, attempts are answered again or the failures are old", name)
 		}
 	}
 }
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -127,24 +127,24 @@
 // seconds is turned away: at that time, or at once where twice as many wait. What it is asked it
 // works on all the same, as was seen.
 type discoveryModel struct {
-	each Millis // for one call
-	busy Millis // until then
-	away int
+	timePerCall Millis // for one call
+	busyUntil   Millis // until then
+	rejected    int
 }
 
 // call tells when the answer comes and whether it is the list.
 func (d *discoveryModel) call(now Millis) (at Millis, ok bool) {
 	const patience = 2000
-	d.busy = max(d.busy, now) + d.each
-	switch wait := d.busy - now; {
+	d.busyUntil = max(d.busyUntil, now) + d.timePerCall
+	switch wait := d.busyUntil - now; {
 	case wait <= patience:
-		return d.busy, true
+		return d.busyUntil, true
 	case wait > 2*patience:
-		d.busy -= d.each // not even looked at
-		d.away++
+		d.busyUntil -= d.timePerCall // not even looked at
+		d.rejected++
 		return now + 1, false
 	}
-	d.away++
+	d.rejected++
 	return now + patience, false
 }
 
@@ -157,7 +157,7 @@
 		within Millis // until nine in ten know the list
 		calls  float64
 	}{{1, 1000, 1}, {8, 1500, 1.5}, {80, 10000, 2}, {300, 13000, 1.5}, {1000, 6000, 1.5}} {
-		d := &discoveryModel{each: 5000 / float64(max(50, size.nodes))} // a call from every node in 5 s: it grows with them
+		d := &discoveryModel{timePerCall: 5000 / float64(max(50, size.nodes))} // a call from every node in 5 s: it grows with them
 		set := settings()
 		set.Nodes, set.WatchEndpoints = size.nodes, true
 		type wake struct {
@@ -205,7 +205,7 @@
 		}
 		most := (9*size.nodes + 9) / 10
 		if len(informed) < most || informed[most-1] > size.within {
-			t.Errorf("%d nodes: %d informed, turned away %d times; nine in ten are to be by %v ms", size.nodes, len(informed), d.away, size.within)
+			t.Errorf("%d nodes: %d informed, turned away %d times; nine in ten are to be by %v ms", size.nodes, len(informed), d.rejected, size.within)
 		}
 		if each := float64(calls) / float64(size.nodes); each > size.calls {
 			t.Errorf("%d nodes: %.1f calls each, %v at most", size.nodes, each, size.calls)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,54 +1,54 @@
 package balancer
 
-// Event is something that the node observed or was notified of.
+// Event is an input of the balancer: something that the node observed or was notified of.
 type Event interface{ event() }
 
-// ServerID names a server; it carries no meaning beyond identity.
+// ServerID identifies a server. Its content has no meaning.
 type ServerID string
 
-// RequestID names a request; a client's retry carries a new one.
+// RequestID identifies a request. A client's retry has a new ID.
 type RequestID uint64
 
-// Arrival is a client's request; exactly one final answer is now owed.
+// Arrival is a request from a client. The node must give it exactly one final answer.
 type Arrival struct {
 	ID            RequestID
 	Class, Tenant string
 	Key           string
-	SamplingMark  uint64 // a random number of the request's own, the same at whichever node it arrives
-	WorkHint      Millis // anticipated work; 0: none given
+	SamplingMark  uint64 // a random number of the request, the same at every node
+	WorkHint      Millis // expected time that the request takes, given by the client; 0: none given
 	IsRetry       bool   // as marked by the client
-	Deadline      Millis // when the client gives this attempt up; counted as if the body were complete
-	UploadTimeout Millis // for how long the body may still be coming at most; 0: it is complete
+	Deadline      Millis // when the client gives up on this attempt, if the body arrives without delay
+	UploadTimeout Millis // longest time until the body is complete; 0: it is complete
 }
 
-// BodyReceived says that the body of a request that arrived before it was complete has come to its
-// end. No server can have begun the request before.
+// BodyReceived reports the end of a request body that was incomplete at the arrival. No server can have
+// started to process the request before.
 type BodyReceived struct {
 	ID       RequestID
-	Deadline Millis // when the client gives this attempt up
+	Deadline Millis // when the client gives up on this attempt
 }
 
-// AttemptCompleted is the outcome of one StartAttempt.
+// AttemptCompleted reports the outcome of one StartAttempt.
 type AttemptCompleted struct {
 	ID              RequestID
-	Attempt         int // number among the request's attempts, from 0
+	Attempt         int // index among the request's attempts, from 0
 	Server          ServerID
 	Outcome         Outcome
 	Elapsed         Millis
-	RequestFinished bool // the request is finished; nothing is owed
+	RequestFinished bool // the client has its final answer, or has left
 	Report          LoadReport
 }
 
-// ResponseStarted says that a streamed answer has begun.
+// ResponseStarted reports that a server has started to stream its response.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int
 }
 
-// ClientCancelled says that the client has left.
+// ClientCancelled reports that the client no longer waits for the answer.
 type ClientCancelled struct{ ID RequestID }
 
-// LoadProbeCompleted is the outcome of one ProbeLoad.
+// LoadProbeCompleted reports the outcome of one ProbeLoad.
 type LoadProbeCompleted struct {
 	Server  ServerID
 	Outcome Outcome
@@ -56,11 +56,11 @@
 	Report  LoadReport
 }
 
-// ConnectionClosed says that an idle connection to a server was closed by either side. It isn't
-// sent for a connection that an attempt or a probe ends: one without an answer leaves none.
+// ConnectionClosed reports that either side closed an idle connection to a server. It isn't sent for the
+// connection of an attempt or probe that ends without an answer: such a connection is always closed.
 type ConnectionClosed struct{ Server ServerID }
 
-// TimerFired is a timer set earlier that has come due.
+// TimerFired reports that a timer set by SetTimer is due.
 type TimerFired struct{ Token string }
 
 // EndpointUpdate is an update of the endpoint list from discovery.
@@ -69,31 +69,32 @@
 	Endpoints []Endpoint
 }
 
-// GossipReceived is a message from another node.
+// GossipReceived is a gossip message from another node.
 type GossipReceived struct {
 	From int // the node's number
 	Body []byte
 }
 
-// SiblingProcesses says how many processes make this node now: two during an upgrade, else one.
+// SiblingProcesses is the number of processes of this node: two during an upgrade, otherwise one.
 type SiblingProcesses struct{ Count int }
 
-// StateTransferred is what the process before this one knew, of servers that are in this one's list.
+// StateTransferred is the state of the predecessor of this process. The endpoint list must have been
+// received before: only servers in the list are restored.
 type StateTransferred struct{ State State }
 
-// FleetQuota is how much this node may use now of what the whole fleet may use together, from 0 to
-// 1. Without any the node has its even part.
+// FleetQuota is the fraction of the fleet-wide budgets that this node may use, from 0 to 1. Until the
+// first FleetQuota the budgets are divided evenly among the nodes.
 type FleetQuota struct {
-	Current float64 // before Until
+	Current float64 // fraction until Until
 	Until   Millis
-	After   float64 // from Until on, until the next FleetQuota
+	After   float64 // fraction from Until to the next FleetQuota
 }
 
-// FleetAdmission is what the fleet admits while there is more work than the servers can do. An
-// empty one ends the limits.
+// FleetAdmission limits the requests that the fleet admits while the servers are overloaded. An empty one
+// ends the limits.
 type FleetAdmission struct {
-	AdmittedFraction map[string]float64 // by class, from 0 to 1; a class that isn't named is admitted whole
-	RetryReduction   float64            // the part of the retry budget that is held back, from 0 to 1
+	AdmittedFraction map[string]float64 // by class, from 0 to 1; other classes are not limited
+	RetryReduction   float64            // fraction by which the retry budget is reduced, from 0 to 1
 }
 
 func (Arrival) event()            {}
@@ -111,16 +112,16 @@
 func (FleetQuota) event()         {}
 func (FleetAdmission) event()     {}
 
-// UpdateKind says how an endpoint update is to be read.
+// UpdateKind is the meaning of an endpoint update.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
-	DeltaUpdate  UpdateKind = iota // changed entries only
-	FullUpdate                     // all entries; what is absent has been removed
-	CachedUpdate                   // all entries as held before a restart, perhaps outdated
-	UpdateFailed                   // a call failed or the watch broke; no entries
-	UpdateStale                    // changes may be missing; no entries. A delta or a full update ends it
+	DeltaUpdate  UpdateKind = iota // only the changed entries
+	FullUpdate                     // all entries; servers that are absent have been removed
+	CachedUpdate                   // all entries as cached before a restart, possibly outdated
+	UpdateFailed                   // a poll or the watch failed; no entries
+	UpdateStale                    // changes may be missing; no entries. A delta or full update ends this state
 )
 
 // Endpoint is one entry of the endpoint list.
@@ -129,11 +130,11 @@
 	State    EndpointState
 	Zone     string
 	Cell     int
-	Capacity float64 // comparable between servers; 1 where the list has none
-	Started  Millis  // 0: long ago
+	Capacity float64 // relative to other servers; 1 if the list has none
+	Started  Millis  // wall clock; 0: long ago
 }
 
-// EndpointState is what the list says of a server's process.
+// EndpointState is the state of a server according to the endpoint list.
 type EndpointState int
 
 // The states of a listed server.
@@ -149,8 +150,8 @@
 // The outcomes.
 const (
 	OK             Outcome = iota
-	Errored                // the server answered with an error; it may have run
-	Overloaded             // rejected by the server unseen
+	Errored                // the server answered with an error; the request may have run
+	Overloaded             // rejected by the server; never ran
 	TimedOut               // no answer in time; may have run
 	Unreachable            // no connection; never ran
 	ConnectionLost         // the connection broke; may have run
@@ -158,10 +159,10 @@
 	NotSent                // never sent
 )
 
-// LoadReport is a server's own report of its load.
+// LoadReport is the load that a server reports.
 type LoadReport struct {
-	Valid      bool    // false: none came along
-	InFlight   float64 // requests that the server holds
-	QueueKnown bool    // Queued is known
-	Queued     float64 // of those in flight, the ones not yet being worked on
+	Valid      bool    // false: there was no report
+	InFlight   float64 // requests at the server, queued ones included
+	QueueKnown bool    // Queued is valid
+	Queued     float64 // requests in flight that the server has not started to process
 }
--- a/balancer/fairness.go
+++ b/balancer/fairness.go
@@ -3,80 +3,83 @@
 import "math"
 
 const (
-	// servedShareTimeConstant, in ms, is the time constant of the served shares of classes and tenants.
-	servedShareTimeConstant = 30000.0
-	// lateRequestDiscount orders late requests after all that can still be in time.
+	// servedFractionTimeConstant, in ms, is the decay time constant of the served fractions.
+	servedFractionTimeConstant = 30000.0
+	// lateRequestDiscount divides the value of late requests, so that all requests that can still be in
+	// time precede them in the queue.
 	lateRequestDiscount = 1e6
 )
 
-// servedShare follows the weight that was asked for and the weight that was served in time,
-// forgetting slowly.
-type servedShare struct {
-	asked, served float64
-	at            Millis
+// servedFraction measures which fraction of the requested priority weight was served in time. Both sums
+// decay exponentially.
+type servedFraction struct {
+	requested, served float64
+	updatedAt         Millis
 }
 
-func (s *servedShare) decay(now Millis) {
-	kept := math.Exp(-(now - s.at) / servedShareTimeConstant)
-	s.asked *= kept
+func (s *servedFraction) decay(now Millis) {
+	kept := math.Exp(-(now - s.updatedAt) / servedFractionTimeConstant)
+	s.requested *= kept
 	s.served *= kept
-	s.at = now
+	s.updatedAt = now
 }
 
-// ratio is the share of what was asked for that was served in time; 1 if nothing was asked for.
-func (s *servedShare) ratio() float64 {
-	if s.asked <= 0 {
+// servedRatio returns the fraction of the requested weight that was served in time; 1 without requests.
+func (s *servedFraction) servedRatio() float64 {
+	if s.requested <= 0 {
 		return 1
 	}
-	return s.served / s.asked
+	return s.served / s.requested
 }
 
-// addToShares adds a request's weight to the shares of its class and, inside its quota, of its tenant.
-func (b *Balancer) addToShares(r *request, add func(*servedShare, float64)) {
+// addToServedFractions adds a request's weight to its class and, if the tenant is within its quota, to
+// its tenant. The function add selects the sum.
+func (b *Balancer) addToServedFractions(r *request, add func(*servedFraction, float64)) {
 	weight := b.priorityWeight(r)
 	r.class.decay(b.now)
-	add(&r.class.servedShare, weight)
+	add(&r.class.servedFraction, weight)
 	if r.tenant != nil && !r.overQuota {
 		r.tenant.decay(b.now)
-		add(&r.tenant.servedShare, weight)
+		add(&r.tenant.servedFraction, weight)
 	}
 }
 
-// marginalValue is what serving a request adds to the operator's objective for each unit of work:
-// its weight in the whole, and more where its class or its tenant is the worst served. The queue is
-// worked off in this order.
+// marginalValue returns by how much serving a request raises the operator's goal, per unit of work. It is
+// higher if the request's class or tenant is the worst served one. Queued requests are dispatched in the
+// order of this value.
 func (b *Balancer) marginalValue(r *request) float64 {
 	if r.late {
 		return r.class.LateFraction * b.priorityWeight(r) / r.work / lateRequestDiscount
 	}
-	total, worstClass := b.classShares()
+	total, worstClass := b.summarizeClasses()
 	goal := b.settings.Goal
-	gain := (goal.Overall + goal.WorstWindow + goal.TailLatency + goal.Availability) / max(minShare, total)
-	if r.class.ratio() <= worstClass {
-		gain += goal.WorstClass / max(minShare, r.class.asked)
+	gain := (goal.Overall + goal.WorstWindow + goal.TailLatency + goal.Availability) /
+		max(minRequestedWeight, total)
+	if r.class.servedRatio() <= worstClass {
+		gain += goal.WorstClass / max(minRequestedWeight, r.class.requested)
 	}
-	if r.tenant != nil && !r.overQuota && r.tenant.ratio() <= b.worstTenantRatio() {
-		gain += goal.WorstTenant / max(minShare, r.tenant.asked)
+	if r.tenant != nil && !r.overQuota && r.tenant.servedRatio() <= b.worstTenantRatio() {
+		gain += goal.WorstTenant / max(minRequestedWeight, r.tenant.requested)
 	}
 	return gain * b.priorityWeight(r) / r.work
 }
 
-// classShares are the weight asked for over all classes, and the served ratio of the worst one.
-func (b *Balancer) classShares() (total, worst float64) {
+// summarizeClasses returns the requested weight of all classes, and the served ratio of the worst class.
+func (b *Balancer) summarizeClasses() (total, worst float64) {
 	worst = 1
 	for _, class := range b.settings.Classes {
 		state := b.classes[class.Name]
-		total += state.asked
-		worst = min(worst, state.ratio())
+		total += state.requested
+		worst = min(worst, state.servedRatio())
 	}
 	return total, worst
 }
 
-// worstTenantRatio is the served ratio of the worst served tenant.
+// worstTenantRatio returns the served ratio of the worst served tenant.
 func (b *Balancer) worstTenantRatio() float64 {
 	worst := 1.0
 	for _, tenant := range b.settings.Tenants {
-		worst = min(worst, b.tenants[tenant.Name].ratio())
+		worst = min(worst, b.tenants[tenant.Name].servedRatio())
 	}
 	return worst
 }
--- a/balancer/finite_test.go
+++ b/balancer/finite_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// notANumber returns the path to a field that holds NaN, among everything that a value refers to; empty where there is none.
-func notANumber(path string, v reflect.Value, visited map[uintptr]bool) string {
+// findNaN returns the path to a field that holds NaN, among everything that a value refers to; empty where there is none.
+func findNaN(path string, v reflect.Value, visited map[uintptr]bool) string {
 	switch v.Kind() {
 	case reflect.Float64:
 		if math.IsNaN(v.Float()) {
@@ -19,24 +19,24 @@
 			return ""
 		}
 		visited[v.Pointer()] = true
-		return notANumber(path, v.Elem(), visited)
+		return findNaN(path, v.Elem(), visited)
 	case reflect.Interface:
-		return notANumber(path, v.Elem(), visited)
+		return findNaN(path, v.Elem(), visited)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if found := notANumber(path+"."+v.Type().Field(i).Name, v.Field(i), visited); found != "" {
+			if found := findNaN(path+"."+v.Type().Field(i).Name, v.Field(i), visited); found != "" {
 				return found
 			}
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			if found := notANumber(fmt.Sprintf("%s[%d]", path, i), v.Index(i), visited); found != "" {
+			if found := findNaN(fmt.Sprintf("%s[%d]", path, i), v.Index(i), visited); found != "" {
 				return found
 			}
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			if found := notANumber(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key), visited); found != "" {
+			if found := findNaN(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key), visited); found != "" {
 				return found
 			}
 		}
@@ -44,11 +44,11 @@
 	return ""
 }
 
-// checkNumbers fails the test where the balancer holds what is no number: NaN spreads, and a budget or score that has become one never
+// failOnNaN fails the test where the balancer holds what is no number: NaN spreads, and a budget or score that has become one never
 // allows anything again.
-func checkNumbers(t *testing.T, b *Balancer) {
+func failOnNaN(t *testing.T, b *Balancer) {
 	t.Helper()
-	if path := notANumber("balancer", reflect.ValueOf(b), map[uintptr]bool{}); path != "" {
+	if path := findNaN("balancer", reflect.ValueOf(b), map[uintptr]bool{}); path != "" {
 		t.Fatalf("%s is NaN", path)
 	}
 }
@@ -60,11 +60,11 @@
 		"pointer": &inner{math.NaN()}, "slice": []inner{{1}, {math.NaN()}}, "map": map[string]*inner{"a": {math.NaN()}}, "array": [1]float64{math.NaN()},
 		"interface": []any{inner{math.NaN()}},
 	} {
-		if notANumber("", reflect.ValueOf(v), map[uintptr]bool{}) == "" {
+		if findNaN("", reflect.ValueOf(v), map[uintptr]bool{}) == "" {
 			t.Errorf("not found behind a %s", name)
 		}
 	}
-	if path := notANumber("", reflect.ValueOf([]float64{0, math.Inf(1)}), map[uintptr]bool{}); path != "" {
+	if path := findNaN("", reflect.ValueOf([]float64{0, math.Inf(1)}), map[uintptr]bool{}); path != "" {
 		t.Errorf("%s was taken for NaN", path)
 	}
 }
@@ -86,10 +86,10 @@
 			if server := sentTo(acts); server != "" {
 				b.step(AttemptCompleted{ID: id, Server: server, Outcome: OK, RequestFinished: true, Report: LoadReport{Valid: true, InFlight: 1}})
 			}
-			checkNumbers(t, b.balancer)
+			failOnNaN(t, b.balancer)
 		}
 		b.pass(250)
-		checkNumbers(t, b.balancer)
+		failOnNaN(t, b.balancer)
 	}
 	served := 0
 	for range 200 {
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -2,49 +2,49 @@
 
 import "testing"
 
-// contract checks the contract from outside: one final answer, no effect twice, nothing to a server
+// contractChecker checks the contractChecker from outside: one final answer, no effect twice, nothing to a server
 // known to drain, no two attempts at once, attempts within the cap.
-type contract struct {
-	t     *testing.T
-	set   Settings
-	state map[ServerID]Endpoint
-	reqs  map[RequestID]*entry
-	order []RequestID
+type contractChecker struct {
+	t          *testing.T
+	set        Settings
+	endpoints  map[ServerID]Endpoint
+	requests   map[RequestID]*requestRecord
+	requestIDs []RequestID
 }
 
-type entry struct {
-	class    Class
-	expires  Millis
-	answers  int
-	sends    []sendRecord
-	finished bool
+type requestRecord struct {
+	class        Class
+	expires      Millis
+	finalAnswers int
+	attempts     []attemptRecord
+	finished     bool
 }
 
-type sendRecord struct {
-	server ServerID
-	cell   int
-	at     Millis
-	open   bool
-	mayRun bool
+type attemptRecord struct {
+	server     ServerID
+	cell       int
+	at         Millis
+	open       bool
+	mayHaveRun bool
 }
 
-func (k *contract) check(now Millis, acts []Action) {
+func (k *contractChecker) check(now Millis, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case StartAttempt:
-			k.send(now, a)
+			k.checkAttempt(now, a)
 		case Reject:
-			e := k.reqs[a.ID]
-			for _, s := range e.sends {
-				if s.mayRun && e.class.Idempotency == NonIdempotent || (s.mayRun || s.open) && e.class.Idempotency == IdempotentWithKey {
+			e := k.requests[a.ID]
+			for _, s := range e.attempts {
+				if s.mayHaveRun && e.class.Idempotency == NonIdempotent || (s.mayHaveRun || s.open) && e.class.Idempotency == IdempotentWithKey {
 					k.t.Fatalf("rejected %d though attempt at %s may have run", a.ID, s.server)
 				}
 			}
-			e.answers++
+			e.finalAnswers++
 		case Fail:
-			k.reqs[a.ID].answers++
+			k.requests[a.ID].finalAnswers++
 		case CancelAttempt:
-			if a.Attempt >= len(k.reqs[a.ID].sends) {
+			if a.Attempt >= len(k.requests[a.ID].attempts) {
 				k.t.Fatalf("cancelled an attempt that was never started")
 			}
 		case BroadcastGossip:
@@ -57,27 +57,27 @@
 			}
 		}
 	}
-	for id, e := range k.reqs {
-		if e.answers > 1 {
-			k.t.Fatalf("request %d answered %d times", id, e.answers)
+	for id, e := range k.requests {
+		if e.finalAnswers > 1 {
+			k.t.Fatalf("request %d answered %d times", id, e.finalAnswers)
 		}
 	}
 }
 
-func (k *contract) send(now Millis, a StartAttempt) {
-	e := k.reqs[a.ID]
-	if e == nil || e.finished || e.answers > 0 {
+func (k *contractChecker) checkAttempt(now Millis, a StartAttempt) {
+	e := k.requests[a.ID]
+	if e == nil || e.finished || e.finalAnswers > 0 {
 		k.t.Fatalf("sent for request %d, which is finished or unknown", a.ID)
 	}
-	server, ok := k.state[a.Server]
+	server, ok := k.endpoints[a.Server]
 	if !ok || server.State != Ready {
 		k.t.Fatalf("sent to %s, which is not ready", a.Server)
 	}
-	for _, s := range e.sends {
+	for _, s := range e.attempts {
 		if s.open {
 			k.t.Fatal("two attempts of one request at once")
 		}
-		if !s.open && !s.mayRun {
+		if !s.open && !s.mayHaveRun {
 			continue
 		}
 		if e.class.Idempotency == NonIdempotent {
@@ -87,27 +87,27 @@
 			k.t.Fatalf("a keyed request left its cell or window: cell %d to %d after %.0f ms", s.cell, server.Cell, now-s.at)
 		}
 	}
-	e.sends = append(e.sends, sendRecord{server: a.Server, cell: server.Cell, at: now, open: true})
-	if len(e.sends) > k.set.MaxAttempts {
+	e.attempts = append(e.attempts, attemptRecord{server: a.Server, cell: server.Cell, at: now, open: true})
+	if len(e.attempts) > k.set.MaxAttempts {
 		k.t.Fatal("more attempts than allowed")
 	}
 }
 
-// end ends an open attempt, chosen by pick, with the given result; nil when none is open.
-func (k *contract) end(pick int, res Outcome, now Millis) Event {
-	for i := range k.order {
-		id := k.order[(i+pick)%len(k.order)]
-		e := k.reqs[id]
-		for n := range e.sends {
-			s := &e.sends[n]
+// endOpenAttempt ends an open attempt, chosen by pick, with the given result; nil when none is open.
+func (k *contractChecker) endOpenAttempt(pick int, res Outcome, now Millis) Event {
+	for i := range k.requestIDs {
+		id := k.requestIDs[(i+pick)%len(k.requestIDs)]
+		e := k.requests[id]
+		for n := range e.attempts {
+			s := &e.attempts[n]
 			if !s.open {
 				continue
 			}
 			s.open = false
-			s.mayRun = res != Overloaded && res != Unreachable && res != NotSent
+			s.mayHaveRun = res != Overloaded && res != Unreachable && res != NotSent
 			e.finished = e.finished || res == OK
 			return AttemptCompleted{ID: id, Attempt: n, Server: s.server, Outcome: res, Elapsed: now - s.at,
-				RequestFinished: e.finished || e.answers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
+				RequestFinished: e.finished || e.finalAnswers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
 		}
 	}
 	return nil
@@ -130,12 +130,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &contract{t: t, set: set, state: map[ServerID]Endpoint{}, reqs: map[RequestID]*entry{}}
+		k := &contractChecker{t: t, set: set, endpoints: map[ServerID]Endpoint{}, requests: map[RequestID]*requestRecord{}}
 		now := 1000.0
 		servers := testEndpoints(6)
 		list := func(form UpdateKind, entries ...Endpoint) Event {
 			for _, e := range entries {
-				k.state[e.ID] = e
+				k.endpoints[e.ID] = e
 			}
 			return EndpointUpdate{Kind: form, Endpoints: entries}
 		}
@@ -151,14 +151,14 @@
 				}
 				e = GossipReceived{From: arg % 6, Body: body}
 			case 0:
-				id := RequestID(len(k.order) + 1)
+				id := RequestID(len(k.requestIDs) + 1)
 				c := set.Classes[arg%3]
-				k.reqs[id] = &entry{class: c, expires: now + 1000}
-				k.order = append(k.order, id)
+				k.requests[id] = &requestRecord{class: c, expires: now + 1000}
+				k.requestIDs = append(k.requestIDs, id)
 				e = Arrival{ID: id, Class: c.Name, IsRetry: arg%5 == 0, WorkHint: float64(arg % 3 * 20), Deadline: now + 1000}
 			case 1:
-				if len(k.order) > 0 {
-					e = k.end(arg/8, Outcome(arg%8), now)
+				if len(k.requestIDs) > 0 {
+					e = k.endOpenAttempt(arg/8, Outcome(arg%8), now)
 				}
 			case 2:
 				now += float64(arg)
@@ -186,7 +186,7 @@
 		// The end: every attempt times out, time passes, and each request must have its one answer.
 		now += 2000
 		for {
-			e := k.end(0, TimedOut, now)
+			e := k.endOpenAttempt(0, TimedOut, now)
 			if e == nil {
 				break
 			}
@@ -197,10 +197,10 @@
 			k.check(now, l.Step(now, TimerFired{"sweep"}))
 			k.check(now, l.Step(now, TimerFired{"probes"}))
 		}
-		checkNumbers(t, l)
-		for id, e := range k.reqs {
-			if !e.finished && e.answers != 1 {
-				t.Fatalf("request %d has %d answers", id, e.answers)
+		failOnNaN(t, l)
+		for id, e := range k.requests {
+			if !e.finished && e.finalAnswers != 1 {
+				t.Fatalf("request %d has %d answers", id, e.finalAnswers)
 			}
 		}
 	})
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -1,46 +1,49 @@
 package balancer
 
 const (
-	// gossipInterval, in ms, is the least time between two messages of a node: they are under way
-	// for about as long.
+	// gossipInterval, in ms, is the minimum time between two messages of a node. It is about the time
+	// that a message takes to arrive.
 	gossipInterval = 10.0
-	// outcomeGossipInterval, in ms, is the time between two messages about outcomes: a window of
-	// ten seconds changes slowly.
+	// outcomeGossipInterval, in ms, is the time between two messages about outcomes. It is long because
+	// the outcome window of ten seconds changes slowly.
 	outcomeGossipInterval = 2000.0
-	// gossipBudgetFraction is the share of all priority weight that messages may cost, each reader
-	// counted.
+	// gossipBudgetFraction is the fraction of all priority weight that messages may cost, summed over all
+	// receivers.
 	gossipBudgetFraction = 0.006
-	// gossipBurst bounds the saved budget, in requests: a message to a hundred nodes is paid for by
-	// some ten requests.
+	// gossipBurst is the maximum unspent budget, in requests. About ten requests pay for a message to a
+	// hundred nodes.
 	gossipBurst = 50.0
-	// gossipReadCost, in microseconds, is what a message costs each reader.
+	// gossipReadCost, in microseconds, is the CPU time that each receiver spends on a message.
 	gossipReadCost = 1.0
-	// minGossipTimeout, in ms: a node that isn't heard for so long is gone or cut off ...
+	// minGossipTimeout, in ms, is the minimum time without messages after which the other nodes count as
+	// gone or unreachable.
 	minGossipTimeout = 3000.0
-	// ... or, where messages are rare, one that isn't heard for so many intervals.
+	// gossipTimeoutIntervals is the same time as a multiple of the usual interval between messages. It
+	// applies if messages are rare.
 	gossipTimeoutIntervals = 3
-	// gossipRefreshInterval, in ms: a message about loads is sent so often even if nothing has changed.
+	// gossipRefreshInterval, in ms, is the maximum time between two messages about loads, even if nothing
+	// has changed.
 	gossipRefreshInterval = 1000.0
 )
 
-// gossipState is what this node has sent to and heard from the other nodes.
+// gossipState is the state of the gossip that this node sends and receives.
 type gossipState struct {
-	tokens         tokenBucket // priority weight that messages may cost
-	changed        bool        // since the last message about loads
+	tokens         tokenBucket // unspent budget, in priority weight
+	loadsChanged   bool        // loads have changed since the last message about them
 	sentAt         Millis
 	outcomesSentAt Millis
 
-	heardAt      Millis // the last message of any node; 0: none yet
+	heardAt      Millis // time of the last message from any node; 0: none yet
 	heardFrom    map[int]Millis
-	interval     Millis // usual time between two messages of a node
-	isolated     bool   // no other node is heard any more, and the log says so
+	interval     Millis // smoothed time between two messages of a node
+	isolated     bool   // no messages arrive, and this has been logged
 	serversByTag map[uint16]*server
-	reportedBy   map[gossipSource][]*server // the servers that a node's latest message named
+	reportedBy   map[gossipSource][]*server // the servers in a node's latest message
 }
 
-// broadcastGossip reports to the other nodes what this one has in flight at each server and how its
-// attempts there ended, as often as may be paid for. Where reading a message costs all nodes
-// together more CPU than a request may, nothing is sent.
+// broadcastGossip sends the other nodes this node's requests in flight at each server, or the outcomes of
+// its attempts, as often as the budget allows. It sends nothing if a message costs the receivers more CPU
+// time in total than CPUPerRequest.
 func (b *Balancer) broadcastGossip() {
 	if !b.settings.GossipAllowed || b.fleet.size < 2 {
 		return
@@ -61,8 +64,8 @@
 	b.emit(BroadcastGossip{body})
 }
 
-// nextGossip is the message that is due: about outcomes if there are failures to report, else about
-// loads if they have changed or the last one is old. Nil: none.
+// nextGossip returns the message that is due: about outcomes if there are failures to report, otherwise
+// about loads if they have changed or the last message is old. It returns nil if none is due.
 func (b *Balancer) nextGossip() []byte {
 	if b.now >= b.gossip.outcomesSentAt+outcomeGossipInterval {
 		b.gossip.outcomesSentAt = b.now
@@ -71,32 +74,33 @@
 		}
 	}
 	recent := b.now < b.gossip.sentAt+gossipRefreshInterval
-	if !b.gossip.changed && recent {
+	if !b.gossip.loadsChanged && recent {
 		return nil
 	}
-	b.gossip.changed = false
+	b.gossip.loadsChanged = false
 	return b.encodeGossip(gossipLoads)
 }
 
-// earnGossip adds what one first attempt allows to spend on messages.
-func (b *Balancer) earnGossip() {
+// creditGossipBudget adds the gossip budget that one first attempt allows.
+func (b *Balancer) creditGossipBudget() {
 	b.gossip.tokens.earn(gossipBudgetFraction, gossipBurst*gossipBudgetFraction)
 }
 
-// gossipAlive reports whether the other nodes can be heard. That they no longer can is logged once.
+// gossipAlive reports whether messages from other nodes still arrive. It logs once when they stop.
 func (b *Balancer) gossipAlive() bool {
 	if b.gossip.heardAt == 0 {
 		return false
 	}
 	silent := b.now >= b.gossip.heardAt+b.gossipTimeout()
 	if silent && !b.gossip.isolated {
-		b.logf("no other node heard for %.0f ms: deciding by reports and own outcomes", b.now-b.gossip.heardAt)
+		b.logf("no gossip from other nodes for %.0f ms: using only load reports and own outcomes",
+			b.now-b.gossip.heardAt)
 	}
 	b.gossip.isolated = silent
 	return !silent
 }
 
-// gossipTimeout is how long what a node sent is believed, in ms.
+// gossipTimeout returns the time without messages after which gossip is no longer used, in ms.
 func (b *Balancer) gossipTimeout() Millis {
 	return max(minGossipTimeout, gossipTimeoutIntervals*b.gossip.interval)
 }
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -2,78 +2,80 @@
 
 import "slices"
 
-// A gossip message is a byte of version and kind and then, for each server, two bytes of its tag
-// and its figures. Each message replaces what the same node sent of the same kind before, so the
-// next one makes up for a lost one.
+// A gossip message starts with a byte that holds version and kind. Then follows an entry for each server:
+// two bytes with its tag, and one or two counts of one byte each. A message replaces the previous one of
+// the same node and kind, so a lost message is corrected by the next one.
 
-// gossipVersion is the upper half of a message's first byte; the kind is the lower half.
 const (
+	// gossipVersion is the version, in the upper four bits of a message's first byte. The lower four bits
+	// are the kind.
 	gossipVersion     = 0x10
 	gossipVersionMask = 0xf0
 	gossipKindMask    = 0x0f
-	// maxGossipFigure is the greatest figure that a byte holds.
-	maxGossipFigure = 255
+	// maxGossipCount is the greatest count that one byte can represent.
+	maxGossipCount = 255
 )
 
-// gossipKind is what a message's figures mean.
+// gossipKind is the meaning of a message's counts.
 type gossipKind byte
 
 const (
-	gossipLoads    gossipKind = iota // requests that the node has at a server
-	gossipOutcomes                   // successes and failures that it saw there in its window
+	gossipLoads    gossipKind = iota // requests that the node has in flight at a server
+	gossipOutcomes                   // successes and failures of its attempts there, in its outcome window
 )
 
-// entryLen is how many bytes a kind takes for each server.
+// entryLen returns the length of a server's entry, in bytes.
 func (k gossipKind) entryLen() int { return 3 + int(k) }
 
-// gossipReport is the latest report of another node on a server.
+// gossipReport is the latest report from another node about a server.
 type gossipReport struct {
 	from   int
 	kind   gossipKind
-	first  float64 // requests; or successes
-	second float64 // failures; of loads the same as first
+	first  float64 // requests in flight, or successes
+	second float64 // failures; for gossipLoads the same as first
 	at     Millis
 }
 
-// gossipSource is a node and the kind of its message.
+// gossipSource identifies the messages of one node and kind.
 type gossipSource struct {
 	from int
 	kind gossipKind
 }
 
-// encodeGossip encodes a message; servers of which there is nothing to say are left out.
+// encodeGossip encodes a message. It omits servers without anything to report, and servers that don't fit
+// into MaxGossipBytes.
 func (b *Balancer) encodeGossip(kind gossipKind) []byte {
 	body := []byte{gossipVersion | byte(kind)}
 	for _, s := range b.servers.ready {
-		figures, worthSaying := b.gossipFigures(s, kind)
-		if worthSaying && len(body)+kind.entryLen() <= MaxGossipBytes {
+		counts, relevant := b.gossipCounts(s, kind)
+		if relevant && len(body)+kind.entryLen() <= MaxGossipBytes {
 			body = append(body, byte(s.gossipTag>>8), byte(s.gossipTag))
-			body = append(body, figures...)
+			body = append(body, counts...)
 		}
 	}
 	return body
 }
 
-// gossipFigures are a server's figures in a message of a kind, and whether they say anything.
-func (b *Balancer) gossipFigures(s *server, kind gossipKind) (figures []byte, worthSaying bool) {
+// gossipCounts returns a server's counts for a kind of message, and whether there is anything to report.
+func (b *Balancer) gossipCounts(s *server, kind gossipKind) (counts []byte, relevant bool) {
 	if kind == gossipLoads {
-		return []byte{gossipFigure(s.attempts.inFlight)}, s.attempts.inFlight > 0
+		return []byte{gossipByte(s.attempts.inFlight)}, s.attempts.inFlight > 0
 	}
 	successes, failures := s.outcomeCounts(b.now)
-	return []byte{gossipFigure(successes), gossipFigure(failures)}, failures > 0
+	return []byte{gossipByte(successes), gossipByte(failures)}, failures > 0
 }
 
-func gossipFigure(n int) byte { return byte(min(maxGossipFigure, n)) }
+func gossipByte(n int) byte { return byte(min(maxGossipCount, n)) }
 
-// handleGossip keeps what another node sent. A message that can't be decoded is dropped whole, and
-// servers that this node's own list doesn't name are skipped.
+// handleGossip stores a message from another node. It ignores an invalid message completely, and skips
+// servers that are not in this node's endpoint list.
 func (b *Balancer) handleGossip(e GossipReceived) {
 	if !b.settings.GossipAllowed || e.From == b.settings.Node || !validGossip(e.Body) {
 		return
 	}
 	source := gossipSource{e.From, gossipKind(e.Body[0] & gossipKindMask)}
 	if source.kind == gossipLoads {
-		b.recordHeard(e.From)
+		b.recordGossipTime(e.From)
 	}
 	b.forgetReports(source)
 	reported := b.gossip.reportedBy[source][:0]
@@ -96,7 +98,7 @@
 	b.gossip.reportedBy[source] = reported
 }
 
-// validGossip reports whether a message has this version's form.
+// validGossip reports whether a message has a known version and kind and a valid length.
 func validGossip(body []byte) bool {
 	if len(body) == 0 || len(body) > MaxGossipBytes || body[0]&gossipVersionMask != gossipVersion {
 		return false
@@ -105,16 +107,16 @@
 	return kind <= gossipOutcomes && (len(body)-1)%kind.entryLen() == 0
 }
 
-// recordHeard notes that a node was heard, and how long after its message before.
-func (b *Balancer) recordHeard(from int) {
-	if at, known := b.gossip.heardFrom[from]; known {
-		b.gossip.interval += reportLagSmoothing * (b.now - at - b.gossip.interval)
+// recordGossipTime records the time of a node's message and updates the usual interval.
+func (b *Balancer) recordGossipTime(from int) {
+	if previous, known := b.gossip.heardFrom[from]; known {
+		b.gossip.interval += reportLagSmoothing * (b.now - previous - b.gossip.interval)
 	}
 	b.gossip.heardFrom[from] = b.now
 	b.gossip.heardAt = b.now
 }
 
-// forgetReports drops the reports of a node's previous message.
+// forgetReports removes the reports of a node's previous message.
 func (b *Balancer) forgetReports(source gossipSource) {
 	for _, s := range b.gossip.reportedBy[source] {
 		s.gossipReports = slices.DeleteFunc(s.gossipReports, func(report gossipReport) bool {
@@ -124,7 +126,8 @@
 	}
 }
 
-// gossipedLoad is how many requests the other nodes have at a server, by their latest messages.
+// gossipedLoad returns the number of requests that the other nodes have in flight at a server, according
+// to their latest messages.
 func (s *server) gossipedLoad() float64 {
 	sum := 0.0
 	for _, report := range s.gossipReports {
@@ -135,8 +138,8 @@
 	return sum
 }
 
-// assignGossipTags gives each server a short name, the same at every node. Servers that share one
-// are left out of messages that arrive.
+// assignGossipTags assigns each server a tag of two bytes, which is the same at every node. Reports are
+// ignored for servers that have the same tag.
 func (b *Balancer) assignGossipTags() {
 	b.gossip.serversByTag = map[uint16]*server{}
 	for _, s := range b.servers.known {
--- a/balancer/objective.go
+++ b/balancer/objective.go
@@ -3,52 +3,54 @@
 import "math"
 
 const (
-	// retryAgeFraction is the part of the latency objective that the attempts before a retry are taken
-	// to have used at most.
+	// retryAgeFraction is the largest fraction of the latency objective that the attempts before a retry
+	// are assumed to have used.
 	retryAgeFraction = 0.7
-	// Bounds of a request's work, in mean requests, and the weight of a new hint in the mean.
-	minWork           = 0.25
-	maxWork           = 32
+	// minWork and maxWork limit a request's work. The work of the mean request is 1.
+	minWork = 0.25
+	maxWork = 32
+	// workHintSmoothing is the weight of a new work hint in the mean of the hints.
 	workHintSmoothing = 0.02
-	// maxHintSample bounds a hint's effect on the mean, in means.
+	// maxHintSample limits the hint that enters the mean, as a multiple of the mean.
 	maxHintSample = 4
 )
 
-// classState is one class of request and what this node knows of it.
+// classState is one class of request with this node's measurements.
 type classState struct {
 	Class
-	servedShare
+	servedFraction
 	index int // in Settings.Classes
 	// protectedObjective, in ms, is the shortest latency objective among the classes with a higher
-	// priority weight and a shorter objective; +Inf without any. Requests of this class must not
-	// hold servers for longer than a part of it.
+	// priority weight and a shorter objective; +Inf without any. Requests of this class may occupy a
+	// server only for a fraction of it.
 	protectedObjective Millis
-	// longestTimeout is the longest time that a client gave an attempt. A shorter one is cut by the
-	// client's total timeout.
+	// longestTimeout, in ms, is the longest time that a client has allowed for an attempt. If a client
+	// allows less, its total timeout ends the attempt.
 	longestTimeout Millis
 }
 
-// setObjective dates the latency objective. For a retry it counts from the client's first attempt,
-// as far as that is known: an attempt with a shorter timeout than the longest seen is cut by the
-// client's total timeout, so its first attempt began a total timeout before the deadline.
+// setObjective sets the time by which the request should be answered. For a retry it counts from the
+// client's first attempt, whose time can be derived in one case: if the attempt's timeout is shorter than
+// the longest one seen, the client's total timeout ends the attempt, so the first attempt began that total
+// timeout before the deadline.
 func (b *Balancer) setObjective(r *request, isRetry bool) {
 	class := r.class
 	timeout := r.deadline - b.now
 	class.longestTimeout = max(class.longestTimeout, timeout)
 	objective := class.LatencyObjective + class.ObjectivePerWork*r.work*b.estimate.unitTime
 	r.objectiveAt = b.now + objective
-	cut := timeout < class.longestTimeout-1
+	endedByTotalTimeout := timeout < class.longestTimeout-1
 	switch {
-	case isRetry && cut:
+	case isRetry && endedByTotalTimeout:
 		r.objectiveAt = min(r.objectiveAt, r.deadline-class.TotalTimeout+objective)
-	case isRetry: // the first attempt began between just now and the earliest time that would have cut this one
+	case isRetry: // the first attempt began at most TotalTimeout-longestTimeout ago: assume half
 		r.objectiveAt -= min((class.TotalTimeout-class.longestTimeout)/2, retryAgeFraction*objective)
 	}
 	r.late = r.objectiveAt <= b.now
 }
 
-// timeToObjective is the time in which an answer still has its full weight; for a late request, the
-// time until its deadline.
+// timeToObjective returns the remaining time in which an answer has its full priority weight; for a late
+// request, the time until its deadline.
 func (b *Balancer) timeToObjective(r *request) Millis {
 	if r.late {
 		return r.deadline - b.now
@@ -56,18 +58,18 @@
 	return min(r.objectiveAt, r.deadline) - b.now
 }
 
-// workFromHint is a request's work by its hint, in mean requests.
+// workFromHint returns a request's work, as a multiple of the mean request's, and adds the hint to the mean.
 func (b *Balancer) workFromHint(hint Millis) float64 {
 	if b.estimate.meanWorkHint == 0 {
 		b.estimate.meanWorkHint = hint
 	}
 	mean := b.estimate.meanWorkHint
-	// A heavy request must not move the mean much.
+	// The sample is limited so that one heavy request changes the mean little.
 	b.estimate.meanWorkHint += workHintSmoothing * (min(hint, maxHintSample*mean) - mean)
 	return min(maxWork, max(minWork, hint/mean))
 }
 
-// priorityWeight is what a timely answer earns.
+// priorityWeight returns the weight of a request that is answered in time.
 func (b *Balancer) priorityWeight(r *request) float64 {
 	weight := r.class.PriorityWeight
 	if b.settings.WeightByWork {
@@ -79,7 +81,7 @@
 	return weight
 }
 
-// shortestMoreUrgentObjective is the shortest latency objective among the classes with a higher
+// shortestMoreUrgentObjective returns the shortest latency objective among the classes with a higher
 // priority weight and a shorter objective than the given one; +Inf without any.
 func shortestMoreUrgentObjective(settings Settings, class Class) Millis {
 	shortest := math.Inf(1)
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -48,9 +48,9 @@
 // actionTypes are the types whose literals are decisions.
 var actionTypes = []string{"StartAttempt", "CancelAttempt", "Reject", "Fail", "SetTimer", "ProbeLoad", "WatchEndpoints", "BroadcastGossip", "Log"}
 
-// leastEmitters is how many functions must be found inside the policy files: with fewer the check
+// minEmitters is how many functions must be found inside the policy files: with fewer the check
 // sees nothing.
-const leastEmitters = 15
+const minEmitters = 15
 
 // TestNoFunctionOutsideThePolicyEmitsActions guards against decisions in files where nobody looks
 // for them: deploy/balancer.toml names the files that decide, and a function elsewhere in the
@@ -75,7 +75,7 @@
 			t.Errorf("%s in %s emits an action outside the policy files", function, name)
 		}
 	}
-	if inside < leastEmitters {
+	if inside < minEmitters {
 		t.Errorf("found %d functions that emit actions inside the policy files: the check sees nothing", inside)
 	}
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// sweepInterval, in ms, is how often queued requests are looked at, while there are any.
+	// sweepInterval, in ms, is the interval at which queued requests are dispatched.
 	sweepInterval = 10.0
-	// maxMissesPerSweep: after so many requests without a server at one time the servers are full,
-	// and looking on only costs CPU.
-	maxMissesPerSweep = 4
+	// maxPlacementFailures is the number of requests without a suitable server at one time after which
+	// the servers count as full. Trying further requests would only cost CPU.
+	maxPlacementFailures = 4
 )
 
-// requestQueue holds the requests that wait for a server.
+// requestQueue holds the requests that are waiting for a server.
 type requestQueue struct {
-	waiting        []*request
-	sweepScheduled bool
-	missedAt       Millis // when the last request found no server ...
-	misses         int    // ... and how many did at that time
-	// fastest caches the least time that any server takes for a request of mean work that may go to any
-	// server. It is valid at fastestAt only.
+	waiting             []*request
+	sweepScheduled      bool
+	placementFailuresAt Millis // the time for which placementFailures counts
+	placementFailures   int    // requests without a suitable server at that time
+	// fastest caches the shortest time in which any server serves a request of mean work that may go to
+	// any server. It is valid only at the time fastestAt.
 	fastest   Millis
 	fastestAt Millis
 }
@@ -31,7 +31,7 @@
 	b.queue.waiting = append(b.queue.waiting, r)
 }
 
-// scheduleSweep sets the timer by which queued requests are looked at again.
+// scheduleSweep sets the timer for the next dispatch if requests are queued.
 func (b *Balancer) scheduleSweep() {
 	if b.queue.sweepScheduled || len(b.queue.waiting) == 0 {
 		return
@@ -40,19 +40,19 @@
 	b.emit(SetTimer{timerSweep, b.now + sweepInterval})
 }
 
-// dispatchQueue sends the queued requests that can meet their objective, most valuable first, and
-// rejects at once those that can't.
+// dispatchQueue sends the queued requests to servers, highest marginal value first. It rejects the ones
+// that can't meet their latency objective.
 func (b *Balancer) dispatchQueue() {
 	if len(b.queue.waiting) == 0 {
 		return
 	}
-	// Only when a request needs the scores: most intervals of a node may see none.
+	// Scores are updated only when a request needs them, since a node may be idle for many intervals.
 	if b.now >= b.scoredAt+scoreInterval {
 		b.updateScores()
 	}
-	if b.queue.missedAt != b.now {
-		b.queue.missedAt = b.now
-		b.queue.misses = 0
+	if b.queue.placementFailuresAt != b.now {
+		b.queue.placementFailuresAt = b.now
+		b.queue.placementFailures = 0
 	}
 	probing := slices.ContainsFunc(b.servers.ready, func(s *server) bool { return s.load.probePending })
 	workAhead := 0.0
@@ -80,7 +80,7 @@
 	b.scheduleSweep()
 }
 
-// takeQueueByPriority empties the queue and returns its requests, most valuable first.
+// takeQueueByPriority empties the queue and returns its requests, highest marginal value first.
 func (b *Balancer) takeQueueByPriority() []*request {
 	queue := b.queue.waiting
 	b.queue.waiting = nil
@@ -91,44 +91,44 @@
 	return queue
 }
 
-// tryToPlace sends a request to a server, if one is to be had.
+// tryToPlace sends a request to a server if one is suitable, and reports whether it did.
 func (b *Balancer) tryToPlace(r *request) bool {
-	if b.queue.misses >= maxMissesPerSweep {
+	if b.queue.placementFailures >= maxPlacementFailures {
 		return false
 	}
 	if s := b.pickServer(r); s != nil {
 		b.startAttempt(r, s)
 		return true
 	}
-	if !r.mayHaveRun { // a request bound to a lost dedup scope must not keep the others from being looked at
-		b.queue.misses++
+	if !r.mayHaveRun { // requests bound to a lost dedup scope must not block the others
+		b.queue.placementFailures++
 	}
 	return false
 }
 
-// cannotMeetObjective reports whether a queued request can't meet its objective behind so much work
-// of other requests. Rejecting it early spares the servers, and its client can retry elsewhere.
+// cannotMeetObjective reports whether a queued request can't meet its objective, given the work of the
+// requests ahead of it. Early rejection saves server capacity, and the client can retry at another node.
 func (b *Balancer) cannotMeetObjective(r *request, workAhead float64) bool {
 	best, servers := b.fastestFor(r)
 	if servers == 0 {
 		return true
 	}
-	perServer := workAhead * b.estimate.unitTime * float64(b.fleet.size) / float64(servers)
-	wait := perServer / math.Round(b.estimate.parallelism)
+	timePerServer := workAhead * b.estimate.unitTime * float64(b.fleet.size) / float64(servers)
+	wait := timePerServer / math.Round(b.estimate.parallelism)
 	limit := min(b.idleServerTimeFraction()*b.timeToObjective(r), idleTimeFraction*r.class.protectedObjective)
 	return wait+best > limit
 }
 
-// fastestFor is the least time that a request would take at any server that it may go to, and how
-// many those are.
+// fastestFor returns the shortest time that a request would take at any eligible server, and the number
+// of eligible servers.
 func (b *Balancer) fastestFor(r *request) (best Millis, servers int) {
-	sameForAll := !r.mayHaveRun && b.queue.fastestAt == b.now // for all that may go anywhere
-	if sameForAll && len(b.servers.ready) > 0 {
+	cached := !r.mayHaveRun && b.queue.fastestAt == b.now
+	if cached && len(b.servers.ready) > 0 {
 		return b.queue.fastest * r.work, len(b.servers.ready)
 	}
 	best = math.Inf(1)
 	for _, s := range b.servers.ready {
-		// The dedup scope of a request that may have run may be lost as a whole.
+		// A request that may have run is bound to its dedup scope, and all servers there may be ejected.
 		unusable := r.mayHaveRun && (s.outlier.ejected || r.triedServer(s))
 		if b.eligible(r, s) && !unusable {
 			best = min(best, b.estimatedUnitTime(s)*r.work)
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -12,7 +12,7 @@
 		s.outlier.ejected = s.Cell == 0
 		s.outlier.trialAt = b.now + ejectionTime
 	}
-	for i := 0; i < 2*maxMissesPerSweep; i++ {
+	for i := 0; i < 2*maxPlacementFailures; i++ {
 		b.balancer.servers.byID["s0"].outlier.ejected = false
 		b.balancer.retryBudget.left = retryBurst
 		b.next++
@@ -23,7 +23,7 @@
 		b.balancer.servers.byID["s0"].outlier.ejected = true
 	}
 	_, acts := b.arrive("read", 2000)
-	if sentTo(acts) == "" || count[Fail](acts) != 2*maxMissesPerSweep {
-		t.Errorf("sent to %q, %d failed at once, want %d", sentTo(acts), count[Fail](acts), 2*maxMissesPerSweep)
+	if sentTo(acts) == "" || count[Fail](acts) != 2*maxPlacementFailures {
+		t.Errorf("sent to %q, %d failed at once, want %d", sentTo(acts), count[Fail](acts), 2*maxPlacementFailures)
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,44 +2,44 @@
 
 import "math"
 
-// request is one request that this node holds.
+// request is a request that this node is handling.
 type request struct {
 	id       RequestID
 	identity requestIdentity
 	class    *classState
-	tenant   *tenantState // nil where the settings name none
+	tenant   *tenantState // nil if the settings don't contain the tenant
 
 	arrived     Millis
-	deadline    Millis // when the client gives up
-	objectiveAt Millis // an answer until then earns its full weight
-	late        bool   // objectiveAt had passed when it arrived
-	bodyPending bool   // its body is still coming
-	work        float64
-	overQuota   bool // its tenant is over its quota
+	deadline    Millis  // when the client gives up
+	objectiveAt Millis  // until then an answer has its full priority weight
+	late        bool    // objectiveAt had passed at the arrival
+	bodyPending bool    // the body is still incomplete
+	work        float64 // estimated; 1 is the mean request
+	overQuota   bool    // the tenant is over its quota
 
 	attempts     []attempt
 	openAttempts int
-	mayHaveRun   bool // some attempt may have run
-	finished     bool // answered, or cancelled by its client
+	mayHaveRun   bool // a server may have started to process an attempt
+	finished     bool // answered, or cancelled by the client
 
 	queued      bool
-	priority    float64 // in the queue
-	probesUntil Millis  // it waits for load probes until then
+	priority    float64 // marginalValue at the last dispatch of the queue
+	probesUntil Millis  // it waits for the results of load probes until then
 
-	dedupServer *server // the server of the first attempt that may have run
-	dedupUntil  Millis  // until then repeats are dropped in that server's dedup scope
+	dedupServer *server // server of the first attempt that may have run
+	dedupUntil  Millis  // until then servers in dedupServer's dedup scope drop repeats
 
-	affinityKey uint64 // 0: none that matters
+	affinityKey uint64 // hash of the idempotency key; 0: no key affinity
 	affinity    affinityPair
 }
 
-// affinityPair are the servers that a request's key prefers, as of a version of the endpoint list.
+// affinityPair caches the two preferred servers for a request's key. It is valid for one serverSet.version.
 type affinityPair struct {
 	first, second *server
 	version       int
 }
 
-// requestIdentity is what a request and its client's retries have in common.
+// requestIdentity is the same for a request and its client's retries.
 type requestIdentity struct {
 	key   string
 	class *classState
@@ -48,12 +48,12 @@
 // attempt is one attempt of a request.
 type attempt struct {
 	server        *server
-	sentAt        Millis  // +Inf while the request's body is still coming
-	serviceRounds float64 // unit times until it should be done, as expected when it was sent
-	expected      Millis
+	sentAt        Millis  // +Inf while the request's body is incomplete
+	serviceRounds float64 // expected duration at the time of sending, in unit times
+	expected      Millis  // expected duration at the time of sending
 	open          bool
-	missing       bool   // not in the server's latest report
-	missingAfter  Millis // how long it had been out when a report first lacked it
+	missing       bool   // absent from the server's latest load report
+	missingAfter  Millis // time since sending when a load report first omitted it
 }
 
 // triedServer reports whether a request has had an attempt at a server.
@@ -66,7 +66,7 @@
 	return false
 }
 
-// openAttemptAt is a request's open attempt at a server; nil where there is none.
+// openAttemptAt returns a request's open attempt at a server; nil if there is none.
 func (r *request) openAttemptAt(s *server) *attempt {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.server == s && a.open {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// attemptIndex is an attempt's place among the request's.
+// attemptIndex returns the index of an attempt among the request's attempts; -1 if it is none of them.
 func (r *request) attemptIndex(a *attempt) int {
 	for i := range r.attempts {
 		if &r.attempts[i] == a {
@@ -86,8 +86,8 @@
 	return -1
 }
 
-// markMayHaveRun records that an attempt may have run. The earliest such attempt binds the further
-// ones of a request with an idempotency key to its server's dedup scope and window.
+// markMayHaveRun records that an attempt may have run. If the request has an idempotency key, the earliest
+// such attempt restricts further attempts to the dedup scope of its server and to its dedup window.
 func (r *request) markMayHaveRun(a *attempt) {
 	r.mayHaveRun = true
 	if r.class.Idempotency != IdempotentWithKey {
@@ -100,14 +100,14 @@
 	}
 }
 
-// finishRequest ends a request; its attempts may still be out.
+// finishRequest marks a request as finished. Its attempts may still be open.
 func (b *Balancer) finishRequest(r *request) {
 	r.finished = true
 	r.queued = false
 	b.forgetIfFinished(r)
 }
 
-// forgetIfFinished drops a finished request once no attempt of it is out.
+// forgetIfFinished removes a request without open attempts.
 func (b *Balancer) forgetIfFinished(r *request) {
 	if r.openAttempts == 0 {
 		delete(b.requests, r.id)
@@ -120,14 +120,14 @@
 	}
 }
 
-// expectBody notes for how long a request's body may still be coming at most; 0: it is complete.
+// expectBody extends the deadline by the longest time until the body is complete; 0: it is complete.
 func (r *request) expectBody(timeout Millis) {
 	r.bodyPending = timeout > 0
 	r.deadline += max(0, timeout)
 }
 
-// attemptStart is when a server that is sent a request now can begin it. While the body is still
-// coming that is unknown, and the server is taken to hold nothing of it.
+// attemptStart returns the time at which a server can start to process an attempt that is sent now. While
+// the body is incomplete it is unknown (+Inf), and the attempt doesn't count as load of the server.
 func (b *Balancer) attemptStart(r *request) Millis {
 	if r.bodyPending {
 		return math.Inf(1)
@@ -135,8 +135,9 @@
 	return b.now
 }
 
-// bodyDelivered counts an attempt as held by its server from now on: its request is complete, or over.
-func (b *Balancer) bodyDelivered(a *attempt) {
+// markBodyDelivered counts an attempt as load of its server from now on: its body is complete, or the
+// attempt has ended.
+func (b *Balancer) markBodyDelivered(a *attempt) {
 	if !math.IsInf(a.sentAt, 1) {
 		return
 	}
@@ -145,7 +146,7 @@
 	a.server.estimate.at = estimateOutdated
 }
 
-// handleBodyReceived counts a request's time, and that of its attempts, from now on.
+// handleBodyReceived restarts the time of a request and of its open attempts at the end of its body.
 func (b *Balancer) handleBodyReceived(e BodyReceived) {
 	r := b.requests[e.ID]
 	if r == nil || !r.bodyPending {
@@ -157,7 +158,7 @@
 	r.arrived = b.now
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.open {
-			b.bodyDelivered(a)
+			b.markBodyDelivered(a)
 		}
 	}
 	b.dispatchQueue()
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -3,24 +3,24 @@
 import "math"
 
 const (
-	// retryBudgetRatio is the number of retries earned by a first attempt: the clients' own retries
-	// multiply them already.
+	// retryBudgetRatio is the number of retries that each first attempt adds to the budget. It is low
+	// because the clients' own retries already multiply the load.
 	retryBudgetRatio = 0.1
-	// retryBurst bounds the saved retries; it lets the requests of a lost server move at once.
+	// retryBurst is the maximum of the retry budget. It allows the requests of a lost server to be
+	// retried at once.
 	retryBurst = 5.0
-	// retryAfterFraction is the part of the time left that a client may be told to wait; the rest is
-	// for its next attempt.
+	// retryAfterFraction is the largest fraction of the time to the objective that Retry-After may use.
+	// The rest remains for the client's next attempt.
 	retryAfterFraction = 0.25
 )
 
-// earnRetries adds what one first attempt earns for the retry budget, less what the fleet holds back.
-func (b *Balancer) earnRetries() {
+// creditRetryBudget adds the retries that one first attempt allows, less the reduction of the fleet.
+func (b *Balancer) creditRetryBudget() {
 	b.retryBudget.earn(retryBudgetRatio*(1-b.fleet.retryReduction), retryBurst)
 }
 
-// retryOrGiveUp decides on a request whose attempts have all ended without an answer. A retry needs
-// an attempt left, time left, a request that may be repeated, and a token of the retry budget where
-// the last outcome spends one.
+// retryOrGiveUp queues a request whose attempts have all failed for a retry, or gives the final answer. A
+// retry requires that mayRetry allows it and, depending on the last outcome, a token of the retry budget.
 func (b *Balancer) retryOrGiveUp(r *request, last Outcome) {
 	if !b.mayRetry(r) {
 		b.rejectOrFail(r, AttemptsExhausted)
@@ -33,27 +33,26 @@
 	b.enqueue(r)
 }
 
-// spendsRetryBudget reports whether a retry after this outcome costs a token. It does where a server
-// has worked on the attempt or was asked to, Overloaded included: the retry is load. Where no server
-// has it, or this balancer itself cancelled a missing attempt, a retry adds nothing to any server.
+// spendsRetryBudget reports whether a retry after this outcome costs a token. It does if the attempt
+// reached a server, Overloaded included, because the retry is additional load. It doesn't if no server has
+// the request, or if this balancer cancelled the attempt as missing.
 func (o Outcome) spendsRetryBudget() bool {
 	return o != Unreachable && o != NotSent && o != Cancelled
 }
 
-// mayRetry reports whether a request may have another attempt, apart from the budget. Invariant: a
-// request that may have run is never repeated unless it is idempotent or has an idempotency key.
+// mayRetry reports whether a request may have another attempt, regardless of the retry budget. Invariant:
+// a request that may have run is never repeated unless it is idempotent or has an idempotency key.
 func (b *Balancer) mayRetry(r *request) bool {
 	attemptsLeft := len(r.attempts) < b.settings.MaxAttempts
 	timeLeft := b.now < r.objectiveAt && b.now < r.deadline-b.settings.Tick
 	return attemptsLeft && timeLeft && (!r.mayHaveRun || r.class.repeatable())
 }
 
-// repeatable reports whether a request of this class that may have run may be repeated at all; where
-// to is eligible's to say.
+// repeatable reports whether requests of this class may be repeated after they may have run. The method
+// eligible limits the servers for such a repeat.
 func (c *classState) repeatable() bool { return c.Idempotency != NonIdempotent }
 
-// rejectOrFail gives the final answer at once: a rejection, which promises that a retry does no
-// harm, or a failure where that can't be promised.
+// rejectOrFail gives the final answer: a rejection if the client can retry safely, otherwise a failure.
 func (b *Balancer) rejectOrFail(r *request, reason RejectReason) {
 	if b.retryMayHarm(r) {
 		b.emit(Fail{r.id, reason})
@@ -64,8 +63,8 @@
 	b.finishRequest(r)
 }
 
-// retryMayHarm reports whether a client's retry could take effect twice: an attempt may have run, and
-// the retry may reach a server that does not recognize it.
+// retryMayHarm reports whether a client's retry could make the request take effect twice: an attempt may
+// have run, and the retry may reach a server outside the dedup scope.
 func (b *Balancer) retryMayHarm(r *request) bool {
 	if !r.mayHaveRun && r.openAttempts == 0 {
 		return false
@@ -79,9 +78,9 @@
 	return false
 }
 
-// retryAfter, in ms, is when the requests that are queued now will have been worked off, but no
-// later than an answer is still of use: a client that comes back after its objective only adds
-// load. 0: nothing is said.
+// retryAfter returns the value for Retry-After, in ms; 0: none. It is the time in which the servers work
+// off the requests that are queued now, limited to a fraction of the time to the objective: a client that
+// retries after its objective only adds load.
 func (b *Balancer) retryAfter(r *request) Millis {
 	if !b.settings.RetryAfterAllowed || len(b.servers.ready) == 0 {
 		return 0
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,35 +5,34 @@
 	"fmt"
 )
 
-// Millis is a time on the node's monotonic clock, or a span of it, in milliseconds.
+// Millis is a time of the node's monotonic clock or a duration, in milliseconds.
 type Millis = float64
 
-// Settings are what a node is configured with, at its start. New says which of them make deciding
-// impossible.
+// Settings is the configuration of a node, which is fixed at its start. New rejects invalid settings.
 type Settings struct {
-	Node    int // this node's number, from 0
+	Node    int // number of this node, from 0
 	Nodes   int // size of the fleet, at least 1
 	Zone    string
 	Classes []Class
 	Tenants []Tenant
 	Goal    GoalWeights
 
-	OverQuotaFraction  float64 // part of its weight that a request beyond its tenant's quota keeps, from 0 to 1
-	WeightByWork       bool    // a request's weight is multiplied by its work
-	ClientsMarkRetries bool    // otherwise a retry is recognized by its key
-	KeyAffinity        bool    // a server that met a request's key lately does less work for it
+	OverQuotaFraction  float64 // factor for the weight of requests over their tenant's quota, from 0 to 1
+	WeightByWork       bool    // multiply the weight of a request by its work
+	ClientsMarkRetries bool    // if false, a retry is detected by its idempotency key
+	KeyAffinity        bool    // a server does less work for keys that it saw recently
 
-	// WatchEndpoints has the balancer ask for the endpoint list; without it the discovery client polls by
-	// itself.
+	// WatchEndpoints makes the balancer request the endpoint list. If it is false, the discovery client
+	// decides when to poll.
 	WatchEndpoints   bool
 	MaxPollInterval  Millis // longest time between two polls; 0: no limit
-	CapacitiesListed bool   // the list's capacities compare the servers
-	DrainGrace       Millis // after a server is reported as draining, attempts to it may still begin for so long
+	CapacitiesListed bool   // the endpoint list contains comparable capacities
+	DrainGrace       Millis // time in which attempts may start after a server is reported as draining
 
-	LoadReports           bool // answers or probe results carry load reports
-	ReportsFromProbesOnly bool // only probe results do
+	LoadReports           bool // responses or probe results contain load reports
+	ReportsFromProbesOnly bool // only probe results contain load reports
 	ProbesAllowed         bool
-	GossipAllowed         bool // nodes may send messages to one another
+	GossipAllowed         bool // nodes may send gossip to each other
 
 	SlowStart SlowStart
 
@@ -42,70 +41,70 @@
 	RetryAfterAllowed bool
 	MaxRetryAfter     Millis
 	ConnectTimeout    Millis
-	Tick              Millis // how often a node looks at events; 0: at once
+	Tick              Millis // interval at which a node handles events; 0: immediately
 
 	Prices        Prices
-	CPUPerRequest float64 // microseconds that a request and all that comes with it may cost; 0: no limit
+	CPUPerRequest float64 // limit in microseconds for a request and all work that it causes; 0: none
 }
 
-// SlowStart says what a server that has just started can bear.
+// SlowStart describes the capacity of a server that has just started.
 type SlowStart struct {
-	InitialCapacity float64 // share of its capacity at its start, from 0 to 1
-	Duration        Millis  // after which it has its whole capacity; between the two the share grows evenly
-	// A server is overloaded by more than OverloadFactor times what it can serve in OverloadWindow,
-	// from all nodes together.
+	InitialCapacity float64 // fraction of the capacity at the start, from 0 to 1
+	Duration        Millis  // time to full capacity; the fraction grows linearly
+	// A server in slow start is overloaded if all nodes together send it more than OverloadFactor times
+	// the work that it can serve within OverloadWindow.
 	OverloadFactor float64
 	OverloadWindow Millis
 }
 
-// Prices are what the operator charges, as fractions of all priority weight.
+// Prices are the costs that the operator assigns, as fractions of all priority weight.
 type Prices struct {
-	CrossZone float64 // if every first attempt went to another zone
-	Probe     float64 // if one load probe were sent for each first attempt
-	Handshake float64 // if one connection to a server were opened for each first attempt
-	Gossip    float64 // if one message of full length were received for each first attempt
+	CrossZone float64 // cost if every first attempt went to another zone
+	Probe     float64 // cost if one load probe were sent for each first attempt
+	Handshake float64 // cost if one connection to a server were opened for each first attempt
+	Gossip    float64 // cost if one message of maximum length were received for each first attempt
 }
 
-// Class is one class of request.
+// Class is the configuration of one class of request.
 type Class struct {
 	Name             string
 	Idempotency      Idempotency
-	DedupScope       DedupScope // with IdempotentWithKey
-	DedupWindow      Millis     // how long repeats are dropped, from the first attempt that may have run
-	LatencyObjective Millis     // an answer within it earns the full priority weight
-	ObjectivePerWork float64    // the objective grows by this multiple of the time of the request's own work
-	TotalTimeout     Millis     // a client's wait over all its attempts
+	DedupScope       DedupScope // only for IdempotentWithKey
+	DedupWindow      Millis     // time for which servers drop repeats, from the first attempt that may have run
+	LatencyObjective Millis     // an answer within this time has the full priority weight
+	ObjectivePerWork float64    // multiple of the expected time of the request's work, added to the objective
+	TotalTimeout     Millis     // total time that a client waits, over all its attempts
 	PriorityWeight   float64
-	LateFraction     float64 // part of the weight that an answer after the objective still earns, from 0 to 1
+	LateFraction     float64 // fraction of the weight for an answer after the objective, from 0 to 1
 }
 
-// Tenant is one customer.
+// Tenant is the configuration of one tenant, a customer.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second, over all nodes together; 0: no quota
+	Quota float64 // requests per second, over all nodes; 0: no quota
 }
 
-// GoalWeights are the weights of the parts of the operator's goal.
+// GoalWeights are the weights of the terms of the operator's goal.
 type GoalWeights struct {
-	Overall      float64 // the share of all weight that is served in time
-	WorstWindow  float64 // ... in the worst stretch of time
-	WorstClass   float64 // ... of the worst served class
-	WorstTenant  float64 // ... of the worst served tenant
-	TailLatency  float64 // over 0: no more of the time to the objective is used where late answers still earn
-	Availability float64 // counts like Overall
+	Overall      float64 // fraction of all priority weight that is served in time
+	WorstWindow  float64 // the same fraction in the worst time window
+	WorstClass   float64 // the same fraction for the worst served class
+	WorstTenant  float64 // the same fraction for the worst served tenant
+	TailLatency  float64 // if above 0, LateFraction doesn't raise the accepted response time
+	Availability float64 // added to Overall
 }
 
-// Idempotency reports whether a class of request may run more than once.
+// Idempotency describes whether a request of a class may run more than once.
 type Idempotency int
 
-// The kinds of classes, from the least harm that a repeat does to the most.
+// The kinds of idempotency, ordered by the harm that a repeat does, least first.
 const (
 	Idempotent        Idempotency = iota // may be repeated and rejected freely
-	IdempotentWithKey                    // repeats are dropped inside a dedup scope for a window
+	IdempotentWithKey                    // servers of a dedup scope drop repeats for a time window
 	NonIdempotent                        // must never run twice
 )
 
-// DedupScope is the set of servers that drop the repeats of a request with an idempotency key.
+// DedupScope is the set of servers that detect and drop repeats of a request with an idempotency key.
 type DedupScope int
 
 // The scopes.
@@ -116,34 +115,35 @@
 )
 
 const (
-	// minShare and minPrice keep quotients finite.
-	minShare = 1e-9
-	minPrice = 1e-9
+	// minRequestedWeight and minPrice are lower bounds for divisors, which prevent a division by zero.
+	minRequestedWeight = 1e-9
+	minPrice           = 1e-9
 )
 
-// validate names the setting that makes deciding impossible, in the words of the settings object:
-// its keys are what an operator can change.
+// validate returns an error that describes the first invalid setting. The messages use the terms of the
+// settings file, such as "cold" and "aim", because these are the keys that an operator can change.
 func validate(s Settings) error {
 	switch {
 	case s.Nodes < 1:
-		return errors.New("number of nodes must be at least 1")
+		return fmt.Errorf("number of nodes must be at least 1, got %d", s.Nodes)
 	case len(s.Classes) == 0:
-		return errors.New("no classes of request")
+		return errors.New("no classes of request: at least one is required")
 	case s.MaxAttempts < 1:
-		return errors.New("attempts per request must be at least 1")
+		return fmt.Errorf("attempts per request must be at least 1, got %d", s.MaxAttempts)
 	case s.SlowStart.InitialCapacity < 0 || s.SlowStart.InitialCapacity > 1:
-		return errors.New("cold starting share must lie in 0 to 1")
+		return fmt.Errorf("cold starting share must be from 0 to 1, got %v", s.SlowStart.InitialCapacity)
 	case s.SlowStart.Duration < 0 || s.SlowStart.OverloadWindow < 0 || s.SlowStart.OverloadFactor <= 0:
-		return errors.New("cold server figures must be positive")
+		return fmt.Errorf("cold server settings must be positive, got %+v", s.SlowStart)
 	case s.DrainGrace < 0:
-		return errors.New("drain grace must not be negative")
+		return fmt.Errorf("drain grace must not be negative, got %v ms", s.DrainGrace)
 	}
 	for _, c := range s.Classes {
 		if c.LatencyObjective <= 0 || c.TotalTimeout <= 0 {
-			return fmt.Errorf("class %q: aim and hard limit must be positive", c.Name)
+			return fmt.Errorf("class %q: aim and hard limit must be positive, got %v ms and %v ms",
+				c.Name, c.LatencyObjective, c.TotalTimeout)
 		}
 		if c.Idempotency == IdempotentWithKey && c.DedupWindow <= 0 {
-			return fmt.Errorf("class %q: a keyed class needs a window", c.Name)
+			return fmt.Errorf("class %q: a keyed class needs a window above 0, got %v ms", c.Name, c.DedupWindow)
 		}
 	}
 	return nil
--- a/balancer/statetransfer.go
+++ b/balancer/statetransfer.go
@@ -2,20 +2,19 @@
 
 import "math"
 
-// What two processes that are one node during an upgrade hand over. The JSON names are the form
-// between versions: a process of an old version hands over to one of a new version, so they never
-// change.
+// During an upgrade, the old process of a node transfers its state to the new one. The JSON names must
+// never change, because the two processes may have different versions.
 
-// State is what a node knows. Times are the node's clock's, in Unix milliseconds.
+// State is the measured state of a node. Times are those of the node's clock, in Unix milliseconds.
 type State struct {
 	UnitTime       Millis  `json:"Unit"`
-	Pace           float64 `json:"Pace"`
+	SlowdownFactor float64 `json:"Pace"`
 	Parallelism    float64 `json:"Width"`
 	ReportLag      Millis  `json:"Lag"`
 	MeanWorkHint   Millis  `json:"HintMean"`
 	OthersLoad     float64 `json:"Crowd"`
 	ProbeRoundTrip Millis  `json:"ProbeTook"`
-	Acceptance     float64 `json:"Ease"` // of load probes
+	Acceptance     float64 `json:"Ease"` // fraction of load probes that servers accept
 	RetryTokens    float64 `json:"Retries"`
 	ProbeTokens    float64 `json:"Probes"`
 
@@ -24,7 +23,7 @@
 	Tenants map[string]TenantRecord `json:"Tenants"`
 }
 
-// ServerRecord is what a node knows of one server.
+// ServerRecord is the measured state of one server.
 type ServerRecord struct {
 	ID                  ServerID           `json:"ID"`
 	Started             Millis             `json:"Started"`
@@ -40,17 +39,17 @@
 	OthersAverage       float64            `json:"OthersAvg"`
 	ReportedAt          Millis             `json:"ReportAt"`
 	ConsecutiveFailures int                `json:"Failures"`
-	Successes           []int              `json:"Ok"` // by bucket of the error window
+	Successes           []int              `json:"Ok"` // for each bucket of the error window
 	Failures            []int              `json:"Fail"`
-	Buckets             []int64            `json:"Seconds"` // the buckets' indexes
+	Buckets             []int64            `json:"Seconds"` // index of each bucket
 	Recent              []bool             `json:"Recent"`  // oldest first
-	Budget              float64            `json:"Budget"`  // of its slow start
+	Budget              float64            `json:"Budget"`  // slow start budget
 	BudgetAt            Millis             `json:"BudgetAt"`
 	ClassFailures       map[string]float64 `json:"Bad"`
 	ClassFailureAt      map[string]Millis  `json:"BadAt"`
 }
 
-// ClassRecord is what was asked for and served of a class.
+// ClassRecord is the requested and the served priority weight of a class, and its longest client timeout.
 type ClassRecord struct {
 	Asked          float64 `json:"Asked"`
 	Served         float64 `json:"Served"`
@@ -58,23 +57,23 @@
 	LongestTimeout Millis  `json:"LongestTry"`
 }
 
-// TenantRecord is what was asked for and served of a tenant, and its rate.
+// TenantRecord is the requested and the served priority weight of a tenant, and its request rate.
 type TenantRecord struct {
 	Asked   float64 `json:"Asked"`
 	Served  float64 `json:"Served"`
 	At      Millis  `json:"At"`
-	Rate    float64 `json:"Rate"` // first attempts a second
+	Rate    float64 `json:"Rate"` // first attempts per second
 	RateAt  Millis  `json:"RateAt"`
-	Quota   float64 `json:"Quota"` // tokens left
+	Quota   float64 `json:"Quota"` // available tokens
 	QuotaAt Millis  `json:"QuotaAt"`
 }
 
-// Snapshot is what the node knows. What is left of the slow start budgets is split between the two
-// processes once SiblingProcesses has told of both, so that they can't spend it twice.
+// Snapshot returns the state to transfer. The slow start budgets in it are already halved if a
+// SiblingProcesses event has reported two processes, so that the two can't spend the same budget twice.
 func (b *Balancer) Snapshot() State {
 	state := State{
 		UnitTime:       b.estimate.unitTime,
-		Pace:           b.estimate.pace,
+		SlowdownFactor: b.estimate.pace,
 		Parallelism:    b.estimate.parallelism,
 		ReportLag:      b.estimate.reportLag,
 		MeanWorkHint:   b.estimate.meanWorkHint,
@@ -87,11 +86,12 @@
 		Tenants:        map[string]TenantRecord{},
 	}
 	for name, c := range b.classes {
-		state.Classes[name] = ClassRecord{Asked: c.asked, Served: c.served, At: c.at, LongestTimeout: c.longestTimeout}
+		state.Classes[name] = ClassRecord{Asked: c.requested, Served: c.served, At: c.updatedAt,
+			LongestTimeout: c.longestTimeout}
 	}
 	for name, t := range b.tenants {
-		state.Tenants[name] = TenantRecord{Asked: t.asked, Served: t.served, At: t.at, Rate: t.rate, RateAt: t.rateAt,
-			Quota: t.quota.left, QuotaAt: t.quota.refilledAt}
+		state.Tenants[name] = TenantRecord{Asked: t.requested, Served: t.served, At: t.updatedAt, Rate: t.rate,
+			RateAt: t.rateAt, Quota: t.quota.left, QuotaAt: t.quota.refilledAt}
 	}
 	for _, s := range b.servers.known {
 		state.Servers = append(state.Servers, b.serverRecord(s))
@@ -135,8 +135,8 @@
 	return record
 }
 
-// Shift moves all times by a span: the clock of the process that takes the state over is ahead of the
-// other one's by so much. Start times are discovery's and stay.
+// Shift adds a duration to all times: the difference by which the clock of the receiving process is ahead
+// of the sender's. Start times of servers come from discovery and stay unchanged.
 func (s *State) Shift(by Millis) {
 	buckets := int64(math.Round(by / outcomeBucketLength))
 	for i := range s.Servers {
--- a/balancer/statetransfer_fixture_test.go
+++ b/balancer/statetransfer_fixture_test.go
@@ -55,19 +55,19 @@
 		t.Fatal(err)
 	}
 	for _, part := range []string{"Unit", "Pace", "Width", "Lag", "HintMean", "Crowd", "ProbeTook", "Ease", "Retries", "Probes", "Classes", "Tenants"} {
-		if a, b := member(t, raw, part), member(t, got, part); !bytes.Equal(a, b) {
+		if a, b := jsonMember(t, raw, part), jsonMember(t, got, part); !bytes.Equal(a, b) {
 			t.Errorf("%s was %s, is taken over as %s", part, a, b)
 		}
 	}
 	want := map[ServerID]json.RawMessage{}
-	for _, s := range records(t, raw) {
+	for _, s := range serverRecords(t, raw) {
 		want[s.id] = s.text
 	}
 	same := 0
-	for _, s := range records(t, got) {
+	for _, s := range serverRecords(t, got) {
 		if w, ok := want[s.id]; ok && bytes.Equal(w, s.text) {
 			same++
-		} else if ok && started(t, w) == started(t, s.text) {
+		} else if ok && startTime(t, w) == startTime(t, s.text) {
 			t.Errorf("server %s was\n%s\nis taken over as\n%s", s.id, w, s.text)
 		}
 	}
@@ -76,13 +76,13 @@
 	}
 }
 
-// serverText is one server's record as it stands in the file.
-type serverText struct {
+// serverJSON is one server's record as it stands in the file.
+type serverJSON struct {
 	id   ServerID
 	text json.RawMessage
 }
 
-func member(t *testing.T, raw []byte, name string) json.RawMessage {
+func jsonMember(t *testing.T, raw []byte, name string) json.RawMessage {
 	t.Helper()
 	var all map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &all); err != nil {
@@ -91,24 +91,24 @@
 	return all[name]
 }
 
-func records(t *testing.T, raw []byte) []serverText {
+func serverRecords(t *testing.T, raw []byte) []serverJSON {
 	t.Helper()
 	var all []json.RawMessage
-	if err := json.Unmarshal(member(t, raw, "Servers"), &all); err != nil {
+	if err := json.Unmarshal(jsonMember(t, raw, "Servers"), &all); err != nil {
 		t.Fatal(err)
 	}
-	var out []serverText
+	var out []serverJSON
 	for _, text := range all {
 		var id struct{ ID ServerID }
 		if err := json.Unmarshal(text, &id); err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, serverText{id.ID, text})
+		out = append(out, serverJSON{id.ID, text})
 	}
 	return out
 }
 
-func started(t *testing.T, raw json.RawMessage) float64 {
+func startTime(t *testing.T, raw json.RawMessage) float64 {
 	t.Helper()
 	var at struct{ Started float64 }
 	if err := json.Unmarshal(raw, &at); err != nil {
--- a/balancer/statetransfer_fuzz_test.go
+++ b/balancer/statetransfer_fuzz_test.go
@@ -33,7 +33,7 @@
 			}
 			b.pass(250)
 		}
-		checkNumbers(t, b.balancer)
+		failOnNaN(t, b.balancer)
 		if _, err := json.Marshal(b.balancer.Snapshot()); err != nil {
 			t.Errorf("the state cannot be handed on: %v", err)
 		}
--- a/balancer/statetransfer_test.go
+++ b/balancer/statetransfer_test.go
@@ -129,7 +129,7 @@
 				served++
 			}
 		}
-		checkNumbers(t, next.balancer)
+		failOnNaN(t, next.balancer)
 		if served != 20 {
 			t.Errorf("%s: %d of 20 requests are served", name, served)
 		}
--- a/balancer/tenantquota.go
+++ b/balancer/tenantquota.go
@@ -3,35 +3,35 @@
 import "math"
 
 const (
-	// tenantRateTimeConstant, in ms, is the time constant of the tenants' rates.
+	// tenantRateTimeConstant, in ms, is the decay time constant of the tenants' request rates.
 	tenantRateTimeConstant = 3000.0
-	// msPerSecond converts rates a second to rates a millisecond.
+	// msPerSecond converts rates per second to rates per millisecond.
 	msPerSecond = 1000
 )
 
-// tenantState is one tenant and what this node knows of it.
+// tenantState is one tenant with this node's measurements.
 type tenantState struct {
 	Tenant
-	servedShare
-	rate   float64 // first attempts a second, smoothed
+	servedFraction
+	rate   float64 // first attempts per second, smoothed
 	rateAt Millis
-	quota  tokenBucket // of this node's part of the quota
+	quota  tokenBucket // this node's fraction of the quota
 }
 
-// overQuota records a first attempt of a tenant and reports whether the tenant is over its quota. A
-// node that sees more than its part of all traffic takes a larger part of each quota.
+// overQuota records a first attempt of a tenant and reports whether the tenant is over its quota. A node
+// that receives more than an equal fraction of the traffic uses a larger fraction of each quota.
 func (b *Balancer) overQuota(t *tenantState) bool {
 	quota := t.Quota * b.nodeQuotaFraction()
 	t.quota.refill(b.now, quota/msPerSecond, quota)
-	kept := math.Exp(-(b.now - t.rateAt) / tenantRateTimeConstant)
-	t.rate = t.rate*kept + msPerSecond/tenantRateTimeConstant
+	decay := math.Exp(-(b.now - t.rateAt) / tenantRateTimeConstant)
+	t.rate = t.rate*decay + msPerSecond/tenantRateTimeConstant
 	t.rateAt = b.now
 	return !t.quota.take()
 }
 
-// nodeQuotaFraction is this node's part of the tenants' quotas: the part of all traffic inside
-// quotas that it sees, and never more than the whole. With all tenants over their quotas the
-// loudest must not raise its own.
+// nodeQuotaFraction returns this node's fraction of the tenants' quotas: the request rate at this node
+// divided by the sum of all quotas, but at least an equal fraction for each process and at most 1. The
+// limit of 1 prevents the busiest tenant from raising its own quota when all tenants exceed theirs.
 func (b *Balancer) nodeQuotaFraction() float64 {
 	rate, quota := 0.0, 0.0
 	for _, tenant := range b.settings.Tenants {
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -2,26 +2,26 @@
 
 import "math"
 
-// tokenBucket is an allowance that refills with time (refill) or by events (earn).
+// tokenBucket is a token bucket that is refilled with time (refill) or by events (earn).
 type tokenBucket struct {
-	left       float64
+	left       float64 // available tokens
 	refilledAt Millis
 }
 
-// refill adds what has accrued since the last refill at the given rate per millisecond, up to
-// capacity, and returns what is left.
+// refill adds the tokens that have accrued since the last refill, at the given rate per millisecond and up
+// to capacity, and returns the available tokens.
 func (t *tokenBucket) refill(now Millis, rate, capacity float64) float64 {
 	t.left = min(capacity, t.left+rate*(now-t.refilledAt))
 	t.refilledAt = now
 	return t.left
 }
 
-// refillPhased refills an allowance of which at most capacity may be saved.
+// refillPhased refills a bucket that may save at most capacity tokens, where capacity may be below 1.
 //
-// Where less than one token may be saved, a token that has accrued is usable only for the fraction
-// capacity of the time until the next one accrues, and lapses then. With random phases, the nodes
-// that hold a token at any moment number about capacity times the nodes, which is what all may save
-// together. Otherwise all nodes could save a token each and spend them at the same moment.
+// If capacity is below 1, an accrued token is usable only for a limited time: for the fraction capacity of
+// the time in which the next token accrues. Then it expires. If the nodes start with random fill levels,
+// the fraction of nodes with a usable token at any moment is about capacity, so the fleet saves only what
+// it may save in total. Otherwise every node could save a token, and all could spend them at the same time.
 func (t *tokenBucket) refillPhased(now Millis, rate, capacity float64) float64 {
 	t.refill(now, rate, math.Inf(1))
 	if capacity >= 1 {
@@ -37,12 +37,12 @@
 	return t.left
 }
 
-// earn adds an amount, up to capacity. A bucket that is filled by events is not refilled with time.
+// earn adds tokens for an event, up to capacity. A bucket uses either earn or refill, never both.
 func (t *tokenBucket) earn(amount, capacity float64) {
 	t.left = min(capacity, t.left+amount)
 }
 
-// take spends one token, if there is one.
+// take spends one token and reports whether one was available.
 func (t *tokenBucket) take() bool {
 	if t.left < 1 {
 		return false
