--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -80,7 +80,7 @@
 	if r.tenant != nil && r.tenant.Quota > 0 {
 		r.overQuota = b.overQuota(r.tenant)
 	}
-	b.addToServedFractions(r, func(f *servedFraction, weight float64) { f.requested += weight })
+	b.addToServedFractions(r, func(s *servedFraction, weight float64) { s.requested += weight })
 }
 
 // rejectedOnArrival reports whether a request is rejected before any server is considered, and the reason.
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -34,7 +34,7 @@
 	s := a.server
 	b.closeAttempt(r, a, e.Outcome)
 	b.recordLoadReport(s, e.Report)
-	if e.Outcome == OK { // a report without this attempt was older than the attempt
+	if e.Outcome == OK { // a load report that omitted this attempt was older than the attempt
 		b.estimate.reportLag += reportLagSmoothing * (a.missingAfter - b.estimate.reportLag)
 	}
 	b.recordAttemptOutcome(s, r, a, e.Outcome, e.Elapsed)
@@ -46,7 +46,7 @@
 		b.forgetIfFinished(r)
 	case e.RequestFinished || e.Outcome == OK:
 		if e.Outcome == OK && b.now <= r.objectiveAt {
-			b.addToServedFractions(r, func(f *servedFraction, weight float64) { f.served += weight })
+			b.addToServedFractions(r, func(s *servedFraction, weight float64) { s.served += weight })
 		}
 		b.finishRequest(r)
 	case r.openAttempts == 0 && !r.queued:
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -4,8 +4,9 @@
 	"testing"
 )
 
-// A slow answer is mostly a heavy request: cancelling it throws its work away, a copy doubles it.
-func TestSlowAttemptIsNotCancelled(t *testing.T) {
+// A slow answer usually belongs to a heavy request. Cancelling the attempt would waste the server's work,
+// and a second attempt would double it.
+func TestSlowAttemptIsNeitherCancelledNorRepeated(t *testing.T) {
 	set := settings()
 	b := newTestNode(t, set, testEndpoints(2)...)
 	for i := 0; i < 40; i++ {
@@ -15,32 +16,31 @@
 	b.actions = nil
 	b.pass(1000)
 	if n := count[CancelAttempt](b.actions) + count[StartAttempt](b.actions); n != 0 {
-		t.Errorf("%d cancelled or sent again while the answer may still come", n)
+		t.Errorf("attempts cancelled or started while one is in flight = %d, want 0", n)
 	}
 }
 
-// TestRetryHasWriteDeadlineWithinWindow: a repeat says until when it may be written, which is the
-// end of the window of the first copy that may have run; first copies, and those of other classes,
-// have no such end.
-func TestRetryHasWriteDeadlineWithinWindow(t *testing.T) {
+// A retry with an idempotency key must be written before the dedup window of the first attempt ends, since
+// servers drop repeats only until then. First attempts and other classes have no write deadline.
+func TestRetryWriteDeadlineIsEndOfDedupWindow(t *testing.T) {
 	for class, want := range map[string]Millis{"put": 1000, "read": 0} {
 		b := newTestNode(t, settings(), Endpoint{ID: "s0", Zone: "z", Capacity: 1}, Endpoint{ID: "s1", Zone: "z", Capacity: 1})
-		began := b.now
+		sentAt := b.now
 		id, acts := b.arrive(class, 2000)
 		first := acts[len(acts)-1].(StartAttempt)
 		b.now += 100
 		acts = b.end(id, 0, first.Server, ConnectionLost, 100)
-		var again StartAttempt
+		var retry StartAttempt
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok {
-				again = s
+				retry = s
 			}
 		}
 		if want > 0 {
-			want += began
+			want += sentAt
 		}
-		if first.WriteDeadline != 0 || again.Server == "" || again.WriteDeadline != want {
-			t.Errorf("%s: first %+v, repeat %+v, want it whole by %v", class, first, again, want)
+		if first.WriteDeadline != 0 || retry.Server == "" || retry.WriteDeadline != want {
+			t.Errorf("class %s: first attempt %+v, retry %+v, want write deadlines 0 and %v", class, first, retry, want)
 		}
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestSameEventsSameActions(t *testing.T) {
+// The same settings, seed and events must always give the same actions.
+func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() []Action {
 		b := newTestNode(t, settings(), testEndpoints(5)...)
 		for i := 0; i < 200; i++ {
@@ -19,6 +20,6 @@
 		return b.actions
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Error("two runs differ")
+		t.Error("two runs with the same events returned different actions")
 	}
 }
--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -13,23 +13,21 @@
 	"testing"
 )
 
-// A change that is meant to alter the shape of the code and not its decisions is checked here:
-// seeded sequences of events are played through Step, and the actions that come back are compared,
-// by one checksum for each sequence, with those that were recorded before the change. The recorded
-// form names no Go identifier, so renaming cannot alter it. Texts of log lines are left out: their
-// wording may change, their number and place may not.
+// This test detects refactorings that change decisions by accident. It passes seeded sequences of events to
+// Step and compares a checksum of the returned actions, one for each sequence, with the checksum recorded
+// before the change. The checksums contain no Go identifiers, so renaming doesn't change them. They contain
+// the number and position of log lines, but not their text.
 
-// The files and the sizes of the record.
+// File and size of the recording.
 const (
 	recordedFile      = "testdata/characterization.txt"
 	recordedSequences = 120
 	eventsPerSequence = 400
 )
 
-var record = flag.Bool("record", false, "write "+recordedFile+" anew: only for a change that is meant to alter decisions")
+var record = flag.Bool("record", false, "write "+recordedFile+" again: only for a change that intentionally changes decisions")
 
-// TestDecisionsAreAsRecorded plays each seeded sequence and compares its checksum with the recorded
-// one.
+// TestDecisionsAreAsRecorded plays each seeded sequence and compares its checksum with the recorded one.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	var lines []string
 	kinds := map[string]int{}
@@ -43,7 +41,7 @@
 	}
 	for _, kind := range []string{"send", "cancel", "refuse", "fail", "timer", "probe", "watch", "tell", "log"} {
 		if kinds[kind] < 20 {
-			t.Errorf("the sequences bring %d actions of kind %s: the check hardly sees it", kinds[kind], kind)
+			t.Errorf("actions of kind %s in all sequences = %d, want at least 20", kind, kinds[kind])
 		}
 	}
 	if *record {
@@ -61,18 +59,19 @@
 	recorded := bufio.NewScanner(file)
 	for _, line := range lines {
 		if !recorded.Scan() {
-			t.Fatalf("%s ends early", recordedFile)
+			t.Fatalf("%s has fewer lines than there are sequences, want %d", recordedFile, len(lines))
 		}
 		if recorded.Text() != line {
-			t.Errorf("sequence decides otherwise: recorded %q, now %q", recorded.Text(), line)
+			t.Errorf("decisions changed: got %q, want %q as recorded", line, recorded.Text())
 		}
 	}
 	if recorded.Scan() {
-		t.Errorf("%s has further lines", recordedFile)
+		t.Errorf("%s has more lines than there are sequences, want %d", recordedFile, len(lines))
 	}
 }
 
-// sequencePlayer plays one seeded sequence: a random client, network and discovery around one module.
+// sequencePlayer plays one seeded sequence. It simulates random clients, servers, nodes and discovery for one
+// Balancer.
 type sequencePlayer struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -93,7 +92,7 @@
 	pendingBodies []RequestID
 }
 
-// openAttempt is an attempt whose outcome is still to come.
+// openAttempt is an attempt without an outcome yet.
 type openAttempt struct {
 	id     RequestID
 	number int
@@ -105,15 +104,15 @@
 	t.Helper()
 	p := &sequencePlayer{t: t, rng: rand.New(rand.NewPCG(seed, 0x7ac4)), now: 1000 + float64(seed%7)*1e5, kinds: map[string]int{},
 		attemptCounts: map[RequestID]int{}, finished: map[RequestID]bool{}, timers: map[string]Millis{}}
-	sum := fnv.New64a()
-	p.checksum = sum
-	p.addToChecksum = func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
+	checksum := fnv.New64a()
+	p.checksum = checksum
+	p.addToChecksum = func(format string, args ...any) { fmt.Fprintf(checksum, format+"\n", args...) }
 	p.set = p.randomSettings()
-	l, err := New(p.set, seed*31+7)
+	lb, err := New(p.set, seed*31+7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.balancer = l
+	p.balancer = lb
 	for i := range 2 + p.rng.IntN(14) {
 		p.servers = append(p.servers, Endpoint{ID: ServerID(fmt.Sprintf("s%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 4,
 			Capacity: 1 + float64(i%3)/2})
@@ -155,7 +154,7 @@
 	}
 }
 
-// recordAction adds an action to the checksum and keeps what answers it later.
+// recordAction adds an action to the checksum and stores what is needed for a later event that answers it.
 func (p *sequencePlayer) recordAction(a Action) {
 	kind := ""
 	switch a := a.(type) {
@@ -213,7 +212,7 @@
 	p.writeState()
 }
 
-// fireTimers fires those that are due, in the order of their names.
+// fireTimers fires the timers that are due, in the order of their tokens.
 func (p *sequencePlayer) fireTimers() {
 	for _, token := range []string{"ask", "probes", "sweep"} {
 		if at, set := p.timers[token]; set && at <= p.now {
@@ -223,7 +222,7 @@
 	}
 }
 
-// writeState adds what the module knows at the end, in the form in which it is handed over.
+// writeState adds the final state to the checksum, in the JSON format of a state transfer.
 func (p *sequencePlayer) writeState() {
 	raw, err := json.Marshal(p.balancer.Snapshot())
 	if err != nil {
@@ -307,17 +306,17 @@
 	return LoadReport{Valid: p.rng.IntN(3) > 0, InFlight: float64(p.rng.IntN(9)), QueueKnown: p.coinFlip(), Queued: float64(p.rng.IntN(4))}
 }
 
-func (p *sequencePlayer) endAttempt(i int, result Outcome) {
+func (p *sequencePlayer) endAttempt(i int, outcome Outcome) {
 	a := p.openAttempts[i]
 	p.openAttempts = append(p.openAttempts[:i], p.openAttempts[i+1:]...)
-	if phase := int(p.now/3000) % 3; a.server == "s01" && phase > 0 { // one server is bad, some of the time, so that ejections, trials and readmissions come about
-		result = Errored
+	if phase := int(p.now/3000) % 3; a.server == "s01" && phase > 0 { // one server fails in some phases, to cause ejections, trials and readmissions
+		outcome = Errored
 	}
-	closed := result == OK || p.finished[a.id]
+	closed := outcome == OK || p.finished[a.id]
 	if closed {
 		p.finished[a.id] = true
 	}
-	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: result, Elapsed: max(0.2, p.now-a.at), RequestFinished: closed, Report: p.randomLoadReport()})
+	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: outcome, Elapsed: max(0.2, p.now-a.at), RequestFinished: closed, Report: p.randomLoadReport()})
 }
 
 func (p *sequencePlayer) probeEnd() {
@@ -339,7 +338,7 @@
 	case 2:
 		p.step(EndpointUpdate{Kind: FullUpdate, Endpoints: p.servers})
 	case 3:
-		s.Started = p.now + 500 - 3000*p.rng.Float64() // the wall clocks may differ
+		s.Started = p.now + 500 - 3000*p.rng.Float64() // may be in the future, because wall clocks may differ
 		s.State = Ready
 		p.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{*s}})
 	case 4:
@@ -354,12 +353,13 @@
 	}
 }
 
-// receiveGossip is one of another node: a well-formed one of each kind, or noise.
+// receiveGossip delivers a gossip message from another node: a valid one of either kind, or one of an unknown
+// kind.
 func (p *sequencePlayer) receiveGossip() {
 	body := []byte{0x10 | byte(p.rng.IntN(3))}
 	for range p.rng.IntN(5) {
-		name := uint16(stableHash(string(p.servers[p.rng.IntN(len(p.servers))].ID)))
-		body = append(body, byte(name>>8), byte(name), byte(p.rng.IntN(9)))
+		tag := uint16(stableHash(string(p.servers[p.rng.IntN(len(p.servers))].ID)))
+		body = append(body, byte(tag>>8), byte(tag), byte(p.rng.IntN(9)))
 		if body[0] == 0x11 {
 			body = append(body, byte(p.rng.IntN(9)))
 		}
@@ -367,14 +367,14 @@
 	p.step(GossipReceived{From: p.rng.IntN(6), Body: body})
 }
 
-// transferState continues with a new module that takes over what the old one knows, or with a copy of it.
+// transferState continues with a clone of the balancer, or restores the balancer's own state.
 func (p *sequencePlayer) transferState() {
 	if p.coinFlip() {
-		c, err := p.balancer.Clone(p.set)
+		clone, err := p.balancer.Clone(p.set)
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		p.balancer = c
+		p.balancer = clone
 		return
 	}
 	p.step(StateTransferred{State: p.balancer.Snapshot()})
--- a/balancer/clone_test.go
+++ b/balancer/clone_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// While two processes are one node, each has half of the node's part of the fleet's budgets. A copy that took the fleet for half as
-// large would compare other settings, or the same ones, by budgets twice as large.
-func TestCloneKeepsTheFleetSizeOfAnUpgrade(t *testing.T) {
+// During an upgrade each of a node's two processes may use half of the node's budgets. A clone that ignored the second process would
+// decide with budgets that are twice as large, and a shadow evaluation of settings would give wrong results.
+func TestCloneDuringUpgradeCountsBothProcesses(t *testing.T) {
 	set := settings()
 	set.Nodes = 30
 	larger := set
@@ -23,11 +23,11 @@
 			t.Fatal(err)
 		}
 		if got := clone.fleetDivisor(); got != float64(c.size) {
-			t.Errorf("%s: budgets are divided by %v, want %d", name, got, c.size)
+			t.Errorf("%s: fleetDivisor() = %v, want %d", name, got, c.size)
 		}
 		clone.Step(b.now, SiblingProcesses{1})
 		if got := clone.fleetDivisor(); got != float64(c.size)/2 {
-			t.Errorf("%s, after the upgrade: budgets are divided by %v, want %d", name, got, c.size/2)
+			t.Errorf("%s, after the upgrade: fleetDivisor() = %v, want %d", name, got, c.size/2)
 		}
 	}
 }
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -157,7 +157,7 @@
 func (b *Balancer) newServer(entry Endpoint, live bool) *server {
 	s := &server{Endpoint: entry, zoneFailures: b.zoneRecord(entry.Zone)}
 	s.slowStart.since = b.slowStartBegin(entry.Started, live)
-	// Each node starts with a random part of a token, so that the first requests of all nodes are spread.
+	// Each node starts with a random fraction of a token, so that their first requests are spread over time.
 	s.slowStart.budget = tokenBucket{left: b.rng.Float64(), refilledAt: b.now}
 	s.timing.outcomeAt = b.now
 	s.timing.unitTime = b.typicalUnitTime(s)
--- a/balancer/fairness.go
+++ b/balancer/fairness.go
@@ -18,9 +18,9 @@
 }
 
 func (s *servedFraction) decay(now Millis) {
-	kept := math.Exp(-(now - s.updatedAt) / servedFractionTimeConstant)
-	s.requested *= kept
-	s.served *= kept
+	decayFactor := math.Exp(-(now - s.updatedAt) / servedFractionTimeConstant)
+	s.requested *= decayFactor
+	s.served *= decayFactor
 	s.updatedAt = now
 }
 
--- a/balancer/fairness_test.go
+++ b/balancer/fairness_test.go
@@ -4,14 +4,15 @@
 	"testing"
 )
 
-// Fairness: with one tenant far over its share, the other's requests go first.
-func TestTenantInsideQuotaIsServedUnderShortage(t *testing.T) {
+// While the server is overloaded by a tenant far over its quota, the requests of a tenant within its quota
+// go first.
+func TestTenantWithinQuotaIsServedFirstUnderOverload(t *testing.T) {
 	set := settings()
 	set.Goal = GoalWeights{Overall: 0.7, WorstTenant: 0.3}
 	set.Tenants = []Tenant{{Name: "loud", Quota: 10}, {Name: "meek", Quota: 10}}
 	b := newTestNode(t, set, testEndpoints(1)...)
 	tenant, sent := map[RequestID]string{}, map[string]int{}
-	for i := 0; i < 400; i++ { // ten times as many from the one as from the other
+	for i := 0; i < 400; i++ { // ten times as many from one tenant as from the other
 		b.next++
 		name := "loud"
 		if i%11 == 0 {
@@ -31,8 +32,8 @@
 			}
 		}
 	}
-	meek, loud := float64(sent["meek"])/36, float64(sent["loud"])/364
-	if meek < 0.5 || meek < 2*loud {
-		t.Errorf("served %.0f%% of the meek tenant's and %.0f%% of the loud one's", 100*meek, 100*loud)
+	withinQuota, overQuota := float64(sent["meek"])/36, float64(sent["loud"])/364
+	if withinQuota < 0.5 || withinQuota < 2*overQuota {
+		t.Errorf("tenant within quota: %.0f%% served, tenant over quota: %.0f%% served; want at least 50%% and twice as much", 100*withinQuota, 100*overQuota)
 	}
 }
--- a/balancer/finite_test.go
+++ b/balancer/finite_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// findNaN returns the path to a field that holds NaN, among everything that a value refers to; empty where there is none.
+// findNaN searches a value and everything it refers to for NaN. It returns the path of the first NaN; empty if there is none.
 func findNaN(path string, v reflect.Value, visited map[uintptr]bool) string {
 	switch v.Kind() {
 	case reflect.Float64:
@@ -44,8 +44,8 @@
 	return ""
 }
 
-// failOnNaN fails the test where the balancer holds what is no number: NaN spreads, and a budget or score that has become one never
-// allows anything again.
+// failOnNaN fails the test if the balancer's state contains NaN. NaN spreads through calculations, and a budget or score that is NaN never
+// recovers.
 func failOnNaN(t *testing.T, b *Balancer) {
 	t.Helper()
 	if path := findNaN("balancer", reflect.ValueOf(b), map[uintptr]bool{}); path != "" {
@@ -53,35 +53,35 @@
 	}
 }
 
-// The check itself is tried on a value that hides NaN in each way a balancer could.
-func TestNaNIsFound(t *testing.T) {
+// findNaN must detect NaN behind each kind of reference that the balancer's state uses.
+func TestFindNaNInNestedValues(t *testing.T) {
 	type inner struct{ value float64 }
 	for name, v := range map[string]any{
 		"pointer": &inner{math.NaN()}, "slice": []inner{{1}, {math.NaN()}}, "map": map[string]*inner{"a": {math.NaN()}}, "array": [1]float64{math.NaN()},
 		"interface": []any{inner{math.NaN()}},
 	} {
 		if findNaN("", reflect.ValueOf(v), map[uintptr]bool{}) == "" {
-			t.Errorf("not found behind a %s", name)
+			t.Errorf("findNaN missed NaN in: %s", name)
 		}
 	}
 	if path := findNaN("", reflect.ValueOf([]float64{0, math.Inf(1)}), map[uintptr]bool{}); path != "" {
-		t.Errorf("%s was taken for NaN", path)
+		t.Errorf("findNaN = %q for a value without NaN, want an empty path", path)
 	}
 }
 
-// Answers after exactly 0 ms made the typical unit time 0, and with it a warming server's budget, the ration of explorations and the load
-// of other nodes no numbers; the warming server got nothing for the whole of its slow start.
-func TestAnswersAfterNoTimeLeaveNumbers(t *testing.T) {
+// Answers after exactly 0 ms once made the typical unit time 0. Divisions by it turned slow start budgets, the exploration budget and the
+// estimated load of other nodes into NaN, and a server got no requests during its whole slow start.
+func TestAnswersAfterZeroTimeCauseNoNaN(t *testing.T) {
 	set := settings()
 	set.LoadReports = true
 	b := newTestNode(t, set, testEndpoints(2)...)
-	warming := Endpoint{ID: "cold", Zone: "z", Capacity: 1}
+	starting := Endpoint{ID: "cold", Zone: "z", Capacity: 1}
 	for i := range 20 {
 		if i == 5 {
-			warming.Started = b.now
-			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{warming}})
+			starting.Started = b.now
+			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{starting}})
 		}
-		for range 2 { // two at the same time
+		for range 2 { // two requests at the same time
 			id, acts := b.arrive("read", 2000)
 			if server := sentTo(acts); server != "" {
 				b.step(AttemptCompleted{ID: id, Server: server, Outcome: OK, RequestFinished: true, Report: LoadReport{Valid: true, InFlight: 1}})
@@ -98,6 +98,6 @@
 		}
 	}
 	if served == 0 {
-		t.Error("the warming server gets nothing")
+		t.Error("server in slow start served 0 of 200 requests, want some")
 	}
 }
--- a/balancer/fleetquota.go
+++ b/balancer/fleetquota.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// fleetLimits are the limits that apply to the fleet as a whole, and this process's fraction of them.
+// fleetLimits are the limits of the fleet and this node's quota of the fleet-wide budgets.
 type fleetLimits struct {
 	processes        int                // processes of this node: two during an upgrade
 	size             int                // processes of the fleet, assuming as many in every node
--- a/balancer/fleetquota_test.go
+++ b/balancer/fleetquota_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// A FleetQuota replaces the even part at the moment of use: it runs out by itself, and without
-// any nothing goes to a warming server.
-func TestFleetQuota(t *testing.T) {
+// A FleetQuota replaces this node's equal fraction of the slow start budgets. It expires at Until without a
+// further event, and a fraction of 0 allows no requests to a server in slow start.
+func TestFleetQuotaSetsSlowStartRate(t *testing.T) {
 	set := settings()
 	set.Nodes = 10
 	b := newTestNode(t, set, Endpoint{ID: "cold", Capacity: 1, Started: 99999})
-	cold := b.balancer.servers.byID["cold"]
-	tenth := b.balancer.slowStartRate(cold)
-	near := func(what string, got, want float64) {
+	starting := b.balancer.servers.byID["cold"]
+	evenRate := b.balancer.slowStartRate(starting)
+	checkRate := func(name string, got, want float64) {
 		t.Helper()
-		if math.Abs(got-want) > 1e-9*tenth {
-			t.Errorf("%s: %v a millisecond, want %v", what, got, want)
+		if math.Abs(got-want) > 1e-9*evenRate {
+			t.Errorf("%s: slow start rate = %v per ms, want %v", name, got, want)
 		}
 	}
 	b.step(FleetQuota{Current: 0.25, Until: b.now, After: 0.05})
-	near("run out", b.balancer.slowStartRate(cold), tenth/2)
+	checkRate("expired quota", b.balancer.slowStartRate(starting), evenRate/2)
 	b.step(FleetQuota{Current: 0.25, Until: b.now + 1, After: 0.05})
-	near("a quarter", b.balancer.slowStartRate(cold), 2.5*tenth)
+	checkRate("quota of a quarter", b.balancer.slowStartRate(starting), 2.5*evenRate)
 	b.step(SiblingProcesses{2})
-	near("one of two processes", b.balancer.slowStartRate(cold), 1.25*tenth)
+	checkRate("one of two processes", b.balancer.slowStartRate(starting), 1.25*evenRate)
 	b.step(FleetQuota{})
-	if cold.slowStart.budget.left = 5; b.balancer.slowStartRate(cold) != 0 || b.balancer.slowStartAllows(cold, 1) {
-		t.Errorf("room at %v with no share at all", b.balancer.slowStartRate(cold))
+	if starting.slowStart.budget.left = 5; b.balancer.slowStartRate(starting) != 0 || b.balancer.slowStartAllows(starting, 1) {
+		t.Errorf("slow start rate = %v with a quota of 0, want 0 and no requests allowed", b.balancer.slowStartRate(starting))
 	}
 }
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// contractChecker checks the contractChecker from outside: one final answer, no effect twice, nothing to a server
-// known to drain, no two attempts at once, attempts within the cap.
+// contractChecker checks the balancer's guarantees from its events and actions: one final answer for each request, no
+// repeat that could take effect twice, no request to a draining server, one attempt at a time, and the maximum of attempts.
 type contractChecker struct {
 	t          *testing.T
 	set        Settings
@@ -28,91 +28,92 @@
 	mayHaveRun bool
 }
 
-func (k *contractChecker) check(now Millis, acts []Action) {
+func (c *contractChecker) check(now Millis, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case StartAttempt:
-			k.checkAttempt(now, a)
+			c.checkAttempt(now, a)
 		case Reject:
-			e := k.requests[a.ID]
+			e := c.requests[a.ID]
 			for _, s := range e.attempts {
 				if s.mayHaveRun && e.class.Idempotency == NonIdempotent || (s.mayHaveRun || s.open) && e.class.Idempotency == IdempotentWithKey {
-					k.t.Fatalf("rejected %d though attempt at %s may have run", a.ID, s.server)
+					c.t.Fatalf("request %d was rejected, want a failure: its attempt at %s may have run", a.ID, s.server)
 				}
 			}
 			e.finalAnswers++
 		case Fail:
-			k.requests[a.ID].finalAnswers++
+			c.requests[a.ID].finalAnswers++
 		case CancelAttempt:
-			if a.Attempt >= len(k.requests[a.ID].attempts) {
-				k.t.Fatalf("cancelled an attempt that was never started")
+			if a.Attempt >= len(c.requests[a.ID].attempts) {
+				c.t.Fatalf("request %d: cancelled attempt %d, which was never started", a.ID, a.Attempt)
 			}
 		case BroadcastGossip:
-			if !k.set.GossipAllowed || len(a.Body) > MaxGossipBytes {
-				k.t.Fatalf("broadcast %d bytes, allowed: %v", len(a.Body), k.set.GossipAllowed)
+			if !c.set.GossipAllowed || len(a.Body) > MaxGossipBytes {
+				c.t.Fatalf("gossip of %d bytes, want at most %d; gossip allowed = %v", len(a.Body), MaxGossipBytes, c.set.GossipAllowed)
 			}
 		case ProbeLoad:
-			if !k.set.ProbesAllowed {
-				k.t.Fatal("probe where none is allowed")
+			if !c.set.ProbesAllowed {
+				c.t.Fatal("load probe sent although probes are not allowed")
 			}
 		}
 	}
-	for id, e := range k.requests {
+	for id, e := range c.requests {
 		if e.finalAnswers > 1 {
-			k.t.Fatalf("request %d answered %d times", id, e.finalAnswers)
+			c.t.Fatalf("request %d: final answers = %d, want at most 1", id, e.finalAnswers)
 		}
 	}
 }
 
-func (k *contractChecker) checkAttempt(now Millis, a StartAttempt) {
-	e := k.requests[a.ID]
+func (c *contractChecker) checkAttempt(now Millis, a StartAttempt) {
+	e := c.requests[a.ID]
 	if e == nil || e.finished || e.finalAnswers > 0 {
-		k.t.Fatalf("sent for request %d, which is finished or unknown", a.ID)
+		c.t.Fatalf("attempt started for request %d, which is finished or unknown", a.ID)
 	}
-	server, ok := k.endpoints[a.Server]
+	server, ok := c.endpoints[a.Server]
 	if !ok || server.State != Ready {
-		k.t.Fatalf("sent to %s, which is not ready", a.Server)
+		c.t.Fatalf("attempt sent to %s, which is not ready", a.Server)
 	}
 	for _, s := range e.attempts {
 		if s.open {
-			k.t.Fatal("two attempts of one request at once")
+			c.t.Fatalf("request %d has two open attempts, want one", a.ID)
 		}
 		if !s.open && !s.mayHaveRun {
 			continue
 		}
 		if e.class.Idempotency == NonIdempotent {
-			k.t.Fatal("an unsafe request was sent again though it may have run")
+			c.t.Fatalf("request %d of a non-idempotent class was retried after it may have run", a.ID)
 		}
 		if e.class.Idempotency == IdempotentWithKey && (s.cell != server.Cell || now-s.at > e.class.DedupWindow) {
-			k.t.Fatalf("a keyed request left its cell or window: cell %d to %d after %.0f ms", s.cell, server.Cell, now-s.at)
+			c.t.Fatalf("retry with an idempotency key left its cell or dedup window: from cell %d to %d after %.0f ms", s.cell, server.Cell, now-s.at)
 		}
 	}
 	e.attempts = append(e.attempts, attemptRecord{server: a.Server, cell: server.Cell, at: now, open: true})
-	if len(e.attempts) > k.set.MaxAttempts {
-		k.t.Fatal("more attempts than allowed")
+	if len(e.attempts) > c.set.MaxAttempts {
+		c.t.Fatalf("request %d: attempts = %d, want at most %d", a.ID, len(e.attempts), c.set.MaxAttempts)
 	}
 }
 
-// endOpenAttempt ends an open attempt, chosen by pick, with the given result; nil when none is open.
-func (k *contractChecker) endOpenAttempt(pick int, res Outcome, now Millis) Event {
-	for i := range k.requestIDs {
-		id := k.requestIDs[(i+pick)%len(k.requestIDs)]
-		e := k.requests[id]
+// endOpenAttempt ends an open attempt, selected by pick, with the given outcome. It returns nil if none is open.
+func (c *contractChecker) endOpenAttempt(pick int, outcome Outcome, now Millis) Event {
+	for i := range c.requestIDs {
+		id := c.requestIDs[(i+pick)%len(c.requestIDs)]
+		e := c.requests[id]
 		for n := range e.attempts {
 			s := &e.attempts[n]
 			if !s.open {
 				continue
 			}
 			s.open = false
-			s.mayHaveRun = res != Overloaded && res != Unreachable && res != NotSent
-			e.finished = e.finished || res == OK
-			return AttemptCompleted{ID: id, Attempt: n, Server: s.server, Outcome: res, Elapsed: now - s.at,
+			s.mayHaveRun = outcome != Overloaded && outcome != Unreachable && outcome != NotSent
+			e.finished = e.finished || outcome == OK
+			return AttemptCompleted{ID: id, Attempt: n, Server: s.server, Outcome: outcome, Elapsed: now - s.at,
 				RequestFinished: e.finished || e.finalAnswers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
 		}
 	}
 	return nil
 }
 
+// FuzzContract interprets the input as a sequence of events and checks the actions with contractChecker.
 func FuzzContract(f *testing.F) {
 	f.Add([]byte{0, 0, 1, 0, 2, 5, 3, 1, 4, 9, 5, 7, 0, 1, 1, 3, 2, 40, 0, 2, 1, 1, 0, 0})
 	f.Add([]byte{6, 1, 0, 1, 0, 1, 0, 2, 1, 1, 1, 3, 3, 2, 0, 1, 4, 4, 1, 0, 7, 3, 0, 2, 2, 200, 1, 3})
@@ -126,39 +127,39 @@
 			set.GossipAllowed, set.ReportsFromProbesOnly, set.KeyAffinity = data[1]&4 != 0, data[1]&4 != 0, data[1]&4 != 0
 			set.Nodes = 1 + int(data[1]&4)
 		}
-		l, err := New(set, 3)
+		lb, err := New(set, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &contractChecker{t: t, set: set, endpoints: map[ServerID]Endpoint{}, requests: map[RequestID]*requestRecord{}}
+		checker := &contractChecker{t: t, set: set, endpoints: map[ServerID]Endpoint{}, requests: map[RequestID]*requestRecord{}}
 		now := 1000.0
 		servers := testEndpoints(6)
-		list := func(form UpdateKind, entries ...Endpoint) Event {
+		list := func(kind UpdateKind, entries ...Endpoint) Event {
 			for _, e := range entries {
-				k.endpoints[e.ID] = e
+				checker.endpoints[e.ID] = e
 			}
-			return EndpointUpdate{Kind: form, Endpoints: entries}
+			return EndpointUpdate{Kind: kind, Endpoints: entries}
 		}
-		k.check(now, l.Step(now, list(CachedUpdate, servers...)))
+		checker.check(now, lb.Step(now, list(CachedUpdate, servers...)))
 		for i := 0; i+1 < len(data); i += 2 {
 			arg := int(data[i+1])
 			var e Event
 			switch data[i] % 9 {
-			case 8: // from another node: as it comes, cut short, or too long
+			case 8: // gossip from another node: arbitrary, truncated or too long
 				body := append([]byte{byte(arg)}, data[i:min(len(data), i+arg%40)]...)
 				if arg%7 == 0 {
 					body = append(body, make([]byte, 300)...)
 				}
 				e = GossipReceived{From: arg % 6, Body: body}
 			case 0:
-				id := RequestID(len(k.requestIDs) + 1)
+				id := RequestID(len(checker.requestIDs) + 1)
 				c := set.Classes[arg%3]
-				k.requests[id] = &requestRecord{class: c, expires: now + 1000}
-				k.requestIDs = append(k.requestIDs, id)
+				checker.requests[id] = &requestRecord{class: c, expires: now + 1000}
+				checker.requestIDs = append(checker.requestIDs, id)
 				e = Arrival{ID: id, Class: c.Name, IsRetry: arg%5 == 0, WorkHint: float64(arg % 3 * 20), Deadline: now + 1000}
 			case 1:
-				if len(k.requestIDs) > 0 {
-					e = k.endOpenAttempt(arg/8, Outcome(arg%8), now)
+				if len(checker.requestIDs) > 0 {
+					e = checker.endOpenAttempt(arg/8, Outcome(arg%8), now)
 				}
 			case 2:
 				now += float64(arg)
@@ -180,27 +181,27 @@
 				e = AttemptCompleted{ID: RequestID(arg + 1000), Server: "nobody", Outcome: OK}
 			}
 			if e != nil {
-				k.check(now, l.Step(now, e))
+				checker.check(now, lb.Step(now, e))
 			}
 		}
-		// The end: every attempt times out, time passes, and each request must have its one answer.
+		// Finally all attempts time out, and each request must have exactly one final answer.
 		now += 2000
 		for {
-			e := k.endOpenAttempt(0, TimedOut, now)
+			e := checker.endOpenAttempt(0, TimedOut, now)
 			if e == nil {
 				break
 			}
-			k.check(now, l.Step(now, e))
+			checker.check(now, lb.Step(now, e))
 		}
 		for i := 0; i < 20; i++ {
 			now += 100
-			k.check(now, l.Step(now, TimerFired{"sweep"}))
-			k.check(now, l.Step(now, TimerFired{"probes"}))
+			checker.check(now, lb.Step(now, TimerFired{"sweep"}))
+			checker.check(now, lb.Step(now, TimerFired{"probes"}))
 		}
-		failOnNaN(t, l)
-		for id, e := range k.requests {
+		failOnNaN(t, lb)
+		for id, e := range checker.requests {
 			if !e.finished && e.finalAnswers != 1 {
-				t.Fatalf("request %d has %d answers", id, e.finalAnswers)
+				t.Fatalf("request %d: final answers = %d, want 1", id, e.finalAnswers)
 			}
 		}
 	})
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -32,7 +32,7 @@
 	from   int
 	kind   gossipKind
 	first  float64 // requests in flight, or successes
-	second float64 // failures; for gossipLoads the same as first
+	second float64 // failures; for gossipLoads requests in flight again
 	at     Millis
 }
 
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testNode drives one Balancer by hand and keeps its actions.
+// testNode wraps a Balancer whose events and time a test controls, and records the actions.
 type testNode struct {
 	t        *testing.T
 	balancer *Balancer
@@ -30,11 +30,11 @@
 
 func newTestNode(t *testing.T, set Settings, servers ...Endpoint) *testNode {
 	t.Helper()
-	l, err := New(set, 7)
+	lb, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &testNode{t: t, balancer: l, now: 100000}
+	b := &testNode{t: t, balancer: lb, now: 100000}
 	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: servers})
 	return b
 }
@@ -53,18 +53,18 @@
 	return out
 }
 
-// arrive brings a request with the given time to live and returns its id and what was done.
+// arrive sends an Arrival whose deadline is ttl from now, and returns the request's ID and the actions.
 func (b *testNode) arrive(class string, ttl Millis) (RequestID, []Action) {
 	b.next++
 	return b.next, b.step(Arrival{ID: b.next, Class: class, Deadline: b.now + ttl})
 }
 
-// end finishes an attempt.
+// end completes attempt number n of a request.
 func (b *testNode) end(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
 	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: res, Elapsed: took, RequestFinished: res == OK})
 }
 
-// serve sends one request and ends it wherever it went.
+// serve sends one request and completes its attempts. It returns the server of the first attempt; empty if there is none.
 func (b *testNode) serve(class string, took Millis, result func(ServerID) Outcome) ServerID {
 	id, acts := b.arrive(class, 2000)
 	s := sentTo(acts)
@@ -72,7 +72,7 @@
 		return ""
 	}
 	b.now += took
-	b.balancer.scoredAt = 0 // every request is a cycle here
+	b.balancer.scoredAt = 0 // update the scores with every request
 	acts = b.end(id, 0, s, result(s), took)
 	for n := 1; sentTo(acts) != ""; n++ { // later attempts succeed
 		acts = b.end(id, n, sentTo(acts), OK, 1)
@@ -82,7 +82,7 @@
 
 func allOK(ServerID) Outcome { return OK }
 
-// pass lets time go by in cycles.
+// pass advances the time in steps of 250 ms and dispatches the queue in each.
 func (b *testNode) pass(d Millis) {
 	for until := b.now + d; b.now < until; {
 		b.now += 250
@@ -109,14 +109,14 @@
 	return n
 }
 
-// fleet are settings of one of hundreds of nodes, with probes at a price.
+// fleet returns the settings of a node in a fleet of 300, with the given price of probes.
 func fleet(probe float64) Settings {
 	set := settings()
 	set.Nodes, set.ProbesAllowed, set.LoadReports, set.Prices.Probe = 300, true, true, probe
 	return set
 }
 
-// probed are settings under which load is learnt by probes alone and nodes may talk.
+// probed returns settings in which only probes report load and gossip is allowed.
 func probed(nodes int) Settings {
 	set := settings()
 	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ReportsFromProbesOnly, set.GossipAllowed = nodes, true, true, true, true
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -13,7 +13,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// policyFiles are those that deploy/balancer.toml names, by their paths from the root.
+// policyFiles returns the files with decision logic that deploy/balancer.toml lists, as paths from the root.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	var deploy struct{ Policy []string }
@@ -21,14 +21,14 @@
 		t.Fatal(err)
 	}
 	if len(deploy.Policy) == 0 {
-		t.Fatal("deploy/balancer.toml names no policy")
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
 	return deploy.Policy
 }
 
-// TestPolicyLinesCanBeRead: each policy file is there, has something in it, and no line of over 110
-// characters. The operators no longer limit the number of lines.
-func TestPolicyLinesCanBeRead(t *testing.T) {
+// Each policy file must exist, have content and have no line of more than 110 characters. The number of
+// lines is not limited.
+func TestPolicyFilesHaveNoLongLines(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join("..", name))
 		if err != nil {
@@ -39,23 +39,22 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := len([]rune(line)); n > 110 {
-				t.Errorf("%s: line %d has %d characters", name, i+1, n)
+				t.Errorf("%s: line %d has %d characters, want at most 110", name, i+1, n)
 			}
 		}
 	}
 }
 
-// actionTypes are the types whose literals are decisions.
+// actionTypes are the names of the Action types.
 var actionTypes = []string{"StartAttempt", "CancelAttempt", "Reject", "Fail", "SetTimer", "ProbeLoad", "WatchEndpoints", "BroadcastGossip", "Log"}
 
-// minEmitters is how many functions must be found inside the policy files: with fewer the check
-// sees nothing.
+// minEmitters is the minimum number of functions in the policy files that emit actions. If the check finds
+// fewer, it doesn't recognize them any more.
 const minEmitters = 15
 
-// TestNoFunctionOutsideThePolicyEmitsActions guards against decisions in files where nobody looks
-// for them: deploy/balancer.toml names the files that decide, and a function elsewhere in the
-// package that emits an action decides too.
-func TestNoFunctionOutsideThePolicyEmitsActions(t *testing.T) {
+// Only the policy files that deploy/balancer.toml lists may contain decisions. A function in another file
+// of the package that emits an action would be a decision that reviewers don't expect there.
+func TestOnlyPolicyFilesEmitActions(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -76,11 +75,11 @@
 		}
 	}
 	if inside < minEmitters {
-		t.Errorf("found %d functions that emit actions inside the policy files: the check sees nothing", inside)
+		t.Errorf("functions in the policy files that emit actions = %d, want at least %d", inside, minEmitters)
 	}
 }
 
-// emittersIn names the functions of a file that emit an action.
+// emittersIn returns the names of the functions in a file that emit an action.
 func emittersIn(t *testing.T, name string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
@@ -96,8 +95,8 @@
 	return found
 }
 
-// emits reports whether a function emits an action: through emit or logf, by appending to the
-// actions, or by making one.
+// emits reports whether a function body emits an action: it calls emit or logf, appends to the actions, or
+// contains a literal of an action type.
 func emits(body *ast.BlockStmt) bool {
 	found := false
 	ast.Inspect(body, func(n ast.Node) bool {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Guards against requests bound to a dedup scope that is lost: they fail at once and keep no other from
-// being sent.
-func TestRequestsBoundToLostScopeBlockNoOther(t *testing.T) {
+// Requests bound to a dedup scope without usable servers must fail at once. They must not count as
+// placement failures, which would keep other requests in the queue.
+func TestRequestsOfLostDedupScopeDoNotBlockOthers(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
 	for _, s := range b.balancer.servers.ready {
 		s.outlier.ejected = s.Cell == 0
@@ -24,6 +24,6 @@
 	}
 	_, acts := b.arrive("read", 2000)
 	if sentTo(acts) == "" || count[Fail](acts) != 2*maxPlacementFailures {
-		t.Errorf("sent to %q, %d failed at once, want %d", sentTo(acts), count[Fail](acts), 2*maxPlacementFailures)
+		t.Errorf("other request sent to %q, want a server; failed requests = %d, want %d", sentTo(acts), count[Fail](acts), 2*maxPlacementFailures)
 	}
 }
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -4,52 +4,53 @@
 	"testing"
 )
 
-// TestUploadIsNeitherSilentNorMissing has a request's body come for longer than any answer takes.
-func TestUploadIsNeitherSilentNorMissing(t *testing.T) {
+// While a request's body is incomplete, its attempt must count neither as unanswered nor as missing, even
+// if the upload takes longer than any answer. The times count from the end of the body.
+func TestIncompleteBodyIsNeitherUnansweredNorMissing(t *testing.T) {
 	set := Settings{Nodes: 1, LoadReports: true, CancelAllowed: true, ProbesAllowed: false, DrainGrace: 2000, MaxAttempts: 3,
 		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 1000}, Goal: GoalWeights{Overall: 1},
 		Classes: []Class{{Name: "look", LatencyObjective: 100, TotalTimeout: 400, PriorityWeight: 1}}}
-	l, err := New(set, 1)
+	lb, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Step(0, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}}})
+	lb.Step(0, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}}})
 	var to ServerID
-	for _, a := range l.Step(1, Arrival{ID: 1, Class: "look", Deadline: 401, UploadTimeout: 20_000}) {
+	for _, a := range lb.Step(1, Arrival{ID: 1, Class: "look", Deadline: 401, UploadTimeout: 20_000}) {
 		if s, ok := a.(StartAttempt); ok {
 			to = s.Server
 		}
 	}
 	if to == "" {
-		t.Fatal("not sent ahead")
+		t.Fatal("no attempt started before the body was complete, want one")
 	}
-	s := l.servers.byID[to]
-	// A report without it, and another request's answer, come meanwhile.
+	s := lb.servers.byID[to]
+	// Meanwhile a load report omits the request, and another request is answered.
 	for _, now := range []float64{100, 1000, 5000} {
-		l.now = now
-		l.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
+		lb.now = now
+		lb.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
 		s.attempts.latestAnswered = now
-		l.updateScores()
-		if r := l.requests[1]; r == nil || r.attempts[0].missing || l.unansweredTime(s) > 0 {
-			t.Fatalf("after %v ms: request %+v, overdue %v", now, r, l.unansweredTime(s))
+		lb.updateScores()
+		if r := lb.requests[1]; r == nil || r.attempts[0].missing || lb.unansweredTime(s) > 0 {
+			t.Fatalf("after %v ms: request %+v, want it not missing; unanswered time = %v, want 0", now, r, lb.unansweredTime(s))
 		}
 	}
-	if s.attempts.latestAnswered = 0; l.estimateRequests(s) != 0 || s.load.others != 0 {
-		t.Errorf("taken to hold %v, %v of them others'", l.estimateRequests(s), s.load.others)
+	if s.attempts.latestAnswered = 0; lb.estimateRequests(s) != 0 || s.load.others != 0 {
+		t.Errorf("estimated requests = %v, requests of other nodes = %v, want 0 and 0", lb.estimateRequests(s), s.load.others)
 	}
-	l.Step(6000, BodyReceived{ID: 1, Deadline: 6400})
-	r := l.requests[1]
+	lb.Step(6000, BodyReceived{ID: 1, Deadline: 6400})
+	r := lb.requests[1]
 	if r.deadline != 6400 || r.objectiveAt != 6100 || r.attempts[0].sentAt != 6000 {
-		t.Errorf("counted from its end: expires %v, latency objective %v, sent %v", r.deadline, r.objectiveAt, r.attempts[0].sentAt)
+		t.Errorf("after the end of the body: deadline = %v, objective = %v, sent = %v, want 6400, 6100 and 6000", r.deadline, r.objectiveAt, r.attempts[0].sentAt)
 	}
-	if l.now = 6050; l.estimateRequests(s) < 1 {
-		t.Errorf("taken to hold %v once it is whole", l.estimateRequests(s))
+	if lb.now = 6050; lb.estimateRequests(s) < 1 {
+		t.Errorf("estimated requests after the end of the body = %v, want at least 1", lb.estimateRequests(s))
 	}
-	if l.unansweredTime(s) != 50 {
-		t.Errorf("silent for %v ms", l.unansweredTime(s))
+	if lb.unansweredTime(s) != 50 {
+		t.Errorf("unanswered time = %v ms, want 50", lb.unansweredTime(s))
 	}
-	l.Step(6080, AttemptCompleted{ID: 1, Server: to, Outcome: OK, Elapsed: 80})
-	if l.requests[1] != nil || s.outlier.consecutiveFailures != 0 || l.estimate.reportLag != 0 || s.attempts.latestAnswered != 6000 || s.attempts.awaitingBody != 0 {
-		t.Errorf("after the answer: lag %v, answered to %v, %d failures", l.estimate.reportLag, s.attempts.latestAnswered, s.outlier.consecutiveFailures)
+	lb.Step(6080, AttemptCompleted{ID: 1, Server: to, Outcome: OK, Elapsed: 80})
+	if lb.requests[1] != nil || s.outlier.consecutiveFailures != 0 || lb.estimate.reportLag != 0 || s.attempts.latestAnswered != 6000 || s.attempts.awaitingBody != 0 {
+		t.Errorf("after the answer: report lag = %v, latest answered = %v, consecutive failures = %d, want 0, 6000 and 0", lb.estimate.reportLag, s.attempts.latestAnswered, s.outlier.consecutiveFailures)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -4,32 +4,33 @@
 	"testing"
 )
 
-func TestGivingUpIsAnsweredAtOnce(t *testing.T) {
+// Requests that no server can answer in time must be rejected at once, with a Retry-After.
+func TestRejectAtOnceWithoutCapacity(t *testing.T) {
 	b := newTestNode(t, settings()) // no servers at all
 	if _, acts := b.arrive("read", 2000); count[Reject](acts) != 1 {
-		t.Errorf("without servers: %v, want a rejection at once", acts)
+		t.Errorf("actions without servers = %v, want one rejection", acts)
 	}
 	b = newTestNode(t, settings(), testEndpoints(1)...)
 	for i := 0; i < 200; i++ {
 		b.arrive("read", 2000)
 	}
 	if n := count[Reject](b.actions); n < 150 {
-		t.Errorf("%d of 200 rejected early by a server that can hold a few", n)
+		t.Errorf("rejections of 200 requests to one server = %d, want at least 150", n)
 	}
 	for _, a := range b.actions {
 		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
-			t.Fatal("a rejection does not say when to come back")
+			t.Fatalf("RetryAfter = %v, want it above 0", r.RetryAfter)
 		}
 	}
 }
 
-// Guards against telling clients to come back when their latency objective has passed: many nodes
-// reckon a long wait, the clients heed it, and every retry is rejected too late.
+// With many nodes the estimated wait is long. If Retry-After exceeded the latency objective, clients would
+// follow it and all their retries would be rejected as late.
 func TestRetryAfterStaysWithinObjective(t *testing.T) {
 	set := settings()
 	set.Nodes = 400
 	b := newTestNode(t, set, testEndpoints(3)...)
-	b.balancer.estimate.unitTime = 1000 // nothing fits
+	b.balancer.estimate.unitTime = 1000 // no server answers in time
 	b.balancer.explorations.left = 0
 	_, acts := b.arrive("read", 2000)
 	for i := 0; i < 50 && count[Reject](acts) == 0; i++ {
@@ -38,17 +39,17 @@
 	}
 	for _, a := range acts {
 		if r, ok := a.(Reject); ok && (r.RetryAfter <= 0 || r.RetryAfter > 400) {
-			t.Errorf("told to come back after %.0f ms with an latency objective of 400", r.RetryAfter)
+			t.Errorf("RetryAfter = %.0f ms with a latency objective of 400 ms, want it above 0 and at most 400", r.RetryAfter)
 		}
 	}
 	if count[Reject](acts) != 1 {
-		t.Errorf("not rejected: %v", acts)
+		t.Errorf("actions = %v, want one rejection", acts)
 	}
 }
 
-// Guards against rejecting a request for want of a retry budget though no server was ever asked: this node's own limits or a connection
-// that came up too late ended the attempt unsent.
-func TestOnlyAttemptsThatReachedAServerSpendTheRetryBudget(t *testing.T) {
+// A retry costs a token only if the previous attempt reached a server. A request must not be rejected for lack of retry budget after an
+// attempt that was never sent, for example because of this node's own limits or a connection that was established too late.
+func TestRetryBudgetIsSpentOnlyIfServerWasReached(t *testing.T) {
 	for outcome, spends := range map[Outcome]bool{
 		Errored: true, Overloaded: true, TimedOut: true, ConnectionLost: true,
 		Unreachable: false, NotSent: false, Cancelled: false,
@@ -60,10 +61,10 @@
 			acts = b.end(id, 0, sentTo(acts), outcome, 1)
 			retried := sentTo(acts) != ""
 			if want := tokens > 0 || !spends; retried != want {
-				t.Errorf("outcome %d with %v tokens: retried %v, want %v", outcome, tokens, retried, want)
+				t.Errorf("outcome %d with %v tokens: retried = %v, want %v", outcome, tokens, retried, want)
 			}
 			if left := b.balancer.retryBudget.left; spends && tokens > 0 && left != 0 || !spends && left != tokens {
-				t.Errorf("outcome %d: %v of %v tokens are left", outcome, left, tokens)
+				t.Errorf("outcome %d: available tokens = %v, had %v, spends = %v", outcome, left, tokens, spends)
 			}
 		}
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -90,7 +90,7 @@
 	WorstWindow  float64 // the same fraction in the worst time window
 	WorstClass   float64 // the same fraction for the worst served class
 	WorstTenant  float64 // the same fraction for the worst served tenant
-	TailLatency  float64 // if above 0, LateFraction doesn't raise the accepted response time
+	TailLatency  float64 // added to Overall; if above 0, LateFraction doesn't raise the accepted response time
 	Availability float64 // added to Overall
 }
 
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-func TestInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+// New must reject invalid settings with an error that names the setting.
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
 		"nodes":        func(s *Settings) { s.Nodes = 0 },
 		"classes":      func(s *Settings) { s.Classes = nil },
 		"attempts":     func(s *Settings) { s.MaxAttempts = 0 },
@@ -17,15 +18,16 @@
 		"needs a wind": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 	} {
 		set := settings()
-		spoil(&set)
+		invalidate(&set)
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: error %v does not name the setting", name, err)
+			t.Errorf("error = %v, want one that contains %q", err, name)
 		}
 	}
 }
 
-func TestExtremeSettingsStillServe(t *testing.T) {
-	for name, odd := range map[string]func(*Settings){
+// Unusual but valid settings must not keep requests from being sent.
+func TestServeWithExtremeSettings(t *testing.T) {
+	for name, change := range map[string]func(*Settings){
 		"many nodes":    func(s *Settings) { s.Nodes = 50 },
 		"one attempt":   func(s *Settings) { s.MaxAttempts = 1 },
 		"no goal":       func(s *Settings) { s.Goal = GoalWeights{} },
@@ -36,33 +38,33 @@
 		"probes":        func(s *Settings) { s.ProbesAllowed, s.LoadReports = true, true },
 	} {
 		set := settings()
-		odd(&set)
+		change(&set)
 		b := newTestNode(t, set, testEndpoints(1)...)
 		if s := b.serve("read", 5, allOK); s != "s0" {
-			t.Errorf("%s: sent to %q", name, s)
+			t.Errorf("%s: sent to %q, want s0", name, s)
 		}
 	}
 }
 
-// Odd but legal sizes still decide sanely: a request finds a server, and a list that empties loses
-// none.
-func TestExtremeFleetSizes(t *testing.T) {
+// With unusual numbers of nodes and servers, each request is sent to a server, or rejected if the endpoint
+// list is empty.
+func TestServeWithExtremeFleetSizes(t *testing.T) {
 	for _, c := range []struct{ nodes, servers int }{{500, 1}, {1, 240}, {600, 60}, {7, 5}} {
 		for _, reports := range []bool{false, true} {
 			set := settings()
 			set.Nodes, set.Node, set.LoadReports = c.nodes, c.nodes-1, reports
 			b := newTestNode(t, set, testEndpoints(c.servers)...)
-			b.now += 60000 // nothing heard for a minute
+			b.now += 60000 // no events for a minute
 			if s := b.serve("read", 20, allOK); s == "" {
-				t.Errorf("%d nodes, %d servers, reports %v: not sent", c.nodes, c.servers, reports)
+				t.Errorf("%d nodes, %d servers, load reports %v: request not sent, want a server", c.nodes, c.servers, reports)
 			}
 			b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: testEndpoints(1)})
 			if s := b.serve("read", 20, allOK); s != "s0" {
-				t.Errorf("%d nodes, one server left: sent to %q", c.nodes, s)
+				t.Errorf("%d nodes, one remaining server: sent to %q, want s0", c.nodes, s)
 			}
 			b.step(EndpointUpdate{Kind: FullUpdate})
 			if _, acts := b.arrive("read", 2000); count[Reject](acts) != 1 {
-				t.Errorf("%d nodes, empty list: %v, want a rejection", c.nodes, acts)
+				t.Errorf("%d nodes, empty list: actions = %v, want one rejection", c.nodes, acts)
 			}
 		}
 	}
--- a/balancer/statetransfer.go
+++ b/balancer/statetransfer.go
@@ -68,8 +68,8 @@
 	QuotaAt Millis  `json:"QuotaAt"`
 }
 
-// Snapshot returns the state to transfer. The slow start budgets in it are already halved if a
-// SiblingProcesses event has reported two processes, so that the two can't spend the same budget twice.
+// Snapshot returns the state to transfer. After a SiblingProcesses event with two processes it contains
+// only half of the slow start budgets, so that the two processes can't spend the same budget twice.
 func (b *Balancer) Snapshot() State {
 	state := State{
 		UnitTime:       b.estimate.unitTime,
--- a/balancer/statetransfer_fixture_test.go
+++ b/balancer/statetransfer_fixture_test.go
@@ -7,11 +7,10 @@
 	"testing"
 )
 
-// fixtureFile is a state as the version before the renaming of this package handed it over to its
-// successor.
+// fixtureFile contains a state transferred by the version before this package's fields were renamed.
 const fixtureFile = "testdata/state-v1.json"
 
-// fixturePlayer plays the sequence whose end the fixture holds.
+// fixturePlayer plays the sequence whose final state is in the fixture.
 func fixturePlayer(t *testing.T) *sequencePlayer {
 	t.Helper()
 	p := newSequencePlayer(t, 5)
@@ -19,11 +18,10 @@
 	return p
 }
 
-// TestStateOfPreviousVersionIsRestored: in an upgrade the new process reads what the old one wrote.
-// A field that is renamed in the code and so in the JSON would be lost without an error, and the
-// new process would begin with no record of its servers. So the old form has to be read with no
-// field left over, and has to come out again as it went in.
-func TestStateOfPreviousVersionIsRestored(t *testing.T) {
+// In an upgrade the new process reads the state of the old version. A field that is renamed in the JSON would be
+// lost without an error, and the new process would start without its server records. So the old JSON must
+// decode without unknown fields and must be encoded again unchanged.
+func TestRestoreStateOfPreviousVersion(t *testing.T) {
 	if *record {
 		raw, err := json.MarshalIndent(fixturePlayer(t).balancer.Snapshot(), "", " ")
 		if err != nil {
@@ -54,29 +52,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []string{"Unit", "Pace", "Width", "Lag", "HintMean", "Crowd", "ProbeTook", "Ease", "Retries", "Probes", "Classes", "Tenants"} {
-		if a, b := jsonMember(t, raw, part), jsonMember(t, got, part); !bytes.Equal(a, b) {
-			t.Errorf("%s was %s, is taken over as %s", part, a, b)
+	for _, name := range []string{"Unit", "Pace", "Width", "Lag", "HintMean", "Crowd", "ProbeTook", "Ease", "Retries", "Probes", "Classes", "Tenants"} {
+		if before, after := jsonMember(t, raw, name), jsonMember(t, got, name); !bytes.Equal(before, after) {
+			t.Errorf("%s after the transfer = %s, want %s", name, after, before)
 		}
 	}
 	want := map[ServerID]json.RawMessage{}
 	for _, s := range serverRecords(t, raw) {
 		want[s.id] = s.text
 	}
-	same := 0
+	unchanged := 0
 	for _, s := range serverRecords(t, got) {
 		if w, ok := want[s.id]; ok && bytes.Equal(w, s.text) {
-			same++
+			unchanged++
 		} else if ok && startTime(t, w) == startTime(t, s.text) {
-			t.Errorf("server %s was\n%s\nis taken over as\n%s", s.id, w, s.text)
+			t.Errorf("server %s after the transfer =\n%s\nwant\n%s", s.id, s.text, w)
 		}
 	}
-	if same < 3 {
-		t.Errorf("%d servers taken over unchanged: the check hardly sees any", same)
+	if unchanged < 3 {
+		t.Errorf("servers with unchanged records = %d, want at least 3", unchanged)
 	}
 }
 
-// serverJSON is one server's record as it stands in the file.
+// serverJSON is the encoded record of one server.
 type serverJSON struct {
 	id   ServerID
 	text json.RawMessage
--- a/balancer/statetransfer_fuzz_test.go
+++ b/balancer/statetransfer_fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzRestoredState: a predecessor of any version hands over its state. Whatever stands in it must neither end the process nor leave a
-// score, budget or wait that is no number.
+// FuzzRestoredState restores arbitrary states, since a predecessor may have any version. A state must neither cause a panic nor leave NaN in a
+// score, a budget or a time.
 func FuzzRestoredState(f *testing.F) {
 	recorded, err := os.ReadFile("testdata/state-v1.json")
 	if err != nil {
@@ -35,7 +35,7 @@
 		}
 		failOnNaN(t, b.balancer)
 		if _, err := json.Marshal(b.balancer.Snapshot()); err != nil {
-			t.Errorf("the state cannot be handed on: %v", err)
+			t.Errorf("encoding the state for the next transfer: %v", err)
 		}
 	})
 }
--- a/balancer/tenantquota.go
+++ b/balancer/tenantquota.go
@@ -23,8 +23,8 @@
 func (b *Balancer) overQuota(t *tenantState) bool {
 	quota := t.Quota * b.nodeQuotaFraction()
 	t.quota.refill(b.now, quota/msPerSecond, quota)
-	decay := math.Exp(-(b.now - t.rateAt) / tenantRateTimeConstant)
-	t.rate = t.rate*decay + msPerSecond/tenantRateTimeConstant
+	decayFactor := math.Exp(-(b.now - t.rateAt) / tenantRateTimeConstant)
+	t.rate = t.rate*decayFactor + msPerSecond/tenantRateTimeConstant
 	t.rateAt = b.now
 	return !t.quota.take()
 }
--- a/balancer/tenantquota_test.go
+++ b/balancer/tenantquota_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-func TestTenantsOverQuotaWait(t *testing.T) {
+// A request of a tenant over its quota has a lower marginal value than one of a tenant within its quota.
+func TestTenantOverQuotaHasLowerMarginalValue(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "loud", Quota: 10}, {Name: "meek", Quota: 10}}
 	b := newTestNode(t, set, testEndpoints(1)...)
@@ -13,11 +14,12 @@
 		b.next++
 		b.step(Arrival{ID: b.next, Class: "read", Tenant: "loud", Deadline: b.now + 2000})
 	}
-	loud := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["loud"], work: 1}
-	meek := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["meek"], work: 1}
-	b.balancer.accountFirstAttempt(loud)
-	b.balancer.accountFirstAttempt(meek)
-	if !loud.overQuota || meek.overQuota || b.balancer.marginalValue(loud) >= b.balancer.marginalValue(meek) {
-		t.Errorf("over share: loud %v, meek %v", loud.overQuota, meek.overQuota)
+	loudRequest := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["loud"], work: 1}
+	meekRequest := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["meek"], work: 1}
+	b.balancer.accountFirstAttempt(loudRequest)
+	b.balancer.accountFirstAttempt(meekRequest)
+	if !loudRequest.overQuota || meekRequest.overQuota || b.balancer.marginalValue(loudRequest) >= b.balancer.marginalValue(meekRequest) {
+		t.Errorf("over quota: tenant loud %v, tenant meek %v, want true and false, with a lower marginal value for loud",
+			loudRequest.overQuota, meekRequest.overQuota)
 	}
 }
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// tokenBucket is a token bucket that is refilled with time (refill) or by events (earn).
+// tokenBucket holds tokens that accrue either with time or with events.
 type tokenBucket struct {
 	left       float64 // available tokens
 	refilledAt Millis
@@ -37,7 +37,7 @@
 	return t.left
 }
 
-// earn adds tokens for an event, up to capacity. A bucket uses either earn or refill, never both.
+// earn adds tokens for an event, up to capacity. Such a bucket is not refilled with time.
 func (t *tokenBucket) earn(amount, capacity float64) {
 	t.left = min(capacity, t.left+amount)
 }
