--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -76,7 +76,7 @@
 func (b *Balancer) accountFirstAttempt(r *request) {
 	b.creditRetryBudget()
 	b.creditGossipBudget()
-	b.earnProbes()
+	b.creditProbeBudget()
 	if r.tenant != nil && r.tenant.Quota > 0 {
 		r.overQuota = b.overQuota(r.tenant)
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -31,9 +31,9 @@
 		t.Error("wrong requests admitted, want read only with the low mark, put never, bill always")
 	}
 	creditPerArrival := func() float64 {
-		b.balancer.retryBudget.left = 0
+		b.balancer.retryBudget.available = 0
 		b.arrive("read", 1000)
-		return b.balancer.retryBudget.left
+		return b.balancer.retryBudget.available
 	}
 	fullCredit := creditPerArrival()
 	if b.step(FleetAdmission{RetryReduction: 0.75}); fullCredit <= 0 || creditPerArrival() < fullCredit*0.249 || creditPerArrival() > fullCredit*0.251 {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,24 +2,24 @@
 
 // startAttempt sends a request to a server and updates the bookkeeping of both.
 func (b *Balancer) startAttempt(r *request, s *server) {
-	s.slowStart.budget.left -= r.work // unused if the server is not in slow start
+	s.slowStart.budget.available -= r.work // unused if the server is not in slow start
 	b.gossip.loadsChanged = true
 	if r.bodyPending {
 		s.attempts.awaitingBody++
 	}
 	r.attempts = append(r.attempts, attempt{
-		server:        s,
-		sentAt:        b.attemptStart(r),
-		serviceRounds: max(1, b.serviceRounds(b.estimatedRequests(s), r.work)),
-		expected:      b.expectedTime(s, r),
-		open:          true,
+		server:           s,
+		sentAt:           b.attemptStart(r),
+		serviceRounds:    max(1, b.serviceRounds(b.estimatedRequests(s), r.work)),
+		expectedDuration: b.expectedTime(s, r),
+		open:             true,
 	})
 	r.queued = false
 	r.openAttempts++
 	s.attempts.inFlight++
 	s.attempts.requests = append(s.attempts.requests, r)
 	s.idleConnections = max(0, s.idleConnections-1)
-	s.estimate.at = estimateOutdated
+	s.estimate.computedAt = estimateOutdated
 	b.openAttempts++
 	b.emit(StartAttempt{ID: r.id, Server: s.ID, Deadline: r.deadline, WriteDeadline: r.dedupUntil})
 	b.scheduleSweep()
@@ -65,7 +65,7 @@
 	b.gossip.loadsChanged = true
 	s.attempts.inFlight--
 	s.recordConnection(outcome)
-	s.estimate.at = estimateOutdated
+	s.estimate.computedAt = estimateOutdated
 	if a.missing {
 		s.attempts.missing--
 	}
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -14,7 +14,7 @@
 	}
 	b.arrive("read", 2000)
 	b.actions = nil
-	b.pass(1000)
+	b.advance(1000)
 	if n := count[CancelAttempt](b.actions) + count[StartAttempt](b.actions); n != 0 {
 		t.Errorf("attempts cancelled or started while one is in flight = %d, want 0", n)
 	}
@@ -29,7 +29,7 @@
 		id, acts := b.arrive(class, 2000)
 		first := acts[len(acts)-1].(StartAttempt)
 		b.now += 100
-		acts = b.end(id, 0, first.Server, ConnectionLost, 100)
+		acts = b.completeAttempt(id, 0, first.Server, ConnectionLost, 100)
 		var retry StartAttempt
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -67,18 +67,18 @@
 		servers:          serverSet{byID: map[ServerID]*server{}},
 		polling:          endpointPolling{staleSince: math.Inf(1), backoff: initialPollBackoff},
 		estimate:         initialEstimate(),
-		probing:          loadProbing{tokens: tokenBucket{left: probesPerRequest}, acceptance: 1},
+		probing:          loadProbing{tokens: tokenBucket{available: probesPerRequest}, acceptance: 1},
 		outliers:         outlierDetector{trialIdempotency: NonIdempotent},
 		zones:            map[string]*failureRate{},
 		classes:          map[string]*classState{},
 		tenants:          map[string]*tenantState{},
 		requests:         map[RequestID]*request{},
-		retryBudget:      tokenBucket{left: retryBurst},
+		retryBudget:      tokenBucket{available: retryBurst},
 		recentRejections: map[requestIdentity]rejection{},
 		gossip:           gossipState{heardFrom: map[int]Millis{}, reportedBy: map[gossipSource][]*server{}},
 		fleet:            fleetLimits{processes: 1, size: settings.Nodes},
 	}
-	b.explorations.left = b.rng.Float64()
+	b.explorations.available = b.rng.Float64()
 	for i, class := range settings.Classes {
 		b.addClass(class, i)
 	}
@@ -93,10 +93,10 @@
 // starts at +Inf.
 func initialEstimate() fleetEstimate {
 	return fleetEstimate{
-		unitTime:     math.Inf(1),
-		pace:         1,
-		parallelism:  1,
-		warmCapacity: initialCapacityEstimate,
+		unitTime:       math.Inf(1),
+		slowdownFactor: 1,
+		parallelism:    1,
+		extraCapacity:  initialCapacityEstimate,
 	}
 }
 
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -95,7 +95,7 @@
 		return
 	}
 	n := *s
-	n.estimate.at = estimateOutdated // the estimate depends on the settings
+	n.estimate.computedAt = estimateOutdated // the estimate depends on the settings
 	n.zoneFailures = c.to.zoneRecord(s.Zone)
 	n.gossipReports = slices.Clone(s.gossipReports)
 	n.classFailures = nil
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -158,7 +158,7 @@
 	s := &server{Endpoint: entry, zoneFailures: b.zoneRecord(entry.Zone)}
 	s.slowStart.since = b.slowStartBegin(entry.Started, live)
 	// Each node starts with a random fraction of a token, so that their first requests are spread over time.
-	s.slowStart.budget = tokenBucket{left: b.rng.Float64(), refilledAt: b.now}
+	s.slowStart.budget = tokenBucket{available: b.rng.Float64(), refilledAt: b.now}
 	s.timing.outcomeAt = b.now
 	s.timing.unitTime = b.typicalUnitTime(s)
 	s.timing.latency = s.timing.unitTime
@@ -197,11 +197,11 @@
 func (b *Balancer) logZoneChanges() {
 	for _, name := range sortedKeys(b.zones) {
 		switch record := b.zones[name]; {
-		case !record.logged && b.zoneFailureShare(record) > 0:
+		case !record.logged && b.zoneFailureRate(record) > 0:
 			record.logged = true
 			b.logf("zone %s: %.0f%% of the attempts are unanswered while another zone answers, preferring other zones",
-				name, 100*b.zoneUnansweredShare(record))
-		case record.logged && b.zoneUnansweredShare(record) < successGain:
+				name, 100*b.zoneUnansweredRate(record))
+		case record.logged && b.zoneUnansweredRate(record) < successGain:
 			record.logged = false
 			b.logf("zone %s: no longer avoided, attempts are answered again or the failures are old", name)
 		}
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -10,7 +10,7 @@
 // A restarted server must start without its earlier outcomes and ejection, and in slow start.
 func TestRestartedServerStartsWithoutHistory(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
-	failing(t, b, "s1", Errored)
+	failUntilEjected(t, b, "s1", Errored)
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s1", Capacity: 1, Started: b.now}}})
 	s := b.balancer.servers.byID["s1"]
 	if s.outlier.ejected || s.outcomes.recentLen != 0 || b.balancer.minimumCapacity(s) > 0.3 {
@@ -105,7 +105,7 @@
 			t.Fatalf("sent to %s, which has answered nothing for half of the drain grace", s)
 		}
 		b.now += 10
-		b.end(id, 0, s, OK, 10)
+		b.completeAttempt(id, 0, s, OK, 10)
 	}
 	recentlyAnswering := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]}))
 	if recentlyAnswering == 0 || recentlyAnswering == 20 {
@@ -232,7 +232,7 @@
 			}
 			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{update, {ID: "s0", Zone: "z", Cell: 0, Capacity: 1}}})
 			b.now += 10
-			acts = b.end(id, 0, "s1", ConnectionLost, 10)
+			acts = b.completeAttempt(id, 0, "s1", ConnectionLost, 10)
 			if to := sentTo(acts); to != "" {
 				t.Errorf("retried at %s in another cell, want no retry", to)
 			}
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -19,9 +19,9 @@
 type fleetEstimate struct {
 	unitTime        Millis  // typical time in which a server of capacity 1 serves a request of mean work
 	initialUnitTime Millis  // unitTime assumed before any was measured
-	pace            float64 // slowdown factor: service times now, divided by the servers' unit times
+	slowdownFactor  float64 // slowdown factor: service times now, divided by the servers' unit times
 	parallelism     float64 // requests that a server works on in parallel; further ones wait
-	warmCapacity    float64 // fraction of the capacity above its minimum that a server in slow start has
+	extraCapacity   float64 // fraction of the capacity above its minimum that a server in slow start has
 	othersLoad      float64 // mean number of requests of other nodes at a server, by recent reports
 	reportLag       Millis  // age of load reports on arrival
 	meanWorkHint    Millis  // smoothed mean of the work hints
@@ -30,11 +30,11 @@
 // serverEstimate caches the estimates about one server, because many requests use them. They are
 // computed at most once for each value of the clock, unless an event at the server invalidates them.
 type serverEstimate struct {
-	at           Millis  // when the estimates were computed; estimateOutdated if they are invalid
-	requests     float64 // number of requests at the server, of all nodes
-	uncertainty  float64 // of requests: 0 if fully known, 1 if unknown
-	unitTime     Millis  // time in which the server serves a request of mean work
-	failureShare float64 // fraction of requests that fail at the server
+	computedAt  Millis  // when the estimates were computed; estimateOutdated if they are invalid
+	requests    float64 // number of requests at the server, of all nodes
+	uncertainty float64 // of requests: 0 if fully known, 1 if unknown
+	unitTime    Millis  // time in which the server serves a request of mean work
+	failureRate float64 // fraction of requests that fail at the server
 }
 
 // estimateOutdated marks a server estimate that must be recomputed.
@@ -42,13 +42,13 @@
 
 // refreshEstimate recomputes the estimates about a server unless they are current.
 func (b *Balancer) refreshEstimate(s *server) {
-	if s.estimate.at == b.now {
+	if s.estimate.computedAt == b.now {
 		return
 	}
-	s.estimate.at = b.now
+	s.estimate.computedAt = b.now
 	s.estimate.requests = b.estimateRequests(s)
 	s.estimate.unitTime = b.currentUnitTime(s)
-	s.estimate.failureShare = b.failureShare(s)
+	s.estimate.failureRate = b.estimatedFailureRate(s)
 }
 
 // estimatedRequests returns the estimated number of requests at a server.
@@ -68,10 +68,10 @@
 	return b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), r.work)
 }
 
-// failureShare returns the estimated fraction of requests that fail at a server, by this node's
+// estimatedFailureRate returns the estimated fraction of requests that fail at a server, by this node's
 // outcomes and those that other nodes report in gossip. It is 0 if gossip is not allowed: this node's
 // failures then count only in the score and for ejection.
-func (b *Balancer) failureShare(s *server) float64 {
+func (b *Balancer) estimatedFailureRate(s *server) float64 {
 	noOwnFailure := s.outcomes.failedAt < b.now-outcomeBucketCount*outcomeBucketLength
 	if !b.settings.GossipAllowed || len(s.gossipReports) == 0 && noOwnFailure {
 		return 0
@@ -81,8 +81,8 @@
 	total := float64(successes+failures) + assumedSuccesses
 	for _, report := range s.gossipReports {
 		if report.kind == gossipOutcomes && b.now < report.at+gossipedOutcomesMaxAge {
-			failed += report.second / gossipedOutcomeDivisor
-			total += (report.first + report.second) / gossipedOutcomeDivisor
+			failed += report.failures / gossipedOutcomeDivisor
+			total += (report.loadOrSuccesses + report.failures) / gossipedOutcomeDivisor
 		}
 	}
 	// A server that has just failed several times is more likely to fail again than its failure rate in
--- a/balancer/failurerate.go
+++ b/balancer/failurerate.go
@@ -30,19 +30,19 @@
 // failureRate is a smoothed failure rate: of the requests of one class at one server, or of the
 // attempts to one zone, where only an unanswered attempt counts as a failure.
 type failureRate struct {
-	share     float64 // rate from 0 to 1, as of updatedAt
+	rate      float64 // rate from 0 to 1, as of updatedAt
 	observed  bool    // at least one outcome was recorded
 	logged    bool    // it has been logged that the zone is avoided
 	updatedAt Millis
 }
 
-func (f *failureRate) recordFailure() { f.share += failureGain * (1 - f.share) }
+func (f *failureRate) recordFailure() { f.rate += failureGain * (1 - f.rate) }
 
-func (f *failureRate) recordSuccess() { f.share -= successGain * f.share }
+func (f *failureRate) recordSuccess() { f.rate -= successGain * f.rate }
 
 // decayed returns the rate at the time now, decayed with the time constant memory.
 func (f *failureRate) decayed(now, memory Millis) float64 {
-	return f.share * math.Exp(-(now-f.updatedAt)/memory)
+	return f.rate * math.Exp(-(now-f.updatedAt)/memory)
 }
 
 // classFailure returns the failure rate record of a class at this server, which it creates if needed.
@@ -58,7 +58,7 @@
 // others well.
 func (b *Balancer) classFailureRate(s *server, c *classState) float64 {
 	record := s.classFailure(c)
-	if record.share == 0 {
+	if record.rate == 0 {
 		return 0
 	}
 	return record.decayed(b.now, classFailureTimeConstant)
@@ -72,7 +72,7 @@
 		return false
 	}
 	record := s.classFailure(c)
-	record.share = b.classFailureRate(s, c)
+	record.rate = b.classFailureRate(s, c)
 	record.observed = true
 	record.updatedAt = b.now
 	if outcome == OK {
@@ -90,7 +90,7 @@
 	}
 	for i := range s.classFailures {
 		other := &s.classFailures[i]
-		if i != c.index && other.observed && other.share < faultyClassRate/healthyOtherDivisor {
+		if i != c.index && other.observed && other.rate < faultyClassRate/healthyOtherDivisor {
 			return true
 		}
 	}
@@ -110,7 +110,7 @@
 // are answers too.
 func (b *Balancer) recordZoneOutcome(s *server, outcome Outcome, elapsed Millis) {
 	record := s.zoneFailures
-	record.share = b.zoneUnansweredShare(record)
+	record.rate = b.zoneUnansweredRate(record)
 	record.observed = true
 	record.updatedAt = b.now
 	connectTimedOut := outcome == Unreachable && elapsed >= connectTimeoutFraction*b.settings.ConnectTimeout
@@ -121,26 +121,26 @@
 	}
 }
 
-// zoneUnansweredShare returns the rate of unanswered attempts to a zone. It decays with the same time
+// zoneUnansweredRate returns the rate of unanswered attempts to a zone. It decays with the same time
 // constant as the unit time of an unused server.
-func (b *Balancer) zoneUnansweredShare(zone *failureRate) float64 {
+func (b *Balancer) zoneUnansweredRate(zone *failureRate) float64 {
 	return zone.decayed(b.now, staleTimeConstant)
 }
 
-// zoneFailureShare returns the rate of unanswered attempts to a zone if it is high while another zone
+// zoneFailureRate returns the rate of unanswered attempts to a zone if it is high while another zone
 // answers, which means that the zone is down or unreachable from this node; otherwise 0. Without it, a
 // node that contacts each server once in several seconds would wait for a timeout at each server of
 // the zone in turn.
-func (b *Balancer) zoneFailureShare(zone *failureRate) float64 {
-	if zone.share < unreachableZoneRate {
+func (b *Balancer) zoneFailureRate(zone *failureRate) float64 {
+	if zone.rate < unreachableZoneRate {
 		return 0
 	}
-	unanswered := b.zoneUnansweredShare(zone)
+	unanswered := b.zoneUnansweredRate(zone)
 	if unanswered < unreachableZoneRate/2 {
 		return 0
 	}
 	for _, other := range b.zones {
-		if other.observed && b.zoneUnansweredShare(other) < unanswered/healthyOtherDivisor {
+		if other.observed && b.zoneUnansweredRate(other) < unanswered/healthyOtherDivisor {
 			return unanswered
 		}
 	}
--- a/balancer/failurerate_test.go
+++ b/balancer/failurerate_test.go
@@ -17,7 +17,7 @@
 	r := &request{class: b.balancer.classes["bill"], work: 1}
 	for i := 0; i < 6; i++ {
 		b.now += 2000
-		a := &attempt{server: s, sentAt: b.now - 2000, serviceRounds: 1, expected: 20}
+		a := &attempt{server: s, sentAt: b.now - 2000, serviceRounds: 1, expectedDuration: 20}
 		b.balancer.recordAttemptOutcome(s, r, a, TimedOut, 2000)
 		b.serve("read", 20, allOK)
 	}
@@ -35,7 +35,7 @@
 		if sentTo(acts) == "s1" {
 			t.Fatal("a request of the class was sent to the server at which the class fails")
 		}
-		b.end(id, 0, sentTo(acts), OK, 20)
+		b.completeAttempt(id, 0, sentTo(acts), OK, 20)
 	}
 }
 
@@ -44,7 +44,7 @@
 // 3,109 of 3,800 pairs of a node and a server had waited for a connection.
 func TestUnreachableZoneIsAvoided(t *testing.T) {
 	countAttempts := func(zones []string, outcomeOf func(zone string) Outcome, failureTime Millis) (toCutZone int) {
-		set := fleet(0.1)
+		set := largeFleetSettings(0.1)
 		set.ConnectTimeout = 150
 		entries := testEndpoints(60)
 		for i := range entries {
@@ -61,7 +61,7 @@
 					toCutZone++
 					result, elapsed = outcomeOf(zone), failureTime
 				}
-				acts = b.end(id, n, s, result, elapsed)
+				acts = b.completeAttempt(id, n, s, result, elapsed)
 			}
 		}
 		return toCutZone
@@ -81,7 +81,7 @@
 // Guards against avoiding a zone after it has become reachable again, and against logging more than one
 // line when it begins and one when it ends.
 func TestRecoveredZoneIsUsedAgain(t *testing.T) {
-	set := fleet(0.1)
+	set := largeFleetSettings(0.1)
 	set.ConnectTimeout = 150
 	entries := testEndpoints(20)
 	for i := range entries {
@@ -93,8 +93,8 @@
 	for range 5 {
 		b.balancer.recordZoneOutcome(inCutZone, TimedOut, 300)
 	}
-	if b.balancer.zoneFailureShare(inCutZone.zoneFailures) == 0 || b.balancer.zoneFailureShare(inOtherZone.zoneFailures) != 0 {
-		t.Fatalf("failure rate of the unreachable zone = %v, want > 0; of the other zone = %v, want 0", b.balancer.zoneFailureShare(inCutZone.zoneFailures), b.balancer.zoneFailureShare(inOtherZone.zoneFailures))
+	if b.balancer.zoneFailureRate(inCutZone.zoneFailures) == 0 || b.balancer.zoneFailureRate(inOtherZone.zoneFailures) != 0 {
+		t.Fatalf("failure rate of the unreachable zone = %v, want > 0; of the other zone = %v, want 0", b.balancer.zoneFailureRate(inCutZone.zoneFailures), b.balancer.zoneFailureRate(inOtherZone.zoneFailures))
 	}
 	for range 20 { // a single response must not end the avoidance
 		b.balancer.recordZoneOutcome(inCutZone, TimedOut, 300)
@@ -107,7 +107,7 @@
 	}
 	b.now += 3 * staleTimeConstant
 	b.step(TimerFired{"sweep"})
-	if f := b.balancer.zoneFailureShare(inCutZone.zoneFailures); f != 0 {
+	if f := b.balancer.zoneFailureRate(inCutZone.zoneFailures); f != 0 {
 		t.Errorf("failure rate of the zone = %v some seconds after its last outcome, want 0", f)
 	}
 	b.balancer.actions = nil
--- a/balancer/fairness_test.go
+++ b/balancer/fairness_test.go
@@ -23,7 +23,7 @@
 		b.now += 10
 		if i%5 == 4 { // the server answers one request in 50 ms
 			if r := b.balancer.servers.ready[0].attempts.requests; len(r) > 0 {
-				acts = append(acts, b.end(r[0].id, 0, "s0", OK, 50)...)
+				acts = append(acts, b.completeAttempt(r[0].id, 0, "s0", OK, 50)...)
 			}
 		}
 		for _, a := range acts {
--- a/balancer/finite_test.go
+++ b/balancer/finite_test.go
@@ -88,7 +88,7 @@
 			}
 			failOnNaN(t, b.balancer)
 		}
-		b.pass(250)
+		b.advance(250)
 		failOnNaN(t, b.balancer)
 	}
 	served := 0
--- a/balancer/fleetquota.go
+++ b/balancer/fleetquota.go
@@ -39,7 +39,7 @@
 	// ends: the other process may have spent its half.
 	if processes > b.fleet.processes {
 		for _, s := range b.servers.known {
-			s.slowStart.budget.left *= float64(b.fleet.processes) / float64(processes)
+			s.slowStart.budget.available *= float64(b.fleet.processes) / float64(processes)
 		}
 	}
 	b.fleet.processes = processes
--- a/balancer/fleetquota_test.go
+++ b/balancer/fleetquota_test.go
@@ -26,7 +26,7 @@
 	b.step(SiblingProcesses{2})
 	checkRate("one of two processes", b.balancer.slowStartRate(starting), 1.25*evenRate)
 	b.step(FleetQuota{})
-	if starting.slowStart.budget.left = 5; b.balancer.slowStartRate(starting) != 0 || b.balancer.slowStartAllows(starting, 1) {
+	if starting.slowStart.budget.available = 5; b.balancer.slowStartRate(starting) != 0 || b.balancer.slowStartAllows(starting, 1) {
 		t.Errorf("slow start rate = %v with a quota of 0, want 0 and no requests allowed", b.balancer.slowStartRate(starting))
 	}
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -48,7 +48,7 @@
 	if !b.settings.GossipAllowed || b.fleet.size < 2 {
 		return
 	}
-	if b.gossip.tokens.left <= 0 || b.now < b.gossip.sentAt+gossipInterval {
+	if b.gossip.tokens.available <= 0 || b.now < b.gossip.sentAt+gossipInterval {
 		return
 	}
 	readers := float64(b.fleet.size - 1)
@@ -59,7 +59,7 @@
 	if body == nil {
 		return
 	}
-	b.gossip.tokens.left -= b.settings.Prices.Gossip * readers * float64(len(body)) / MaxGossipBytes
+	b.gossip.tokens.available -= b.settings.Prices.Gossip * readers * float64(len(body)) / MaxGossipBytes
 	b.gossip.sentAt = b.now
 	b.emit(BroadcastGossip{body})
 }
@@ -83,7 +83,7 @@
 
 // creditGossipBudget adds the gossip budget that one first attempt allows.
 func (b *Balancer) creditGossipBudget() {
-	b.gossip.tokens.earn(gossipBudgetFraction, gossipBurst*gossipBudgetFraction)
+	b.gossip.tokens.credit(gossipBudgetFraction, gossipBurst*gossipBudgetFraction)
 }
 
 // gossipAlive reports whether messages from other nodes still arrive. It logs once when they stop.
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -7,7 +7,7 @@
 // Each node must learn from gossip which requests the other nodes have at a server. Otherwise all nodes
 // could choose the same server, since each sees only its own requests.
 func TestGossipReportsRequestsInFlight(t *testing.T) {
-	set := probed(2)
+	set := probeOnlySettings(2)
 	set.ProbesAllowed = false
 	one := newTestNode(t, set, testEndpoints(2)...)
 	set.Node = 1
@@ -26,7 +26,7 @@
 		t.Fatalf("gossiped load of %s = %v, want 1", busy, got)
 	}
 	one.now += 20
-	if got := deliver(busy, one.end(id, 0, busy, OK, 20)); got != 0 {
+	if got := deliver(busy, one.completeAttempt(id, 0, busy, OK, 20)); got != 0 {
 		t.Errorf("gossiped load of %s after the answer = %v, want 0", busy, got)
 	}
 }
@@ -34,7 +34,7 @@
 // Invalid messages must be ignored completely, unknown servers skipped, reports replaced by newer ones, and
 // gossip no longer used after the timeout.
 func TestIgnoreInvalidAndOldGossip(t *testing.T) {
-	b := newTestNode(t, probed(4), testEndpoints(3)...)
+	b := newTestNode(t, probeOnlySettings(4), testEndpoints(3)...)
 	tag := b.balancer.servers.byID["s0"].gossipTag
 	entry := []byte{byte(tag >> 8), byte(tag), 9}
 	for name, body := range map[string][]byte{
@@ -66,19 +66,19 @@
 // A server that fails immediately looks idle and would attract requests. Its failure share must rise with
 // consecutive failures and with failures reported by gossip, even before it is ejected.
 func TestFailureShareCountsGossipAndConsecutiveFailures(t *testing.T) {
-	b := newTestNode(t, probed(2), testEndpoints(2)...)
+	b := newTestNode(t, probeOnlySettings(2), testEndpoints(2)...)
 	s := b.balancer.servers.byID["s0"]
-	if b.balancer.failureShare(s) != 0 {
+	if b.balancer.estimatedFailureRate(s) != 0 {
 		t.Fatal("failure share is not 0 before any failure")
 	}
 	b.step(GossipReceived{From: 1, Body: []byte{gossipVersion | byte(gossipOutcomes), byte(s.gossipTag >> 8), byte(s.gossipTag), 10, 30}})
-	if got := b.balancer.failureShare(s); got < 0.3 || s.outlier.ejected {
+	if got := b.balancer.estimatedFailureRate(s); got < 0.3 || s.outlier.ejected {
 		t.Errorf("30 of 40 attempts of another node failed: failure share = %.2f, want at least 0.3; ejected = %v, want false", got, s.outlier.ejected)
 	}
 	failingServer := b.balancer.servers.byID["s1"]
 	failingServer.outcomes.record(b.now, false)
 	failingServer.outlier.consecutiveFailures, failingServer.timing.outcomeAt = 3, b.now
-	if got := b.balancer.failureShare(failingServer); got < 0.8 {
+	if got := b.balancer.estimatedFailureRate(failingServer); got < 0.8 {
 		t.Errorf("three consecutive failures: failure share = %.2f, want at least 0.8", got)
 	}
 }
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -29,11 +29,11 @@
 
 // gossipReport is the latest report from another node about a server.
 type gossipReport struct {
-	from   int
-	kind   gossipKind
-	first  float64 // requests in flight, or successes
-	second float64 // failures; for gossipLoads requests in flight again
-	at     Millis
+	from            int
+	kind            gossipKind
+	loadOrSuccesses float64 // requests in flight, or successes
+	failures        float64 // failures; for gossipLoads requests in flight again
+	at              Millis
 }
 
 // gossipSource identifies the messages of one node and kind.
@@ -86,13 +86,13 @@
 			continue
 		}
 		s.gossipReports = append(s.gossipReports, gossipReport{
-			from:   source.from,
-			kind:   source.kind,
-			first:  float64(entry[2]),
-			second: float64(entry[size-1]),
-			at:     b.now,
+			from:            source.from,
+			kind:            source.kind,
+			loadOrSuccesses: float64(entry[2]),
+			failures:        float64(entry[size-1]),
+			at:              b.now,
 		})
-		s.estimate.at = estimateOutdated
+		s.estimate.computedAt = estimateOutdated
 		reported = append(reported, s)
 	}
 	b.gossip.reportedBy[source] = reported
@@ -122,7 +122,7 @@
 		s.gossipReports = slices.DeleteFunc(s.gossipReports, func(report gossipReport) bool {
 			return report.from == source.from && report.kind == source.kind
 		})
-		s.estimate.at = estimateOutdated
+		s.estimate.computedAt = estimateOutdated
 	}
 }
 
@@ -132,7 +132,7 @@
 	sum := 0.0
 	for _, report := range s.gossipReports {
 		if report.kind == gossipLoads {
-			sum += report.first
+			sum += report.loadOrSuccesses
 		}
 	}
 	return sum
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -59,8 +59,8 @@
 	return b.next, b.step(Arrival{ID: b.next, Class: class, Deadline: b.now + ttl})
 }
 
-// end completes attempt number n of a request.
-func (b *testNode) end(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
+// completeAttempt completes attempt number n of a request.
+func (b *testNode) completeAttempt(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
 	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: res, Elapsed: took, RequestFinished: res == OK})
 }
 
@@ -73,17 +73,17 @@
 	}
 	b.now += took
 	b.balancer.scoredAt = 0 // update the scores with every request
-	acts = b.end(id, 0, s, result(s), took)
+	acts = b.completeAttempt(id, 0, s, result(s), took)
 	for n := 1; sentTo(acts) != ""; n++ { // later attempts succeed
-		acts = b.end(id, n, sentTo(acts), OK, 1)
+		acts = b.completeAttempt(id, n, sentTo(acts), OK, 1)
 	}
 	return s
 }
 
 func allOK(ServerID) Outcome { return OK }
 
-// pass advances the time in steps of 250 ms and dispatches the queue in each.
-func (b *testNode) pass(d Millis) {
+// advance advances the time in steps of 250 ms and dispatches the queue in each.
+func (b *testNode) advance(d Millis) {
 	for until := b.now + d; b.now < until; {
 		b.now += 250
 		b.step(TimerFired{"sweep"})
@@ -109,15 +109,15 @@
 	return n
 }
 
-// fleet returns the settings of a node in a fleet of 300, with the given price of probes.
-func fleet(probe float64) Settings {
+// largeFleetSettings returns the settings of a node in a largeFleetSettings of 300, with the given price of probes.
+func largeFleetSettings(probe float64) Settings {
 	set := settings()
 	set.Nodes, set.ProbesAllowed, set.LoadReports, set.Prices.Probe = 300, true, true, probe
 	return set
 }
 
-// probed returns settings in which only probes report load and gossip is allowed.
-func probed(nodes int) Settings {
+// probeOnlySettings returns settings in which only probes report load and gossip is allowed.
+func probeOnlySettings(nodes int) Settings {
 	set := settings()
 	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ReportsFromProbesOnly, set.GossipAllowed = nodes, true, true, true, true
 	set.Prices.Probe, set.Prices.Gossip = 0.004, 0.01
--- a/balancer/healthscore.go
+++ b/balancer/healthscore.go
@@ -90,7 +90,7 @@
 
 // recordAttemptOutcome updates the health records of a server with the outcome of an attempt.
 func (b *Balancer) recordAttemptOutcome(s *server, r *request, a *attempt, outcome Outcome, elapsed Millis) {
-	cancelledEarly := outcome == Cancelled && elapsed < a.expected
+	cancelledEarly := outcome == Cancelled && elapsed < a.expectedDuration
 	if outcome == NotSent || cancelledEarly {
 		return // no evidence about the server
 	}
--- a/balancer/healthscore_test.go
+++ b/balancer/healthscore_test.go
@@ -15,7 +15,7 @@
 			elapsed = 40
 		}
 		b.now += elapsed
-		b.end(id, 0, s, OK, elapsed)
+		b.completeAttempt(id, 0, s, OK, elapsed)
 		b.balancer.scoredAt = 0
 	}
 	b.balancer.scoredAt = 0
@@ -53,7 +53,7 @@
 			hung++
 		} else if s != "" {
 			b.now += 20
-			b.end(id, 0, s, OK, 20)
+			b.completeAttempt(id, 0, s, OK, 20)
 		}
 		b.step(TimerFired{"sweep"})
 	}
@@ -115,7 +115,7 @@
 	b.now += 5
 	b.serve("read", 20, allOK)
 	b.now += 365
-	b.end(lost, 0, "s0", TimedOut, 390)
+	b.completeAttempt(lost, 0, "s0", TimedOut, 390)
 	if got := b.balancer.servers.byID["s0"].timing.unitTime; got > before*1.5 {
 		t.Errorf("unit time after the timeout = %v ms, want at most 1.5 times %v ms", got, before)
 	}
--- a/balancer/loadestimate.go
+++ b/balancer/loadestimate.go
@@ -39,7 +39,7 @@
 		return
 	}
 	b.markMissingAttempts(s, report)
-	s.estimate.at = estimateOutdated
+	s.estimate.computedAt = estimateOutdated
 	if report.QueueKnown && report.Queued >= 1 { // with a queue, all of the server's parallelism is in use
 		inService := max(1, report.InFlight-report.Queued)
 		b.estimate.parallelism += parallelismSmoothing * (inService - b.estimate.parallelism)
--- a/balancer/loadestimate_test.go
+++ b/balancer/loadestimate_test.go
@@ -56,7 +56,7 @@
 	if unanswered := b.balancer.unansweredTime(b.balancer.servers.byID[lossyServer]); unanswered != 0 {
 		t.Errorf("unanswered time = %v ms, want 0 without the missing attempt", unanswered)
 	}
-	acts = b.end(id, 0, lossyServer, Cancelled, 200)
+	acts = b.completeAttempt(id, 0, lossyServer, Cancelled, 200)
 	if next := sentTo(acts); next == "" || next == lossyServer {
 		t.Errorf("retry sent to %q, want another server than %q", next, lossyServer)
 	}
@@ -80,7 +80,7 @@
 
 // Guards against treating a server whose load was just reported as one whose load is unknown.
 func TestUncertaintyGrowsWithReportAge(t *testing.T) {
-	b := newTestNode(t, fleet(0.1), testEndpoints(2)...)
+	b := newTestNode(t, largeFleetSettings(0.1), testEndpoints(2)...)
 	s := b.balancer.servers.byID["s0"]
 	b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 2}})
 	b.balancer.refreshEstimate(s)
@@ -97,7 +97,7 @@
 // while such servers were half idle.
 func TestSlowStartServerIsEstimatedToHoldFewerRequests(t *testing.T) {
 	entries := testEndpoints(2)
-	b := newTestNode(t, fleet(0.1), entries...)
+	b := newTestNode(t, largeFleetSettings(0.1), entries...)
 	entries[1].Started = b.now
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[1:]})
 	b.balancer.estimate.othersLoad = 3
@@ -113,7 +113,7 @@
 
 // Guards against adding up the times of a server's requests although it works on several in parallel.
 func TestServiceRoundsAccountForParallelism(t *testing.T) {
-	b := newTestNode(t, probed(1), testEndpoints(2)...)
+	b := newTestNode(t, probeOnlySettings(1), testEndpoints(2)...)
 	for i := 0; i < 200; i++ {
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: OK, Report: LoadReport{Valid: true, InFlight: 5, QueueKnown: true, Queued: 3}})
 	}
--- a/balancer/loadprobe.go
+++ b/balancer/loadprobe.go
@@ -83,12 +83,12 @@
 	return b.probing.acceptance * min(1, probeBudgetFraction/max(minPrice, b.settings.Prices.Probe))
 }
 
-// earnProbes adds the probes that one new request allows to the budget. It adds fewer if servers are
+// creditProbeBudget adds the probes that one new request allows to the budget. It adds fewer if servers are
 // mostly idle, because probing idle servers gains little.
-func (b *Balancer) earnProbes() {
+func (b *Balancer) creditProbeBudget() {
 	perServer := b.estimate.othersLoad + float64(b.openAttempts)/max(1, float64(len(b.servers.ready)))
 	spend := b.probing.acceptance * probeBudgetFraction * min(1, perServer/math.Round(b.estimate.parallelism))
-	b.probing.tokens.earn(spend/max(minPrice, b.settings.Prices.Probe), maxSavedProbeRounds*probesPerRequest)
+	b.probing.tokens.credit(spend/max(minPrice, b.settings.Prices.Probe), maxSavedProbeRounds*probesPerRequest)
 }
 
 // handleLoadProbeCompleted records the result of a load probe.
--- a/balancer/loadprobe_test.go
+++ b/balancer/loadprobe_test.go
@@ -40,7 +40,7 @@
 // idle servers gain little.
 func TestProbesStayWithinBudget(t *testing.T) {
 	countProbes := func(load float64, outcome Outcome) int {
-		b := newTestNode(t, probed(1), testEndpoints(40)...)
+		b := newTestNode(t, probeOnlySettings(1), testEndpoints(40)...)
 		b.balancer.estimate.othersLoad = load
 		for i := 0; i < 300; i++ {
 			b.now += 50
@@ -50,7 +50,7 @@
 					b.step(LoadProbeCompleted{Server: p.Server, Outcome: outcome, Report: LoadReport{Valid: outcome == OK, InFlight: load}})
 				}
 			}
-			b.end(id, 0, sentTo(b.actions), OK, 10)
+			b.completeAttempt(id, 0, sentTo(b.actions), OK, 10)
 		}
 		return count[ProbeLoad](b.actions)
 	}
@@ -62,7 +62,7 @@
 
 // Guards against ejecting busy servers for slow probes if probes are queued like requests.
 func TestSlowProbesDoNotEjectServer(t *testing.T) {
-	b := newTestNode(t, probed(1), testEndpoints(3)...)
+	b := newTestNode(t, probeOnlySettings(1), testEndpoints(3)...)
 	for i := 0; i < 50; i++ {
 		b.step(LoadProbeCompleted{Server: "s1", Outcome: OK, Elapsed: 120})
 		b.step(LoadProbeCompleted{Server: "s0", Outcome: TimedOut, Elapsed: 300})
--- a/balancer/missingattempts.go
+++ b/balancer/missingattempts.go
@@ -27,7 +27,7 @@
 			a.missingAfter = elapsed
 		}
 		overtaken := a.sentAt < s.attempts.latestAnswered
-		overdue := elapsed > missingAfterFactor*a.expected
+		overdue := elapsed > missingAfterFactor*a.expectedDuration
 		a.missing = missing >= 1 && elapsed > reportFreshFor+2*b.estimate.reportLag && (overtaken || overdue)
 		if !a.missing {
 			continue
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// failing sends requests until a server that fails all its requests is ejected.
-func failing(t *testing.T, b *testNode, bad ServerID, outcome Outcome) {
+// failUntilEjected sends requests until a server that fails all its requests is ejected.
+func failUntilEjected(t *testing.T, b *testNode, bad ServerID, outcome Outcome) {
 	t.Helper()
 	for i := 0; i < 300 && !b.balancer.servers.byID[bad].outlier.ejected; i++ {
 		b.balancer.servers.byID[bad].timing.measured, b.balancer.servers.byID[bad].timing.unitTime = true, 1 // fast, so that it is drawn
@@ -21,7 +21,7 @@
 
 func TestEjectedServerGetsOneTrialAfterEjectionTime(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
-	failing(t, b, "s1", Errored)
+	failUntilEjected(t, b, "s1", Errored)
 	if !b.balancer.servers.byID["s1"].outlier.ejected {
 		t.Fatal("a server that always fails was not ejected")
 	}
@@ -30,14 +30,14 @@
 			t.Fatal("an ejected server got a request before the ejection time had passed")
 		}
 	}
-	b.pass(ejectionTime + 1000)
+	b.advance(ejectionTime + 1000)
 	var trial RequestID
 	for i := 0; i < 200 && trial == 0; i++ {
 		if id, acts := b.arrive("read", 2000); sentTo(acts) == "s1" {
 			trial = id
 		} else {
 			b.now += 5
-			b.end(id, 0, sentTo(acts), OK, 5)
+			b.completeAttempt(id, 0, sentTo(acts), OK, 5)
 		}
 	}
 	if trial == 0 {
@@ -48,7 +48,7 @@
 			t.Fatal("an ejected server got a second request during its trial")
 		}
 	}
-	b.end(trial, 0, "s1", OK, 30)
+	b.completeAttempt(trial, 0, "s1", OK, 30)
 	if b.balancer.servers.byID["s1"].outlier.ejected {
 		t.Error("a successful trial did not readmit the server")
 	}
@@ -63,7 +63,7 @@
 			old = id
 		} else {
 			b.now += 5
-			b.end(id, 0, sentTo(acts), OK, 5)
+			b.completeAttempt(id, 0, sentTo(acts), OK, 5)
 			b.balancer.scoredAt = 0
 		}
 	}
@@ -73,7 +73,7 @@
 	s := b.balancer.servers.byID["s1"]
 	s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	b.now += 50
-	b.end(old, 0, "s1", OK, 50)
+	b.completeAttempt(old, 0, "s1", OK, 50)
 	if !s.outlier.ejected {
 		t.Error("the response to an attempt sent before the ejection readmitted the server")
 	}
@@ -81,7 +81,7 @@
 
 func TestOverloadRejectionsDoNotEjectServer(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
-	failing(t, b, "s1", Overloaded)
+	failUntilEjected(t, b, "s1", Overloaded)
 	s := b.balancer.servers.byID["s1"]
 	if s.outlier.ejected {
 		t.Error("a server was ejected for rejecting requests as overloaded")
@@ -196,11 +196,11 @@
 				if next == "s2" {
 					outcome = Errored
 				}
-				next = sentTo(b.end(id, n, next, outcome, 2))
+				next = sentTo(b.completeAttempt(id, n, next, outcome, 2))
 			}
 		default:
 			b.now += 70
-			b.end(id, 0, s, OK, 70)
+			b.completeAttempt(id, 0, s, OK, 70)
 		}
 		b.balancer.scoredAt = 0
 	}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -200,7 +200,7 @@
 // connection.
 func (b *Balancer) placementCost(r *request, s *server) Millis {
 	objective := r.class.LatencyObjective
-	cost := s.placement.expected + (s.estimate.failureShare+b.zoneFailureShare(s.zoneFailures))*objective
+	cost := s.placement.expected + (s.estimate.failureRate+b.zoneFailureRate(s.zoneFailures))*objective
 	wholeWeight := objective * b.meanPriorityWeight / max(minPriorityWeight, r.class.PriorityWeight)
 	if s.Zone != b.settings.Zone {
 		cost += b.settings.Prices.CrossZone * wholeWeight
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -37,7 +37,7 @@
 		b := newTestNode(t, settings(), testEndpoints(3)...)
 		id, acts := b.arrive("bill", 2000)
 		b.now += 10
-		acts = b.end(id, 0, sentTo(acts), outcome, 10)
+		acts = b.completeAttempt(id, 0, sentTo(acts), outcome, 10)
 		if got := sentTo(acts) != ""; got != wantRetry {
 			t.Errorf("outcome %d: retried = %v, want %v", outcome, got, wantRetry)
 		}
@@ -50,11 +50,11 @@
 func TestKeyedRetryStaysInDedupScopeAndWindow(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(6)...)
 	for i := 0; i < 40; i++ {
-		b.balancer.retryBudget.left = retryBurst
+		b.balancer.retryBudget.available = retryBurst
 		id, acts := b.arrive("put", 2000)
 		first := sentTo(acts)
 		b.now++
-		acts = b.end(id, 0, first, Errored, 1)
+		acts = b.completeAttempt(id, 0, first, Errored, 1)
 		second := sentTo(acts)
 		if second != "" && b.balancer.servers.byID[second].Cell != b.balancer.servers.byID[first].Cell {
 			t.Fatalf("retried in cell %d after an attempt in cell %d", b.balancer.servers.byID[second].Cell, b.balancer.servers.byID[first].Cell)
@@ -63,12 +63,12 @@
 			t.Fatal("the request was rejected although an attempt may have run")
 		}
 		if second != "" {
-			b.end(id, 1, second, OK, 1)
+			b.completeAttempt(id, 1, second, OK, 1)
 		}
 	}
 	id, acts := b.arrive("put", 5000)
 	b.now += 1100 // past the dedup window and the latency objective
-	if acts = b.end(id, 0, sentTo(acts), Errored, 1100); sentTo(acts) != "" || count[Fail](acts) != 1 {
+	if acts = b.completeAttempt(id, 0, sentTo(acts), Errored, 1100); sentTo(acts) != "" || count[Fail](acts) != 1 {
 		t.Errorf("actions after the dedup window = %v, want one Fail", acts)
 	}
 }
@@ -97,7 +97,7 @@
 		b.next++
 		acts := b.step(Arrival{ID: b.next, Class: "read", WorkHint: 50, Deadline: b.now + 2000})
 		b.now += 100
-		b.end(b.next, 0, sentTo(acts), OK, 100)
+		b.completeAttempt(b.next, 0, sentTo(acts), OK, 100)
 	}
 	b.next++
 	if acts := b.step(Arrival{ID: b.next, Class: "read", WorkHint: 250, Deadline: b.now + 2000}); sentTo(acts) == "" {
@@ -174,7 +174,7 @@
 			b.now += 500
 			if id, acts := b.arrive("read", 2000); sentTo(acts) != "" {
 				sent++
-				b.end(id, 0, sentTo(acts), TimedOut, 1)
+				b.completeAttempt(id, 0, sentTo(acts), TimedOut, 1)
 			}
 		}
 	}
@@ -213,11 +213,11 @@
 func TestRequestIsSentAtOnceIfLoadCannotBeLearned(t *testing.T) {
 	sent := func(set Settings, load float64) bool {
 		b := newTestNode(t, set, testEndpoints(40)...)
-		b.balancer.estimate.othersLoad, b.balancer.probing.tokens.left = load, 0
+		b.balancer.estimate.othersLoad, b.balancer.probing.tokens.available = load, 0
 		_, acts := b.arrive("read", 2000)
 		return sentTo(acts) != ""
 	}
-	expensive, cheap := fleet(10*probeBudgetFraction), fleet(probeBudgetFraction/10)
+	expensive, cheap := largeFleetSettings(10*probeBudgetFraction), largeFleetSettings(probeBudgetFraction/10)
 	if !sent(expensive, 1) {
 		t.Error("a request was queued although probes are too expensive")
 	}
@@ -242,7 +242,7 @@
 // close connections that are idle for seconds, and a handshake may cost a twelfth of a request.
 func TestIdleConnectionsArePreferred(t *testing.T) {
 	countDials := func(price float64, closesAfter func(i int) bool) (dialed int) {
-		set := fleet(0.1)
+		set := largeFleetSettings(0.1)
 		set.Prices.Handshake = price
 		b := newTestNode(t, set, testEndpoints(40)...)
 		open := map[ServerID]int{}
@@ -255,7 +255,7 @@
 				dialed++
 			}
 			b.now += 10
-			b.end(id, 0, s, OK, 10)
+			b.completeAttempt(id, 0, s, OK, 10)
 			if open[s]++; closesAfter(i) {
 				open[s]--
 				b.step(ConnectionClosed{Server: s})
@@ -305,7 +305,7 @@
 
 // Guards against sending to another zone without need, and against staying in a zone whose servers are full.
 func TestRequestLeavesZoneOnlyIfZoneIsFull(t *testing.T) {
-	set := probed(1)
+	set := probeOnlySettings(1)
 	set.Zone, set.Prices.CrossZone, set.ProbesAllowed = "here", 0.13, false
 	list := []Endpoint{{ID: "near", Zone: "here", Capacity: 1}, {ID: "far", Zone: "there", Capacity: 1}}
 	countCrossZone := func(nearLoad float64) int {
@@ -334,7 +334,7 @@
 
 // Guards against nodes that send the requests of one key to different servers, so that none has it cached.
 func TestAllNodesPreferSameServersForKey(t *testing.T) {
-	set := probed(2)
+	set := probeOnlySettings(2)
 	set.KeyAffinity = true
 	keysByServer := map[ServerID]int{}
 	for k := 0; k < 60; k++ {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -47,13 +47,13 @@
 
 // attempt is one attempt of a request.
 type attempt struct {
-	server        *server
-	sentAt        Millis  // +Inf while the request's body is incomplete
-	serviceRounds float64 // expected duration at the time of sending, in unit times
-	expected      Millis  // expected duration at the time of sending
-	open          bool
-	missing       bool   // absent from the server's latest load report
-	missingAfter  Millis // time since sending when a load report first omitted it
+	server           *server
+	sentAt           Millis  // +Inf while the request's body is incomplete
+	serviceRounds    float64 // expected duration at the time of sending, in unit times
+	expectedDuration Millis  // expected duration at the time of sending
+	open             bool
+	missing          bool   // absent from the server's latest load report
+	missingAfter     Millis // time since sending when a load report first omitted it
 }
 
 // triedServer reports whether a request has had an attempt at a server.
@@ -143,7 +143,7 @@
 	}
 	a.sentAt = b.now
 	a.server.attempts.awaitingBody--
-	a.server.estimate.at = estimateOutdated
+	a.server.estimate.computedAt = estimateOutdated
 }
 
 // handleBodyReceived restarts the time of a request and of its open attempts at the end of its body.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -16,7 +16,7 @@
 
 // creditRetryBudget adds the retries that one first attempt allows, less the reduction of the fleet.
 func (b *Balancer) creditRetryBudget() {
-	b.retryBudget.earn(retryBudgetRatio*(1-b.fleet.retryReduction), retryBurst)
+	b.retryBudget.credit(retryBudgetRatio*(1-b.fleet.retryReduction), retryBurst)
 }
 
 // retryOrGiveUp queues a request whose attempts have all failed for a retry, or gives the final answer. A
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -31,7 +31,7 @@
 	set.Nodes = 400
 	b := newTestNode(t, set, testEndpoints(3)...)
 	b.balancer.estimate.unitTime = 1000 // no server answers in time
-	b.balancer.explorations.left = 0
+	b.balancer.explorations.available = 0
 	_, acts := b.arrive("read", 2000)
 	for i := 0; i < 50 && count[Reject](acts) == 0; i++ {
 		b.now += 10
@@ -57,13 +57,13 @@
 		for _, tokens := range []float64{0, 1} {
 			b := newTestNode(t, settings(), testEndpoints(3)...)
 			id, acts := b.arrive("read", 2000)
-			b.balancer.retryBudget.left = tokens
-			acts = b.end(id, 0, sentTo(acts), outcome, 1)
+			b.balancer.retryBudget.available = tokens
+			acts = b.completeAttempt(id, 0, sentTo(acts), outcome, 1)
 			retried := sentTo(acts) != ""
 			if want := tokens > 0 || !spends; retried != want {
 				t.Errorf("outcome %d with %v tokens: retried = %v, want %v", outcome, tokens, retried, want)
 			}
-			if left := b.balancer.retryBudget.left; spends && tokens > 0 && left != 0 || !spends && left != tokens {
+			if left := b.balancer.retryBudget.available; spends && tokens > 0 && left != 0 || !spends && left != tokens {
 				t.Errorf("outcome %d: available tokens = %v, had %v, spends = %v", outcome, left, tokens, spends)
 			}
 		}
--- a/balancer/server_test.go
+++ b/balancer/server_test.go
@@ -21,7 +21,7 @@
 	if len(b.balancer.servers.byID) != 2 || len(b.balancer.servers.known) != 2 {
 		t.Errorf("servers in byID = %d and known = %d, want 2 each: the listed one and the one with an open attempt", len(b.balancer.servers.byID), len(b.balancer.servers.known))
 	}
-	b.end(id, 0, usedServer, OK, 20)
+	b.completeAttempt(id, 0, usedServer, OK, 20)
 	b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "last", Zone: "z", Capacity: 1}}})
 	if len(b.balancer.servers.byID) != 1 || len(b.balancer.servers.known) != 1 {
 		t.Errorf("servers in byID = %d and known = %d, want 1 each: the listed one", len(b.balancer.servers.byID), len(b.balancer.servers.known))
@@ -31,7 +31,7 @@
 // Guards against a wrong or negative number of idle connections: a probe and an attempt take one, and a
 // response returns it, but a failed or cancelled attempt does not.
 func TestIdleConnectionsAreCounted(t *testing.T) {
-	b := newTestNode(t, fleet(0.1), testEndpoints(1)...)
+	b := newTestNode(t, largeFleetSettings(0.1), testEndpoints(1)...)
 	s := b.balancer.servers.byID["s0"]
 	for _, step := range []struct {
 		outcome Outcome
--- a/balancer/serverhealth_test.go
+++ b/balancer/serverhealth_test.go
@@ -92,7 +92,7 @@
 			elapsed = 50
 		}
 		b.now += elapsed
-		b.end(id, 0, sentTo(acts), OK, elapsed)
+		b.completeAttempt(id, 0, sentTo(acts), OK, elapsed)
 	}
 	start := b.now
 	for b.now < start+10000 {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -55,7 +55,7 @@
 // Without such a common estimate, each node's first request to each new server would be late.
 func (b *Balancer) estimatedCapacity(s *server) float64 {
 	minimum := b.minimumCapacity(s)
-	return minimum + b.estimate.warmCapacity*(1-minimum)
+	return minimum + b.estimate.extraCapacity*(1-minimum)
 }
 
 // unitTimeAtFullCapacity converts the measured unit time of a server in slow start to the unit time
@@ -66,10 +66,10 @@
 	capacity := b.estimatedCapacity(s)
 	if capacity < 1 && success {
 		step := extraCapacityStep
-		if unitTime*capacity > b.typicalUnitTime(s)*b.estimate.pace {
+		if unitTime*capacity > b.typicalUnitTime(s)*b.estimate.slowdownFactor {
 			step = -extraCapacityStep
 		}
-		b.estimate.warmCapacity = min(1, max(0, b.estimate.warmCapacity+step))
+		b.estimate.extraCapacity = min(1, max(0, b.estimate.extraCapacity+step))
 	}
 	return unitTime * capacity
 }
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -69,15 +69,15 @@
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok && s.Server == "cold" {
 				f.sent = append(f.sent, slowStartCall{b.now, costs[s.ID]})
-				b.balancer.retryBudget.left, b.balancer.servers.byID["cold"].outlier.ejected = 0, false
-				perform(b, b.end(s.ID, 0, "cold", Overloaded, 0)) // rejected work counts too
+				b.balancer.retryBudget.available, b.balancer.servers.byID["cold"].outlier.ejected = 0, false
+				perform(b, b.completeAttempt(s.ID, 0, "cold", Overloaded, 0)) // rejected work counts too
 			}
 		}
 	}
 	for i, b := range f.nodes {
 		b.now = from
 		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.serverStartedAt}}})
-		b.balancer.explorations.left = -1e9 // no explorations: they pass the same budget, and the test is on the budget alone
+		b.balancer.explorations.available = -1e9 // no explorations: they pass the same budget, and the test is on the budget alone
 		for k := 0; b.now < from+span; k++ {
 			b.now += every * (0.5 + float64((i*7+k)%11)/10)
 			b.next++
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -57,7 +57,7 @@
 	for b.now < start+set.SlowStart.OverloadWindow {
 		if id, acts := b.arrive("read", 2000); sentTo(acts) == "cold" {
 			sent++
-			b.end(id, 0, "cold", Overloaded, 0) // rejected work counts too
+			b.completeAttempt(id, 0, "cold", Overloaded, 0) // rejected work counts too
 		}
 		b.now += 5
 	}
@@ -89,7 +89,7 @@
 				l.now = b.now
 				r := &request{class: l.classes["read"], work: 1, deadline: b.now + 2000}
 				if slices.Contains(b.balancer.candidates(r), restarted) {
-					restarted.slowStart.budget.left--
+					restarted.slowStart.budget.available--
 					work[int((b.now-began)/set.SlowStart.OverloadWindow)] += b.balancer.estimate.unitTime
 				}
 			}
@@ -113,7 +113,7 @@
 func TestSlowStartCapacityIsEstimatedFromAllServers(t *testing.T) {
 	for _, speed := range []float64{0.35, 0.8} {
 		entries := testEndpoints(4)
-		b := newTestNode(t, fleet(0.1), entries...)
+		b := newTestNode(t, largeFleetSettings(0.1), entries...)
 		entries[2].Started, entries[3].Started = b.now, b.now
 		b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[2:]})
 		measuredServer, unmeasuredServer := b.balancer.servers.byID["s2"], b.balancer.servers.byID["s3"]
--- a/balancer/staterestore.go
+++ b/balancer/staterestore.go
@@ -33,16 +33,16 @@
 func (b *Balancer) restore(state State) {
 	e := &b.estimate
 	b.setTypicalUnitTime(inRangeOr(state.UnitTime, 0, maxRestoredTime, e.unitTime))
-	e.pace = inRangeOr(state.SlowdownFactor, 1/maxPaceSample, maxPaceSample, e.pace)
+	e.slowdownFactor = inRangeOr(state.SlowdownFactor, 1/maxSlowdownSample, maxSlowdownSample, e.slowdownFactor)
 	e.parallelism = inRangeOr(state.Parallelism, 1, maxRestoredCount, e.parallelism)
 	e.reportLag = inRangeOr(state.ReportLag, 0, maxRestoredTime, e.reportLag)
 	e.meanWorkHint = inRangeOr(state.MeanWorkHint, 0, maxRestoredCount, e.meanWorkHint)
 	e.othersLoad = inRangeOr(state.OthersLoad, 0, maxRestoredCount, e.othersLoad)
 	b.probing.roundTrip = inRangeOr(state.ProbeRoundTrip, 0, maxRestoredTime, b.probing.roundTrip)
 	b.probing.acceptance = inRangeOr(state.Acceptance, 0, 1, b.probing.acceptance)
-	b.probing.tokens.left = inRangeOr(state.ProbeTokens, -maxRestoredCount, maxRestoredCount,
-		b.probing.tokens.left)
-	b.retryBudget.left = inRangeOr(state.RetryTokens, 0, retryBurst, b.retryBudget.left)
+	b.probing.tokens.available = inRangeOr(state.ProbeTokens, -maxRestoredCount, maxRestoredCount,
+		b.probing.tokens.available)
+	b.retryBudget.available = inRangeOr(state.RetryTokens, 0, retryBurst, b.retryBudget.available)
 	for name, record := range state.Classes {
 		if c := b.classes[name]; c != nil {
 			c.servedFraction = b.restoredServedFraction(record.Asked, record.Served, record.At)
@@ -78,7 +78,7 @@
 // restoredBucket returns a valid token bucket.
 func (b *Balancer) restoredBucket(left float64, refilledAt Millis, fallback tokenBucket) tokenBucket {
 	return tokenBucket{
-		inRangeOr(left, -maxRestoredCount, maxRestoredCount, fallback.left),
+		inRangeOr(left, -maxRestoredCount, maxRestoredCount, fallback.available),
 		b.restoredTime(refilledAt),
 	}
 }
@@ -104,13 +104,13 @@
 		s.load.reportedAt = b.restoredTime(record.ReportedAt)
 	}
 	s.slowStart.budget = b.restoredBucket(record.Budget, record.BudgetAt, s.slowStart.budget)
-	s.estimate.at = estimateOutdated
+	s.estimate.computedAt = estimateOutdated
 	s.outcomes.restore(record, b.now)
 	s.outcomes.failedAt = b.restoredTime(record.FailedAt)
 	for name, share := range record.ClassFailures {
 		if c := b.classes[name]; c != nil {
 			*s.classFailure(c) = failureRate{
-				share:     inRangeOr(share, 0, 1, 0),
+				rate:      inRangeOr(share, 0, 1, 0),
 				observed:  true,
 				updatedAt: b.restoredTime(record.ClassFailureAt[name]),
 			}
--- a/balancer/statetransfer.go
+++ b/balancer/statetransfer.go
@@ -73,15 +73,15 @@
 func (b *Balancer) Snapshot() State {
 	state := State{
 		UnitTime:       b.estimate.unitTime,
-		SlowdownFactor: b.estimate.pace,
+		SlowdownFactor: b.estimate.slowdownFactor,
 		Parallelism:    b.estimate.parallelism,
 		ReportLag:      b.estimate.reportLag,
 		MeanWorkHint:   b.estimate.meanWorkHint,
 		OthersLoad:     b.estimate.othersLoad,
 		ProbeRoundTrip: b.probing.roundTrip,
 		Acceptance:     b.probing.acceptance,
-		RetryTokens:    b.retryBudget.left,
-		ProbeTokens:    b.probing.tokens.left,
+		RetryTokens:    b.retryBudget.available,
+		ProbeTokens:    b.probing.tokens.available,
 		Classes:        map[string]ClassRecord{},
 		Tenants:        map[string]TenantRecord{},
 	}
@@ -91,7 +91,7 @@
 	}
 	for name, t := range b.tenants {
 		state.Tenants[name] = TenantRecord{Asked: t.requested, Served: t.served, At: t.updatedAt, Rate: t.rate,
-			RateAt: t.rateAt, Quota: t.quota.left, QuotaAt: t.quota.refilledAt}
+			RateAt: t.rateAt, Quota: t.quota.available, QuotaAt: t.quota.refilledAt}
 	}
 	for _, s := range b.servers.known {
 		state.Servers = append(state.Servers, b.serverRecord(s))
@@ -116,7 +116,7 @@
 		ReportedAt:          s.load.reportedAt,
 		ConsecutiveFailures: s.outlier.consecutiveFailures,
 		Recent:              s.outcomes.oldestFirst(),
-		Budget:              s.slowStart.budget.left,
+		Budget:              s.slowStart.budget.available,
 		BudgetAt:            s.slowStart.budget.refilledAt,
 		ClassFailures:       map[string]float64{},
 		ClassFailureAt:      map[string]Millis{},
@@ -128,7 +128,7 @@
 	}
 	for name, c := range b.classes {
 		if failure := s.classFailure(c); failure.observed {
-			record.ClassFailures[name] = failure.share
+			record.ClassFailures[name] = failure.rate
 			record.ClassFailureAt[name] = failure.updatedAt
 		}
 	}
--- a/balancer/statetransfer_fuzz_test.go
+++ b/balancer/statetransfer_fuzz_test.go
@@ -29,9 +29,9 @@
 		for i := range 20 {
 			id, acts := b.arrive("read", 2000)
 			if server := sentTo(acts); server != "" {
-				b.end(id, 0, server, Outcome(i%8), Millis(i%3))
+				b.completeAttempt(id, 0, server, Outcome(i%8), Millis(i%3))
 			}
-			b.pass(250)
+			b.advance(250)
 		}
 		failOnNaN(t, b.balancer)
 		if _, err := json.Marshal(b.balancer.Snapshot()); err != nil {
--- a/balancer/statetransfer_test.go
+++ b/balancer/statetransfer_test.go
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 		lb.Step(10, list)
-		lb.servers.byID["cold"].slowStart.budget.left = left
+		lb.servers.byID["cold"].slowStart.budget.available = left
 		return lb
 	}
 	rate := func(lb *Balancer) float64 { return lb.slowStartRate(lb.servers.byID["cold"]) }
@@ -34,14 +34,14 @@
 	}
 	successor.Step(10, SiblingProcesses{2})
 	successor.Step(10, StateTransferred{state})
-	if left := old.servers.byID["cold"].slowStart.budget.left + successor.servers.byID["cold"].slowStart.budget.left; left != 6 {
+	if left := old.servers.byID["cold"].slowStart.budget.available + successor.servers.byID["cold"].slowStart.budget.available; left != 6 {
 		t.Errorf("budget of both processes = %v, want 6 as before the upgrade", left)
 	}
 	if both := rate(old) + rate(successor); both > rate(alone)*1.0001 || both < rate(alone)*0.9999 {
 		t.Errorf("slow start rate of both processes = %v per ms, want %v as for one process", both, rate(alone))
 	}
-	if successor.Step(10, SiblingProcesses{1}); rate(successor) != rate(alone) || successor.servers.byID["cold"].slowStart.budget.left > 3 {
-		t.Errorf("after the upgrade: slow start rate = %v per ms, want %v; budget = %v, want at most 3", rate(successor), rate(alone), successor.servers.byID["cold"].slowStart.budget.left)
+	if successor.Step(10, SiblingProcesses{1}); rate(successor) != rate(alone) || successor.servers.byID["cold"].slowStart.budget.available > 3 {
+		t.Errorf("after the upgrade: slow start rate = %v per ms, want %v; budget = %v, want at most 3", rate(successor), rate(alone), successor.servers.byID["cold"].slowStart.budget.available)
 	}
 }
 
@@ -98,7 +98,7 @@
 		set.LoadReports = true
 		old := newTestNode(t, set, testEndpoints(3)...)
 		old.now += 24 * hour // a clock is never below 0
-		failing(t, old, "s1", Errored)
+		failUntilEjected(t, old, "s1", Errored)
 		for range 50 {
 			old.serve("read", 5, allOK)
 		}
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -4,16 +4,16 @@
 
 // tokenBucket holds tokens that accrue either with time or with events.
 type tokenBucket struct {
-	left       float64 // available tokens
+	available  float64 // available tokens
 	refilledAt Millis
 }
 
 // refill adds the tokens that have accrued since the last refill, at the given rate per millisecond and up
 // to capacity, and returns the available tokens.
 func (t *tokenBucket) refill(now Millis, rate, capacity float64) float64 {
-	t.left = min(capacity, t.left+rate*(now-t.refilledAt))
+	t.available = min(capacity, t.available+rate*(now-t.refilledAt))
 	t.refilledAt = now
-	return t.left
+	return t.available
 }
 
 // refillPhased refills a bucket that may save at most capacity tokens, where capacity may be below 1.
@@ -25,28 +25,28 @@
 func (t *tokenBucket) refillPhased(now Millis, rate, capacity float64) float64 {
 	t.refill(now, rate, math.Inf(1))
 	if capacity >= 1 {
-		t.left = min(t.left, capacity)
-		return t.left
+		t.available = min(t.available, capacity)
+		return t.available
 	}
-	if t.left >= 1+capacity {
-		t.left -= math.Floor(t.left)
-		if t.left < capacity {
-			t.left++
+	if t.available >= 1+capacity {
+		t.available -= math.Floor(t.available)
+		if t.available < capacity {
+			t.available++
 		}
 	}
-	return t.left
+	return t.available
 }
 
-// earn adds tokens for an event, up to capacity. Such a bucket is not refilled with time.
-func (t *tokenBucket) earn(amount, capacity float64) {
-	t.left = min(capacity, t.left+amount)
+// credit adds tokens for an event, up to capacity. Such a bucket is not refilled with time.
+func (t *tokenBucket) credit(amount, capacity float64) {
+	t.available = min(capacity, t.available+amount)
 }
 
 // take spends one token and reports whether one was available.
 func (t *tokenBucket) take() bool {
-	if t.left < 1 {
+	if t.available < 1 {
 		return false
 	}
-	t.left--
+	t.available--
 	return true
 }
--- a/balancer/unittime.go
+++ b/balancer/unittime.go
@@ -10,9 +10,9 @@
 	latencySmoothing = 0.2
 	// slowdownSmoothing is the weight of a new sample in the fleet's slowdown factor.
 	slowdownSmoothing = 0.08
-	// maxPaceSample is the upper bound of a sample of the slowdown factor, and its inverse the lower
+	// maxSlowdownSample is the upper bound of a sample of the slowdown factor, and its inverse the lower
 	// one, so that one heavy request does not raise the estimate for the whole fleet.
-	maxPaceSample = 3.0
+	maxSlowdownSample = 3.0
 	// slowdownReversion is the weight with which each sample moves the slowdown factor back to 1,
 	// because a lasting slowdown shows in the unit times of the individual servers.
 	slowdownReversion = 0.01
@@ -44,7 +44,7 @@
 		if !s.timing.measured || !fresh {
 			continue
 		}
-		unitTime := s.timing.unitTime * b.estimate.pace
+		unitTime := s.timing.unitTime * b.estimate.slowdownFactor
 		if b.settings.CapacitiesListed && s.Capacity > 0 {
 			unitTime *= s.Capacity
 		}
@@ -71,7 +71,7 @@
 	typical := b.typicalUnitTime(s)
 	unitTime := typical
 	if s.timing.measured {
-		unitTime = b.decayToTypical(s, s.timing.unitTime*b.estimate.pace)
+		unitTime = b.decayToTypical(s, s.timing.unitTime*b.estimate.slowdownFactor)
 	}
 	unitTime = max(minUnitTimeRatio*typical, unitTime)
 	return max(minLatency, unitTime/b.estimatedCapacity(s), b.unansweredTimePerServiceRound(s))
@@ -114,10 +114,11 @@
 	timing.latency += gain * (latency - timing.latency)
 	unitTime := b.unitTimeAtFullCapacity(s, elapsed/a.serviceRounds, success)
 	if success && timing.measured {
-		sample := min(maxPaceSample, max(1/maxPaceSample, unitTime/max(minLatency, timing.unitTime)))
-		b.estimate.pace += slowdownSmoothing*(sample-b.estimate.pace) + slowdownReversion*(1-b.estimate.pace)
+		sample := min(maxSlowdownSample, max(1/maxSlowdownSample, unitTime/max(minLatency, timing.unitTime)))
+		b.estimate.slowdownFactor += slowdownSmoothing*(sample-b.estimate.slowdownFactor) +
+			slowdownReversion*(1-b.estimate.slowdownFactor)
 	}
-	unitTime /= b.estimate.pace
+	unitTime /= b.estimate.slowdownFactor
 	unanswered := outcome == TimedOut || outcome == Cancelled
 	slowerThanRecorded := unitTime > timing.unitTime && !s.superseded(a)
 	if success || unanswered && slowerThanRecorded {
