--- a/internal/filewatch/read.go
+++ b/internal/filewatch/read.go
@@ -8,11 +8,11 @@
 	"syscall"
 )
 
-// errChanging says that a file changed while it was read.
-var errChanging = errors.New("the file changes while it is read")
+// errChangedDuringRead reports that a file changed before or while it was read.
+var errChangedDuringRead = errors.New("file changed while it was read")
 
-// stat returns the state of a file; the zero state if it does not exist. It follows symbolic links: the content is what
-// counts.
+// stat returns the state of a file, or the zero state if the file does not exist. It follows symbolic links, since the state of the
+// content matters, not that of the link.
 func stat(path string) (FileState, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -24,9 +24,10 @@
 	return stateOf(path, info)
 }
 
+// stateOf converts file information to a state. It returns an error if the file is not a regular file.
 func stateOf(path string, info os.FileInfo) (FileState, error) {
 	if !info.Mode().IsRegular() {
-		return FileState{}, fmt.Errorf("%s is no plain file", path)
+		return FileState{}, fmt.Errorf("%s is not a regular file", path)
 	}
 	state := FileState{Exists: true, Size: info.Size(), ModTime: info.ModTime()}
 	if sys, ok := info.Sys().(*syscall.Stat_t); ok {
@@ -35,11 +36,11 @@
 	return state, nil
 }
 
-// read reads a file completely, in the state that was seen. The error is errChanging if it was in another state when it was
-// opened or afterwards: what was read may then be a mixture.
-func read(path string, want FileState, maxBytes int64) ([]byte, error) {
+// readUnchanged reads a file completely if it is in the wanted state. It returns errChangedDuringRead if the file was in another
+// state when it was opened or afterwards, because the data may then be a mixture of two states.
+func readUnchanged(path string, want FileState, maxBytes int64) ([]byte, error) {
 	if want.Size > maxBytes {
-		return nil, fmt.Errorf("%s has %d bytes, %d at most", path, want.Size, maxBytes)
+		return nil, fmt.Errorf("%s: file size %d bytes exceeds the limit of %d bytes", path, want.Size, maxBytes)
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -61,7 +62,7 @@
 	after, err := stat(path)
 	sameState := err == nil && opened.Equal(want) && after.Equal(want)
 	if !sameState || int64(len(data)) != want.Size {
-		return nil, errChanging
+		return nil, errChangedDuringRead
 	}
 	return data, nil
 }
--- a/internal/filewatch/tracker.go
+++ b/internal/filewatch/tracker.go
@@ -1,10 +1,10 @@
-// Package filewatch reads a file whenever it has changed, and only once it has settled: a file that is still being written
-// is not read, and what changed during a read is not used. Tracker decides and does no I/O; Run does the I/O around it.
+// Package filewatch reads a file each time it has changed, but only once it has settled: a file that is still being written is
+// not read, and data that changed during a read is not used. Tracker makes the decisions without I/O; Run does the I/O.
 package filewatch
 
 import "time"
 
-// FileState is what the file system tells of a file. The zero value is a file that does not exist.
+// FileState identifies the content of a file by its metadata. The zero value represents a file that does not exist.
 type FileState struct {
 	Exists  bool
 	Size    int64 // bytes
@@ -12,23 +12,23 @@
 	Inode   uint64
 }
 
-// Equal reports whether two states are of one file with one content.
+// Equal reports whether two states belong to the same file with the same content.
 func (s FileState) Equal(other FileState) bool {
 	return s.Exists == other.Exists && s.Size == other.Size && s.ModTime.Equal(other.ModTime) && s.Inode == other.Inode
 }
 
-// Action is what to do after a look at a file.
+// Action is what the caller must do after Tracker.Observe.
 type Action int
 
-// The actions.
+// Actions that Tracker.Observe returns.
 const (
-	Unchanged     Action = iota // nothing: it is as it was read last
-	WaitForSettle               // look again later: it may still be written
-	ReadNow                     // read it
-	Missing                     // report that it does not exist
+	Unchanged     Action = iota // do nothing: the file is as it was last read
+	WaitForSettle               // observe again later: the file may still be being written
+	ReadNow                     // read the file
+	Missing                     // report that the file does not exist
 )
 
-// String is the action's name.
+// String returns the name of the action.
 func (a Action) String() string {
 	switch a {
 	case Unchanged:
@@ -44,65 +44,64 @@
 	}
 }
 
-// Tracker decides when a file is to be read. Its zero value reads a file as soon as it changes.
+// Tracker decides when to read a file. The zero value reads a file as soon as it changes.
 type Tracker struct {
-	// Settle is how long a file must not have changed before it is read.
+	// Settle is how long a file must have been unchanged before it is read.
 	Settle time.Duration
 
-	// SelfVerifying says that the content shows whether it is complete, by a trailer or a checksum. A file that was put in
-	// place by a rename is then read at once.
+	// SelfVerifying means that the content itself shows whether it is complete, for example by a trailer or a checksum. A file that
+	// was replaced by a rename is then read at once.
 	SelfVerifying bool
 
-	lastRead FileState
-	hasRead  bool // lastRead is set and holds
-	lastSeen FileState
-	since    time.Time // when lastSeen was seen first
+	lastRead      FileState
+	hasRead       bool // lastRead is set and has not been invalidated
+	lastSeen      FileState
+	lastSeenSince time.Time // when lastSeen was first observed
 }
 
-// Observe decides what to do about a file in this state. With WaitForSettle it also returns when to look again.
-func (t *Tracker) Observe(now time.Time, s FileState) (Action, time.Time) {
-	if !s.Exists {
-		t.lastSeen = s
+// Observe decides what to do about a file in this state. For WaitForSettle it also returns when to observe the file again.
+func (t *Tracker) Observe(now time.Time, state FileState) (Action, time.Time) {
+	if !state.Exists {
+		t.lastSeen = state
 		return Missing, time.Time{}
 	}
-	if t.hasRead && s.Equal(t.lastRead) {
-		t.lastSeen = s
+	if t.hasRead && state.Equal(t.lastRead) {
+		t.lastSeen = state
 		return Unchanged, time.Time{}
 	}
-	if !s.Equal(t.lastSeen) {
-		t.lastSeen = s
-		t.since = now
+	if !state.Equal(t.lastSeen) {
+		t.lastSeen = state
+		t.lastSeenSince = now
 	}
-	replaced := t.hasRead && s.Inode != t.lastRead.Inode
+	replaced := t.hasRead && state.Inode != t.lastRead.Inode
 	if replaced && t.SelfVerifying {
 		return ReadNow, time.Time{}
 	}
-	settled := t.unchangedSince(s).Add(t.Settle)
-	if now.Before(settled) {
-		return WaitForSettle, settled
+	settledAt := t.unchangedSince(state).Add(t.Settle)
+	if now.Before(settledAt) {
+		return WaitForSettle, settledAt
 	}
 	return ReadNow, time.Time{}
 }
 
-// unchangedSince is how long ago a file in this state was last written, as far as is known. At a start, or when an old file
-// is renamed into place, that is its time of modification, and it need not settle again. That time is not used
-//   - if it is in the future, since the clock was set back;
-//   - if the file was changed in place, since one that is being truncated may have its new size but its old time.
-//
-// It is then when the state was seen first.
-func (t *Tracker) unchangedSince(s FileState) time.Time {
-	changedInPlace := t.hasRead && s.Inode == t.lastRead.Inode
-	if !changedInPlace && s.ModTime.Before(t.since) {
-		return s.ModTime
+// unchangedSince returns the time since which a file in this state is known to be unchanged. That is its modification time, so that
+// a file found at startup or an old file that is renamed into place does not need to settle again. However, it returns the
+// time when the state was first observed
+//   - if the modification time is later, because the clock was set back;
+//   - if the file was changed in place, because a file that is being truncated may have its new size but its old modification time.
+func (t *Tracker) unchangedSince(state FileState) time.Time {
+	changedInPlace := t.hasRead && state.Inode == t.lastRead.Inode
+	if !changedInPlace && state.ModTime.Before(t.lastSeenSince) {
+		return state.ModTime
 	}
-	return t.since
+	return t.lastSeenSince
 }
 
-// MarkRead notes that the file was read in this state, whether or not its content could be used.
-func (t *Tracker) MarkRead(s FileState) {
-	t.lastRead = s
+// MarkRead records that the file was read in this state, whether or not its content could be used.
+func (t *Tracker) MarkRead(state FileState) {
+	t.lastRead = state
 	t.hasRead = true
 }
 
-// Invalidate has the file read again although it has not changed, since a file that belongs to it has.
+// Invalidate causes the file to be read again although it has not changed, because a companion file has changed.
 func (t *Tracker) Invalidate() { t.hasRead = false }
--- a/internal/filewatch/watch.go
+++ b/internal/filewatch/watch.go
@@ -14,24 +14,24 @@
 // Options configure Run.
 type Options struct {
 	Path          string
-	Companions    []string      // further files whose change has Path read again, such as a checksum
+	Companions    []string      // other files, such as a checksum, whose change causes Path to be read again
 	Settle        time.Duration // see Tracker
 	SelfVerifying bool          // see Tracker
-	PollInterval  time.Duration // between looks where no notification comes
+	PollInterval  time.Duration // between checks without notifications
 	MaxBytes      int64         // a larger file is an error
 }
 
-// Event is a file's new content, or why there is none.
+// Event is the new content of a file, or the error that prevented reading it.
 type Event struct {
-	Data []byte // complete, from one state of the file
-	Err  error  // the file does not exist or cannot be read; nil if there is data
+	Data []byte // complete content in one state of the file
+	Err  error  // set if the file does not exist or cannot be read
 }
 
-// Run follows a file until the context ends. It hands over each state of the file that it could read completely, and each
-// error once until it changes or the file is read.
+// Run watches a file until the context ends. It passes to handle each state of the file that it could read completely, and each error
+// once until the error changes or the file is read.
 //
-// The kernel's notifications only make it look sooner. They may be lost, a folder may be replaced, and a symbolic link may
-// be switched in a folder that is not watched; so it also looks at every poll interval.
+// Notifications of the kernel only cause earlier checks. They may be lost, a directory may be replaced, and a symbolic link may be
+// switched in a directory that is not watched. Run therefore also checks the file at every poll interval.
 func Run(ctx context.Context, o Options, handle func(Event)) {
 	w := &watcher{
 		options:    o,
@@ -50,32 +50,32 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case e, ok := <-w.notifications():
-			if ok && !w.concerns(e.Name) {
+		case notification, ok := <-w.notifications():
+			if ok && !w.isRelevant(notification.Name) {
 				continue
 			}
 		}
-		timer.Reset(w.look())
+		timer.Reset(w.checkFile())
 	}
 }
 
-// watcher is the state of Run.
+// watcher holds the state of Run.
 type watcher struct {
 	options    Options
 	tracker    Tracker
 	handle     func(Event)
-	notifier   *fsnotify.Watcher // nil where there are no notifications to be had
-	companions []FileState       // as they were seen last
-	lastError  string            // that was handed over and still holds
+	notifier   *fsnotify.Watcher // nil if notifications are not available
+	companions []FileState       // last observed state of each companion
+	lastError  string            // last reported error; empty once the file has been read
 }
 
-// newNotifier watches the file's folder; nil if the system has no watches left, and polling has to do.
+// newNotifier starts to watch the directory of the file. It returns nil, which leaves only polling, if the system has no watches left.
 func (w *watcher) newNotifier() *fsnotify.Watcher {
 	n, err := fsnotify.NewWatcher()
 	if err != nil {
 		return nil
 	}
-	_ = n.Add(filepath.Dir(w.options.Path)) // tried again by each look: the folder may come later
+	_ = n.Add(filepath.Dir(w.options.Path)) // each check tries again, since the directory may not exist yet
 	return n
 }
 
@@ -86,9 +86,9 @@
 	return w.notifier.Events
 }
 
-// concerns reports whether a notification may be about the file: it has its name, a companion's, or that of a link such as
-// "..data" which configuration mounts switch to change all their files at once.
-func (w *watcher) concerns(name string) bool {
+// isRelevant reports whether a notification may concern the file: it has the name of the file, of a companion, or of a link such as
+// "..data", which configuration mounts switch to change all their files at once.
+func (w *watcher) isRelevant(name string) bool {
 	base := filepath.Base(name)
 	mountLink := len(base) > 2 && strings.HasPrefix(base, "..")
 	if mountLink || base == filepath.Base(w.options.Path) {
@@ -102,12 +102,12 @@
 	return false
 }
 
-// look looks at the files once and reads the file if that is due. It returns the time until the next look.
-func (w *watcher) look() time.Duration {
+// checkFile checks the file and its companions once, and reads the file if necessary. It returns the time until the next check.
+func (w *watcher) checkFile() time.Duration {
 	if w.notifier != nil {
-		_ = w.notifier.Add(filepath.Dir(w.options.Path)) // again, since the folder may have been replaced
+		_ = w.notifier.Add(filepath.Dir(w.options.Path)) // again, since the directory may have been replaced
 	}
-	w.lookAtCompanions()
+	w.checkCompanions()
 	now := time.Now()
 	state, err := stat(w.options.Path)
 	if err != nil {
@@ -116,9 +116,9 @@
 	}
 	switch action, due := w.tracker.Observe(now, state); action {
 	case Missing:
-		w.reportError(fmt.Errorf("%s is not there", w.options.Path))
+		w.reportError(fmt.Errorf("%s does not exist", w.options.Path))
 	case WaitForSettle:
-		return w.noLaterThanPoll(due.Sub(now))
+		return w.limitToPollInterval(due.Sub(now))
 	case ReadNow:
 		return w.readFile(state)
 	case Unchanged:
@@ -126,8 +126,8 @@
 	return w.options.PollInterval
 }
 
-// lookAtCompanions has the file read again if a companion has changed.
-func (w *watcher) lookAtCompanions() {
+// checkCompanions causes the file to be read again if a companion has changed.
+func (w *watcher) checkCompanions() {
 	for i, path := range w.options.Companions {
 		state, err := stat(path)
 		if err == nil && !state.Equal(w.companions[i]) {
@@ -137,11 +137,11 @@
 	}
 }
 
-// readFile reads the file in the state that was seen. It returns the time until the next look.
+// readFile reads the file in the observed state. It returns the time until the next check.
 func (w *watcher) readFile(state FileState) time.Duration {
-	data, err := read(w.options.Path, state, w.options.MaxBytes)
-	if errors.Is(err, errChanging) {
-		return w.noLaterThanPoll(w.options.Settle)
+	data, err := readUnchanged(w.options.Path, state, w.options.MaxBytes)
+	if errors.Is(err, errChangedDuringRead) {
+		return w.limitToPollInterval(w.options.Settle)
 	}
 	w.tracker.MarkRead(state)
 	if err != nil {
@@ -153,12 +153,12 @@
 	return w.options.PollInterval
 }
 
-// noLaterThanPoll bounds the time until the next look.
-func (w *watcher) noLaterThanPoll(d time.Duration) time.Duration {
+// limitToPollInterval limits the time until the next check to the range from 1 ms to the poll interval.
+func (w *watcher) limitToPollInterval(d time.Duration) time.Duration {
 	return min(w.options.PollInterval, max(time.Millisecond, d))
 }
 
-// reportError hands over an error unless it is the one before again.
+// reportError passes an error to the handler unless it repeats the last one.
 func (w *watcher) reportError(err error) {
 	if text := err.Error(); text != w.lastError {
 		w.lastError = text
--- a/internal/statefile/format_test.go
+++ b/internal/statefile/format_test.go
@@ -8,63 +8,63 @@
 	"testing"
 )
 
-// A node that is upgraded finds what the version before it saved. Were the format changed unnoticed, it would pass over
-// every generation as foreign and start with nothing. testdata/view was written by Store.Save as it stood before the
-// packages' names were revised (December 2026) and is never written anew: a reader that no longer accepts it is the fault.
+// After an upgrade a node loads the state that the previous version saved. If the format changed by accident, the node would skip
+// every generation and start without state. testdata/view was written by Store.Save before the packages were renamed (December
+// 2026) and must never be regenerated: if Load no longer accepts it, Load is at fault.
 
-// formatStates are the data of the generations in testdata/view, oldest first.
-var formatStates = [][]byte{
+// goldenStates are the saved data, oldest first. testdata/view contains all but the first, which was pruned.
+var goldenStates = [][]byte{
 	[]byte(`{"servers":3}`),
 	[]byte("two lines\nand no end of the second"),
 	{},
 	[]byte("{\"saved\":\"2026-12-03T06:00:00Z\",\"members\":[]}\n\x00\xff"),
 }
 
-var formatFiles = []string{"view.000000000002", "view.000000000003", "view.000000000004"}
+var goldenFiles = []string{"view.000000000002", "view.000000000003", "view.000000000004"}
 
-func TestSavedFormatIsRead(t *testing.T) {
+func TestLoadReadsGoldenFiles(t *testing.T) {
 	dir := filepath.Join("testdata", "view")
 	data, skipped, err := New(OS{}, dir, "view", 1).Load()
 	if err != nil || len(skipped) != 0 {
-		t.Fatalf("load: %v, skipped %v", err, skipped)
+		t.Fatalf("Load: error %v, skipped %v, want neither", err, skipped)
 	}
-	if want := formatStates[3]; !bytes.Equal(data, want) {
-		t.Errorf("read %q, want %q", data, want)
+	if want := goldenStates[3]; !bytes.Equal(data, want) {
+		t.Errorf("Load = %q, want %q", data, want)
 	}
-	for i, name := range formatFiles { // the older generations, each as the only one in its folder
-		alone := t.TempDir()
+	for i, name := range goldenFiles { // each generation as the only one in its directory
+		ownDir := t.TempDir()
 		raw, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(alone, name), raw, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(ownDir, name), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		data, skipped, err := New(OS{}, alone, "view", 1).Load()
-		if want := formatStates[i+1]; err != nil || len(skipped) != 0 || !bytes.Equal(data, want) {
-			t.Errorf("%s: read %q (%v, skipped %v), want %q", name, data, err, skipped, want)
+		data, skipped, err := New(OS{}, ownDir, "view", 1).Load()
+		if want := goldenStates[i+1]; err != nil || len(skipped) != 0 || !bytes.Equal(data, want) {
+			t.Errorf("%s: Load = %q (%v, skipped %v), want %q", name, data, err, skipped, want)
 		}
 	}
 	if _, skipped, err := New(OS{}, dir, "other", 1).Load(); !errors.Is(err, ErrNoState) || len(skipped) != 0 {
-		t.Errorf("another kind of state: %v, skipped %v", err, skipped)
+		t.Errorf("state of another name: error %v, skipped %v, want %v and none", err, skipped, ErrNoState)
 	}
 }
 
-func TestSavedFormatIsWritten(t *testing.T) {
+func TestSaveWritesGoldenFiles(t *testing.T) {
 	dir := t.TempDir()
 	s := New(OS{}, dir, "view", 1)
-	for _, data := range formatStates {
+	for _, data := range goldenStates {
 		if err := s.Save(data); err != nil {
 			t.Fatal(err)
 		}
 	}
 	names, err := OS{}.ReadDir(dir)
-	if err != nil || len(names) != len(formatFiles) {
-		t.Fatalf("files %v (%v), want %v", names, err, formatFiles)
+	if err != nil || len(names) != len(goldenFiles) {
+		t.Fatalf("files %v (%v), want %v", names, err, goldenFiles)
 	}
-	for i, name := range formatFiles {
+	for i, name := range goldenFiles {
 		if names[i] != name {
-			t.Errorf("file %s, want %s", names[i], name)
+			t.Errorf("file name = %s, want %s", names[i], name)
 		}
 		got, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
--- a/internal/statefile/fs.go
+++ b/internal/statefile/fs.go
@@ -6,10 +6,10 @@
 	"os"
 )
 
-// maxFileBytes bounds what is read. The state of ten thousand servers has four megabytes.
+// maxFileBytes bounds the size of a file that is read. The state of ten thousand servers takes 4 MB.
 const maxFileBytes = 64 << 20
 
-// FS is what a Store needs of a file system. Tests replace it by one that fails at each step.
+// FS is the file system that a Store uses. Tests replace it by one that fails at a given step.
 type FS interface {
 	ReadDir(dir string) ([]string, error)
 	ReadFile(path string) ([]byte, error)
@@ -20,10 +20,10 @@
 	SyncDir(dir string) error
 }
 
-// OS is the machine's file system.
+// OS is the operating system's file system.
 type OS struct{}
 
-// ReadDir returns the names in a folder.
+// ReadDir returns the names of the entries of a directory.
 func (OS) ReadDir(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -36,19 +36,19 @@
 	return names, nil
 }
 
-// ReadFile reads a file; one of more than 64 MiB is an error.
+// ReadFile returns the content of a file, or an error if it is larger than 64 MiB.
 func (OS) ReadFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", info.Size(), maxFileBytes)
+		return nil, fmt.Errorf("file size %d bytes exceeds the limit of %d bytes", info.Size(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
-// WriteSync writes a file and syncs it.
+// WriteSync creates or truncates a file, writes it completely and syncs it.
 func (OS) WriteSync(path string, data []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -61,13 +61,13 @@
 	return errors.Join(err, f.Close())
 }
 
-// Rename renames a file within its folder.
+// Rename renames a file within its directory.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir syncs a folder, so that renames in it last.
+// SyncDir syncs a directory, so that renames in it survive a crash.
 func (OS) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,6 +1,7 @@
-// Package statefile keeps a small state in a folder, such that a process that was killed at any moment finds its last state
-// or the one before, never a mixture. Each generation is a file of its own: it is written under another name, synced and
-// renamed, and the folder is synced. A generation that is torn, truncated or foreign is skipped for the one before.
+// Package statefile saves a small state in a directory. After a process was killed at any moment, the next one loads the last
+// state or the one before it, never a mixture. Each generation is a separate file: it is written under a temporary name, synced
+// and renamed, and then the directory is synced. If a file is truncated, damaged or not a state file of the same name and
+// version, the generation before it is loaded instead.
 package statefile
 
 import (
@@ -12,44 +13,45 @@
 	"strings"
 )
 
-// KeptGenerations is how many generations stay. Two suffice for a kill at any moment; the third shows what was before.
+// KeptGenerations is how many generations are kept. Two suffice if the process is killed at any moment; the third shows the state
+// before those.
 const KeptGenerations = 3
 
-// generationDigits is the width of the number in a file's name.
+// generationDigits is the number of digits of the generation in a file name.
 const generationDigits = 12
 
-// ErrNoState says that no generation can be used.
+// ErrNoState reports that no generation can be used.
 var ErrNoState = errors.New("no usable state")
 
-// Store is one kind of state in one folder. It is not safe for concurrent use.
+// Store saves and loads the state of one name in one directory. It is not safe for concurrent use.
 type Store struct {
-	fs      FS
-	dir     string
-	name    string
-	version int
-	last    uint64 // the newest generation, usable or not; 0: none is known
+	fs             FS
+	dir            string
+	name           string
+	version        int
+	lastGeneration uint64 // newest generation, whether usable or not; 0: unknown
 }
 
-// Skipped is a generation that cannot be used, and why.
+// Skipped describes a generation that cannot be used.
 type Skipped struct {
 	File string
 	Err  error
 }
 
-// New returns a store for states of a name in a folder. States of another version are foreign to it.
+// New returns a store for the state of a name in a directory. It skips generations that have another version.
 func New(fs FS, dir, name string, version int) *Store {
 	return &Store{fs: fs, dir: dir, name: name, version: version}
 }
 
-// Load returns the newest usable generation, and the newer ones that were skipped. The error is ErrNoState if none can be
-// used, or says why the folder cannot be read.
+// Load returns the data of the newest usable generation, and the newer generations that were skipped. The error is ErrNoState if no
+// generation can be used; any other error means that the directory cannot be read.
 func (s *Store) Load() (data []byte, skipped []Skipped, err error) {
 	generations, err := s.generations()
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(generations) > 0 {
-		s.last = generations[0] // the next one must not take the number of a file that exists, usable or not
+		s.lastGeneration = generations[0] // Save must not reuse the generation of an existing file, usable or not
 	}
 	for _, generation := range generations {
 		data, err := s.read(generation)
@@ -70,27 +72,27 @@
 	return s.decode(raw, generation)
 }
 
-// Save writes the next generation and removes the oldest. After an error the earlier generations are still there.
+// Save writes the next generation and removes the oldest one. If it fails, the earlier generations still exist.
 func (s *Store) Save(data []byte) error {
-	generation := s.last + 1
+	generation := s.lastGeneration + 1
 	temp := filepath.Join(s.dir, s.name+".tmp")
 	if err := s.fs.WriteSync(temp, s.encode(data, generation)); err != nil {
-		_ = s.fs.Remove(temp) // a full disk must not stay full because of it
+		_ = s.fs.Remove(temp) // so that a partly written file takes no space if the disk is full
 		return fmt.Errorf("writing %s: %w", temp, err)
 	}
 	if err := s.fs.Rename(temp, s.path(generation)); err != nil {
 		_ = s.fs.Remove(temp)
 		return fmt.Errorf("renaming %s: %w", temp, err)
 	}
-	s.last = generation
+	s.lastGeneration = generation
 	if err := s.fs.SyncDir(s.dir); err != nil {
-		return fmt.Errorf("flushing %s: %w", s.dir, err)
+		return fmt.Errorf("syncing %s: %w", s.dir, err)
 	}
 	s.prune()
 	return nil
 }
 
-// prune removes all but the newest generations. What cannot be removed is tried again after the next save.
+// prune removes all but the newest generations. Files that cannot be removed are tried again after the next save.
 func (s *Store) prune() {
 	generations, err := s.generations()
 	if err != nil {
@@ -105,7 +107,7 @@
 	return filepath.Join(s.dir, fmt.Sprintf("%s.%0*d", s.name, generationDigits, generation))
 }
 
-// generations are the numbers of the files in the folder, newest first.
+// generations returns the generations of the files in the directory, newest first.
 func (s *Store) generations() ([]uint64, error) {
 	names, err := s.fs.ReadDir(s.dir)
 	if err != nil {
@@ -113,8 +115,8 @@
 	}
 	var generations []uint64
 	for _, name := range names {
-		digits, ours := strings.CutPrefix(name, s.name+".")
-		if !ours || len(digits) != generationDigits {
+		digits, hasPrefix := strings.CutPrefix(name, s.name+".")
+		if !hasPrefix || len(digits) != generationDigits {
 			continue
 		}
 		if generation, err := strconv.ParseUint(digits, 10, 64); err == nil {
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -11,53 +11,54 @@
 
 var errKilled = errors.New("killed")
 
-// failingFS is a file system on which the process dies at a step: nothing after it happens, and a write in it is torn.
+// failingFS simulates a process that is killed at a given step: that step and all later ones fail, and if the step is a write, only the
+// first bytes of the file reach the disk.
 type failingFS struct {
 	OS
-	stepsLeft int // steps that still succeed
-	tornBytes int // bytes of the last write that reach the disk
-	writeErr  error
+	remainingSteps int   // steps that still succeed
+	tornBytes      int   // bytes of the interrupted write that reach the disk
+	writeErr       error // if set, the error of every write
 }
 
-func (m *failingFS) step() error {
-	if m.stepsLeft--; m.stepsLeft < 0 {
+func (f *failingFS) step() error {
+	if f.remainingSteps--; f.remainingSteps < 0 {
 		return errKilled
 	}
 	return nil
 }
 
-func (m *failingFS) WriteSync(path string, data []byte) error {
-	if m.writeErr != nil {
-		return m.writeErr
+func (f *failingFS) WriteSync(path string, data []byte) error {
+	if f.writeErr != nil {
+		return f.writeErr
 	}
-	if err := m.step(); err != nil {
-		if m.stepsLeft == -1 {
-			_ = os.WriteFile(path, data[:min(m.tornBytes, len(data))], 0o600)
+	if err := f.step(); err != nil {
+		if f.remainingSteps == -1 {
+			_ = os.WriteFile(path, data[:min(f.tornBytes, len(data))], 0o600)
 		}
 		return err
 	}
-	return m.OS.WriteSync(path, data)
+	return f.OS.WriteSync(path, data)
 }
 
-func (m *failingFS) Rename(from, to string) error {
-	if err := m.step(); err != nil {
+func (f *failingFS) Rename(from, to string) error {
+	if err := f.step(); err != nil {
 		return err
 	}
-	return m.OS.Rename(from, to)
+	return f.OS.Rename(from, to)
 }
 
-func (m *failingFS) Remove(path string) error {
-	if err := m.step(); err != nil {
+func (f *failingFS) Remove(path string) error {
+	if err := f.step(); err != nil {
 		return err
 	}
-	return m.OS.Remove(path)
+	return f.OS.Remove(path)
 }
 
-func (m *failingFS) SyncDir(dir string) error {
-	if err := m.step(); err != nil {
+func (f *failingFS) SyncDir(dir string) error {
+	if err := f.step(); err != nil {
 		return err
 	}
-	return m.OS.SyncDir(dir)
+	return f.OS.SyncDir(dir)
 }
 
 func load(t *testing.T, dir string) (string, []Skipped) {
@@ -69,12 +70,11 @@
 	return string(data), skipped
 }
 
-// A process may be killed at any moment, also in the middle of a write, and a node that starts from a mixture of two states sends
-// requests to servers that are gone. Killed at each step of a save, with each length of a torn write, the store finds the last
-// state or the one before.
-func TestKilledAtEachStep(t *testing.T) {
+// A node that starts from a mixture of two states sends requests to servers that no longer exist. If the process is killed at any step
+// of a save, also during a write, the store must load the last state or the one before it.
+func TestLoadAfterKillAtEachSaveStep(t *testing.T) {
 	for step := range 6 {
-		for torn := 0; torn < 120; torn += 7 {
+		for written := 0; written < 120; written += 7 {
 			dir := t.TempDir()
 			s := New(OS{}, dir, "view", 1)
 			for i := range 4 {
@@ -82,31 +82,31 @@
 					t.Fatal(err)
 				}
 			}
-			dying := New(&failingFS{stepsLeft: step, tornBytes: torn}, dir, "view", 1)
-			if _, _, err := dying.Load(); err != nil {
+			killed := New(&failingFS{remainingSteps: step, tornBytes: written}, dir, "view", 1)
+			if _, _, err := killed.Load(); err != nil {
 				t.Fatal(err)
 			}
-			_ = dying.Save([]byte("state 4"))
+			_ = killed.Save([]byte("state 4"))
 			got, _ := load(t, dir)
 			if got != "state 3" && got != "state 4" || step >= 2 && got != "state 4" {
-				t.Fatalf("killed at step %d after %d bytes: %q", step, torn, got)
+				t.Fatalf("killed at step %d after %d bytes: loaded %q, want state 4, or also state 3 before step 2", step, written, got)
 			}
-			again := New(OS{}, dir, "view", 1)
-			if _, _, err := again.Load(); err != nil {
+			restarted := New(OS{}, dir, "view", 1)
+			if _, _, err := restarted.Load(); err != nil {
 				t.Fatal(err)
 			}
-			if err := again.Save([]byte("state 5")); err != nil {
+			if err := restarted.Save([]byte("state 5")); err != nil {
 				t.Fatal(err)
 			}
 			if got, _ := load(t, dir); got != "state 5" {
-				t.Fatalf("after the next start: %q", got)
+				t.Fatalf("after the next start: loaded %q, want state 5", got)
 			}
 		}
 	}
 }
 
-// The newest file, truncated at any offset or with any byte changed, is skipped for the one before.
-func TestSkipsDamagedGenerations(t *testing.T) {
+// If the newest file is truncated at any offset, or any one of its bytes is changed, the generation before it must be loaded.
+func TestLoadSkipsDamagedGenerations(t *testing.T) {
 	dir := t.TempDir()
 	s := New(OS{}, dir, "view", 1)
 	for _, data := range []string{"before", "the last state\nwith two lines"} {
@@ -115,29 +115,29 @@
 		}
 	}
 	newest := filepath.Join(dir, "view.000000000002")
-	whole, err := os.ReadFile(newest)
+	content, err := os.ReadFile(newest)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range whole {
-		for kind, raw := range map[string][]byte{"truncated": whole[:n], "changed": append(append(append([]byte(nil), whole[:n]...), whole[n]^1), whole[n+1:]...)} {
+	for offset := range content {
+		for damage, raw := range map[string][]byte{"truncated": content[:offset], "changed": append(append(append([]byte(nil), content[:offset]...), content[offset]^1), content[offset+1:]...)} {
 			if err := os.WriteFile(newest, raw, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if got, skipped := load(t, dir); got != "before" || len(skipped) != 1 || skipped[0].File != newest {
-				t.Fatalf("%s at %d: %q, skipped %v", kind, n, got, skipped)
+				t.Fatalf("%s at byte %d: loaded %q, skipped %v, want data before and only %s skipped", damage, offset, got, skipped, newest)
 			}
 		}
 	}
 }
 
-func TestForeignFilesAndFailedWrites(t *testing.T) {
+func TestLoadWithUnusableFilesAndFailedSave(t *testing.T) {
 	dir := t.TempDir()
 	if _, _, err := New(OS{}, dir, "view", 1).Load(); !errors.Is(err, ErrNoState) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("empty directory: error %v, want %v", err, ErrNoState)
 	}
 	if _, _, err := New(OS{}, filepath.Join(dir, "none"), "view", 1).Load(); err == nil || errors.Is(err, ErrNoState) {
-		t.Errorf("a missing folder: %v", err)
+		t.Errorf("missing directory: error %v, want one other than %v", err, ErrNoState)
 	}
 	s := New(OS{}, dir, "view", 1)
 	for i := range 6 {
@@ -147,22 +147,22 @@
 	}
 	names, _ := OS{}.ReadDir(dir)
 	if len(names) != KeptGenerations {
-		t.Errorf("%d generations are kept: %v", len(names), names)
+		t.Errorf("kept %d generations %v, want %d", len(names), names, KeptGenerations)
 	}
 	if _, skipped, err := New(OS{}, dir, "view", 2).Load(); !errors.Is(err, ErrNoState) || len(skipped) != KeptGenerations {
-		t.Errorf("another version was read: %v %v", skipped, err)
+		t.Errorf("another version: error %v, skipped %v, want %v and all generations skipped", err, skipped, ErrNoState)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "view.000000000099"), []byte("something else\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, skipped := load(t, dir); got != "5" || len(skipped) != 1 || !strings.Contains(skipped[0].Err.Error(), "foreign") {
-		t.Errorf("beside a foreign file: %q %v", got, skipped)
+	if got, skipped := load(t, dir); got != "5" || len(skipped) != 1 || !strings.Contains(skipped[0].Err.Error(), "unrecognized header") {
+		t.Errorf("with a newer file of another kind: loaded %q, skipped %v, want 5 and only that file skipped", got, skipped)
 	}
-	full := New(&failingFS{writeErr: errors.New("no space left on device")}, dir, "view", 1)
-	if err := full.Save([]byte("x")); err == nil || !strings.Contains(err.Error(), "no space") {
-		t.Errorf("a full disk: %v", err)
+	fullDisk := New(&failingFS{writeErr: errors.New("no space left on device")}, dir, "view", 1)
+	if err := fullDisk.Save([]byte("x")); err == nil || !strings.Contains(err.Error(), "no space") {
+		t.Errorf("full disk: error %v, want the write error", err)
 	}
 	if got, _ := load(t, dir); got != "5" {
-		t.Errorf("after a failed save: %q", got)
+		t.Errorf("after a failed save: loaded %q, want 5", got)
 	}
 }
