--- a/internal/endpointmerge/address.go
+++ b/internal/endpointmerge/address.go
@@ -48,15 +48,15 @@
 		if c == nil {
 			continue
 		}
-		if owner == "" || v.ownsBefore(c, candidates[owner]) {
+		if owner == "" || v.hasAddressPriority(c, candidates[owner]) {
 			owner = id
 		}
 	}
 	return owner
 }
 
-// ownsBefore reports whether a candidate gets an address rather than another.
-func (v *View) ownsBefore(c, other *member) bool {
+// hasAddressPriority reports whether a candidate gets an address rather than another.
+func (v *View) hasAddressPriority(c, other *member) bool {
 	order := v.precedence[FieldAddress]
 	rank := slices.Index(order, c.FieldSources[FieldAddress])
 	otherRank := slices.Index(order, other.FieldSources[FieldAddress])
--- a/internal/endpointmerge/conflict.go
+++ b/internal/endpointmerge/conflict.go
@@ -15,8 +15,8 @@
 
 func conflictKey(id, field string) string { return id + " " + field }
 
-// noteConflict remembers a conflict and reports it if it is new.
-func (v *View) noteConflict(c Conflict, out *Outcome) {
+// recordConflict remembers a conflict and reports it if it is new.
+func (v *View) recordConflict(c Conflict, out *Outcome) {
 	key := conflictKey(c.ID, c.Field)
 	before, known := v.conflicts[key]
 	if known && before == c {
--- a/internal/endpointmerge/guard.go
+++ b/internal/endpointmerge/guard.go
@@ -36,12 +36,12 @@
 
 // removesTooMuch reports whether a list is to be held.
 func (v *View) removesTooMuch(e Snapshot) bool {
-	guarded := slices.Contains(v.settings.GuardedSources, e.Source) && v.settings.MaxRemovedShare > 0
+	guarded := slices.Contains(v.settings.GuardedSources, e.Source) && v.settings.MaxRemovedFraction > 0
 	if !guarded || v.held.confirmed[e.Source] == e.Revision {
 		return false
 	}
 	removed, total := v.countRemoved(e)
-	return removed >= max(1, v.settings.MinHeldRemovals) && float64(removed) > v.settings.MaxRemovedShare*float64(total)
+	return removed >= max(1, v.settings.MinHeldRemovals) && float64(removed) > v.settings.MaxRemovedFraction*float64(total)
 }
 
 // countRemoved counts the members in service that a list would remove or drain, and all of them.
@@ -57,16 +57,16 @@
 		total++
 		phase, keeps := phases[id]
 		inService := keeps && phase != inventory.Draining
-		if !inService && v.countsFor(e.Source, id) {
+		if !inService && v.dependsOnSource(e.Source, id) {
 			removed++
 		}
 	}
 	return removed, total
 }
 
-// countsFor reports whether a member depends on a source's list: the source lists it now, or, where it has not reported yet,
+// dependsOnSource reports whether a member depends on a source's list: the source lists it now, or, where it has not reported yet,
 // the list restored from disk does, or the source is required.
-func (v *View) countsFor(name, id string) bool {
+func (v *View) dependsOnSource(name, id string) bool {
 	s := v.sources[name]
 	if s.reported {
 		return s.lists(id)
@@ -86,7 +86,7 @@
 			delete(v.held.lists, name)
 			delete(v.held.reported, name)
 			out.Released = append(out.Released, name)
-			v.takeSnapshot(e, changed)
+			v.applySnapshot(e, changed)
 			continue
 		}
 		if v.held.reported[name] != e.Revision {
--- a/internal/endpointmerge/helper_test.go
+++ b/internal/endpointmerge/helper_test.go
@@ -9,7 +9,7 @@
 
 func testSettings() Settings {
 	return Settings{Sources: []string{"file", "discovery"}, FieldPrecedence: map[string][]string{FieldAddress: {"discovery", "file"}},
-		GuardedSources: []string{"file"}, MaxRemovedShare: 0.3, MinHeldRemovals: 2, PodHold: 2000, MaxMovingShare: 0.5, TombstoneTTL: 60_000}
+		GuardedSources: []string{"file"}, MaxRemovedFraction: 0.3, MinHeldRemovals: 2, PodHold: 2000, MaxMovingFraction: 0.5, TombstoneTTL: 60_000}
 }
 
 func server(id, pod string) inventory.Server {
--- a/internal/endpointmerge/merge.go
+++ b/internal/endpointmerge/merge.go
@@ -39,13 +39,13 @@
 		if c != nil && v.addressOwner(c.Address, candidates) != id {
 			c = nil
 		}
-		v.settle(id, c)
+		v.applyCandidate(id, c)
 	}
 }
 
 // candidate merges what the sources say of one server; nil if it is no member, or nobody knows its address.
 func (v *View) candidate(id string, out *Outcome) *member {
-	if !v.listed(id) {
+	if !v.qualifiesAsMember(id) {
 		v.clearConflicts(id)
 		return nil
 	}
@@ -119,7 +119,7 @@
 		differs := text != chosen && name != SourceRestored
 		if differs && !conflicting {
 			conflicting = true
-			v.noteConflict(Conflict{ID: m.ID, Field: field, Chosen: chosen, Rejected: text, ChosenSource: chosenSource, RejectedSource: name}, out)
+			v.recordConflict(Conflict{ID: m.ID, Field: field, Chosen: chosen, Rejected: text, ChosenSource: chosenSource, RejectedSource: name}, out)
 		}
 	}
 	if !conflicting {
@@ -164,10 +164,10 @@
 	return append(order, SourceRestored)
 }
 
-// settle makes a candidate the member, or removes the member if there is no candidate.
-func (v *View) settle(id string, c *member) {
+// applyCandidate makes a candidate the member, or removes the member if there is no candidate.
+func (v *View) applyCandidate(id string, c *member) {
 	before := v.members[id]
-	v.touched[id] = true
+	v.dirtyIDs[id] = true
 	switch {
 	case c == nil && before == nil:
 	case c == nil:
@@ -181,16 +181,16 @@
 
 func (v *View) removeMember(m *member) {
 	if m.move.started() {
-		v.moving--
+		v.movingCount--
 	}
 	delete(v.members, m.ID)
-	delete(v.relocating, m.ID)
+	delete(v.pendingMoves, m.ID)
 }
 
 // addMember adds a new member. If no source says when it started and the first list is complete, it has just started.
 func (v *View) addMember(c *member) {
 	c.cell = v.pods.number(c.Pod)
-	if v.settled && c.Started == 0 && c.FieldSources[FieldAddress] != SourceRestored {
+	if v.initialListComplete && c.Started == 0 && c.FieldSources[FieldAddress] != SourceRestored {
 		c.Started = v.now
 	}
 	v.members[c.ID] = c
@@ -200,16 +200,16 @@
 func (v *View) updateMember(c, before *member) {
 	if c.Started == 0 {
 		c.Started = before.Started
-		if c.Address != before.Address && v.settled {
+		if c.Address != before.Address && v.initialListComplete {
 			c.Started = v.now
 		}
 	}
 	c.cell = before.cell
 	c.move = before.move
-	v.planMove(c, before.group())
+	v.planMove(c, before.scope())
 	v.members[c.ID] = c
-	delete(v.relocating, c.ID)
+	delete(v.pendingMoves, c.ID)
 	if c.move.pending() {
-		v.relocating[c.ID] = c
+		v.pendingMoves[c.ID] = c
 	}
 }
--- a/internal/endpointmerge/move.go
+++ b/internal/endpointmerge/move.go
@@ -13,22 +13,22 @@
 // move is a member's change to another group. Its zero value is none. It is queued first, while too many others move, and
 // started then: the member gets no new requests until the move ends.
 type move struct {
-	queued bool
-	ends   Millis // once started; 0 before
-	to     dedupScope
+	queued      bool
+	endsAt      Millis // once started; 0 before
+	destination dedupScope
 }
 
-func (m move) started() bool { return m.ends > 0 }
+func (m move) started() bool { return m.endsAt > 0 }
 func (m move) pending() bool { return m.queued || m.started() }
 
-func (m *member) group() dedupScope { return dedupScope{m.Zone, m.Pod} }
+func (m *member) scope() dedupScope { return dedupScope{m.Zone, m.Pod} }
 
 // planMove has a member keep its present group, and queues its move if its sources now give it another.
 func (v *View) planMove(m *member, present dedupScope) {
-	wanted := m.group()
+	wanted := m.scope()
 	if wanted == present {
 		if m.move.started() { // back before the move ended: no new requests went to it meanwhile
-			v.moving--
+			v.movingCount--
 		}
 		m.move = move{}
 		m.MovingTo = ""
@@ -41,24 +41,24 @@
 	m.Zone = present.zone
 	m.Pod = present.pod
 	m.MovingTo = wanted.String()
-	m.move.to = wanted
+	m.move.destination = wanted
 	m.move.queued = !m.move.started()
 }
 
 // advanceMoves ends the moves whose time is over, renames pods, and starts the next moves in the queue.
 func (v *View) advanceMoves(out *Outcome) {
 	var queue []*member
-	for _, id := range slices.Sorted(maps.Keys(v.relocating)) { // in order, since the ends of moves give new pods their numbers
-		m := v.relocating[id]
-		if m.move.started() && v.now >= m.move.ends {
-			v.moving--
+	for _, id := range slices.Sorted(maps.Keys(v.pendingMoves)) { // in order, since the ends of moves give new pods their numbers
+		m := v.pendingMoves[id]
+		if m.move.started() && v.now >= m.move.endsAt {
+			v.movingCount--
 			v.endMove(m)
 		}
 		if m.move.queued {
 			queue = append(queue, m)
 		}
 		if m.move.started() {
-			out.tickAt(m.move.ends)
+			out.tickAt(m.move.endsAt)
 		}
 	}
 	if len(queue) == 0 {
@@ -69,17 +69,17 @@
 
 // startMoves starts as many moves as MaxMovingShare allows, and one at least.
 func (v *View) startMoves(queue []*member, out *Outcome) {
-	maxMoving := max(1, int(v.settings.MaxMovingShare*float64(len(v.members))))
+	maxMoving := max(1, int(v.settings.MaxMovingFraction*float64(len(v.members))))
 	for _, m := range queue {
-		if v.moving >= maxMoving {
+		if v.movingCount >= maxMoving {
 			return
 		}
 		m.move.queued = false
-		m.move.ends = v.now + v.settings.PodHold
-		v.moving++
-		v.touched[m.ID] = true
+		m.move.endsAt = v.now + v.settings.PodHold
+		v.movingCount++
+		v.dirtyIDs[m.ID] = true
 		out.MovesStarted++
-		out.tickAt(m.move.ends)
+		out.tickAt(m.move.endsAt)
 	}
 }
 
@@ -92,55 +92,55 @@
 
 // endMove gives a member its new group.
 func (v *View) endMove(m *member) {
-	m.Zone = m.move.to.zone
-	m.Pod = m.move.to.pod
+	m.Zone = m.move.destination.zone
+	m.Pod = m.move.destination.pod
 	m.cell = v.pods.number(m.Pod)
 	m.move = move{}
 	m.MovingTo = ""
-	v.touched[m.ID] = true
-	delete(v.relocating, m.ID)
+	v.dirtyIDs[m.ID] = true
+	delete(v.pendingMoves, m.ID)
 }
 
 // renamePods finds the pods that are only renamed: all their members leave together, within their zone, for a name that
 // no other member has or will have. Those members change their pod's name at once and stay in service, since the servers of
 // the group stay the same. It returns the members that really move.
 func (v *View) renamePods(queue []*member) []*member {
-	renamed := v.renamedGroups(queue)
+	renamed := v.renamedScopes(queue)
 	var moving []*member
 	for _, m := range queue {
-		if !renamed[m.group()] {
+		if !renamed[m.scope()] {
 			moving = append(moving, m)
 			continue
 		}
-		v.pods.rename(m.cell, m.Pod, m.move.to.pod)
-		m.Pod = m.move.to.pod
+		v.pods.rename(m.cell, m.Pod, m.move.destination.pod)
+		m.Pod = m.move.destination.pod
 		m.move.queued = false
-		m.move.to = dedupScope{}
+		m.move.destination = dedupScope{}
 		m.MovingTo = ""
-		delete(v.relocating, m.ID)
+		delete(v.pendingMoves, m.ID)
 	}
 	return moving
 }
 
-// renamedGroups are the groups whose queued moves are a renaming.
-func (v *View) renamedGroups(queue []*member) map[dedupScope]bool {
+// renamedScopes are the groups whose queued moves are a renaming.
+func (v *View) renamedScopes(queue []*member) map[dedupScope]bool {
 	groupSize := map[dedupScope]int{}
 	podSize := map[string]int{} // in all zones
 	for _, m := range v.members {
-		groupSize[m.group()]++
+		groupSize[m.scope()]++
 		podSize[m.Pod]++
 	}
 	joining := map[string]int{} // by pod
-	for _, m := range v.relocating {
-		joining[m.move.to.pod]++
+	for _, m := range v.pendingMoves {
+		joining[m.move.destination.pod]++
 	}
 	leaving := map[dedupScope]map[dedupScope]int{} // by present and new group
 	for _, m := range queue {
-		from := m.group()
+		from := m.scope()
 		if leaving[from] == nil {
 			leaving[from] = map[dedupScope]int{}
 		}
-		leaving[from][m.move.to]++
+		leaving[from][m.move.destination]++
 	}
 	renamed := map[dedupScope]bool{}
 	for from, destinations := range leaving {
--- a/internal/endpointmerge/move_test.go
+++ b/internal/endpointmerge/move_test.go
@@ -11,7 +11,7 @@
 // stays in service.
 func TestPodsMove(t *testing.T) {
 	set := testSettings()
-	set.Sources, set.MaxMovingShare = []string{"file"}, 0.3
+	set.Sources, set.MaxMovingFraction = []string{"file"}, 0.3
 	s := sequence{t, New(set)}
 	two := append(servers("p1", 2), server("s3", "p2"), server("s4", "p2"))
 	s.step(1, Snapshot{Source: "file", Revision: "1", Servers: two}, " s1@1 s2@1 s3@2 s4@2")
@@ -36,7 +36,7 @@
 // run: keyed requests stay within a number.
 func TestNewPodsAreNumberedInOrder(t *testing.T) {
 	set := testSettings()
-	set.Sources, set.MaxMovingShare = []string{"file"}, 1
+	set.Sources, set.MaxMovingFraction = []string{"file"}, 1
 	const members = 8
 	for range 20 {
 		s := sequence{t, New(set)}
--- a/internal/endpointmerge/publish.go
+++ b/internal/endpointmerge/publish.go
@@ -11,7 +11,7 @@
 
 // publishChanges collects the members that differ from what was published before.
 func (v *View) publishChanges(out *Outcome) {
-	for id := range v.touched {
+	for id := range v.dirtyIDs {
 		before, wasPublished := v.published[id]
 		m := v.members[id]
 		if m == nil {
@@ -27,7 +27,7 @@
 			out.Changes = append(out.Changes, e)
 		}
 	}
-	clear(v.touched)
+	clear(v.dirtyIDs)
 	sortByID(out.Changes)
 }
 
--- a/internal/endpointmerge/settings.go
+++ b/internal/endpointmerge/settings.go
@@ -34,16 +34,16 @@
 	// A list of a guarded source is held if it removes more than MaxRemovedShare (0 to 1; 0: no list is held) of the members
 	// at once, and at least MinHeldRemovals of them. It passes when it is confirmed, or when it removes less because other
 	// sources agree.
-	GuardedSources  []string
-	MaxRemovedShare float64
-	MinHeldRemovals int
+	GuardedSources     []string
+	MaxRemovedFraction float64
+	MinHeldRemovals    int
 
 	// A server whose group (zone and pod) changes keeps its old group for PodHold and gets no new requests meanwhile: servers
 	// drop repetitions of a keyed request within a group, and one sent before the move may still be repeated there. At most
 	// MaxMovingShare (0 to 1) of the members move at a time; the others stay in service in their old group. PodHold 0 changes
 	// groups at once.
-	PodHold        Millis
-	MaxMovingShare float64
+	PodHold           Millis
+	MaxMovingFraction float64
 
 	// TombstoneTTL is how long a removal by one source overrides other sources that have listed the server all along.
 	TombstoneTTL Millis
--- a/internal/endpointmerge/source.go
+++ b/internal/endpointmerge/source.go
@@ -38,11 +38,11 @@
 	if v.holdSnapshot(e, out) {
 		return
 	}
-	v.takeSnapshot(e, changed)
+	v.applySnapshot(e, changed)
 }
 
-// takeSnapshot makes a complete list the source's own.
-func (v *View) takeSnapshot(e Snapshot, changed idSet) {
+// applySnapshot makes a complete list the source's own.
+func (v *View) applySnapshot(e Snapshot, changed idSet) {
 	s := v.sources[e.Source]
 	before := s.servers
 	s.servers = make(map[string]inventory.Server, len(e.Servers))
@@ -53,7 +53,7 @@
 	}
 	for id := range before {
 		if !s.lists(id) {
-			v.removedBy(e.Source, id)
+			v.recordRemoval(e.Source, id)
 			changed[id] = true
 		}
 	}
@@ -85,7 +85,7 @@
 	for _, id := range e.Removed {
 		if s.lists(id) {
 			delete(s.servers, id)
-			v.removedBy(e.Source, id)
+			v.recordRemoval(e.Source, id)
 			changed[id] = true
 		}
 	}
--- a/internal/endpointmerge/tombstone.go
+++ b/internal/endpointmerge/tombstone.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// removedBy notes that a source has removed a server, if another source still lists it.
-func (v *View) removedBy(name, id string) {
+// recordRemoval notes that a source has removed a server, if another source still lists it.
+func (v *View) recordRemoval(name, id string) {
 	delete(v.sources[name].lastSeen, id)
 	for other, s := range v.sources {
 		if other != name && s.lists(id) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// listed reports whether the sources make a server a member, conflicts about addresses aside.
-func (v *View) listed(id string) bool {
+// qualifiesAsMember reports whether the sources make a server a member, conflicts about addresses aside.
+func (v *View) qualifiesAsMember(id string) bool {
 	if !v.listedByAny(id) {
 		delete(v.tombstones, id)
 		return false
--- a/internal/endpointmerge/view.go
+++ b/internal/endpointmerge/view.go
@@ -6,9 +6,9 @@
 
 import "sort"
 
-// settleTime is how long after the first event the view waits for all sources before it takes new servers for just started.
+// initialListTimeout is how long after the first event the view waits for all sources before it takes new servers for just started.
 // A source that never reports must not have servers that start later pass for warm ones.
-const settleTime Millis = 5000
+const initialListTimeout Millis = 5000
 
 // idSet is a set of server ids.
 type idSet map[string]bool
@@ -18,39 +18,39 @@
 	settings Settings
 	sources  map[string]*source
 
-	tombstones tombstones
-	held       heldLists
-	precedence map[string][]string // by field; "" for fields without a precedence of their own
-	conflicts  map[string]Conflict // that exist now, by conflictKey
-	addresses  addressClaims
-	members    map[string]*member
-	pods       podNumbers
-	moving     int                // members that are moving to another group
-	relocating map[string]*member // members that are moving or queued to move, by id
+	tombstones   tombstones
+	held         heldLists
+	precedence   map[string][]string // by field; "" for fields without a precedence of their own
+	conflicts    map[string]Conflict // that exist now, by conflictKey
+	addresses    addressClaims
+	members      map[string]*member
+	pods         podNumbers
+	movingCount  int                // members that are moving to another group
+	pendingMoves map[string]*member // members that are moving or queued to move, by id
 
 	published map[string]Entry // by id
-	touched   idSet            // members that may differ from what was published
+	dirtyIDs  idSet            // members that may differ from what was published
 
-	settled bool   // the first list is complete: servers that come now have just started
-	began   Millis // time of the first event; 0: there was none
-	now     Millis // time of the last event
+	initialListComplete bool   // the first list is complete: servers that come now have just started
+	firstEventTime      Millis // time of the first event; 0: there was none
+	now                 Millis // time of the last event
 }
 
 // New returns an empty view.
 func New(s Settings) *View {
 	v := &View{
-		settings:   s,
-		sources:    map[string]*source{},
-		tombstones: tombstones{},
-		held:       newHeldLists(),
-		precedence: map[string][]string{},
-		conflicts:  map[string]Conflict{},
-		addresses:  newAddressClaims(),
-		members:    map[string]*member{},
-		pods:       newPodNumbers(),
-		relocating: map[string]*member{},
-		published:  map[string]Entry{},
-		touched:    idSet{},
+		settings:     s,
+		sources:      map[string]*source{},
+		tombstones:   tombstones{},
+		held:         newHeldLists(),
+		precedence:   map[string][]string{},
+		conflicts:    map[string]Conflict{},
+		addresses:    newAddressClaims(),
+		members:      map[string]*member{},
+		pods:         newPodNumbers(),
+		pendingMoves: map[string]*member{},
+		published:    map[string]Entry{},
+		dirtyIDs:     idSet{},
 	}
 	for _, name := range s.Sources {
 		v.sources[name] = newSource()
@@ -65,8 +65,8 @@
 // Step handles one event.
 func (v *View) Step(now Millis, e Event) Outcome {
 	v.now = now
-	if v.began == 0 {
-		v.began = now
+	if v.firstEventTime == 0 {
+		v.firstEventTime = now
 	}
 	var out Outcome
 	changed := idSet{}
@@ -80,8 +80,8 @@
 	v.merge(released, &out)
 	v.advanceMoves(&out)
 	v.publishChanges(&out)
-	waitedEnough := now-v.began >= settleTime
-	v.settled = v.settled || v.allReported() || v.Stale() || waitedEnough
+	waitedEnough := now-v.firstEventTime >= initialListTimeout
+	v.initialListComplete = v.initialListComplete || v.allReported() || v.Stale() || waitedEnough
 	return out
 }
 
--- a/internal/endpoints/command.go
+++ b/internal/endpoints/command.go
@@ -12,80 +12,83 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// commandFlags are the flags of the subcommands.
+// commandFlags holds the flag values of the subcommands.
 type commandFlags struct {
-	edge     string // operator file
-	form     string // of a converted list
-	stateDir string
-	asJSON   bool
+	operatorPath string // path of the operator file; empty: defaults
+	format       string // output format of convert: csv or yaml
+	stateDir     string
+	asJSON       bool
 }
 
-func (c *commandFlags) declareEdge(f *flag.FlagSet) {
-	f.StringVar(&c.edge, "edge", os.Getenv("TACKHUB_EDGE"), "operator `FILE`, for how its files are to be read")
+func (c *commandFlags) declareOperatorFile(f *flag.FlagSet) {
+	f.StringVar(&c.operatorPath, "edge", os.Getenv("TACKHUB_EDGE"), "operator `FILE` that configures how list files are read")
 }
 
 func (c *commandFlags) declareConvert(f *flag.FlagSet) {
-	c.declareEdge(f)
-	f.StringVar(&c.form, "to", "csv", "`FORM`: csv or yaml")
+	c.declareOperatorFile(f)
+	f.StringVar(&c.format, "to", "csv", "output `FORM`: csv or yaml")
 }
 
 func (c *commandFlags) declareShow(f *flag.FlagSet) {
-	c.declareEdge(f)
-	f.StringVar(&c.stateDir, "state", "", "a node's state `FOLDER`; without it the operator file's, then the files themselves")
-	f.BoolVar(&c.asJSON, "json", false, "as JSON")
+	c.declareOperatorFile(f)
+	f.StringVar(&c.stateDir, "state", "", "state `FOLDER` of a node; default: the one in the operator file, or else the list files are merged")
+	f.BoolVar(&c.asJSON, "json", false, "print JSON")
 }
 
-// Command is "tackhub inventory" with its subcommands.
+// Command returns the command "tackhub inventory" with its subcommands.
 func Command() cli.Command {
 	var flags commandFlags
-	return cli.Command{Name: "inventory", Help: "Look at lists of servers: lint, diff, convert, show, confirm", Subcommands: []cli.Command{
+	return cli.Command{Name: "inventory", Help: "Inspect server lists: lint, diff, convert, show, confirm", Subcommands: []cli.Command{
 		{
 			Name:      "lint",
 			ArgsUsage: "FILE…",
-			Help:      "Tell every fault of lists in CSV or YAML, or that there is none",
-			Flags:     flags.declareEdge,
-			Run:       func(args []string, out io.Writer) error { return lint(out, flags.edge, args) },
+			Help:      "Report the errors in CSV or YAML lists; for a valid list print its size and SHA-256",
+			Flags:     flags.declareOperatorFile,
+			Run:       func(args []string, out io.Writer) error { return lint(out, flags.operatorPath, args) },
 		},
 		{
 			Name:      "diff",
 			ArgsUsage: "A B",
-			Help:      "Tell what makes the second list of the first",
-			Flags:     flags.declareEdge,
-			Run:       func(args []string, out io.Writer) error { return diff(out, flags.edge, args) },
+			Help:      "Print the changes from list A to list B",
+			Flags:     flags.declareOperatorFile,
+			Run:       func(args []string, out io.Writer) error { return diff(out, flags.operatorPath, args) },
 		},
 		{
 			Name:      "convert",
 			ArgsUsage: "FILE",
-			Help:      "Write a list in the other form to standard output, with a trailer",
+			Help:      "Convert a list to CSV or YAML and write it to standard output, with a trailer",
 			Flags:     flags.declareConvert,
-			Run:       func(args []string, out io.Writer) error { return convert(out, flags.edge, flags.form, args) },
+			Run:       func(args []string, out io.Writer) error { return convert(out, flags.operatorPath, flags.format, args) },
 		},
 		{
 			Name:  "show",
-			Help:  "Show the view that a node has saved, or that it would merge from its files, and each field's source",
+			Help:  "Show the list that a node has saved, or would merge from its files, with the source of each field",
 			Flags: flags.declareShow,
-			Run:   func(_ []string, out io.Writer) error { return show(out, flags.edge, flags.stateDir, flags.asJSON) },
+			Run: func(_ []string, out io.Writer) error {
+				return show(out, flags.operatorPath, flags.stateDir, flags.asJSON)
+			},
 		},
 		{
 			Name:      "confirm",
 			ArgsUsage: "FILE",
-			Help:      "Let a list pass that is held for taking away too much: writes FILE.confirm with its SHA-256",
-			Flags:     flags.declareEdge,
-			Run:       func(args []string, out io.Writer) error { return confirm(out, flags.edge, args) },
+			Help:      "Confirm a list that is held because it removes too many servers: writes its SHA-256 to FILE.confirm",
+			Flags:     flags.declareOperatorFile,
+			Run:       func(args []string, out io.Writer) error { return confirm(out, flags.operatorPath, args) },
 		},
 	}}
 }
 
-// loadOptions reads the section [inventory] of an operator file; the defaults where there is no file or no section.
-func loadOptions(edge string) (*Options, error) {
-	if edge == "" {
+// loadOptions reads the section [inventory] of an operator file. It returns the defaults if no file is given or the file has
+// no such section.
+func loadOptions(operatorPath string) (*Options, error) {
+	if operatorPath == "" {
 		return defaults(), nil
 	}
-	raw, err := os.ReadFile(edge)
+	raw, err := os.ReadFile(operatorPath)
 	if err != nil {
 		return nil, err
 	}
-	file, err := operator.ParseSection(edge, string(raw), Subsystem().Section)
+	file, err := operator.ParseSection(operatorPath, string(raw), Subsystem().Section)
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +98,9 @@
 	return defaults(), nil
 }
 
-// file is how a path is to be read: as the options say, or plainly where they do not name it.
-func (o *Options) file(path string) *File {
+// fileOptions returns the options for reading the file at a path: the configured ones, or the zero options if the path is not
+// configured.
+func (o *Options) fileOptions(path string) *File {
 	for i := range o.Files {
 		if o.Files[i].Path == path {
 			return &o.Files[i]
@@ -105,30 +109,30 @@
 	return &File{Path: path}
 }
 
-// loadList reads one list as a node would.
+// loadList reads one list with the options that a node would use.
 func loadList(o *Options, path string) (inventory.List, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return inventory.List{}, err
 	}
-	return parseFile(o.file(path), raw)
+	return parseFile(o.fileOptions(path), raw)
 }
 
-// loadSingleList reads one list as the node of an operator file would.
-func loadSingleList(edge, path string) (inventory.List, error) {
-	o, err := loadOptions(edge)
+// loadSingleList reads one list with the options of an operator file.
+func loadSingleList(operatorPath, path string) (inventory.List, error) {
+	o, err := loadOptions(operatorPath)
 	if err != nil {
 		return inventory.List{}, err
 	}
 	return loadList(o, path)
 }
 
-// lint prints what is wrong with each list, or its size and hash.
-func lint(out io.Writer, edge string, paths []string) error {
+// lint prints the errors in each list, or the list's size and hash if it has none.
+func lint(out io.Writer, operatorPath string, paths []string) error {
 	if len(paths) == 0 {
-		return errors.New("inventory lint: a file is wanted")
+		return errors.New("inventory lint: expected at least one file")
 	}
-	o, err := loadOptions(edge)
+	o, err := loadOptions(operatorPath)
 	if err != nil {
 		return err
 	}
@@ -148,12 +152,12 @@
 	return nil
 }
 
-// diff prints what makes the second list of the first.
-func diff(out io.Writer, edge string, paths []string) error {
+// diff prints the changes from the first list to the second.
+func diff(out io.Writer, operatorPath string, paths []string) error {
 	if len(paths) != 2 {
-		return errors.New("inventory diff: two files are wanted")
+		return fmt.Errorf("inventory diff: expected two files, got %d", len(paths))
 	}
-	o, err := loadOptions(edge)
+	o, err := loadOptions(operatorPath)
 	if err != nil {
 		return err
 	}
@@ -174,30 +178,31 @@
 	return nil
 }
 
-// convert writes a list in the other form.
-func convert(out io.Writer, edge, form string, paths []string) error {
-	formKnown := form == "csv" || form == "yaml"
-	if len(paths) != 1 || !formKnown {
-		return errors.New("inventory convert: one file, and --to csv or --to yaml, are wanted")
+// convert writes a list as CSV or YAML.
+func convert(out io.Writer, operatorPath, format string, paths []string) error {
+	formatKnown := format == "csv" || format == "yaml"
+	if len(paths) != 1 || !formatKnown {
+		return fmt.Errorf("inventory convert: expected one file and --to csv or --to yaml, got %d files and --to %s", len(paths), format)
 	}
-	list, err := loadSingleList(edge, paths[0])
+	list, err := loadSingleList(operatorPath, paths[0])
 	if err != nil {
 		return err
 	}
 	write := inventory.WriteCSV
-	if form == "yaml" {
+	if format == "yaml" {
 		write = inventory.WriteYAML
 	}
 	_, err = out.Write(write(list.Servers))
 	return err
 }
 
-// confirm writes the confirmation of a list, under another name first so that a node never reads half of it.
-func confirm(out io.Writer, edge string, paths []string) error {
+// confirm writes the confirmation file of a list. It writes a temporary file and renames it, so that a node never reads a
+// partial confirmation.
+func confirm(out io.Writer, operatorPath string, paths []string) error {
 	if len(paths) != 1 {
-		return errors.New("inventory confirm: one file is wanted")
+		return fmt.Errorf("inventory confirm: expected one file, got %d", len(paths))
 	}
-	list, err := loadSingleList(edge, paths[0])
+	list, err := loadSingleList(operatorPath, paths[0])
 	if err != nil {
 		return err
 	}
@@ -209,11 +214,11 @@
 	if err := os.Rename(temp, path); err != nil {
 		return err
 	}
-	printLine(out, "%s lets %d servers with sha256 %s pass", path, len(list.Servers), list.SHA256)
+	printLine(out, "%s confirms the list of %d servers with sha256 %s", path, len(list.Servers), list.SHA256)
 	return nil
 }
 
-// printDiagnostics prints each thing that is wrong with a file, or the error itself if it is of another kind.
+// printDiagnostics prints the diagnostics of a file, or the error itself if it is not a *inventory.Diagnostics.
 func printDiagnostics(out io.Writer, err error) {
 	var diagnostics *inventory.Diagnostics
 	if !errors.As(err, &diagnostics) {
@@ -224,7 +229,7 @@
 		printLine(out, "%v", d)
 	}
 	if more := diagnostics.Total - len(diagnostics.First); more > 0 {
-		printLine(out, "and %d more faults", more)
+		printLine(out, "and %d more errors", more)
 	}
 }
 
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -1,6 +1,6 @@
-// Package endpoints decides where the list of servers comes from. With the inventory subsystem off, a Directory passes
-// discovery's list on as it comes; with it on, discovery is one source among others, such as files, and the balancer gets
-// the merged list.
+// Package endpoints provides the balancer's list of servers. If the inventory subsystem is off, a Directory forwards
+// discovery's list unchanged. If it is on, discovery is one source besides files and static servers, and the balancer gets the
+// merged list.
 package endpoints
 
 import (
@@ -11,7 +11,7 @@
 	"tackhub.example/tackhub/internal/endpointmerge"
 )
 
-// DiscoveryClient is what a Directory needs of the discovery client.
+// DiscoveryClient is the part of the discovery client that a Directory uses.
 type DiscoveryClient interface {
 	Address(balancer.ServerID) (string, bool)
 	Refetch()
@@ -22,38 +22,38 @@
 	handleDiscovery(discovery.List, balancer.UpdateKind)
 }
 
-// Directory is the node's list of servers: it knows their addresses and passes changes on to the balancer. Its methods may
-// be called from any goroutine.
+// Directory maps the node's servers to their addresses and forwards changes of the list to the balancer. It is safe for
+// concurrent use.
 type Directory struct {
 	discovery DiscoveryClient
 	handler   discovery.ListHandler
 
 	mu        sync.RWMutex
-	consumer  discoveryConsumer            // nil: the inventory is off
-	addresses map[balancer.ServerID]string // nil: the inventory is off, or has not published a list yet
+	consumer  discoveryConsumer            // nil if the inventory is off
+	addresses map[balancer.ServerID]string // nil if the inventory is off or has not published a list yet
 }
 
-// New returns a directory with the inventory off, which passes lists on to the handler.
+// New returns a directory that forwards lists to the handler. The inventory is off.
 func New(client DiscoveryClient, handler discovery.ListHandler) *Directory {
 	return &Directory{discovery: client, handler: handler}
 }
 
-// Address returns where a server listens; false if it is not in the list or is to get no new requests.
+// Address returns the address of a server. It returns false if the server is not in the list or must not get new requests.
 func (d *Directory) Address(id balancer.ServerID) (string, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if d.addresses == nil { // the balancer works by discovery's list
+	if d.addresses == nil { // the balancer uses discovery's list
 		return d.discovery.Address(id)
 	}
 	address, ok := d.addresses[id]
 	return address, ok
 }
 
-// UpdateEndpoints passes on discovery's events that carry no members: a failed call, or a stale list. With the inventory on,
-// staleness is not passed on: discovery is one source among others, and the balancer need not depend on any of its changes.
+// UpdateEndpoints forwards discovery's events without members: a failed call, or a stale list. If the inventory is on, a stale
+// list is not reported to the balancer: discovery is only one of the sources, so the merged list may not depend on it.
 func (d *Directory) UpdateEndpoints(l balancer.EndpointUpdate) {
 	if l.Kind == balancer.UpdateStale {
-		// The lock is held until the handler has returned, so that no stale event follows the inventory's first list.
+		// Holds the lock until the handler returns, so that no stale event arrives after the inventory's first list.
 		d.mu.RLock()
 		defer d.mu.RUnlock()
 		if d.consumer != nil {
@@ -63,7 +63,7 @@
 	d.handler.UpdateEndpoints(l)
 }
 
-// HandleMembers passes on discovery's list or its changes, to the inventory where it is on.
+// HandleMembers forwards discovery's list or its changes to the inventory if it is on, otherwise to the balancer.
 func (d *Directory) HandleMembers(l discovery.List, kind balancer.UpdateKind) {
 	d.mu.RLock()
 	consumer := d.consumer
@@ -75,8 +75,8 @@
 	d.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: kind, Endpoints: l.Endpoints()})
 }
 
-// attach turns the inventory on: addresses and lists come from publish from now on. Discovery's complete list is requested
-// again, since the consumer has not seen the one that the balancer has.
+// attach turns the inventory on: from then on, addresses and lists come from publish. It requests discovery's complete list
+// again, since the consumer has not received the one that the balancer has.
 func (d *Directory) attach(consumer discoveryConsumer) {
 	d.mu.Lock()
 	d.consumer = consumer
@@ -85,7 +85,7 @@
 	d.discovery.Refetch()
 }
 
-// detach turns the inventory off. Discovery's complete list is requested, and replaces the merged one when it arrives.
+// detach turns the inventory off. It requests discovery's complete list, which replaces the merged list when it arrives.
 func (d *Directory) detach() {
 	d.mu.Lock()
 	d.consumer = nil
@@ -94,8 +94,8 @@
 	d.discovery.Refetch()
 }
 
-// publish hands the merged list, or what changed in it, to the balancer. Addresses are updated first, so that the balancer
-// never chooses a server whose address is not known.
+// publish sends the merged list, or its changes, to the balancer. It updates the addresses first, so that the balancer never
+// chooses a server whose address is unknown.
 func (d *Directory) publish(entries []endpointmerge.Entry, kind balancer.UpdateKind) {
 	d.mu.Lock()
 	if d.consumer == nil {
@@ -119,7 +119,7 @@
 	d.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: kind, Endpoints: converted})
 }
 
-// toBalancer converts an entry of the merged list to the balancer's form.
+// toBalancer converts an entry of the merged list to a balancer.Endpoint.
 func toBalancer(e endpointmerge.Entry) balancer.Endpoint {
 	state := balancer.Ready
 	switch {
--- a/internal/endpoints/fake_test.go
+++ b/internal/endpoints/fake_test.go
@@ -18,7 +18,7 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// fakeNode is a node without discovery, whose balancer records the updates that it gets.
+// fakeNode is a node without discovery. It queues the balancer's updates in a channel.
 type fakeNode struct {
 	directory *Directory
 	count     *counters.Counters
@@ -58,12 +58,12 @@
 	case u := <-n.updates:
 		return u
 	case <-time.After(10 * time.Second):
-		t.Fatal("the balancer got no update")
+		t.Fatal("the balancer got no update within 10 s")
 	}
 	panic("unreachable")
 }
 
-// start builds and starts the subsystem from the text of an operator file.
+// start builds and starts the subsystem with the options in the text of an operator file.
 func (n *fakeNode) start(t testing.TB, text string) subsystem.Instance {
 	t.Helper()
 	f, err := operator.Parse("edge.toml", text, []operator.Section{Subsystem().Section})
@@ -81,7 +81,7 @@
 	return running
 }
 
-// writeFile replaces a file by a rename.
+// writeFile replaces a file atomically: it writes a temporary file and renames it.
 func writeFile(t testing.TB, path string, data []byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".tmp", data, 0o600); err != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// describe is an update as text: the ids, with ~ for a server that drains and - for one that was removed.
+// describe returns the sorted ids of an update as text, with the suffix ~ for a draining server and - for a removed one.
 func describe(u balancer.EndpointUpdate) string {
 	var out []string
 	for _, e := range u.Endpoints {
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -19,25 +19,26 @@
 )
 
 const (
-	// maxQueuedEvents bounds the events of sources that have not been merged yet. A source that has more blocks.
+	// maxQueuedEvents is the number of events that sources can queue before they are merged. A source blocks while the queue
+	// is full.
 	maxQueuedEvents = 16
 
-	// firstListTimeout is how long the first list waits for all sources. Until then the balancer keeps the list that it
-	// had, since one that is merged from some of the sources is partial. A source that is down must not hold up the others
-	// for longer.
+	// firstListTimeout is how long the first list waits for all sources to report. Until then the balancer keeps its former
+	// list, since a list merged from only some sources is partial. After the timeout a source that is down no longer delays
+	// the others.
 	firstListTimeout = 2 * time.Second
 )
 
-// Node is what the inventory needs of its node.
+// Node is the part of a node that the inventory uses.
 type Node interface {
 	Endpoints() *Directory
 	Clock() clock.Clock
-	// LongestDedupWindow is the longest time for which servers drop repetitions of a request with an idempotency key.
+	// LongestDedupWindow returns the longest time for which servers drop repeats of a request with an idempotency key.
 	LongestDedupWindow() time.Duration
 	Counters() *counters.Counters
 }
 
-// Subsystem declares the subsystem.
+// Subsystem returns the definition of the inventory subsystem: its operator section and its constructor.
 func Subsystem() subsystem.Definition {
 	return subsystem.Definition{
 		Section: operator.Section{
@@ -50,52 +51,52 @@
 	}
 }
 
-// sourceEvent is what a source reports: an event to merge, or that its file could not be used.
+// sourceEvent is an event from a source: a change to merge, or an error if the source's file could not be used.
 type sourceEvent struct {
 	event   endpointmerge.Event // nil if err is set
-	file    *File               // nil where the source is no file
+	file    *File               // nil if the source is not a file
 	err     error
-	servers int // in the list of a file
+	servers int // number of servers in the file's list
 }
 
-// Inventory is the running subsystem. Its goroutine in run owns the view and the fields below it.
+// Inventory is the running subsystem. After Start, the goroutine of run owns the view and the fields below it.
 type Inventory struct {
 	options      Options
 	node         Node
 	log          *slog.Logger
-	store        *statefile.Store // nil: nothing is saved
+	store        *statefile.Store // nil if the view is not saved
 	maxFileBytes int64
 	events       chan sourceEvent
 	cancel       context.CancelFunc
 	done         <-chan struct{} // nil until Start
 	goroutines   sync.WaitGroup
 
-	view         *endpointmerge.View
-	predecessor  *Inventory           // that ran until now, with other options
-	lastGood     map[string]time.Time // by source: when its file was last taken
-	mayBePartial bool                 // the first list need not wait for all sources
-	published    bool                 // the first list was published
-	unsaved      bool                 // the view has changed since it was saved
-	saveFailing  bool                 // the last save failed, which has been logged
-	stale        bool                 // the view holds servers that were restored from disk
+	view             *endpointmerge.View
+	predecessor      *Inventory           // the instance that this one replaces after a change of options; may be nil
+	lastAcceptedAt   map[string]time.Time // by source: when its file was last accepted
+	allowPartialList bool                 // the first list can be published before all sources have reported
+	published        bool                 // the first list has been published
+	unsaved          bool                 // the view has changed since it was saved
+	saveFailing      bool                 // the last save failed, and the failure has been logged
+	stale            bool                 // the view depends on servers that were restored from disk
 }
 
-// build is the subsystem's constructor. A missing state folder is made.
+// build is the subsystem's constructor. It creates the state folder if it is missing.
 func build(host subsystem.Host, options any, old subsystem.Instance) (subsystem.Instance, error) {
 	node, ok := host.Node.(Node)
 	if !ok {
-		return nil, errors.New("this node has no server directory")
+		return nil, errors.New("the node does not provide a server directory")
 	}
 	o := *options.(*Options)
 	i := &Inventory{
-		options:      o,
-		node:         node,
-		log:          host.Log,
-		maxFileBytes: maxFileBytes(host.Limits.MemoryBytes),
-		events:       make(chan sourceEvent, maxQueuedEvents),
-		cancel:       func() {},
-		view:         endpointmerge.New(o.settings(node.LongestDedupWindow())),
-		lastGood:     map[string]time.Time{},
+		options:        o,
+		node:           node,
+		log:            host.Log,
+		maxFileBytes:   maxFileBytes(host.Limits.MemoryBytes),
+		events:         make(chan sourceEvent, maxQueuedEvents),
+		cancel:         func() {},
+		view:           endpointmerge.New(o.settings(node.LongestDedupWindow())),
+		lastAcceptedAt: map[string]time.Time{},
 	}
 	i.predecessor, _ = old.(*Inventory)
 	if o.StateDir != "" {
@@ -107,7 +108,7 @@
 	return i, nil
 }
 
-// Start takes over the node's list of servers and follows the sources.
+// Start switches the node to the merged list and starts watching the sources.
 func (i *Inventory) Start(ctx context.Context) {
 	ctx, i.cancel = context.WithCancel(ctx)
 	i.done = ctx.Done()
@@ -123,7 +124,7 @@
 	i.goroutines.Go(i.run)
 }
 
-// Stop returns the node's list of servers to discovery alone, and saves the view.
+// Stop switches the node back to discovery's list and saves the view.
 func (i *Inventory) Stop() {
 	if i.done == nil { // never started
 		return
@@ -134,45 +135,47 @@
 	i.save()
 }
 
-// run handles the sources' events until the subsystem stops.
+// run handles the sources' events and the timers until the subsystem stops.
 func (i *Inventory) run() {
-	next := time.NewTimer(time.Hour) // set once the view asks for it
-	defer next.Stop()
-	firstList := time.NewTimer(firstListTimeout)
-	defer firstList.Stop()
-	save := time.NewTicker(i.options.SaveEvery.Std())
-	defer save.Stop()
+	tickTimer := time.NewTimer(time.Hour) // placeholder: reset as soon as the view requests a Tick
+	defer tickTimer.Stop()
+	firstListTimer := time.NewTimer(firstListTimeout)
+	defer firstListTimer.Stop()
+	saveTicker := time.NewTicker(i.options.SaveEvery.Std())
+	defer saveTicker.Stop()
 	for {
 		nextTick := endpointmerge.Millis(0)
 		select {
 		case e := <-i.events:
 			nextTick = i.handle(e)
-		case <-next.C:
+		case <-tickTimer.C:
 			nextTick = i.handle(sourceEvent{event: endpointmerge.Tick{}})
-		case <-firstList.C:
-			nextTick = i.stopWaiting()
-		case <-save.C:
+		case <-firstListTimer.C:
+			nextTick = i.handleFirstListTimeout()
+		case <-saveTicker.C:
 			i.save()
 			continue
 		case <-i.done:
 			return
 		}
 		if nextTick > 0 {
-			next.Reset(max(0, clock.Span(nextTick-i.node.Clock().Now())))
+			tickTimer.Reset(max(0, clock.Span(nextTick-i.node.Clock().Now())))
 		}
 	}
 }
 
-// stopWaiting lets the first list be published without the sources that have not reported. It returns when a Tick is due.
-func (i *Inventory) stopWaiting() endpointmerge.Millis {
-	if pending := i.view.PendingSources(); !i.published && !i.mayBePartial {
-		i.log.Warn("some sources have not reported yet; going on without them", "code", "inventory_partial", "sources", pending)
+// handleFirstListTimeout allows the first list to be published without the sources that have not reported. It returns the time
+// at which the next Tick is due.
+func (i *Inventory) handleFirstListTimeout() endpointmerge.Millis {
+	if pending := i.view.PendingSources(); !i.published && !i.allowPartialList {
+		i.log.Warn("some sources have not reported yet; continuing without them", "code", "inventory_partial", "sources", pending)
 	}
-	i.mayBePartial = true
+	i.allowPartialList = true
 	return i.handle(sourceEvent{event: endpointmerge.Tick{}})
 }
 
-// handle merges one event, publishes the changes and logs what came of it. It returns when a Tick is due; 0 for none.
+// handle merges one event, publishes the changes and logs the outcome. It returns the time at which the next Tick is due, or 0
+// if none is.
 func (i *Inventory) handle(e sourceEvent) endpointmerge.Millis {
 	count := &i.node.Counters().Inventory
 	if e.err != nil {
@@ -185,13 +188,13 @@
 	i.logOutcome(e, outcome)
 	if snapshot, ok := e.event.(endpointmerge.Snapshot); ok && e.file != nil {
 		count.Lists.Inc()
-		i.lastGood[snapshot.Source] = time.Now()
+		i.lastAcceptedAt[snapshot.Source] = time.Now()
 	}
 	return outcome.NextTick
 }
 
-// publish hands the first list to the balancer as a whole, once it is complete, and then the changes of each event. A balancer that
-// requests discovery's list waits for an answer, also where the answer changes nothing.
+// publish sends the balancer the first complete list and, after that, the changes of each event. An answer of discovery is
+// published even if it changes nothing, since a balancer that has requested discovery's list waits for an answer.
 func (i *Inventory) publish(e sourceEvent, outcome endpointmerge.Outcome) {
 	entries := outcome.Changes
 	kind := balancer.DeltaUpdate
@@ -212,7 +215,7 @@
 	count.Entries.Add(int64(len(entries)))
 }
 
-// isDiscoveryAnswer reports whether an event is discovery's answer to a call: its complete list, or changes of it.
+// isDiscoveryAnswer reports whether an event is discovery's answer to a call: its complete list or changes to it.
 func isDiscoveryAnswer(event endpointmerge.Event) bool {
 	switch e := event.(type) {
 	case endpointmerge.Snapshot:
@@ -223,10 +226,11 @@
 	return false
 }
 
-// firstListReady reports whether there is a list to begin with, and no source has to be waited for.
+// firstListReady reports whether the first list can be published: it has a server, and all sources have reported or need not be
+// waited for.
 func (i *Inventory) firstListReady() bool {
 	if i.view.Len() == 0 {
 		return false
 	}
-	return i.mayBePartial || len(i.view.PendingSources()) == 0
+	return i.allowPartialList || len(i.view.PendingSources()) == 0
 }
--- a/internal/endpoints/options.go
+++ b/internal/endpoints/options.go
@@ -10,48 +10,49 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// Options are the section [inventory] of the operator file.
+// Options holds the section [inventory] of the operator file.
 type Options struct {
-	// Sources. Without discovery a file or a static server is required.
+	// Sources. If discovery is off, at least one file or static server is required.
 	Files     []File         `toml:"file"`
 	Static    []StaticServer `toml:"static"`
-	Discovery bool           `toml:"discovery"` // the node's discovery is a source; default true
+	Discovery bool           `toml:"discovery"` // whether the node's discovery is a source; default true
 
 	// How sources are merged.
-	Precedence []string            `toml:"precedence"` // sources, the strongest first; default: files, static, discovery
-	Order      map[string][]string `toml:"order"`      // by field: another precedence; default: the address by discovery
-	Require    []string            `toml:"require"`    // sources that must list a server
+	Precedence []string            `toml:"precedence"` // sources, highest precedence first; default: files, static, discovery
+	Order      map[string][]string `toml:"order"`      // by field: its own precedence; default: discovery first for addresses
+	Require    []string            `toml:"require"`    // sources that must list a server for it to be a member
 
-	// A file that removes more than RemoveShare of the servers, and at least RemoveLeast, is held until it is confirmed.
-	RemoveShare float64 `toml:"remove_share"` // 0 to 1, default 0.3; 0: no file is held
-	RemoveLeast int     `toml:"remove_least"` // default 3
+	// A list file that removes more than the fraction RemoveShare of the servers in service, and at least RemoveLeast of them,
+	// is held until it is confirmed.
+	RemoveShare float64 `toml:"remove_share"` // 0 to 1; default 0.3; 0 disables the check
+	RemoveLeast int     `toml:"remove_least"` // number of servers; default 3
 
 	// How servers move to another pod.
-	PodHold   operator.Duration `toml:"pod_hold"`   // without new requests; default 0: the longest idempotency window
-	MoveShare float64           `toml:"move_share"` // of the servers at a time; default 0.1
+	PodHold   operator.Duration `toml:"pod_hold"`   // how long a moving server gets no new requests; default 0: the longest dedup window
+	MoveShare float64           `toml:"move_share"` // fraction of the servers that move at a time; default 0.1
 
-	Tombstone operator.Duration `toml:"tombstone"` // for which a removal overrides sources with nothing new; default 10m
+	Tombstone operator.Duration `toml:"tombstone"` // how long a removal overrides sources that still list the server; default 10m
 
 	// How files are read.
-	Settle operator.Duration `toml:"settle"` // without change before a file is read; default 100ms
-	Poll   operator.Duration `toml:"poll"`   // between looks besides notifications; default 1s
+	Settle operator.Duration `toml:"settle"` // how long a file must be unchanged before it is read; default 100ms
+	Poll   operator.Duration `toml:"poll"`   // interval of checks for changes, besides file notifications; default 1s
 
 	// Where the view is saved.
-	StateDir  string            `toml:"state_dir"`  // default: nowhere
-	SaveEvery operator.Duration `toml:"save_every"` // default 1s
+	StateDir  string            `toml:"state_dir"`  // default: the view is not saved
+	SaveEvery operator.Duration `toml:"save_every"` // interval; default 1s
 }
 
-// File is one file of servers, in CSV or YAML.
+// File configures one list file, in CSV or YAML.
 type File struct {
 	Path     string            `toml:"path"`
-	Name     string            `toml:"name"`     // of the source; default: the file's name without its folder
-	Aliases  map[string]string `toml:"aliases"`  // from the file's word for a column or key to ours
+	Name     string            `toml:"name"`     // name of the source; default: the base name of Path
+	Aliases  map[string]string `toml:"aliases"`  // from the file's name of a column or key to the field's name
 	MinRows  int               `toml:"min_rows"` // a file with fewer servers is rejected
 	Trailer  bool              `toml:"trailer"`  // the last line must be "# end N"
 	Checksum bool              `toml:"checksum"` // PATH.sha256 must hold its SHA-256
 }
 
-// StaticServer is one server in the operator file itself.
+// StaticServer is a server that is listed in the operator file.
 type StaticServer struct {
 	ID      string  `toml:"id"`
 	Address string  `toml:"address"`
@@ -73,7 +74,7 @@
 	}
 }
 
-// source is the name of the file's source.
+// source returns the name of the file's source.
 func (f File) source() string {
 	if f.Name != "" {
 		return f.Name
@@ -81,17 +82,17 @@
 	return filepath.Base(f.Path)
 }
 
-// checksumPath is the file that holds this one's SHA-256.
+// checksumPath returns the path of the file that holds this file's SHA-256.
 func (f File) checksumPath() string { return f.Path + ".sha256" }
 
-// confirmPath is the file by which an operator lets a held list pass: it holds the list's SHA-256.
+// confirmPath returns the path of the file by which an operator confirms a held list. That file holds the list's SHA-256.
 func (f File) confirmPath() string { return f.Path + ".confirm" }
 
 func (f File) parseOptions() inventory.Options {
 	return inventory.Options{Aliases: f.Aliases, MinRows: f.MinRows, Trailer: f.Trailer}
 }
 
-// configuredSources are the sources that the options name or turn on, in the default precedence.
+// configuredSources returns the sources that the options configure, in the default order of precedence.
 func (o *Options) configuredSources() []string {
 	var sources []string
 	for _, f := range o.Files {
@@ -106,7 +107,7 @@
 	return sources
 }
 
-// sources are all sources, in the order of their precedence.
+// sources returns all sources, highest precedence first.
 func (o *Options) sources() []string {
 	sources := slices.Clone(o.Precedence)
 	for _, name := range o.configuredSources() {
@@ -117,7 +118,7 @@
 	return sources
 }
 
-// staticSnapshot is the list of the servers in the operator file.
+// staticSnapshot returns the static servers as a snapshot.
 func (o *Options) staticSnapshot() endpointmerge.Snapshot {
 	servers := make([]inventory.Server, 0, len(o.Static))
 	for _, s := range o.Static {
@@ -133,21 +134,21 @@
 	return endpointmerge.Snapshot{Source: sourceStatic, Revision: "file", Servers: servers}
 }
 
-// settings are the options in the merged view's form; window is used where no pod_hold is set.
-func (o *Options) settings(window time.Duration) endpointmerge.Settings {
+// settings converts the options to the settings of the merged view. If pod_hold is not set, dedupWindow is used instead.
+func (o *Options) settings(dedupWindow time.Duration) endpointmerge.Settings {
 	podHold := o.PodHold.Std()
 	if podHold == 0 {
-		podHold = window
+		podHold = dedupWindow
 	}
 	s := endpointmerge.Settings{
-		Sources:         o.sources(),
-		FieldPrecedence: o.fieldPrecedence(),
-		RequiredSources: o.Require,
-		MaxRemovedShare: o.RemoveShare,
-		MinHeldRemovals: o.RemoveLeast,
-		PodHold:         millis(podHold),
-		MaxMovingShare:  o.MoveShare,
-		TombstoneTTL:    millis(o.Tombstone.Std()),
+		Sources:            o.sources(),
+		FieldPrecedence:    o.fieldPrecedence(),
+		RequiredSources:    o.Require,
+		MaxRemovedFraction: o.RemoveShare,
+		MinHeldRemovals:    o.RemoveLeast,
+		PodHold:            millis(podHold),
+		MaxMovingFraction:  o.MoveShare,
+		TombstoneTTL:       millis(o.Tombstone.Std()),
 	}
 	for _, f := range o.Files {
 		s.GuardedSources = append(s.GuardedSources, f.source())
@@ -155,8 +156,8 @@
 	return s
 }
 
-// fieldPrecedence is the precedence by field. Discovery's word on addresses comes first unless another order is set, since
-// it knows where a process runs now.
+// fieldPrecedence returns the precedence by field. Unless another order is set for addresses, discovery's addresses take
+// precedence, since discovery has the current address of a process.
 func (o *Options) fieldPrecedence() map[string][]string {
 	if o.Order[endpointmerge.FieldAddress] != nil || !o.Discovery {
 		return o.Order
--- a/internal/endpoints/options_test.go
+++ b/internal/endpoints/options_test.go
@@ -8,8 +8,8 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// Every key of the section [inventory], with the field that it fills.
-func TestOperatorFileKeys(t *testing.T) {
+// Each key of the section [inventory] must be parsed into its field.
+func TestParseAllOptionKeys(t *testing.T) {
 	const text = `[inventory]
 discovery = false
 precedence = ["b", "static"]
@@ -52,6 +52,6 @@
 		SaveEvery: operator.Duration(14 * time.Second),
 	}
 	if got := f.Options("inventory"); !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v\nwant %+v", got, want)
+		t.Errorf("options = %+v\nwant %+v", got, want)
 	}
 }
--- a/internal/endpoints/report.go
+++ b/internal/endpoints/report.go
@@ -9,61 +9,62 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// maxLoggedConflicts bounds the log lines of one event: two sources that disagree on every server would fill the log.
+// maxLoggedConflicts limits the conflicts logged for one event. Two sources that disagree on every server would otherwise
+// flood the log.
 const maxLoggedConflicts = 10
 
-// logOutcome logs what came of an event.
+// logOutcome logs the result of merging an event.
 func (i *Inventory) logOutcome(e sourceEvent, outcome endpointmerge.Outcome) {
 	snapshot, isSnapshot := e.event.(endpointmerge.Snapshot)
 	if isSnapshot && e.file != nil && len(outcome.Held) == 0 {
-		i.log.Info("a list was taken", "code", "inventory_list", "file", e.file.Path, "sha256", snapshot.Revision, "servers", e.servers,
+		i.log.Info("list file accepted", "code", "inventory_list", "file", e.file.Path, "sha256", snapshot.Revision, "servers", e.servers,
 			"changed", len(outcome.Changes), "moving", outcome.MovesStarted)
 	}
 	i.logHeld(outcome)
 	i.logConflicts(outcome.Conflicts)
 	if i.stale && !i.view.Stale() {
 		i.stale = false
-		i.log.Info("every source has reported: the list is fresh", "code", "inventory_fresh", "servers", i.view.Len())
+		i.log.Info("all sources have reported; the list no longer depends on saved state", "code", "inventory_fresh", "servers", i.view.Len())
 	}
 }
 
-// logHeld logs the lists that are held since this event, and those that no longer are.
+// logHeld logs the lists that are newly held or released by an event.
 func (i *Inventory) logHeld(outcome endpointmerge.Outcome) {
-	for _, h := range outcome.Held {
+	for _, held := range outcome.Held {
 		i.node.Counters().Inventory.Held.Inc()
-		i.log.Error("a list that removes too many servers is held; keeping the last good one", "code", "inventory_held", "source", h.Source,
-			"sha256", h.Revision, "away", h.Removed, "of", h.Total)
+		i.log.Error("list held for confirmation: it removes too many servers; keeping the previous list", "code", "inventory_held",
+			"source", held.Source, "sha256", held.Revision, "away", held.Removed, "of", held.Total)
 	}
 	for _, name := range outcome.Released {
-		i.log.Info("a held list passed or was replaced", "code", "inventory_released", "source", name)
+		i.log.Info("held list accepted or replaced", "code", "inventory_released", "source", name)
 	}
 }
 
-// logConflicts counts all new conflicts and logs the first of them.
+// logConflicts counts all new conflicts and logs the first maxLoggedConflicts.
 func (i *Inventory) logConflicts(conflicts []endpointmerge.Conflict) {
 	i.node.Counters().Inventory.Conflicts.Add(int64(len(conflicts)))
 	for _, c := range conflicts[:min(len(conflicts), maxLoggedConflicts)] {
-		i.log.Warn("sources differ", "code", "inventory_conflict", "server", c.ID, "field", c.Field, "taken", c.Chosen, "from", c.ChosenSource,
-			"left", c.Rejected, "not", c.RejectedSource)
+		i.log.Warn("sources disagree on a field", "code", "inventory_conflict", "server", c.ID, "field", c.Field, "taken", c.Chosen,
+			"from", c.ChosenSource, "left", c.Rejected, "not", c.RejectedSource)
 	}
-	if more := len(conflicts) - maxLoggedConflicts; more > 0 {
-		i.log.Warn("sources differ on more", "code", "inventory_conflict", "more", more)
+	if omitted := len(conflicts) - maxLoggedConflicts; omitted > 0 {
+		i.log.Warn("further conflicts between sources were not logged", "code", "inventory_conflict", "more", omitted)
 	}
 }
 
-// logRejected logs each error in a file that was not taken, and how old the list is that stays in use.
+// logRejected logs the errors in a rejected file, up to inventory.MaxDiagnostics, and the age of the list that stays in use.
 func (i *Inventory) logRejected(f *File, err error) {
 	var diagnostics *inventory.Diagnostics
 	if errors.As(err, &diagnostics) {
 		for _, d := range diagnostics.First {
-			i.log.Error("error in a list", "code", "inventory_fault", "file", d.File, "line", d.Line, "column", d.Column, "row", d.Row,
+			i.log.Error("error in list file", "code", "inventory_fault", "file", d.File, "line", d.Line, "column", d.Column, "row", d.Row,
 				"error", d.Message)
 		}
-		err = fmt.Errorf("%d faults", diagnostics.Total)
+		err = fmt.Errorf("%d errors", diagnostics.Total)
 	}
 	attrs := []any{"code", "inventory_bad", "file", f.Path, "error", err}
-	if at, ok := i.lastGood[f.source()]; ok {
-		attrs = append(attrs, "age_s", int(time.Since(at).Seconds()))
+	if accepted, ok := i.lastAcceptedAt[f.source()]; ok {
+		attrs = append(attrs, "age_s", int(time.Since(accepted).Seconds()))
 	}
-	i.log.Error("a list was rejected; keeping the last good one", attrs...)
+	i.log.Error("list file rejected; keeping the last accepted list", attrs...)
 }
--- a/internal/endpoints/show.go
+++ b/internal/endpoints/show.go
@@ -14,9 +14,9 @@
 	"tackhub.example/tackhub/internal/statefile"
 )
 
-// show prints a saved view, or the one that a node would merge from its files at its start.
-func show(out io.Writer, edge, stateDir string, asJSON bool) error {
-	o, err := loadOptions(edge)
+// show prints a saved view. Without a state folder, it prints the view that a node would merge from its files at startup.
+func show(out io.Writer, operatorPath, stateDir string, asJSON bool) error {
+	o, err := loadOptions(operatorPath)
 	if err != nil {
 		return err
 	}
@@ -39,11 +39,11 @@
 	return nil
 }
 
-// readSavedState reads the newest usable state in a folder and prints what was skipped.
+// readSavedState reads the newest usable state in a folder and prints the files that it skipped.
 func readSavedState(out io.Writer, dir string) (SavedState, error) {
 	data, skipped, err := statefile.New(statefile.OS{}, dir, stateName, stateVersion).Load()
 	for _, s := range skipped {
-		printLine(out, "passed over %s: %v", s.File, s.Err)
+		printLine(out, "skipped %s: %v", s.File, s.Err)
 	}
 	if err != nil {
 		return SavedState{}, fmt.Errorf("%s: %w", dir, err)
@@ -53,12 +53,12 @@
 	return state, err
 }
 
-// mergeFiles merges the files and the static servers, without discovery, and prints what they differ on.
+// mergeFiles merges the list files and the static servers, without discovery, and prints the conflicts between them.
 func mergeFiles(out io.Writer, o *Options) (SavedState, error) {
 	if len(o.Files) == 0 && len(o.Static) == 0 {
-		return SavedState{}, errors.New("inventory show: neither a state folder nor files are named; --edge or --state is wanted")
+		return SavedState{}, errors.New("inventory show: no state folder, files or static servers are configured: pass --edge or --state")
 	}
-	const now = 1 // any time will do: nothing ages
+	const now = 1 // any time works, since nothing expires during one merge
 	view := endpointmerge.New(o.settings(0))
 	if len(o.Static) > 0 {
 		view.Step(now, o.staticSnapshot())
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// printTable prints one line for each server, below one with the sources and their revisions.
+// printTable prints a line with the sources and their revisions, a header, and one line for each server.
 func printTable(out io.Writer, state SavedState) {
 	sources := make([]string, 0, len(state.Revisions))
 	for name, revision := range state.Revisions {
@@ -104,7 +104,7 @@
 	}
 }
 
-// fieldSources lists which source each field of a member came from.
+// fieldSources returns the source of each field of a member, as sorted field=source pairs.
 func fieldSources(m endpointmerge.Member) string {
 	var pairs []string
 	for field, source := range m.FieldSources {
--- a/internal/endpoints/sources.go
+++ b/internal/endpoints/sources.go
@@ -14,24 +14,24 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// The names of sources that are no files.
+// Names of the sources that are not files.
 const (
 	sourceDiscovery = "discovery"
 	sourceStatic    = "static"
 )
 
-// maxConfirmBytes bounds a confirmation file, which holds one checksum.
+// maxConfirmBytes is the maximum size of a confirmation file, which holds one checksum.
 const maxConfirmBytes = 1024
 
-// post queues an event for the goroutine that owns the view. It blocks while the queue is full.
-func (i *Inventory) post(e sourceEvent) {
+// enqueue queues an event for the goroutine that owns the view. It blocks while the queue is full, until the subsystem stops.
+func (i *Inventory) enqueue(e sourceEvent) {
 	select {
 	case i.events <- e:
 	case <-i.done:
 	}
 }
 
-// handleDiscovery takes discovery's list or its changes, on the goroutine of the discovery client.
+// handleDiscovery queues discovery's list or its changes for merging. It runs on the discovery client's goroutine.
 func (i *Inventory) handleDiscovery(l discovery.List, kind balancer.UpdateKind) {
 	if !i.options.Discovery {
 		return
@@ -48,18 +48,18 @@
 	revision := strconv.FormatInt(l.Revision, 10)
 	switch kind {
 	case balancer.FullUpdate:
-		i.post(sourceEvent{event: endpointmerge.Snapshot{Source: sourceDiscovery, Revision: revision, Servers: servers}})
+		i.enqueue(sourceEvent{event: endpointmerge.Snapshot{Source: sourceDiscovery, Revision: revision, Servers: servers}})
 	case balancer.DeltaUpdate:
-		i.post(sourceEvent{event: endpointmerge.Delta{Source: sourceDiscovery, Revision: revision, Updated: servers, Removed: removed}})
+		i.enqueue(sourceEvent{event: endpointmerge.Delta{Source: sourceDiscovery, Revision: revision, Updated: servers, Removed: removed}})
 	case balancer.CachedUpdate:
-		// The node's list from before its start is older than what any source reports now, so that it counts as restored.
+		// This list was cached before the node restarted and is older than any source's report, so it is treated as restored.
 		if len(servers) > 0 {
-			i.post(sourceEvent{event: endpointmerge.Snapshot{Source: endpointmerge.SourceRestored, Revision: "known", Servers: servers}})
+			i.enqueue(sourceEvent{event: endpointmerge.Snapshot{Source: endpointmerge.SourceRestored, Revision: "known", Servers: servers}})
 		}
 	}
 }
 
-// fromDiscovery converts a member of discovery's list. Any phase but SERVING counts as draining.
+// fromDiscovery converts a member of discovery's list. Any phase except SERVING counts as draining.
 func fromDiscovery(m discovery.Member) inventory.Server {
 	phase := inventory.Draining
 	if m.Phase == discovery.PhaseServing {
@@ -76,7 +76,7 @@
 	}
 }
 
-// watchFile reads a file whenever it, its confirmation or its checksum changes, until the context ends.
+// watchFile reads a list file whenever the file, its confirmation or its checksum changes, until the context ends.
 func (i *Inventory) watchFile(ctx context.Context, f *File) {
 	companions := []string{f.confirmPath()}
 	if f.Checksum {
@@ -95,26 +95,26 @@
 	})
 }
 
-// handleFile parses what was read of a file and posts its list, or why there is none.
+// handleFile parses a list file and queues its list, or the error if it could not be read or parsed.
 func (i *Inventory) handleFile(f *File, e filewatch.Event) {
 	if e.Err != nil {
-		i.post(sourceEvent{file: f, err: e.Err})
+		i.enqueue(sourceEvent{file: f, err: e.Err})
 		return
 	}
-	// Posted before the list, which it may let pass.
+	// Queued before the list, since the confirmation may apply to that list.
 	if sum := confirmedSHA256(f); sum != "" {
-		i.post(sourceEvent{event: endpointmerge.Confirmed{Source: f.source(), Revision: sum}})
+		i.enqueue(sourceEvent{event: endpointmerge.Confirmed{Source: f.source(), Revision: sum}})
 	}
 	list, err := parseFile(f, e.Data)
 	if err != nil {
-		i.post(sourceEvent{file: f, err: err})
+		i.enqueue(sourceEvent{file: f, err: err})
 		return
 	}
 	snapshot := endpointmerge.Snapshot{Source: f.source(), Revision: list.SHA256, Servers: list.Servers}
-	i.post(sourceEvent{file: f, servers: len(list.Servers), event: snapshot})
+	i.enqueue(sourceEvent{file: f, servers: len(list.Servers), event: snapshot})
 }
 
-// parseFile verifies a file's checksum, where one is required, and parses it.
+// parseFile verifies a file's checksum, if one is required, and parses the file.
 func parseFile(f *File, data []byte) (inventory.List, error) {
 	if err := verifyChecksum(f, data); err != nil {
 		return inventory.List{}, err
@@ -122,7 +122,7 @@
 	return inventory.Parse(f.Path, data, f.parseOptions())
 }
 
-// verifyChecksum compares a file with its checksum file, where one is required.
+// verifyChecksum compares a file's SHA-256 with its checksum file, if one is required.
 func verifyChecksum(f *File, data []byte) error {
 	if !f.Checksum {
 		return nil
@@ -133,12 +133,12 @@
 	}
 	want, got := firstWord(raw), inventory.SHA256(data)
 	if want != got {
-		return fmt.Errorf("%s: SHA-256 is %.12s…, %s says %.12s…", f.Path, got, f.checksumPath(), want)
+		return fmt.Errorf("%s: SHA-256 is %.12s…, but %s contains %.12s…", f.Path, got, f.checksumPath(), want)
 	}
 	return nil
 }
 
-// confirmedSHA256 returns the SHA-256 of the list that an operator has confirmed; empty for none.
+// confirmedSHA256 returns the SHA-256 of the list that an operator has confirmed, or an empty string if there is none.
 func confirmedSHA256(f *File) string {
 	raw, err := os.ReadFile(f.confirmPath())
 	if err != nil || len(raw) > maxConfirmBytes {
@@ -147,7 +147,7 @@
 	return firstWord(raw)
 }
 
-// firstWord returns the first word of a file in lower case: checksum tools write the file's name after the sum.
+// firstWord returns the first word of a file in lower case. Checksum tools write the file's name after the checksum.
 func firstWord(raw []byte) string {
 	words := strings.Fields(string(raw))
 	if len(words) == 0 {
@@ -156,16 +156,16 @@
 	return strings.ToLower(words[0])
 }
 
-// maxFileBytes is how large a file may be for a node with so much memory, in bytes: parsing it must not have the node killed
-// for memory. A larger file is rejected, and the last good list stays in use.
-func maxFileBytes(memory int64) int64 {
+// maxFileBytes returns the maximum size in bytes of a list file for a node with a memory limit in bytes. Parsing a larger file
+// could get the node killed for exceeding its memory limit, so the file is rejected and the last accepted list stays in use.
+func maxFileBytes(memoryLimit int64) int64 {
 	const (
-		reserved = 24 << 20 // bytes that the node needs besides
-		perByte  = 168      // bytes of memory for a byte of a YAML file, which needs more than CSV for as many servers
-		minimum  = 32 << 10
+		reserved = 24 << 20 // bytes of memory for the rest of the node
+		perByte  = 168      // bytes of memory per byte of a YAML file; YAML needs more than CSV for the same number of servers
+		minimum  = 32 << 10 // bytes
 	)
-	if memory <= 0 { // not known
+	if memoryLimit <= 0 { // unknown
 		return inventory.MaxBytes
 	}
-	return min(inventory.MaxBytes, max(minimum, (memory-reserved)/perByte))
+	return min(inventory.MaxBytes, max(minimum, (memoryLimit-reserved)/perByte))
 }
--- a/internal/endpoints/state.go
+++ b/internal/endpoints/state.go
@@ -8,25 +8,25 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// The saved state's name and version in its files.
+// Name and version of the saved state in its files.
 const (
 	stateName    = "inventory"
 	stateVersion = 1
 )
 
-// SavedState is the view as it is kept on disk, in JSON.
+// SavedState is the view as saved on disk in JSON.
 type SavedState struct {
 	Saved     time.Time              `json:"saved"`
 	Revisions map[string]string      `json:"revisions"` // by source
 	Members   []endpointmerge.Member `json:"members"`
 }
 
-// restore starts with the view of the predecessor, or with the one that an earlier process has saved. Either is complete, so
-// that the first list need not wait for the sources.
+// restore initializes the view from the predecessor's view, or from the state that an earlier process saved. Either is
+// complete, so the first list does not wait for the sources.
 func (i *Inventory) restore() {
 	if i.predecessor != nil && i.predecessor.published {
-		i.mayBePartial = true
-		i.startWith("running", i.predecessor.view.Members())
+		i.allowPartialList = true
+		i.restoreMembers("running", i.predecessor.view.Members())
 		i.predecessor = nil
 		return
 	}
@@ -35,21 +35,21 @@
 	}
 	state, err := i.loadState()
 	if err != nil {
-		i.log.Info("no saved state to start with", "code", "state_none", "error", err)
+		i.log.Info("no usable saved state", "code", "state_none", "error", err)
 		return
 	}
 	i.stale = true
-	i.mayBePartial = true
+	i.allowPartialList = true
 	i.log.Warn("serving from the saved list until every source has reported", "code", "inventory_stale", "servers", len(state.Members),
 		"age_s", int(time.Since(state.Saved).Seconds()))
-	i.startWith("saved", state.Members)
+	i.restoreMembers("saved", state.Members)
 }
 
-// loadState reads the newest usable state and logs what was skipped.
+// loadState reads the newest usable state and logs the files that it skipped.
 func (i *Inventory) loadState() (SavedState, error) {
 	data, skipped, err := i.store.Load()
 	for _, s := range skipped {
-		i.log.Warn("skipped a saved state that cannot be used", "code", "state_skipped", "file", s.File, "error", s.Err)
+		i.log.Warn("skipped unusable saved state", "code", "state_skipped", "file", s.File, "error", s.Err)
 	}
 	var state SavedState
 	if err == nil {
@@ -58,8 +58,8 @@
 	return state, err
 }
 
-// startWith makes members the restored part of the view, before the directory is attached. The next event publishes them.
-func (i *Inventory) startWith(revision string, members []endpointmerge.Member) {
+// restoreMembers adds members to the view as a restored list, before the directory is attached. The next event publishes them.
+func (i *Inventory) restoreMembers(revision string, members []endpointmerge.Member) {
 	servers := make([]inventory.Server, 0, len(members))
 	for _, m := range members {
 		servers = append(servers, m.Server)
@@ -67,7 +67,8 @@
 	i.view.Step(i.node.Clock().Now(), endpointmerge.Snapshot{Source: endpointmerge.SourceRestored, Revision: revision, Servers: servers})
 }
 
-// save writes the view if it has changed. A disk that is full or read-only is logged once, and serving continues.
+// save writes the view to disk if it has changed. Consecutive failures, as on a full or read-only disk, are logged once, and
+// serving continues.
 func (i *Inventory) save() {
 	if i.store == nil || !i.unsaved {
 		return
@@ -77,13 +78,13 @@
 		count.SaveFailures.Inc()
 		if !i.saveFailing {
 			i.saveFailing = true
-			i.log.Error("the list cannot be saved; serving continues", "code", "state_failed", "error", err)
+			i.log.Error("failed to save the list; serving continues", "code", "state_failed", "error", err)
 		}
 		return
 	}
 	count.Saves.Inc()
 	if i.saveFailing {
-		i.log.Info("the list is saved again", "code", "state_saved")
+		i.log.Info("saving the list succeeded again", "code", "state_saved")
 	}
 	i.unsaved = false
 	i.saveFailing = false
--- a/internal/endpoints/state_test.go
+++ b/internal/endpoints/state_test.go
@@ -15,11 +15,11 @@
 	"tackhub.example/tackhub/internal/statefile"
 )
 
-// A node that is upgraded serves from what the version before it saved until its sources have reported. testdata/state was
-// written by a running subsystem (a CSV file, a static server and discovery; one server drained, one moving) as the code
-// stood before the packages' names were revised (December 2026) and is never written anew.
+// After an upgrade a node serves from the state that the previous version saved until its sources have reported.
+// testdata/state was written by a running subsystem before the packages were renamed (December 2026); its sources were a CSV
+// file, a static server and discovery, with one server draining and one moving. Never regenerate it.
 
-// formatState is what testdata/state holds.
+// formatState returns the state that testdata/state holds.
 func formatState() SavedState {
 	noRack := map[string]string{"rack": ""}
 	fromFile := map[string]string{"address": "hosts.csv", "pod": "hosts.csv", "size": "hosts.csv", "zone": "hosts.csv"}
@@ -46,19 +46,19 @@
 
 const formatFile = "inventory.000000000001"
 
-func TestSavedStateIsRead(t *testing.T) {
+func TestReadSavedStateFixture(t *testing.T) {
 	var out strings.Builder
 	got, err := readSavedState(&out, filepath.Join("testdata", "state"))
 	if err != nil || out.Len() > 0 {
-		t.Fatalf("%v; printed %q", err, out.String())
+		t.Fatalf("error = %v, printed %q, want neither", err, out.String())
 	}
 	if !reflect.DeepEqual(got, formatState()) {
-		t.Errorf("read %+v\nwant %+v", got, formatState())
+		t.Errorf("state = %+v\nwant %+v", got, formatState())
 	}
 }
 
-// What is written now has the same bytes, so that an old version reads it too: an upgrade can be taken back.
-func TestSavedStateIsWritten(t *testing.T) {
+// The saved state must have the same bytes as the fixture, so that the previous version can read it after a rollback.
+func TestWriteSavedStateMatchesFixture(t *testing.T) {
 	data, err := json.Marshal(formatState())
 	if err != nil {
 		t.Fatal(err)
@@ -80,8 +80,8 @@
 	}
 }
 
-// A node whose sources say nothing serves from the saved state: every server with its zone, pod, size and start.
-func TestServesFromTheSavedState(t *testing.T) {
+// A node whose sources have not reported serves from the saved state, with each server's zone, pod, size and start time.
+func TestServeFromSavedState(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "state", formatFile))
 	if err != nil {
 		t.Fatal(err)
@@ -101,12 +101,12 @@
 		{ID: "s4", State: balancer.Ready, Zone: "b", Cell: 4, Capacity: 1},
 	}}
 	if got := node.nextUpdate(t); !reflect.DeepEqual(got, want) {
-		t.Errorf("the balancer got %+v\nwant %+v", got, want)
+		t.Errorf("update = %+v\nwant %+v", got, want)
 	}
 	for id, want := range map[balancer.ServerID]string{"d5": "[fd00::5]:80", "fixed": "10.9.9.9:80", "s1": "10.0.1.1:80", "s2": "",
 		"s3": "10.0.0.3:80", "s4": "10.0.0.4:80"} {
 		if got, ok := node.directory.Address(id); got != want || ok != (want != "") {
-			t.Errorf("%s is at %q (%v), want %q", id, got, ok, want)
+			t.Errorf("address of %s = %q (%v), want %q", id, got, ok, want)
 		}
 	}
 }
--- a/internal/endpoints/validate.go
+++ b/internal/endpoints/validate.go
@@ -13,15 +13,15 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// The bounds of what an operator may set.
+// Limits of the options.
 const (
-	minPoll          = 10 * time.Millisecond // each poll stats the files
+	minPoll          = 10 * time.Millisecond // each poll calls stat on the files
 	maxSettle        = 10 * time.Second
 	maxPodHold       = time.Minute
-	maxStaticServers = 4096 // some 150 bytes each, within the bound of the operator file
+	maxStaticServers = 4096 // about 150 bytes each, which fits the size limit of the operator file
 )
 
-// diagnostics collects what is wrong with a section.
+// diagnostics collects the errors in a section.
 type diagnostics []operator.Diagnostic
 
 func (d *diagnostics) add(key, format string, args ...any) {
@@ -35,11 +35,11 @@
 	}
 }
 
-// check is the section's check, by keys within it.
+// check validates the section. The keys of the diagnostics are relative to it.
 func check(options any) []operator.Diagnostic {
 	o := options.(*Options)
 	var d diagnostics
-	d.require(len(o.configuredSources()) > 0, "", "no source is named")
+	d.require(len(o.configuredSources()) > 0, "", "no source is configured: discovery is off, and there is no file or static server")
 	checkValues(o, &d)
 	checkFiles(o.Files, &d)
 	checkStatic(o.Static, &d)
@@ -47,39 +47,40 @@
 	return d
 }
 
-// checkValues checks the single values against their bounds.
+// checkValues checks the scalar options and the number of static servers against their limits.
 func checkValues(o *Options, d *diagnostics) {
-	d.require(o.RemoveShare >= 0 && o.RemoveShare <= 1, "remove_share", "must be a share from 0 to 1")
-	d.require(o.MoveShare > 0 && o.MoveShare <= 1, "move_share", "must be above 0 and at most 1")
-	d.require(o.RemoveLeast >= 0, "remove_least", "must not be negative")
-	d.require(o.PodHold >= 0 && o.PodHold.Std() <= maxPodHold, "pod_hold", "must be 0s to %v", maxPodHold)
-	d.require(o.Tombstone >= 0, "tombstone", "must not be negative")
-	d.require(o.Settle >= 0 && o.Settle.Std() <= maxSettle, "settle", "must be 0s to %v", maxSettle)
-	d.require(o.Poll.Std() >= minPoll, "poll", "must be at least %v", minPoll)
-	d.require(o.SaveEvery.Std() >= minPoll, "save_every", "must be at least %v", minPoll)
-	d.require(len(o.Static) <= maxStaticServers, "static", "%d servers, %d at most", len(o.Static), maxStaticServers)
+	d.require(o.RemoveShare >= 0 && o.RemoveShare <= 1, "remove_share", "must be from 0 to 1, got %v", o.RemoveShare)
+	d.require(o.MoveShare > 0 && o.MoveShare <= 1, "move_share", "must be above 0 and at most 1, got %v", o.MoveShare)
+	d.require(o.RemoveLeast >= 0, "remove_least", "must not be negative, got %d", o.RemoveLeast)
+	d.require(o.PodHold >= 0 && o.PodHold.Std() <= maxPodHold, "pod_hold", "must be from 0s to %v, got %v", maxPodHold, o.PodHold.Std())
+	d.require(o.Tombstone >= 0, "tombstone", "must not be negative, got %v", o.Tombstone.Std())
+	d.require(o.Settle >= 0 && o.Settle.Std() <= maxSettle, "settle", "must be from 0s to %v, got %v", maxSettle, o.Settle.Std())
+	d.require(o.Poll.Std() >= minPoll, "poll", "must be at least %v, got %v", minPoll, o.Poll.Std())
+	d.require(o.SaveEvery.Std() >= minPoll, "save_every", "must be at least %v, got %v", minPoll, o.SaveEvery.Std())
+	d.require(len(o.Static) <= maxStaticServers, "static", "%d servers, at most %d are allowed", len(o.Static), maxStaticServers)
 }
 
-// checkSourceNames checks that every name in the precedences is a source, and every field one that has a precedence.
+// checkSourceNames checks that each source name is a configured source, and that each key of Order is a field with a
+// precedence.
 func checkSourceNames(o *Options, d *diagnostics) {
 	configured := o.configuredSources()
 	names := strings.Join(o.sources(), ", ")
 	for key, list := range map[string][]string{"precedence": o.Precedence, "require": o.Require} {
 		for _, name := range list {
-			d.require(slices.Contains(configured, name), key, "%q is no source; there are: %s", name, names)
+			d.require(slices.Contains(configured, name), key, "%q is not a source; expected one of: %s", name, names)
 		}
 	}
 	fields := strings.Join(endpointmerge.Fields, ", ")
 	for field, list := range o.Order {
 		key := "order." + field
-		d.require(slices.Contains(endpointmerge.Fields, field), key, "no such field; there are: %s", fields)
+		d.require(slices.Contains(endpointmerge.Fields, field), key, "unknown field; expected one of: %s", fields)
 		for _, name := range list {
-			d.require(slices.Contains(configured, name), key, "%q is no source", name)
+			d.require(slices.Contains(configured, name), key, "%q is not a source", name)
 		}
 	}
 }
 
-// checkFiles reports the first thing that is wrong with each file.
+// checkFiles reports the first error in each file's options.
 func checkFiles(files []File, d *diagnostics) {
 	seen := map[string]bool{sourceDiscovery: true, sourceStatic: true, endpointmerge.SourceRestored: true}
 	for i, f := range files {
@@ -88,17 +89,17 @@
 		case f.Path == "":
 			d.add(key, "path is missing")
 		case ext != ".csv" && ext != ".yaml" && ext != ".yml":
-			d.add(key+".path", "ending %q is not known: .csv, .yaml or .yml is wanted", ext)
+			d.add(key+".path", "unknown file extension %q: expected .csv, .yaml or .yml", ext)
 		case seen[f.source()]:
 			d.add(key, "another source has the name %q", f.source())
 		case f.MinRows < 0:
-			d.add(key+".min_rows", "must not be negative")
+			d.add(key+".min_rows", "must not be negative, got %d", f.MinRows)
 		}
 		seen[f.source()] = true
 	}
 }
 
-// checkStatic reports the first thing that is wrong with each server.
+// checkStatic reports the first error in each static server.
 func checkStatic(servers []StaticServer, d *diagnostics) {
 	ids := map[string]bool{}
 	addresses := map[string]bool{}
@@ -107,13 +108,13 @@
 		_, err := netip.ParseAddrPort(strings.TrimPrefix(s.Address, inventory.SchemeCoAP))
 		switch {
 		case s.ID == "" || ids[s.ID]:
-			d.add(key+".id", "id %q is missing or comes twice", s.ID)
+			d.add(key+".id", "id %q is empty or not unique", s.ID)
 		case err != nil:
-			d.add(key+".address", "%q is no IP address with a port", s.Address)
+			d.add(key+".address", "%q is not an IP address with a port", s.Address)
 		case addresses[s.Address]:
-			d.add(key+".address", "%s comes twice", s.Address)
+			d.add(key+".address", "address %s is not unique", s.Address)
 		case s.Size < 0:
-			d.add(key+".size", "must not be negative")
+			d.add(key+".size", "must not be negative, got %v", s.Size)
 		}
 		ids[s.ID] = true
 		addresses[s.Address] = true
