--- a/internal/endpointmerge/address.go
+++ b/internal/endpointmerge/address.go
@@ -2,18 +2,19 @@
 
 import "slices"
 
-// addressClaims are the addresses that servers would have. Two servers cannot be at one address; if several claim one, such
-// as the old and the new server after a process was replaced, only its owner is a member.
+// addressClaims records which servers claim which address. An address belongs to one member only: if several servers claim it,
+// as the old and the new server do after a process was replaced, only the address's owner is a member.
 type addressClaims struct {
-	wanted    map[string]string // by id: the address
-	claimants map[string]idSet  // by address
+	wanted    map[string]string // by server id: the address that it claims
+	claimants map[string]idSet  // by address: the ids of the servers that claim it
 }
 
 func newAddressClaims() addressClaims {
 	return addressClaims{wanted: map[string]string{}, claimants: map[string]idSet{}}
 }
 
-// claim sets the address that a candidate wants, none if it is nil, and adds the addresses that this affects to contested.
+// claim sets the address that a candidate claims, or releases its claim if the candidate is nil. It adds each address whose
+// claims changed to contested.
 func (a addressClaims) claim(id string, c *member, contested map[string]bool) {
 	before, claimed := a.wanted[id]
 	if claimed && (c == nil || before != c.Address) {
@@ -39,8 +40,8 @@
 	}
 }
 
-// addressOwner is the candidate that gets an address: the one whose source has precedence, then the one that started last,
-// then the one with the lowest id.
+// addressOwner returns the id of the candidate that gets an address: the one whose source has the highest precedence for
+// addresses, then the one that started last, then the one with the lowest id.
 func (v *View) addressOwner(address string, candidates map[string]*member) string {
 	owner := ""
 	for id := range v.addresses.claimants[address] {
@@ -55,11 +56,11 @@
 	return owner
 }
 
-// hasAddressPriority reports whether a candidate gets an address rather than another.
+// hasAddressPriority reports whether candidate c gets an address before the other candidate.
 func (v *View) hasAddressPriority(c, other *member) bool {
-	order := v.precedence[FieldAddress]
-	rank := slices.Index(order, c.FieldSources[FieldAddress])
-	otherRank := slices.Index(order, other.FieldSources[FieldAddress])
+	sources := v.precedence[FieldAddress]
+	rank := slices.Index(sources, c.FieldSources[FieldAddress])
+	otherRank := slices.Index(sources, other.FieldSources[FieldAddress])
 	if rank != otherRank {
 		return rank < otherRank
 	}
--- a/internal/endpointmerge/bench_test.go
+++ b/internal/endpointmerge/bench_test.go
@@ -7,17 +7,17 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// BenchmarkMerge10000 merges a complete list of ten thousand servers, and single changes to it.
+// BenchmarkMerge10000 measures merging two complete lists of 10,000 servers, and merging single changes to them.
 func BenchmarkMerge10000(b *testing.B) {
 	var list []inventory.Server
 	for i := range 10_000 {
 		list = append(list, inventory.Server{ID: fmt.Sprint("s", i), Address: fmt.Sprint("10.", i>>16, ".", i>>8&255, ".", i&255, ":80"), Zone: "a", Pod: fmt.Sprint(i / 4), Started: 1})
 	}
-	set := testSettings()
+	settings := testSettings()
 	b.Run("whole", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			v := New(set)
+			v := New(settings)
 			v.Step(1, Snapshot{Source: "file", Revision: "1", Servers: list})
 			if out := v.Step(2, Snapshot{Source: "discovery", Revision: "1", Servers: list}); len(out.Changes) != 0 || v.Len() != 10_000 {
 				b.Fatal(len(out.Changes), v.Len())
@@ -26,7 +26,7 @@
 	})
 	b.Run("one change", func(b *testing.B) {
 		b.ReportAllocs()
-		v := New(set)
+		v := New(settings)
 		v.Step(1, Snapshot{Source: "file", Revision: "1", Servers: list})
 		v.Step(2, Snapshot{Source: "discovery", Revision: "1", Servers: list})
 		i := 0
--- a/internal/endpointmerge/conflict.go
+++ b/internal/endpointmerge/conflict.go
@@ -5,17 +5,18 @@
 	"sort"
 )
 
-// maxConflicts bounds the conflicts that are remembered, which would else grow with the number of servers.
+// maxConflicts limits the recorded conflicts, whose number would otherwise grow with the number of servers.
 const maxConflicts = 1000
 
-// String is the conflict as one line.
+// String returns the conflict as one line.
 func (c Conflict) String() string {
-	return fmt.Sprintf("%s: %s is %q by %s, not %q by %s", c.ID, c.Field, c.Chosen, c.ChosenSource, c.Rejected, c.RejectedSource)
+	return fmt.Sprintf("%s: %s is %q from %s, not %q from %s", c.ID, c.Field, c.Chosen, c.ChosenSource, c.Rejected, c.RejectedSource)
 }
 
 func conflictKey(id, field string) string { return id + " " + field }
 
-// recordConflict remembers a conflict and reports it if it is new.
+// recordConflict records a conflict, and adds it to the outcome if it is new or has changed. A new conflict beyond maxConflicts
+// is dropped.
 func (v *View) recordConflict(c Conflict, out *Outcome) {
 	key := conflictKey(c.ID, c.Field)
 	before, known := v.conflicts[key]
@@ -28,14 +29,14 @@
 	}
 }
 
-// clearConflicts forgets the conflicts about a server.
+// clearConflicts deletes the recorded conflicts of a server.
 func (v *View) clearConflicts(id string) {
 	for _, field := range Fields {
 		delete(v.conflicts, conflictKey(id, field))
 	}
 }
 
-// Conflicts are those that exist now, by id and field.
+// Conflicts returns the current conflicts, sorted by id and field.
 func (v *View) Conflicts() []Conflict {
 	conflicts := make([]Conflict, 0, len(v.conflicts))
 	for _, c := range v.conflicts {
--- a/internal/endpointmerge/event.go
+++ b/internal/endpointmerge/event.go
@@ -2,7 +2,7 @@
 
 import "tackhub.example/tackhub/internal/inventory"
 
-// Event is something that a source reports, or the passing of time.
+// Event is a report from a source, an operator's confirmation, or a Tick.
 type Event interface{ event() }
 
 // Snapshot is a source's complete list.
@@ -12,7 +12,7 @@
 	Servers  []inventory.Server
 }
 
-// Delta is what a source changes in its list.
+// Delta holds the changes of a source to its list.
 type Delta struct {
 	Source   string
 	Revision string
@@ -20,13 +20,13 @@
 	Removed  []string // ids
 }
 
-// Withdrawn is a source that will report no more. What it said no longer counts, and removes nothing.
+// Withdrawn ends a source. Its list and its removals no longer count; the servers on its list are not treated as removed by it.
 type Withdrawn struct{ Source string }
 
-// Confirmed lets a list pass that is held for removing too much, whether it is held now or comes later.
+// Confirmed allows a list that removes too many servers, whether the list is already held or arrives later.
 type Confirmed struct{ Source, Revision string }
 
-// Tick is the passing of time alone.
+// Tick advances the time without a report from a source.
 type Tick struct{}
 
 func (Snapshot) event()  {}
@@ -35,44 +35,44 @@
 func (Confirmed) event() {}
 func (Tick) event()      {}
 
-// Outcome is what came of an event.
+// Outcome is the result of an event.
 type Outcome struct {
-	Changes      []Entry    // of the published list, by id
-	Held         []HeldList // lists that are held since this event
-	Released     []string   // sources whose held list passed or was replaced
-	Conflicts    []Conflict // new ones
-	MovesStarted int        // servers that have begun to change their group
-	NextTick     Millis     // when a Tick is due; 0: none is
+	Changes      []Entry    // to the published list, sorted by id
+	Held         []HeldList // lists that are newly held
+	Released     []string   // sources whose held list was accepted or replaced
+	Conflicts    []Conflict // new or changed conflicts
+	MovesStarted int        // number of servers that started a move to another dedup scope
+	NextTick     Millis     // time at which the next Tick is due; 0: none
 }
 
-// Entry is one server as it is published.
+// Entry is a server of the published list.
 type Entry struct {
 	ID       string
 	Address  string
 	Zone     string
-	Cell     int // the number of the pod, which stays the same for the life of the view
+	Cell     int // number of the pod; a pod keeps its number for the lifetime of the view
 	Size     float64
-	Draining bool // no new requests
+	Draining bool // must not get new requests
 	Removed  bool
-	Started  Millis // Unix time of the process's start; 0: not known, taken for long ago
+	Started  Millis // Unix time of the process's start; 0: unknown, treated as long ago
 }
 
-// Member is one server of the merged list.
+// Member is a server of the merged list.
 type Member struct {
 	inventory.Server
-	FieldSources map[string]string `json:"from"`             // by field: the source that it came from
-	MovingTo     string            `json:"moving,omitempty"` // the group that it will have, as zone/pod; it still has its old one
+	FieldSources map[string]string `json:"from"`             // by field: the source of its value
+	MovingTo     string            `json:"moving,omitempty"` // new zone/pod while it moves; Zone and Pod are still the old ones
 }
 
-// Conflict is a field in which two sources differ.
+// Conflict is a field of a server for which two sources state different values.
 type Conflict struct {
 	ID, Field                    string
 	Chosen, Rejected             string // values
 	ChosenSource, RejectedSource string
 }
 
-// HeldList is a list that waits for confirmation, since it removes too much.
+// HeldList is a list that is not merged until it is confirmed, since it removes too many servers.
 type HeldList struct {
 	Source, Revision string
-	Removed, Total   int // members in service that it would remove, and all
+	Removed, Total   int // number of members in service that it would remove, and of all members in service
 }
--- a/internal/endpointmerge/guard.go
+++ b/internal/endpointmerge/guard.go
@@ -6,26 +6,26 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// heldLists are complete lists that are held since they remove too much. The guard is against a file that was made from
-// half of its data: it parses well, and would take the rest of the servers out of service.
+// heldLists holds back complete lists that remove too many servers. It guards against a file generated from partial data: such
+// a file parses without errors, but would take the missing servers out of service.
 type heldLists struct {
 	lists     map[string]Snapshot // by source
-	reported  map[string]string   // by source: the revision of the held list that an Outcome has named
-	confirmed map[string]string   // by source: a revision that may pass
+	reported  map[string]string   // by source: revision of the held list that an Outcome has reported
+	confirmed map[string]string   // by source: revision that an operator has confirmed
 }
 
 func newHeldLists() heldLists {
 	return heldLists{lists: map[string]Snapshot{}, reported: map[string]string{}, confirmed: map[string]string{}}
 }
 
-// holdSnapshot holds a list that removes too much, and reports whether it did. Whatever list of the source was held before is
-// replaced.
+// holdSnapshot holds a list that removes too many servers, and reports whether it did. The list replaces any list of the same
+// source that was held before.
 func (v *View) holdSnapshot(e Snapshot, out *Outcome) bool {
 	before, wasHeld := v.held.lists[e.Source]
 	delete(v.held.lists, e.Source)
 	hold := v.removesTooMuch(e)
-	sameAgain := hold && before.Revision == e.Revision
-	if wasHeld && !sameAgain {
+	unchanged := hold && before.Revision == e.Revision
+	if wasHeld && !unchanged {
 		out.Released = append(out.Released, e.Source)
 	}
 	if hold {
@@ -34,7 +34,8 @@
 	return hold
 }
 
-// removesTooMuch reports whether a list is to be held.
+// removesTooMuch reports whether a list must be held: its source is guarded, the list is not confirmed, and it removes more
+// members than the settings allow.
 func (v *View) removesTooMuch(e Snapshot) bool {
 	guarded := slices.Contains(v.settings.GuardedSources, e.Source) && v.settings.MaxRemovedFraction > 0
 	if !guarded || v.held.confirmed[e.Source] == e.Revision {
@@ -44,7 +45,8 @@
 	return removed >= max(1, v.settings.MinHeldRemovals) && float64(removed) > v.settings.MaxRemovedFraction*float64(total)
 }
 
-// countRemoved counts the members in service that a list would remove or drain, and all of them.
+// countRemoved returns the number of members in service that a list would remove or drain, and the number of all members in
+// service.
 func (v *View) countRemoved(e Snapshot) (removed, total int) {
 	phases := make(map[string]inventory.Phase, len(e.Servers))
 	for _, server := range e.Servers {
@@ -55,8 +57,8 @@
 			continue
 		}
 		total++
-		phase, keeps := phases[id]
-		inService := keeps && phase != inventory.Draining
+		phase, listed := phases[id]
+		inService := listed && phase != inventory.Draining
 		if !inService && v.dependsOnSource(e.Source, id) {
 			removed++
 		}
@@ -64,8 +66,8 @@
 	return removed, total
 }
 
-// dependsOnSource reports whether a member depends on a source's list: the source lists it now, or, where it has not reported yet,
-// the list restored from disk does, or the source is required.
+// dependsOnSource reports whether a member depends on a source's list. If the source has reported, this is true if the source
+// lists the member. Otherwise it is true if the list restored from disk lists the member or if the source is required.
 func (v *View) dependsOnSource(name, id string) bool {
 	s := v.sources[name]
 	if s.reported {
@@ -74,7 +76,8 @@
 	return v.sources[SourceRestored].lists(id) || slices.Contains(v.settings.RequiredSources, name)
 }
 
-// releaseHeld lets held lists pass that were confirmed or no longer remove too much, and names the others once.
+// releaseHeld applies the held lists that were confirmed or no longer remove too many servers. It reports each of the others
+// once.
 func (v *View) releaseHeld(changed idSet, out *Outcome) {
 	for _, name := range v.settings.Sources {
 		e, held := v.held.lists[name]
--- a/internal/endpointmerge/helper_test.go
+++ b/internal/endpointmerge/helper_test.go
@@ -24,8 +24,8 @@
 	return out
 }
 
-// sequence plays events and compares the changes of each, as text: the ids with the numbers of their pods, ~ for a server that
-// drains and - for one that was removed.
+// sequence applies events to a view and compares the changes after each, written as id@podNumber, with id~@podNumber for a
+// draining server and id- for a removed one.
 type sequence struct {
 	t *testing.T
 	v *View
@@ -48,7 +48,7 @@
 		}
 	}
 	if got != want {
-		s.t.Errorf("at %v %T: changed%s, want%s", now, e, got, want)
+		s.t.Errorf("at %v, %T: changes =%s, want%s", now, e, got, want)
 	}
 	return out
 }
--- a/internal/endpointmerge/merge.go
+++ b/internal/endpointmerge/merge.go
@@ -8,14 +8,14 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// member is a member with what its moves to other groups need.
+// member is a Member with its pod number and its move to another dedup scope.
 type member struct {
 	Member
-	cell int
+	cell int // number of the pod
 	move move
 }
 
-// merge works out anew the members that an event may have changed, and those that want the same addresses.
+// merge recomputes the members that an event may have changed, and those that claim the same addresses.
 func (v *View) merge(changed idSet, out *Outcome) {
 	candidates := map[string]*member{}
 	contested := map[string]bool{} // addresses whose owner may have changed
@@ -43,7 +43,8 @@
 	}
 }
 
-// candidate merges what the sources say of one server; nil if it is no member, or nobody knows its address.
+// candidate merges the fields of one server from all sources. It returns nil if the server does not qualify as a member or if
+// no source states its address.
 func (v *View) candidate(id string, out *Outcome) *member {
 	if !v.qualifiesAsMember(id) {
 		v.clearConflicts(id)
@@ -56,7 +57,7 @@
 	c.Address = v.choose(c, FieldAddress, out)
 	c.Zone = v.choose(c, FieldZone, out)
 	c.Pod = v.choose(c, FieldPod, out)
-	c.Size, _ = strconv.ParseFloat(v.choose(c, FieldSize, out), 64) // written by fieldText, or empty for 0
+	c.Size, _ = strconv.ParseFloat(v.choose(c, FieldSize, out), 64) // fieldText writes a valid number, or an empty text for 0
 	for _, name := range v.precedence[""] {
 		if s := v.sources[name]; s.lists(id) {
 			c.addOtherFields(s.servers[id], name)
@@ -69,7 +70,8 @@
 	return c
 }
 
-// addOtherFields merges the fields without a precedence of their own: any drain counts, and the first word on the others.
+// addOtherFields merges the fields without a precedence of their own. The member drains if any source drains it; of the other
+// fields the first value is used.
 func (m *member) addOtherFields(s inventory.Server, source string) {
 	if s.Phase == inventory.Draining {
 		m.Phase = inventory.Draining
@@ -89,7 +91,7 @@
 	}
 }
 
-// setStarted sets the time of the process's start by the precedence for addresses: who knows the address knows the process.
+// setStarted sets the process's start time by the precedence for addresses, since both fields describe the same process.
 func (v *View) setStarted(m *member) {
 	for _, name := range v.precedence[FieldAddress] {
 		s, listed := v.sources[name].servers[m.ID]
@@ -101,7 +103,8 @@
 	}
 }
 
-// choose is a field's value by the first source that has one. It notes the first other source that differs.
+// choose returns a field's value from the first source that states one. It records a conflict with the first other source that
+// states a different value.
 func (v *View) choose(m *member, field string, out *Outcome) string {
 	chosen, chosenSource := "", ""
 	conflicting := false
@@ -131,7 +134,7 @@
 	return chosen
 }
 
-// fieldText is a field with a precedence, as text; empty where the source does not set it.
+// fieldText returns a field with a precedence as text, or an empty text if the source does not state it.
 func fieldText(s inventory.Server, field string) string {
 	switch field {
 	case FieldAddress:
@@ -148,7 +151,8 @@
 	return ""
 }
 
-// precedenceOf is the order of sources for a field: the one that is set for it, then the others in theirs.
+// precedenceOf returns the sources in the order of precedence for a field: those configured for the field, then the others in
+// the general order, then the restored list.
 func (v *View) precedenceOf(field string) []string {
 	var order []string
 	for _, name := range v.settings.FieldPrecedence[field] {
@@ -164,7 +168,7 @@
 	return append(order, SourceRestored)
 }
 
-// applyCandidate makes a candidate the member, or removes the member if there is no candidate.
+// applyCandidate adds or updates a member from its candidate, or removes the member if the candidate is nil.
 func (v *View) applyCandidate(id string, c *member) {
 	before := v.members[id]
 	v.dirtyIDs[id] = true
@@ -187,7 +191,7 @@
 	delete(v.pendingMoves, m.ID)
 }
 
-// addMember adds a new member. If no source says when it started and the first list is complete, it has just started.
+// addMember adds a new member. If no source states its start time and the initial list is complete, it counts as just started.
 func (v *View) addMember(c *member) {
 	c.cell = v.pods.number(c.Pod)
 	if v.initialListComplete && c.Started == 0 && c.FieldSources[FieldAddress] != SourceRestored {
@@ -196,7 +200,8 @@
 	v.members[c.ID] = c
 }
 
-// updateMember replaces a member. One at another address is another process, which has just started.
+// updateMember replaces a member. A member whose address changed is a new process, which counts as just started if no source
+// states its start time.
 func (v *View) updateMember(c, before *member) {
 	if c.Started == 0 {
 		c.Started = before.Started
--- a/internal/endpointmerge/move.go
+++ b/internal/endpointmerge/move.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// group is where servers drop repetitions of a keyed request together.
+// dedupScope is a zone and pod whose servers together drop repeats of a request with an idempotency key.
 type dedupScope struct{ zone, pod string }
 
-func (g dedupScope) String() string { return g.zone + "/" + g.pod }
+func (s dedupScope) String() string { return s.zone + "/" + s.pod }
 
-// move is a member's change to another group. Its zero value is none. It is queued first, while too many others move, and
-// started then: the member gets no new requests until the move ends.
+// move is a member's change to another dedup scope. The zero value means that the member does not move. A move is queued until
+// few enough others are in progress. From its start until its end the member gets no new requests.
 type move struct {
 	queued      bool
-	endsAt      Millis // once started; 0 before
+	endsAt      Millis // time at which a started move ends; 0 if it has not started
 	destination dedupScope
 }
 
@@ -23,11 +23,11 @@
 
 func (m *member) scope() dedupScope { return dedupScope{m.Zone, m.Pod} }
 
-// planMove has a member keep its present group, and queues its move if its sources now give it another.
+// planMove keeps a member in its present dedup scope, and queues a move if its sources now state another one.
 func (v *View) planMove(m *member, present dedupScope) {
 	wanted := m.scope()
 	if wanted == present {
-		if m.move.started() { // back before the move ended: no new requests went to it meanwhile
+		if m.move.started() { // moved back before the move ended; it got no new requests in between
 			v.movingCount--
 		}
 		m.move = move{}
@@ -45,10 +45,10 @@
 	m.move.queued = !m.move.started()
 }
 
-// advanceMoves ends the moves whose time is over, renames pods, and starts the next moves in the queue.
+// advanceMoves ends the moves that are due, renames pods, and starts the next queued moves.
 func (v *View) advanceMoves(out *Outcome) {
 	var queue []*member
-	for _, id := range slices.Sorted(maps.Keys(v.pendingMoves)) { // in order, since the ends of moves give new pods their numbers
+	for _, id := range slices.Sorted(maps.Keys(v.pendingMoves)) { // sorted, since endMove numbers new pods in this order
 		m := v.pendingMoves[id]
 		if m.move.started() && v.now >= m.move.endsAt {
 			v.movingCount--
@@ -67,7 +67,7 @@
 	v.startMoves(v.renamePods(queue), out)
 }
 
-// startMoves starts as many moves as MaxMovingShare allows, and one at least.
+// startMoves starts queued moves as long as fewer members move than MaxMovingFraction allows. At least one may move.
 func (v *View) startMoves(queue []*member, out *Outcome) {
 	maxMoving := max(1, int(v.settings.MaxMovingFraction*float64(len(v.members))))
 	for _, m := range queue {
@@ -83,14 +83,14 @@
 	}
 }
 
-// tickAt asks for a Tick at a time, if none is due earlier.
-func (o *Outcome) tickAt(at Millis) {
-	if o.NextTick == 0 || at < o.NextTick {
-		o.NextTick = at
+// tickAt requests a Tick at a time, unless an earlier one is already requested.
+func (o *Outcome) tickAt(due Millis) {
+	if o.NextTick == 0 || due < o.NextTick {
+		o.NextTick = due
 	}
 }
 
-// endMove gives a member its new group.
+// endMove moves a member into its new dedup scope.
 func (v *View) endMove(m *member) {
 	m.Zone = m.move.destination.zone
 	m.Pod = m.move.destination.pod
@@ -101,9 +101,9 @@
 	delete(v.pendingMoves, m.ID)
 }
 
-// renamePods finds the pods that are only renamed: all their members leave together, within their zone, for a name that
-// no other member has or will have. Those members change their pod's name at once and stay in service, since the servers of
-// the group stay the same. It returns the members that really move.
+// renamePods applies the queued moves that only rename a pod: all members of the pod move together, within their zone, to a pod
+// name that no other member has or is moving to. Their pod is renamed at once and they stay in service, since the dedup scope
+// keeps the same servers. It returns the members that do move.
 func (v *View) renamePods(queue []*member) []*member {
 	renamed := v.renamedScopes(queue)
 	var moving []*member
@@ -122,19 +122,19 @@
 	return moving
 }
 
-// renamedScopes are the groups whose queued moves are a renaming.
+// renamedScopes returns the dedup scopes whose queued moves only rename the pod.
 func (v *View) renamedScopes(queue []*member) map[dedupScope]bool {
-	groupSize := map[dedupScope]int{}
-	podSize := map[string]int{} // in all zones
+	scopeSize := map[dedupScope]int{}
+	podSize := map[string]int{} // number of members by pod name, in all zones
 	for _, m := range v.members {
-		groupSize[m.scope()]++
+		scopeSize[m.scope()]++
 		podSize[m.Pod]++
 	}
-	joining := map[string]int{} // by pod
+	joining := map[string]int{} // number of members moving to a pod, by pod name
 	for _, m := range v.pendingMoves {
 		joining[m.move.destination.pod]++
 	}
-	leaving := map[dedupScope]map[dedupScope]int{} // by present and new group
+	leaving := map[dedupScope]map[dedupScope]int{} // number of queued members by present and new scope
 	for _, m := range queue {
 		from := m.scope()
 		if leaving[from] == nil {
@@ -145,7 +145,7 @@
 	renamed := map[dedupScope]bool{}
 	for from, destinations := range leaving {
 		for to, n := range destinations {
-			allLeave := n == groupSize[from] && n == podSize[from.pod]
+			allLeave := n == scopeSize[from] && n == podSize[from.pod]
 			nameIsFree := podSize[to.pod] == 0 && joining[to.pod] == n
 			renamed[from] = allLeave && nameIsFree && to.zone == from.zone
 		}
--- a/internal/endpointmerge/pod.go
+++ b/internal/endpointmerge/pod.go
@@ -1,9 +1,9 @@
 package endpointmerge
 
-// podNumbers number the pods. A pod keeps its number when it is renamed; one that takes its old name later is another pod.
+// podNumbers assigns numbers to pods. A renamed pod keeps its number. A pod that takes its old name later gets a new number.
 type podNumbers struct {
 	numberByName map[string]int
-	nameByNumber map[int]string // the name that a number has now
+	nameByNumber map[int]string // current name of each number
 	lastNumber   int
 }
 
@@ -11,7 +11,7 @@
 	return podNumbers{numberByName: map[string]int{}, nameByNumber: map[int]string{}}
 }
 
-// number is the number of a pod, a new one for a name that no pod has.
+// number returns the number of the pod with a name. It assigns the next number if no pod has that name.
 func (p *podNumbers) number(pod string) int {
 	if n, known := p.numberByName[pod]; known && p.nameByNumber[n] == pod {
 		return n
@@ -22,7 +22,7 @@
 	return p.lastNumber
 }
 
-// rename gives a pod another name.
+// rename changes the name of a pod, which keeps its number.
 func (p *podNumbers) rename(cell int, from, to string) {
 	if p.numberByName[from] == cell {
 		delete(p.numberByName, from)
--- a/internal/endpointmerge/property_test.go
+++ b/internal/endpointmerge/property_test.go
@@ -10,7 +10,7 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// genServers draws lists over few ids, addresses and pods, so that they meet.
+// drawServers draws a list from few ids, addresses and pods, so that lists overlap and conflict.
 func drawServers(t *rapid.T, label string) []inventory.Server {
 	var out []inventory.Server
 	ids, addresses := map[int]bool{}, map[int]bool{}
@@ -26,55 +26,56 @@
 	return out
 }
 
-// The order in which sources first report does not matter once all have, and a list that is reported again changes nothing.
-func TestMergeProperties(t *testing.T) {
+// Once all sources have reported, the order of their first reports makes no difference. A list that is reported again changes
+// nothing.
+func TestMergeIsOrderIndependentAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := testSettings()
-		set.Sources, set.GuardedSources = []string{"file", "discovery", "static"}, nil
-		said := map[string][]inventory.Server{}
-		for _, name := range set.Sources {
-			said[name] = drawServers(t, name)
+		settings := testSettings()
+		settings.Sources, settings.GuardedSources = []string{"file", "discovery", "static"}, nil
+		listBySource := map[string][]inventory.Server{}
+		for _, name := range settings.Sources {
+			listBySource[name] = drawServers(t, name)
 		}
 		var views []*View
 		for _, order := range [][]string{{"file", "discovery", "static"}, {"static", "discovery", "file"}, {"discovery", "static", "file"}} {
-			v := New(set)
+			v := New(settings)
 			for i, name := range order {
-				v.Step(Millis(i+1), Snapshot{Source: name, Revision: "1", Servers: said[name]})
+				v.Step(Millis(i+1), Snapshot{Source: name, Revision: "1", Servers: listBySource[name]})
 			}
-			for now := Millis(3000); now < 60_000; now += 2500 { // let moves arrive
+			for now := Millis(3000); now < 60_000; now += 2500 { // let all moves end
 				v.Step(now, Tick{})
 			}
 			views = append(views, v)
 		}
 		if a, b, c := views[0].Members(), views[1].Members(), views[2].Members(); !reflect.DeepEqual(a, b) || !reflect.DeepEqual(a, c) {
-			t.Fatalf("order matters:\n%+v\n%+v\n%+v", a, b, c)
+			t.Fatalf("members differ by the order of reports:\n%+v\n%+v\n%+v", a, b, c)
 		}
 		v := views[0]
-		if out := v.Step(70_000, Snapshot{Source: "file", Revision: "1", Servers: said["file"]}); len(out.Changes) > 0 {
-			t.Fatalf("reported again, it changed %+v", out.Changes)
+		if out := v.Step(70_000, Snapshot{Source: "file", Revision: "1", Servers: listBySource["file"]}); len(out.Changes) > 0 {
+			t.Fatalf("changes after the same list was reported again = %+v, want none", out.Changes)
 		}
 	})
 }
 
-// After any sequence of events the published changes add up to the merged list, and the list keeps its invariants.
-func TestAnySequence(t *testing.T) {
+// After any sequence of events the published changes must add up to the merged list, and the list must keep its invariants.
+func TestInvariantsAfterRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := testSettings()
-		v, held := New(set), map[string]Entry{}
-		named := map[string]map[string]bool{}
+		settings := testSettings()
+		v, published := New(settings), map[string]Entry{}
+		listedIDs := map[string]map[string]bool{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := Millis(i*rapid.SampledFrom([]int{1, 900, 30_000}).Draw(t, "pace") + 1)
-			name := rapid.SampledFrom(set.Sources).Draw(t, "source")
+			name := rapid.SampledFrom(settings.Sources).Draw(t, "source")
 			var e Event
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1:
 				list := drawServers(t, "list")
 				e = Snapshot{Source: name, Revision: fmt.Sprint(i), Servers: list}
-				named[name] = addIDs(named[name], list)
+				listedIDs[name] = addIDs(listedIDs[name], list)
 			case 2:
 				list := drawServers(t, "list")
 				e = Delta{Source: name, Revision: fmt.Sprint(i), Updated: list, Removed: []string{fmt.Sprint("s", rapid.IntRange(1, 9).Draw(t, "gone"))}}
-				named[name] = addIDs(named[name], list)
+				listedIDs[name] = addIDs(listedIDs[name], list)
 			case 3:
 				e = Tick{}
 			default:
@@ -82,12 +83,12 @@
 			}
 			for _, p := range v.Step(max(now, v.now), e).Changes {
 				if p.Removed {
-					delete(held, p.ID)
+					delete(published, p.ID)
 					continue
 				}
-				held[p.ID] = p
+				published[p.ID] = p
 			}
-			checkInvariants(t, v, held, named)
+			checkInvariants(t, v, published, listedIDs)
 		}
 	})
 }
@@ -102,32 +103,32 @@
 	return m
 }
 
-func checkInvariants(t *rapid.T, v *View, held map[string]Entry, named map[string]map[string]bool) {
+func checkInvariants(t *rapid.T, v *View, published map[string]Entry, listedIDs map[string]map[string]bool) {
 	addresses, cells, moving := map[string]string{}, map[int]string{}, 0
 	members := v.Members()
-	if len(members) != len(held) {
-		t.Fatalf("%d members, %d published", len(members), len(held))
+	if len(members) != len(published) {
+		t.Fatalf("%d members but %d published entries", len(members), len(published))
 	}
 	for _, m := range members {
-		e := held[m.ID]
+		e := published[m.ID]
 		if e.Address != m.Address || e.Zone != m.Zone {
-			t.Fatalf("member %+v, published %+v", m, e)
+			t.Fatalf("member = %+v but published entry = %+v", m, e)
 		}
 		if other, ok := addresses[m.Address]; ok {
-			t.Fatalf("%s and %s have one address", other, m.ID)
+			t.Fatalf("%s and %s have the same address %s", other, m.ID, m.Address)
 		}
 		if pod, ok := cells[e.Cell]; ok && pod != m.Pod {
-			t.Fatalf("pods %q and %q have one number", pod, m.Pod)
+			t.Fatalf("pods %q and %q have the same number %d", pod, m.Pod, e.Cell)
 		}
 		addresses[m.Address], cells[e.Cell] = m.ID, m.Pod
-		if !named["file"][m.ID] && !named["discovery"][m.ID] {
-			t.Fatalf("%s is listed by no source", m.ID)
+		if !listedIDs["file"][m.ID] && !listedIDs["discovery"][m.ID] {
+			t.Fatalf("member %s was never listed by a source", m.ID)
 		}
 		if m.MovingTo != "" && e.Draining {
 			moving++
 		}
 	}
 	if most := max(1, len(members)/2+1); moving > most+1 {
-		t.Fatalf("%d of %d move at once", moving, len(members))
+		t.Fatalf("%d of %d members move at once, want at most %d", moving, len(members), most+1)
 	}
 }
--- a/internal/endpointmerge/publish.go
+++ b/internal/endpointmerge/publish.go
@@ -6,10 +6,10 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// defaultSize is the relative capacity of a server of which no source states one.
+// defaultSize is the relative capacity of a server if no source states one.
 const defaultSize = 1
 
-// publishChanges collects the members that differ from what was published before.
+// publishChanges updates the published list and adds every entry that changed to the outcome.
 func (v *View) publishChanges(out *Outcome) {
 	for id := range v.dirtyIDs {
 		before, wasPublished := v.published[id]
@@ -31,7 +31,7 @@
 	sortByID(out.Changes)
 }
 
-// entry is the member as it is published. One that moves drains meanwhile.
+// entry returns the published form of a member. A member drains while it moves.
 func (m *member) entry() Entry {
 	e := Entry{
 		ID:       m.ID,
@@ -48,7 +48,7 @@
 	return e
 }
 
-// Published is the complete list as it was published last, by id.
+// Published returns the complete published list, sorted by id.
 func (v *View) Published() []Entry {
 	entries := make([]Entry, 0, len(v.published))
 	for _, e := range v.published {
--- a/internal/endpointmerge/source.go
+++ b/internal/endpointmerge/source.go
@@ -6,12 +6,12 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// source is what one source reported last.
+// source holds the last report of one source.
 type source struct {
 	reported bool
 	revision string
 	servers  map[string]inventory.Server
-	lastSeen map[string]Millis // by id: when it last reported the server
+	lastSeen map[string]Millis // by server id: time of the last report with the server
 }
 
 func newSource() *source {
@@ -24,13 +24,13 @@
 	return listed
 }
 
-// update sets one server.
+// update adds or replaces one server.
 func (s *source) update(server inventory.Server, now Millis) {
 	s.servers[server.ID] = server
 	s.lastSeen[server.ID] = now
 }
 
-// handleSnapshot takes a complete list, or holds it.
+// handleSnapshot applies a complete list, or holds it if it removes too many servers.
 func (v *View) handleSnapshot(e Snapshot, changed idSet, out *Outcome) {
 	if v.sources[e.Source] == nil {
 		return
@@ -41,7 +41,7 @@
 	v.applySnapshot(e, changed)
 }
 
-// applySnapshot makes a complete list the source's own.
+// applySnapshot replaces the source's list with a complete list.
 func (v *View) applySnapshot(e Snapshot, changed idSet) {
 	s := v.sources[e.Source]
 	before := s.servers
@@ -61,11 +61,11 @@
 	s.reported = true
 	s.revision = e.Revision
 	if firstReport && slices.Contains(v.settings.RequiredSources, e.Source) {
-		for id := range v.members { // from now on the source removes what it does not list
+		for id := range v.members { // from now on, servers that the required source omits are removed
 			changed[id] = true
 		}
 	}
-	for id := range v.tombstones { // one that has expired is overridden by this report
+	for id := range v.tombstones { // this report may override an expired removal
 		changed[id] = true
 	}
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// withdraw forgets all that a source reported.
+// withdraw deletes a source's list, held list and removals.
 func (v *View) withdraw(name string, changed idSet) {
 	s := v.sources[name]
 	if s == nil {
@@ -108,7 +108,7 @@
 	delete(v.held.lists, name)
 }
 
-// dropRestored drops the list restored from disk once every source has reported for itself.
+// dropRestored drops the list restored from disk once every source has reported.
 func (v *View) dropRestored(changed idSet) {
 	if v.Stale() && v.allReported() {
 		v.withdraw(SourceRestored, changed)
--- a/internal/endpointmerge/tombstone.go
+++ b/internal/endpointmerge/tombstone.go
@@ -1,10 +1,11 @@
 package endpointmerge
 
-// tombstones are the removals of servers that another source still lists: by server, by the source that removed it, the time.
+// tombstones records the time at which a source removed a server that another source still listed, by server id and by the
+// source that removed it.
 //
-// Without them a server that discovery has removed would stay a member for as long as a file lists it, though its process
-// is gone. A removal counts until another source reports the server TombstoneTTL later: that report is newer than the
-// removal, where an earlier one may have been made without knowing of it.
+// Without tombstones, a server that discovery has removed would stay a member as long as a file lists it, although its process
+// has ended. A removal counts until another source reports the server at least TombstoneTTL later. An earlier report may be
+// based on data from before the removal.
 type tombstones map[string]map[string]Millis
 
 func (t tombstones) add(source, id string, now Millis) {
@@ -14,7 +15,7 @@
 	t[id][source] = now
 }
 
-// remove ends the removal of a server by one source, which lists it again.
+// remove deletes the tombstone of a source that lists the server again.
 func (t tombstones) remove(source, id string) {
 	removals := t[id]
 	if removals == nil {
@@ -26,7 +27,7 @@
 	}
 }
 
-// recordRemoval notes that a source has removed a server, if another source still lists it.
+// recordRemoval adds a tombstone for a server that a source has removed, if another source still lists it.
 func (v *View) recordRemoval(name, id string) {
 	delete(v.sources[name].lastSeen, id)
 	for other, s := range v.sources {
@@ -37,7 +38,8 @@
 	}
 }
 
-// qualifiesAsMember reports whether the sources make a server a member, conflicts about addresses aside.
+// qualifiesAsMember reports whether a server is a member by the sources' lists, required sources and tombstones. Conflicts over
+// addresses are not considered.
 func (v *View) qualifiesAsMember(id string) bool {
 	if !v.listedByAny(id) {
 		delete(v.tombstones, id)
@@ -49,8 +51,8 @@
 			return false
 		}
 	}
-	for removedBy, at := range v.tombstones[id] {
-		if !v.overridden(id, removedBy, at) {
+	for removedBy, removedAt := range v.tombstones[id] {
+		if !v.overridden(id, removedBy, removedAt) {
 			return false
 		}
 	}
@@ -66,12 +68,12 @@
 	return false
 }
 
-// overridden reports whether another source has reported a server after the removal's time was over.
-func (v *View) overridden(id, removedBy string, at Millis) bool {
-	expired := at + v.settings.TombstoneTTL
+// overridden reports whether another source has reported a server after its tombstone expired.
+func (v *View) overridden(id, removedBy string, removedAt Millis) bool {
+	expiresAt := removedAt + v.settings.TombstoneTTL
 	for _, name := range v.settings.Sources {
 		s := v.sources[name]
-		if name != removedBy && s.lists(id) && s.lastSeen[id] >= expired {
+		if name != removedBy && s.lists(id) && s.lastSeen[id] >= expiresAt {
 			return true
 		}
 	}
--- a/internal/endpointmerge/view.go
+++ b/internal/endpointmerge/view.go
@@ -1,13 +1,14 @@
-// Package endpointmerge merges the lists of servers of several sources into one, and reports what changes in it. It is pure:
-// the time and the sources' events are passed in, the changes to publish are returned. It reads no clock, file or socket.
+// Package endpointmerge merges the server lists of several sources into one list and returns its changes. It performs no I/O and
+// reads no clock: the time and the sources' events are passed in, and the changes to publish are returned.
 //
-// docs/inventory.md lists the failures that it guards against; each rule below names its own.
+// docs/inventory.md lists the failures that it guards against. Each rule below names the failure that it prevents.
 package endpointmerge
 
 import "sort"
 
-// initialListTimeout is how long after the first event the view waits for all sources before it takes new servers for just started.
-// A source that never reports must not have servers that start later pass for warm ones.
+// initialListTimeout is the time after the first event at which the initial list counts as complete even if some sources have
+// not reported. New servers then count as just started. Without the timeout, a source that never reports would let servers that
+// start later skip slow start.
 const initialListTimeout Millis = 5000
 
 // idSet is a set of server ids.
@@ -20,19 +21,19 @@
 
 	tombstones   tombstones
 	held         heldLists
-	precedence   map[string][]string // by field; "" for fields without a precedence of their own
-	conflicts    map[string]Conflict // that exist now, by conflictKey
+	precedence   map[string][]string // by field: sources, highest precedence first; "" for fields without a precedence of their own
+	conflicts    map[string]Conflict // current conflicts, by conflictKey
 	addresses    addressClaims
 	members      map[string]*member
 	pods         podNumbers
-	movingCount  int                // members that are moving to another group
-	pendingMoves map[string]*member // members that are moving or queued to move, by id
+	movingCount  int                // number of members that are moving to another dedup scope
+	pendingMoves map[string]*member // members with a queued or started move, by id
 
 	published map[string]Entry // by id
-	dirtyIDs  idSet            // members that may differ from what was published
+	dirtyIDs  idSet            // members whose published entry may be outdated
 
-	initialListComplete bool   // the first list is complete: servers that come now have just started
-	firstEventTime      Millis // time of the first event; 0: there was none
+	initialListComplete bool   // from now on, new servers count as just started
+	firstEventTime      Millis // 0: no event yet
 	now                 Millis // time of the last event
 }
 
@@ -62,7 +63,7 @@
 	return v
 }
 
-// Step handles one event.
+// Step handles one event at a time now and returns its outcome.
 func (v *View) Step(now Millis, e Event) Outcome {
 	v.now = now
 	if v.firstEventTime == 0 {
@@ -73,19 +74,19 @@
 	v.handle(e, changed, &out)
 	v.dropRestored(changed)
 	v.merge(changed, &out)
-	// Held lists are judged by the view as it is after the event.
+	// Held lists are checked again against the view after the event.
 	released := idSet{}
 	v.releaseHeld(released, &out)
 	v.dropRestored(released)
 	v.merge(released, &out)
 	v.advanceMoves(&out)
 	v.publishChanges(&out)
-	waitedEnough := now-v.firstEventTime >= initialListTimeout
-	v.initialListComplete = v.initialListComplete || v.allReported() || v.Stale() || waitedEnough
+	timedOut := now-v.firstEventTime >= initialListTimeout
+	v.initialListComplete = v.initialListComplete || v.allReported() || v.Stale() || timedOut
 	return out
 }
 
-// handle applies an event to its source, and notes the servers that it may change.
+// handle applies an event to its source, and adds the servers that it may change to changed.
 func (v *View) handle(e Event, changed idSet, out *Outcome) {
 	switch e := e.(type) {
 	case Snapshot:
@@ -100,7 +101,7 @@
 	}
 }
 
-// PendingSources are the sources that have not reported yet, by precedence.
+// PendingSources returns the sources that have not reported yet, highest precedence first.
 func (v *View) PendingSources() []string {
 	var pending []string
 	for _, name := range v.settings.Sources {
@@ -113,10 +114,10 @@
 
 func (v *View) allReported() bool { return len(v.PendingSources()) == 0 }
 
-// Stale reports whether the view still depends on what was restored from disk.
+// Stale reports whether the view still depends on servers restored from disk.
 func (v *View) Stale() bool { return len(v.sources[SourceRestored].servers) > 0 }
 
-// Revisions are the last revisions of the sources that have reported.
+// Revisions returns the last revision of each source that has reported.
 func (v *View) Revisions() map[string]string {
 	revisions := map[string]string{}
 	for name, s := range v.sources {
@@ -127,7 +128,7 @@
 	return revisions
 }
 
-// Members is the merged list, by id.
+// Members returns the merged list, sorted by id.
 func (v *View) Members() []Member {
 	members := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
@@ -137,5 +138,5 @@
 	return members
 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (v *View) Len() int { return len(v.members) }
