--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// ParseCSV reads a list by RFC 4180. A header names the columns, in any order; quoted fields, either line ending, a byte
-// order mark and comment lines beginning with # are read. The error is a *Diagnostics.
+// ParseCSV parses a list in CSV as of RFC 4180. A header names the columns, in any order. Quoted fields, LF and CRLF line
+// endings, a byte order mark and comment lines beginning with # are supported. The error is a *Diagnostics.
 func ParseCSV(name string, raw []byte, o Options) (List, error) {
 	if err := checkSize(name, raw); err != nil {
 		return List{}, err
@@ -18,23 +18,23 @@
 	return r.result(raw)
 }
 
-// csvReader reads the rows of a CSV file.
+// csvReader parses the rows of a CSV file.
 type csvReader struct {
 	*reader
 	csv     *csv.Reader
 	columns []string
 }
 
-// read reads the file up to an error that leaves nothing more to read.
+// read parses the file up to its end or to the first syntax error.
 func (r *csvReader) read(body []byte) {
-	if at, ok := checkUTF8(body); !ok {
-		r.report(at, "not UTF-8")
+	if pos, ok := checkUTF8(body); !ok {
+		r.report(pos, "invalid UTF-8")
 		return
 	}
 	r.csv = csv.NewReader(bytes.NewReader(body))
 	r.csv.Comment = '#'
 	r.csv.ReuseRecord = true
-	r.csv.FieldsPerRecord = -1 // counted by addRecord, which names the row
+	r.csv.FieldsPerRecord = -1 // not checked here: addRecord reports a wrong number with its row
 	if !r.readHeader() {
 		return
 	}
@@ -52,11 +52,11 @@
 	r.checkTrailer(body)
 }
 
-// readHeader reads the names of the columns, and reports whether they can be used.
+// readHeader reads the column names, and reports whether they are valid.
 func (r *csvReader) readHeader() bool {
 	record, err := r.csv.Read()
 	if errors.Is(err, io.EOF) {
-		r.report(position{}, "the file is empty: a header is wanted")
+		r.report(position{}, "the file is empty: expected a header line")
 		return false
 	}
 	if err != nil {
@@ -70,33 +70,33 @@
 		case field == "":
 			r.report(r.position(i, 0), "column %d has no name", i+1)
 		case seen[field]:
-			r.report(r.position(i, 0), "column %q comes twice", field)
+			r.report(r.position(i, 0), "duplicate column %q", field)
 		}
 		seen[field] = true
 		r.columns = append(r.columns, field)
 	}
 	if !seen[fieldID] {
-		r.report(r.position(0, 0), "no column id")
+		r.report(r.position(0, 0), "missing column \"id\"")
 	}
 	return r.diagnostics.Total == 0
 }
 
-// addRecord adds one row.
+// addRecord adds the server of one row, or reports that the row has a wrong number of fields.
 func (r *csvReader) addRecord(record []string, row int) {
-	at := r.position(0, row)
+	pos := r.position(0, row)
 	if len(record) != len(r.columns) {
-		r.report(at, "%d fields, the header has %d columns", len(record), len(r.columns))
-		r.servers = append(r.servers, Server{}) // later rows keep their numbers
+		r.report(pos, "%d fields, the header has %d columns", len(record), len(r.columns))
+		r.servers = append(r.servers, Server{}) // placeholder, so that later rows keep their numbers
 		return
 	}
 	values := make(map[string]value, len(record))
 	for i, text := range record {
-		values[r.columns[i]] = value{text: text, at: r.position(i, row)}
+		values[r.columns[i]] = value{text: text, pos: r.position(i, row)}
 	}
-	r.addRow(at, values)
+	r.addRow(pos, values)
 }
 
-// position is where a field of the record read last stands.
+// position returns the position of a field of the last record that was read.
 func (r *csvReader) position(field, row int) position {
 	line, column := r.csv.FieldPos(field)
 	return position{line: line, column: column, row: row}
--- a/internal/inventory/csv_test.go
+++ b/internal/inventory/csv_test.go
@@ -20,17 +20,17 @@
 	}
 }
 
-func TestCSV(t *testing.T) {
+func TestParseCSV(t *testing.T) {
 	got, err := ParseCSV("x.csv", []byte(goodCSV), Options{Trailer: true, MinRows: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got.Servers, wantCSV()) {
-		t.Errorf("got  %+v\nwant %+v", got.Servers, wantCSV())
+		t.Errorf("servers = %+v\nwant      %+v", got.Servers, wantCSV())
 	}
 }
 
 func FuzzCSV(f *testing.F) {
 	f.Add([]byte(goodCSV))
-	f.Fuzz(func(t *testing.T, raw []byte) { checkSound(t, "a.csv", raw) })
+	f.Fuzz(func(t *testing.T, raw []byte) { checkParseResult(t, "a.csv", raw) })
 }
--- a/internal/inventory/diagnostic.go
+++ b/internal/inventory/diagnostic.go
@@ -5,19 +5,20 @@
 	"sort"
 )
 
-// MaxDiagnostics is how many diagnostics of one file are kept: a file of another kind has one in every row.
+// MaxDiagnostics is the number of diagnostics that are kept for one file. A file in a different format can have an error in
+// every row.
 const MaxDiagnostics = 20
 
-// Diagnostic is one thing that is wrong with a file.
+// Diagnostic is an error in a file.
 type Diagnostic struct {
 	File    string
-	Line    int // from 1; 0: not known
+	Line    int // from 1; 0: unknown
 	Column  int
-	Row     int // servers counted from 1; 0: none in particular
+	Row     int // number of the server's row, from 1; 0: no particular row
 	Message string
 }
 
-// String is the diagnostic as one line.
+// String returns the diagnostic as one line.
 func (d Diagnostic) String() string {
 	out := d.File
 	if d.Line > 0 {
@@ -29,13 +30,13 @@
 	return out + ": " + d.Message
 }
 
-// Diagnostics are all that is wrong with a file.
+// Diagnostics holds the errors in a file.
 type Diagnostics struct {
-	First []Diagnostic // MaxDiagnostics at most, by line
-	Total int
+	First []Diagnostic // at most MaxDiagnostics, sorted by line
+	Total int          // number of errors, including those that were not kept
 }
 
-// Error is the first diagnostic and the number of the others.
+// Error returns the first diagnostic and the number of the others.
 func (d *Diagnostics) Error() string {
 	if d.Total == 1 {
 		return d.First[0].String()
@@ -54,10 +55,10 @@
 	sort.SliceStable(d.First, func(i, j int) bool { return d.First[i].Line < d.First[j].Line })
 }
 
-// singleDiagnostic says the one thing that is wrong with a file as a whole.
+// singleDiagnostic returns the diagnostics of a file with one error that concerns the whole file.
 func singleDiagnostic(file, message string) *Diagnostics {
 	return &Diagnostics{First: []Diagnostic{{File: file, Message: message}}, Total: 1}
 }
 
-// position is where something stands in a file. Its zero value is none in particular.
+// position is a position in a file. The zero value is no particular position.
 type position struct{ line, column, row int }
--- a/internal/inventory/diff.go
+++ b/internal/inventory/diff.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// ChangeKind is a kind of difference.
+// ChangeKind is the kind of a change.
 type ChangeKind string
 
-// The kinds.
+// The kinds of changes.
 const (
 	Added   ChangeKind = "added"
 	Removed ChangeKind = "removed"
 	Changed ChangeKind = "changed"
 )
 
-// Change is one difference between two lists.
+// Change is one change from a list to another.
 type Change struct {
 	Kind     ChangeKind
 	ID       string
-	Field    string // of a changed server, as are its values
+	Field    string // changed field; like From and To, only set for Changed
 	From, To string
 }
 
-// String is the difference as one line.
+// String returns the change as one line.
 func (c Change) String() string {
 	if c.Kind != Changed {
 		return string(c.Kind) + " " + c.ID
@@ -33,29 +33,29 @@
 	return fmt.Sprintf("changed %s: %s from %q to %q", c.ID, c.Field, c.From, c.To)
 }
 
-// Diff returns what makes the second list of the first, by id.
+// Diff returns the changes from the first list to the second, sorted by server id.
 func Diff(before, after []Server) []Change {
-	old, oldIDs := byID(before)
-	current, currentIDs := byID(after)
+	old, oldIDs := indexByID(before)
+	current, currentIDs := indexByID(after)
 	ids := slices.Compact(slices.Sorted(slices.Values(append(oldIDs, currentIDs...))))
 	var changes []Change
 	for _, id := range ids {
-		was, existed := old[id]
-		is, exists := current[id]
+		oldServer, existed := old[id]
+		newServer, exists := current[id]
 		switch {
 		case !existed:
 			changes = append(changes, Change{Kind: Added, ID: id})
 		case !exists:
 			changes = append(changes, Change{Kind: Removed, ID: id})
 		default:
-			changes = append(changes, diffServer(was, is)...)
+			changes = append(changes, diffServer(oldServer, newServer)...)
 		}
 	}
 	return changes
 }
 
-// byID returns servers by their id, and the ids.
-func byID(servers []Server) (map[string]Server, []string) {
+// indexByID returns the servers by id, and the ids in no particular order.
+func indexByID(servers []Server) (map[string]Server, []string) {
 	index := make(map[string]Server, len(servers))
 	for _, s := range servers {
 		index[s.ID] = s
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,6 +1,6 @@
-// Package inventory reads lists of servers as configuration tools keep them, in CSV or YAML, and writes them. It is pure:
-// bytes come in, and a complete list or everything that is wrong with it comes out. A list with one error is no list, since
-// half of a list would take the other half of the servers out of service.
+// Package inventory parses and writes server lists in CSV or YAML, the formats of configuration tools. It performs no I/O:
+// parsing takes bytes and returns either a complete list or the errors in it. A list with any error is rejected, since a partial
+// list would take the missing servers out of service.
 package inventory
 
 import (
@@ -11,51 +11,51 @@
 	"strings"
 )
 
-// Phase is what a source wants of a server.
+// Phase is the state that a source requests for a server.
 type Phase string
 
-// The phases.
+// The phases of a server.
 const (
 	Serving  Phase = "serving"
 	Draining Phase = "draining" // no new requests
 )
 
-// phaseWords are the words for phases that tools use, in lower case.
-var phaseWords = map[string]Phase{
+// phaseAliases maps the names that tools use for phases, in lower case, to phases.
+var phaseAliases = map[string]Phase{
 	"": Serving, "serving": Serving, "active": Serving, "enabled": Serving, "up": Serving, "in": Serving,
 	"draining": Draining, "drain": Draining, "disabled": Draining, "maintenance": Draining, "out": Draining,
 }
 
-// Server is one server as a source describes it. An empty field is one that the source does not state.
+// Server is a server as described by one source. A field that the source does not state is empty.
 type Server struct {
 	ID      string            `json:"id"`
 	Address string            `json:"address,omitempty"` // IP address and port, possibly after SchemeCoAP
 	Zone    string            `json:"zone,omitempty"`
-	Pod     string            `json:"pod,omitempty"` // the servers of a pod drop repetitions of a keyed request together
+	Pod     string            `json:"pod,omitempty"` // the servers of a pod together drop repeats of a request with an idempotency key
 	Size    float64           `json:"size,omitempty"`
 	Phase   Phase             `json:"phase,omitempty"`
-	Started float64           `json:"started,omitempty"` // Unix milliseconds of the process's start; 0: not known
+	Started float64           `json:"started,omitempty"` // Unix time of the process's start in milliseconds; 0: unknown
 	Tags    []string          `json:"tags,omitempty"`
-	Extra   map[string]string `json:"extra,omitempty"` // fields that are not known here, kept to be shown
+	Extra   map[string]string `json:"extra,omitempty"` // unknown fields, kept for display
 }
 
-// SchemeCoAP before an address says that the server speaks CoAP instead of HTTP.
+// SchemeCoAP is the prefix of the address of a server that uses CoAP instead of HTTP.
 const SchemeCoAP = "coap://"
 
-// List is a complete list that was read.
+// List is a complete, valid list.
 type List struct {
 	Servers []Server
-	SHA256  string // of the file, in hexadecimal: the list's revision
+	SHA256  string // SHA-256 of the file in hexadecimal, used as the list's revision
 }
 
-// Options say how files are to be read. The zero value reads them plainly.
+// Options configures parsing. The zero value requires at least one server and no trailer.
 type Options struct {
-	Aliases map[string]string // from a file's word for a column or key to ours
-	MinRows int               // fewer servers are an error: a file cut off at the end of a line is still well-formed
+	Aliases map[string]string // from the file's name of a column or key to the field's name
+	MinRows int               // fewer servers are an error, since a file truncated at the end of a line is still well-formed
 	Trailer bool              // the last line must be a comment "# end N" with the number of servers
 }
 
-// The bounds of a file. Ten thousand servers take one megabyte as CSV and three as YAML.
+// Limits of a file. A list of 10,000 servers takes 1 MB as CSV and 3 MB as YAML.
 const (
 	MaxBytes      = 8 << 20
 	maxServers    = 100_000
@@ -63,7 +63,7 @@
 	maxFieldBytes = 1024
 )
 
-// The fields by their names in a file.
+// Names of the fields in a file.
 const (
 	fieldID      = "id"
 	fieldAddress = "address"
@@ -76,7 +76,7 @@
 
 var fields = []string{fieldID, fieldAddress, fieldZone, fieldPod, fieldSize, fieldPhase, fieldTags}
 
-// Parse reads a file by the extension of its name: .csv, .yaml or .yml. The error is a *Diagnostics.
+// Parse parses a file in the format given by the extension of its name: .csv, .yaml or .yml. The error is a *Diagnostics.
 func Parse(name string, raw []byte, o Options) (List, error) {
 	switch ext := strings.ToLower(filepath.Ext(name)); ext {
 	case ".csv":
@@ -84,7 +84,7 @@
 	case ".yaml", ".yml":
 		return ParseYAML(name, raw, o)
 	default:
-		return List{}, singleDiagnostic(name, fmt.Sprintf("ending %q is not known: .csv, .yaml or .yml is wanted", ext))
+		return List{}, singleDiagnostic(name, fmt.Sprintf("unknown file extension %q: expected .csv, .yaml or .yml", ext))
 	}
 }
 
@@ -93,10 +93,10 @@
 	if len(raw) <= MaxBytes {
 		return nil
 	}
-	return singleDiagnostic(name, fmt.Sprintf("%d bytes, %d at most", len(raw), MaxBytes))
+	return singleDiagnostic(name, fmt.Sprintf("the file has %d bytes, at most %d are allowed", len(raw), MaxBytes))
 }
 
-// SHA256 is the hash of a file, in hexadecimal.
+// SHA256 returns the SHA-256 of a file in hexadecimal.
 func SHA256(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
--- a/internal/inventory/write.go
+++ b/internal/inventory/write.go
@@ -12,12 +12,12 @@
 // tagSeparator separates tags in one CSV field.
 const tagSeparator = ";"
 
-// WriteCSV writes a list as CSV with a trailer. Extra fields follow the known ones.
+// WriteCSV returns a list as CSV with a trailer. The columns of extra fields follow those of the known fields.
 func WriteCSV(servers []Server) []byte {
 	extra := extraFields(servers)
 	var out bytes.Buffer
 	w := csv.NewWriter(&out)
-	_ = w.Write(append(append([]string(nil), fields...), extra...)) // a buffer returns no error
+	_ = w.Write(append(append([]string(nil), fields...), extra...)) // writing to a bytes.Buffer never fails
 	for _, s := range servers {
 		row := []string{s.ID, s.Address, s.Zone, s.Pod, formatSize(s.Size), string(s.Phase), strings.Join(s.Tags, tagSeparator)}
 		for _, name := range extra {
@@ -30,7 +30,7 @@
 	return out.Bytes()
 }
 
-// WriteYAML writes a list as YAML with a trailer. Every text is quoted, so that no reader takes one for another type.
+// WriteYAML returns a list as YAML with a trailer. All texts are quoted, so that no parser reads one as another type.
 func WriteYAML(servers []Server) []byte {
 	var out bytes.Buffer
 	out.WriteString("servers:\n")
@@ -67,10 +67,10 @@
 	}
 }
 
-// writeTrailer writes the comment by which a reader knows that the file is complete.
-func writeTrailer(out *bytes.Buffer, servers int) { fmt.Fprintf(out, "# end %d\n", servers) }
+// writeTrailer writes the comment that marks the file as complete.
+func writeTrailer(out *bytes.Buffer, serverCount int) { fmt.Fprintf(out, "# end %d\n", serverCount) }
 
-// formatSize is a relative capacity as text; empty where none is stated.
+// formatSize returns a relative capacity as text, or an empty text for 0, which means that none is stated.
 func formatSize(size float64) string {
 	if size == 0 {
 		return ""
@@ -78,7 +78,7 @@
 	return strconv.FormatFloat(size, 'g', -1, 64)
 }
 
-// extraFields are the names of all extra fields, sorted.
+// extraFields returns the sorted names of all extra fields.
 func extraFields(servers []Server) []string {
 	seen := map[string]bool{}
 	for _, s := range servers {
--- a/internal/inventory/write_format_test.go
+++ b/internal/inventory/write_format_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Operators keep lists that "tackhub inventory convert" wrote. testdata/servers.csv and servers.yaml were written by
-// WriteCSV and WriteYAML as they stood before the packages' names were revised (December 2026).
+// Operators keep lists written by "tackhub inventory convert", so the formats must not change. testdata/servers.csv and
+// servers.yaml were written by WriteCSV and WriteYAML before the packages were renamed (December 2026).
 
 func formatServers() []Server {
 	return []Server{
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestFileFormats(t *testing.T) {
+func TestWriteAndParseFileFormats(t *testing.T) {
 	for name, write := range map[string]func([]Server) []byte{"servers.csv": WriteCSV, "servers.yaml": WriteYAML} {
 		golden, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
@@ -34,21 +34,21 @@
 			t.Fatal(err)
 		}
 		want := formatServers()
-		if name == "servers.csv" { // every row has every column
+		if name == "servers.csv" { // in CSV every row has every column, so absent values are empty
 			want[1].Tags, want[2].Tags = []string{}, []string{}
 			want[1].Extra["owner"] = ""
 			want[2].Extra = map[string]string{"rack": "", "owner": ""}
 		}
 		if !reflect.DeepEqual(list.Servers, want) {
-			t.Errorf("%s: read %+v\nwant %+v", name, list.Servers, want)
+			t.Errorf("%s: servers = %+v\nwant %+v", name, list.Servers, want)
 		}
 		if wantSum := formatSums[name]; list.SHA256 != wantSum {
-			t.Errorf("%s: SHA-256 %s, want %s", name, list.SHA256, wantSum)
+			t.Errorf("%s: SHA-256 = %s, want %s", name, list.SHA256, wantSum)
 		}
 	}
 }
 
-// formatSums are the SHA-256 of the files, by sha256sum.
+// formatSums holds the SHA-256 of the files, computed by sha256sum.
 var formatSums = map[string]string{
 	"servers.csv":  "7714f610381e6dae0cb4ce12797d707a4cd8cf8c6d68dfbcb4f2d4ab0fffe59d",
 	"servers.yaml": "2a110ac72e7e72af8a50018f192c914e3d7f26e3ce2a10e07c67a09559d3baf1",
--- a/internal/inventory/write_test.go
+++ b/internal/inventory/write_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What is written is read as it was, in both forms, and differences are found by field.
-func TestWrittenAndReadAgain(t *testing.T) {
+// A list that is written and parsed again must be unchanged in both formats. Diff reports changes by field.
+func TestWriteParseRoundTripAndDiff(t *testing.T) {
 	servers := wantCSV()
 	for name, raw := range map[string][]byte{"a.csv": WriteCSV(servers), "a.yaml": WriteYAML(servers)} {
 		l, err := Parse(name, raw, Options{Trailer: true})
@@ -14,7 +14,7 @@
 			t.Fatalf("%s: %v\n%s", name, err, raw)
 		}
 		if d := Diff(servers, l.Servers); len(d) > 0 {
-			t.Errorf("%s: %v\n%s", name, d, raw)
+			t.Errorf("%s: changes after the round trip = %v, want none\n%s", name, d, raw)
 		}
 	}
 	other := wantCSV()[1:]
@@ -22,6 +22,6 @@
 	other = append(other, Server{ID: "new"})
 	got := fmt.Sprint(Diff(servers, other))
 	if got != `[added new changed no: pod from "8" to "9" removed s1]` {
-		t.Errorf("differences %s", got)
+		t.Errorf("changes = %s, want new added, the pod of no changed and s1 removed", got)
 	}
 }
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -8,14 +8,14 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// The keys of a group.
+// Keys of a group of servers.
 const (
 	keyDefaults = "defaults"
 	keyServers  = "servers"
 	keyGroups   = "groups"
 )
 
-// ParseYAML reads a list of servers, or a mapping with servers and groups:
+// ParseYAML parses a list of servers, or a mapping with servers and groups:
 //
 //	defaults: {zone: a}
 //	servers:
@@ -25,8 +25,8 @@
 //	    defaults: {zone: b}
 //	    servers: [{id: s2, address: "10.0.0.2:80"}]
 //
-// A group inherits the defaults around it. Scalars are taken as they are written, whatever type YAML would give them: an id
-// of no, 0123 or 1e3 is that text. The error is a *Diagnostics.
+// A group inherits the defaults of the groups that contain it. Scalars are used as the text in the file, whatever their YAML
+// type: an id of no, 0123 or 1e3 is that text. The error is a *Diagnostics.
 func ParseYAML(name string, raw []byte, o Options) (List, error) {
 	if err := checkSize(name, raw); err != nil {
 		return List{}, err
@@ -36,18 +36,18 @@
 	return r.result(raw)
 }
 
-// yamlReader reads the servers of a YAML file.
+// yamlReader parses the servers of a YAML file.
 type yamlReader struct {
 	*reader
 	anchors       map[string]ast.Node
-	resolved      int  // nodes
-	limitExceeded bool // a limit was exceeded, which has been reported
+	resolvedNodes int  // nodes resolved so far, limited by maxNodes
+	limitExceeded bool // a limit was exceeded and has been reported
 }
 
-// read reads the file up to an error that leaves nothing more to read.
+// read parses the file unless it exceeds a limit or has a syntax error, which it reports.
 func (r *yamlReader) read(body []byte) {
-	if at, message := checkYAMLLimits(body); message != "" {
-		r.report(at, "%s", message)
+	if pos, message := checkYAMLLimits(body); message != "" {
+		r.report(pos, "%s", message)
 		return
 	}
 	file, err := parseYAMLFile(body)
@@ -59,7 +59,7 @@
 	case len(file.Docs) == 0 || file.Docs[0].Body == nil:
 		r.report(position{}, "the file is empty")
 	case len(file.Docs) > 1:
-		r.report(nodePosition(file.Docs[1].Body), "a second document: one is wanted")
+		r.report(nodePosition(file.Docs[1].Body), "the file has a second document: expected one")
 	default:
 		r.readDocument(file.Docs[0].Body)
 	}
@@ -75,18 +75,18 @@
 	case *ast.MappingNode, *ast.MappingValueNode:
 		r.readGroup(n, nil, 0)
 	default:
-		r.report(nodePosition(n), "a list of servers, or a mapping with servers and groups, is wanted")
+		r.report(nodePosition(n), "expected a list of servers, or a mapping with servers and groups")
 	}
 }
 
-// readGroup reads a mapping with defaults, servers and groups.
+// readGroup parses a mapping with defaults, servers and groups.
 func (r *yamlReader) readGroup(n ast.Node, inherited map[string]value, depth int) {
 	entries := r.entries(n, depth)
 	defaults := maps.Clone(inherited)
 	if defaults == nil {
 		defaults = map[string]value{}
 	}
-	// First, since defaults apply to all of the mapping, wherever in it they stand.
+	// Defaults are read first, since they apply to the whole mapping wherever they are in it.
 	for _, e := range entries {
 		if e.key == keyDefaults {
 			r.readDefaults(e, defaults, depth)
@@ -102,7 +102,7 @@
 		case keyGroups:
 			r.readGroups(e.value, defaults, depth+1)
 		default:
-			r.report(e.at, "key %q is not known here: defaults, servers and groups are", e.key)
+			r.report(e.pos, "unknown key %q: expected defaults, servers or groups", e.key)
 		}
 	}
 }
@@ -110,11 +110,11 @@
 func (r *yamlReader) readDefaults(e entry, defaults map[string]value, depth int) {
 	maps.Copy(defaults, r.readFields(e.value, depth+1))
 	if _, ok := defaults[fieldID]; ok {
-		r.report(e.at, "an id cannot be a default")
+		r.report(e.pos, "an id cannot be a default")
 	}
 }
 
-// readGroups reads a mapping of groups by name.
+// readGroups parses a mapping of groups by name.
 func (r *yamlReader) readGroups(n ast.Node, defaults map[string]value, depth int) {
 	groups := r.resolve(n, depth)
 	if groups == nil {
@@ -127,11 +127,11 @@
 	}
 }
 
-// readServers reads a list of servers.
+// readServers parses a list of servers.
 func (r *yamlReader) readServers(n ast.Node, defaults map[string]value, depth int) {
 	list, ok := n.(*ast.SequenceNode)
 	if !ok {
-		r.report(nodePosition(n), "a list of servers is wanted")
+		r.report(nodePosition(n), "expected a list of servers")
 		return
 	}
 	for _, item := range list.Values {
@@ -146,27 +146,27 @@
 	}
 }
 
-// readServer reads one server. The item is where it stands in the list, which may be an alias of it.
+// readServer parses one server. The item is its node in the list, which may be an alias of the server's node.
 func (r *yamlReader) readServer(item, server ast.Node, defaults map[string]value, depth int) {
 	values := map[string]value{}
 	for name, v := range defaults {
-		v.at = position{} // it is reported where the server stands
+		v.pos = position{} // errors in defaults are reported at the server
 		values[name] = v
 	}
 	maps.Copy(values, r.readFields(server, depth+1))
-	at := nodePosition(item)
-	if at.line == 0 {
-		at = nodePosition(server)
+	pos := nodePosition(item)
+	if pos.line == 0 {
+		pos = nodePosition(server)
 	}
-	at.row = len(r.servers) + 1
+	pos.row = len(r.servers) + 1
 	for name, v := range values {
-		v.at.row = at.row
+		v.pos.row = pos.row
 		values[name] = v
 	}
-	r.addRow(at, values)
+	r.addRow(pos, values)
 }
 
-// readFields reads a mapping of scalars and lists of scalars.
+// readFields parses a mapping whose values are scalars or lists of scalars.
 func (r *yamlReader) readFields(n ast.Node, depth int) map[string]value {
 	n = r.resolve(n, depth)
 	if n == nil {
@@ -176,7 +176,7 @@
 	for _, e := range r.entries(n, depth) {
 		name, known := r.fieldName(e.key)
 		if _, duplicate := values[name]; duplicate {
-			r.report(e.at, "key %q comes twice", name)
+			r.report(e.pos, "duplicate key %q", name)
 			continue
 		}
 		if field := r.resolve(e.value, depth+1); field != nil {
@@ -186,7 +186,7 @@
 	return values
 }
 
-// readField reads one field into values. A value that is no scalar is kept as it is written if its field is not known.
+// readField parses one field into values. For an unknown field, a value that is not a scalar is kept as YAML text.
 func (r *yamlReader) readField(values map[string]value, name string, known bool, n ast.Node, depth int) {
 	if list, ok := n.(*ast.SequenceNode); ok {
 		values[name] = r.readList(list, name, known, depth+1)
@@ -194,18 +194,18 @@
 	}
 	text, ok := scalarText(n)
 	if !ok && known {
-		r.report(nodePosition(n), "%s: one value is wanted", name)
+		r.report(nodePosition(n), "%s: expected a single value", name)
 		return
 	}
 	if !ok {
 		text = n.String()
 	}
-	values[name] = value{text: text, at: nodePosition(n)}
+	values[name] = value{text: text, pos: nodePosition(n)}
 }
 
-// readList reads a field that is a list. Of the known fields only tags may be one.
+// readList parses a field whose value is a list. Among the known fields, only tags can be a list.
 func (r *yamlReader) readList(list *ast.SequenceNode, name string, known bool, depth int) value {
-	v := value{at: nodePosition(list), list: []string{}}
+	v := value{pos: nodePosition(list), list: []string{}}
 	for _, item := range list.Values {
 		item = r.resolve(item, depth)
 		if item == nil {
@@ -213,7 +213,7 @@
 		}
 		text, ok := scalarText(item)
 		if known && (!ok || name != fieldTags) {
-			r.report(nodePosition(item), "%s: one value is wanted", name)
+			r.report(nodePosition(item), "%s: expected a single value", name)
 			return v
 		}
 		if !known {
--- a/internal/inventory/yaml_test.go
+++ b/internal/inventory/yaml_test.go
@@ -30,8 +30,8 @@
 # end 4
 `
 
-// Scalars are taken as they are written, groups inherit, and unknown fields are kept.
-func TestYAML(t *testing.T) {
+// Scalars keep the text of the file, groups inherit defaults, and unknown fields are kept.
+func TestParseYAML(t *testing.T) {
 	got, err := ParseYAML("x.yaml", []byte(goodYAML), Options{Trailer: true})
 	if err != nil {
 		t.Fatal(err)
@@ -44,12 +44,12 @@
 		{ID: "1e3", Address: "10.0.0.3:80", Zone: "c", Pod: "8", Size: 1, Phase: Serving, Extra: rack},
 	}
 	if !reflect.DeepEqual(got.Servers, want) {
-		t.Errorf("got  %+v\nwant %+v", got.Servers, want)
+		t.Errorf("servers = %+v\nwant      %+v", got.Servers, want)
 	}
 }
 
 func FuzzYAML(f *testing.F) {
 	f.Add([]byte(goodYAML))
 	f.Add([]byte("- &a {id: x, <<: *a}\n"))
-	f.Fuzz(func(t *testing.T, raw []byte) { checkSound(t, "a.yaml", raw) })
+	f.Fuzz(func(t *testing.T, raw []byte) { checkParseResult(t, "a.yaml", raw) })
 }
--- a/internal/inventory/yamlnode.go
+++ b/internal/inventory/yamlnode.go
@@ -10,51 +10,53 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// The limits of a YAML file. Aliases are followed, so that a short text can stand for a very long list (a "billion laughs");
-// and the parser recurses with every bracket and dash, so that a long row of them would use up the stack.
+// Limits of a YAML file. Aliases are resolved, so a short file can expand to a very long list (the "billion laughs" attack). The
+// parser recurses at each bracket and dash, so a long sequence of them would exhaust the stack.
 const (
-	maxNodes     = 2_000_000 // an aliased one counts each time that it is used
-	maxDepth     = 32        // of groups, lists, mappings and aliases within each other
+	maxNodes     = 2_000_000 // an aliased node counts once per use
+	maxDepth     = 32        // nesting depth of groups, lists, mappings and aliases
 	maxLineBytes = 16 << 10
 )
 
-// parseYAMLFile parses a file. A panic of the parser is an error: a file from outside must not end the process.
+// parseYAMLFile parses a file. It returns a panic of the parser as an error, since an external file must not crash the process.
 func parseYAMLFile(body []byte) (file *ast.File, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			file = nil
-			err = fmt.Errorf("the parser gave up: %v", p)
+			err = fmt.Errorf("the YAML parser panicked: %v", p)
 		}
 	}()
 	return parser.ParseBytes(body, 0)
 }
 
-// checkYAMLLimits finds what must not reach the parser: where it stands and a message, which is empty if there is nothing.
+// checkYAMLLimits checks a file for content that must not reach the parser. It returns the position and a message for the first
+// violation, or an empty message if there is none.
 func checkYAMLLimits(body []byte) (position, string) {
-	if at, ok := checkUTF8(body); !ok {
-		return at, "not UTF-8"
+	if pos, ok := checkUTF8(body); !ok {
+		return pos, "invalid UTF-8"
 	}
 	depth := 0
 	lineNumber := 0
 	for line := range bytes.Lines(body) {
 		lineNumber++
-		at := position{line: lineNumber, column: 1}
+		pos := position{line: lineNumber, column: 1}
 		if len(line) > maxLineBytes {
-			return at, fmt.Sprintf("a line of %d bytes, %d at most", len(line), maxLineBytes)
+			return pos, fmt.Sprintf("the line has %d bytes, at most %d are allowed", len(line), maxLineBytes)
 		}
 		deepest := 0
 		depth, deepest = bracketDepth(line, depth)
 		if deepest > maxDepth {
-			return at, fmt.Sprintf("more than %d brackets within each other", maxDepth)
+			return pos, fmt.Sprintf("brackets are nested more than %d deep", maxDepth)
 		}
-		if nestingMarks(line) > maxDepth {
-			return at, fmt.Sprintf("more than %d lists within each other", maxDepth)
+		if leadingIndicators(line) > maxDepth {
+			return pos, fmt.Sprintf("lists are nested more than %d deep", maxDepth)
 		}
 	}
 	return position{}, ""
 }
 
-// bracketDepth counts brackets from a depth: the depth after a line, and the deepest within it.
+// bracketDepth counts the brackets of a line. It returns the nesting depth after the line and the maximum depth within it,
+// given the depth before it.
 func bracketDepth(line []byte, depth int) (after, deepest int) {
 	for _, c := range line {
 		switch c {
@@ -68,22 +70,22 @@
 	return depth, deepest
 }
 
-// nestingMarks counts the marks of nesting with which a line begins.
-func nestingMarks(line []byte) int {
-	marks := 0
+// leadingIndicators counts the YAML indicators at the start of a line, each of which can add a nesting level.
+func leadingIndicators(line []byte) int {
+	count := 0
 	for _, c := range line {
 		switch c {
 		case '-', '?', '!', '&', '*', ':':
-			marks++
+			count++
 		case ' ', '\t':
 		default:
-			return marks
+			return count
 		}
 	}
-	return marks
+	return count
 }
 
-// errorPosition is where an error of the parser stands.
+// errorPosition returns the position of a parser error, or the zero position if it has none.
 func errorPosition(err error) position {
 	var yamlErr yaml.Error
 	if !errors.As(err, &yamlErr) {
@@ -96,7 +98,7 @@
 	return position{line: token.Position.Line, column: token.Position.Column}
 }
 
-// errorMessage is an error of the parser without the excerpt of the file.
+// errorMessage returns the message of a parser error without the excerpt of the file.
 func errorMessage(err error) string {
 	var yamlErr yaml.Error
 	if errors.As(err, &yamlErr) {
@@ -106,7 +108,7 @@
 	return string(first)
 }
 
-// nodePosition is where a node stands.
+// nodePosition returns the position of a node, or the zero position if it has none.
 func nodePosition(n ast.Node) position {
 	if n == nil || n.GetToken() == nil || n.GetToken().Position == nil {
 		return position{}
@@ -115,11 +117,11 @@
 	return position{line: p.Line, column: p.Column}
 }
 
-// resolve follows anchors, aliases and tags to a value; nil if there is none or a limit is exceeded.
+// resolve follows anchors, aliases and tags to a value. It returns nil if there is none or if a limit is exceeded.
 func (r *yamlReader) resolve(n ast.Node, depth int) ast.Node {
 	for range maxDepth {
-		r.resolved++
-		if r.resolved > maxNodes || depth > maxDepth {
+		r.resolvedNodes++
+		if r.resolvedNodes > maxNodes || depth > maxDepth {
 			r.reportLimit(n)
 			return nil
 		}
@@ -131,7 +133,7 @@
 			name := v.Value.GetToken().Value
 			target, known := r.anchors[name]
 			if !known {
-				r.report(nodePosition(n), "alias %q names no anchor before it", name)
+				r.report(nodePosition(n), "alias %q refers to no anchor before it", name)
 				return nil
 			}
 			n = target
@@ -141,26 +143,26 @@
 			return n
 		}
 	}
-	r.report(nodePosition(n), "anchors and aliases in a circle")
+	r.report(nodePosition(n), "anchors and aliases form a cycle")
 	return nil
 }
 
-// reportLimit reports once that a limit is exceeded.
+// reportLimit reports that a limit is exceeded, once per file.
 func (r *yamlReader) reportLimit(n ast.Node) {
 	if !r.limitExceeded {
 		r.limitExceeded = true
-		r.report(nodePosition(n), "aliases and lists make more than %d values, or stand more than %d deep", maxNodes, maxDepth)
+		r.report(nodePosition(n), "aliases and lists expand to more than %d values or are nested more than %d deep", maxNodes, maxDepth)
 	}
 }
 
-// entry is one key of a mapping.
+// entry is a key of a mapping with its value.
 type entry struct {
 	key   string
 	value ast.Node
-	at    position
+	pos   position
 }
 
-// entries are a mapping's keys, followed by those of the mappings that it merges in (<<) and does not have itself.
+// entries returns the entries of a mapping, followed by those of merged mappings (<<) whose keys the mapping does not have.
 func (r *yamlReader) entries(n ast.Node, depth int) []entry {
 	var pairs []*ast.MappingValueNode
 	switch v := n.(type) {
@@ -169,7 +171,7 @@
 	case *ast.MappingValueNode:
 		pairs = []*ast.MappingValueNode{v}
 	default:
-		r.report(nodePosition(n), "a mapping is wanted")
+		r.report(nodePosition(n), "expected a mapping")
 		return nil
 	}
 	var entries, merged []entry
@@ -178,7 +180,7 @@
 			return nil
 		}
 		if _, isMerge := pair.Key.(*ast.MergeKeyNode); !isMerge {
-			entries = append(entries, entry{key: pair.Key.GetToken().Value, value: pair.Value, at: nodePosition(pair.Key)})
+			entries = append(entries, entry{key: pair.Key.GetToken().Value, value: pair.Value, pos: nodePosition(pair.Key)})
 			continue
 		}
 		if source := r.resolve(pair.Value, depth); source != nil {
@@ -202,7 +204,7 @@
 	return false
 }
 
-// scalarText is a scalar as it is written, empty for null; false if the node is no scalar.
+// scalarText returns a scalar as the text in the file, or an empty text for null. It returns false if the node is not a scalar.
 func scalarText(n ast.Node) (string, bool) {
 	switch v := n.(type) {
 	case *ast.StringNode:
