--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -50,7 +50,7 @@
 }
 
 // UpdateEndpoints forwards discovery's events without members: a failed call, or a stale list. If the inventory is on, a stale
-// list is not reported to the balancer: discovery is only one of the sources, so the merged list may not depend on it.
+// list is not reported to the balancer: discovery is only one of the sources, and the merged list can be current without it.
 func (d *Directory) UpdateEndpoints(l balancer.EndpointUpdate) {
 	if l.Kind == balancer.UpdateStale {
 		// Holds the lock until the handler returns, so that no stale event arrives after the inventory's first list.
