--- a/internal/endpointmerge/pod.go
+++ b/internal/endpointmerge/pod.go
@@ -1,32 +1,32 @@
 package endpointmerge
 
-// podNumbers number the pods. A pod keeps its number when it is renamed; one that takes its old name later is another pod.
+// podNumbers assigns numbers to pods. A renamed pod keeps its number. A pod that takes its old name later gets a new number.
 type podNumbers struct {
-	byName map[string]int
-	byCell map[int]string // the name that a number has now
-	last   int
+	numberByName map[string]int
+	nameByNumber map[int]string // current name of each number
+	lastNumber   int
 }
 
 func newPodNumbers() podNumbers {
-	return podNumbers{byName: map[string]int{}, byCell: map[int]string{}}
+	return podNumbers{numberByName: map[string]int{}, nameByNumber: map[int]string{}}
 }
 
-// number is the number of a pod, a new one for a name that no pod has.
+// number returns the number of the pod with a name. It assigns the next number if no pod has that name.
 func (p *podNumbers) number(pod string) int {
-	if n, known := p.byName[pod]; known && p.byCell[n] == pod {
+	if n, known := p.numberByName[pod]; known && p.nameByNumber[n] == pod {
 		return n
 	}
-	p.last++
-	p.byName[pod] = p.last
-	p.byCell[p.last] = pod
-	return p.last
+	p.lastNumber++
+	p.numberByName[pod] = p.lastNumber
+	p.nameByNumber[p.lastNumber] = pod
+	return p.lastNumber
 }
 
-// rename gives a pod another name.
+// rename changes the name of a pod, which keeps its number.
 func (p *podNumbers) rename(cell int, from, to string) {
-	if p.byName[from] == cell {
-		delete(p.byName, from)
+	if p.numberByName[from] == cell {
+		delete(p.numberByName, from)
 	}
-	p.byName[to] = cell
-	p.byCell[cell] = to
+	p.numberByName[to] = cell
+	p.nameByNumber[cell] = to
 }
