--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -1,10 +1,11 @@
-// Package membership decides which of a cluster's nodes are present. Failure detection follows SWIM (Das, Gupta, Motivala, 2002)
-// with incarnations, suspicion and refutation; Lifeguard's local health (Dadgar, Phillips, Currey, 2017); members that vouch for
-// one another against links that are cut in one direction; and views in which losses that come together are one change (after
-// Rapid: Suresh and others, 2018).
+// Package membership decides which nodes of a cluster are present. Failure detection follows SWIM (Das, Gupta, Motivala, 2002)
+// with incarnations, suspicion and refutation, and uses Lifeguard's local health (Dadgar, Phillips, Currey, 2017). Members also
+// gossip heard-from reports, which contradict suspicions caused by a link that is cut in one direction. Members that are lost at
+// about the same time leave the view in one change (after Rapid: Suresh and others, 2018).
 //
-// The package does no I/O: times and messages come in, messages and events go out, and randomness comes from a seed. Times are
-// spans of one monotonic clock since any moment before the first call. docs/members.md says what may rest on a view.
+// The package does no I/O: the caller passes in times and messages, and takes out messages and events. Randomness comes from a
+// seed. Times are durations on one monotonic clock since any moment before the first call. docs/members.md describes what other
+// subsystems may rely on a view for.
 package membership
 
 import (
@@ -14,73 +15,74 @@
 )
 
 const (
-	// pauseIntervals is the gap between two calls, in probe intervals, from which on this process counts as having been paused
-	// or starved: Tick comes five times in an interval.
-	pauseIntervals = 1.5
+	// minPauseIntervals is the gap between two calls, in probe intervals, from which this process counts as having been paused
+	// or starved of CPU. Tick is called five times per probe interval.
+	minPauseIntervals = 1.5
 
-	// maxLocalHealth bounds the local health score; each point makes probes half and suspicions an eighth longer.
+	// maxLocalHealth bounds the local health score. Each point lengthens probe timeouts by a half and suspicion timeouts by an
+	// eighth.
 	maxLocalHealth = 4
 
-	// joinIntervals is how many probe intervals a process waits for an answer when it joins. Then it goes on alone, and keeps
-	// trying.
-	joinIntervals = 8
+	// joinTimeoutIntervals is how many probe intervals a joining process waits for an answer. After that it becomes alive without
+	// one and keeps pinging the seeds.
+	joinTimeoutIntervals = 8
 
-	// leftRetention is how long a member that left is remembered, so that old updates do not bring it back.
+	// leftRetention is how long a member that left stays in the table, so that delayed updates do not add it again.
 	leftRetention = 2 * time.Minute
 )
 
-// never is before every moment.
+// never is the time of an event that has not occurred. It precedes every real time, and subtracting it does not overflow.
 const never = time.Duration(math.MinInt64 / 4)
 
 // Options configure a member.
 type Options struct {
 	Name        string
-	Address     string // where the other members reach it, an IP address with a port
-	ClusterHash uint32 // messages with another one are ignored
+	Address     string // IP address and port at which the other members reach it
+	ClusterHash uint32 // messages with a different hash are ignored
 	Generation  uint64 // of this process; higher than its predecessor's unless the clock was set back
 	RandSeed    uint64
 
-	ProbeInterval    time.Duration // between two health checks
-	ProbeTimeout     time.Duration // for a direct answer; then others are asked to ping the member
-	SuspicionTimeout time.Duration // the least from the first missing answer until a member is unreachable
-	MaxMembers       int           // known members, this one and unreachable ones included
-	SeedAddresses    []string      // members to contact first
+	ProbeInterval    time.Duration // between two health probes
+	ProbeTimeout     time.Duration // for a direct answer; after it other members are asked to ping the member
+	SuspicionTimeout time.Duration // minimum time from the first missing answer until a member is unreachable
+	MaxMembers       int           // known members, including this one and unreachable ones
+	SeedAddresses    []string      // contacted first to join the cluster
 }
 
-// OutgoingMessage is a message that the caller is to send.
+// OutgoingMessage is a message for the caller to send.
 type OutgoingMessage struct {
-	To      string // member; empty where only the address is known
+	To      string // member name; empty if only the address is known
 	Address string
-	Stream  bool // to be sent over a connection, whose answer is handed to Receive
+	Stream  bool // sent over a connection, and the answer is passed to Receive; if false, sent as a datagram
 	Message Message
 }
 
-// EventCode says what an event is about.
+// EventCode is the type of an event.
 type EventCode string
 
-// The events.
+// The event types.
 const (
 	EventView         EventCode = "view"       // the view has changed
 	EventConnectivity EventCode = "condition"  // this process's connectivity has changed
-	EventLinkBroken   EventCode = "link"       // others hear a member that this process does not reach
+	EventLinkBroken   EventCode = "link"       // a member does not answer this process although others hear from it
 	EventLinkRestored EventCode = "link_whole" // that member answers again
 	EventPause        EventCode = "standstill" // this process was paused
-	EventReplaced     EventCode = "replaced"   // another process has a member's name
-	EventSuperseded   EventCode = "outdated"   // another process has this one's name
-	EventFull         EventCode = "full"       // a member was rejected, since MaxMembers are known
+	EventReplaced     EventCode = "replaced"   // another process uses a member's name
+	EventSuperseded   EventCode = "outdated"   // another process uses this process's name
+	EventFull         EventCode = "full"       // a member was rejected because MaxMembers are known
 )
 
-// Event is something that belongs in the log.
+// Event is a change that the caller writes to its log.
 type Event struct {
 	Code EventCode
 	Text string
 	Args []any // alternating keys and values
 }
 
-// schedule holds when periodic work is due next.
+// schedule holds the times at which periodic work is due next.
 type schedule struct {
-	probe   time.Duration // health check of the next member
-	gossip  time.Duration // updates in messages of their own
+	probe   time.Duration // probe of the next member
+	gossip  time.Duration // messages that contain only updates
 	retry   time.Duration // ping of an unreachable member
 	sync    time.Duration // exchange of full states
 	contact time.Duration // pings of the seeds
@@ -96,27 +98,27 @@
 	state        State // Joining, Alive, Left or Replaced
 	incarnation  uint32
 	connectivity Connectivity
-	localHealth  int           // Lifeguard's score: 0 is healthy, more means that this process should doubt its own verdicts
-	lastReceived time.Duration // when any member's message came; own pauses are added
-	lastAcked    time.Duration // when anybody showed that it had received a message of this process; own pauses are added
+	localHealth  int           // Lifeguard's score: 0 is healthy; a higher score makes this process slower to suspect others
+	lastReceived time.Duration // when the latest message from any member arrived, plus later pauses of this process
+	lastAcked    time.Duration // when any member last confirmed a message of this process, plus later pauses of this process
 	lastRefuted  time.Duration
-	metAnyone    bool
+	everReceived bool // whether any member's message has arrived
 
 	peers    peerTable
 	probing  prober
 	updates  updateQueue
 	due      schedule
-	rejected int // members that were not added since the table was full
+	rejected int // number of times a member was not added because the table was full
 
-	view          View
-	highestView   uint64        // the highest number that this process has used or heard of
-	viewChangedAt time.Duration // since when a change waits to be published; -1: none
+	view              View
+	highestViewNumber uint64        // highest view number that this process has used or received
+	viewChangedAt     time.Duration // since when a change has been waiting to be published; -1 if none
 
 	outgoing []OutgoingMessage
 	events   []Event
 }
 
-// New returns a member that has met nobody yet.
+// New returns a joining member that has not contacted any other member.
 func New(options Options, now time.Duration) *Core {
 	c := &Core{
 		options:       options,
@@ -132,20 +134,20 @@
 		updates:       updateQueue{},
 		viewChangedAt: -1,
 	}
-	c.due.probe = now + c.randomSpan(options.ProbeInterval)
+	c.due.probe = now + c.randomDelay(options.ProbeInterval)
 	c.due.retry = now
-	c.due.sync = now + c.randomSpan(syncIntervals*options.ProbeInterval)
+	c.due.sync = now + c.randomDelay(syncIntervals*options.ProbeInterval)
 	names := []string{options.Name}
 	c.view = View{Members: names, Hash: hashNames(names)}
 	return c
 }
 
-// randomSpan returns a random part of a span, so that members started together do not act together.
-func (c *Core) randomSpan(d time.Duration) time.Duration {
+// randomDelay returns a random duration of at most d, so that members started at the same time do not act in step.
+func (c *Core) randomDelay(d time.Duration) time.Duration {
 	return time.Duration(c.rand.Int64N(int64(d) + 1))
 }
 
-// TakeOutput returns what is to be sent and logged since the last call.
+// TakeOutput returns the messages to send and the events to log that were added since the last call.
 func (c *Core) TakeOutput() ([]OutgoingMessage, []Event) {
 	outgoing, events := c.outgoing, c.events
 	c.outgoing, c.events = nil, nil
@@ -156,13 +158,13 @@
 	c.events = append(c.events, Event{Code: code, Text: text, Args: args})
 }
 
-// Tick does what has fallen due. It is to be called five times in a probe interval.
+// Tick does the periodic work that is due. Callers must call it five times per probe interval.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	if !c.active() {
 		return
 	}
-	if c.state == Joining && c.now-c.startedAt >= joinIntervals*c.options.ProbeInterval {
+	if c.state == Joining && c.now-c.startedAt >= joinTimeoutIntervals*c.options.ProbeInterval {
 		c.becomeAlive()
 	}
 	c.updateConnectivity()
@@ -172,25 +174,25 @@
 	c.retryUnreachable()
 	c.syncNext()
 	c.gossip()
-	c.forgetLeft()
+	c.removeLeft()
 	c.publishView()
 }
 
 // active reports whether this process takes part in the cluster.
 func (c *Core) active() bool { return c.state != Left && c.state != Replaced }
 
-// advance moves the time on, and notices a pause of this process.
+// advance sets the current time and detects a pause of this process.
 //
-// A process that was paused (SIGSTOP, a starved machine) finds all its probes unanswered when it goes on. Without care it would
-// take every member out of its view at once. So what others did not do during the pause is not held against them: probes under
-// way are dropped, and suspicions and its own connectivity get the length of the pause in addition.
+// After a pause (SIGSTOP, or a machine short of CPU) all probes of this process are unanswered, so it would take every member out
+// of its view at once. To ignore the time of the pause, advance drops the probes in flight, and extends suspicions and the
+// timeouts of the connectivity check by the length of the pause.
 func (c *Core) advance(now time.Duration) {
 	gap := now - c.now
 	if gap <= 0 {
 		return
 	}
 	c.now = now
-	if float64(gap) < pauseIntervals*float64(c.options.ProbeInterval) {
+	if float64(gap) < minPauseIntervals*float64(c.options.ProbeInterval) {
 		return
 	}
 	c.probing.abandon()
@@ -202,48 +204,48 @@
 		}
 	}
 	c.adjustLocalHealth(1)
-	c.emit(EventPause, "this process was paused and draws no conclusion from it", "for_ms", gap.Milliseconds())
+	c.emit(EventPause, "this process was paused: probes in flight are dropped and suspicion timeouts extended", "for_ms", gap.Milliseconds())
 }
 
-// adjustLocalHealth raises or lowers the doubt in this process's own verdicts.
-func (c *Core) adjustLocalHealth(by int) {
-	c.localHealth = min(maxLocalHealth, max(0, c.localHealth+by))
+// adjustLocalHealth changes the local health score within its bounds. A higher score means less trust in this process's own probes.
+func (c *Core) adjustLocalHealth(delta int) {
+	c.localHealth = min(maxLocalHealth, max(0, c.localHealth+delta))
 }
 
-// becomeAlive ends joining.
+// becomeAlive ends the joining phase and announces this process as alive.
 func (c *Core) becomeAlive() {
 	c.state = Alive
 	c.enqueue(c.selfUpdate(), c.now)
 }
 
-// selfUpdate is what this process says about itself.
+// selfUpdate returns the update that describes this process.
 func (c *Core) selfUpdate() Update {
 	return Update{Name: c.options.Name, Generation: c.options.Generation, Incarnation: c.incarnation, State: c.state, Address: c.options.Address}
 }
 
-// Leave announces that this member leaves. What TakeOutput returns then is to be sent, twice if there is time.
+// Leave announces that this member leaves. The caller then sends the messages from TakeOutput, twice if time permits.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
 	if c.state == Replaced {
 		return
 	}
 	c.state = Left
-	for _, p := range c.choose(c.options.MaxMembers, isInView) {
+	for _, p := range c.chooseRandom(c.options.MaxMembers, isInView) {
 		c.send(p, Message{Kind: Gossip, Updates: []Update{c.selfUpdate()}})
 	}
 }
 
-// updateConnectivity judges whether this process hears others and is heard by them.
+// updateConnectivity checks whether this process receives messages from others and whether others confirm its own.
 func (c *Core) updateConnectivity() {
-	// Some ten pings go out in that time, so it is no coincidence that nobody answers one.
-	patience := c.options.SuspicionTimeout
+	// About ten pings are sent within this time, so random packet loss does not explain that none is answered.
+	timeout := c.options.SuspicionTimeout
 	next := Connected
 	switch {
-	case !c.metAnyone:
+	case !c.everReceived:
 		next = NoPeers
-	case c.now-c.lastReceived > patience:
+	case c.now-c.lastReceived > timeout:
 		next = InboundLost
-	case c.now-c.lastAcked > patience*3/2:
+	case c.now-c.lastAcked > timeout*3/2:
 		next = OutboundLost
 	}
 	if next != Connected && !c.peers.anyExpected() {
@@ -252,20 +254,20 @@
 	if next == c.connectivity {
 		return
 	}
-	c.emit(EventConnectivity, "this process's connection to the other members has changed", "was", c.connectivity.String(), "is", next.String())
+	c.emit(EventConnectivity, "this process's connectivity to the other members changed", "was", c.connectivity.String(), "is", next.String())
 	c.connectivity = next
 }
 
-// Connectivity returns this process's own.
+// Connectivity returns this process's connectivity.
 func (c *Core) Connectivity() Connectivity { return c.connectivity }
 
-// State returns this process's own.
+// State returns this process's state.
 func (c *Core) State() State { return c.state }
 
-// Generation returns this process's own. It does not change once the process has joined.
+// Generation returns this process's generation. It does not change after the process has joined.
 func (c *Core) Generation() uint64 { return c.options.Generation }
 
-// Process returns a member's process as last heard of; ok is false where the member is not in the view.
+// Process returns the latest known generation and address of a member; ok is false if the member is not in the view.
 func (c *Core) Process(name string) (generation uint64, address string, ok bool) {
 	p := c.peers.byName[name]
 	if p == nil || !p.state.inView() {
--- a/internal/membership/decisions_test.go
+++ b/internal/membership/decisions_test.go
@@ -17,13 +17,15 @@
 	simSteps   = 1600
 	simStep    = 50 * time.Millisecond
 
-	// simFaultEvery is how many steps pass between faults, and simPause how many steps a paused member stands still.
-	simFaultEvery = 80
-	simPause      = 40
+	// simFaultSteps is the number of steps between faults.
+	simFaultSteps = 80
+
+	// simPauseSteps is the number of steps for which a member is paused.
+	simPauseSteps = 40
 )
 
-// simulation runs members through loss, one-way cuts, kills, pauses, restarts and departures, and digests every message, event and
-// view in the order in which they come.
+// simulation runs members with message loss, links cut in one direction, kills, pauses, restarts and departures. It hashes every
+// message, event and view in order of occurrence.
 type simulation struct {
 	t          *testing.T
 	seed       uint64
@@ -32,13 +34,13 @@
 	generation uint64
 	cores      [simMembers]*Core
 	down       [simMembers]bool
-	pausedFor  [simMembers]int // steps
+	pausedFor  [simMembers]int // remaining steps
 	cut        [simMembers][simMembers]bool
 	network    []delivery
 	digest     hash.Hash
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at      time.Duration
 	to      int
@@ -55,7 +57,8 @@
 
 func simAddress(i int) string { return fmt.Sprintf("10.0.1.%d:7946", i) }
 
-// start begins a new process of a member. In some runs the table is too small for all, in some the clock is set back now and then.
+// start starts a new process of a member. For some seeds the member table is too small for all members; for others the clock is
+// sometimes set back.
 func (s *simulation) start(i int) {
 	s.generation++
 	if s.seed%4 == 3 && s.generation%5 == 0 {
@@ -80,13 +83,13 @@
 	s.down[i] = false
 }
 
-// run returns the checksum of all that the members did.
+// run returns the checksum of all messages, events and views.
 func (s *simulation) run() string {
 	for n := range simSteps {
 		s.now = time.Duration(n) * simStep
 		s.deliver()
 		s.tick()
-		if n%simFaultEvery == simFaultEvery-1 {
+		if n%simFaultSteps == simFaultSteps-1 {
 			s.fault()
 			s.fault()
 		}
@@ -123,7 +126,8 @@
 	}
 }
 
-// takeOutput digests what a member has put out, and sends its messages with loss and delay; streams lose nothing.
+// takeOutput hashes a member's messages and events, and sends the messages with delay and loss. Streams lose messages only on
+// cut links.
 func (s *simulation) takeOutput(from int) {
 	outgoing, events := s.cores[from].TakeOutput()
 	for _, e := range events {
@@ -154,10 +158,10 @@
 	}
 }
 
-// fault does one thing to a member or to its link to another.
+// fault injects one random fault, or ends faults, at a member or a link.
 func (s *simulation) fault() {
-	kind, member, other := s.rng.IntN(6), s.rng.IntN(simMembers), s.rng.IntN(simMembers)
-	switch kind {
+	faultKind, member, other := s.rng.IntN(6), s.rng.IntN(simMembers), s.rng.IntN(simMembers)
+	switch faultKind {
 	case 0:
 		s.down[member] = true
 	case 1:
@@ -167,7 +171,7 @@
 	case 2:
 		s.cut[member][other] = !s.cut[member][other]
 	case 3:
-		s.pausedFor[member] = simPause
+		s.pausedFor[member] = simPauseSteps
 	case 4:
 		s.cut = [simMembers][simMembers]bool{}
 	case 5:
@@ -177,20 +181,20 @@
 	}
 }
 
-// The file holds checksums of all that members did in seeded runs with a released version: a change of names or of shape must not
-// change one message, its order or its time.
-func TestDecisionsAreThoseRecorded(t *testing.T) {
+// The file contains checksums of seeded simulations with a released version. A change of names or structure must not change any
+// message, its order or its time.
+func TestSimulatedDecisionsMatchRecording(t *testing.T) {
 	raw, err := os.ReadFile("testdata/decisions.sha256")
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := strings.Fields(string(raw))
 	if len(want) != 12 {
-		t.Fatalf("%d checksums", len(want))
+		t.Fatalf("recorded checksums = %d, want 12", len(want))
 	}
 	for seed, sum := range want {
 		if got := newSimulation(t, uint64(seed)).run(); got != sum {
-			t.Errorf("seed %d: %s, recorded %s", seed, got, sum)
+			t.Errorf("seed %d: checksum = %s, want %s", seed, got, sum)
 		}
 	}
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// gossipFanout members receive fresh updates in each probe interval.
+	// gossipFanout is the number of random members that receive gossip messages in each probe interval.
 	gossipFanout = 3
 
-	// An update is passed on gossipRepeats times in a cluster of gossipMembers, and more often with the logarithm of the
-	// members beyond.
+	// gossipRepeats is how many times each update is sent in a cluster of up to gossipBaseMembers members.
 	gossipRepeats = 4
-	gossipMembers = 9
 
-	// syncIntervals is how many probe intervals pass between two exchanges of full states, and between pings of the seeds.
+	// gossipBaseMembers is the cluster size above which the number of repeats grows with the logarithm of the size.
+	gossipBaseMembers = 9
+
+	// syncIntervals is the number of probe intervals between two exchanges of full states, and between two pings of the seeds.
 	syncIntervals = 40
 
-	// MaxDatagramBytes is what a datagram may hold, in bytes: every usual link carries that in one packet.
+	// MaxDatagramBytes bounds the size of a datagram, so that every common link transmits it in one packet.
 	MaxDatagramBytes = 1200
 
-	// What a message takes besides its updates, and what an update takes besides its texts, at most and in bytes.
+	// maxHeaderBytes is the maximum encoded size of a message without its updates.
 	maxHeaderBytes = 160
-	maxUpdateBytes = 48
+
+	// maxUpdateOverheadBytes is the maximum encoded size of an update without the contents of its strings.
+	maxUpdateOverheadBytes = 48
 )
 
-// updateKey names the place of an update in the queue: a later one with the same key replaces it.
+// updateKey identifies an update in the queue. A later update with the same key replaces the earlier one.
 type updateKey struct {
 	name      string
 	heardFrom bool
-	reporter  string // of a suspicion: those of several members confirm one another
+	reporter  string // only of a suspicion: suspicions by several reporters confirm one another, so each is queued
 }
 
 func keyOf(u Update) updateKey {
@@ -41,17 +44,17 @@
 	return updateKey{name: u.Name, heardFrom: u.State == HeardFrom}
 }
 
-// queuedUpdate is an update that is passed on.
+// queuedUpdate is an update that is being gossiped.
 type queuedUpdate struct {
-	update Update
-	at     time.Duration // when it was so, by this process's clock
-	sent   int
+	update     Update
+	observedAt time.Duration // when the reported state was observed, by this process's clock
+	sendCount  int
 }
 
-// updateQueue holds the updates that are passed on.
+// updateQueue holds the updates that are being gossiped.
 type updateQueue map[updateKey]*queuedUpdate
 
-// dropSuspicions removes all suspicions of a member.
+// dropSuspicions removes all suspicions about a member.
 func (q updateQueue) dropSuspicions(name string) {
 	for key := range q {
 		if key.name == name && key.reporter != "" {
@@ -60,10 +63,10 @@
 	}
 }
 
-// ordered returns the queue in the order in which updates are sent to a member: first what concerns the member itself, then what
-// has been sent least.
+// ordered returns the queue in the order in which updates are sent to a member: updates about the receiver come first, then those
+// that have been sent least often.
 func (q updateQueue) ordered(receiver string) []*queuedUpdate {
-	concernsOthers := func(u *queuedUpdate) int {
+	receiverFirst := func(u *queuedUpdate) int {
 		if u.update.Name == receiver {
 			return 0
 		}
@@ -75,8 +78,8 @@
 	}
 	slices.SortFunc(out, func(a, b *queuedUpdate) int {
 		return cmp.Or(
-			concernsOthers(a)-concernsOthers(b),
-			a.sent-b.sent,
+			receiverFirst(a)-receiverFirst(b),
+			a.sendCount-b.sendCount,
 			cmp.Compare(a.update.Name, b.update.Name),
 			int(a.update.State)-int(b.update.State),
 			cmp.Compare(a.update.Reporter, b.update.Reporter),
@@ -85,75 +88,76 @@
 	return out
 }
 
-// enqueue begins to pass an update on that was so at a moment.
-func (c *Core) enqueue(u Update, at time.Duration) {
+// enqueue starts to gossip an update on a state that was observed at observedAt.
+func (c *Core) enqueue(u Update, observedAt time.Duration) {
 	if u.State == Alive || u.State == Left { // earlier suspicions are out of date
 		c.updates.dropSuspicions(u.Name)
 	}
-	c.updates[keyOf(u)] = &queuedUpdate{update: u, at: at}
+	c.updates[keyOf(u)] = &queuedUpdate{update: u, observedAt: observedAt}
 }
 
-// withQueued adds queued updates to those of a message, as many as a datagram holds.
+// withQueued appends queued updates to those of a message, as many as fit into a datagram.
 func (c *Core) withQueued(receiver string, updates []Update) []Update {
 	if len(c.updates) == 0 {
 		return updates
 	}
-	room := MaxDatagramBytes - maxHeaderBytes
+	remainingBytes := MaxDatagramBytes - maxHeaderBytes
 	for _, u := range updates {
-		room -= sizeOf(u)
+		remainingBytes -= sizeOf(u)
 	}
 	repeats := c.repeats()
 	for _, queued := range c.updates.ordered(receiver) {
-		room -= sizeOf(queued.update)
-		if room < 0 {
+		remainingBytes -= sizeOf(queued.update)
+		if remainingBytes < 0 {
 			break
 		}
 		u := queued.update
-		u.Age = clampMillis(c.now - queued.at)
+		u.Age = clampMillis(c.now - queued.observedAt)
 		updates = append(updates, u)
-		queued.sent++
-		if queued.sent >= repeats {
+		queued.sendCount++
+		if queued.sendCount >= repeats {
 			delete(c.updates, keyOf(u))
 		}
 	}
 	return updates
 }
 
-// repeats is how often an update is passed on.
+// repeats returns how many times an update is sent at the current cluster size.
 func (c *Core) repeats() int {
-	return int(math.Ceil(gossipRepeats * growth(c.viewSize(), gossipMembers)))
+	return int(math.Ceil(gossipRepeats * logScale(c.viewSize(), gossipBaseMembers)))
 }
 
-// sizeOf is the most bytes that an update takes in a message.
+// sizeOf returns the maximum encoded size of an update in bytes.
 func sizeOf(u Update) int {
-	return maxUpdateBytes + len(u.Name) + len(u.Reporter) + len(u.Address)
+	return maxUpdateOverheadBytes + len(u.Name) + len(u.Reporter) + len(u.Address)
 }
 
-// gossip sends updates in messages of their own, since other messages may be too few.
+// gossip sends updates in separate messages, since there may be too few other messages to carry them.
 func (c *Core) gossip() {
 	if len(c.updates) == 0 || c.now < c.due.gossip {
 		return
 	}
 	c.due.gossip = c.now + c.options.ProbeInterval
-	for _, p := range c.choose(gossipFanout, isInView) {
+	for _, p := range c.chooseRandom(gossipFanout, isInView) {
 		c.send(p, Message{Kind: Gossip})
 	}
 }
 
-// syncNext exchanges full states with one member, so that an update that was lost on every way is made up for (anti-entropy).
-// The interval grows with the members, as the size of a full state does.
+// syncNext exchanges full states with one random member, which replaces updates that were lost on every path (anti-entropy).
+// The interval grows with the number of members, as the size of a full state does.
 func (c *Core) syncNext() {
 	if c.now < c.due.sync {
 		return
 	}
-	intervals := syncIntervals * max(1, float64(c.viewSize())/suspicionMembers)
+	intervals := syncIntervals * max(1, float64(c.viewSize())/suspicionBaseMembers)
 	c.due.sync = c.now + time.Duration(intervals*float64(c.options.ProbeInterval))
-	for _, p := range c.choose(1, isReachable) {
+	for _, p := range c.chooseRandom(1, isReachable) {
 		c.sendStream(p, Message{Kind: SyncRequest})
 	}
 }
 
-// fullState is all that this process knows. Its own verdicts are left out while it is isolated.
+// fullState returns updates about this process and all known members. While this process is isolated, it reports the members that
+// it considers suspect or unreachable as alive.
 func (c *Core) fullState() []Update {
 	out := []Update{c.selfUpdate()}
 	for _, p := range c.peers.sorted() {
--- a/internal/membership/message_test.go
+++ b/internal/membership/message_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// wireMessages has one message of each kind; the files of these names under testdata hold the bytes that a released version
-// wrote for them. Nodes of an earlier and a later version work in one cluster, so a rename must change none of these bytes.
+// wireMessages contains one message of each kind. The files with these names under testdata contain the bytes that a released version
+// encoded for them. Nodes of different versions run in one cluster, so a rename must not change any of these bytes.
 var wireMessages = map[string]Message{
 	"ping": {Kind: Ping, Version: 1, ClusterHash: 0xc0ffee01, From: "n1", Generation: 1_700_000_000_000_001, Address: "10.0.0.1:7946", Seq: 7,
 		Updates: []Update{{Name: "n2", Generation: 12, Incarnation: 3, State: Suspect, Reporter: "n1", Age: 250}}},
@@ -42,10 +42,10 @@
 		}},
 }
 
-func TestWireFormIsThatOfReleasedVersions(t *testing.T) {
+func TestMessageEncodingMatchesReleasedVersion(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.msgpack")
 	if err != nil || len(files) != len(wireMessages) {
-		t.Fatalf("%d files for %d messages, %v", len(files), len(wireMessages), err)
+		t.Fatalf("testdata has %d message files, want %d; %v", len(files), len(wireMessages), err)
 	}
 	for name, want := range wireMessages {
 		raw, err := os.ReadFile("testdata/" + name + ".msgpack")
@@ -56,24 +56,24 @@
 		if rest, err := got.UnmarshalMsg(raw); err != nil || len(rest) > 0 || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: decoded %+v, want %+v; %d bytes left, %v", name, got, want, len(rest), err)
 		}
-		if again, err := want.MarshalMsg(nil); err != nil || !bytes.Equal(again, raw) {
-			t.Errorf("%s: encoded %x, want %x; %v", name, again, raw, err)
+		if encoded, err := want.MarshalMsg(nil); err != nil || !bytes.Equal(encoded, raw) {
+			t.Errorf("%s: encoded %x, want %x; %v", name, encoded, raw, err)
 		}
 	}
 }
 
-// The names of states and conditions are read by `tackhub members` of another version.
-func TestStatusFormIsThatOfReleasedVersions(t *testing.T) {
+// `tackhub members` of another version reads the names of states and connectivities, so they must not change.
+func TestStatusNamesMatchReleasedVersion(t *testing.T) {
 	for state, name := range map[State]string{Joining: "joining", Alive: "alive", Suspect: "suspect", Unreachable: "unreachable",
 		Left: "left", Replaced: "replaced", HeardFrom: "vouch", 0: "unknown", 99: "unknown"} {
 		if state.String() != name {
-			t.Errorf("state %d is %q, want %q", uint8(state), state, name)
+			t.Errorf("name of state %d = %q, want %q", uint8(state), state, name)
 		}
 	}
-	for condition, name := range map[Connectivity]string{Connected: "whole", NoPeers: "alone", InboundLost: "hears nobody", OutboundLost: "not heard",
+	for connectivity, name := range map[Connectivity]string{Connected: "whole", NoPeers: "alone", InboundLost: "hears nobody", OutboundLost: "not heard",
 		Superseded: "outdated", 99: "unknown"} {
-		if condition.String() != name {
-			t.Errorf("condition %d is %q, want %q", uint8(condition), condition, name)
+		if connectivity.String() != name {
+			t.Errorf("name of connectivity %d = %q, want %q", uint8(connectivity), connectivity, name)
 		}
 	}
 }
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxHeardBy bounds the members that are recorded as having heard from one member.
+// maxHeardBy bounds the number of heard-from reports that are kept for one member.
 const maxHeardBy = 16
 
 // peer is another member, with the evidence for its state.
@@ -14,66 +14,66 @@
 	name               string
 	address            string
 	generation         uint64
-	previousGeneration uint64 // of the process that this one replaced; 0: none
+	previousGeneration uint64 // of the process that this one replaced; 0 if none
 	incarnation        uint32
 	state              State
 	stateSince         time.Duration
-	connectivity       Connectivity // as the member judges itself
+	connectivity       Connectivity // as reported by the member itself
 
-	lastReceived time.Duration // when a message of it came to this process
-	lastAcked    time.Duration // when it answered this process
-	lastSeen     time.Duration // when anybody is known to have heard from it
-	heardBy      map[string]time.Duration
+	lastReceived time.Duration            // when its latest message arrived at this process
+	lastAcked    time.Duration            // when it last answered this process
+	lastSeen     time.Duration            // latest time at which any member is known to have heard from it
+	heardBy      map[string]time.Duration // latest heard-from report of each member
 
-	suspectedAt time.Duration            // when the missing answer was due
-	suspectedBy map[string]time.Duration // who misses its answers, while it is Suspect or Unreachable
-	askedOthers bool                     // whether they hear from it, in this suspicion
+	suspectedAt   time.Duration            // when the first missing answer was due
+	suspectedBy   map[string]time.Duration // when each reporter's missing answer was due, while the member is Suspect or Unreachable
+	suspicionSent bool                     // whether the current suspicion has been sent to the member and some others
 
 	lastProbed   time.Duration
-	missedProbes int           // probes of this process in a row without an answer of the member's own
-	contradicted bool          // somebody heard from it while this process missed it, and it has not answered since
-	linkBrokenAt time.Duration // since when this process does not reach it although others hear it; -1: it does
+	missedProbes int           // consecutive probes by this process that the member itself did not answer
+	contradicted bool          // others heard from it while its answers to this process were missing, and it has not answered since
+	linkBrokenAt time.Duration // since when it does not answer this process although others hear from it; -1 if it answers
 
-	losses      int           // times it became unreachable, each within flapWindow of the one before
-	lastLost    time.Duration // the latest of them
-	dampedUntil time.Duration // it stays out of the view until then, since it was lost too often
+	losses      int           // times it became unreachable, each within flapWindow of the previous one
+	lastLost    time.Duration // when it last became unreachable
+	dampedUntil time.Duration // it is kept out of the view until then because it became unreachable too often
 }
 
-// linkBroken reports whether this process does not reach the member although others hear it.
+// linkBroken reports whether the member does not answer this process although others hear from it.
 func (p *peer) linkBroken() bool { return p.linkBrokenAt >= 0 }
 
-// confirmations is how many members besides the first suspect it.
+// confirmations returns how many members suspect it in addition to the first one.
 func (p *peer) confirmations() int { return len(p.suspectedBy) - 1 }
 
-// setState changes the state and its time.
+// setState sets the state and the time of the change.
 func (p *peer) setState(s State, now time.Duration) {
 	p.state = s
 	p.stateSince = now
 }
 
-// update says that the member is in a state; reporter is the member that says so, empty for the member itself.
+// update returns an update that the member is in state s. The reporter is empty if the member itself reports it.
 func (p *peer) update(s State, reporter string) Update {
 	return Update{Name: p.name, Generation: p.generation, Incarnation: p.incarnation, State: s, Reporter: reporter}
 }
 
-// aliveUpdate says that the member is alive, and where.
+// aliveUpdate returns an update that the member is alive at its address.
 func (p *peer) aliveUpdate() Update {
 	u := p.update(Alive, "")
 	u.Address = p.address
 	return u
 }
 
-// Conditions for choose.
+// Conditions for chooseRandom.
 func isInView(p *peer) bool    { return p.state.inView() }
 func isReachable(p *peer) bool { return p.state == Alive && !p.linkBroken() }
 
 // peerTable holds the other members.
 type peerTable struct {
 	byName map[string]*peer
-	cached []*peer // by name; nil: to be sorted again
+	cached []*peer // sorted by name; nil after a change of byName
 }
 
-// sorted returns all peers by name, so that a run does not depend on the order of the map.
+// sorted returns all peers by name, so that decisions do not depend on the order of the map.
 func (t *peerTable) sorted() []*peer {
 	if t.cached != nil {
 		return t.cached
@@ -96,10 +96,10 @@
 	t.cached = nil
 }
 
-// current reports whether a peer is still in the table; a later process of the name has another entry.
-func (t *peerTable) current(p *peer) bool { return t.byName[p.name] == p }
+// isCurrent reports whether a peer is still in the table. A later process with the same name has a new entry.
+func (t *peerTable) isCurrent(p *peer) bool { return t.byName[p.name] == p }
 
-// anyExpected reports whether some other member should be there.
+// anyExpected reports whether any other member is expected to be running: neither left nor replaced.
 func (t *peerTable) anyExpected() bool {
 	for _, p := range t.byName {
 		if p.state != Left && p.state != Replaced {
@@ -109,8 +109,8 @@
 	return false
 }
 
-// hasInView reports whether a member of the view has an address.
-func (t *peerTable) hasInView(address string) bool {
+// hasAddressInView reports whether a member of the view has the given address.
+func (t *peerTable) hasAddressInView(address string) bool {
 	for _, p := range t.sorted() {
 		if p.address == address && p.state.inView() {
 			return true
@@ -119,8 +119,8 @@
 	return false
 }
 
-// choose returns up to n random peers for which a condition holds.
-func (c *Core) choose(n int, condition func(*peer) bool) []*peer {
+// chooseRandom returns up to n random peers that meet a condition.
+func (c *Core) chooseRandom(n int, condition func(*peer) bool) []*peer {
 	var out []*peer
 	for _, p := range c.peers.sorted() {
 		if condition(p) {
@@ -131,8 +131,8 @@
 	return out[:min(n, len(out))]
 }
 
-// addPeer adds a member that was heard of at a moment.
-func (c *Core) addPeer(u Update, at time.Duration) *peer {
+// addPeer adds the member that an update describes. The update's state was observed at observedAt.
+func (c *Core) addPeer(u Update, observedAt time.Duration) *peer {
 	p := &peer{
 		name:         u.Name,
 		address:      u.Address,
@@ -150,21 +150,21 @@
 		suspectedBy:  map[string]time.Duration{},
 	}
 	c.peers.put(p)
-	// At a random place (SWIM, 4.3): in the order of a full state all members would probe the same one at once.
+	// The position is random (SWIM, 4.3): in the order of a full state all members would probe the same one at once.
 	c.probing.order = slices.Insert(c.probing.order, c.rand.IntN(len(c.probing.order)+1), p)
 	if u.State == Suspect || u.State == Unreachable {
-		p.suspectedAt = at
+		p.suspectedAt = observedAt
 	}
-	if u.State != Suspect { // this process has no suspicion of its own to pass on
-		c.enqueue(u, at)
+	if u.State != Suspect { // the suspicion is another member's; this process has none of its own to gossip
+		c.enqueue(u, observedAt)
 	}
-	c.viewChanged()
+	c.markViewChanged()
 	return p
 }
 
-// replacePeer records that a later process has a member's name, and returns its entry.
+// replacePeer replaces a member's entry by one for a later process with the same name, and returns the new entry.
 func (c *Core) replacePeer(old *peer, u Update) *peer {
-	c.emit(EventReplaced, "another process has a member's name now", "member", old.name, "was", old.generation, "is", u.Generation,
+	c.emit(EventReplaced, "another process uses a member's name", "member", old.name, "was", old.generation, "is", u.Generation,
 		"state", old.state.String())
 	c.peers.remove(old)
 	if u.Address == "" {
@@ -179,15 +179,16 @@
 	return p
 }
 
-// makeRoom reports whether one more member can be added. In a full table the member that has been gone for longest is removed.
-func (c *Core) makeRoom() bool {
+// ensureCapacity reports whether one more member can be added. If the table is full, it removes the member that has been out of the
+// view for longest.
+func (c *Core) ensureCapacity() bool {
 	if len(c.peers.byName) < c.options.MaxMembers-1 {
 		return true
 	}
 	var oldest *peer
 	for _, p := range c.peers.sorted() {
-		gone := !p.state.inView() && p.state != Joining
-		if gone && (oldest == nil || p.stateSince < oldest.stateSince) {
+		removable := !p.state.inView() && p.state != Joining
+		if removable && (oldest == nil || p.stateSince < oldest.stateSince) {
 			oldest = p
 		}
 	}
@@ -197,13 +198,13 @@
 	}
 	c.rejected++
 	if c.rejected == 1 {
-		c.emit(EventFull, "there are as many members as may be, further ones are rejected", "most", c.options.MaxMembers)
+		c.emit(EventFull, "the member table is full, further members are rejected", "most", c.options.MaxMembers)
 	}
 	return false
 }
 
-// forgetLeft removes members that left some time ago.
-func (c *Core) forgetLeft() {
+// removeLeft removes members that left more than leftRetention ago.
+func (c *Core) removeLeft() {
 	for _, p := range c.peers.sorted() {
 		if p.state == Left && c.now-p.stateSince > leftRetention {
 			c.peers.remove(p)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,37 +7,39 @@
 )
 
 const (
-	// probeIntervals is how many probe intervals a probe lasts, the way over helpers included; ProbeTimeout is for the direct
-	// way alone.
-	probeIntervals = 2
+	// probeExpiryIntervals is how many probe intervals a probe may take, including indirect pings. ProbeTimeout applies only to the
+	// direct ping.
+	probeExpiryIntervals = 2
 
-	// probeHelpers members are asked to ping a member that has not answered. By SWIM's analysis three of them keep the false
-	// suspicions at a loss of 10% under one in a thousand.
-	probeHelpers = 3
+	// indirectProbes is the number of members that are asked to ping a member that has not answered. By SWIM's analysis three of
+	// them keep false suspicions below one in a thousand at a packet loss of 10%.
+	indirectProbes = 3
 
-	// extraProbes members are probed beside the next one while somebody is suspected.
+	// extraProbes is the number of additional members that are probed in each interval while any member is suspected.
 	extraProbes = 2
 
-	// From recheckMisses probes without an answer on, a member that others hear is probed in every interval; at
-	// brokenLinkMisses its link counts as broken. At a loss of 30% one probe in two has no answer, and five in a row one in
-	// thirty.
-	recheckMisses    = 2
+	// recheckMisses is the number of consecutive probes without an answer from which a member that others hear from may be probed in
+	// every interval.
+	recheckMisses = 2
+
+	// brokenLinkMisses is the number of consecutive probes without an answer from which the link to a member that others hear from
+	// counts as broken. At a packet loss of 30% one probe in two has no answer, and five in a row one time in thirty.
 	brokenLinkMisses = 5
 
-	// retryIntervals is how many probe intervals pass between pings of unreachable members.
+	// retryIntervals is the number of probe intervals between two pings of unreachable members.
 	retryIntervals = 4
 )
 
-// probe is a ping that waits for its answer.
+// probe is a ping in flight.
 type probe struct {
 	target     *peer
-	generation uint64 // of the target when it was sent
+	generation uint64 // of the target when the ping was sent
 	seq        uint32
 	sentAt     time.Duration
-	indirect   bool // helpers have been asked
+	indirect   bool // other members have been asked to ping the target
 }
 
-// relayedPing is a ping on behalf of another member.
+// relayedPing is a ping in flight on behalf of another member.
 type relayedPing struct {
 	seq          uint32
 	requesterSeq uint32
@@ -46,33 +48,33 @@
 	sentAt       time.Duration
 }
 
-// prober holds the health checks under way.
+// prober holds the order of the probes and the pings in flight.
 type prober struct {
-	order  []*peer // still to be probed in this round
+	order  []*peer // members that are still to be probed in this round
 	probes []*probe
 	relays []relayedPing
 	seq    uint32
 }
 
-// nextSeq returns a number for a ping.
+// nextSeq returns a new sequence number for a ping.
 func (p *prober) nextSeq() uint32 {
 	p.seq++
 	return p.seq
 }
 
-// abandon forgets the pings under way.
+// abandon drops the pings in flight.
 func (p *prober) abandon() {
 	p.probes = nil
 	p.relays = nil
 }
 
-// patience stretches a span while this process doubts itself.
-func (c *Core) patience(d time.Duration) time.Duration {
+// scaleByLocalHealth lengthens a timeout by a half for each point of the local health score.
+func (c *Core) scaleByLocalHealth(d time.Duration) time.Duration {
 	return d + d*time.Duration(c.localHealth)/2
 }
 
-// probeNext pings the next member in turn, those that nobody has heard from while somebody is suspected, and one whose link may
-// be broken.
+// probeNext pings the next member in turn, some of the least recently seen members while any member is suspected, and one member
+// whose link may be broken.
 func (c *Core) probeNext() {
 	if c.now < c.due.probe {
 		return
@@ -87,36 +89,36 @@
 	mayBeBroken := func(p *peer) bool {
 		return !p.linkBroken() && p.missedProbes >= recheckMisses && p.state.inView()
 	}
-	for _, p := range c.choose(1, mayBeBroken) {
+	for _, p := range c.chooseRandom(1, mayBeBroken) {
 		c.ping(p)
 	}
 }
 
-// nextInTurn returns each member once before any comes again, which bounds the time until a loss is noticed (SWIM, 4.3); nil if
-// there is nobody.
+// nextInTurn returns the next member to probe, or nil if there is none. Each member is returned once per round, which bounds the
+// time until a loss is detected (SWIM, 4.3).
 func (c *Core) nextInTurn() *peer {
-	probed := func(p *peer) bool { return p.state.inView() || p.state == Joining }
+	needsProbe := func(p *peer) bool { return p.state.inView() || p.state == Joining }
 	for range 2 {
 		for len(c.probing.order) > 0 {
 			p := c.probing.order[0]
 			c.probing.order = c.probing.order[1:]
-			if c.peers.current(p) && probed(p) {
+			if c.peers.isCurrent(p) && needsProbe(p) {
 				return p
 			}
 		}
-		c.probing.order = c.choose(len(c.peers.byName), probed)
+		c.probing.order = c.chooseRandom(len(c.peers.byName), needsProbe)
 	}
 	return nil
 }
 
-// leastRecentlySeen returns the members that nobody has heard from for longest, while somebody is suspected. Losses seldom come
-// alone, and those that are found together make one change of the view.
+// leastRecentlySeen returns the members that no member has heard from for longest, or nil if none is suspected. Members are seldom
+// lost one at a time, and losses that are detected together make one change of the view.
 func (c *Core) leastRecentlySeen() []*peer {
 	var out []*peer
 	anySuspect := false
 	for _, p := range c.peers.sorted() {
 		anySuspect = anySuspect || p.state == Suspect
-		if p.state.inView() && c.now-p.lastProbed > probeIntervals*c.options.ProbeInterval {
+		if p.state.inView() && c.now-p.lastProbed > probeExpiryIntervals*c.options.ProbeInterval {
 			out = append(out, p)
 		}
 	}
@@ -127,7 +129,7 @@
 	return out[:min(extraProbes, len(out))]
 }
 
-// ping sends a health check. A suspect is told of the suspicion, so that it can refute it at once (Lifeguard's buddy system).
+// ping probes a member. The ping to a suspect includes the suspicion, so that it can refute it at once (Lifeguard's buddy system).
 func (c *Core) ping(p *peer) {
 	seq := c.probing.nextSeq()
 	p.lastProbed = c.now
@@ -139,23 +141,23 @@
 	c.send(p, m)
 }
 
-// checkProbes asks helpers where a direct answer is missing, and draws the conclusion where no answer has come at all.
+// checkProbes starts indirect pings for probes without a direct answer, and handles the probes that have expired.
 func (c *Core) checkProbes() {
-	expiry := c.patience(probeIntervals * c.options.ProbeInterval)
+	expiry := c.scaleByLocalHealth(probeExpiryIntervals * c.options.ProbeInterval)
 	c.probing.relays = slices.DeleteFunc(c.probing.relays, func(r relayedPing) bool { return c.now-r.sentAt > expiry })
 	waiting := c.probing.probes[:0]
 	for _, pr := range c.probing.probes {
 		p := pr.target
-		if !c.peers.current(p) || p.generation != pr.generation || p.state == Left {
+		if !c.peers.isCurrent(p) || p.generation != pr.generation || p.state == Left {
 			continue
 		}
-		// Patience is computed anew for each probe: a miss may raise the local health score, and so lengthen it.
+		// The timeout is computed for each probe, since a missed one may raise the local health score and so lengthen it.
 		waited := c.now - pr.sentAt
-		if waited >= c.patience(probeIntervals*c.options.ProbeInterval) {
-			c.probeMissed(pr)
+		if waited >= c.scaleByLocalHealth(probeExpiryIntervals*c.options.ProbeInterval) {
+			c.handleMissedProbe(pr)
 			continue
 		}
-		if !pr.indirect && waited >= c.patience(c.options.ProbeTimeout) {
+		if !pr.indirect && waited >= c.scaleByLocalHealth(c.options.ProbeTimeout) {
 			pr.indirect = true
 			c.probeIndirectly(pr)
 		}
@@ -164,22 +166,22 @@
 	c.probing.probes = waiting
 }
 
-// probeIndirectly asks helpers to ping a member (SWIM's ping-req).
+// probeIndirectly asks random members to ping the target of a probe (SWIM's ping-req).
 func (c *Core) probeIndirectly(pr *probe) {
-	helpers := c.choose(probeHelpers, func(p *peer) bool { return p != pr.target && isReachable(p) })
-	for _, helper := range helpers {
-		c.send(helper, Message{Kind: PingRequest, Seq: pr.seq, Target: pr.target.name})
+	relays := c.chooseRandom(indirectProbes, func(p *peer) bool { return p != pr.target && isReachable(p) })
+	for _, relay := range relays {
+		c.send(relay, Message{Kind: PingRequest, Seq: pr.seq, Target: pr.target.name})
 	}
 }
 
-// probeMissed handles a probe without any answer. A process that meanwhile heard from nobody doubts itself first, and passes no
-// suspicion on while it is isolated.
-func (c *Core) probeMissed(pr *probe) {
+// handleMissedProbe handles a probe without a direct or indirect answer. If this process has received nothing since it sent the
+// probe, it raises its local health score. While it is isolated, it does not gossip the suspicion.
+func (c *Core) handleMissedProbe(pr *probe) {
 	p := pr.target
 	if c.lastReceived < pr.sentAt {
 		c.adjustLocalHealth(1)
 	}
-	if p.state == Joining && c.now-p.stateSince > c.options.SuspicionTimeout { // heard of, and never met
+	if p.state == Joining && c.now-p.stateSince > c.options.SuspicionTimeout { // known only from other members' updates
 		p.setState(Unreachable, c.now)
 		p.suspectedAt = c.now
 	}
@@ -191,8 +193,8 @@
 		c.markLinkBroken(p)
 	}
 	acceptSeenSince := pr.sentAt
-	if p.contradicted { // others are known to hear from it
-		acceptSeenSince = c.now - contradictedSuspicions*c.suspicionTimeout(0)
+	if p.contradicted { // others have heard from it after this process missed its answers
+		acceptSeenSince = c.now - maxContradictedTimeouts*c.suspicionTimeout(0)
 	}
 	if p.lastSeen > acceptSeenSince {
 		p.contradicted = true
@@ -205,7 +207,7 @@
 	}
 }
 
-// answerPing answers a health check. A sender whom this process suspects learns of it, so that it can refute.
+// answerPing answers a ping. If this process suspects the sender, the answer includes the suspicion, so that the sender can refute it.
 func (c *Core) answerPing(p *peer, m *Message) {
 	reply := Message{Kind: Ack, Seq: m.Seq}
 	if p.state == Suspect || p.state == Unreachable {
@@ -214,7 +216,7 @@
 	c.send(p, reply)
 }
 
-// relayPing pings a member on behalf of another.
+// relayPing pings a member on behalf of another member.
 func (c *Core) relayPing(m *Message) {
 	target := c.peers.byName[m.Target]
 	if target == nil || len(c.probing.relays) >= c.options.MaxMembers {
@@ -226,7 +228,7 @@
 	c.send(target, Message{Kind: Ping, Seq: seq})
 }
 
-// handleAck takes the answer to a ping of this process, or to one that it relayed.
+// handleAck handles the answer to a ping that this process sent for itself or relayed.
 func (c *Core) handleAck(p *peer, m *Message) {
 	c.lastAcked = c.now
 	if c.forwardRelayedAck(p, m) || c.completeProbe(p, m) || m.Target != "" {
@@ -235,39 +237,40 @@
 	switch {
 	case c.state == Joining: // a seed has answered
 		c.sendStream(p, Message{Kind: SyncRequest})
-	case p.lastReceived == c.now: // the answer came late, and shows all the same that the link works
+	case p.lastReceived == c.now: // the answer is late but shows that the link works
 		c.markLinkWorking(p)
 	}
 }
 
-// forwardRelayedAck passes the answer to a relayed ping on to the member that asked for it.
+// forwardRelayedAck forwards the answer to a relayed ping to the member that requested the ping. It reports whether the message is
+// such an answer.
 func (c *Core) forwardRelayedAck(p *peer, m *Message) bool {
-	at := slices.IndexFunc(c.probing.relays, func(r relayedPing) bool {
+	index := slices.IndexFunc(c.probing.relays, func(r relayedPing) bool {
 		return r.seq == m.Seq && r.target == p.name && m.Target == ""
 	})
-	if at < 0 {
+	if index < 0 {
 		return false
 	}
-	relayed := c.probing.relays[at]
-	c.probing.relays = slices.Delete(c.probing.relays, at, at+1)
+	relayed := c.probing.relays[index]
+	c.probing.relays = slices.Delete(c.probing.relays, index, index+1)
 	if requester := c.peers.byName[relayed.requester]; requester != nil {
 		c.send(requester, Message{Kind: Ack, Seq: relayed.requesterSeq, Target: p.name})
 	}
 	return true
 }
 
-// completeProbe ends the probe that a message answers. It reports whether the message belongs to one, also where its sender is
-// not the member that was to answer.
+// completeProbe ends the probe that a message answers. It reports whether the message has the sequence number of a probe, even if
+// it is not the answer of that probe's target.
 func (c *Core) completeProbe(from *peer, m *Message) bool {
-	at := slices.IndexFunc(c.probing.probes, func(pr *probe) bool { return pr.seq == m.Seq })
-	if at < 0 {
+	index := slices.IndexFunc(c.probing.probes, func(pr *probe) bool { return pr.seq == m.Seq })
+	if index < 0 {
 		return false
 	}
-	pr := c.probing.probes[at]
+	pr := c.probing.probes[index]
 	switch {
 	case m.Target == "" && pr.target == from:
 		c.markLinkWorking(from)
-	case m.Target != "" && m.Target == pr.target.name: // a helper reached it
+	case m.Target != "" && m.Target == pr.target.name: // a relay received the target's answer
 		c.recordHeardBy(pr.target, from.name, pr.sentAt)
 		pr.target.missedProbes++
 		if pr.target.missedProbes >= brokenLinkMisses {
@@ -276,18 +279,19 @@
 	default:
 		return true
 	}
-	c.probing.probes = slices.Delete(c.probing.probes, at, at+1)
+	c.probing.probes = slices.Delete(c.probing.probes, index, index+1)
 	c.adjustLocalHealth(-1)
 	return true
 }
 
-// markLinkBroken records that this process does not reach a member although others hear it.
+// markLinkBroken records that a member does not answer this process although others hear from it.
 func (c *Core) markLinkBroken(p *peer) {
 	if p.linkBroken() {
 		return
 	}
 	p.linkBrokenAt = c.now
-	c.emit(EventLinkBroken, "others hear a member that this one does not reach", "member", p.name, "heard_ms_ago", clampMillis(c.now-p.lastReceived))
+	c.emit(EventLinkBroken, "a member does not answer this process although others hear from it", "member", p.name,
+		"heard_ms_ago", clampMillis(c.now-p.lastReceived))
 }
 
 // markLinkWorking records that a member has answered this process.
@@ -296,20 +300,20 @@
 	p.missedProbes = 0
 	p.contradicted = false
 	if p.linkBroken() {
-		c.emit(EventLinkRestored, "a member is reached again", "member", p.name, "after_ms", clampMillis(c.now-p.linkBrokenAt))
+		c.emit(EventLinkRestored, "a member answers this process again", "member", p.name, "after_ms", clampMillis(c.now-p.linkBrokenAt))
 		p.linkBrokenAt = -1
 	}
 }
 
-// retryUnreachable pings one member that is unreachable, and now and then the seeds, so that parts of a cluster that were cut
-// from each other meet again.
+// retryUnreachable pings one member that is unreachable or left, and at longer intervals the seeds, so that the parts of a
+// partitioned cluster merge again.
 func (c *Core) retryUnreachable() {
 	if c.now < c.due.retry {
 		return
 	}
 	c.due.retry = c.now + retryIntervals*c.options.ProbeInterval
-	// One that left may have come back as a process that has found no seed.
-	for _, p := range c.choose(1, func(p *peer) bool { return p.state == Unreachable || p.state == Left }) {
+	// A member that left may have restarted as a process that cannot reach any seed.
+	for _, p := range c.chooseRandom(1, func(p *peer) bool { return p.state == Unreachable || p.state == Left }) {
 		c.ping(p)
 	}
 	if len(c.options.SeedAddresses) == 0 {
@@ -322,12 +326,12 @@
 	c.pingSeeds()
 }
 
-// pingSeeds pings some seeds that are not in the view.
+// pingSeeds pings up to gossipFanout random seeds that are not in the view.
 func (c *Core) pingSeeds() {
 	pinged := 0
 	for _, i := range c.rand.Perm(len(c.options.SeedAddresses)) {
 		seed := c.options.SeedAddresses[i]
-		if seed == c.options.Address || c.peers.hasInView(seed) {
+		if seed == c.options.Address || c.peers.hasAddressInView(seed) {
 			continue
 		}
 		c.sendTo("", seed, Message{Kind: Ping, Seq: c.probing.nextSeq()}, false)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Receive handles a message. What is to be sent in return is in TakeOutput; the reply to a SyncRequest belongs on its stream.
+// Receive handles a message. TakeOutput returns the replies; the reply to a SyncRequest must be sent on the request's stream.
 func (c *Core) Receive(now time.Duration, m *Message) {
 	c.advance(now)
-	if !c.active() || !c.understands(m) {
+	if !c.active() || !c.accepts(m) {
 		return
 	}
 	if m.From == c.options.Name {
@@ -19,8 +19,8 @@
 		return
 	}
 	c.lastReceived = c.now
-	c.metAnyone = true
-	c.highestView = max(c.highestView, m.ViewNumber)
+	c.everReceived = true
+	c.highestViewNumber = max(c.highestViewNumber, m.ViewNumber)
 	c.recordReceived(p, m)
 	for _, u := range m.Updates {
 		c.handleUpdate(u, p)
@@ -42,27 +42,27 @@
 	}
 }
 
-// understands reports whether a message is of this cluster and of a form that this version can read.
-func (c *Core) understands(m *Message) bool {
+// accepts reports whether a message belongs to this cluster, names its sender and has a format that this version can read.
+func (c *Core) accepts(m *Message) bool {
 	return m.ClusterHash == c.options.ClusterHash && m.MinVersion <= WireVersion && m.From != ""
 }
 
-// senderOf returns the member that sent a message, a new one included; nil if the message is to be ignored.
+// senderOf returns the member that sent a message and adds it if it is new. It returns nil if the message must be ignored.
 func (c *Core) senderOf(m *Message) *peer {
 	p := c.peers.byName[m.From]
 	sender := Update{Name: m.From, Generation: m.Generation, Incarnation: m.Incarnation, State: Alive, Address: m.Address}
 	switch {
 	case p == nil:
-		if m.Address == "" || !c.makeRoom() {
+		if m.Address == "" || !c.ensureCapacity() {
 			return nil
 		}
 		return c.addPeer(sender, c.now)
-	case m.Generation < p.generation: // a process that has been replaced and does not know
+	case m.Generation < p.generation: // the sender has been replaced and has not been notified
 		c.sendTo(p.name, m.Address, Message{Kind: Gossip, Updates: []Update{p.aliveUpdate()}}, false)
 		return nil
 	case m.Generation > p.generation:
 		next := c.replacePeer(p, sender)
-		if p.state == Unreachable { // each side has missed what the other learned
+		if p.state == Unreachable { // each side has missed updates from the other
 			c.sendStream(next, Message{Kind: SyncRequest})
 		}
 		return next
@@ -72,7 +72,7 @@
 	return p
 }
 
-// recordReceived records that a member's own message has come.
+// recordReceived records that a message from the member itself has arrived.
 func (c *Core) recordReceived(p *peer, m *Message) {
 	p.connectivity = Connectivity(m.Connectivity)
 	if m.Address != "" {
@@ -82,18 +82,19 @@
 	wasUnreachable := p.state == Unreachable
 	p.lastReceived = c.now
 	p.incarnation = max(p.incarnation, m.Incarnation)
-	c.seenAlive(p, c.now)
+	c.recordAlive(p, c.now)
 	if wasSuspect || wasUnreachable {
 		c.enqueue(p.update(HeardFrom, c.options.Name), c.now)
 	}
-	if wasUnreachable { // each side has missed what the other learned
+	if wasUnreachable { // each side has missed updates from the other
 		c.sendStream(p, Message{Kind: SyncRequest})
 	}
 }
 
-// handleUpdate takes one update. In SWIM a higher incarnation overrides a lower one, and at the same incarnation the worse state
-// overrides the better. Here a verdict of another member is an accusation only: this process waits for its own suspicion to
-// expire before it takes a member out of its view. So a single mistaken member takes nobody out of the others' views.
+// handleUpdate handles one update. In SWIM a higher incarnation overrides a lower one, and at the same incarnation the worse state
+// overrides the better one. Here another member's report of a worse state only starts or confirms a suspicion, and this process
+// takes the subject out of its view when that suspicion expires. A single mistaken member therefore cannot remove a live member
+// from the views of the others.
 func (c *Core) handleUpdate(u Update, from *peer) {
 	if u.Name == c.options.Name {
 		c.handleSelfUpdate(u, from)
@@ -102,69 +103,69 @@
 	if u.Name == "" || u.State < Joining || u.State > HeardFrom || u.State == Replaced {
 		return
 	}
-	at := c.now - time.Duration(u.Age)*time.Millisecond
+	observedAt := c.now - time.Duration(u.Age)*time.Millisecond
 	p := c.peers.byName[u.Name]
 	switch {
 	case p == nil:
-		if u.Address != "" && u.State != HeardFrom && c.makeRoom() {
-			c.addPeer(u, at)
+		if u.Address != "" && u.State != HeardFrom && c.ensureCapacity() {
+			c.addPeer(u, observedAt)
 		}
-	case u.Generation < p.generation: // of an earlier process
+	case u.Generation < p.generation: // about an earlier process
 	case u.Generation > p.generation:
 		if u.State != HeardFrom && u.State != Suspect {
 			c.replacePeer(p, u)
 		}
 	case p.state == Left:
 	default:
-		c.applyUpdate(p, u, at, from)
+		c.applyUpdate(p, u, observedAt, from)
 	}
 }
 
-// applyUpdate takes an update about a member's present process.
-func (c *Core) applyUpdate(p *peer, u Update, at time.Duration, from *peer) {
+// applyUpdate handles an update about a member's current process.
+func (c *Core) applyUpdate(p *peer, u Update, observedAt time.Duration, from *peer) {
 	switch u.State {
 	case Left:
 		p.setState(Left, c.now)
-		c.enqueue(u, at)
-		c.viewChanged()
+		c.enqueue(u, observedAt)
+		c.markViewChanged()
 	case Alive, Joining:
-		c.handleAlive(p, u, at)
+		c.handleAlive(p, u, observedAt)
 	case Suspect, Unreachable:
-		c.handleAccusation(p, u, at, from)
+		c.handleSuspicion(p, u, observedAt, from)
 	case HeardFrom:
 		if u.Reporter == "" {
 			return
 		}
-		isNews := at > p.lastSeen+c.options.ProbeInterval
-		c.recordHeardBy(p, u.Reporter, at)
+		isNews := observedAt > p.lastSeen+c.options.ProbeInterval
+		c.recordHeardBy(p, u.Reporter, observedAt)
 		if isNews {
-			c.enqueue(u, at)
+			c.enqueue(u, observedAt)
 		}
 	}
 }
 
-// handleAlive takes an update that a member is alive. With a higher incarnation the member has refuted a suspicion.
-func (c *Core) handleAlive(p *peer, u Update, at time.Duration) {
+// handleAlive handles an update that a member is alive. A higher incarnation means that the member has refuted a suspicion.
+func (c *Core) handleAlive(p *peer, u Update, observedAt time.Duration) {
 	if u.Incarnation <= p.incarnation {
 		if u.State == Alive && p.state == Joining {
-			c.seenAlive(p, c.now)
+			c.recordAlive(p, c.now)
 		}
 		return
 	}
 	p.incarnation = u.Incarnation
-	c.seenAlive(p, at)
-	if p.state == Suspect || p.state == Unreachable { // its clock and ours differ on what came first: it knows better
-		c.seenAlive(p, c.now)
+	c.recordAlive(p, observedAt)
+	if p.state == Suspect || p.state == Unreachable { // the times of two processes do not show the order reliably; the refutation takes precedence
+		c.recordAlive(p, c.now)
 	}
-	c.enqueue(u, at)
+	c.enqueue(u, observedAt)
 }
 
-// handleAccusation takes another member's verdict that one is Suspect or Unreachable.
-func (c *Core) handleAccusation(p *peer, u Update, at time.Duration, from *peer) {
+// handleSuspicion handles another member's report that a member is Suspect or Unreachable.
+func (c *Core) handleSuspicion(p *peer, u Update, observedAt time.Duration, from *peer) {
 	if u.Reporter == "" {
 		return
 	}
-	// The accuser's own message is answered at once, so that gossip need not find it.
+	// If the reporter itself sent the message, it gets the answer at once and does not depend on gossip.
 	direct := from != nil && from.name == u.Reporter
 	if u.Incarnation < p.incarnation {
 		if direct && p.state == Alive {
@@ -177,53 +178,54 @@
 	p.incarnation = u.Incarnation
 	switch p.state {
 	case Alive, Joining:
-		if p.lastSeen > at {
-			c.vouchFor(p, u, from, direct)
+		if p.lastSeen > observedAt {
+			c.contradictSuspicion(p, u, from, direct)
 			return
 		}
-		if u.State == Unreachable { // half of the span is left for it to refute
-			at = max(at, c.now-c.suspicionTimeout(fullConfirmations)/2)
+		if u.State == Unreachable { // leave the member at least half of the timeout to refute
+			observedAt = max(observedAt, c.now-c.suspicionTimeout(requiredConfirmations)/2)
 		}
-		c.suspect(p, u.Reporter, at)
-		c.enqueue(u, at)
+		c.suspect(p, u.Reporter, observedAt)
+		c.enqueue(u, observedAt)
 	case Suspect:
-		c.confirmSuspicion(p, u, at)
+		c.confirmSuspicion(p, u, observedAt)
 	}
 }
 
-// vouchFor contradicts an accusation: somebody has heard from the member since.
-func (c *Core) vouchFor(p *peer, accusation Update, accuser *peer, direct bool) {
-	if accusation.Reporter == c.options.Name {
+// contradictSuspicion gossips that a member has been heard from since another member began to suspect it. If the suspicion came
+// directly from its reporter, contradictSuspicion also answers the reporter.
+func (c *Core) contradictSuspicion(p *peer, suspicion Update, reporter *peer, direct bool) {
+	if suspicion.Reporter == c.options.Name {
 		return
 	}
-	u := p.update(HeardFrom, c.latestHearer(p))
+	u := p.update(HeardFrom, c.latestReporter(p))
 	c.enqueue(u, p.lastSeen)
 	if direct {
 		u.Age = clampMillis(c.now - p.lastSeen)
-		c.send(accuser, Message{Kind: Gossip, Updates: []Update{u}})
+		c.send(reporter, Message{Kind: Gossip, Updates: []Update{u}})
 	}
 }
 
-// confirmSuspicion counts one more member that suspects a suspect.
-func (c *Core) confirmSuspicion(p *peer, u Update, at time.Duration) {
+// confirmSuspicion records one more member that suspects a suspect.
+func (c *Core) confirmSuspicion(p *peer, u Update, observedAt time.Duration) {
 	_, known := p.suspectedBy[u.Reporter]
 	if known || len(p.suspectedBy) >= c.options.MaxMembers {
 		return
 	}
-	p.suspectedBy[u.Reporter] = at
-	if p.confirmations() <= fullConfirmations { // more of them shorten nothing
-		c.enqueue(u, at)
+	p.suspectedBy[u.Reporter] = observedAt
+	if p.confirmations() <= requiredConfirmations { // further ones do not shorten the timeout
+		c.enqueue(u, observedAt)
 	}
 }
 
-// handleSelfUpdate refutes what is wrong about this process, and gives way to a later process of its name.
+// handleSelfUpdate refutes an update that is wrong about this process, and ends the membership if a later process uses its name.
 func (c *Core) handleSelfUpdate(u Update, from *peer) {
 	switch {
 	case u.State == HeardFrom:
-	case u.Generation > c.options.Generation && c.state == Joining: // the process before had a clock that was ahead
+	case u.Generation > c.options.Generation && c.state == Joining: // the predecessor's clock was ahead
 		c.options.Generation = u.Generation + 1
 	case u.Generation > c.options.Generation:
-		c.giveWay(u)
+		c.becomeReplaced(u)
 	case u.Generation < c.options.Generation:
 		if u.State != Left {
 			c.enqueue(c.selfUpdate(), c.now)
@@ -235,17 +237,17 @@
 	}
 }
 
-// giveWay ends this process's part in the cluster.
-func (c *Core) giveWay(u Update) {
+// becomeReplaced ends this process's membership because a later process uses its name.
+func (c *Core) becomeReplaced(u Update) {
 	c.state = Replaced
 	c.connectivity = Superseded
 	c.updates = updateQueue{}
-	c.emit(EventSuperseded, "another process has this one's name; this one takes no part in the cluster any more, until it is restarted",
+	c.emit(EventSuperseded, "another process uses this process's name; this process takes no part in the cluster until it is restarted",
 		"own_start", c.options.Generation, "its_start", u.Generation)
 }
 
-// refute raises the incarnation, which overrides the suspicion everywhere. It is sent to the accuser and gossiped at once, not
-// with the next ping.
+// refute raises the incarnation, which overrides the suspicion at every member. The new incarnation is sent to the member that sent
+// the suspicion, and gossiped at once instead of with the next ping.
 func (c *Core) refute(u Update, from *peer) {
 	c.incarnation = u.Incarnation + 1
 	c.adjustLocalHealth(1)
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -1,6 +1,6 @@
 package membership
 
-// WithSender returns a message with this process as its sender, for a caller that sends it itself.
+// WithSender returns a message with this process as its sender. It is for callers that send a message without the queue of Core.
 func (c *Core) WithSender(m Message) Message {
 	m.Version = WireVersion
 	m.ClusterHash = c.options.ClusterHash
@@ -11,7 +11,7 @@
 	return m
 }
 
-// SendToMember queues another subsystem's message to a member, if it is known.
+// SendToMember queues another subsystem's message to a member. It ignores unknown members.
 func (c *Core) SendToMember(name string, m Message) {
 	p := c.peers.byName[name]
 	if p != nil && c.state == Alive {
@@ -36,18 +36,19 @@
 	if c.state != Alive {
 		return
 	}
-	for _, p := range c.choose(gossipFanout, isInView) {
+	for _, p := range c.chooseRandom(gossipFanout, isInView) {
 		c.send(p, m)
 	}
 }
 
-// send queues a message for a datagram.
+// send queues a message to be sent as a datagram.
 func (c *Core) send(p *peer, m Message) { c.sendTo(p.name, p.address, m, false) }
 
-// sendStream queues a message for a connection.
+// sendStream queues a message to be sent over a connection.
 func (c *Core) sendStream(p *peer, m Message) { c.sendTo(p.name, p.address, m, true) }
 
-// sendTo queues a message with the updates that fit it. The name is empty where only the address is known.
+// sendTo queues a message. A SyncRequest or SyncReply gets the full state, and another message as many queued updates as fit. The
+// name is empty if only the address is known.
 func (c *Core) sendTo(name, address string, m Message, stream bool) {
 	m = c.WithSender(m)
 	m.Connectivity = uint8(c.connectivity)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -5,7 +5,7 @@
 var stateNames = [...]string{Joining: "joining", Alive: "alive", Suspect: "suspect", Unreachable: "unreachable", Left: "left",
 	Replaced: "replaced", HeardFrom: "vouch"}
 
-// String returns the name that logs and the status show; "unknown" for a state of a later version.
+// String returns the name shown in logs and in the status, or "unknown" for a state of a later version.
 func (s State) String() string {
 	if int(s) < len(stateNames) && stateNames[s] != "" {
 		return stateNames[s]
@@ -16,29 +16,29 @@
 // MarshalText returns the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText accepts a state's name; one of a later version becomes 0.
+// UnmarshalText accepts a state's name. An unknown name, such as one of a later version, becomes 0.
 func (s *State) UnmarshalText(text []byte) error {
 	*s = State(max(0, slices.Index(stateNames[:], string(text))))
 	return nil
 }
 
-// inView reports whether a member of that state belongs to the view.
+// inView reports whether a member in this state belongs to the view.
 func (s State) inView() bool { return s == Alive || s == Suspect }
 
-// Connectivity is a process's judgement of its own connection to the others.
+// Connectivity is a process's assessment of its own connection to the other members.
 type Connectivity uint8
 
-// The values. With InboundLost, OutboundLost and Superseded the process is isolated.
+// The values. A process with InboundLost, OutboundLost or Superseded is isolated.
 const (
 	Connected    Connectivity = iota
-	NoPeers                   // it has met nobody yet, or all others have left
-	InboundLost               // it receives messages of nobody
-	OutboundLost              // it receives messages, and nobody answers its own
-	Superseded                // another process has its name: it no longer takes part
+	NoPeers                   // it has received no member's message yet, or all others have left
+	InboundLost               // it receives no messages from other members
+	OutboundLost              // it receives messages, but no member answers its own
+	Superseded                // another process uses its name, and it no longer takes part in the cluster
 )
 
-// Isolated reports whether the process must draw no conclusion about others, and take over nothing that was theirs: what it
-// misses may be its own fault.
+// Isolated reports whether the process must neither draw conclusions about other members nor take over anything from them. Messages
+// may be missing because of a fault of its own.
 func (c Connectivity) Isolated() bool {
 	return c == InboundLost || c == OutboundLost || c == Superseded
 }
@@ -46,7 +46,7 @@
 var connectivityNames = [...]string{Connected: "whole", NoPeers: "alone", InboundLost: "hears nobody", OutboundLost: "not heard",
 	Superseded: "outdated"}
 
-// String returns the name that logs and the status show; "unknown" for a value of a later version.
+// String returns the name shown in logs and in the status, or "unknown" for a value of a later version.
 func (c Connectivity) String() string {
 	if int(c) < len(connectivityNames) {
 		return connectivityNames[c]
@@ -57,7 +57,7 @@
 // MarshalText returns the value's name.
 func (c Connectivity) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
-// UnmarshalText accepts a value's name; one of a later version becomes Connected.
+// UnmarshalText accepts a value's name. An unknown name, such as one of a later version, becomes Connected.
 func (c *Connectivity) UnmarshalText(text []byte) error {
 	*c = Connectivity(max(0, slices.Index(connectivityNames[:], string(text))))
 	return nil
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// LinkState reports whether this process and a member reach each other.
+// LinkState describes in which directions messages between this process and a member arrive.
 type LinkState string
 
-// The values, as the status shows them.
+// The values, as shown in the status.
 const (
 	LinkUnknown LinkState = "unknown" // the member has not answered yet
 	LinkWorking LinkState = "whole"
 	LinkBroken  LinkState = "broken"
-	LinkOneWay  LinkState = "one-way" // the member's messages come, and it does not answer
+	LinkOneWay  LinkState = "one-way" // the member's messages arrive, but it does not answer this process
 )
 
-// Status is all that a process knows, for operators.
+// Status is the complete state of a process, for operators.
 type Status struct {
 	Name            string       `json:"name"`
 	Generation      uint64       `json:"start"`
 	Incarnation     uint32       `json:"incarnation"`
 	State           State        `json:"state"`
 	Connectivity    Connectivity `json:"condition"`
-	LocalHealth     int          `json:"distrust"` // 0, healthy, to 4
+	LocalHealth     int          `json:"distrust"` // from 0 (healthy) to 4
 	View            View         `json:"view"`
 	Members         []Member     `json:"members"`
-	RejectedMembers int          `json:"refused"` // times a member was not added since the table was full
+	RejectedMembers int          `json:"refused"` // number of times a member was not added because the table was full
 }
 
-// Member is another member with the evidence for its state. Ages and spans are in milliseconds; -1 means never.
+// Member is another member with the evidence for its state. Ages and durations are in milliseconds; -1 means never.
 type Member struct {
 	Name               string           `json:"name"`
 	Address            string           `json:"address"`
@@ -37,19 +37,19 @@
 	Incarnation        uint32           `json:"incarnation"`
 	State              State            `json:"state"`
 	StateAge           int64            `json:"for_ms"`
-	SinceReceived      int64            `json:"heard_ms"`   // since its last message came to this process
+	SinceReceived      int64            `json:"heard_ms"`   // since its latest message arrived at this process
 	SinceAcked         int64            `json:"reached_ms"` // since it last answered this process
-	SinceSeen          int64            `json:"seen_ms"`    // since anybody is known to have heard from it
+	SinceSeen          int64            `json:"seen_ms"`    // since any member is known to have heard from it
 	Link               LinkState        `json:"link"`
-	OwnConnectivity    Connectivity     `json:"own_condition"` // as it judges itself
+	OwnConnectivity    Connectivity     `json:"own_condition"` // as reported by the member itself
 	SuspectedBy        map[string]int64 `json:"missed_by,omitempty"`
 	HeardBy            map[string]int64 `json:"heard_by,omitempty"`
-	LossCount          int              `json:"lost_times"` // each within a minute of the one before
+	LossCount          int              `json:"lost_times"` // times it became unreachable, each within a minute of the previous one
 	DampedFor          int64            `json:"damped_ms,omitempty"`
 	PreviousGeneration uint64           `json:"replaced_start,omitempty"`
 }
 
-// Status returns all that this process knows.
+// Status returns the complete state of this process.
 func (c *Core) Status() Status {
 	view := c.view
 	view.Members = slices.Clone(view.Members)
@@ -81,7 +81,7 @@
 		SinceReceived:      c.millisSince(p.lastReceived),
 		SinceAcked:         c.millisSince(p.lastAcked),
 		SinceSeen:          c.millisSince(p.lastSeen),
-		Link:               p.link(),
+		Link:               p.linkState(),
 		OwnConnectivity:    p.connectivity,
 		SuspectedBy:        map[string]int64{},
 		HeardBy:            map[string]int64{},
@@ -100,7 +100,7 @@
 	return m
 }
 
-// millisSince returns the milliseconds since a moment; -1 if there never was one.
+// millisSince returns the milliseconds since a time, or -1 for never.
 func (c *Core) millisSince(at time.Duration) int64 {
 	if at <= never/2 {
 		return -1
@@ -108,7 +108,7 @@
 	return (c.now - at).Milliseconds()
 }
 
-func (p *peer) link() LinkState {
+func (p *peer) linkState() LinkState {
 	switch {
 	case p.linkBroken() && p.lastReceived > p.linkBrokenAt:
 		return LinkOneWay
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,62 +7,68 @@
 )
 
 const (
-	// A suspicion lasts slowestSuspicion times its least before anybody confirms it. Each confirmation shortens it, and
-	// fullConfirmations of them bring it to its least (Lifeguard's suspicion).
-	slowestSuspicion  = 1.6
-	fullConfirmations = 3
-
-	// suspicionMembers is the number of members at which SuspicionTimeout holds as configured. Beyond it the span grows with
-	// the logarithm, since updates take that many rounds to reach all.
-	suspicionMembers = 32
-
-	// contradictedSuspicions is how many suspicion timeouts this process relies on others that hear a member which it misses
-	// itself. Then somebody must hear from it anew.
-	contradictedSuspicions = 4
-
-	// A member may become unreachable flapsAllowed times, each within flapWindow of the one before, and come back at once.
-	// Then it is kept out of the view after its return, twice as long each time, at most maxDamping.
-	flapsAllowed = 2
-	flapWindow   = time.Minute
-	maxDamping   = 30 * time.Second
-
-	// updatesPerMessage fit a datagram whatever the members' names are.
+	// maxSuspicionFactor is the ratio of the suspicion timeout without any confirmation to its minimum. Each confirmation shortens the
+	// timeout (Lifeguard's suspicion).
+	maxSuspicionFactor = 1.6
+
+	// requiredConfirmations is the number of confirmations that shorten the suspicion timeout to its minimum.
+	requiredConfirmations = 3
+
+	// suspicionBaseMembers is the cluster size up to which SuspicionTimeout applies as configured. In a larger cluster the timeout
+	// grows with the logarithm of the size, as does the number of gossip rounds in which an update reaches all members.
+	suspicionBaseMembers = 32
+
+	// maxContradictedTimeouts is for how many suspicion timeouts the latest heard-from report about a member that does not answer this
+	// process prevents a suspicion. After that, another member must hear from it again.
+	maxContradictedTimeouts = 4
+
+	// maxUndampedLosses is how many times a member may become unreachable, each time within flapWindow of the previous one, and still
+	// return to the view at once. After each further loss it is kept out of the view on its return, twice as long each time.
+	maxUndampedLosses = 2
+
+	// flapWindow is the longest time between two losses of a member that are counted together.
+	flapWindow = time.Minute
+
+	// maxDamping is the longest time for which a member is kept out of the view after its return.
+	maxDamping = 30 * time.Second
+
+	// updatesPerMessage is the number of updates that fit into a datagram, however long the members' names are.
 	updatesPerMessage = 5
 )
 
-// growth is the logarithm by which rounds of gossip and suspicions grow with the members, at least 1.
-func growth(members, base int) float64 {
-	return max(1, math.Log(float64(members)+1)/math.Log(float64(base)+1))
+// logScale returns the factor, at least 1, by which gossip repeats and suspicion timeouts grow with the logarithm of the cluster size.
+func logScale(members, baseMembers int) float64 {
+	return max(1, math.Log(float64(members)+1)/math.Log(float64(baseMembers)+1))
 }
 
-// suspicionTimeout returns how long a member with so many confirmations is suspect before it becomes unreachable.
+// suspicionTimeout returns how long a member with the given number of confirmations is suspect before it becomes unreachable.
 func (c *Core) suspicionTimeout(confirmations int) time.Duration {
-	least := float64(c.options.SuspicionTimeout) * growth(c.viewSize(), suspicionMembers) * (1 + float64(c.localHealth)/8)
-	unconfirmed := 0.0 // the part of the possible confirmations that is missing; none where nobody else could confirm
-	if possible := min(fullConfirmations, c.viewSize()-2); possible > 0 {
+	minTimeout := float64(c.options.SuspicionTimeout) * logScale(c.viewSize(), suspicionBaseMembers) * (1 + float64(c.localHealth)/8)
+	missingFraction := 0.0 // fraction of the possible confirmations that is missing, on a log scale; 0 if no other member could confirm
+	if possible := min(requiredConfirmations, c.viewSize()-2); possible > 0 {
 		counted := max(0, min(confirmations, possible))
-		unconfirmed = 1 - math.Log(float64(counted)+1)/math.Log(float64(possible)+1)
+		missingFraction = 1 - math.Log(float64(counted)+1)/math.Log(float64(possible)+1)
 	}
-	return time.Duration(least * (1 + (slowestSuspicion-1)*unconfirmed))
+	return time.Duration(minTimeout * (1 + (maxSuspicionFactor-1)*missingFraction))
 }
 
-// ownSuspicion says that this process suspects a member, and since when.
+// ownSuspicion returns the update that this process suspects a member, with the age of the suspicion.
 func (c *Core) ownSuspicion(p *peer) Update {
 	u := p.update(Suspect, c.options.Name)
 	u.Age = clampMillis(c.now - p.suspectedAt)
 	return u
 }
 
-// suspect records that a member misses another's answers since a moment.
+// suspect records that the reporter has been missing answers from a member since the given time.
 func (c *Core) suspect(p *peer, reporter string, since time.Duration) {
 	if p.state != Suspect {
 		p.setState(Suspect, c.now)
 		p.suspectedAt = since
-		p.askedOthers = false
+		p.suspicionSent = false
 		clear(p.suspectedBy)
-		// Some members check for themselves, so that one confirms the suspicion or vouches for the suspect. They are four in
-		// the mean, whatever the number of members: as many as the suspicion waits for.
-		check := reporter != c.options.Name && c.rand.Float64() < float64(fullConfirmations+1)/float64(c.viewSize())
+		// Some random members probe the suspect themselves, to confirm or contradict the suspicion. Their mean number is four at any
+		// cluster size, as many as the suspicion timeout depends on.
+		check := reporter != c.options.Name && c.rand.Float64() < float64(requiredConfirmations+1)/float64(c.viewSize())
 		if check {
 			c.ping(p)
 		}
@@ -70,37 +76,39 @@
 	p.suspectedBy[reporter] = since
 }
 
-// expireSuspicions makes members unreachable whose suspicion has lasted. An isolated process judges for itself alone.
+// expireSuspicions sends out suspicions after half of their timeout, and makes the members unreachable whose suspicion timeout has
+// passed. An isolated process does so only in its own view and gossips nothing about it.
 func (c *Core) expireSuspicions() {
 	if c.mayBeIsolated() {
 		return
 	}
-	var unsure []*peer
+	var halfExpired []*peer
 	for _, p := range c.peers.sorted() {
 		if p.state != Suspect {
 			continue
 		}
 		timeout := c.suspicionTimeout(p.confirmations())
 		suspectFor := c.now - p.suspectedAt
-		if suspectFor > timeout/2 && !p.askedOthers {
-			p.askedOthers = true
-			unsure = append(unsure, p)
+		if suspectFor > timeout/2 && !p.suspicionSent {
+			p.suspicionSent = true
+			halfExpired = append(halfExpired, p)
 		}
 		if suspectFor >= timeout {
 			c.markUnreachable(p)
 		}
 	}
-	c.askOthers(unsure)
+	c.sendSuspicions(halfExpired)
 }
 
-// mayBeIsolated reports whether this process is about to find out that it is isolated. Until then it must judge nobody.
+// mayBeIsolated reports whether this process may be isolated without having detected it yet. Until this is clear, it must not make any
+// member unreachable.
 func (c *Core) mayBeIsolated() bool {
-	doubtAfter := c.options.SuspicionTimeout / 2
-	silent := c.now-c.lastAcked > doubtAfter || c.now-c.lastReceived > doubtAfter
+	silenceLimit := c.options.SuspicionTimeout / 2
+	silent := c.now-c.lastAcked > silenceLimit || c.now-c.lastReceived > silenceLimit
 	return c.connectivity == Connected && silent
 }
 
-// markUnreachable takes a member out of the view.
+// markUnreachable takes a member out of the view and gossips this unless this process is isolated.
 func (c *Core) markUnreachable(p *peer) {
 	p.setState(Unreachable, c.now)
 	if c.now-p.lastLost > flapWindow {
@@ -108,74 +116,74 @@
 	}
 	p.losses++
 	p.lastLost = c.now
-	c.viewChanged()
+	c.markViewChanged()
 	if !c.connectivity.Isolated() {
 		c.enqueue(p.update(Unreachable, c.options.Name), p.suspectedAt)
 	}
 }
 
-// askOthers asks the suspects themselves and some members whether they hear from them, while there is time; a member that knows
-// better answers at once. With gossip alone a few live members would become unreachable where many links are cut, since nobody
-// who hears them learns of the suspicion in time.
-func (c *Core) askOthers(suspects []*peer) {
+// sendSuspicions sends suspicions to the suspects themselves and to some random members before the timeout. A member with newer
+// evidence answers at once. With gossip alone, a few live members would become unreachable if many links are cut, since the
+// suspicion would not reach the members that hear from them in time.
+func (c *Core) sendSuspicions(suspects []*peer) {
 	var suspicions []Update
 	for _, p := range suspects {
 		u := c.ownSuspicion(p)
 		c.send(p, Message{Kind: Gossip, Updates: []Update{u}})
 		suspicions = append(suspicions, u)
 	}
-	for part := range slices.Chunk(suspicions, updatesPerMessage) {
-		alive := c.choose(fullConfirmations+1, func(p *peer) bool { return p.state == Alive })
+	for batch := range slices.Chunk(suspicions, updatesPerMessage) {
+		alive := c.chooseRandom(requiredConfirmations+1, func(p *peer) bool { return p.state == Alive })
 		for _, p := range alive {
-			c.send(p, Message{Kind: Gossip, Updates: slices.Clone(part)})
+			c.send(p, Message{Kind: Gossip, Updates: slices.Clone(batch)})
 		}
 	}
 }
 
-// seenAlive brings a member back that somebody heard from at a moment.
-func (c *Core) seenAlive(p *peer, at time.Duration) {
-	p.lastSeen = max(p.lastSeen, at)
+// recordAlive records that a member was heard from at seenAt. A suspect or unreachable member becomes alive if this is new evidence.
+func (c *Core) recordAlive(p *peer, seenAt time.Duration) {
+	p.lastSeen = max(p.lastSeen, seenAt)
 	switch p.state {
 	case Suspect:
-		if at <= p.suspectedAt {
+		if seenAt <= p.suspectedAt {
 			return
 		}
 	case Unreachable:
-		if at <= p.stateSince {
+		if seenAt <= p.stateSince {
 			return
 		}
-		if p.losses > flapsAllowed {
-			p.dampedUntil = c.now + min(maxDamping, c.options.SuspicionTimeout<<(p.losses-flapsAllowed))
+		if p.losses > maxUndampedLosses {
+			p.dampedUntil = c.now + min(maxDamping, c.options.SuspicionTimeout<<(p.losses-maxUndampedLosses))
 		}
 	case Joining:
 	default:
 		return
 	}
-	if _, own := p.suspectedBy[c.options.Name]; own {
+	if _, suspectedBySelf := p.suspectedBy[c.options.Name]; suspectedBySelf {
 		p.contradicted = true
 	}
 	wasInView := p.state.inView()
 	p.setState(Alive, c.now)
 	clear(p.suspectedBy)
 	if !wasInView {
-		c.viewChanged()
+		c.markViewChanged()
 	}
 }
 
-// recordHeardBy records that a member received a message of another's at a moment.
-func (c *Core) recordHeardBy(p *peer, reporter string, at time.Duration) {
+// recordHeardBy records that the reporter received a message from a member at heardAt.
+func (c *Core) recordHeardBy(p *peer, reporter string, heardAt time.Duration) {
 	last, known := p.heardBy[reporter]
-	if at > last || last == 0 {
+	if heardAt > last || last == 0 {
 		if !known && len(p.heardBy) >= maxHeardBy {
-			clear(p.heardBy) // the latest are what counts
+			clear(p.heardBy) // only the latest reports matter
 		}
-		p.heardBy[reporter] = at
+		p.heardBy[reporter] = heardAt
 	}
-	c.seenAlive(p, at)
+	c.recordAlive(p, heardAt)
 }
 
-// latestHearer returns who heard from a member last; of several the first by name.
-func (c *Core) latestHearer(p *peer) string {
+// latestReporter returns the member that heard from p last. If several did, it returns the first by name.
+func (c *Core) latestReporter(p *peer) string {
 	reporter, latest := c.options.Name, p.lastReceived
 	for name, at := range p.heardBy {
 		if at > latest || at == latest && name < reporter {
@@ -185,7 +193,7 @@
 	return reporter
 }
 
-// clampMillis returns a span in milliseconds as messages hold it: not negative, and at most some 49 days.
+// clampMillis converts a duration to the milliseconds of a message field: not negative, and at most about 49 days.
 func clampMillis(d time.Duration) uint32 {
 	return uint32(min(max(0, d.Milliseconds()), math.MaxUint32))
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// viewDelay is how many probe intervals a change waits for others of the same cause, so that they make one view.
-	viewDelay = 1
+	// viewDelayIntervals is how many probe intervals a change is delayed, so that changes with the same cause make one view.
+	viewDelayIntervals = 1
 
-	// maxViewDelay is how many probe intervals a change waits at most while further members are about to be taken out.
-	maxViewDelay = 4
+	// maxViewDelayIntervals is how many probe intervals a change is delayed at most while further suspicions are about to expire.
+	maxViewDelayIntervals = 4
 )
 
-// View is the set of members that are in the cluster, this process included. Two processes with the same Hash hold the same
-// members. Their numbers may differ; the numbers of one process only grow.
+// View is the set of members of the cluster, including this process. Views with the same Hash have the same members. The numbers of
+// different processes may differ for the same members; the numbers of one process only grow.
 type View struct {
 	Number  uint64   `json:"number"`
 	Hash    uint64   `json:"-"`
@@ -34,35 +34,35 @@
 // View returns the current view.
 func (c *Core) View() View { return c.view }
 
-// viewChanged records that the view is out of date.
-func (c *Core) viewChanged() {
+// markViewChanged records that the published view is out of date.
+func (c *Core) markViewChanged() {
 	if c.viewChangedAt < 0 {
 		c.viewChangedAt = c.now
 	}
 }
 
-// publishView makes a new view once changes of one cause have come together. Members that are lost at the same moment fall due
-// one after the other; without the wait each of them would make a view of its own.
+// publishView publishes a new view after the delay that collects changes with the same cause. The suspicions of members that are
+// lost at the same time expire one after another; without the delay each of them would make a separate view.
 func (c *Core) publishView() {
-	if c.viewChangedAt < 0 || c.now-c.viewChangedAt < viewDelay*c.options.ProbeInterval {
+	if c.viewChangedAt < 0 || c.now-c.viewChangedAt < viewDelayIntervals*c.options.ProbeInterval {
 		return
 	}
-	if c.now-c.viewChangedAt < maxViewDelay*c.options.ProbeInterval && c.expiryIsNear() {
+	if c.now-c.viewChangedAt < maxViewDelayIntervals*c.options.ProbeInterval && c.expiryIsNear() {
 		return
 	}
 	names, damped := c.namesInView()
 	c.viewChangedAt = -1
-	if damped { // look again until it may come back
+	if damped { // check again until the damping ends
 		c.viewChangedAt = c.now
 	}
 	if slices.Equal(names, c.view.Members) {
 		return
 	}
 	joined := missingFrom(c.view.Members, names)
-	gone := missingFrom(names, c.view.Members)
-	c.view = View{Number: max(c.view.Number, c.highestView) + 1, Members: names, Hash: hashNames(names)}
-	c.highestView = max(c.highestView, c.view.Number)
-	c.emit(EventView, "the members have changed", "view", c.view.Number, "members", len(names), "in", joined, "out", gone)
+	removed := missingFrom(names, c.view.Members)
+	c.view = View{Number: max(c.view.Number, c.highestViewNumber) + 1, Members: names, Hash: hashNames(names)}
+	c.highestViewNumber = max(c.highestViewNumber, c.view.Number)
+	c.emit(EventView, "the cluster view changed", "view", c.view.Number, "members", len(names), "in", joined, "out", removed)
 }
 
 // expiryIsNear reports whether a suspicion expires within two probe intervals.
@@ -79,7 +79,7 @@
 	return false
 }
 
-// namesInView returns the sorted names of a new view, and whether a member is kept out of it by damping.
+// namesInView returns the sorted names of the members of a new view, and whether damping keeps any member out of it.
 func (c *Core) namesInView() (names []string, damped bool) {
 	names = []string{c.options.Name}
 	for _, p := range c.peers.byName {
@@ -95,7 +95,7 @@
 	return names, damped
 }
 
-// missingFrom returns the names that are not in a list.
+// missingFrom returns those of the names that are not in the list.
 func missingFrom(list, names []string) []string {
 	var out []string
 	for _, name := range names {
@@ -106,7 +106,7 @@
 	return out
 }
 
-// viewSize is the number of members that are in the cluster now, this process included.
+// viewSize returns the number of members that are currently alive or suspect, including this process.
 func (c *Core) viewSize() int {
 	n := 1
 	for _, p := range c.peers.sorted() {
