--- a/internal/gossip/datagram_test.go
+++ b/internal/gossip/datagram_test.go
@@ -14,9 +14,9 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// The file under testdata is a datagram that a released version sent as node 258: four bytes with the sender's number, then the
-// message. Nodes of an earlier and a later version talk to each other, so a rename must change none of these bytes.
-func TestDatagramsAreThoseOfReleasedVersions(t *testing.T) {
+// Nodes of different versions exchange datagrams, so a rename must not change any byte. The file under testdata is a datagram that a
+// released version sent as node 258: four bytes with the sender's number, then the message.
+func TestDatagramMatchesReleasedVersion(t *testing.T) {
 	const sender = 258
 	want, err := os.ReadFile("testdata/message.datagram")
 	if err != nil {
@@ -29,15 +29,15 @@
 	}
 	defer func() { _ = receiver.Close() }()
 	nodes[0], nodes[sender] = receiver.LocalAddr().(*net.UDPAddr).AddrPort(), freeAddress(t)
-	heard, count := make(recorder, 1), &counters.Gossip{}
+	received, counts := make(recorder, 1), &counters.Gossip{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l, err := Listen(Options{Node: sender, Nodes: nodes, Receiver: heard, Log: slog.New(slog.DiscardHandler), Counters: count})
+	transport, err := Listen(Options{Node: sender, Nodes: nodes, Receiver: received, Log: slog.New(slog.DiscardHandler), Counters: counts})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go l.Run(ctx)
-	l.Broadcast([]byte("body\x00\xff"))
+	go transport.Run(ctx)
+	transport.Broadcast([]byte("body\x00\xff"))
 	buffer := make([]byte, headerBytes+balancer.MaxGossipBytes)
 	_ = receiver.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, err := receiver.Read(buffer)
@@ -45,15 +45,15 @@
 		t.Errorf("sent %x, want %x; %v", buffer[:n], want, err)
 	}
 
-	other := &Transport{options: Options{Node: 0, Nodes: nodes, Receiver: heard, Log: slog.New(slog.DiscardHandler), Counters: count},
-		numbers: map[netip.AddrPort]int{nodes[sender]: sender}}
+	other := &Transport{options: Options{Node: 0, Nodes: nodes, Receiver: received, Log: slog.New(slog.DiscardHandler), Counters: counts},
+		numberByAddress: map[netip.AddrPort]int{nodes[sender]: sender}}
 	other.receive(want, nodes[sender])
 	select {
-	case m := <-heard:
+	case m := <-received:
 		if m.From != sender || string(m.Body) != "body\x00\xff" {
-			t.Errorf("read %+v", m)
+			t.Errorf("received %+v, want body %q from node %d", m, "body\x00\xff", sender)
 		}
 	default:
-		t.Error("the datagram was not taken")
+		t.Error("the recorded datagram was not delivered to the receiver")
 	}
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,5 +1,5 @@
-// Package gossip carries the balancer's short messages between nodes as UDP datagrams. A message that is lost, late or duplicated
-// does no harm, so nothing is sent again and nobody waits.
+// Package gossip sends the balancer's short messages between nodes as UDP datagrams. Lost, late or repeated messages do no harm, so
+// nothing is retransmitted and no sender waits for an answer.
 package gossip
 
 import (
@@ -18,22 +18,25 @@
 )
 
 const (
-	// headerBytes is the size of the sender's number before the body, big-endian.
+	// headerBytes is the size of the header before the body: the sender's node number, big-endian.
 	headerBytes = 4
 
-	// queueLen bounds the messages that wait to be written: some tenths of a second at the highest rate.
-	queueLen = 64
+	// sendQueueLen bounds the messages that are queued for sending: a few tenths of a second at the highest rate.
+	sendQueueLen = 64
 
-	// From all nodes together messagesPerSecond are accepted, or messagesPerNode from each where that is more. A hundred nodes
-	// send some ten a second each, so more is a fault.
-	messagesPerSecond = 5000
-	messagesPerNode   = 50
+	// maxMessagesPerSecond is the number of messages accepted per second from all nodes together. A hundred nodes send about ten per
+	// second each, so a higher rate indicates a fault.
+	maxMessagesPerSecond = 5000
 
-	// readErrorPause keeps an error that persists, such as a lack of buffers, from taking a CPU.
-	readErrorPause = time.Millisecond
+	// maxMessagesPerNode is the number of messages per second and node that are accepted in all if this allows more than
+	// maxMessagesPerSecond.
+	maxMessagesPerNode = 50
+
+	// readErrorDelay keeps a persistent error, such as a lack of buffers, from using a whole CPU.
+	readErrorDelay = time.Millisecond
 )
 
-// dropReason says why a message was not sent or not accepted. The values are keys of a counter.
+// dropReason is the reason why a message was not sent or not accepted. The values are keys of a counter.
 type dropReason string
 
 const (
@@ -42,12 +45,12 @@
 	dropWrite         dropReason = "write"
 	dropRead          dropReason = "read"
 	dropRate          dropReason = "rate"
-	dropUnknownSender dropReason = "stranger" // the sender's address is no other node's
+	dropUnknownSender dropReason = "stranger" // the sender's address is not that of another node
 	dropSize          dropReason = "size"
-	dropNumber        dropReason = "number" // the message has another number than its address
+	dropWrongNumber   dropReason = "number" // the node number in the message does not match the sender's address
 )
 
-// Receiver takes other nodes' messages.
+// Receiver handles the messages of other nodes.
 type Receiver interface{ ReceiveGossip(balancer.GossipReceived) }
 
 // Options configure a transport.
@@ -59,39 +62,39 @@
 	Counters *counters.Gossip
 }
 
-// Transport is one node's side.
+// Transport sends and receives the messages of one node.
 type Transport struct {
-	options     Options
-	conn        *net.UDPConn
-	outgoing    chan []byte
-	numbers     map[netip.AddrPort]int
-	loggedDrops sync.Map // reasons that have been logged
+	options         Options
+	conn            *net.UDPConn
+	outgoing        chan []byte
+	numberByAddress map[netip.AddrPort]int
+	loggedDrops     sync.Map // drop reasons that have been logged
 }
 
-// Listen opens the node's own address.
+// Listen opens a UDP socket on the node's own address.
 func Listen(options Options) (*Transport, error) {
-	own := options.Nodes[options.Node]
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(own))
+	ownAddress := options.Nodes[options.Node]
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(ownAddress))
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("listen for messages from the other nodes: %w", err)
 	}
-	t := &Transport{options: options, conn: conn, outgoing: make(chan []byte, queueLen), numbers: map[netip.AddrPort]int{}}
+	t := &Transport{options: options, conn: conn, outgoing: make(chan []byte, sendQueueLen), numberByAddress: map[netip.AddrPort]int{}}
 	for number, address := range options.Nodes {
-		t.numbers[address] = number
+		t.numberByAddress[address] = number
 	}
-	options.Log.Info("exchanging messages with the other nodes", "code", "peers", "listen", own.String(), "nodes", len(options.Nodes))
+	options.Log.Info("listening for messages from the other nodes", "code", "peers", "listen", ownAddress.String(), "nodes", len(options.Nodes))
 	return t, nil
 }
 
-// drop counts a message that is not sent or not accepted; the first of each reason is logged.
+// drop counts a message that is not sent or not accepted, and logs the first one for each reason.
 func (t *Transport) drop(reason dropReason) {
 	t.options.Counters.Drops.Inc(string(reason))
 	if _, logged := t.loggedDrops.LoadOrStore(reason, true); !logged {
-		t.options.Log.Warn("a message between nodes was dropped, further ones are only counted", "code", "peers_drop", "reason", string(reason))
+		t.options.Log.Warn("message between nodes dropped, further drops for this reason are only counted", "code", "peers_drop", "reason", string(reason))
 	}
 }
 
-// Broadcast sends a message to every other node. It never waits, since the engine calls it: what the queue does not hold is
+// Broadcast queues a message to every other node. It never blocks, since the engine calls it: if the queue is full, the message is
 // dropped and counted.
 func (t *Transport) Broadcast(body []byte) {
 	if len(body) > balancer.MaxGossipBytes {
@@ -117,7 +120,7 @@
 		case body := <-t.outgoing:
 			t.write(body)
 		case <-ctx.Done():
-			_ = t.conn.Close() // the reader returns
+			_ = t.conn.Close() // makes the reader return
 			<-readerDone
 			return
 		}
@@ -140,26 +143,26 @@
 }
 
 func (t *Transport) read(ctx context.Context) {
-	buffer := make([]byte, headerBytes+balancer.MaxGossipBytes+1) // one byte more, so that a longer message is noticed
-	secondBegan := time.Time{}
-	taken := 0 // in this second
-	limit := max(messagesPerSecond, messagesPerNode*len(t.options.Nodes))
+	buffer := make([]byte, headerBytes+balancer.MaxGossipBytes+1) // one extra byte, so that a longer message is detected
+	windowStart := time.Time{}
+	received := 0 // in the current one-second window
+	limit := max(maxMessagesPerSecond, maxMessagesPerNode*len(t.options.Nodes))
 	for {
 		n, from, err := t.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as a node's port that is closed: it concerns one datagram
+		if err != nil { // such as an ICMP error from a node's closed port; it affects one datagram only
 			t.drop(dropRead)
-			time.Sleep(readErrorPause)
+			time.Sleep(readErrorDelay)
 			continue
 		}
-		if now := time.Now(); now.Sub(secondBegan) >= time.Second {
-			secondBegan = now
-			taken = 0
+		if now := time.Now(); now.Sub(windowStart) >= time.Second {
+			windowStart = now
+			received = 0
 		}
-		taken++
-		if taken > limit {
+		received++
+		if received > limit {
 			t.drop(dropRate)
 			continue
 		}
@@ -167,19 +170,19 @@
 	}
 }
 
-// receive passes on what comes from another node's own address under its number.
+// receive passes on a message that comes from another node's address and contains that node's number.
 func (t *Transport) receive(message []byte, from netip.AddrPort) {
-	number, known := t.numbers[from]
+	number, known := t.numberByAddress[from]
 	switch {
 	case !known || number == t.options.Node:
 		t.drop(dropUnknownSender)
 	case len(message) <= headerBytes || len(message) > headerBytes+balancer.MaxGossipBytes:
 		t.drop(dropSize)
 	case binary.BigEndian.Uint32(message) != uint32(number):
-		t.drop(dropNumber)
+		t.drop(dropWrongNumber)
 	default:
 		t.options.Counters.Taken.Inc()
-		body := append([]byte(nil), message[headerBytes:]...) // the buffer is used again
+		body := append([]byte(nil), message[headerBytes:]...) // the reader reuses the buffer
 		t.options.Receiver.ReceiveGossip(balancer.GossipReceived{From: number, Body: body})
 	}
 }
