--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -94,7 +94,7 @@
 	return overload.Summary{
 		Name:       r.Name,
 		Generation: r.Generation,
-		At:         time.Duration(r.At) * time.Millisecond,
+		CountedAt:  time.Duration(r.At) * time.Millisecond,
 		Age:        time.Duration(r.Age) * time.Millisecond,
 		Counts: overload.Counts{
 			Shed:      r.Shed,
@@ -111,7 +111,7 @@
 	return membership.LoadReport{
 		Name:       s.Name,
 		Generation: s.Generation,
-		At:         uint64(s.At.Milliseconds()),
+		At:         uint64(s.CountedAt.Milliseconds()),
 		Age:        uint32(s.Age.Milliseconds()),
 		Shed:       s.Shed,
 		Attempts:   s.Attempts,
@@ -141,14 +141,14 @@
 
 // apply hands the admission to the balancer, where it limits anything or did so before.
 func (o *overloadAgent) apply(next overload.Admission, now time.Duration) {
-	if next.Active || o.applied.Active || next.RetryHoldback != o.applied.RetryHoldback {
+	if next.Active || o.applied.Active || next.RetryBudgetReduction != o.applied.RetryBudgetReduction {
 		fractions := map[string]float64{}
 		for i, name := range o.classes {
 			if next.Active {
 				fractions[name] = next.Fractions[i]
 			}
 		}
-		o.link.node.ApplyEvent(balancer.FleetAdmission{AdmittedFraction: fractions, RetryReduction: next.RetryHoldback}, false)
+		o.link.node.ApplyEvent(balancer.FleetAdmission{AdmittedFraction: fractions, RetryReduction: next.RetryBudgetReduction}, false)
 	}
 	if next.Active != o.applied.Active {
 		o.logChange(next.Active, now)
@@ -200,7 +200,7 @@
 		Limit:       rates.Limit,
 		Members:     rates.Members,
 		Coverage:    rates.Coverage,
-		RetryBudget: 1 - o.applied.RetryHoldback,
+		RetryBudget: 1 - o.applied.RetryBudgetReduction,
 	}
 	if rates.Attempts > 0 {
 		out.FailureRatio = 1 - rates.Successes/rates.Attempts
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -42,7 +42,7 @@
 func quotaLine(q *QuotaStatus) string {
 	var b strings.Builder
 	even := 1 / float64(max(1, q.Members))
-	fmt.Fprintf(&b, "share %.4f of the whole, %.4f would be even; own units: %d leased, %d sole", q.Fraction, even, q.UnitsLeased, q.UnitsSole)
+	fmt.Fprintf(&b, "share %.4f of the whole, %.4f would be even; own units: %d leased, %d sole", q.Fraction, even, q.UnitsLeased, q.UnitsOfEndedLessors)
 	if len(q.LapsedLessors) > 0 {
 		fmt.Fprintf(&b, "; lapsed, guarded by %s", strings.Join(q.LapsedLessors, " "))
 	}
--- a/internal/cluster/wire_test.go
+++ b/internal/cluster/wire_test.go
@@ -98,7 +98,7 @@
 	m.From = "n2"
 	other.overload.receive(&m)
 	other.overload.controller.Decide(other.now(), []string{"n1"})
-	if got := other.overload.controller.NextSummaries(other.now(), 1); len(got) != 1 || got[0].Name != "n1" || got[0].Generation != 11 || got[0].At != 2*time.Second ||
+	if got := other.overload.controller.NextSummaries(other.now(), 1); len(got) != 1 || got[0].Name != "n1" || got[0].Generation != 11 || got[0].CountedAt != 2*time.Second ||
 		!reflect.DeepEqual(got[0].Counts, overload.Counts{Shed: 1, Attempts: 30, Successes: 20, Requested: []uint64{41}, Accepted: []uint64{30}}) {
 		t.Errorf("the figures are read as %+v", got)
 	}
@@ -150,7 +150,7 @@
 		Members: []membership.Member{{Name: "n2", Address: "10.0.0.2:7946", Generation: 12, Incarnation: 1, State: membership.Suspect, StateAge: 100, SinceReceived: 200,
 			SinceAcked: 300, SinceSeen: 400, Link: "one-way", OwnConnectivity: membership.OutboundLost, SuspectedBy: map[string]int64{"n3": 1}, HeardBy: map[string]int64{"n4": 2},
 			LossCount: 3, DampedFor: 4, PreviousGeneration: 5}}},
-	Quota: &QuotaStatus{Status: quota.Status{Fraction: 0.25, Members: 4, UnitsLeased: 3, UnitsSole: 2, LapsedLessors: []string{"n2"}, InheritedFrom: []string{"n3"}},
+	Quota: &QuotaStatus{Status: quota.Status{Fraction: 0.25, Members: 4, UnitsLeased: 3, UnitsOfEndedLessors: 2, LapsedLessors: []string{"n2"}, InheritedFrom: []string{"n3"}},
 		Allocations: []AllocationRecord{{At: 1, Fraction: 0.25, ValidUntil: 2, FractionAfter: 0.125}}},
 	Overload: &OverloadStatus{Active: true, Requested: map[string]float64{"look": 10}, Accepted: map[string]float64{"look": 9}, Admit: map[string]float64{"look": 0.9},
 		Limit: 9, Members: 2, Coverage: 1, FailureRatio: 0.1, RetryBudget: 0.5, Duration: 700},
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -1,9 +1,10 @@
-// Package overload has the nodes of a fleet shed the same work when there is more than the servers can do: each reports what it was
-// asked for and what was served of it, by class, and each decides the same admission from the same rates.
+// Package overload implements admission control for a whole fleet. When the servers are overloaded, all nodes shed the same classes
+// of requests: each node reports how many requests it received and how many were accepted, by class, and each computes the same
+// admission from the same rates.
 //
-// The package does no I/O: counts, summaries and the time come in, an admission goes out. It does not rely on any view of the
-// members being right: a node that hears from few others sheds less, and one that hears from none decides alone as before.
-// docs/overload.md says why it is built so.
+// The package does no I/O: the caller passes in counts, summaries and the time, and gets an admission back. It does not depend on a
+// correct view of the members: a node that receives summaries from few others sheds less, and a node that receives none relies on
+// its own admission control. docs/overload.md explains the design.
 package overload
 
 import (
@@ -13,82 +14,91 @@
 )
 
 const (
-	// Overload begins when more than overloadRatio of the requests are rejected in overloadDecisions decisions in a row. Below
-	// that each node's own order does as well, and shedding would only cost.
-	overloadRatio     = 0.08
+	// overloadRatio is the fraction of rejected requests above which a decision counts as overloaded. At lower fractions each node's
+	// own priority order works as well, and shedding by the fleet would only lose requests.
+	overloadRatio = 0.08
+
+	// overloadDecisions is the number of overloaded decisions in a row that starts an overload.
 	overloadDecisions = 2
 
-	// recoveryDecisions in a row must have capacity for everything before the overload ends.
+	// recoveryDecisions is the number of decisions in a row with capacity for all requests that ends an overload.
 	recoveryDecisions = 8
 
-	// The limit is the accepted rate times a growth factor. Relative to before the overload: if at most lowAccepted of the
-	// admitted requests are accepted, the factor is fullGrowth, which keeps a short queue at the servers; from highAccepted on it
-	// is spareGrowth, which doubles the limit in about three windows; in between it is interpolated.
-	fullGrowth   = 1.04
-	spareGrowth  = 1.35
-	lowAccepted  = 0.94
-	highAccepted = 0.99
-
-	// smoothing is how far the admission follows each decision. The rates of a window have a few per cent of noise, which
-	// differs by node, and the marginal class's fraction moves by several times that.
-	smoothing = 0.5
-
-	// minAdmitted is the least fraction of all requests that is admitted, so that rates that are badly wrong do not close a
-	// fleet, and minClassAdmitted that of each class, so that no class starves.
-	minAdmitted      = 0.2
+	// The limit is the accepted rate times a growth factor, which depends on the fraction of the admitted requests that is accepted,
+	// relative to the fraction before the overload. Up to saturatedAcceptedRatio the factor is saturatedGrowth, which keeps a short
+	// queue at the servers. From unsaturatedAcceptedRatio on it is unsaturatedGrowth, which doubles the limit in about three rate
+	// windows. In between it is interpolated linearly.
+	saturatedGrowth          = 1.04
+	unsaturatedGrowth        = 1.35
+	saturatedAcceptedRatio   = 0.94
+	unsaturatedAcceptedRatio = 0.99
+
+	// admissionSmoothing is the weight of the latest decision in the exponentially smoothed admission. The rates of one window have
+	// a few percent of noise that differs between nodes, and the fraction of the class at the limit varies by several times that.
+	admissionSmoothing = 0.5
+
+	// minAdmitted is the least fraction of all requests that is admitted, so that badly wrong rates cannot make a fleet reject
+	// everything.
+	minAdmitted = 0.2
+
+	// minClassAdmitted is the least fraction of each class that is admitted, so that no class starves.
 	minClassAdmitted = 0.02
 
-	// As the ratio of failed attempts grows from fewFailures to manyFailures, the retry budget falls from whole to nothing: there
-	// each retry only adds to what fails. It comes back by retryRecovery a decision, in three seconds, since servers that have
-	// just come back would not stand a storm of retries. From fewer than minAttemptRate attempts a second nothing is concluded.
-	fewFailures    = 0.2
-	manyFailures   = 0.5
-	retryRecovery  = 0.08
+	// While the ratio of failed attempts grows from noReductionFailureRatio to fullReductionFailureRatio, the reduction of the retry
+	// budget grows from 0 to 1: at high ratios retries mostly add failures.
+	noReductionFailureRatio   = 0.2
+	fullReductionFailureRatio = 0.5
+
+	// retryRecoveryPerDecision is how much of the retry budget is restored per decision, about three seconds for all of it, since
+	// servers that have just recovered could not handle a burst of retries.
+	retryRecoveryPerDecision = 0.08
+
+	// minAttemptRate is the rate in attempts per second below which the failure ratio is ignored.
 	minAttemptRate = 5
 
-	// fullCoverage is the fraction of the reporters that must be heard from for a decision to have its full effect. At half of it
-	// a decision has none.
-	fullCoverage = 0.75
+	// fullEffectCoverage is the fraction of the reporters that must have been heard from for a decision to take full effect. At half
+	// of it or less a decision has no effect.
+	fullEffectCoverage = 0.75
 )
 
-// Class is a class of requests. Each request counts as the same work.
+// Class is a class of requests. All requests are assumed to cost the servers the same work.
 type Class struct {
 	Name     string
-	Priority float64 // a higher one is admitted first
+	Priority float64 // classes with a higher priority are admitted first
 }
 
 // Options configure one process.
 type Options struct {
 	Name       string
-	Generation uint64 // of this process
+	Generation uint64 // generation of this process
 	Classes    []Class
 }
 
-// Admission is what a node admits.
+// Admission is the decision which requests and retries a node admits.
 type Admission struct {
-	Active        bool
-	Fractions     []float64 // of each class, from 0 to 1
-	RetryHoldback float64   // fraction of the retry budget that is withheld
+	Active               bool
+	Fractions            []float64 // admitted fraction of each class, from 0 to 1
+	RetryBudgetReduction float64   // fraction of the retry budget that is withheld
 }
 
 // Controller is the state of one process. It is not safe for concurrent use.
 type Controller struct {
 	options    Options
 	sources    map[string]*source
-	byPriority []int // indices of the classes, the highest priority first
+	byPriority []int // indices of the classes, highest priority first
 	reporters  []string
 
 	active                bool
-	overloadedFor         int     // decisions in a row with more rejections than overloadRatio
-	recoveredFor          int     // decisions in a row with capacity for everything
-	admitted              float64 // fraction of all requests; 0: not decided in this overload
-	baselineAcceptedRatio float64 // fraction of all requests that was accepted before the overload
+	consecutiveOverloaded int     // decisions in a row with a rejected fraction above overloadRatio
+	consecutiveRecovered  int     // decisions in a row with capacity for everything
+	admittedFraction      float64 // smoothed fraction of all requests; 0: none computed yet in this overload
+	baselineAcceptedRatio float64 // fraction of all requests that were accepted before the overload
 	fractions             []float64
-	retryHoldback         float64
+	retryBudgetReduction  float64
 	rates                 FleetRates
 }
 
-// New returns the state of a process that knows of no load.
+// New returns a Controller that has received no summaries yet.
 func New(options Options) *Controller {
 	c := &Controller{
 		options:               options,
@@ -106,15 +116,15 @@
 	return c
 }
 
-// Rates returns those of the last decision.
+// Rates returns the rates of the last decision.
 func (c *Controller) Rates() FleetRates { return c.rates }
 
-// Decide decides the admission from what is known, with these members in the view. It is called a few times a second. The
-// result's Fractions are valid until the next call.
+// Decide computes the admission from the summaries received so far and the members in the current view. It must be called a few
+// times a second. The result's Fractions are valid until the next call.
 func (c *Controller) Decide(now time.Duration, members []string) Admission {
 	c.reporters = Reporters(members)
-	rates := c.measure(now)
-	c.updateRetryHoldback(rates)
+	rates := c.measureFleetRates(now)
+	c.updateRetryBudgetReduction(rates)
 	for i := range c.fractions {
 		c.fractions[i] = 1
 	}
@@ -124,8 +134,8 @@
 		c.detectOverload(requested, accepted)
 	} else {
 		c.active = false
-		c.overloadedFor = 0
-		c.recoveredFor = 0
+		c.consecutiveOverloaded = 0
+		c.consecutiveRecovered = 0
 	}
 	if c.active {
 		rates.Limit = c.updateLimit(rates, requested, accepted)
@@ -133,81 +143,83 @@
 		c.admitByPriority(rates)
 	}
 	c.rates = rates
-	return Admission{Active: c.active, Fractions: c.fractions, RetryHoldback: c.retryHoldback}
+	return Admission{Active: c.active, Fractions: c.fractions, RetryBudgetReduction: c.retryBudgetReduction}
 }
 
-// detectOverload begins an overload, or records what is normal without one.
+// detectOverload starts an overload after overloadDecisions overloaded decisions in a row. Outside of an overload it records the
+// accepted ratio as the baseline.
 func (c *Controller) detectOverload(requested, accepted float64) {
-	c.overloadedFor++
+	c.consecutiveOverloaded++
 	if accepted >= (1-overloadRatio)*requested {
-		c.overloadedFor = 0
+		c.consecutiveOverloaded = 0
 	}
 	switch {
 	case c.active:
-	case c.overloadedFor >= overloadDecisions:
+	case c.consecutiveOverloaded >= overloadDecisions:
 		c.active = true
-		c.recoveredFor = 0
-		c.admitted = 0
-	case c.overloadedFor == 0:
+		c.consecutiveRecovered = 0
+		c.admittedFraction = 0
+	case c.consecutiveOverloaded == 0:
 		c.baselineAcceptedRatio = accepted / requested
 	}
 }
 
-// detectRecovery ends an overload.
+// detectRecovery ends the overload after recoveryDecisions decisions in a row whose limit covers all requests.
 func (c *Controller) detectRecovery(limit, requested float64) {
-	c.recoveredFor++
+	c.consecutiveRecovered++
 	if limit < requested {
-		c.recoveredFor = 0
+		c.consecutiveRecovered = 0
 	}
-	if c.recoveredFor >= recoveryDecisions {
+	if c.consecutiveRecovered >= recoveryDecisions {
 		c.active = false
 	}
 }
 
-// updateLimit smooths the admitted fraction towards the latest decision and returns the requests admitted per second: what was
-// accepted, and somewhat more so that the limit finds the capacity of the servers.
+// updateLimit moves the smoothed admitted fraction towards the latest decision and returns the number of requests to admit per
+// second. The limit exceeds the accepted rate a little, so that it follows the capacity of the servers when that grows.
 func (c *Controller) updateLimit(rates FleetRates, requested, accepted float64) float64 {
 	const epsilon = 1e-9 // avoids a division by zero
-	admittedBefore := max(epsilon, requested-rates.Shed)
-	acceptedRatio := min(1, accepted/admittedBefore/c.baselineAcceptedRatio)
-	spare := min(1, max(0, acceptedRatio-lowAccepted)/(highAccepted-lowAccepted))
-	growth := fullGrowth + (spareGrowth-fullGrowth)*spare
+	admittedRate := max(epsilon, requested-rates.Shed)
+	acceptedRatio := min(1, accepted/admittedRate/c.baselineAcceptedRatio)
+	spare := min(1, max(0, acceptedRatio-saturatedAcceptedRatio)/(unsaturatedAcceptedRatio-saturatedAcceptedRatio))
+	growth := saturatedGrowth + (unsaturatedGrowth-saturatedGrowth)*spare
 	next := max(minAdmitted, growth*accepted/c.baselineAcceptedRatio/requested)
-	if c.admitted == 0 {
-		c.admitted = next
+	if c.admittedFraction == 0 {
+		c.admittedFraction = next
 	}
-	c.admitted += smoothing * (next - c.admitted)
-	return c.admitted * requested
+	c.admittedFraction += admissionSmoothing * (next - c.admittedFraction)
+	return c.admittedFraction * requested
 }
 
-// updateRetryHoldback withholds retries at once when attempts fail, and gives them back gradually.
-func (c *Controller) updateRetryHoldback(rates FleetRates) {
-	wanted := 0.0
+// updateRetryBudgetReduction reduces the retry budget at once when many attempts fail, and restores it gradually.
+func (c *Controller) updateRetryBudgetReduction(rates FleetRates) {
+	target := 0.0
 	if rates.Attempts >= minAttemptRate {
-		failures := 1 - rates.Successes/rates.Attempts
-		wanted = min(1, max(0, failures-fewFailures)/(manyFailures-fewFailures))
+		failureRatio := 1 - rates.Successes/rates.Attempts
+		target = min(1, max(0, failureRatio-noReductionFailureRatio)/(fullReductionFailureRatio-noReductionFailureRatio))
 	}
-	c.retryHoldback = max(wanted*coverageWeight(rates), c.retryHoldback-retryRecovery)
+	c.retryBudgetReduction = max(target*coverageWeight(rates), c.retryBudgetReduction-retryRecoveryPerDecision)
 }
 
-// coverageWeight is the effect that a decision has, from 0 to 1: with part of the fleet unheard of it is less.
+// coverageWeight returns the weight of a decision from 0 to 1, which is lower if summaries of some reporters are missing.
 func coverageWeight(rates FleetRates) float64 {
-	return min(1, max(0, 2*rates.Coverage/fullCoverage-1))
+	return min(1, max(0, 2*rates.Coverage/fullEffectCoverage-1))
 }
 
-// admitByPriority admits the least of every class, and of the rest the highest priorities first until the limit is reached.
+// admitByPriority admits minClassAdmitted of every class, and distributes the rest of the limit to the classes in the order of their
+// priority.
 func (c *Controller) admitByPriority(rates FleetRates) {
-	left := rates.Limit
+	remaining := rates.Limit
 	for _, requested := range rates.Requested {
-		left -= minClassAdmitted * requested
+		remaining -= minClassAdmitted * requested
 	}
-	effect := coverageWeight(rates)
+	weight := coverageWeight(rates)
 	for _, i := range c.byPriority {
 		requested := rates.Requested[i]
-		admitted := min(requested*(1-minClassAdmitted), max(0, left))
-		left -= admitted
+		admitted := min(requested*(1-minClassAdmitted), max(0, remaining))
+		remaining -= admitted
 		if requested > 0 {
-			c.fractions[i] = 1 - effect*(1-minClassAdmitted-admitted/requested)
+			c.fractions[i] = 1 - weight*(1-minClassAdmitted-admitted/requested)
 		}
 	}
 }
--- a/internal/overload/rates.go
+++ b/internal/overload/rates.go
@@ -9,27 +9,30 @@
 )
 
 const (
-	// maxReporters members' rates count. The admission rests on fractions, and those of two dozen nodes are a fleet's.
+	// maxReporters limits the number of members whose rates are used. The admission depends only on ratios, and those of two dozen
+	// nodes represent a fleet.
 	maxReporters = 24
 
-	// maxOfMedian is how many times the median of all members one may claim to have been asked. Front ends spread unevenly, so
-	// some nodes see several times the mean; a node that claims more is mistaken or lies.
-	maxOfMedian = 4
+	// maxMedianMultiple limits the request rate that one member may report, as a multiple of the median of all members. Front ends
+	// distribute requests unevenly, so some nodes see several times the mean; a node that reports more is faulty or reports false
+	// counts.
+	maxMedianMultiple = 4
 )
 
-// FleetRates are the rates that a decision rests on, in a second, over the members heard from.
+// FleetRates are the rates per second on which a decision is based, summed over the reporters heard from.
 type FleetRates struct {
-	Members   int // heard from lately
+	Members   int // number of reporters heard from within maxSummaryAge
 	Requested []float64
 	Accepted  []float64
 	Shed      float64
 	Attempts  float64
 	Successes float64
-	Limit     float64 // requests that may be admitted; 0: all
-	Coverage  float64 // fraction of the reporters that have been heard from
+	Limit     float64 // admitted requests per second; 0: no limit
+	Coverage  float64 // fraction of the reporters that were heard from
 }
 
-// Reporters returns the members whose rates count: all, or maxReporters by the hash of their names, the same at every node.
+// Reporters returns the members whose rates are used: all of them, or maxReporters selected by the hash of their names. The result is
+// the same at every node.
 func Reporters(members []string) []string {
 	if len(members) <= maxReporters {
 		return members
@@ -41,45 +44,45 @@
 	return out[:maxReporters]
 }
 
-// processRates are what one process counts in a second.
+// processRates are the rates of one process, per second.
 type processRates struct {
 	requested, accepted []float64
-	allRequested        float64
+	totalRequested      float64
 	shed                float64
 	attempts            float64
 	successes           float64
 }
 
-// rates returns what the process counted a second over the window; ok is false with one sample alone.
+// rates returns the process's rates over the window. ok is false if there is only one sample.
 func (s *source) rates() (r processRates, ok bool) {
-	first, last := s.samples[0], s.latest()
-	seconds := (last.at - first.at).Seconds()
+	oldest, newest := s.samples[0], s.latest()
+	seconds := (newest.countedAt - oldest.countedAt).Seconds()
 	if seconds <= 0 {
 		return r, false
 	}
 	perSecond := func(from, to uint64) float64 { return float64(to-from) / seconds }
-	r.shed = perSecond(first.counts.Shed, last.counts.Shed)
-	r.attempts = perSecond(first.counts.Attempts, last.counts.Attempts)
-	r.successes = perSecond(first.counts.Successes, last.counts.Successes)
-	for i := range last.counts.Requested {
-		r.requested = append(r.requested, perSecond(first.counts.Requested[i], last.counts.Requested[i]))
-		r.accepted = append(r.accepted, perSecond(first.counts.Accepted[i], last.counts.Accepted[i]))
+	r.shed = perSecond(oldest.counts.Shed, newest.counts.Shed)
+	r.attempts = perSecond(oldest.counts.Attempts, newest.counts.Attempts)
+	r.successes = perSecond(oldest.counts.Successes, newest.counts.Successes)
+	for i := range newest.counts.Requested {
+		r.requested = append(r.requested, perSecond(oldest.counts.Requested[i], newest.counts.Requested[i]))
+		r.accepted = append(r.accepted, perSecond(oldest.counts.Accepted[i], newest.counts.Accepted[i]))
 	}
-	r.allRequested = sum(r.requested)
+	r.totalRequested = sum(r.requested)
 	return r, true
 }
 
-// measure adds the reporters' rates up, and forgets processes that have been silent for long.
-func (c *Controller) measure(now time.Duration) FleetRates {
+// measureFleetRates sums the rates of the reporters, and removes sources that have been silent for sourceRetention.
+func (c *Controller) measureFleetRates(now time.Duration) FleetRates {
 	classes := len(c.options.Classes)
 	out := FleetRates{Requested: make([]float64, classes), Accepted: make([]float64, classes)}
 	var all []processRates
 	for name, s := range c.sources {
-		silentFor := now - s.latest().receivedAt
-		if silentFor >= retention {
+		silentFor := now - s.latest().localCountedAt
+		if silentFor >= sourceRetention {
 			delete(c.sources, name)
 		}
-		if silentFor >= maxAge || !slices.Contains(c.reporters, name) {
+		if silentFor >= maxSummaryAge || !slices.Contains(c.reporters, name) {
 			continue
 		}
 		out.Members++
@@ -87,7 +90,7 @@
 			all = append(all, r)
 		}
 	}
-	slices.SortFunc(all, func(a, b processRates) int { return cmp.Compare(a.allRequested, b.allRequested) })
+	slices.SortFunc(all, func(a, b processRates) int { return cmp.Compare(a.totalRequested, b.totalRequested) })
 	for _, r := range all {
 		out.add(r, reporterWeight(r, all))
 	}
@@ -95,17 +98,17 @@
 	return out
 }
 
-// reporterWeight is the factor by which a process's rates count, given all of them in the order of their requests: 1, or less for one
-// that claims more than maxOfMedian times the median.
+// reporterWeight returns the factor for a process's rates, given the rates of all processes in ascending order of requests. It is 1, or
+// less for a process that reports more than maxMedianMultiple times the median.
 func reporterWeight(r processRates, sorted []processRates) float64 {
-	limit := maxOfMedian * sorted[len(sorted)/2].allRequested
-	if len(sorted) > 2 && r.allRequested > limit && limit > 0 {
-		return limit / r.allRequested
+	limit := maxMedianMultiple * sorted[len(sorted)/2].totalRequested
+	if len(sorted) > 2 && r.totalRequested > limit && limit > 0 {
+		return limit / r.totalRequested
 	}
 	return 1
 }
 
-// add adds a process's rates times a factor.
+// add adds the rates of a process, multiplied by a factor.
 func (f *FleetRates) add(r processRates, factor float64) {
 	for i := range r.requested {
 		f.Requested[i] += r.requested[i] * factor
--- a/internal/overload/summary.go
+++ b/internal/overload/summary.go
@@ -7,90 +7,90 @@
 )
 
 const (
-	// window is the time over which rates are taken: long enough for a few hundred requests, short enough to follow servers that
-	// come back within seconds.
-	window = 1200 * time.Millisecond
+	// rateWindow is the time over which rates are measured: long enough for a few hundred requests, and short enough to follow
+	// servers that recover within seconds.
+	rateWindow = 1200 * time.Millisecond
 
-	// maxAge is the age from which on a summary no longer counts.
-	maxAge = 3 * time.Second
+	// maxSummaryAge is the age from which on a summary is ignored.
+	maxSummaryAge = 3 * time.Second
 
-	// retention is how long a process's summaries are kept after its last one.
-	retention = 20 * maxAge
+	// sourceRetention is how long a source is kept after its latest summary.
+	sourceRetention = 20 * maxSummaryAge
 )
 
-// Counts are what one process has counted since its start.
+// Counts are the counters of one process since its start.
 type Counts struct {
 	Shed      uint64   // requests rejected by the admission
 	Attempts  uint64   // attempts that have ended
-	Successes uint64   // of these, the ones that were served
+	Successes uint64   // ended attempts that were served
 	Requested []uint64 // requests that have ended, by class
-	Accepted  []uint64 // of these, the ones that were not rejected; failed ones took the servers' time too
+	Accepted  []uint64 // ended requests that were not rejected, by class; includes failed ones, which used server time too
 }
 
-// Summary is a process's counts at a moment. A later one of the same process replaces an earlier, so that loss, duplicates and
-// reordering count nothing twice. A process that restarts begins from nothing.
+// Summary is a snapshot of a process's counts. Counts are cumulative and a later summary replaces an earlier one of the same process,
+// so lost, repeated or reordered summaries do not count anything twice. A restarted process starts from zero.
 type Summary struct {
 	Name       string
-	Generation uint64        // of the process
-	At         time.Duration // when it was counted, by the process's own clock
-	Age        time.Duration // since then, on the way
+	Generation uint64        // generation of the process
+	CountedAt  time.Duration // time of the snapshot, by the process's own clock
+	Age        time.Duration // time since the snapshot, including time in transit
 	Counts
 }
 
-// sample is a summary as it was received.
+// sample is a received summary.
 type sample struct {
-	at         time.Duration // by the process's own clock
-	receivedAt time.Duration // by this process's clock, the age subtracted
-	counts     Counts
+	countedAt      time.Duration // time of the snapshot by the clock of the reporting process
+	localCountedAt time.Duration // the same time by this process's clock: the time of receipt minus the summary's age
+	counts         Counts
 }
 
-// source is one process that reports.
+// source holds the samples of one reporting process.
 type source struct {
 	generation uint64
-	samples    []sample // of the window, the latest last
-	sent       int      // times that the latest was passed on
+	samples    []sample // samples within rateWindow, oldest first
+	timesSent  int      // how often the latest sample has been passed on
 }
 
 func (s *source) latest() sample { return s.samples[len(s.samples)-1] }
 
-// accepts reports whether counts are later ones of the same process. Others are ignored until they make sense again.
+// accepts reports whether a summary is later than the latest sample and consistent with it. Inconsistent summaries are ignored.
 func (s *source) accepts(m Summary) bool {
 	if len(s.samples) == 0 {
 		return true
 	}
-	return m.At > s.latest().at && s.latest().counts.mayBecome(m.Counts)
+	return m.CountedAt > s.latest().countedAt && s.latest().counts.canPrecede(m.Counts)
 }
 
-// add adds a sample, and drops those that the window does not need.
+// add appends a sample and drops samples that are no longer needed to cover rateWindow.
 func (s *source) add(next sample) {
 	s.samples = append(s.samples, next)
-	s.sent = 0
-	for len(s.samples) > 2 && next.at-s.samples[1].at >= window {
+	s.timesSent = 0
+	for len(s.samples) > 2 && next.countedAt-s.samples[1].countedAt >= rateWindow {
 		s.samples = s.samples[1:]
 	}
 }
 
-// mayBecome reports whether later counts can be those of the same process: none has fallen, and no more requests were accepted than
-// came.
-func (c Counts) mayBecome(later Counts) bool {
+// canPrecede reports whether later can be a later snapshot of the same process: no counter has decreased, and no class has more
+// accepted than ended requests.
+func (c Counts) canPrecede(later Counts) bool {
 	for i := range c.Requested {
-		fallen := later.Requested[i] < c.Requested[i] || later.Accepted[i] < c.Accepted[i]
-		if fallen || later.Accepted[i] > later.Requested[i] {
+		decreased := later.Requested[i] < c.Requested[i] || later.Accepted[i] < c.Accepted[i]
+		if decreased || later.Accepted[i] > later.Requested[i] {
 			return false
 		}
 	}
 	return later.Shed >= c.Shed && later.Attempts >= c.Attempts && later.Successes >= c.Successes
 }
 
-// Observe takes this process's own counts, at a moment since its start.
-func (c *Controller) Observe(now, at time.Duration, counts Counts) {
-	c.Merge(now, Summary{Name: c.options.Name, Generation: c.options.Generation, At: at, Counts: counts})
+// Observe records this process's own counts. countedAt is the time of the snapshot since the start of the process.
+func (c *Controller) Observe(now, countedAt time.Duration, counts Counts) {
+	c.Merge(now, Summary{Name: c.options.Name, Generation: c.options.Generation, CountedAt: countedAt, Counts: counts})
 }
 
-// Merge takes a summary, and reports whether it was new. Summaries may come in any order and any number of times.
+// Merge records a summary and reports whether it was new. Summaries may arrive in any order and more than once.
 func (c *Controller) Merge(now time.Duration, m Summary) bool {
 	sameClasses := len(m.Requested) == len(c.options.Classes) && len(m.Accepted) == len(c.options.Classes)
-	if !sameClasses || m.Age > maxAge {
+	if !sameClasses || m.Age > maxSummaryAge {
 		return false
 	}
 	s := c.sources[m.Name]
@@ -101,15 +101,15 @@
 	if m.Generation < s.generation || !s.accepts(m) {
 		return false
 	}
-	s.add(sample{at: m.At, receivedAt: now - m.Age, counts: m.Counts})
+	s.add(sample{countedAt: m.CountedAt, localCountedAt: now - m.Age, counts: m.Counts})
 	return true
 }
 
-// NextSummaries returns up to n summaries to pass on: this process's own, and those of others that have been passed on least.
+// NextSummaries returns up to n summaries to pass on: first this process's own, then those that have been passed on least often.
 func (c *Controller) NextSummaries(now time.Duration, n int) []Summary {
 	names := make([]string, 0, len(c.sources))
 	for name, s := range c.sources {
-		if now-s.latest().receivedAt < maxAge && slices.Contains(c.reporters, name) {
+		if now-s.latest().localCountedAt < maxSummaryAge && slices.Contains(c.reporters, name) {
 			names = append(names, name)
 		}
 	}
@@ -120,14 +120,14 @@
 		return 1
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(isOther(a)-isOther(b), c.sources[a].sent-c.sources[b].sent, cmp.Compare(a, b))
+		return cmp.Or(isOther(a)-isOther(b), c.sources[a].timesSent-c.sources[b].timesSent, cmp.Compare(a, b))
 	})
 	var out []Summary
 	for _, name := range names[:min(n, len(names))] {
 		s := c.sources[name]
-		s.sent++
+		s.timesSent++
 		latest := s.latest()
-		out = append(out, Summary{Name: name, Generation: s.generation, At: latest.at, Age: now - latest.receivedAt, Counts: latest.counts})
+		out = append(out, Summary{Name: name, Generation: s.generation, CountedAt: latest.countedAt, Age: now - latest.localCountedAt, Counts: latest.counts})
 	}
 	return out
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -1,13 +1,14 @@
-// Package quota divides a quota among the members of a cluster, such that all processes together never use more than the whole at
-// any instant, whatever is cut, paused, killed or restarted, and however wrong any view of the members is.
+// Package quota divides a quota among the members of a cluster. All processes together never use more than the whole quota at any
+// instant. This holds during network partitions, pauses, crashes and restarts, and even if members have wrong views of each other.
 //
-// Each member owns an equal part, cut into units. Each unit has a lessor: another member, fixed by the names alone. The owner, the
-// unit's lessee, uses the unit while its lease lasts by its own clock, counted from the moment at which it asked. The lessor uses
-// it once the lease has run out by the lessor's clock, counted from the later moment at which it granted, and longer by the drift
-// allowed. So at most one of the two uses it. A proof that a process has ended (ProcessEnded, or a successor at the same address)
-// spares the wait. The derivation, and what is not covered, is in docs/members.md.
+// Each member owns an equal fraction of the quota, divided into units. Each unit has a lessor: another member, determined by a hash
+// of the member names. The owner of the unit is its lessee. It uses the unit until its lease expires by its own clock, counted from
+// the time at which it sent the request. The lessor uses the unit after the lease has expired by the lessor's clock, counted from
+// the later time of the grant and extended by the allowed clock drift. So at most one of the two uses the unit at any time. If a
+// process is proven to have ended (ProcessEnded, or a later process at the same address), the other side does not wait for the
+// expiry. docs/members.md has the derivation and the cases that are not covered.
 //
-// The package does no I/O: times and messages come in, messages and allocations go out.
+// The package does no I/O: the caller passes in times and messages, and gets messages and allocations back.
 package quota
 
 import (
@@ -20,36 +21,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxUnits is the number of units in each member's part, as far as there are lessors for them: with the loss of one lessor an
-// eighth of a part is lost or won.
-const maxUnits = 8
+// maxUnitsPerMember is the number of units that each member owns if there are enough other members as lessors. The loss of one
+// lessor then affects an eighth of a member's fraction.
+const maxUnitsPerMember = 8
 
 // Options configure one process.
 type Options struct {
 	Name       string
-	Members    map[string]string // addresses, by name, of all members that divide the whole; the same everywhere
+	Members    map[string]string // addresses, by name, of all members that divide the quota; must be the same at every member
 	Generation uint64            // of this process
-	LeaseTTL   time.Duration     // how long a unit stays with its owner after the last renewal that was granted
+	LeaseTTL   time.Duration     // how long a unit stays with its owner after the last granted renewal was requested
 }
 
-// Kind is the purpose of a message.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	Renew Kind = iota + 1 // the lessee asks the lessor to renew a lease
-	Grant                 // the lessor grants it
+	Renew Kind = iota + 1 // the lessee asks the lessor to grant or renew a lease
+	Grant                 // the lessor grants a Renew
 )
 
-// OutgoingMessage is a message to a member's process.
+// OutgoingMessage is a message to a process of another member.
 type OutgoingMessage struct {
 	Kind          Kind
 	To            string
-	ForGeneration uint64 // the process it is meant for; another one of that name ignores it
-	Seq           uint32 // of the renewal
+	ForGeneration uint64 // generation of the receiving process; other processes of that name ignore the message
+	Seq           uint32 // sequence number of the renewal
 }
 
-// IncomingMessage is a message of a member's process.
+// IncomingMessage is a message from a process of another member.
 type IncomingMessage struct {
 	Kind          Kind
 	From          string
@@ -57,14 +58,14 @@
 	Address       string // of the sender
 	ForGeneration uint64
 	Seq           uint32
-	MembersHash   uint32 // of the sender's Members
+	MembersHash   uint32 // hash of the sender's Members
 }
 
-// Allocation is what a process may use of the whole. Until ValidUntil it is Fraction; from then on, if no newer allocation has
-// come, FractionAfter.
+// Allocation is the fraction of the quota that a process may use: Fraction until ValidUntil, and FractionAfter from then on unless
+// a newer allocation replaces it.
 type Allocation struct {
 	Fraction      float64
-	ValidUntil    time.Duration // math.MaxInt64: for ever
+	ValidUntil    time.Duration // math.MaxInt64: does not expire
 	FractionAfter float64
 }
 
@@ -72,7 +73,7 @@
 type Allocator struct {
 	options      Options
 	startedAt    time.Duration
-	unitFraction float64 // one unit's part of the whole
+	unitFraction float64 // fraction of the quota that one unit stands for
 	membersHash  uint32
 	lessors      []*lessor
 	lessees      []*lessee
@@ -80,10 +81,10 @@
 	outgoing     []OutgoingMessage
 }
 
-// New returns the state of a process that holds no lease yet, and therefore may use nothing.
+// New returns an Allocator that has no lease yet and therefore allocates nothing to its process.
 func New(options Options, now time.Duration) *Allocator {
 	names := slices.Sorted(maps.Keys(options.Members))
-	units := max(1, min(maxUnits, len(names)-1))
+	units := max(1, min(maxUnitsPerMember, len(names)-1))
 	a := &Allocator{
 		options:      options,
 		startedAt:    now,
@@ -94,17 +95,18 @@
 		if name == options.Name {
 			continue
 		}
-		if n := count(Lessors(options.Name, names), name); n > 0 {
+		if n := countOccurrences(Lessors(options.Name, names), name); n > 0 {
 			a.lessors = append(a.lessors, &lessor{name: name, units: n, leasedUntil: now, renewAt: now})
 		}
-		if n := count(Lessors(name, names), options.Name); n > 0 {
+		if n := countOccurrences(Lessors(name, names), options.Name); n > 0 {
 			a.lessees = append(a.lessees, &lessee{name: name, units: n})
 		}
 	}
 	return a
 }
 
-func count(names []string, name string) int {
+// countOccurrences returns how often a name is in names.
+func countOccurrences(names []string, name string) int {
 	n := 0
 	for _, other := range names {
 		if other == name {
@@ -114,8 +116,8 @@
 	return n
 }
 
-// MembersHash identifies a list of members. Processes with different lists grant each other nothing: by two lists a unit might
-// have two lessors.
+// MembersHash returns a hash of a member list. Processes with different lists grant each other no leases, because a unit could have
+// a different lessor in each list.
 func MembersHash(members map[string]string) uint32 {
 	d := xxhash.New()
 	for _, name := range slices.Sorted(maps.Keys(members)) {
@@ -124,7 +126,7 @@
 	return uint32(d.Sum64())
 }
 
-// Lessors returns the lessors of a member's units, by rendezvous hashing of the names: the same at every process.
+// Lessors returns the lessors of a member's units. Rendezvous hashing of the names gives the same result at every process.
 func Lessors(name string, members []string) []string {
 	type ranked struct {
 		name string
@@ -140,14 +142,14 @@
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.name, b.name))
 	})
 	var out []string
-	for _, other := range others[:min(maxUnits, len(others))] {
+	for _, other := range others[:min(maxUnitsPerMember, len(others))] {
 		out = append(out, other.name)
 	}
 	return out
 }
 
-// Peers returns the sorted names of the lessors and lessees: this process must learn of the end of their processes, and they of
-// the end of this one.
+// Peers returns the sorted names of the lessors and lessees. This process and the processes of its peers must be notified when the
+// other side ends.
 func (a *Allocator) Peers() []string {
 	var out []string
 	for _, l := range a.lessors {
@@ -160,8 +162,9 @@
 	return slices.Compact(out)
 }
 
-// MemberSeen records that a process of a member is running. Only one at the member's listed address counts: the kernel gives an
-// address to one process at a time, so a later process there proves that the earlier has ended. One elsewhere proves nothing.
+// MemberSeen records that a process of a member is running. A process at an address other than the listed one is ignored: the
+// kernel lets only one process at a time listen on an address, so only a later process at the same address proves that the earlier
+// one has ended.
 func (a *Allocator) MemberSeen(now time.Duration, name string, generation uint64, address string) {
 	if address != a.options.Members[name] {
 		return
@@ -173,34 +176,37 @@
 	}
 }
 
-// ProcessEnded records a proof that a process has ended: its kernel closed a connection that the process itself never closes.
+// ProcessEnded records that a process has provably ended: its kernel closed a connection that the process itself never closes
+// while it uses its quota.
 func (a *Allocator) ProcessEnded(name string, generation uint64) {
 	for _, l := range a.lessors {
-		if l.name == name && l.boundTo == generation {
-			l.ended = true
+		if l.name == name && l.grantorGeneration == generation {
+			l.processEnded = true
 		}
 	}
 	for _, l := range a.lessees {
 		if l.name == name && l.generation == generation {
-			l.ended = true
+			l.processEnded = true
 		}
 	}
 }
 
-// Tick asks for the leases that are due for renewal.
+// Tick requests a renewal of each lease that is due.
 func (a *Allocator) Tick(now time.Duration) {
 	for _, l := range a.lessors {
-		if now < l.renewAt || !l.canBeAsked() {
+		if now < l.renewAt || !l.canRequestRenewal() {
 			continue
 		}
 		a.seq++
-		l.renew(now, a.seq, a.options.LeaseTTL)
-		a.outgoing = append(a.outgoing, OutgoingMessage{Kind: Renew, To: l.name, ForGeneration: l.seen, Seq: a.seq})
+		l.recordRequest(now, a.seq, a.options.LeaseTTL)
+		a.outgoing = append(a.outgoing, OutgoingMessage{Kind: Renew, To: l.name, ForGeneration: l.seenGeneration, Seq: a.seq})
 	}
 }
 
-// Receive takes a message of a member's process; one that is meant for another process is ignored. When a Renew is granted this
-// process may no longer use the units: what TakeOutput returns may be sent only once Allocation is in force.
+// Receive handles a message from a process of another member. It ignores messages for other generations of this member.
+//
+// After granting a Renew this process may no longer use the units, so the caller must apply Allocation before it sends the messages
+// that TakeOutput returns.
 func (a *Allocator) Receive(now time.Duration, m IncomingMessage) {
 	if m.ForGeneration != a.options.Generation {
 		return
@@ -213,60 +219,61 @@
 	}
 }
 
-// handleRenew grants a lease. A process younger than a lessor's term grants nothing: what the process before it granted, of which
-// it knows nothing, must have run out.
+// handleRenew grants a lease. For the first lessorLeaseTTL after its start a process grants nothing, since its predecessor may have
+// granted leases that it does not know of and that have not expired yet.
 func (a *Allocator) handleRenew(now time.Duration, m IncomingMessage) {
-	if m.MembersHash != a.membersHash || now-a.startedAt <= lessorTerm(a.options.LeaseTTL) {
+	if m.MembersHash != a.membersHash || now-a.startedAt <= lessorLeaseTTL(a.options.LeaseTTL) {
 		return
 	}
 	if m.Address != a.options.Members[m.From] {
 		return
 	}
 	for _, l := range a.lessees {
-		if l.name != m.From || !l.mayLease(m.Generation) {
+		if l.name != m.From || !l.canGrant(m.Generation) {
 			continue
 		}
-		l.grant(now, m.Generation)
+		l.recordGrant(now, m.Generation)
 		a.outgoing = append(a.outgoing, OutgoingMessage{Kind: Grant, To: m.From, ForGeneration: m.Generation, Seq: m.Seq})
 	}
 }
 
+// handleGrant extends the lease of the renewal that the message grants.
 func (a *Allocator) handleGrant(m IncomingMessage) {
 	for _, l := range a.lessors {
 		if l.name == m.From {
-			l.granted(m.Generation, m.Seq, a.options.LeaseTTL)
+			l.extendLease(m.Generation, m.Seq, a.options.LeaseTTL)
 		}
 	}
 }
 
-// Allocation returns what this process may use at a moment.
+// Allocation returns the fraction of the quota that this process may use at the given time.
 func (a *Allocator) Allocation(now time.Duration) Allocation {
-	const forEver = time.Duration(math.MaxInt64)
-	out := Allocation{ValidUntil: forEver}
+	const noExpiry = time.Duration(math.MaxInt64)
+	out := Allocation{ValidUntil: noExpiry}
 	for _, l := range a.lessors {
 		fraction := float64(l.units) * a.unitFraction
 		if l.leased(now) {
 			out.Fraction += fraction
 		}
-		if l.ended {
+		if l.processEnded {
 			out.FractionAfter += fraction
 		} else if l.leased(now) {
 			out.ValidUntil = min(out.ValidUntil, l.leasedUntil)
 		}
 	}
 	for _, l := range a.lessees {
-		if l.lapsed(now, a.options.LeaseTTL) {
+		if l.leaseEnded(now, a.options.LeaseTTL) {
 			out.Fraction += float64(l.units) * a.unitFraction
 			out.FractionAfter += float64(l.units) * a.unitFraction
 		}
 	}
-	if out.ValidUntil == forEver {
+	if out.ValidUntil == noExpiry {
 		out.FractionAfter = out.Fraction
 	}
 	return out
 }
 
-// TakeOutput returns what is to be sent since the last call.
+// TakeOutput returns the messages to send that have accumulated since the last call.
 func (a *Allocator) TakeOutput() []OutgoingMessage {
 	out := a.outgoing
 	a.outgoing = nil
--- a/internal/quota/decisions_test.go
+++ b/internal/quota/decisions_test.go
@@ -10,61 +10,61 @@
 	"time"
 )
 
-// runWorld returns a checksum of every allocation in a seeded run with kills, cuts, pauses and restarts.
-func runWorld(seed uint64) string {
+// allocationChecksum returns a checksum of all allocations in a seeded simulation with kills, cut links, pauses and restarts.
+func allocationChecksum(seed uint64) string {
 	members := []int{2, 3, 5, 12}[seed%4]
-	w := newWorld(members, seed)
+	s := newSimulation(members, seed)
 	digest := sha256.New()
 	record := func() {
-		for i, p := range w.procs {
-			if p.up {
-				fmt.Fprintln(digest, w.now, i, p.allocator.Allocation(p.now(w)), p.allocator.Status(p.now(w)), p.allocator.Peers())
+		for i, p := range s.processes {
+			if p.running {
+				fmt.Fprintln(digest, s.now, i, p.allocator.Allocation(p.localTime(s)), p.allocator.Status(p.localTime(s)), p.allocator.Peers())
 			}
 		}
 	}
-	w.run(8*time.Second, record)
+	s.run(8*time.Second, record)
 	for range 6 {
-		name := w.names[w.rng.IntN(members)]
-		p := w.current(name)
-		switch w.rng.IntN(5) {
+		name := s.names[s.rng.IntN(members)]
+		p := s.runningProcess(name)
+		switch s.rng.IntN(5) {
 		case 0:
 			if p != nil {
-				w.kill(p, w.rng.IntN(2) == 0)
+				s.kill(p, s.rng.IntN(2) == 0)
 			}
 		case 1:
 			if p == nil {
-				w.start(name, name+":1")
+				s.startProcess(name, name+":1")
 			}
 		case 2:
 			if p != nil {
-				p.stopped = true
+				p.paused = true
 			}
 		case 3:
-			w.wakeAll(func() {})
+			s.resumeAll(func() {})
 		case 4:
-			for _, other := range w.names {
-				w.cut[[2]string{name, other}] = w.rng.IntN(2) == 0
+			for _, other := range s.names {
+				s.cutLinks[[2]string{name, other}] = s.rng.IntN(2) == 0
 			}
 		}
-		w.run(time.Duration(w.rng.Int64N(int64(6*time.Second))), record)
+		s.run(time.Duration(s.rng.Int64N(int64(6*time.Second))), record)
 	}
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// The file holds checksums of all allocations in seeded runs with a released version: a change of names or of shape must not change
-// one allocation or the moment from which it holds.
-func TestAllocationsAreThoseRecorded(t *testing.T) {
+// A refactoring must not change any allocation or the time from which it applies. The file contains checksums of seeded simulations
+// that were recorded with a released version.
+func TestAllocationsMatchRecordedChecksums(t *testing.T) {
 	raw, err := os.ReadFile("testdata/allocations.sha256")
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := strings.Fields(string(raw))
 	if len(want) != 16 {
-		t.Fatalf("%d checksums", len(want))
+		t.Fatalf("testdata has %d checksums, want 16", len(want))
 	}
 	for seed, sum := range want {
-		if got := runWorld(uint64(seed)); got != sum {
-			t.Errorf("seed %d: %s, recorded %s", seed, got, sum)
+		if got := allocationChecksum(uint64(seed)); got != sum {
+			t.Errorf("seed %d: checksum = %s, want %s", seed, got, sum)
 		}
 	}
 }
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -6,126 +6,131 @@
 )
 
 const (
-	// clockDrift is by how much the rates of two machines' clocks may differ. Ordinary ones differ by a ten-thousandth, and a
-	// clock that is being corrected runs wrong by a two-thousandth.
+	// clockDrift is the allowed relative difference between the rates of two machines' clocks. Ordinary clocks differ by 0.0001; a
+	// clock that is being slewed is off by 0.0005.
 	clockDrift = 0.05
 
-	// renewalsPerLease are asked for, so that the loss of some in a row costs nothing.
+	// renewalsPerLease is the number of renewals requested within one lease, so that a lease survives the loss of several in a row.
 	renewalsPerLease = 4
 
-	// maxPendingRenewals are remembered for each lessor until they are granted.
+	// maxPendingRenewals limits the renewals remembered for each lessor until they are granted.
 	maxPendingRenewals = 8
 )
 
-// lessorTerm is how long a lessor leaves a unit alone after a grant: the lessee's span by a clock that may run faster.
-func lessorTerm(leaseTTL time.Duration) time.Duration {
+// lessorLeaseTTL returns how long a lessor must not use a unit after a grant: the lessee's LeaseTTL as measured by a lessor's clock
+// that runs faster than the lessee's by the allowed drift.
+func lessorLeaseTTL(leaseTTL time.Duration) time.Duration {
 	return time.Duration(float64(leaseTTL)*(1+clockDrift)/(1-clockDrift)) + time.Millisecond
 }
 
-// renewal is a request for a lease that has not been granted yet.
+// renewal is a lease request that has not been granted yet.
 type renewal struct {
 	seq           uint32
 	sentAt        time.Duration
 	forGeneration uint64
 }
 
-// lessor is a member from which this process leases some of its own units.
+// lessor is the state of the units that this process leases from one other member.
 type lessor struct {
-	name        string
-	units       int
-	seen        uint64        // generation of its process as last seen; 0: none
-	boundTo     uint64        // generation of the process that has granted; 0: none
-	leasedUntil time.Duration // by this process's clock
-	ended       bool          // the process that granted has ended, and no later one has been asked: the units are this process's alone
-	pending     []renewal
-	renewAt     time.Duration
+	name              string
+	units             int
+	seenGeneration    uint64        // highest generation seen of the lessor's processes; 0: none seen
+	grantorGeneration uint64        // generation of the process that granted the lease; 0: none
+	leasedUntil       time.Duration // expiry of the lease by this process's clock
+	processEnded      bool          // the grantor has ended and no later process has been sent a request, so the lease cannot expire
+	pending           []renewal
+	renewAt           time.Duration
 }
 
-// leased reports whether this process may use the lessor's units.
-func (l *lessor) leased(now time.Duration) bool { return l.ended || now < l.leasedUntil }
+// leased reports whether this process may use the units that it leases from the lessor.
+func (l *lessor) leased(now time.Duration) bool { return l.processEnded || now < l.leasedUntil }
 
-// canBeAsked reports whether there is a process to ask.
-func (l *lessor) canBeAsked() bool {
-	if l.ended {
-		return l.seen > l.boundTo // a later one than the one that has ended
+// canRequestRenewal reports whether a running process of the lessor is known.
+func (l *lessor) canRequestRenewal() bool {
+	if l.processEnded {
+		return l.seenGeneration > l.grantorGeneration // a later process than the ended grantor
 	}
-	return l.seen != 0
+	return l.seenGeneration != 0
 }
 
-// processSeen records a running process of the lessor. If it is a later one than the one that granted, that one has ended. The
-// later one grants nothing before it has run for a lessor's term, and until it is asked nothing changes hands, so this process
-// waits as long before it asks.
+// processSeen records a running process of the lessor. A process with a higher generation than the grantor's proves that the grantor
+// has ended. The later process grants nothing in its first lessorLeaseTTL, and this process keeps the units until it sends the first
+// request, so it delays that request by at least lessorLeaseTTL.
 func (l *lessor) processSeen(now time.Duration, generation uint64, leaseTTL time.Duration) {
-	if generation <= l.seen {
+	if generation <= l.seenGeneration {
 		return
 	}
-	l.seen = generation
+	l.seenGeneration = generation
 	l.renewAt = now
-	if l.boundTo != 0 && generation > l.boundTo {
-		l.ended = true
-		l.renewAt = now + lessorTerm(leaseTTL) + leaseTTL/renewalsPerLease
+	if l.grantorGeneration != 0 && generation > l.grantorGeneration {
+		l.processEnded = true
+		l.renewAt = now + lessorLeaseTTL(leaseTTL) + leaseTTL/renewalsPerLease
 	}
 }
 
-// renew records a request for a lease.
+// recordRequest records that a renewal was sent to the lessor.
 //
-// A later process of the lessor may count on what it hears from this one from the first request on. So that request ends the
-// right that rested on the earlier process's end: from here on this process has the units for one more lease, and no longer.
-func (l *lessor) renew(now time.Duration, seq uint32, leaseTTL time.Duration) {
-	if l.ended {
-		l.ended = false
-		l.boundTo = 0
+// If the grantor has ended, this process used the units without an expiry. The first request to a later process of the lessor ends
+// that: from then on the later process can grant the units and treat them as leased by this one, so this process may use them for
+// one more leaseTTL only, unless the lease is renewed.
+func (l *lessor) recordRequest(now time.Duration, seq uint32, leaseTTL time.Duration) {
+	if l.processEnded {
+		l.processEnded = false
+		l.grantorGeneration = 0
 		l.leasedUntil = now + leaseTTL
 	}
 	l.renewAt = now + leaseTTL/renewalsPerLease
 	if len(l.pending) == maxPendingRenewals {
 		l.pending = l.pending[1:]
 	}
-	l.pending = append(l.pending, renewal{seq: seq, sentAt: now, forGeneration: l.seen})
+	l.pending = append(l.pending, renewal{seq: seq, sentAt: now, forGeneration: l.seenGeneration})
 }
 
-// granted extends the lease, from the moment at which it was asked for.
-func (l *lessor) granted(generation uint64, seq uint32, leaseTTL time.Duration) {
-	at := slices.IndexFunc(l.pending, func(r renewal) bool { return r.seq == seq && r.forGeneration == generation })
-	if at < 0 || l.ended {
+// extendLease handles a grant: it extends the lease to leaseTTL after the time at which the renewal was sent.
+func (l *lessor) extendLease(generation uint64, seq uint32, leaseTTL time.Duration) {
+	index := slices.IndexFunc(l.pending, func(r renewal) bool { return r.seq == seq && r.forGeneration == generation })
+	if index < 0 || l.processEnded {
 		return
 	}
-	if l.boundTo == 0 {
-		l.boundTo = generation
+	if l.grantorGeneration == 0 {
+		l.grantorGeneration = generation
 	}
-	if l.boundTo == generation {
-		l.leasedUntil = max(l.leasedUntil, l.pending[at].sentAt+leaseTTL)
+	if l.grantorGeneration == generation {
+		l.leasedUntil = max(l.leasedUntil, l.pending[index].sentAt+leaseTTL)
 	}
-	l.pending = slices.Delete(l.pending, at, at+1)
+	l.pending = slices.Delete(l.pending, index, index+1)
 }
 
-// lessee is a member that leases some of its units from this process.
+// lessee is the state of the units that one other member leases from this process.
 type lessee struct {
-	name       string
-	units      int
-	generation uint64        // of the process that leased last; 0: none
-	grantedAt  time.Duration // the last time
-	ended      bool          // that process has ended
+	name         string
+	units        int
+	generation   uint64        // generation of the process that was granted the latest lease; 0: none
+	grantedAt    time.Duration // time of the latest grant
+	processEnded bool          // the process of that generation has ended
 }
 
-// mayLease reports whether a process may be granted a lease: the one that has it while it runs, or a later one.
-func (l *lessee) mayLease(generation uint64) bool {
+// canGrant reports whether a process of the lessee may be granted a lease: the process that had the latest lease unless it has
+// ended, or a later one.
+func (l *lessee) canGrant(generation uint64) bool {
 	if generation == l.generation {
-		return !l.ended
+		return !l.processEnded
 	}
 	return generation > l.generation
 }
 
-func (l *lessee) grant(now time.Duration, generation uint64) {
+// recordGrant records that a lease was granted to a process of the lessee.
+func (l *lessee) recordGrant(now time.Duration, generation uint64) {
 	l.generation = generation
 	l.grantedAt = now
-	l.ended = false
+	l.processEnded = false
 }
 
-// lapsed reports whether this process may use the lessee's units. Units that nobody has leased yet are the lessee's.
-func (l *lessee) lapsed(now, leaseTTL time.Duration) bool {
+// leaseEnded reports whether a lease was granted and is over, in which case this process may use the units. Units that have never
+// been leased remain reserved for the lessee.
+func (l *lessee) leaseEnded(now, leaseTTL time.Duration) bool {
 	if l.generation == 0 {
 		return false
 	}
-	return l.ended || now-l.grantedAt > lessorTerm(leaseTTL)
+	return l.processEnded || now-l.grantedAt > lessorLeaseTTL(leaseTTL)
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -9,226 +9,229 @@
 
 const leaseTTL = 4 * time.Second
 
-// world simulates processes with clocks of different rates, on a network that loses, delays and duplicates messages.
-type world struct {
-	rng       *rand.Rand
-	now       time.Duration
-	names     []string
-	addresses map[string]string
-	procs     []*proc
-	cut       map[[2]string]bool // from one member to another
-	queue     events
-	scheduled int // events so far
-}
-
-type proc struct {
+// simulation simulates processes with clocks of different rates, on a network that loses, delays and duplicates messages.
+type simulation struct {
+	rng        *rand.Rand
+	now        time.Duration
+	names      []string
+	addresses  map[string]string
+	processes  []*process
+	cutLinks   map[[2]string]bool // whether messages from the first member to the second are lost
+	queue      eventQueue
+	eventCount int // events scheduled so far
+}
+
+type process struct {
 	name       string
 	address    string
 	generation uint64
 	allocator  *Allocator
 	clockRate  float64
 	clockStart time.Duration
-	up         bool
-	stopped    bool
-	held       []func() // what came while it was stopped
+	running    bool
+	paused     bool
+	deferred   []func() // actions that became due while the process was paused
 }
 
-func (p *proc) now(w *world) time.Duration {
-	return p.clockStart + time.Duration(float64(w.now)*p.clockRate)
+// localTime returns the current time by the process's own clock.
+func (p *process) localTime(s *simulation) time.Duration {
+	return p.clockStart + time.Duration(float64(s.now)*p.clockRate)
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at     time.Duration
+	order  int
+	action func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	x := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return x
 }
 
-func newWorld(n int, seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), cut: map[[2]string]bool{}}
-	w.addresses = map[string]string{}
+func newSimulation(n int, seed uint64) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), cutLinks: map[[2]string]bool{}}
+	s.addresses = map[string]string{}
 	for i := range n {
 		name := fmt.Sprintf("n%02d", i)
-		w.names = append(w.names, name)
-		w.addresses[name] = name + ":1"
+		s.names = append(s.names, name)
+		s.addresses[name] = name + ":1"
 	}
-	for _, name := range w.names {
-		w.start(name, name+":1")
+	for _, name := range s.names {
+		s.startProcess(name, name+":1")
 	}
-	return w
+	return s
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.scheduled++
-	heap.Push(&w.queue, event{w.now + d, w.scheduled, do})
+func (s *simulation) schedule(d time.Duration, action func()) {
+	s.eventCount++
+	heap.Push(&s.queue, event{s.now + d, s.eventCount, action})
 }
 
-// start starts a process of a name at an address, whose earlier process has ended.
-func (w *world) start(name, address string) *proc {
-	p := &proc{name: name, address: address, generation: uint64(len(w.procs) + 1), clockRate: 1 + (w.rng.Float64()-0.5)*clockDrift, up: true,
-		clockStart: time.Duration(w.rng.Int64N(int64(time.Hour)))}
-	p.allocator = New(Options{Name: name, Members: w.addresses, Generation: p.generation, LeaseTTL: leaseTTL}, p.now(w))
-	w.procs = append(w.procs, p)
-	w.tick(p)
-	for _, q := range w.procs { // each hears of the others, sooner or later, or never
-		if q != p && q.up {
-			w.meet(p, q)
-			w.meet(q, p)
+// startProcess starts a process of a member. An earlier process at the same address must have ended.
+func (s *simulation) startProcess(name, address string) *process {
+	started := &process{name: name, address: address, generation: uint64(len(s.processes) + 1),
+		clockRate: 1 + (s.rng.Float64()-0.5)*clockDrift, running: true, clockStart: time.Duration(s.rng.Int64N(int64(time.Hour)))}
+	started.allocator = New(Options{Name: name, Members: s.addresses, Generation: started.generation, LeaseTTL: leaseTTL}, started.localTime(s))
+	s.processes = append(s.processes, started)
+	s.tick(started)
+	for _, other := range s.processes { // each process sees the others after a random delay, or never
+		if other != started && other.running {
+			s.scheduleMemberSeen(started, other)
+			s.scheduleMemberSeen(other, started)
 		}
 	}
-	return p
+	return started
 }
 
-// meet has a process hear of another after a while.
-func (w *world) meet(p, q *proc) {
-	w.after(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() {
-		if !p.up {
+// scheduleMemberSeen notifies observer after a random delay that the process seen is running. While the link is cut it retries.
+func (s *simulation) scheduleMemberSeen(observer, seen *process) {
+	s.schedule(time.Duration(s.rng.Int64N(int64(3*time.Second))), func() {
+		if !observer.running {
 			return
 		}
-		if w.cut[[2]string{q.name, p.name}] && q.up {
-			w.meet(p, q)
+		if s.cutLinks[[2]string{seen.name, observer.name}] && seen.running {
+			s.scheduleMemberSeen(observer, seen)
 			return
 		}
-		w.hand(p, func() { p.allocator.MemberSeen(p.now(w), q.name, q.generation, q.address) })
+		s.deliver(observer, func() { observer.allocator.MemberSeen(observer.localTime(s), seen.name, seen.generation, seen.address) })
 	})
 }
 
-func (w *world) tick(p *proc) {
-	w.after(50*time.Millisecond, func() {
-		if p.up {
-			w.hand(p, func() { p.allocator.Tick(p.now(w)) })
-			w.tick(p)
+func (s *simulation) tick(p *process) {
+	s.schedule(50*time.Millisecond, func() {
+		if p.running {
+			s.deliver(p, func() { p.allocator.Tick(p.localTime(s)) })
+			s.tick(p)
 		}
 	})
 }
 
-// hand has a process do something, later if it is stopped, and sends what comes of it.
-func (w *world) hand(p *proc, do func()) {
-	if p.stopped {
-		p.held = append(p.held, do)
+// deliver runs an action on a process and sends the resulting messages. If the process is paused, the action waits until it resumes.
+func (s *simulation) deliver(p *process, action func()) {
+	if p.paused {
+		p.deferred = append(p.deferred, action)
 		return
 	}
-	do()
-	for _, o := range p.allocator.TakeOutput() {
-		w.send(p, o)
+	action()
+	for _, message := range p.allocator.TakeOutput() {
+		s.send(p, message)
 	}
 }
 
-func (w *world) send(p *proc, o OutgoingMessage) {
+// send sends a message with random loss, delay and duplication.
+func (s *simulation) send(sender *process, message OutgoingMessage) {
 	copies := 1
-	if w.rng.IntN(10) == 0 {
+	if s.rng.IntN(10) == 0 {
 		copies = 2
 	}
 	for range copies {
-		if w.rng.IntN(10) == 0 || w.cut[[2]string{p.name, o.To}] {
+		if s.rng.IntN(10) == 0 || s.cutLinks[[2]string{sender.name, message.To}] {
 			continue
 		}
-		late := time.Duration(w.rng.ExpFloat64() * float64(30*time.Millisecond))
-		if w.rng.IntN(200) == 0 {
-			late = time.Duration(w.rng.Int64N(int64(30 * time.Second)))
+		delay := time.Duration(s.rng.ExpFloat64() * float64(30*time.Millisecond))
+		if s.rng.IntN(200) == 0 {
+			delay = time.Duration(s.rng.Int64N(int64(30 * time.Second)))
 		}
-		w.after(late, func() {
-			for _, q := range w.procs {
-				if q.name != o.To || !q.up {
+		s.schedule(delay, func() {
+			for _, receiver := range s.processes {
+				if receiver.name != message.To || !receiver.running {
 					continue
 				}
-				w.hand(q, func() {
-					q.allocator.Receive(q.now(w), IncomingMessage{Kind: o.Kind, From: p.name, Generation: p.generation, Address: p.address,
-						ForGeneration: o.ForGeneration, Seq: o.Seq, MembersHash: MembersHash(w.addresses)})
+				s.deliver(receiver, func() {
+					receiver.allocator.Receive(receiver.localTime(s), IncomingMessage{Kind: message.Kind, From: sender.name,
+						Generation: sender.generation, Address: sender.address, ForGeneration: message.ForGeneration,
+						Seq: message.Seq, MembersHash: MembersHash(s.addresses)})
 				})
 			}
 		})
 	}
 }
 
-// kill ends a process. Its kernel closes its connections, which others see at once, late where the link is cut, or never
-// where the machine goes too.
-func (w *world) kill(p *proc, machine bool) {
-	p.up = false
-	p.held = nil
-	if machine {
+// kill ends a process. Its kernel closes its connections, which the other processes see within 100 ms, or later if the link is cut.
+// If the machine is lost too, they never see it.
+func (s *simulation) kill(killed *process, machineLost bool) {
+	killed.running = false
+	killed.deferred = nil
+	if machineLost {
 		return
 	}
-	for _, q := range w.procs {
-		if q.up && q != p {
-			w.fin(p, q)
+	for _, observer := range s.processes {
+		if observer.running && observer != killed {
+			s.scheduleProcessEnded(killed, observer)
 		}
 	}
 }
 
-// fin has one process see another's end.
-func (w *world) fin(p, q *proc) {
-	w.after(time.Duration(w.rng.Int64N(int64(100*time.Millisecond))), func() {
+// scheduleProcessEnded notifies observer after a random delay that a process has ended. While the link is cut it retries.
+func (s *simulation) scheduleProcessEnded(ended, observer *process) {
+	s.schedule(time.Duration(s.rng.Int64N(int64(100*time.Millisecond))), func() {
 		switch {
-		case !q.up:
-		case w.cut[[2]string{p.name, q.name}]:
-			w.after(time.Second, func() { w.fin(p, q) })
+		case !observer.running:
+		case s.cutLinks[[2]string{ended.name, observer.name}]:
+			s.schedule(time.Second, func() { s.scheduleProcessEnded(ended, observer) })
 		default:
-			w.hand(q, func() { q.allocator.ProcessEnded(p.name, p.generation) })
+			s.deliver(observer, func() { observer.allocator.ProcessEnded(ended.name, ended.generation) })
 		}
 	})
 }
 
-// wake lets a stopped process go on.
-func (w *world) wake(p *proc) {
-	p.stopped = false
-	for _, do := range p.held {
-		w.hand(p, do)
+// resume ends the pause of a process and runs its deferred actions.
+func (s *simulation) resume(p *process) {
+	p.paused = false
+	for _, action := range p.deferred {
+		s.deliver(p, action)
 	}
-	p.held = nil
+	p.deferred = nil
 }
 
-// wakeAll lets all stopped processes go on, and calls check after each.
-func (w *world) wakeAll(check func()) {
-	for _, p := range w.procs {
-		if p.up && p.stopped {
-			w.wake(p)
+// resumeAll resumes all paused processes and calls check after each.
+func (s *simulation) resumeAll(check func()) {
+	for _, p := range s.processes {
+		if p.running && p.paused {
+			s.resume(p)
 			check()
 		}
 	}
 }
 
-// sum is what all running processes may use at this instant.
-func (w *world) sum() float64 {
+// totalFraction returns the sum of the fractions that all running processes may use now. Paused processes use nothing.
+func (s *simulation) totalFraction() float64 {
 	out := 0.0
-	for _, p := range w.procs {
-		if p.up && !p.stopped {
-			out += p.allocator.Allocation(p.now(w)).Fraction
+	for _, p := range s.processes {
+		if p.running && !p.paused {
+			out += p.allocator.Allocation(p.localTime(s)).Fraction
 		}
 	}
 	return out
 }
 
-// run lets events happen, and calls check after each.
-func (w *world) run(d time.Duration, check func()) {
-	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+// run processes the events of the next span d and calls check after each.
+func (s *simulation) run(d time.Duration, check func()) {
+	end := s.now + d
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
+		next.action()
 		check()
 	}
-	w.now = end
+	s.now = end
 }
 
-// current returns the latest running process of a name.
-func (w *world) current(name string) *proc {
-	for i := len(w.procs) - 1; i >= 0; i-- {
-		if w.procs[i].name == name && w.procs[i].up {
-			return w.procs[i]
+// runningProcess returns the latest running process of a member, or nil if none is running.
+func (s *simulation) runningProcess(name string) *process {
+	for i := len(s.processes) - 1; i >= 0; i-- {
+		if s.processes[i].name == name && s.processes[i].running {
+			return s.processes[i]
 		}
 	}
 	return nil
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Status says what a process may use and why, for operators. Units are the process's own unless the field says otherwise.
+// Status reports to operators which fraction of the quota a process may use, and why. UnitsLeased and UnitsOfEndedLessors count units
+// that the process's own member owns.
 type Status struct {
-	Fraction      float64  `json:"share"` // of the whole
-	Members       int      `json:"members"`
-	UnitsLeased   int      `json:"units_leased"`
-	UnitsSole     int      `json:"units_sole"`          // in use without a lease, since their lessor's process has ended
-	LapsedLessors []string `json:"lapsed,omitempty"`    // lessors whose units this process may not use now
-	InheritedFrom []string `json:"inherited,omitempty"` // lessees whose units this process uses now
+	Fraction            float64  `json:"share"` // of the whole quota
+	Members             int      `json:"members"`
+	UnitsLeased         int      `json:"units_leased"`
+	UnitsOfEndedLessors int      `json:"units_sole"`          // used without an expiry because the lessor's process has ended
+	LapsedLessors       []string `json:"lapsed,omitempty"`    // lessors whose leases to this process have expired
+	InheritedFrom       []string `json:"inherited,omitempty"` // lessees whose units this process uses because their leases are over
 }
 
-// Status returns the status at a moment.
+// Status returns the status of the process at the given time.
 func (a *Allocator) Status(now time.Duration) Status {
 	out := Status{Fraction: a.Allocation(now).Fraction, Members: len(a.options.Members)}
 	for _, l := range a.lessors {
 		switch {
-		case l.ended:
-			out.UnitsSole += l.units
+		case l.processEnded:
+			out.UnitsOfEndedLessors += l.units
 		case l.leased(now):
 			out.UnitsLeased += l.units
 		default:
@@ -26,7 +27,7 @@
 		}
 	}
 	for _, l := range a.lessees {
-		if l.lapsed(now, a.options.LeaseTTL) {
+		if l.leaseEnded(now, a.options.LeaseTTL) {
 			out.InheritedFrom = append(out.InheritedFrom, l.name)
 		}
 	}
