--- a/internal/coap/front/datagram.go
+++ b/internal/coap/front/datagram.go
@@ -10,12 +10,13 @@
 	"tackhub.example/tackhub/internal/coap/wire"
 )
 
-// handleDatagram handles one datagram. It does not wait. A panic ends this datagram only.
+// handleDatagram handles one received datagram without waiting for the request's handler. A panic is logged and
+// counted, and ends only this datagram.
 func (s *Server) handleDatagram(datagram []byte, from net.Addr) {
 	defer func() {
 		if p := recover(); p != nil {
 			s.options.Count.Panics.Inc()
-			s.options.Log.Error("panic at a datagram", "code", "coap_panic", "panic", p)
+			s.options.Log.Error("panic while handling a datagram", "code", "coap_panic", "panic", p)
 		}
 	}()
 	s.options.Count.Datagrams.Inc()
@@ -49,7 +50,7 @@
 	}
 }
 
-// rejectMessage drops a message that is no request. The sender of a confirmable one is told by a reset (RFC 7252, 4.2).
+// rejectMessage drops a message that is not a request. A confirmable message is answered with a reset (RFC 7252, 4.2).
 func (s *Server) rejectMessage(header wire.Header, from net.Addr, reason string) {
 	s.options.Count.Drops.Inc(reason)
 	if header.Type == wire.Con {
@@ -57,7 +58,7 @@
 	}
 }
 
-// handleRequest starts a request that is new, and answers a repeat. The caller holds the lock.
+// handleRequest starts a new request or answers a retransmission. The caller holds the lock.
 func (s *Server) handleRequest(m *message.Message, key dedup.Key, datagram []byte, from net.Addr) {
 	r := &request{
 		server:       s,
@@ -97,8 +98,8 @@
 	}
 }
 
-// replay sends a stored response again. One that was sent by itself follows an acknowledgement; one that could not be stored
-// is empty.
+// replay sends a stored response again. A separate response is preceded by an empty acknowledgement. If the response
+// could not be stored, a confirmable request gets only the acknowledgement.
 func (s *Server) replay(stored []byte, key dedup.Key, from net.Addr, confirmable bool) {
 	inAcknowledgement := len(stored) > 0 && wire.TypeOf(stored) == wire.Ack
 	if confirmable && !inAcknowledgement {
--- a/internal/coap/front/mapping.go
+++ b/internal/coap/front/mapping.go
@@ -14,46 +14,48 @@
 	"tackhub.example/tackhub/internal/coap/wire"
 )
 
-// The queries that are for the node. All others are forwarded as they came.
+// The query parameters that the node reads. All others are forwarded unchanged.
 const (
-	queryKey      = "key"    // idempotency key of a class that needs one
-	queryTenant   = "tenant" // tenant
-	queryDeadline = "wait"   // milliseconds that the device waits; without it the class's total timeout
-	queryRetry    = "retry"  // 1: the device tries again
-	queryCostHint = "hint"   // microseconds of work, guessed
+	queryKey      = "key"    // idempotency key, for classes that require one
+	queryTenant   = "tenant" // tenant of the request
+	queryDeadline = "wait"   // milliseconds that the device waits for the response; default: the class's total timeout
+	queryRetry    = "retry"  // 1 if the request is a retry by the device
+	queryCostHint = "hint"   // estimated work in microseconds
 )
 
-// mappedRequest is a request in HTTP's terms. docs/coap.md says how each part is found.
+// mappedRequest is a CoAP request converted to HTTP terms. docs/coap.md describes the mapping.
 type mappedRequest struct {
-	class    balancer.Class
-	method   string
-	uri      string // the path, and the queries that are forwarded
-	key      string // "": none
-	tenant   string
-	deadline string // milliseconds, as the device wrote them
-	costHint string // microseconds, as the device wrote them; "": none
-	retry    bool
+	class          balancer.Class
+	method         string
+	uri            string // path and forwarded queries
+	idempotencyKey string // "" if none
+	tenant         string
+	deadline       string // milliseconds, unparsed
+	costHint       string // microseconds, unparsed; "" if none
+	retry          bool
 }
 
-// rejection is why a message cannot be mapped: the response's code, and a text for whoever debugs the device.
+// rejection is the reason why a message cannot be mapped: the code of the response, and a diagnostic text for the
+// developer of the device.
 type rejection struct {
 	code codes.Code
 	text string
 }
 
-// reject makes a rejection.
+// reject returns a rejection with a formatted text.
 func reject(code codes.Code, format string, args ...any) *rejection {
 	return &rejection{code: code, text: fmt.Sprintf(format, args...)}
 }
 
-// proxyOptions ask for a forward proxy.
+// proxyOptions are the options that ask for a forward proxy, which this server does not provide.
 var proxyOptions = map[message.OptionID]bool{
 	message.ProxyURI:    true,
 	message.ProxyScheme: true,
 }
 
-// criticalOptions are the critical options that are understood. A request with another one must be rejected (RFC 7252, 5.4.1).
-var criticalOptions = map[message.OptionID]bool{
+// supportedCriticalOptions are the critical options that this server understands. RFC 7252, 5.4.1 requires that a
+// request with any other critical option is rejected.
+var supportedCriticalOptions = map[message.OptionID]bool{
 	message.URIHost:  true,
 	message.URIPort:  true,
 	message.URIPath:  true,
@@ -63,16 +65,17 @@
 	message.Accept:   true,
 }
 
-// isCritical reports whether whoever does not understand an option must reject the request: its number is odd.
+// isCritical reports whether an option is critical, so that a server that does not understand it must reject the
+// request. Critical options have odd numbers.
 func isCritical(id message.OptionID) bool { return id%2 == 1 }
 
-// mapRequest maps a message to a request in HTTP's terms, or gives the reason why it cannot be. It is pure.
+// mapRequest converts a message to HTTP terms, or returns the reason why it cannot. It is pure.
 func mapRequest(m *message.Message, classes map[string]balancer.Class) (mappedRequest, *rejection) {
 	for _, option := range m.Options {
 		switch {
 		case proxyOptions[option.ID]:
 			return mappedRequest{}, reject(codes.ProxyingNotSupported, "no proxy")
-		case isCritical(option.ID) && !criticalOptions[option.ID]:
+		case isCritical(option.ID) && !supportedCriticalOptions[option.ID]:
 			return mappedRequest{}, reject(codes.BadOption, "critical option %d", option.ID)
 		}
 	}
@@ -92,17 +95,17 @@
 	forwarded := mapped.takeQueries(wire.Strings(m, message.URIQuery))
 	mapped.uri = buildURI(path, forwarded)
 	switch {
-	case class.Idempotency == balancer.IdempotentWithKey && mapped.key == "":
+	case class.Idempotency == balancer.IdempotentWithKey && mapped.idempotencyKey == "":
 		return mappedRequest{}, reject(codes.BadRequest, "no key")
 	case mapped.deadline == "":
 		return mappedRequest{}, reject(codes.BadRequest, "no wait")
-	case strings.ContainsAny(mapped.key+mapped.tenant+mapped.deadline+mapped.costHint, "\r\n\x00"):
+	case strings.ContainsAny(mapped.idempotencyKey+mapped.tenant+mapped.deadline+mapped.costHint, "\r\n\x00"):
 		return mappedRequest{}, reject(codes.BadRequest, "control characters")
 	}
 	return mapped, nil
 }
 
-// mapMethod is the HTTP method of a request to a class; false where the class does not take the code.
+// mapMethod returns the HTTP method of a request to a class; false if the class does not accept the CoAP method.
 func mapMethod(code codes.Code, class balancer.Class) (string, bool) {
 	if class.Idempotency == balancer.Idempotent {
 		return fasthttp.MethodGet, code == codes.GET
@@ -110,7 +113,8 @@
 	return fasthttp.MethodPost, code == codes.POST || code == codes.PUT
 }
 
-// defaultDeadline is the deadline of a request that names none, in milliseconds; "" for a class without a total timeout.
+// defaultDeadline returns the deadline in milliseconds of a request that specifies none, or "" if the class has no
+// total timeout.
 func defaultDeadline(class balancer.Class) string {
 	if class.TotalTimeout <= 0 {
 		return ""
@@ -118,13 +122,13 @@
 	return strconv.FormatInt(max(1, int64(class.TotalTimeout)), 10)
 }
 
-// takeQueries reads the queries that are for the node and gives the others, escaped.
+// takeQueries reads the queries that are for the node and returns the others, escaped.
 func (m *mappedRequest) takeQueries(queries []string) (forwarded []string) {
 	for _, query := range queries {
 		name, value, hasValue := strings.Cut(query, "=")
 		switch name {
 		case queryKey:
-			m.key = value
+			m.idempotencyKey = value
 		case queryTenant:
 			m.tenant = value
 		case queryDeadline:
@@ -140,7 +144,7 @@
 	return forwarded
 }
 
-// escapeQuery writes a query as it stands in a URI.
+// escapeQuery escapes a query for use in a URI.
 func escapeQuery(name, value string, hasValue bool) string {
 	if !hasValue {
 		return url.QueryEscape(name)
@@ -148,7 +152,7 @@
 	return url.QueryEscape(name) + "=" + url.QueryEscape(value)
 }
 
-// buildURI writes a path and escaped queries as a URI.
+// buildURI builds a URI from the unescaped segments of a path and from escaped queries.
 func buildURI(path, queries []string) string {
 	segments := make([]string, len(path))
 	for i, segment := range path {
@@ -161,7 +165,7 @@
 	return uri
 }
 
-// responseCode is the CoAP code for the status that an HTTP client would get.
+// responseCode returns the CoAP code that corresponds to the HTTP status of a response.
 func responseCode(status int, method string) codes.Code {
 	switch {
 	case status == fasthttp.StatusOK && method == fasthttp.MethodGet:
--- a/internal/coap/front/proven.go
+++ b/internal/coap/front/proven.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// maxProven bounds the endpoints that are remembered as proven.
-	maxProven = 8192
+	// maxValidated bounds the number of endpoints that are stored as validated.
+	maxValidated = 8192
 
-	// provenLifetime is how long an endpoint stays proven.
-	provenLifetime = echo.Lifetime
+	// validationLifetime is how long an endpoint stays validated.
+	validationLifetime = echo.Lifetime
 )
 
-// provenEndpoints are the endpoints that have shown by an Echo value that they receive at their address, with the end of
-// their time. Times are spans since the server's start.
-type provenEndpoints map[string]time.Duration
+// validatedEndpoints maps each endpoint that has proved with an Echo value that it receives at its address to the time
+// at which the validation expires. Times are durations since the server's start.
+type validatedEndpoints map[string]time.Duration
 
-// contains reports whether an endpoint is proven.
-func (p provenEndpoints) contains(now time.Duration, endpoint string) bool {
-	return p[endpoint] > now
+// contains reports whether an endpoint is validated and its validation has not expired.
+func (v validatedEndpoints) contains(now time.Duration, endpoint string) bool {
+	return v[endpoint] > now
 }
 
-// add notes that an endpoint is proven. At the limit expired ones, or any one, make way; one that is forgotten is challenged
-// again.
-func (p provenEndpoints) add(now time.Duration, endpoint string) {
-	if len(p) >= maxProven {
-		p.shrink(now)
+// add stores an endpoint as validated. At the limit it first removes endpoints, not all of them necessarily expired; a
+// removed endpoint is challenged again.
+func (v validatedEndpoints) add(now time.Duration, endpoint string) {
+	if len(v) >= maxValidated {
+		v.shrink(now)
 	}
-	p[endpoint] = now + provenLifetime
+	v[endpoint] = now + validationLifetime
 }
 
-// shrink removes at least one endpoint, and expired ones until half of the limit is free.
-func (p provenEndpoints) shrink(now time.Duration) {
-	for endpoint, expiresAt := range p {
-		if expiresAt <= now || len(p) >= maxProven {
-			delete(p, endpoint)
+// shrink removes at least one endpoint, expired or not, and further expired ones until less than half of the limit is
+// used.
+func (v validatedEndpoints) shrink(now time.Duration) {
+	for endpoint, expiresAt := range v {
+		if expiresAt <= now || len(v) >= maxValidated {
+			delete(v, endpoint)
 		}
-		if len(p) < maxProven/2 {
+		if len(v) < maxValidated/2 {
 			break
 		}
 	}
--- a/internal/coap/front/request.go
+++ b/internal/coap/front/request.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// acknowledgeAfter is when a confirmable request is acknowledged by an empty message, its response following separately:
-	// half of the time after which the device would send it again.
+	// acknowledgeAfter is the delay after which a confirmable request is acknowledged with an empty message and its
+	// response follows separately. It is half of the time after which the device would retransmit the request.
 	acknowledgeAfter = ackTimeout / 2
 
 	// rejectionMaxAge is the Max-Age in seconds of the rejections that do not come from the handler.
 	rejectionMaxAge = 2
 )
 
-// request is a request that is being answered.
+// request is a request in progress.
 type request struct {
 	server       *Server
 	message      *message.Message
@@ -36,12 +36,12 @@
 	from         net.Addr
 	datagramSize int // bytes
 	confirmable  bool
-	acknowledged bool // by an empty message or by the response; guarded by the server's lock
+	acknowledged bool // by an empty message or by the response; guarded by Server.mu
 	mapped       mappedRequest
 	receivedAt   time.Time
 }
 
-// start checks a new request and passes it to the handler. The caller holds the lock.
+// start validates a new request and passes it to the handler. The caller holds the lock.
 func (r *request) start() {
 	s := r.server
 	r.receivedAt = time.Now()
@@ -52,7 +52,7 @@
 		return
 	}
 	r.mapped = mapped
-	if !r.isAuthentic() {
+	if !r.verifyEcho() {
 		return
 	}
 	body, answered := r.collectBody()
@@ -63,7 +63,7 @@
 	case s.slots <- struct{}{}:
 	default:
 		s.options.Count.Refused.Inc("too_many_open")
-		r.respond(response{code: codes.ServiceUnavailable, maxAge: rejectionMaxAge, harmless: true})
+		r.respond(response{code: codes.ServiceUnavailable, maxAge: rejectionMaxAge, evictable: true})
 		return
 	}
 	s.options.Count.Taken.Inc()
@@ -73,49 +73,52 @@
 	})
 }
 
-// isAuthentic checks the Echo option where the request has an effect. Where its value is not fresh the request is answered with
-// a challenge, and false is returned.
-func (r *request) isAuthentic() bool {
+// verifyEcho checks the Echo option and reports whether the request may run. A fresh value marks the endpoint as
+// validated. Idempotent requests may run without one; any other request without a fresh value is answered with a
+// challenge.
+func (r *request) verifyEcho() bool {
 	s := r.server
 	value, present := wire.Bytes(r.message, message.Echo)
 	verdict := s.authenticator.Check(s.now(), r.key.Endpoint, value, present)
 	if verdict == echo.Valid {
-		s.proven.add(s.now(), r.key.Endpoint)
+		s.validated.add(s.now(), r.key.Endpoint)
 		return true
 	}
 	if r.mapped.class.Idempotency == balancer.Idempotent {
 		return true
 	}
 	if verdict == echo.Unknown {
-		// It may be the repeat of a request that ran at another node, or here before a restart. Nothing is known of that, so
-		// the response promises nothing; whether the device sends a new request with the new value is its own decision.
+		// The request may be a retransmission of one that ran at another node, or at this node before a restart. This
+		// process cannot find out, so the response does not promise that the request has not run. The device decides
+		// whether to send a new request with the new value.
 		s.options.Count.Refused.Inc("foreign_echo")
 		r.respond(response{code: codes.BadGateway, body: []byte("may have run elsewhere"), options: r.challenge()})
 		return false
 	}
 	s.options.Count.Refused.Inc("echo")
-	r.respond(response{code: codes.Unauthorized, options: r.challenge(), harmless: true})
+	r.respond(response{code: codes.Unauthorized, options: r.challenge(), evictable: true})
 	return false
 }
 
-// challenge is an Echo option with a fresh value for the request's endpoint.
+// challenge returns an Echo option with a fresh value for the endpoint of the request.
 func (r *request) challenge() message.Options {
 	value := r.server.authenticator.Issue(r.server.now(), r.key.Endpoint)
 	return message.Options{}.Add(message.Option{ID: message.Echo, Value: value})
 }
 
-// transferKey identifies the block-wise transfers of the request's resource: its method, path and queries, without the block
-// options, which differ from message to message.
+// transferKey identifies the block-wise transfers of the requested resource by its method, path and queries. The block
+// options are excluded because they differ between the messages of a transfer.
 func (r *request) transferKey() blocks.Key {
 	h := fnv.New64a()
-	for _, text := range []string{r.mapped.method, r.mapped.uri, r.mapped.key, r.mapped.tenant} {
+	for _, text := range []string{r.mapped.method, r.mapped.uri, r.mapped.idempotencyKey, r.mapped.tenant} {
 		_, _ = h.Write([]byte(text)) // a hash returns no error
 		_, _ = h.Write([]byte{0})
 	}
 	return blocks.Key{Endpoint: r.key.Endpoint, Resource: h.Sum64()}
 }
 
-// collectBody gives the request's body once it is complete; answered is true where this message has got its response.
+// collectBody returns the body of the request once it is complete. answered is true if this message has already been
+// answered.
 func (r *request) collectBody() (body []byte, answered bool) {
 	block, present, err := wire.Block(r.message, message.Block1)
 	payload := r.message.Payload
@@ -140,9 +143,9 @@
 	return nil, true
 }
 
-// respondToBlock answers a block of an upload that is not complete.
+// respondToBlock answers a block of an upload that is not complete or was refused.
 func (r *request) respondToBlock(verdict blocks.Verdict, block blocks.Block) {
-	answer := response{block1: &block, harmless: true}
+	answer := response{block1: &block, evictable: true}
 	refused := &r.server.options.Count.Refused
 	switch verdict {
 	case blocks.Continue:
@@ -162,7 +165,8 @@
 	r.respond(answer)
 }
 
-// respondFromDownloads answers a request for a later block of a stored response; false where the request has to be served.
+// respondFromDownloads answers a request for a later block of a stored response. It returns false if the request has
+// to be served.
 func (r *request) respondFromDownloads() bool {
 	block, present, err := wire.Block(r.message, message.Block2)
 	if err != nil {
@@ -175,25 +179,25 @@
 	body, ok := r.server.downloads.Get(r.server.now(), r.transferKey())
 	if !ok {
 		if r.mapped.class.Idempotency == balancer.Idempotent {
-			return false // the block is cut from a new response
+			return false // the request runs again and the block is cut from the new response
 		}
-		r.respond(response{code: codes.RequestEntityIncomplete, harmless: true})
+		r.respond(response{code: codes.RequestEntityIncomplete, evictable: true})
 		return true
 	}
 	r.respond(response{code: responseCode(fasthttp.StatusOK, r.mapped.method), body: body})
 	return true
 }
 
-// serve passes the request to the handler and answers it.
+// serve passes the request to the handler and sends the response.
 func (r *request) serve(body []byte) {
 	acknowledge := time.AfterFunc(acknowledgeAfter, r.acknowledge)
 	defer acknowledge.Stop()
 	tracked := r.server.options.InFlight.Begin(r.key.Endpoint, r.mapped.class.Name)
-	outcome := inflight.Unanswered // unless it is answered below
+	outcome := inflight.Unanswered // replaced when the response has been sent
 	defer func() { tracked.End(outcome) }()
 	status, responseBody, retryAfterSeconds := r.callHandler(body)
 	rejected := status == fasthttp.StatusServiceUnavailable
-	answer := response{code: responseCode(status, r.mapped.method), harmless: rejected}
+	answer := response{code: responseCode(status, r.mapped.method), evictable: rejected}
 	switch {
 	case status == fasthttp.StatusOK:
 		answer.body = responseBody
@@ -209,17 +213,17 @@
 	}
 }
 
-// callHandler passes the request to the handler as an HTTP request, with the fields that an HTTP client would send. RetryAfter
-// is in seconds, 0 where the response has none.
+// callHandler passes the request to the handler as an HTTP request, with the headers that an HTTP client would send.
+// retryAfter is in seconds, 0 if the response has no Retry-After header.
 func (r *request) callHandler(body []byte) (status int, responseBody []byte, retryAfter float64) {
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Init(r.httpRequest(body), r.from, nil)
 	r.server.options.Handler.Serve(ctx, device{receivedAt: r.receivedAt})
-	retryAfter, _ = strconv.ParseFloat(string(ctx.Response.Header.Peek("Retry-After")), 64) // 0 without one
+	retryAfter, _ = strconv.ParseFloat(string(ctx.Response.Header.Peek("Retry-After")), 64) // 0 if the header is absent
 	return ctx.Response.StatusCode(), append([]byte(nil), ctx.Response.Body()...), retryAfter
 }
 
-// httpRequest is the request as HTTP has it.
+// httpRequest converts the request to an HTTP request.
 func (r *request) httpRequest(body []byte) *fasthttp.Request {
 	m := r.mapped
 	var http fasthttp.Request
@@ -230,8 +234,8 @@
 	http.Header.Set("X-Class", m.class.Name)
 	http.Header.Set("X-Tenant", m.tenant)
 	http.Header.Set("X-Deadline-Ms", m.deadline)
-	if m.key != "" {
-		http.Header.Set("Idempotency-Key", m.key)
+	if m.idempotencyKey != "" {
+		http.Header.Set("Idempotency-Key", m.idempotencyKey)
 	}
 	if m.retry {
 		http.Header.Set("X-Retry", "1")
@@ -245,7 +249,8 @@
 	return &http
 }
 
-// acknowledge tells the device that its request was received and that the response follows.
+// acknowledge sends an empty acknowledgement for a confirmable request that has not been acknowledged; its response
+// follows separately.
 func (r *request) acknowledge() {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
@@ -257,17 +262,17 @@
 	r.server.send(wire.Empty(wire.Ack, r.key.ID), r.from)
 }
 
-// device is the client of a request: one without a connection, so that its disconnect cannot be seen.
+// device is the proxy.Client of a CoAP request. It has no connection, so its disconnect cannot be detected.
 type device struct{ receivedAt time.Time }
 
-// LastRead is when its request was received.
+// LastRead returns when the request was received.
 func (d device) LastRead() time.Time { return d.receivedAt }
 
-// WatchDisconnect gives a channel on which nothing comes.
+// WatchDisconnect returns a nil channel, which never delivers a value.
 func (d device) WatchDisconnect() (<-chan struct{}, func()) { return nil, func() {} }
 
-// Disconnected is never known of a device.
+// Disconnected returns false, since the disconnect of a device cannot be detected.
 func (d device) Disconnected() bool { return false }
 
-// SetCloseReason has no connection to note it at.
+// SetCloseReason does nothing, since there is no connection to close.
 func (d device) SetCloseReason(string) {}
--- a/internal/coap/front/response.go
+++ b/internal/coap/front/response.go
@@ -23,43 +23,43 @@
 )
 
 const (
-	// maxAmplification is how many bytes an unproven address may be sent for one of its own. RFC 9175 and RFC 9000 both say
-	// three.
+	// maxAmplification bounds the size of a response to an address that is not validated, as a multiple of the size of
+	// the request. RFC 9175 and RFC 9000 both specify three.
 	maxAmplification = 3
 
-	// maxUnacknowledged bounds the separate responses that are sent again until they are acknowledged. Beyond it each is sent
-	// once; a device that missed it repeats its request and gets the stored response.
+	// maxUnacknowledged bounds the separate responses that are retransmitted until they are acknowledged. Beyond the
+	// limit each is sent once; a device that misses it retransmits its request and gets the stored response.
 	maxUnacknowledged = 1024
 )
 
-// response is a response before it is put into a message.
+// response is a response that is not yet converted to a message.
 type response struct {
 	code    codes.Code
 	body    []byte
-	maxAge  uint32 // seconds; 0: none
+	maxAge  uint32 // seconds; 0 if none
 	block1  *blocks.Block
 	options message.Options
-	// harmless says that running the request again would do no harm, so that the stored response may be evicted.
-	harmless bool
+	// evictable means that running the request again does no harm, so that the stored response may be evicted.
+	evictable bool
 }
 
-// textResponse is an error response with a diagnostic text.
+// textResponse returns an error response with a diagnostic text.
 func textResponse(code codes.Code, text string) response {
-	return response{code: code, body: []byte(text), harmless: true}
+	return response{code: code, body: []byte(text), evictable: true}
 }
 
-// respond sends the final response and stores it for repeats. The caller holds the lock.
+// respond sends the final response and stores it for retransmissions of the request. The caller holds the lock.
 func (r *request) respond(answer response) {
 	s := r.server
 	answer = r.limitSize(answer)
 	m := r.newMessage(answer)
 	datagram, err := wire.Encode(m)
-	if err != nil { // only by a defect in the options set here; the device must not be left without an answer
+	if err != nil { // only if the options set here are invalid, which is a bug; the device still needs an answer
 		s.options.Log.Error("a response cannot be encoded", "code", "coap_encode", "error", err)
 		datagram = wire.Empty(wire.Rst, r.key.ID)
 	}
 	s.options.Count.Answers.Inc(fmt.Sprintf("%d.%02d", wire.Class(answer.code), wire.Detail(answer.code)))
-	s.exchanges.Complete(r.key, datagram, answer.harmless)
+	s.exchanges.Complete(r.key, datagram, answer.evictable)
 	s.send(datagram, r.from)
 	if m.Type == wire.Con {
 		s.retransmit(datagram, uint16(m.MessageID), r.from)
@@ -67,7 +67,7 @@
 	r.acknowledged = true
 }
 
-// respondUnstored rejects a request that is not remembered. The caller holds the lock.
+// respondUnstored rejects a request that is not in the dedup table. The caller holds the lock.
 func (r *request) respondUnstored(code codes.Code, text string) {
 	m := r.newMessage(response{code: code, body: []byte(text), maxAge: rejectionMaxAge})
 	if datagram, err := wire.Encode(m); err == nil {
@@ -75,34 +75,35 @@
 	}
 }
 
-// limitSize cuts a long response into a block, and replaces one that is much larger than the request by a challenge where the
-// address is unproven: a forged address must not be flooded with what is sent in its name.
+// limitSize reduces a long response to one block. If the address is not validated and the response is much larger than
+// the request, it is replaced with a challenge. Otherwise an attacker could flood a third party by sending requests
+// with a forged source address.
 func (r *request) limitSize(answer response) response {
 	answer = r.cutBlock(answer)
 	amplifies := len(answer.body) > maxAmplification*r.datagramSize
-	if amplifies && !r.server.proven.contains(r.server.now(), r.key.Endpoint) {
+	if amplifies && !r.server.validated.contains(r.server.now(), r.key.Endpoint) {
 		r.server.options.Count.Refused.Inc("amplification")
-		return response{code: codes.Unauthorized, options: r.challenge(), harmless: true}
+		return response{code: codes.Unauthorized, options: r.challenge(), evictable: true}
 	}
 	return answer
 }
 
-// cutBlock cuts the block that was asked for from a response's body, the first where none was. A body with further blocks is
-// stored for their requests.
+// cutBlock cuts the requested block, by default the first, from the body of a response. A body with further blocks is
+// stored for the requests that fetch them.
 func (r *request) cutBlock(answer response) response {
-	asked, present, err := wire.Block(r.message, message.Block2)
+	requested, present, err := wire.Block(r.message, message.Block2)
 	if err != nil || !present {
-		asked = blocks.Block{SZX: blocks.MaxSZX}
+		requested = blocks.Block{SZX: blocks.MaxSZX}
 	}
-	isLong := len(answer.body) > asked.Size()
+	isLong := len(answer.body) > requested.Size()
 	wantsBlock := present && len(answer.body) > 0
 	if !isLong && !wantsBlock {
 		return answer
 	}
-	if isLong && asked.Num == 0 {
+	if isLong && requested.Num == 0 {
 		r.server.downloads.Put(r.server.now(), r.transferKey(), answer.body)
 	}
-	part, block, ok := asked.Slice(answer.body)
+	part, block, ok := requested.Slice(answer.body)
 	if !ok {
 		return textResponse(codes.BadOption, "no such block")
 	}
@@ -115,8 +116,8 @@
 	return answer
 }
 
-// newMessage puts a response into a message: the acknowledgement where the request still needs one, else a separate message,
-// confirmable as the request was. The caller holds the lock.
+// newMessage builds the message of a response: the acknowledgement if the request still needs one, otherwise a
+// separate message, which is confirmable if the request was. The caller holds the lock.
 func (r *request) newMessage(answer response) message.Message {
 	m := message.Message{Token: r.message.Token, Code: answer.code, Payload: answer.body, Options: answer.options}
 	if answer.maxAge > 0 {
@@ -139,7 +140,7 @@
 	return m
 }
 
-// retransmit sends a separate response again until it is acknowledged. The caller holds the lock.
+// retransmit retransmits a separate response until it is acknowledged. The caller holds the lock.
 func (s *Server) retransmit(datagram []byte, id uint16, to net.Addr) {
 	key := dedup.Key{Endpoint: to.String(), ID: id}
 	if len(s.unacknowledged) >= maxUnacknowledged || s.unacknowledged[key] != nil {
@@ -167,7 +168,8 @@
 	}()
 }
 
-// stopRetransmission notes the acknowledgement or the reset of a separate response. The caller holds the lock.
+// stopRetransmission ends the retransmission of a separate response that was acknowledged or reset. The caller holds
+// the lock.
 func (s *Server) stopRetransmission(key dedup.Key) {
 	acknowledged := s.unacknowledged[key]
 	if acknowledged == nil {
--- a/internal/coap/front/server.go
+++ b/internal/coap/front/server.go
@@ -1,6 +1,6 @@
-// Package front serves CoAP requests (RFC 7252) from devices: it passes them to the handler that HTTP requests go to as well.
-// Messages, repeats and block-wise transfers are its concern; which server gets a request, whether it is retried and what is
-// shed is not.
+// Package front serves CoAP requests (RFC 7252) from devices and passes them to the same handler as HTTP requests. It
+// deals with messages, retransmissions and block-wise transfers. Server selection, retries and load shedding are
+// decided elsewhere.
 package front
 
 import (
@@ -26,22 +26,22 @@
 )
 
 const (
-	// maxBody bounds the bodies of requests and of responses, in bytes.
+	// maxBody bounds the bodies of requests and responses, in bytes.
 	maxBody = 64 << 10
 
-	// readBufferSize is that of the largest datagram, in bytes.
+	// readBufferSize is the size of the largest datagram, in bytes.
 	readBufferSize = 64 << 10
 
-	// readPause is the rest after a read that failed, so that an error that lasts takes no core.
-	readPause = time.Millisecond
+	// readErrorBackoff is the pause after a failed read, so that a persistent error does not keep a core busy.
+	readErrorBackoff = time.Millisecond
 )
 
-// Handler serves requests. Serve returns with the response in the context.
+// Handler serves requests. Serve returns once the response is in the context.
 type Handler interface {
 	Serve(*fasthttp.RequestCtx, proxy.Client)
 }
 
-// Options are the settings of a Server.
+// Options configures a Server.
 type Options struct {
 	Handler     Handler
 	Classes     []balancer.Class
@@ -50,22 +50,22 @@
 	MaxInFlight int // requests
 	Dedup       dedup.Limits
 	Uploads     blocks.Limits
-	Downloads   blocks.Limits // of responses that are fetched in blocks
-	Rate        float64       // datagrams a second of one address prefix; 0: no limit
-	// InFlight tracks the requests that were read; nil: nobody asks.
+	Downloads   blocks.Limits // for responses that are fetched in blocks
+	Rate        float64       // datagrams per second of one address prefix; 0 means no limit
+	// InFlight tracks the requests that were received; nil if they need not be tracked.
 	InFlight *inflight.Tracker
 }
 
-// Server serves one socket. The socket is any net.PacketConn: plain UDP, or one that secures datagrams.
+// Server serves CoAP on one socket. The socket may be any net.PacketConn: plain UDP, or one that secures datagrams.
 type Server struct {
 	options       Options
 	classes       map[string]balancer.Class
 	conn          net.PacketConn
 	startedAt     time.Time
 	authenticator *echo.Authenticator
-	idPrefix      string        // of the request ids that servers see
-	lastRequestID atomic.Uint64 // the number in the latest of them
-	slots         chan struct{} // one for each request in flight
+	idPrefix      string        // prefix of the request ids that are sent to servers
+	lastRequestID atomic.Uint64 // number in the latest request id
+	slots         chan struct{} // one element per request in flight
 	stopping      atomic.Bool
 	handlers      sync.WaitGroup
 
@@ -73,19 +73,19 @@
 	exchanges      *dedup.Table
 	uploads        *blocks.Store
 	downloads      *blocks.Store
-	proven         provenEndpoints
+	validated      validatedEndpoints
 	limiter        *limiter
 	lastMessageID  uint16
-	unacknowledged map[dedup.Key]chan struct{} // separate responses; closed by their acknowledgement
+	unacknowledged map[dedup.Key]chan struct{} // by separate response; closed when it is acknowledged
 }
 
-// New makes a server on a socket, which it closes in the end. It fails only where there is no randomness.
+// New returns a server for a socket, which Close closes. It fails only if no random bytes are available.
 func New(conn net.PacketConn, o Options) (*Server, error) {
 	var key [32]byte
 	if _, err := rand.Read(key[:]); err != nil {
 		return nil, err
 	}
-	var seed [10]byte // of the request ids, and of the message ids
+	var seed [10]byte // for the request ids and the message ids
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, err
 	}
@@ -107,14 +107,14 @@
 		exchanges:      dedup.New(o.Dedup),
 		uploads:        blocks.New(o.Uploads),
 		downloads:      blocks.New(o.Downloads),
-		proven:         provenEndpoints{},
+		validated:      validatedEndpoints{},
 		limiter:        newLimiter(o.Rate),
 		lastMessageID:  uint16(seed[8])<<8 | uint16(seed[9]),
 		unacknowledged: map[dedup.Key]chan struct{}{},
 	}, nil
 }
 
-// Run serves until Close. A datagram whose handling fails ends nothing else.
+// Run serves until Close is called. A failure to handle one datagram does not affect any other.
 func (s *Server) Run() {
 	buffer := make([]byte, readBufferSize)
 	for {
@@ -122,42 +122,42 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an ICMP message for an earlier datagram, or no buffers for a moment
+		if err != nil { // for example an ICMP error for an earlier datagram, or a temporary lack of buffers
 			s.options.Count.ReadErrors.Inc()
-			time.Sleep(readPause)
+			time.Sleep(readErrorBackoff)
 			continue
 		}
 		s.handleDatagram(append([]byte(nil), buffer[:n]...), from)
 	}
 }
 
-// Close rejects new requests, waits until those in flight are answered, and closes the socket. Each request in flight ends by
-// its deadline, or sooner in a graceful shutdown.
+// Close rejects new requests, waits until those in flight are answered, and closes the socket. Each request in flight
+// ends by its deadline, or sooner in a graceful shutdown.
 func (s *Server) Close() {
-	s.mu.Lock() // a request that was accepted before is in handlers by now
+	s.mu.Lock() // handlers already includes every request that was accepted before the lock was taken
 	s.stopping.Store(true)
 	s.mu.Unlock()
 	s.handlers.Wait()
 	_ = s.conn.Close()
 }
 
-// now is the time since the server was made.
+// now returns the time since the server was created.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// send writes a datagram. One that cannot be sent is lost, as it might be on the way.
+// send writes a datagram. A failed write is counted and otherwise treated like a datagram lost on the network.
 func (s *Server) send(datagram []byte, to net.Addr) {
 	if _, err := s.conn.WriteTo(datagram, to); err != nil {
 		s.options.Count.SendErrors.Inc()
 	}
 }
 
-// newMessageID gives an id for a message of our own. The caller holds the lock.
+// newMessageID returns an id for a message that this server originates. The caller holds the lock.
 func (s *Server) newMessageID() uint16 {
 	s.lastMessageID++
 	return s.lastMessageID
 }
 
-// newRequestID gives an id that no other request has, by which servers tell requests apart.
+// newRequestID returns a unique id by which servers distinguish requests.
 func (s *Server) newRequestID() string {
 	return s.idPrefix + "-" + strconv.FormatUint(s.lastRequestID.Add(1), 16)
 }
--- a/internal/coap/front/server_test.go
+++ b/internal/coap/front/server_test.go
@@ -18,17 +18,17 @@
 	"tackhub.example/tackhub/internal/proxy"
 )
 
-// discardConn is a socket that drops what is sent.
+// discardConn is a socket that discards all datagrams that are sent.
 type discardConn struct{ net.PacketConn }
 
 func (discardConn) WriteTo(b []byte, _ net.Addr) (int, error) { return len(b), nil }
 
-// immediateHandler answers every request at once.
+// immediateHandler answers every request immediately.
 type immediateHandler struct{}
 
 func (immediateHandler) Serve(ctx *fasthttp.RequestCtx, _ proxy.Client) { ctx.SetBodyString("served") }
 
-// newServer makes a server with small limits.
+// newServer returns a server with small limits.
 func newServer(tb testing.TB) (*Server, *counters.Coap) {
 	tb.Helper()
 	count := &counters.Coap{}
@@ -52,7 +52,7 @@
 	return server, count
 }
 
-// FuzzDatagrams feeds rows of datagrams: nothing panics, and every limit holds.
+// FuzzDatagrams checks that no sequence of datagrams causes a panic or exceeds a limit.
 func FuzzDatagrams(f *testing.F) {
 	get := []byte{0x41, 1, 0, 1, 'x', 0xb4, 'l', 'o', 'o', 'k'}
 	f.Add(get, []byte{0x40, 0, 0, 1})
@@ -68,14 +68,14 @@
 		server.mu.Lock()
 		defer server.mu.Unlock()
 		if server.exchanges.Len() > 32 || server.uploads.Bytes() > 4096 || len(server.unacknowledged) > maxUnacknowledged {
-			t.Fatalf("%d exchanges, %d bytes of uploads", server.exchanges.Len(), server.uploads.Bytes())
+			t.Fatalf("a limit was exceeded: %d exchanges (max 32), %d bytes of uploads (max 4096)", server.exchanges.Len(), server.uploads.Bytes())
 		}
 		if count.Panics.Get() > 0 {
-			t.Fatalf("a panic at %x %x", a, b)
+			t.Fatalf("panic while handling datagrams %x and %x", a, b)
 		}
 		for _, d := range [][]byte{a, b} {
 			if h, err := wire.ParseHeader(d); err == nil && h.Code == 0 && h.Type == wire.Con && count.Pings.Get() == 0 {
-				t.Fatalf("a ping was not seen in %x", d)
+				t.Fatalf("ping %x was not counted", d)
 			}
 		}
 	})
--- a/internal/coap/front/subsystem.go
+++ b/internal/coap/front/subsystem.go
@@ -20,16 +20,16 @@
 
 // Config is the section [coap]. docs/operating/coap.md describes its keys.
 type Config struct {
-	Listen                  string         `toml:"listen"`       // IP address and port, of UDP; required
+	Listen                  string         `toml:"listen"`       // UDP address as IP and port; required
 	MaxInFlight             int            `toml:"open"`         // requests; default 512
-	MaxExchanges            int            `toml:"remembered"`   // exchanges that are remembered for repeats; default 20,000
-	Memory                  operator.Bytes `toml:"memory"`       // of stored responses, uploads and downloads, a third each; default 12 MiB
-	MaxExchangesPerEndpoint int            `toml:"per_endpoint"` // exchanges of one device that are remembered; default 64
+	MaxExchanges            int            `toml:"remembered"`   // exchanges stored to detect retransmissions; default 20,000
+	Memory                  operator.Bytes `toml:"memory"`       // bytes for stored responses, uploads and downloads, one third each; default 12 MiB
+	MaxExchangesPerEndpoint int            `toml:"per_endpoint"` // stored exchanges of one device; default 64
 	MaxUploads              int            `toml:"uploads"`      // uploads in progress; default 128
-	Rate                    float64        `toml:"rate"`         // datagrams a second of one address prefix; default 500, 0: no limit
+	Rate                    float64        `toml:"rate"`         // datagrams per second of one address prefix; default 500, 0 means no limit
 }
 
-// Node is what the subsystem needs of its node.
+// Node is what the subsystem needs from the node.
 type Node interface {
 	Handler() Handler
 	Classes() []balancer.Class
@@ -38,30 +38,30 @@
 }
 
 const (
-	// maxUploadsPerEndpoint is two since a device uploads one body at a time, and may begin another while the first one is
-	// abandoned.
+	// maxUploadsPerEndpoint is two because a device uploads one body at a time, but may start another one while an
+	// abandoned upload has not timed out yet.
 	maxUploadsPerEndpoint = 2
 
 	// maxDownloadsPerEndpoint bounds the stored responses of one device.
 	maxDownloadsPerEndpoint = 4
 
-	// transferIdleTimeout is how long a block-wise transfer waits for its next message: MAX_TRANSMIT_WAIT (RFC 7252, 4.8.2),
-	// the longest that a confirmable message can take.
+	// transferIdleTimeout is how long a block-wise transfer waits for its next message. It is MAX_TRANSMIT_WAIT (RFC
+	// 7252, 4.8.2), the longest time that a sender tries to transmit a confirmable message.
 	transferIdleTimeout = 93 * time.Second
 
-	// memoryShares is how many stores share the memory.
-	memoryShares = 3
+	// storeCount is the number of stores that divide the memory equally: stored responses, uploads and downloads.
+	storeCount = 3
 
-	// minMemory is one body in each store, in bytes.
-	minMemory = memoryShares * maxBody
+	// minMemory is the size of one body in each store, in bytes.
+	minMemory = storeCount * maxBody
 )
 
-// Subsystem is the definition of [coap].
+// Subsystem returns the definition of the subsystem for the section [coap].
 func Subsystem() subsystem.Definition {
 	return subsystem.Definition{
 		Section: operator.Section{
 			Name:    "coap",
-			Summary: "devices over CoAP (UDP), through the same decisions as HTTP",
+			Summary: "devices over CoAP (UDP), balanced in the same way as HTTP requests",
 			New:     func() any { return defaultConfig() },
 			Check:   check,
 		},
@@ -69,7 +69,7 @@
 	}
 }
 
-// defaultConfig is the configuration of a section without keys. It lacks the address.
+// defaultConfig returns the default configuration, which lacks the required address.
 func defaultConfig() *Config {
 	return &Config{
 		MaxInFlight:             512,
@@ -81,12 +81,12 @@
 	}
 }
 
-// check gives the faults of a configuration.
+// check returns the errors in a configuration.
 func check(options any) []operator.Diagnostic {
 	c := options.(*Config)
-	var faults []operator.Diagnostic
+	var diagnostics []operator.Diagnostic
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		faults = append(faults, operator.Diagnostic{Key: "listen", Message: fmt.Sprintf("%q is no IP address with a port", c.Listen)})
+		diagnostics = append(diagnostics, operator.Diagnostic{Key: "listen", Message: fmt.Sprintf("%q is not an IP address with a port", c.Listen)})
 	}
 	for key, value := range map[string]int{
 		"open":         c.MaxInFlight,
@@ -95,19 +95,19 @@
 		"uploads":      c.MaxUploads,
 	} {
 		if value < 1 {
-			faults = append(faults, operator.Diagnostic{Key: key, Message: "must be at least 1"})
+			diagnostics = append(diagnostics, operator.Diagnostic{Key: key, Message: "must be at least 1"})
 		}
 	}
 	if c.Memory < minMemory {
-		faults = append(faults, operator.Diagnostic{Key: "memory", Message: fmt.Sprintf("must be at least %d bytes: one body in each third", minMemory)})
+		diagnostics = append(diagnostics, operator.Diagnostic{Key: "memory", Message: fmt.Sprintf("must be at least %d bytes, one body per store", minMemory)})
 	}
-	if !(c.Rate >= 0) { // true for NaN as well
-		faults = append(faults, operator.Diagnostic{Key: "rate", Message: "must not be negative"})
+	if !(c.Rate >= 0) { // also rejects NaN
+		diagnostics = append(diagnostics, operator.Diagnostic{Key: "rate", Message: "must not be negative"})
 	}
-	return faults
+	return diagnostics
 }
 
-// instance is a server with its socket.
+// instance is a server and its socket.
 type instance struct {
 	server  *Server
 	conn    net.PacketConn
@@ -115,17 +115,17 @@
 	stop    sync.Once
 }
 
-// build opens the socket. The exchanges that the old instance remembers cannot be taken over, so the configuration can only
-// change together with the address: a repeat would run its request again.
+// build opens the socket. The exchanges stored by the old instance cannot be taken over, and without them a
+// retransmission would run its request again. The configuration can therefore change only together with the address.
 func build(host subsystem.Host, options any, old subsystem.Instance) (subsystem.Instance, error) {
 	node, ok := host.Node.(Node)
 	if !ok {
-		return nil, errors.New("this node has no request handler")
+		return nil, errors.New("the node does not provide a request handler")
 	}
 	config := options.(*Config)
 	if running, ok := old.(*instance); ok && running.conn.LocalAddr().String() == config.Listen {
-		return nil, errors.New("its other keys cannot be changed while it listens at the same address: what it remembers of " +
-			"effects would be lost; turn it off first, or give another address")
+		return nil, errors.New("the other keys cannot be changed while the address stays the same: the exchanges stored to detect " +
+			"retransmissions would be lost; disable the subsystem first, or configure another address")
 	}
 	conn, err := net.ListenPacket("udp", config.Listen)
 	if err != nil {
@@ -139,9 +139,9 @@
 	return &instance{server: server, conn: conn}, nil
 }
 
-// serverOptions are the options of a server with a configuration.
+// serverOptions returns the options of a server for a configuration.
 func serverOptions(c *Config, node Node, host subsystem.Host) Options {
-	storeBytes := int(c.Memory) / memoryShares
+	storeBytes := int(c.Memory) / storeCount
 	return Options{
 		Handler:     node.Handler(),
 		Classes:     node.Classes(),
@@ -172,13 +172,13 @@
 	}
 }
 
-// Start begins to serve.
+// Start starts serving.
 func (i *instance) Start(context.Context) {
 	i.started = true
 	go i.server.Run()
 }
 
-// Stop answers what is in flight and closes the socket.
+// Stop answers the requests in flight and closes the socket.
 func (i *instance) Stop() {
 	i.stop.Do(func() {
 		if !i.started {
--- a/internal/coap/front/subsystem_test.go
+++ b/internal/coap/front/subsystem_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-func TestConfigIsChecked(t *testing.T) {
-	for _, bad := range []Config{{}, {Listen: "host:1"}, {Listen: "127.0.0.1:1", MaxInFlight: 1, MaxExchanges: 1, MaxExchangesPerEndpoint: 1, MaxUploads: 1, Memory: 10}} {
-		if len(check(&bad)) == 0 {
-			t.Errorf("%+v was accepted", bad)
+func TestCheckRejectsInvalidConfig(t *testing.T) {
+	for _, invalid := range []Config{{}, {Listen: "host:1"}, {Listen: "127.0.0.1:1", MaxInFlight: 1, MaxExchanges: 1, MaxExchangesPerEndpoint: 1, MaxUploads: 1, Memory: 10}} {
+		if len(check(&invalid)) == 0 {
+			t.Errorf("check(%+v) returned no errors", invalid)
 		}
 	}
-	good := Subsystem().Section.New().(*Config)
-	good.Listen = "[::1]:5683"
-	if faults := check(good); len(faults) > 0 {
-		t.Errorf("the defaults: %v", faults)
+	valid := Subsystem().Section.New().(*Config)
+	valid.Listen = "[::1]:5683"
+	if diagnostics := check(valid); len(diagnostics) > 0 {
+		t.Errorf("check of the default configuration: got %v, want no errors", diagnostics)
 	}
 }
