--- a/internal/coap/back/attempt.go
+++ b/internal/coap/back/attempt.go
@@ -15,10 +15,10 @@
 	"tackhub.example/tackhub/internal/socket"
 )
 
-// outcomeUnsent is the counter's key of attempts that were never sent.
+// outcomeUnsent is the counter key of attempts that were not sent.
 const outcomeUnsent = "unsent"
 
-// outcomeKeys are the counter's keys by outcome.
+// outcomeKeys maps each outcome to its counter key.
 var outcomeKeys = map[balancer.Outcome]string{
 	balancer.OK:             "ok",
 	balancer.Errored:        "error",
@@ -34,47 +34,47 @@
 	cancel  context.CancelFunc
 	request engine.OutgoingRequest
 
-	mu         sync.Mutex
-	mayHaveRun bool // the message that makes the request complete was handed to the socket: from then on it may run
-	aborted    bool
+	mu      sync.Mutex
+	written bool // the message that completes the request was passed to the socket, so the request may run
+	aborted bool
 }
 
-// Abort cancels the attempt and tells whether the server may have got the whole request.
+// Abort cancels the attempt and reports whether the server may have received the whole request.
 func (a *attempt) Abort() bool {
 	a.cancel()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.aborted = true
-	return a.mayHaveRun
+	return a.written
 }
 
-// isAborted reports whether the attempt was cancelled, after which its end is not reported.
+// isAborted reports whether the attempt was aborted. The completion of an aborted attempt is not reported.
 func (a *attempt) isAborted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.aborted
 }
 
-// isWritten reports whether the server may have got the whole request.
+// isWritten reports whether the server may have received the whole request.
 func (a *attempt) isWritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.mayHaveRun
+	return a.written
 }
 
-// markWritten notes that the message goes out that makes the request complete. It does so again when that message is sent
-// anew after an Echo challenge; the attempt is counted once.
+// markWritten records that the message that completes the request is about to be sent. If that message is sent again
+// after an Echo challenge, the attempt is still counted once.
 func (a *attempt) markWritten() {
 	a.mu.Lock()
-	first := !a.mayHaveRun
-	a.mayHaveRun = true
+	isFirst := !a.written
+	a.written = true
 	a.mu.Unlock()
-	if first {
+	if isFirst {
 		a.request.NotifyWritten()
 	}
 }
 
-// run sends an attempt and waits for its end.
+// run sends an attempt and waits for its completion.
 func (t *Transport) run(ctx context.Context, server balancer.ServerID, a *attempt) engine.Completion {
 	address, ok := t.options.Resolver.Address(server)
 	if !ok {
@@ -93,7 +93,7 @@
 	}
 	request, body, err := convertRequest(a.request.Bytes)
 	if err != nil {
-		t.options.Log.Error("a request cannot be converted to CoAP", "code", "coap_request", "error", err)
+		t.options.Log.Error("request cannot be converted to CoAP", "code", "coap_request", "error", err)
 		return engine.Completion{Outcome: balancer.NotSent}
 	}
 	response, responseBody, err := conn.roundTrip(ctx, request, body, a)
@@ -102,8 +102,8 @@
 	return completion
 }
 
-// acquireOutcome is the outcome of an attempt or a probe that got no socket. A limit of this node or a failure of its machine is not
-// held against the server.
+// acquireOutcome returns the outcome of an attempt or a probe that could not acquire a socket. A limit of this node or
+// a failure of its machine is not counted against the server.
 func acquireOutcome(err error) balancer.Outcome {
 	if errors.Is(err, errTooManyExchanges) || socket.IsLocalFailure(err) {
 		return balancer.NotSent
@@ -111,7 +111,8 @@
 	return balancer.Unreachable
 }
 
-// complete is what is reported of an attempt. Whether the request may have run depends on whether its last block was written.
+// complete returns the completion of an attempt. If the attempt failed, the request may have run only if its last
+// block was written.
 func (t *Transport) complete(response message.Message, body []byte, err error, a *attempt) engine.Completion {
 	if err != nil {
 		return engine.Completion{Outcome: failureOutcome(err, a.isWritten())}
@@ -124,16 +125,16 @@
 	case wire.Class(response.Code) == wire.ClassSuccess:
 		completion.Outcome = balancer.OK
 		completion.Body = body
-	case response.Code == codes.ServiceUnavailable: // by docs/coap.md a server says so only of what it has not begun
+	case response.Code == codes.ServiceUnavailable: // docs/coap.md: a server returns it only for a request that it has not started
 		completion.Outcome = balancer.Overloaded
 	}
 	return completion
 }
 
-// failureOutcome is the outcome of an attempt without a usable response.
+// failureOutcome returns the outcome of an attempt without a usable response.
 func failureOutcome(err error, written bool) balancer.Outcome {
 	switch {
-	case errors.Is(err, errRejected), !written: // not accepted, or never complete: it has not run
+	case errors.Is(err, errRejected), !written: // rejected, or never sent completely: the request has not run
 		return balancer.Unreachable
 	case errors.Is(err, errNoResponse):
 		return balancer.TimedOut
--- a/internal/coap/back/conn.go
+++ b/internal/coap/back/conn.go
@@ -18,42 +18,44 @@
 )
 
 const (
-	// readBufferSize is that of the largest datagram, in bytes.
+	// readBufferSize is the size of the largest datagram, in bytes.
 	readBufferSize = 64 << 10
 
-	// readPause is the rest after a read that failed, so that an error that lasts takes no core.
-	readPause = time.Millisecond
+	// readErrorBackoff is the pause after a failed read, so that a persistent error does not keep a core busy.
+	readErrorBackoff = time.Millisecond
 
-	// tokenLength is the length of our tokens in bytes.
+	// tokenLength is the length of the generated tokens in bytes.
 	tokenLength = 6
 )
 
-// errTooManyExchanges says that the limit of exchanges with one server is reached.
+// errTooManyExchanges is returned when the limit of exchanges with one server is reached.
 var errTooManyExchanges = errors.New("too many exchanges in flight to the server")
 
-// serverConn is the socket to one server. It is connected, so that the kernel reports a port on which nobody listens.
+// serverConn is the socket to one server. The socket is connected, so that the kernel reports (as ECONNREFUSED) that
+// no process listens on the port.
 type serverConn struct {
 	socket           *net.UDPConn
 	maxExchanges     int
 	retransmitWindow time.Duration
 	count            *counters.CoapServers
 
-	mu        sync.Mutex
-	messageID uint16
-	token     uint64
-	byToken   map[string]chan arrival // exchanges that wait for a response
-	byID      map[uint16]chan arrival // the same, and pings, by message id
-	reserved  int                     // exchanges
-	usedAt    time.Time
+	mu         sync.Mutex
+	messageID  uint16
+	token      uint64
+	byToken    map[string]chan arrival // exchanges that wait for a response, by token
+	byID       map[uint16]chan arrival // the same exchanges and pings, by message id
+	reserved   int                     // number of reserved exchanges
+	lastUsedAt time.Time
 }
 
-// arrival is what came for an exchange: a message, or the kernel's report that nobody listens.
+// arrival is an event for an exchange: a received message, or the report of the kernel that no process listens on the
+// port.
 type arrival struct {
 	message    message.Message
 	portClosed bool
 }
 
-// dial opens a socket to a server. The error is the system's.
+// dial opens a socket to a server. The error is that of net.Dial.
 func dial(address string, o Options) (*serverConn, error) {
 	socket, err := net.Dial("udp", address)
 	if err != nil {
@@ -71,7 +73,7 @@
 	}, nil
 }
 
-// reserve takes one of the exchanges that may be in flight, or fails with errTooManyExchanges.
+// reserve reserves an exchange, or fails with errTooManyExchanges if too many are in flight.
 func (c *serverConn) reserve() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,26 +81,27 @@
 		return errTooManyExchanges
 	}
 	c.reserved++
-	c.usedAt = time.Now()
+	c.lastUsedAt = time.Now()
 	return nil
 }
 
-// release gives a reserved exchange back.
+// release frees a reserved exchange.
 func (c *serverConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reserved--
-	c.usedAt = time.Now()
+	c.lastUsedAt = time.Now()
 }
 
-// isIdle reports whether the socket has not been used for idleTimeout.
+// isIdle reports whether no exchange is reserved and the socket has not been used for idleTimeout.
 func (c *serverConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reserved == 0 && time.Since(c.usedAt) > idleTimeout
+	return c.reserved == 0 && time.Since(c.lastUsedAt) > idleTimeout
 }
 
-// registerExchange gives a new exchange its message id and token, and lets what comes for either go to a channel.
+// registerExchange assigns a message id and a token to a new exchange, and routes the arrivals for either of them to a
+// channel.
 func (c *serverConn) registerExchange(arrivals chan arrival) (id uint16, token []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +113,7 @@
 	return c.messageID, token
 }
 
-// registerPing gives a ping its message id, and lets what comes for it go to a channel.
+// registerPing assigns a message id to a ping and routes its arrivals to a channel.
 func (c *serverConn) registerPing(arrivals chan arrival) (id uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +122,7 @@
 	return c.messageID
 }
 
-// unregister ends what the two above began. A ping has no token.
+// unregister removes an exchange or a ping. A ping has no token.
 func (c *serverConn) unregister(id uint16, token []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +130,7 @@
 	delete(c.byID, id)
 }
 
-// readLoop delivers what comes until the socket is closed.
+// readLoop delivers received messages until the socket is closed.
 func (c *serverConn) readLoop() {
 	buffer := make([]byte, readBufferSize)
 	for {
@@ -139,7 +142,7 @@
 			c.deliverPortClosed()
 			continue
 		case err != nil:
-			time.Sleep(readPause)
+			time.Sleep(readErrorBackoff)
 			continue
 		}
 		m, err := wire.Decode(bytes.Clone(buffer[:n]))
@@ -151,8 +154,9 @@
 	}
 }
 
-// deliverPortClosed tells every exchange that nobody listens. The kernel does not say which datagram it was about: one that
-// was sent before the server died may have run, so none may be reported as never run.
+// deliverPortClosed notifies every exchange and ping that no process listens on the port. The kernel does not report
+// which datagram caused the error. A request that was sent before the server died may have run, so no request may be
+// reported as not run.
 func (c *serverConn) deliverPortClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,8 +168,8 @@
 	}
 }
 
-// deliver hands a message to the exchange that it belongs to: by its token, an empty message by its id. A separate response
-// is acknowledged even where no exchange waits for it, so that the server stops sending it.
+// deliver passes a message to the exchange with its token or, if the message is empty, with its message id. A separate
+// response is acknowledged even if no exchange waits for it, so that the server stops retransmitting it.
 func (c *serverConn) deliver(m message.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,6 +186,6 @@
 	}
 	select {
 	case arrivals <- arrival{message: m}:
-	default: // a duplicate of what waits to be read
+	default: // the channel is full: this is a duplicate of a message that has not been read yet
 	}
 }
--- a/internal/coap/back/exchange.go
+++ b/internal/coap/back/exchange.go
@@ -16,30 +16,32 @@
 )
 
 const (
-	// ackTimeout is when a message is sent again, before jitter. The standard's 2 s is for links that nobody knows; these
-	// servers are on the operators' own network, and requests live for some hundred milliseconds (RFC 7252, 4.8.1 lets it
-	// be set).
+	// ackTimeout is the time before the first retransmission, without jitter. The standard's 2 s is meant for links of
+	// unknown quality. These servers are on the operators' own network, and requests live for a few hundred
+	// milliseconds. RFC 7252, 4.8.1 allows changing the value.
 	ackTimeout = 150 * time.Millisecond
 
-	// ackJitter is the share of ackTimeout that is added at random, at most: ACK_RANDOM_FACTOR less one.
+	// ackJitter is the largest fraction of ackTimeout that is added at random: ACK_RANDOM_FACTOR minus one.
 	ackJitter = 0.5
 
-	// maxRetransmit is how often a message is sent again: MAX_RETRANSMIT.
+	// maxRetransmit is the maximum number of retransmissions of a message: MAX_RETRANSMIT.
 	maxRetransmit = 4
 
-	// arrivalBuffer is how many messages may wait for an exchange: an acknowledgement, the response, and their duplicates.
+	// arrivalBuffer is the number of unread arrivals of an exchange: an acknowledgement, the response, and a duplicate
+	// of each.
 	arrivalBuffer = 4
 )
 
-// How an exchange ends without a response.
+// The reasons why an exchange ends without a response.
 var (
-	errRejected   = errors.New("the server rejects the message")       // it has not run
-	errPortClosed = errors.New("nobody listens at the address")        // it may have run
-	errOtherCode  = errors.New("the response's blocks differ in code") // it has run
-	errNoResponse = errors.New("no response")                          // it may have run
+	errRejected     = errors.New("the server rejected the message")                 // the request has not run
+	errPortClosed   = errors.New("no process listens on the address")               // the request may have run
+	errCodeMismatch = errors.New("the blocks of the response have different codes") // the request has run
+	errNoResponse   = errors.New("no response before the attempt was cancelled")    // the request may have run
 )
 
-// roundTrip sends a request, block by block where its body is long (RFC 7959), and gives the response with its whole body.
+// roundTrip sends a request, in blocks if its body is long (RFC 7959), and returns the response with its complete
+// body.
 func (c *serverConn) roundTrip(ctx context.Context, request message.Message, body []byte, a *attempt) (message.Message, []byte, error) {
 	response, err := c.sendBody(ctx, request, body, a)
 	if err != nil {
@@ -48,65 +50,68 @@
 	return c.fetchBody(ctx, request, response)
 }
 
-// sendBody sends a request with its body, and gives the response to the last block or to one that the server did not accept.
+// sendBody sends a request with its body. It returns the response to the last block, or to the first block that the
+// server did not accept.
 func (c *serverConn) sendBody(ctx context.Context, request message.Message, body []byte, a *attempt) (message.Message, error) {
 	for number := uint32(0); ; number++ {
 		payload, block, ok := blocks.Block{Num: number, SZX: blocks.MaxSZX}.Slice(body)
 		if !ok {
 			return message.Message{}, errRejected
 		}
-		part := request
-		part.Payload = payload
+		blockRequest := request
+		blockRequest.Payload = payload
 		if len(body) > block.Size() {
-			part.Options = withBlock(request.Options, message.Block1, block)
+			blockRequest.Options = withBlock(request.Options, message.Block1, block)
 		}
-		var last *attempt // the one that the last block makes complete
+		var completedAttempt *attempt // set only if this block completes the request
 		if !block.More {
-			last = a
+			completedAttempt = a
 		}
-		response, err := c.exchange(ctx, part, last)
+		response, err := c.exchange(ctx, blockRequest, completedAttempt)
 		if err != nil || response.Code != codes.Continue || !block.More {
 			return response, err
 		}
 	}
 }
 
-// fetchBody gathers the blocks of a response, of which the first has come. Blocks that do not make a whole body are an error.
-func (c *serverConn) fetchBody(ctx context.Context, request, first message.Message) (message.Message, []byte, error) {
+// fetchBody fetches the blocks of a response that follow its first block. It returns an error if the blocks do not
+// form a complete body.
+func (c *serverConn) fetchBody(ctx context.Context, request, firstResponse message.Message) (message.Message, []byte, error) {
 	download := blocks.Download{Limit: maxBody}
-	response := first
+	response := firstResponse
 	for {
 		block, present, err := wire.Block(&response, message.Block2)
 		if err != nil {
-			return first, nil, err
+			return firstResponse, nil, err
 		}
 		if err := download.Add(block, present, response.Payload); err != nil {
-			return first, nil, err
+			return firstResponse, nil, err
 		}
 		next, more := download.Next()
 		if !more {
-			return first, download.Body(), nil
+			return firstResponse, download.Body(), nil
 		}
-		part := request
-		part.Options = withBlock(request.Options, message.Block2, next)
-		response, err = c.exchange(ctx, part, nil)
+		blockRequest := request
+		blockRequest.Options = withBlock(request.Options, message.Block2, next)
+		response, err = c.exchange(ctx, blockRequest, nil)
 		if err != nil {
-			return first, nil, err
+			return firstResponse, nil, err
 		}
-		if response.Code != first.Code {
-			return first, nil, errOtherCode
+		if response.Code != firstResponse.Code {
+			return firstResponse, nil, errCodeMismatch
 		}
 	}
 }
 
-// withBlock gives options with a block option added, and leaves those that were passed as they are.
+// withBlock returns the options with a block option added. The passed options are not modified.
 func withBlock(options message.Options, id message.OptionID, block blocks.Block) message.Options {
 	return wire.AddUint(options[:len(options):len(options)], id, block.Value())
 }
 
-// exchange sends one confirmable message under a new id and token and waits for its response. Where the message makes an
-// attempt's request complete, the attempt is passed, and marked before the message goes out.
-func (c *serverConn) exchange(ctx context.Context, m message.Message, complete *attempt) (message.Message, error) {
+// exchange sends one confirmable message with a new message id and token, and waits for its response. If the message
+// completes the request of an attempt, completedAttempt is that attempt and is marked as written before the message is
+// sent.
+func (c *serverConn) exchange(ctx context.Context, m message.Message, completedAttempt *attempt) (message.Message, error) {
 	arrivals := make(chan arrival, arrivalBuffer)
 	id, token := c.registerExchange(arrivals)
 	defer c.unregister(id, token)
@@ -117,13 +122,13 @@
 	if err != nil {
 		return m, errRejected
 	}
-	if complete != nil {
-		complete.markWritten()
+	if completedAttempt != nil {
+		completedAttempt.markWritten()
 	}
 	return c.transmit(ctx, datagram, arrivals)
 }
 
-// transmit sends a datagram, again until it is acknowledged or answered, and waits for the response.
+// transmit sends a datagram, retransmits it until it is acknowledged or answered, and waits for the response.
 func (c *serverConn) transmit(ctx context.Context, datagram []byte, arrivals chan arrival) (message.Message, error) {
 	started := time.Now()
 	timeout := time.Duration(float64(ackTimeout) * (1 + rand.Float64()*ackJitter))
@@ -131,25 +136,25 @@
 	defer retransmit.Stop()
 	retransmits := 0
 	if _, err := c.socket.Write(datagram); errors.Is(err, syscall.ECONNREFUSED) {
-		_, _ = c.socket.Write(datagram) // the kernel reported an earlier datagram and did not send this one
+		_, _ = c.socket.Write(datagram) // the error was caused by an earlier datagram, and this one was not sent
 	}
 	for {
 		select {
-		case got := <-arrivals:
+		case received := <-arrivals:
 			switch {
-			case got.portClosed:
-				return got.message, errPortClosed
-			case got.message.Type == wire.Rst:
-				return got.message, errRejected
-			case got.message.Code == codes.Empty: // acknowledged; a separate response follows
+			case received.portClosed:
+				return received.message, errPortClosed
+			case received.message.Type == wire.Rst:
+				return received.message, errRejected
+			case received.message.Code == codes.Empty: // acknowledged; a separate response follows
 				retransmit.Stop()
 				continue
 			}
-			return got.message, nil
+			return received.message, nil
 		case <-retransmit.C:
 			retransmits++
 			if retransmits > maxRetransmit || time.Since(started) > c.retransmitWindow {
-				continue // the context ends the exchange
+				continue // no more retransmissions; the context ends the exchange
 			}
 			c.count.Retransmits.Inc()
 			_, _ = c.socket.Write(datagram)
@@ -168,8 +173,8 @@
 	defer c.unregister(id, nil)
 	_, _ = c.socket.Write(wire.Empty(wire.Con, id))
 	select {
-	case got := <-arrivals:
-		if got.portClosed {
+	case received := <-arrivals:
+		if received.portClosed {
 			return balancer.Unreachable
 		}
 		return balancer.OK
--- a/internal/coap/back/request.go
+++ b/internal/coap/back/request.go
@@ -9,47 +9,48 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The options that carry the fields of the HTTP protocol. They are elective (even) and of the range for experiments (RFC
-// 7252, 12.2): a server that does not know them serves all the same.
+// The options for the header fields of the HTTP protocol. They are elective (even) and in the range for experiments
+// (RFC 7252, 12.2), so a server that does not know them can still serve the request.
 const (
 	OptRequestID      message.OptionID = 65002 // X-Request-Id
 	OptDeadline       message.OptionID = 65004 // X-Deadline-Ms, in milliseconds
 	OptIdempotencyKey message.OptionID = 65006 // Idempotency-Key
 	OptClass          message.OptionID = 65008 // X-Class
-	OptLoad           message.OptionID = 65012 // of a response: the load report, as X-Load has it
+	OptLoad           message.OptionID = 65012 // load report of a response, in the format of X-Load
 )
 
-// maxBody bounds the bodies of requests and of responses, in bytes.
+// maxBody bounds the bodies of requests and responses, in bytes.
 const maxBody = 64 << 10
 
-// headReserve is what the reader's buffer has beyond the request, so that it can look behind its end.
-const headReserve = 16
+// readerMargin is the number of bytes by which the reader's buffer is larger than the request, so that the parser can
+// peek past its end.
+const readerMargin = 16
 
-// convertRequest makes a CoAP message, without type, id and token, and a body from the bytes of an HTTP request.
+// convertRequest converts the bytes of an HTTP request to a CoAP message without type, id and token, and a body.
 func convertRequest(raw []byte) (message.Message, []byte, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
-	if err := request.Read(bufio.NewReaderSize(bytes.NewReader(raw), len(raw)+headReserve)); err != nil {
+	if err := request.Read(bufio.NewReaderSize(bytes.NewReader(raw), len(raw)+readerMargin)); err != nil {
 		return message.Message{}, nil, err
 	}
 	m := message.Message{Code: codes.POST}
 	if request.Header.IsGet() {
 		m.Code = codes.GET
 	}
-	add := func(id message.OptionID, value []byte) {
+	addOption := func(id message.OptionID, value []byte) {
 		if len(value) > 0 {
 			m.Options = m.Options.Add(message.Option{ID: id, Value: bytes.Clone(value)})
 		}
 	}
 	for _, segment := range bytes.Split(bytes.Trim(request.URI().Path(), "/"), []byte("/")) {
-		add(message.URIPath, segment)
+		addOption(message.URIPath, segment)
 	}
 	for name, value := range request.URI().QueryArgs().All() {
-		add(message.URIQuery, append(append(bytes.Clone(name), '='), value...))
+		addOption(message.URIQuery, append(append(bytes.Clone(name), '='), value...))
 	}
-	add(OptRequestID, request.Header.Peek("X-Request-Id"))
-	add(OptDeadline, request.Header.Peek("X-Deadline-Ms"))
-	add(OptIdempotencyKey, request.Header.Peek("Idempotency-Key"))
-	add(OptClass, request.Header.Peek("X-Class"))
+	addOption(OptRequestID, request.Header.Peek("X-Request-Id"))
+	addOption(OptDeadline, request.Header.Peek("X-Deadline-Ms"))
+	addOption(OptIdempotencyKey, request.Header.Peek("Idempotency-Key"))
+	addOption(OptClass, request.Header.Peek("X-Class"))
 	return m, bytes.Clone(request.Body()), nil
 }
--- a/internal/coap/back/transport.go
+++ b/internal/coap/back/transport.go
@@ -1,6 +1,6 @@
-// Package back sends requests to servers that speak CoAP (RFC 7252), which an endpoint list names by the scheme coap://. It
-// takes the bytes that would go to an HTTP server and reports the same outcomes; which server gets a request is decided
-// elsewhere.
+// Package back sends requests to servers that speak CoAP (RFC 7252); an endpoint list marks them with the scheme
+// coap://. It takes the bytes that would be sent to an HTTP server and reports the same outcomes. The server for a
+// request is selected elsewhere.
 package back
 
 import (
@@ -16,30 +16,31 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// Scheme begins the address of a server that speaks CoAP.
+// Scheme is the prefix of the address of a server that speaks CoAP.
 const Scheme = "coap://"
 
-// idleTimeout is how long a server's socket stays open without a request.
+// idleTimeout is how long the socket to a server stays open without a request.
 const idleTimeout = time.Minute
 
-// Resolver tells the address of a server, with its scheme; false where the server is not known or gets nothing new.
+// Resolver returns the address of a server including its scheme; false if the server is unknown or must not receive
+// new requests.
 type Resolver interface {
 	Address(balancer.ServerID) (string, bool)
 }
 
-// Options are the settings of a Transport.
+// Options configures a Transport.
 type Options struct {
 	Resolver     Resolver
 	MaxExchanges int // exchanges in flight to one server: NSTART of RFC 7252, 4.7
-	// RetransmitWindow is how long after its first transmission a message is sent again. A server that begins to drain
-	// meanwhile must not get it later than the drain grace.
+	// RetransmitWindow is how long after its first transmission a message may be retransmitted. A server that starts
+	// draining in the meantime must not receive the message after the drain grace has ended.
 	RetransmitWindow time.Duration
 	ParseLoad        func([]byte) balancer.LoadReport // reads the value of OptLoad
 	Log              *slog.Logger
 	Count            *counters.CoapServers
 }
 
-// Transport sends attempts and health probes to CoAP servers. It has a socket for each server that is in use.
+// Transport sends attempts and health probes to CoAP servers. It has one socket for each server in use.
 type Transport struct {
 	options Options
 
@@ -47,7 +48,7 @@
 	conns map[string]*serverConn // by the server's address
 }
 
-// New makes a transport without sockets.
+// New returns a transport without sockets.
 func New(o Options) *Transport {
 	return &Transport{options: o, conns: map[string]*serverConn{}}
 }
@@ -58,11 +59,11 @@
 	return ok && strings.HasPrefix(address, Scheme)
 }
 
-// Send starts an attempt. Done is called once, from another goroutine, unless Abort comes first.
+// Send starts an attempt. done is called once, from another goroutine, unless the attempt is aborted first.
 func (t *Transport) Send(server balancer.ServerID, request engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{cancel: cancel, request: request}
-	if request.Body != nil { // over maxBody, which CoAP is kept to here: another server may take it
+	if request.Body != nil { // larger than maxBody, the limit of this transport: another server may take the request
 		cancel()
 		t.options.Count.Outcomes.Inc(outcomeUnsent)
 		go done(engine.Completion{Outcome: balancer.NotSent})
@@ -80,7 +81,7 @@
 	return a
 }
 
-// Probe pings a server (RFC 7252, 4.3): a reset shows that it is alive. Done is called once, from another goroutine.
+// Probe pings a server (RFC 7252, 4.3): a reset shows that it is alive. done is called once, from another goroutine.
 func (t *Transport) Probe(server balancer.ServerID, within time.Duration, done func(engine.Completion)) {
 	started := time.Now()
 	go func() {
@@ -90,7 +91,7 @@
 	}()
 }
 
-// ping is the outcome of a probe.
+// ping returns the outcome of a health probe.
 func (t *Transport) ping(server balancer.ServerID, within time.Duration) balancer.Outcome {
 	address, ok := t.options.Resolver.Address(server)
 	if !ok {
@@ -104,8 +105,8 @@
 	return conn.ping(within)
 }
 
-// acquire reserves an exchange on a server's socket, which it opens where there is none; release gives the exchange back.
-// The error is errTooManyExchanges at the limit, else that of the socket.
+// acquire reserves an exchange on the socket to a server, and opens the socket if there is none. The caller must
+// release the exchange. The error is errTooManyExchanges at the limit, otherwise that of the socket.
 func (t *Transport) acquire(address string) (*serverConn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +132,7 @@
 	for address, conn := range t.conns {
 		if conn.isIdle() {
 			delete(t.conns, address)
-			_ = conn.socket.Close() // its readLoop returns
+			_ = conn.socket.Close() // ends its readLoop
 		}
 	}
 }
--- a/internal/coap/back/transport_test.go
+++ b/internal/coap/back/transport_test.go
@@ -22,32 +22,32 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// largeBody is a body that is not in memory.
+// largeBody is a request body that is not held in memory.
 type largeBody struct{ engine.RequestBody }
 
-// Only the part of a large body that is in memory could be sent, and the server would take it for the whole request. So the
-// attempt ends unsent, and another server may take it.
-func TestLargeBodiesAreNotSent(t *testing.T) {
+// A large body is only partly in memory. If that part were sent, the server would take it for the whole request. The
+// attempt must therefore end as not sent, so that another server can take the request.
+func TestSendReportsNotSentForLargeBody(t *testing.T) {
 	var count counters.CoapServers
-	ended := make(chan engine.Completion, 1)
+	completions := make(chan engine.Completion, 1)
 	New(Options{Count: &count}).Send("s1", engine.OutgoingRequest{Bytes: []byte("POST / HTTP/1.1\r\n\r\n"), Body: largeBody{}},
-		func(e engine.Completion) { ended <- e })
+		func(completion engine.Completion) { completions <- completion })
 	select {
-	case e := <-ended:
-		if e.Outcome != balancer.NotSent || count.Outcomes.Get("unsent") != 1 {
-			t.Errorf("ended as %s", engine.OutcomeName(e.Outcome))
+	case completion := <-completions:
+		if completion.Outcome != balancer.NotSent || count.Outcomes.Get("unsent") != 1 {
+			t.Errorf("outcome = %s, want NotSent, counted once", engine.OutcomeName(completion.Outcome))
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no end")
+		t.Fatal("no completion within 10 s")
 	}
 }
 
-// resolver knows the one server s1.
+// resolver returns the same address for every server; an empty address means that the server is unknown.
 type resolver string
 
 func (r resolver) Address(balancer.ServerID) (string, bool) { return string(r), r != "" }
 
-// testServer answers datagrams with what a function gives for them.
+// testServer answers each confirmable message with the messages that a function returns for it.
 type testServer struct {
 	conn net.PacketConn
 
@@ -55,7 +55,7 @@
 	received []message.Message
 }
 
-// startServer starts a server that lasts as long as the test.
+// startServer starts a server that runs until the test ends.
 func startServer(t *testing.T, respond func(message.Message) []message.Message) *testServer {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -88,14 +88,14 @@
 	return s
 }
 
-// requests gives what the server has received.
+// requests returns the messages that the server has received.
 func (s *testServer) requests() []message.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.received)
 }
 
-// startTransport makes a transport that knows one address.
+// startTransport returns a transport that resolves every server to one address, and its counters.
 func startTransport(address string) (*Transport, *counters.CoapServers) {
 	count := &counters.CoapServers{}
 	return New(Options{
@@ -108,7 +108,7 @@
 	}), count
 }
 
-// attemptRequest is a request; written counts how often it is reported as written.
+// attemptRequest returns a request; written counts how often it is reported as written.
 func attemptRequest(raw string, written *int) engine.OutgoingRequest {
 	return engine.OutgoingRequest{
 		Bytes:     []byte(raw),
@@ -118,19 +118,19 @@
 
 const getRequest = "GET /look/at?w=7 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\nX-Deadline-Ms: 90\r\nX-Class: look\r\n\r\n"
 
-// waitEnd waits for the end of an attempt or a probe.
-func waitEnd(t *testing.T, ended chan engine.Completion) engine.Completion {
+// waitForCompletion waits for the completion of an attempt or a probe.
+func waitForCompletion(t *testing.T, completions chan engine.Completion) engine.Completion {
 	t.Helper()
 	select {
-	case end := <-ended:
-		return end
+	case completion := <-completions:
+		return completion
 	case <-time.After(10 * time.Second):
-		t.Fatal("no end")
+		t.Fatal("no completion within 10 s")
 	}
 	panic("unreachable")
 }
 
-func TestOutcomes(t *testing.T) {
+func TestSendReturnsOutcomeOfResponse(t *testing.T) {
 	ack := func(m message.Message, code codes.Code, payload string) message.Message {
 		return message.Message{Type: wire.Ack, Code: code, MessageID: m.MessageID, Token: m.Token, Payload: []byte(payload)}
 	}
@@ -161,48 +161,49 @@
 			server := startServer(t, c.respond)
 			transport, count := startTransport(Scheme + server.conn.LocalAddr().String())
 			written := 0
-			ended := make(chan engine.Completion, 1)
-			transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
-			end := waitEnd(t, ended)
-			if end.Outcome != c.outcome || string(end.Body) != c.body || written != 1 || count.Outcomes.Get(c.counter) != 1 {
-				t.Errorf("ended as %s with %q, written %d times", engine.OutcomeName(end.Outcome), end.Body, written)
+			completions := make(chan engine.Completion, 1)
+			transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
+			completion := waitForCompletion(t, completions)
+			if completion.Outcome != c.outcome || string(completion.Body) != c.body || written != 1 || count.Outcomes.Get(c.counter) != 1 {
+				t.Errorf("got outcome %s, body %q, written %d times; want those of the case, written once", engine.OutcomeName(completion.Outcome), completion.Body, written)
 			}
 		})
 	}
 }
 
-// A request keeps its path, query, id, deadline and class on the way into CoAP.
-func TestRequestIsConverted(t *testing.T) {
+// The path, query, request id, deadline and class of a request must be kept when it is converted to CoAP, and the load
+// report of the response must be read.
+func TestSendConvertsRequestToCoAP(t *testing.T) {
 	server := startServer(t, func(m message.Message) []message.Message {
 		return []message.Message{{Type: wire.Ack, Code: codes.Content, MessageID: m.MessageID, Token: m.Token,
 			Options: message.Options{}.Add(message.Option{ID: OptLoad, Value: []byte("12345")})}}
 	})
 	transport, _ := startTransport(Scheme + server.conn.LocalAddr().String())
 	written := 0
-	ended := make(chan engine.Completion, 1)
-	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
-	if end := waitEnd(t, ended); end.Report.InFlight != 5 {
-		t.Errorf("load report %+v, want the option's value read", end.Report)
+	completions := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
+	if completion := waitForCompletion(t, completions); completion.Report.InFlight != 5 {
+		t.Errorf("load report = %+v, want InFlight = 5, the length of the option's value", completion.Report)
 	}
 	requests := server.requests()
 	if len(requests) != 1 {
-		t.Fatalf("%d requests", len(requests))
+		t.Fatalf("got %d requests, want 1", len(requests))
 	}
 	m := requests[0]
 	if path, query := wire.Strings(&m, message.URIPath), wire.Strings(&m, message.URIQuery); m.Code != codes.GET ||
 		!slices.Equal(path, []string{"look", "at"}) || !slices.Equal(query, []string{"w=7"}) {
-		t.Errorf("%v %v %v", m.Code, path, query)
+		t.Errorf("got %v, path %q, query %q; want GET, path look/at, query w=7", m.Code, path, query)
 	}
 	for id, want := range map[message.OptionID]string{OptRequestID: "r1", OptDeadline: "90", OptClass: "look"} {
 		if value, _ := wire.Bytes(&m, id); string(value) != want {
-			t.Errorf("option %d is %q, want %q", id, value, want)
+			t.Errorf("option %d = %q, want %q", id, value, want)
 		}
 	}
 }
 
-// A body beyond one block goes out in blocks, a response comes back in blocks, and the attempt counts as written once, with
-// the last block.
-func TestBlocksBothWays(t *testing.T) {
+// A body longer than one block must be sent in blocks, and a response must be received in blocks. The attempt must be
+// reported as written once, with the last block.
+func TestSendTransfersBodiesInBlocks(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789"), 250)
 	var mu sync.Mutex
 	var upload []byte
@@ -218,8 +219,8 @@
 				return []message.Message{response}
 			}
 		}
-		asked, _, _ := wire.Block(&m, message.Block2)
-		part, block, _ := blocks.Block{Num: asked.Num, SZX: 5}.Slice(upload)
+		requested, _, _ := wire.Block(&m, message.Block2)
+		part, block, _ := blocks.Block{Num: requested.Num, SZX: 5}.Slice(upload)
 		response.Code = codes.Changed
 		response.Payload = part
 		response.Options = wire.AddUint(nil, message.Block2, block.Value())
@@ -227,89 +228,90 @@
 	})
 	transport, _ := startTransport(Scheme + server.conn.LocalAddr().String())
 	head := "POST /bill HTTP/1.1\r\nHost: a\r\nContent-Length: 2500\r\n\r\n"
-	ended := make(chan engine.Completion, 1)
-	transport.Send("s1", attemptRequest(head+string(body), &written), func(e engine.Completion) { ended <- e })
-	end := waitEnd(t, ended)
+	completions := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(head+string(body), &written), func(e engine.Completion) { completions <- e })
+	completion := waitForCompletion(t, completions)
 	mu.Lock()
 	defer mu.Unlock()
-	if end.Outcome != balancer.OK || !bytes.Equal(end.Body, body) || !bytes.Equal(upload, body) || written != 1 {
-		t.Errorf("ended as %s with %d bytes of %d, %d uploaded, written %d times",
-			engine.OutcomeName(end.Outcome), len(end.Body), len(body), len(upload), written)
+	if completion.Outcome != balancer.OK || !bytes.Equal(completion.Body, body) || !bytes.Equal(upload, body) || written != 1 {
+		t.Errorf("got outcome %s and %d of %d bytes, %d bytes uploaded, written %d times; want OK, both bodies complete, written once",
+			engine.OutcomeName(completion.Outcome), len(completion.Body), len(body), len(upload), written)
 	}
 }
 
-// A server answers with another block than was asked for. The client must not get a body that has a part twice or a gap, and what has run
-// must not be reported as never run.
-func TestResponseWithBrokenBlocks(t *testing.T) {
-	for name, second := range map[string]uint32{
-		"the first block again": blocks.Block{Num: 0}.Value(),
-		"a block left out":      blocks.Block{Num: 2}.Value(),
+// If a server answers with a block that was not requested, the client must not get a body with a gap or a repeated
+// part, and the attempt must not be reported as not run, because it has run.
+func TestSendRejectsMismatchedResponseBlocks(t *testing.T) {
+	for name, secondBlock := range map[string]uint32{
+		"the first block repeated": blocks.Block{Num: 0}.Value(),
+		"a skipped block":          blocks.Block{Num: 2}.Value(),
 	} {
 		server := startServer(t, func(m message.Message) []message.Message {
 			option := blocks.Block{Num: 0, More: true}.Value()
 			if _, present, _ := wire.Block(&m, message.Block2); present {
-				option = second
+				option = secondBlock
 			}
 			return []message.Message{{Type: wire.Ack, Code: codes.Content, MessageID: m.MessageID, Token: m.Token,
 				Payload: []byte("0123456789abcdef"), Options: wire.AddUint(nil, message.Block2, option)}}
 		})
 		transport, _ := startTransport(Scheme + server.conn.LocalAddr().String())
 		written := 0
-		ended := make(chan engine.Completion, 1)
-		transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
-		if end := waitEnd(t, ended); end.Outcome != balancer.ConnectionLost {
-			t.Errorf("%s: ended as %s with %d bytes, want broken", name, engine.OutcomeName(end.Outcome), len(end.Body))
+		completions := make(chan engine.Completion, 1)
+		transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
+		if completion := waitForCompletion(t, completions); completion.Outcome != balancer.ConnectionLost {
+			t.Errorf("%s: outcome = %s with %d bytes, want ConnectionLost", name, engine.OutcomeName(completion.Outcome), len(completion.Body))
 		}
 	}
 }
 
-// Where nobody listens the kernel reports it, for whichever datagram: the request may have run at the process before, so the
-// end must not promise that it did not.
-func TestClosedPortMayHaveRun(t *testing.T) {
+// The kernel reports a closed port without naming the datagram. The request may have run in the previous process of
+// the server, so the outcome must not be one that means that it has not run.
+func TestSendReportsConnectionLostForClosedPort(t *testing.T) {
 	server := startServer(t, nil)
 	address := server.conn.LocalAddr().String()
 	_ = server.conn.Close()
 	transport, _ := startTransport(Scheme + address)
 	written := 0
-	ended := make(chan engine.Completion, 1)
-	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
-	if end := waitEnd(t, ended); end.Outcome != balancer.ConnectionLost {
-		t.Errorf("ended as %s, want broken", engine.OutcomeName(end.Outcome))
+	completions := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
+	if completion := waitForCompletion(t, completions); completion.Outcome != balancer.ConnectionLost {
+		t.Errorf("outcome = %s, want ConnectionLost", engine.OutcomeName(completion.Outcome))
 	}
 }
 
-// A lost request is sent again under its id, and an aborted attempt reports nothing but whether it was written.
-func TestRetransmitAndAbort(t *testing.T) {
-	again := make(chan struct{})
+// A lost request must be retransmitted with the same message id. Abort must report that the attempt was written, and
+// the aborted attempt must not report a completion.
+func TestSendRetransmitsUntilAborted(t *testing.T) {
+	retransmitted := make(chan struct{})
 	received := 0
 	server := startServer(t, func(message.Message) []message.Message {
 		received++
 		if received == 2 {
-			close(again)
+			close(retransmitted)
 		}
 		return nil
 	})
 	transport, count := startTransport(Scheme + server.conn.LocalAddr().String())
 	written := 0
 	a := transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) {
-		t.Errorf("an aborted attempt ended as %s", engine.OutcomeName(e.Outcome))
+		t.Errorf("an aborted attempt reported the outcome %s, want no completion", engine.OutcomeName(e.Outcome))
 	})
 	select {
-	case <-again:
+	case <-retransmitted:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the message was not sent again")
+		t.Fatal("the message was not retransmitted within 10 s")
 	}
 	if !a.Abort() {
-		t.Error("an attempt that was written is reported as not written")
+		t.Error("Abort() = false for an attempt that was written, want true")
 	}
 	requests := server.requests()
 	if len(requests) < 2 || requests[0].MessageID != requests[1].MessageID || count.Retransmits.Get() < 1 {
-		t.Errorf("%d requests, %d retransmits counted", len(requests), count.Retransmits.Get())
+		t.Errorf("got %d requests, %d retransmissions; want at least 2 with the same id, and 1", len(requests), count.Retransmits.Get())
 	}
 }
 
-// Beyond the limit of exchanges an attempt ends unsent, which is not held against the server.
-func TestTooManyExchanges(t *testing.T) {
+// At the limit of exchanges an attempt must end as not sent, so that it is not counted against the server.
+func TestSendReportsNotSentAtExchangeLimit(t *testing.T) {
 	server := startServer(t, func(message.Message) []message.Message { return nil })
 	address := server.conn.LocalAddr().String()
 	transport, count := startTransport(Scheme + address)
@@ -321,14 +323,14 @@
 		defer conn.release()
 	}
 	written := 0
-	ended := make(chan engine.Completion, 1)
-	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { ended <- e })
-	if end := waitEnd(t, ended); end.Outcome != balancer.NotSent || written != 0 || count.Outcomes.Get("unsent") != 1 {
-		t.Errorf("ended as %s, written %d times", engine.OutcomeName(end.Outcome), written)
+	completions := make(chan engine.Completion, 1)
+	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
+	if completion := waitForCompletion(t, completions); completion.Outcome != balancer.NotSent || written != 0 || count.Outcomes.Get("unsent") != 1 {
+		t.Errorf("outcome = %s, written %d times; want NotSent, counted once, and never written", engine.OutcomeName(completion.Outcome), written)
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestProbeReturnsOutcomeOfServerState(t *testing.T) {
 	alive := startServer(t, func(m message.Message) []message.Message {
 		return []message.Message{{Type: wire.Rst, MessageID: m.MessageID}}
 	})
@@ -347,17 +349,17 @@
 		{"not listed", "", 10 * time.Second, balancer.Unreachable},
 	} {
 		transport, _ := startTransport(c.address)
-		ended := make(chan engine.Completion, 1)
-		transport.Probe("s1", c.within, func(e engine.Completion) { ended <- e })
-		if end := waitEnd(t, ended); end.Outcome != c.want {
-			t.Errorf("%s: %s, want %s", c.name, engine.OutcomeName(end.Outcome), engine.OutcomeName(c.want))
+		completions := make(chan engine.Completion, 1)
+		transport.Probe("s1", c.within, func(e engine.Completion) { completions <- e })
+		if completion := waitForCompletion(t, completions); completion.Outcome != c.want {
+			t.Errorf("%s: outcome = %s, want %s", c.name, engine.OutcomeName(completion.Outcome), engine.OutcomeName(c.want))
 		}
 	}
 }
 
-// This node has as many exchanges with a server as it may, or its machine has no socket or route: that says nothing of the server, for a
-// probe as little as for an attempt, and must not count toward its ejection.
-func TestProbeThatThisNodeCannotSend(t *testing.T) {
+// If this node has reached its limit of exchanges with a server, or its machine has no socket or route, neither a
+// probe nor an attempt may count toward the ejection of the server.
+func TestProbeReportsNotSentForLocalFailure(t *testing.T) {
 	server := startServer(t, nil)
 	address := server.conn.LocalAddr().String()
 	transport, _ := startTransport(Scheme + address)
@@ -368,10 +370,10 @@
 		}
 		defer conn.release()
 	}
-	ended := make(chan engine.Completion, 1)
-	transport.Probe("s1", 10*time.Second, func(e engine.Completion) { ended <- e })
-	if end := waitEnd(t, ended); end.Outcome != balancer.NotSent {
-		t.Errorf("at the limit: %s, want void", engine.OutcomeName(end.Outcome))
+	completions := make(chan engine.Completion, 1)
+	transport.Probe("s1", 10*time.Second, func(e engine.Completion) { completions <- e })
+	if completion := waitForCompletion(t, completions); completion.Outcome != balancer.NotSent {
+		t.Errorf("at the limit of exchanges: outcome = %s, want NotSent", engine.OutcomeName(completion.Outcome))
 	}
 	for errno, want := range map[syscall.Errno]balancer.Outcome{
 		syscall.EMFILE: balancer.NotSent, syscall.ENFILE: balancer.NotSent, syscall.ENOBUFS: balancer.NotSent, syscall.EADDRNOTAVAIL: balancer.NotSent,
@@ -379,16 +381,16 @@
 	} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)}
 		if got := acquireOutcome(err); got != want {
-			t.Errorf("%v: %s, want %s", errno, engine.OutcomeName(got), engine.OutcomeName(want))
+			t.Errorf("acquireOutcome(%v) = %s, want %s", errno, engine.OutcomeName(got), engine.OutcomeName(want))
 		}
 	}
 }
 
-func TestHandles(t *testing.T) {
+func TestHandlesOnlyCoAPAddresses(t *testing.T) {
 	for address, want := range map[string]bool{"coap://10.0.0.1:5683": true, "10.0.0.1:8080": false, "": false} {
 		transport, _ := startTransport(address)
 		if got := transport.Handles("s1"); got != want {
-			t.Errorf("%q: %v, want %v", address, got, want)
+			t.Errorf("address %q: Handles() = %v, want %v", address, got, want)
 		}
 	}
 }
--- a/internal/coap/client/client.go
+++ b/internal/coap/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a small CoAP client, for the command tackhub coap and for tests: confirmable requests with the standard's
-// retransmission, separate responses, block-wise transfers and the Echo option.
+// Package client is a small CoAP client for the command tackhub coap and for tests. It sends confirmable requests with
+// the standard's retransmission, and supports separate responses, block-wise transfers and the Echo option.
 package client
 
 import (
@@ -26,28 +26,28 @@
 )
 
 const (
-	// maxEchoAttempts is how often a request is sent because of Echo challenges.
+	// maxEchoAttempts is how often a request is sent at most if the server answers with Echo challenges.
 	maxEchoAttempts = 3
 
 	// tokenLength is the length of a token in bytes.
 	tokenLength = 4
 )
 
-// ErrNoAnswer says that no response came to any transmission.
-var ErrNoAnswer = errors.New("no answer")
+// ErrNoAnswer is returned if no transmission of a message gets a response.
+var ErrNoAnswer = errors.New("no response to any transmission")
 
-// Options are how a client behaves. The zero value is the standard's behaviour.
+// Options configures a Client. The zero value selects the standard's behaviour.
 type Options struct {
-	AckTimeout     time.Duration // before the first retransmission, without jitter; 0: the standard's 2 s
-	MaxRetransmit  int           // 0: the standard's 4
-	SZX            uint8         // size exponent of the blocks of uploads; 0: the largest, 1,024 bytes
-	Duplicates     int           // how many times more each message is sent, at once
+	AckTimeout     time.Duration // before the first retransmission, without jitter; 0 means the standard's 2 s
+	MaxRetransmit  int           // 0 means the standard's 4
+	SZX            uint8         // size exponent of the blocks of uploads; 0 means the largest, for 1,024 bytes
+	Duplicates     int           // number of additional copies of each message, sent immediately
 	NonConfirmable bool          // send non-confirmable requests, once each
 }
 
 // Client sends requests to one server over one socket. It is not safe for concurrent use.
 type Client struct {
-	Received int // datagrams received
+	Received int // number of datagrams received
 
 	conn      net.PacketConn
 	server    net.Addr
@@ -57,7 +57,7 @@
 	echo      []byte // the value of the server's latest Echo challenge
 }
 
-// New makes a client on a socket.
+// New returns a client that uses a socket.
 func New(conn net.PacketConn, server net.Addr, o Options) *Client {
 	if o.AckTimeout == 0 {
 		o.AckTimeout = defaultAckTimeout
@@ -71,7 +71,7 @@
 	return &Client{conn: conn, server: server, options: o, messageID: uint16(rand.Uint32()), token: rand.Uint64()}
 }
 
-// Request is what is sent to a server.
+// Request is a request to a server.
 type Request struct {
 	Code  codes.Code // the method
 	Path  string
@@ -83,11 +83,12 @@
 type Response struct {
 	Code   codes.Code
 	Body   []byte
-	MaxAge uint32 // seconds; 0: not told
+	MaxAge uint32 // seconds; 0 if absent
 }
 
-// Do sends a request and gives the response with its whole body. The error is ErrNoAnswer after the last retransmission, the
-// context's, that of the socket, or one of package blocks where the response's blocks do not make a whole body.
+// Do sends a request and returns the response with its complete body. The error is ErrNoAnswer after the last
+// retransmission, the context's error, that of the socket, or one of package blocks if the blocks of the response do
+// not form a complete body.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	var response Response
 	m, err := c.sendWithEcho(ctx, r)
@@ -122,7 +123,7 @@
 	}
 }
 
-// sendWithEcho sends a request, again where the server asks for an Echo.
+// sendWithEcho sends a request, and sends it again with the Echo value if the server responds with a challenge.
 func (c *Client) sendWithEcho(ctx context.Context, r Request) (*message.Message, error) {
 	for range maxEchoAttempts {
 		m, err := c.send(ctx, r)
@@ -137,10 +138,10 @@
 			return m, nil
 		}
 	}
-	return nil, errors.New("asked for an Echo again and again")
+	return nil, errors.New("the server answered every attempt with an Echo challenge")
 }
 
-// send sends a request, in blocks where its body is long.
+// send sends a request, in blocks if its body is long.
 func (c *Client) send(ctx context.Context, r Request) (*message.Message, error) {
 	if len(r.Body) <= (blocks.Block{SZX: c.options.SZX}).Size() {
 		return c.exchange(ctx, c.newMessage(r, r.Body, nil, nil))
@@ -148,7 +149,7 @@
 	for number := uint32(0); ; number++ {
 		part, block, ok := blocks.Block{Num: number, SZX: c.options.SZX}.Slice(r.Body)
 		if !ok {
-			return nil, errors.New("the body has no such block")
+			return nil, errors.New("the block starts beyond the end of the body")
 		}
 		m, err := c.exchange(ctx, c.newMessage(r, part, &block, nil))
 		if err != nil || m.Code != codes.Continue || !block.More {
@@ -157,7 +158,7 @@
 	}
 }
 
-// newMessage makes a message of a request, with a payload and the block options that are given.
+// newMessage builds a message for a request, with a payload and with the block options that are not nil.
 func (c *Client) newMessage(r Request, payload []byte, block1, block2 *blocks.Block) message.Message {
 	c.messageID++
 	c.token++
--- a/internal/coap/client/client_test.go
+++ b/internal/coap/client/client_test.go
@@ -17,7 +17,7 @@
 	"tackhub.example/tackhub/internal/coap/wire"
 )
 
-// testServer answers datagrams with what a function gives for them.
+// testServer answers each message with the messages that a function returns for it.
 type testServer struct {
 	conn net.PacketConn
 
@@ -25,7 +25,7 @@
 	received []message.Message
 }
 
-// startServer starts a server that lasts as long as the test.
+// startServer starts a server that runs until the test ends.
 func startServer(t *testing.T, respond func(message.Message) []message.Message) *testServer {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -58,14 +58,14 @@
 	return s
 }
 
-// requests gives what the server has received.
+// requests returns the messages that the server has received.
 func (s *testServer) requests() []message.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.received)
 }
 
-// startClient makes a client of a server.
+// startClient returns a client of a server.
 func startClient(t *testing.T, s *testServer, o Options) *Client {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -76,12 +76,12 @@
 	return New(conn, s.conn.LocalAddr(), o)
 }
 
-// ackOf is a response in the acknowledgement of a message.
+// ackOf returns a response that is piggybacked on the acknowledgement of a message.
 func ackOf(m message.Message, code codes.Code, payload string) message.Message {
 	return message.Message{Type: wire.Ack, Code: code, MessageID: m.MessageID, Token: m.Token, Payload: []byte(payload)}
 }
 
-func TestSeparateResponse(t *testing.T) {
+func TestDoAcknowledgesSeparateResponse(t *testing.T) {
 	acknowledged := make(chan struct{})
 	server := startServer(t, func(m message.Message) []message.Message {
 		if m.Type == wire.Ack {
@@ -94,22 +94,22 @@
 	})
 	got, err := startClient(t, server, Options{}).Do(context.Background(), Request{Code: codes.GET, Path: "/look", Query: []string{"w=7"}})
 	if err != nil || got.Code != codes.Content || string(got.Body) != "late" || got.MaxAge != 9 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, %v; want Content, body \"late\", MaxAge 9", got, err)
 	}
 	select {
 	case <-acknowledged:
 	case <-time.After(10 * time.Second):
-		t.Error("the separate response was not acknowledged")
+		t.Error("the separate response was not acknowledged within 10 s")
 	}
 	sent := server.requests()[0]
 	if path, query := wire.Strings(&sent, message.URIPath), wire.Strings(&sent, message.URIQuery); !slices.Equal(path, []string{"look"}) || !slices.Equal(query, []string{"w=7"}) {
-		t.Errorf("path %q, query %q", path, query)
+		t.Errorf("got path %q, query %q; want look, w=7", path, query)
 	}
 }
 
-// A long body goes out in blocks, the response comes back in blocks, and the server's Echo challenge is answered with the value
-// that it gave.
-func TestBlocksAndEcho(t *testing.T) {
+// A long body must be sent in blocks, the response must be received in blocks, and an Echo challenge must be answered
+// with the value that the server issued.
+func TestDoTransfersBlocksAndAnswersEchoChallenge(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789"), 30)
 	var upload []byte
 	server := startServer(t, func(m message.Message) []message.Message {
@@ -125,8 +125,8 @@
 				return []message.Message{response}
 			}
 		}
-		asked, _, _ := wire.Block(&m, message.Block2)
-		part, block, _ := blocks.Block{Num: asked.Num, SZX: 3}.Slice(upload)
+		requested, _, _ := wire.Block(&m, message.Block2)
+		part, block, _ := blocks.Block{Num: requested.Num, SZX: 3}.Slice(upload)
 		response.Code = codes.Changed
 		response.Payload = part
 		response.Options = wire.AddUint(nil, message.Block2, block.Value())
@@ -134,36 +134,37 @@
 	})
 	got, err := startClient(t, server, Options{SZX: 2}).Do(context.Background(), Request{Code: codes.POST, Path: "bill", Body: body})
 	if err != nil || got.Code != codes.Changed || !bytes.Equal(got.Body, body) {
-		t.Errorf("%v with %d bytes of %d: %v", got.Code, len(got.Body), len(body), err)
+		t.Errorf("got %v with %d bytes of %d, error %v; want Changed with all bytes", got.Code, len(got.Body), len(body), err)
 	}
 }
 
-// A response whose second block is another one than was asked for, or has an option that cannot be read, is no whole response. The call
-// must fail rather than give a body that is cut short or has a part twice.
-func TestResponseWithBrokenBlocks(t *testing.T) {
+// The second block of the response is not the requested one, or has an invalid option. The call must fail, because its
+// body would be truncated or have a repeated part.
+func TestDoRejectsMismatchedResponseBlocks(t *testing.T) {
 	const reservedSize = 7
-	for name, second := range map[string]uint32{
-		"the first block again":      blocks.Block{Num: 0}.Value(),
-		"a block left out":           blocks.Block{Num: 2}.Value(),
-		"an option of reserved size": 1<<4 | reservedSize,
+	for name, secondBlock := range map[string]uint32{
+		"the first block repeated": blocks.Block{Num: 0}.Value(),
+		"a skipped block":          blocks.Block{Num: 2}.Value(),
+		"a reserved size exponent": 1<<4 | reservedSize,
 	} {
 		server := startServer(t, func(m message.Message) []message.Message {
 			response := ackOf(m, codes.Content, "0123456789abcdef")
 			option := blocks.Block{Num: 0, More: true}.Value()
 			if _, present, _ := wire.Block(&m, message.Block2); present {
-				option = second
+				option = secondBlock
 			}
 			response.Options = wire.AddUint(nil, message.Block2, option)
 			return []message.Message{response}
 		})
 		if got, err := startClient(t, server, Options{}).Do(context.Background(), Request{Code: codes.GET, Path: "look"}); err == nil {
-			t.Errorf("%s: taken for a whole response of %d bytes", name, len(got.Body))
+			t.Errorf("%s: got a response of %d bytes, want an error", name, len(got.Body))
 		}
 	}
 }
 
-// A server that never answers gets the message as often as the standard says, under one id; a non-confirmable one it gets once.
-func TestRetransmission(t *testing.T) {
+// A server that never answers must get a confirmable message as often as the standard requires, with the same id each
+// time, and a non-confirmable message once.
+func TestDoRetransmitsUntilLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		options Options
 		sent    int
@@ -175,7 +176,7 @@
 		server := startServer(t, func(message.Message) []message.Message { return nil })
 		_, err := startClient(t, server, c.options).Do(context.Background(), Request{Code: codes.GET, Path: "look"})
 		if !errors.Is(err, ErrNoAnswer) {
-			t.Errorf("%s: %v, want ErrNoAnswer", name, err)
+			t.Errorf("%s: error = %v, want ErrNoAnswer", name, err)
 		}
 		deadline := time.Now().Add(10 * time.Second)
 		for len(server.requests()) < c.sent && time.Now().Before(deadline) {
@@ -183,29 +184,29 @@
 		}
 		sent := server.requests()
 		if len(sent) != c.sent {
-			t.Errorf("%s: sent %d times, want %d", name, len(sent), c.sent)
+			t.Errorf("%s: sent %d datagrams, want %d", name, len(sent), c.sent)
 			continue
 		}
 		for _, m := range sent {
 			if m.MessageID != sent[0].MessageID {
-				t.Errorf("%s: ids %d and %d", name, m.MessageID, sent[0].MessageID)
+				t.Errorf("%s: got message ids %d and %d, want the same id", name, m.MessageID, sent[0].MessageID)
 			}
 		}
 	}
 }
 
-func TestContextEndsTheWait(t *testing.T) {
+func TestDoReturnsContextErrorAtDeadline(t *testing.T) {
 	server := startServer(t, func(m message.Message) []message.Message { return []message.Message{ackOf(m, codes.Empty, "")} })
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := startClient(t, server, Options{}).Do(ctx, Request{Code: codes.GET, Path: "look"}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%v, want the context's error", err)
+		t.Errorf("error = %v, want context.DeadlineExceeded", err)
 	}
 }
 
-// A context without a deadline is cancelled while the client waits for a response. The call ends at once, not when the timeout of
-// the acknowledgement does.
-func TestCancelEndsTheWait(t *testing.T) {
+// If a context without a deadline is cancelled while the client waits for a response, the call must end immediately
+// and not at the acknowledgement timeout.
+func TestDoReturnsContextErrorWhenCancelled(t *testing.T) {
 	server := startServer(t, func(m message.Message) []message.Message { return []message.Message{ackOf(m, codes.Empty, "")} })
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
@@ -218,16 +219,16 @@
 	select {
 	case err := <-ended:
 		if !errors.Is(err, context.Canceled) {
-			t.Errorf("%v, want the context's error", err)
+			t.Errorf("error = %v, want context.Canceled", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the call goes on though its context is cancelled")
+		t.Error("the call did not return within 10 s after its context was cancelled")
 	}
 }
 
-// A call is cancelled at about the time of its answer. Its interruption must not reach into the next call on the same socket, which
-// would take it for silence and send its message again.
-func TestInterruptionEndsWithItsCall(t *testing.T) {
+// If a call is cancelled at about the time its response arrives, the interruption must not affect the next call on the
+// same socket. That call would take it for a missing response and retransmit its message.
+func TestCancelDoesNotInterruptNextCall(t *testing.T) {
 	server := startServer(t, func(m message.Message) []message.Message { return []message.Message{ackOf(m, codes.Content, "done")} })
 	client := startClient(t, server, Options{AckTimeout: time.Minute})
 	const calls = 500
@@ -236,17 +237,17 @@
 		go cancel()
 		_, _ = client.Do(ctx, Request{Code: codes.GET, Path: "first"})
 		if got, err := client.Do(context.Background(), Request{Code: codes.GET, Path: "second"}); err != nil || string(got.Body) != "done" {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("got %+v, %v; want body \"done\"", got, err)
 		}
 	}
-	seconds := 0
+	transmissions := 0
 	for _, m := range server.requests() {
 		if path := wire.Strings(&m, message.URIPath); slices.Equal(path, []string{"second"}) {
-			seconds++
+			transmissions++
 		}
 	}
-	if seconds != calls {
-		t.Errorf("%d calls were sent %d times", calls, seconds)
+	if transmissions != calls {
+		t.Errorf("%d calls caused %d transmissions, want one per call", calls, transmissions)
 	}
 }
 
@@ -257,7 +258,7 @@
 		"bad=%zz":          {"bad=%zz"},
 	} {
 		if got := splitQuery(raw); !slices.Equal(got, want) {
-			t.Errorf("%q: %q, want %q", raw, got, want)
+			t.Errorf("splitQuery(%q) = %q, want %q", raw, got, want)
 		}
 	}
 }
--- a/internal/coap/client/command.go
+++ b/internal/coap/client/command.go
@@ -16,15 +16,15 @@
 	"tackhub.example/tackhub/internal/cli"
 )
 
-// defaultPort is CoAP's (RFC 7252, 6.1).
+// defaultPort is the default port of CoAP (RFC 7252, 6.1).
 const defaultPort = "5683"
 
-// defaultWait is how long the command waits for a response unless --wait says otherwise.
-const defaultWait = 30 * time.Second
+// defaultTimeout is the default of --wait, the time that the command waits for a response.
+const defaultTimeout = 30 * time.Second
 
-// Command is the command tackhub coap, with a subcommand for each method.
+// Command returns the command tackhub coap, with one subcommand per method.
 func Command() cli.Command {
-	command := cli.Command{Name: "coap", Help: "Ask a CoAP server: get, post or put a URI"}
+	command := cli.Command{Name: "coap", Help: "Send a CoAP request: get, post or put a URI"}
 	for _, method := range []struct {
 		name string
 		code codes.Code
@@ -38,32 +38,32 @@
 	return command
 }
 
-// invocation is what the arguments of a subcommand ask for.
+// invocation holds the arguments of a subcommand.
 type invocation struct {
 	method     codes.Code
 	uri        string
 	body       string
-	loss       float64       // share of the datagrams that are dropped, both ways
-	duplicates int           // how many times more each message is sent
-	wait       time.Duration // for the response
+	loss       float64       // fraction of the datagrams that are dropped, in both directions
+	duplicates int           // number of additional copies of each message
+	timeout    time.Duration // for the response
 }
 
-// methodCommand is the subcommand of a method.
+// methodCommand returns the subcommand for a method.
 func methodCommand(name string, code codes.Code) cli.Command {
 	i := invocation{method: code}
 	return cli.Command{
 		Name:      name,
 		ArgsUsage: "coap://ADDRESS:PORT/CLASS?QUERY",
-		Help:      "Send one request and print the answer",
+		Help:      "Send one request and print the response",
 		Flags: func(f *flag.FlagSet) {
-			f.StringVar(&i.body, "body", "", "the `TEXT` to send")
-			f.Float64Var(&i.loss, "loss", 0, "`SHARE` of datagrams to lose, both ways")
-			f.IntVar(&i.duplicates, "dup", 0, "send every message `N` times more")
-			f.DurationVar(&i.wait, "wait", defaultWait, "give up after `TIME`")
+			f.StringVar(&i.body, "body", "", "send `TEXT` as the body of the request")
+			f.Float64Var(&i.loss, "loss", 0, "drop this `FRACTION` of datagrams, in both directions")
+			f.IntVar(&i.duplicates, "dup", 0, "send `N` additional copies of every message")
+			f.DurationVar(&i.timeout, "wait", defaultTimeout, "stop waiting for a response after `TIME`")
 		},
 		Run: func(args []string, w io.Writer) error {
 			if len(args) != 1 {
-				return errors.New("one URI is wanted")
+				return errors.New("expected exactly one URI as argument")
 			}
 			i.uri = args[0]
 			return i.run(w)
@@ -75,7 +75,7 @@
 func (i invocation) run(w io.Writer) error {
 	uri, err := url.Parse(i.uri)
 	if err != nil || uri.Scheme != "coap" || uri.Host == "" {
-		return fmt.Errorf("%q is no URI such as coap://127.0.0.1:5683/still", i.uri)
+		return fmt.Errorf("%q is not a CoAP URI such as coap://127.0.0.1:5683/still", i.uri)
 	}
 	server, err := net.ResolveUDPAddr("udp", hostPort(uri))
 	if err != nil {
@@ -89,7 +89,7 @@
 	if i.loss > 0 {
 		conn = lossyConn{conn, i.loss}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), i.wait)
+	ctx, cancel := context.WithTimeout(context.Background(), i.timeout)
 	defer cancel()
 	request := Request{Code: i.method, Path: uri.Path, Query: splitQuery(uri.RawQuery), Body: []byte(i.body)}
 	started := time.Now()
@@ -101,16 +101,16 @@
 	return nil
 }
 
-// printResponse writes a response and how long it took.
-func printResponse(w io.Writer, response Response, took time.Duration) {
-	_, _ = fmt.Fprintf(w, "%v in %v, %d bytes", response.Code, took.Round(time.Millisecond), len(response.Body))
+// printResponse prints a response and how long it took.
+func printResponse(w io.Writer, response Response, elapsed time.Duration) {
+	_, _ = fmt.Fprintf(w, "%v in %v, %d bytes", response.Code, elapsed.Round(time.Millisecond), len(response.Body))
 	if response.MaxAge > 0 {
 		_, _ = fmt.Fprintf(w, ", come back after %d s", response.MaxAge)
 	}
 	_, _ = fmt.Fprintf(w, "\n%s\n", response.Body)
 }
 
-// hostPort is the address of a URI, with CoAP's port where it names none.
+// hostPort returns the host and port of a URI, with the default port of CoAP if the URI has none.
 func hostPort(uri *url.URL) string {
 	if uri.Port() == "" {
 		return net.JoinHostPort(uri.Hostname(), defaultPort)
@@ -118,7 +118,8 @@
 	return uri.Host
 }
 
-// splitQuery splits a query at its ampersands and unescapes each part, as CoAP's options hold it. An empty query has no part.
+// splitQuery splits a query at its ampersands and unescapes each part, as CoAP options require. An empty query has no
+// parts.
 func splitQuery(raw string) []string {
 	if raw == "" {
 		return nil
--- a/internal/coap/client/exchange.go
+++ b/internal/coap/client/exchange.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// readBufferSize is that of the largest datagram, in bytes.
+	// readBufferSize is the size of the largest datagram, in bytes.
 	readBufferSize = 64 << 10
 
-	// ackJitter is the share of the timeout that is added at random, at most: ACK_RANDOM_FACTOR less one.
+	// ackJitter is the largest fraction of the timeout that is added at random: ACK_RANDOM_FACTOR minus one.
 	ackJitter = 0.5
 )
 
-// errReset says that the server rejected the message.
+// errReset is returned if the server rejects a message with a reset.
 var errReset = errors.New("reset")
 
-// interruptReads has the end of a context end a read that waits, and each one until stop is called. After stop the socket's deadline
-// is the reader's own again.
+// interruptReads makes the end of a context interrupt the current read and all later ones until stop is called. After
+// stop the caller has sole control of the socket's read deadline again.
 //
-// The context's deadline is not given to the socket: the two timers fire in any order, so a read that ends by the socket's deadline may
-// find the context not done yet, and would take its end for the server's silence.
+// The context's deadline is not set on the socket, because the two timers can fire in either order. A read could end
+// at the socket's deadline before the context is done, and would be mistaken for a missing response.
 func (c *Client) interruptReads(ctx context.Context) (stop func()) {
 	interrupted := make(chan struct{})
 	undo := context.AfterFunc(ctx, func() {
@@ -43,7 +43,8 @@
 	}
 }
 
-// exchange sends a message, again by the standard's timeouts until it is acknowledged, and waits for its response.
+// exchange sends a message, retransmits it with the standard's timeouts until it is acknowledged, and waits for its
+// response.
 func (c *Client) exchange(ctx context.Context, m message.Message) (*message.Message, error) {
 	datagram, err := wire.Encode(m)
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// write sends a datagram, with the duplicates that are asked for.
+// write sends a datagram and the configured number of duplicates.
 func (c *Client) write(datagram []byte) error {
 	for range c.options.Duplicates + 1 {
 		if _, err := c.conn.WriteTo(datagram, c.server); err != nil {
@@ -81,13 +82,14 @@
 	return nil
 }
 
-// await reads until the response to a message comes, nil where the time is over before. It tells whether the message was
-// acknowledged meanwhile. The error is the context's where that ends first: interruptReads must be in force.
-func (c *Client) await(ctx context.Context, m *message.Message, until time.Time) (response *message.Message, acknowledged bool, err error) {
+// await reads until the response to a message arrives, and returns nil if the deadline passes first. It also reports
+// whether the message was acknowledged in the meantime. If the context ends first, its error is returned;
+// interruptReads must be active for that.
+func (c *Client) await(ctx context.Context, m *message.Message, deadline time.Time) (response *message.Message, acknowledged bool, err error) {
 	buffer := make([]byte, readBufferSize)
 	for {
-		_ = c.conn.SetReadDeadline(until)
-		if ctx.Err() != nil { // the interruption may have come before this deadline, which would undo it
+		_ = c.conn.SetReadDeadline(deadline)
+		if ctx.Err() != nil { // the deadline set above may have overwritten that of interruptReads
 			return nil, acknowledged, ctx.Err()
 		}
 		n, _, err := c.conn.ReadFrom(buffer)
@@ -101,27 +103,27 @@
 			return nil, acknowledged, err
 		}
 		c.Received++
-		got, err := wire.Decode(bytes.Clone(buffer[:n]))
+		incoming, err := wire.Decode(bytes.Clone(buffer[:n]))
 		if err != nil {
 			continue
 		}
 		switch {
-		case got.Type == wire.Rst && got.MessageID == m.MessageID:
+		case incoming.Type == wire.Rst && incoming.MessageID == m.MessageID:
 			return nil, acknowledged, errReset
-		case got.Code == codes.Empty && got.Type == wire.Ack && got.MessageID == m.MessageID:
+		case incoming.Code == codes.Empty && incoming.Type == wire.Ack && incoming.MessageID == m.MessageID:
 			acknowledged = true
-		case got.Code != codes.Empty && bytes.Equal(got.Token, m.Token):
-			if got.Type == wire.Con {
-				_ = c.write(wire.Empty(wire.Ack, uint16(got.MessageID)))
+		case incoming.Code != codes.Empty && bytes.Equal(incoming.Token, m.Token):
+			if incoming.Type == wire.Con {
+				_ = c.write(wire.Empty(wire.Ack, uint16(incoming.MessageID)))
 			}
-			return &got, acknowledged, nil
-		case got.Type == wire.Con: // of an exchange that is over
-			_ = c.write(wire.Empty(wire.Rst, uint16(got.MessageID)))
+			return &incoming, acknowledged, nil
+		case incoming.Type == wire.Con: // of an exchange that has ended
+			_ = c.write(wire.Empty(wire.Rst, uint16(incoming.MessageID)))
 		}
 	}
 }
 
-// isTimeout reports whether a read ended by its deadline.
+// isTimeout reports whether a read ended at its deadline.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/coap/client/lossy.go
+++ b/internal/coap/client/lossy.go
@@ -5,13 +5,13 @@
 	"net"
 )
 
-// lossyConn is a socket that drops a share of the datagrams, both ways.
+// lossyConn is a socket that drops a fraction of the datagrams in both directions.
 type lossyConn struct {
 	net.PacketConn
-	loss float64 // from 0 to 1
+	loss float64 // fraction from 0 to 1
 }
 
-// WriteTo sends a datagram, or drops it.
+// WriteTo sends a datagram or drops it.
 func (l lossyConn) WriteTo(datagram []byte, to net.Addr) (int, error) {
 	if rand.Float64() < l.loss {
 		return len(datagram), nil
