--- a/internal/coap/blocks/download.go
+++ b/internal/coap/blocks/download.go
@@ -2,16 +2,16 @@
 
 import "errors"
 
-// ErrMismatch says that a block of a response is not the one that was asked for, or not as long as its size says.
-var ErrMismatch = errors.New("the response's blocks do not fit")
+// ErrMismatch is returned if a block of a response is not the requested one, or its payload does not match its size.
+var ErrMismatch = errors.New("a block of the response does not have the expected number or size")
 
-// ErrTooLong says that a response is longer than its limit.
-var ErrTooLong = errors.New("the response is too long")
+// ErrTooLong is returned if a response exceeds the limit of a Download.
+var ErrTooLong = errors.New("the body of the response exceeds the limit")
 
-// Download puts the body of a response together from its blocks, which have to come in order (RFC 7959, 2.4). The zero value waits for
-// the first block.
+// Download assembles the body of a response from its blocks, which must arrive in order (RFC 7959, 2.4). The zero
+// value expects the first block.
 type Download struct {
-	Limit int // of the body's length in bytes; 0: none
+	Limit int // maximum length of the body in bytes; 0 means no limit
 
 	body     []byte
 	last     Block
@@ -19,15 +19,15 @@
 	complete bool
 }
 
-// Add takes a block's option, which is absent where a response has a single part, and its payload. After an error the response cannot
-// be used: what is there of its body may have a gap.
+// Add adds a block with its payload. present is false if the response has no block option and thus consists of a
+// single part. After an error the download must not be used, because its body may have a gap.
 func (d *Download) Add(block Block, present bool, payload []byte) error {
-	first := !d.started
+	isFirst := !d.started
 	d.started = true
 	switch {
-	case d.complete, !first && !present:
+	case d.complete, !isFirst && !present:
 		return ErrMismatch
-	case present && !block.holds(len(d.body), len(payload)):
+	case present && !block.acceptsPayload(len(d.body), len(payload)):
 		return ErrMismatch
 	case d.Limit > 0 && len(d.body)+len(payload) > d.Limit:
 		return ErrTooLong
@@ -38,15 +38,16 @@
 	return nil
 }
 
-// holds reports whether a payload of a length can be the block's part of a body, from an offset on. A block before the last is full.
-func (b Block) holds(offset, length int) bool {
+// acceptsPayload reports whether a payload of the given length can be the block's part of a body, starting at offset.
+// Every block except the last must be full.
+func (b Block) acceptsPayload(offset, length int) bool {
 	if b.offset() != offset || length > b.Size() {
 		return false
 	}
 	return !b.More || length == b.Size()
 }
 
-// Next returns the block to ask for, in the size that the server chose; false where the body is complete.
+// Next returns the next block to request, in the size that the server chose; false if the body is complete.
 func (d *Download) Next() (next Block, ok bool) {
 	if d.complete {
 		return Block{}, false
@@ -54,5 +55,5 @@
 	return Block{Num: d.last.Num + 1, SZX: d.last.SZX}, true
 }
 
-// Body returns the body as far as it has come.
+// Body returns the part of the body that has been received so far.
 func (d *Download) Body() []byte { return d.body }
--- a/internal/coap/blocks/store.go
+++ b/internal/coap/blocks/store.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// Limits bound a store.
+// Limits bounds a store.
 type Limits struct {
 	MaxTransfers   int
 	MaxPerEndpoint int           // transfers of one endpoint
-	MaxBytes       int           // of all bodies
+	MaxBytes       int           // of all bodies together
 	MaxBodyBytes   int           // of one body
-	IdleTimeout    time.Duration // after which a transfer without a message is removed
+	IdleTimeout    time.Duration // since its last message, after which a transfer is removed
 }
 
 // Key identifies a transfer.
 type Key struct {
-	Endpoint string // who uploads or downloads
+	Endpoint string // the device that uploads or downloads
 	Resource uint64 // a hash of method, path and query
 }
 
-// Verdict says what a block of an upload means.
+// Verdict is the result of adding a block to an upload.
 type Verdict int
 
-// The verdicts, with the codes that answer them.
+// The verdicts, with the CoAP codes of their responses.
 const (
 	Continue   Verdict = iota // 2.31: the next block is expected
 	Complete                  // the body is complete
-	Incomplete                // 4.08: an earlier block is missing, and the upload has to begin anew
-	TooLarge                  // 4.13: the body is over the limit
+	Incomplete                // 4.08: an earlier block is missing, so the upload must start again
+	TooLarge                  // 4.13: the body exceeds the limit
 	StoreFull                 // 5.03: too many uploads are in progress
 )
 
-// Store holds transfers in progress: uploads through Add, or downloads through Put and Get. Times are spans since a fixed
-// moment. It is not safe for concurrent use.
+// Store holds transfers in progress: uploads through Add, or downloads through Put and Get. Times are durations since
+// a fixed moment. It is not safe for concurrent use.
 type Store struct {
 	limits      Limits
 	transfers   map[Key]*transfer
 	perEndpoint map[string]int
-	byLastUse   *list.List // of *transfer, the longest unused first
+	lru         *list.List // of *transfer, least recently used first
 	bytes       int
 	abandoned   int64
 }
 
-// transfer is a body on its way.
+// transfer is a body that is being uploaded or downloaded.
 type transfer struct {
-	key     Key
-	body    []byte
-	usedAt  time.Duration
-	element *list.Element // in byLastUse
+	key        Key
+	body       []byte
+	lastUsedAt time.Duration
+	element    *list.Element // in Store.lru
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New(limits Limits) *Store {
 	return &Store{
 		limits:      limits,
 		transfers:   map[Key]*transfer{},
 		perEndpoint: map[string]int{},
-		byLastUse:   list.New(),
+		lru:         list.New(),
 	}
 }
 
-// Add takes a block of an upload. With Complete it gives the body, and the transfer is removed. Block 0 begins an upload
-// anew; any other must follow on what is there.
+// Add adds a block to an upload. If this completes the body, Add returns Complete and the body, and removes the
+// transfer. Block 0 starts the upload again; any other block must directly follow the stored ones.
 func (s *Store) Add(now time.Duration, key Key, block Block, part []byte) (Verdict, []byte) {
 	s.expire(now)
 	upload := s.transfers[key]
@@ -88,8 +88,8 @@
 	return s.extend(now, upload, block, part)
 }
 
-// follows reports whether a block continues an upload, which is nil where none is in progress: it begins where the upload
-// ends, and only the last block may be short.
+// follows reports whether a block continues an upload, which is nil if none is in progress. The block must start where
+// the upload ends, and only the last block may be shorter than its size.
 func follows(upload *transfer, block Block, part []byte) bool {
 	if block.More && len(part) != block.Size() {
 		return false
@@ -100,7 +100,7 @@
 	return upload != nil && len(upload.body) == block.offset()
 }
 
-// extend adds a block to an upload.
+// extend appends a block to an upload.
 func (s *Store) extend(now time.Duration, upload *transfer, block Block, part []byte) (Verdict, []byte) {
 	if len(upload.body)+len(part) > s.limits.MaxBodyBytes {
 		s.remove(upload)
@@ -120,8 +120,9 @@
 	return Complete, upload.body
 }
 
-// Put stores a body for download in blocks, in the place of an older one under its key. The longest unused bodies are
-// evicted to make room: whoever downloads one asks for it anew. A body over the limits is not stored.
+// Put stores a body for download in blocks, and replaces an older one with the same key. If the store is full, the
+// least recently used bodies are evicted; a device that was downloading one must request it again. A body over the
+// limits is not stored.
 func (s *Store) Put(now time.Duration, key Key, body []byte) {
 	s.expire(now)
 	if old := s.transfers[key]; old != nil {
@@ -130,17 +131,17 @@
 	if len(body) > s.limits.MaxBytes || len(body) > s.limits.MaxBodyBytes {
 		return
 	}
-	for s.byLastUse.Len() > 0 && (s.isFull() || s.bytes+len(body) > s.limits.MaxBytes) {
-		s.abandon(s.oldest())
+	for s.lru.Len() > 0 && (s.isFull() || s.bytes+len(body) > s.limits.MaxBytes) {
+		s.abandon(s.leastRecentlyUsed())
 	}
 	if s.endpointIsFull(key.Endpoint) {
-		s.evictOf(key.Endpoint)
+		s.evictFromEndpoint(key.Endpoint)
 	}
 	s.insert(now, key, body)
 	s.bytes += len(body)
 }
 
-// Get gives a stored body; false where there is none.
+// Get returns a stored body; false if there is none.
 func (s *Store) Get(now time.Duration, key Key) ([]byte, bool) {
 	s.expire(now)
 	download := s.transfers[key]
@@ -151,29 +152,29 @@
 	return download.body, true
 }
 
-// Len is the number of transfers.
+// Len returns the number of transfers.
 func (s *Store) Len() int { return len(s.transfers) }
 
-// Bytes is the size of all bodies.
+// Bytes returns the total size of all bodies.
 func (s *Store) Bytes() int { return s.bytes }
 
-// Abandoned is the number of transfers that were evicted or timed out.
+// Abandoned returns the number of transfers that were evicted or timed out.
 func (s *Store) Abandoned() int64 { return s.abandoned }
 
-// isFull reports whether the store has as many transfers as it may.
+// isFull reports whether the store has reached its limit of transfers.
 func (s *Store) isFull() bool { return len(s.transfers) >= s.limits.MaxTransfers }
 
-// endpointIsFull reports whether an endpoint has as many transfers as it may.
+// endpointIsFull reports whether an endpoint has reached its limit of transfers.
 func (s *Store) endpointIsFull(endpoint string) bool {
 	return s.perEndpoint[endpoint] >= s.limits.MaxPerEndpoint
 }
 
-// oldest is the longest unused transfer of a store that has one.
-func (s *Store) oldest() *transfer { return s.byLastUse.Front().Value.(*transfer) }
+// leastRecentlyUsed returns the least recently used transfer. The store must not be empty.
+func (s *Store) leastRecentlyUsed() *transfer { return s.lru.Front().Value.(*transfer) }
 
-// evictOf removes an endpoint's longest unused transfer.
-func (s *Store) evictOf(endpoint string) {
-	for element := s.byLastUse.Front(); element != nil; element = element.Next() {
+// evictFromEndpoint removes the least recently used transfer of an endpoint.
+func (s *Store) evictFromEndpoint(endpoint string) {
+	for element := s.lru.Front(); element != nil; element = element.Next() {
 		candidate := element.Value.(*transfer)
 		if candidate.key.Endpoint == endpoint {
 			s.abandon(candidate)
@@ -182,41 +183,41 @@
 	}
 }
 
-// insert adds a transfer. Its body's bytes are counted by the caller.
+// insert adds a transfer. The caller counts the bytes of its body.
 func (s *Store) insert(now time.Duration, key Key, body []byte) *transfer {
-	t := &transfer{key: key, body: body, usedAt: now}
-	t.element = s.byLastUse.PushBack(t)
+	t := &transfer{key: key, body: body, lastUsedAt: now}
+	t.element = s.lru.PushBack(t)
 	s.transfers[key] = t
 	s.perEndpoint[key.Endpoint]++
 	return t
 }
 
-// touch notes a use.
+// touch marks a transfer as used now.
 func (s *Store) touch(now time.Duration, t *transfer) {
-	t.usedAt = now
-	s.byLastUse.MoveToBack(t.element)
+	t.lastUsedAt = now
+	s.lru.MoveToBack(t.element)
 }
 
-// expire removes the transfers that were not used for the idle timeout.
+// expire removes the transfers that have not been used for the idle timeout.
 func (s *Store) expire(now time.Duration) {
-	for s.byLastUse.Len() > 0 && now-s.oldest().usedAt >= s.limits.IdleTimeout {
-		s.abandon(s.oldest())
+	for s.lru.Len() > 0 && now-s.leastRecentlyUsed().lastUsedAt >= s.limits.IdleTimeout {
+		s.abandon(s.leastRecentlyUsed())
 	}
 }
 
-// abandon removes a transfer that is not complete.
+// abandon removes an incomplete transfer and counts it as abandoned.
 func (s *Store) abandon(t *transfer) {
 	s.abandoned++
 	s.remove(t)
 }
 
-// remove takes a transfer out, with its bytes.
+// remove removes a transfer and subtracts its bytes.
 func (s *Store) remove(t *transfer) {
 	delete(s.transfers, t.key)
 	s.perEndpoint[t.key.Endpoint]--
 	if s.perEndpoint[t.key.Endpoint] == 0 {
 		delete(s.perEndpoint, t.key.Endpoint)
 	}
-	s.byLastUse.Remove(t.element)
+	s.lru.Remove(t.element)
 	s.bytes -= len(t.body)
 }
--- a/internal/coap/dedup/entry.go
+++ b/internal/coap/dedup/entry.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// EntryCost is what an exchange is counted for beside its response, in bytes: the entry, and its place in the maps and lists.
+// EntryCost is the size in bytes that an exchange counts for in addition to its response: the entry, and its elements
+// in the maps and lists.
 const EntryCost = 330
 
-// entry is an exchange that the table remembers.
+// entry is a stored exchange.
 type entry struct {
 	key          Key
 	fingerprint  uint64
-	evictable    bool // running its request again does no harm
+	evictable    bool // running the request again does no harm
 	inProgress   bool
 	acknowledged bool
 	response     []byte
 	expiresAt    time.Duration
 	lifetime     lifetime
-	byExpiry     *list.Element // in the list of its lifetime
-	byCompletion *list.Element // in the list of evictable responses; nil while it is in no such list
+	byExpiry     *list.Element // in Table.expiryLists
+	byCompletion *list.Element // in Table.evictable; nil if not in that list
 }
 
-// cost is what the entry is counted for, in bytes.
+// cost returns the size in bytes that the entry counts for.
 func (e *entry) cost() int { return EntryCost + len(e.response) }
 
-// lifetime is how long an exchange is remembered.
+// lifetime is the kind of lifetime that an exchange has, by the type of its message.
 type lifetime int
 
 // The lifetimes.
 const (
 	confirmable    lifetime = iota // ExchangeLifetime
 	nonConfirmable                 // NonLifetime
-	lifetimes                      // how many there are
+	lifetimeCount                  // the number of lifetimes
 )
 
-// lifetimeOf is the lifetime of a message's exchange.
+// lifetimeOf returns the kind and the duration of the lifetime of a message's exchange.
 func lifetimeOf(m Message) (lifetime, time.Duration) {
 	if m.Confirmable {
 		return confirmable, ExchangeLifetime
--- a/internal/coap/dedup/message.go
+++ b/internal/coap/dedup/message.go
@@ -1,9 +1,9 @@
-// Package dedup recognises repeated CoAP messages, so that a request that arrives again is not run again (RFC 7252, 4.2 to
-// 4.5). It is pure: the time and messages come in, what to do about them goes out.
+// Package dedup detects retransmitted CoAP requests, so that a request that arrives again is not run again (RFC 7252,
+// 4.2 to 4.5). It is pure: the caller passes times and messages and acts on the returned verdicts.
 //
-// A repeat of an answered exchange gets the stored response; one of an exchange in progress waits for the same response. An
-// exchange that may have had an effect is never evicted before its lifetime is over: at the limits new requests are rejected
-// instead. Responses to idempotent requests are evicted first.
+// A retransmission of an answered exchange gets the stored response; a retransmission of an exchange in progress waits
+// for the same response. An exchange that may have had an effect is never evicted before its lifetime ends: at the
+// limits new requests are rejected instead. Responses to idempotent requests are evicted first.
 package dedup
 
 import (
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// The lifetimes of RFC 7252, 4.8.2, by the standard's transmission parameters.
+// The lifetimes of RFC 7252, 4.8.2, for the standard transmission parameters.
 const (
-	ExchangeLifetime = 247 * time.Second // EXCHANGE_LIFETIME: the id of a confirmable message may not be used again
-	NonLifetime      = 145 * time.Second // NON_LIFETIME: that of a non-confirmable one
+	ExchangeLifetime = 247 * time.Second // EXCHANGE_LIFETIME: how long the id of a confirmable message must not be reused
+	NonLifetime      = 145 * time.Second // NON_LIFETIME: how long the id of a non-confirmable message must not be reused
 )
 
-// Key identifies a message by its sender and its id.
+// Key identifies a message by its sender and its message id.
 type Key struct {
-	Endpoint string // address and port, with the transport's own identity where it has one
+	Endpoint string // address and port, and the transport's own identity if it has one
 	ID       uint16
 }
 
@@ -28,27 +28,27 @@
 	Key
 	Confirmable bool
 	Idempotent  bool // running it twice does no harm
-	// Fingerprint tells requests under one id apart: a device that has rebooted on the same port begins its ids anew, and its
-	// token or payload is another. See the function Fingerprint.
+	// Fingerprint distinguishes requests with the same id. A device that has rebooted may use the same port and start
+	// its ids again, but its token or payload differs. See the function Fingerprint.
 	Fingerprint uint64
 }
 
-// Verdict says what to do about a message.
+// Verdict is what the caller must do with a message.
 type Verdict int
 
 // The verdicts.
 const (
-	Fresh        Verdict = iota // run it; then Complete or Remove must be called
-	InProgress                  // it is running: nothing is to be done but to acknowledge it again, if it was acknowledged before
+	Fresh        Verdict = iota // run the request, then call Complete or Remove
+	InProgress                  // the request is running: only acknowledge it again if it was acknowledged before
 	Replay                      // send the stored response again
-	TableFull                   // reject it: an exchange that may have had an effect would have to be evicted
-	EndpointFull                // reject it: its endpoint has as many exchanges as it may, or another request under the id is running
+	TableFull                   // reject the request: an exchange that may have had an effect would have to be evicted
+	EndpointFull                // reject the request: its endpoint is at its limit, or another request with the same id is running
 )
 
-// seed makes fingerprints this process's own, so that nobody can construct two messages with one.
+// seed is random for each process, so that nobody can construct two messages with the same fingerprint.
 var seed = maphash.MakeSeed()
 
-// Fingerprint hashes the parts of a message by which requests under one id are told apart.
+// Fingerprint hashes the parts of a message that distinguish requests with the same id.
 func Fingerprint(parts ...[]byte) uint64 {
 	var h maphash.Hash
 	h.SetSeed(seed)
--- a/internal/coap/dedup/table.go
+++ b/internal/coap/dedup/table.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// maxScan bounds the search for an endpoint's evictable responses among those of all. The search runs for every message of an
-// endpoint at its limit, which may be an attacker's.
+// maxScan bounds how many evictable responses are searched for one of a given endpoint. The search runs for every
+// message of an endpoint at its limit, which may be an attacker.
 const maxScan = 256
 
-// Limits bound a table.
+// Limits bounds a table.
 type Limits struct {
-	MaxEntries     int // exchanges in all
-	MaxBytes       int // of stored responses, with EntryCost for each exchange
+	MaxEntries     int // all exchanges
+	MaxBytes       int // stored responses, plus EntryCost per exchange
 	MaxPerEndpoint int // exchanges of one endpoint
 }
 
-// Stats counts what a table did.
+// Stats counts the verdicts of a table, and its reused ids, evictions and expirations.
 type Stats struct {
 	New, Joined, Replayed, TableFull, EndpointFull, IDReused, Evicted, Expired int64
 }
 
-// Table remembers exchanges. Times are spans since a fixed moment. It is not safe for concurrent use.
+// Table stores exchanges. Times are durations since a fixed moment. It is not safe for concurrent use.
 type Table struct {
 	limits      Limits
 	entries     map[Key]*entry
 	perEndpoint map[string]int
-	evictable   *list.List            // of *entry, completed and evictable, the oldest first
-	expiry      [lifetimes]*list.List // of *entry, all of one lifetime, the first to expire first
+	evictable   *list.List                // of *entry, completed and evictable, oldest first
+	expiryLists [lifetimeCount]*list.List // by lifetime, of *entry, first to expire first
 	bytes       int
 	stats       Stats
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(limits Limits) *Table {
 	t := &Table{
 		limits:      limits,
@@ -40,19 +40,20 @@
 		perEndpoint: map[string]int{},
 		evictable:   list.New(),
 	}
-	for i := range t.expiry {
-		t.expiry[i] = list.New()
+	for i := range t.expiryLists {
+		t.expiryLists[i] = list.New()
 	}
 	return t
 }
 
-// Receive takes a message. With Replay it gives the stored response, nil where there was no room for it; with InProgress it
-// tells whether the exchange was acknowledged already.
+// Receive stores the exchange of a message, or finds the one that the message repeats. With Replay it returns the
+// stored response, which is nil if there was no space for it. With InProgress it reports whether the exchange was
+// already acknowledged.
 func (t *Table) Receive(now time.Duration, m Message) (v Verdict, response []byte, acknowledged bool) {
 	t.expire(now)
 	if e := t.entries[m.Key]; e != nil {
 		switch {
-		case e.fingerprint != m.Fingerprint && e.inProgress: // two requests under one id: one of them cannot be answered
+		case e.fingerprint != m.Fingerprint && e.inProgress: // two running requests with one id: only one of them can be answered
 			t.stats.EndpointFull++
 			return EndpointFull, nil, false
 		case e.fingerprint != m.Fingerprint: // the device has rebooted
@@ -74,9 +75,10 @@
 	return Fresh, nil, false
 }
 
-// makeRoom evicts responses until an exchange of an endpoint fits, and gives Fresh; or the verdict that tells the limit.
+// makeRoom evicts responses until an exchange of an endpoint fits and returns Fresh, or returns the verdict for the
+// limit that was reached.
 func (t *Table) makeRoom(endpoint string) Verdict {
-	if t.perEndpoint[endpoint] >= t.limits.MaxPerEndpoint && !t.evictOf(endpoint) {
+	if t.perEndpoint[endpoint] >= t.limits.MaxPerEndpoint && !t.evictFromEndpoint(endpoint) {
 		t.stats.EndpointFull++
 		return EndpointFull
 	}
@@ -89,24 +91,25 @@
 	return Fresh
 }
 
-// MarkAcknowledged notes that an exchange in progress was acknowledged with an empty message: its repeats are acknowledged
-// again.
+// MarkAcknowledged records that an exchange in progress was acknowledged with an empty message. Its retransmissions
+// are then acknowledged again.
 func (t *Table) MarkAcknowledged(key Key) {
 	if e := t.entries[key]; e != nil && e.inProgress {
 		e.acknowledged = true
 	}
 }
 
-// Complete stores the response of an exchange in progress. With harmless, running its request again would do no harm after
-// all, as after a rejection: such a response may be evicted. Where there is no room for its bytes even after every eviction,
-// the exchange is remembered without them: a repeat then gets no response, and still does not run.
-func (t *Table) Complete(key Key, response []byte, harmless bool) {
+// Complete stores the response of an exchange in progress. mayEvict means that running the request again does no harm,
+// for example because it was rejected, so that the response may be evicted. If there is no space for the response even
+// after evicting everything that may be evicted, the exchange is stored without it: a retransmission then gets no
+// response, but is still not run.
+func (t *Table) Complete(key Key, response []byte, mayEvict bool) {
 	e := t.entries[key]
 	if e == nil || !e.inProgress {
 		return
 	}
 	e.inProgress = false
-	e.evictable = e.evictable || harmless
+	e.evictable = e.evictable || mayEvict
 	for t.bytes+len(response) > t.limits.MaxBytes {
 		if !t.evictOldest() {
 			response = nil
@@ -119,24 +122,24 @@
 	}
 }
 
-// Remove forgets an exchange in progress that has certainly had no effect, such as a rejected one: the next message under its
-// id runs.
+// Remove removes an exchange in progress that certainly had no effect, such as a rejected one. The next message with
+// its id runs.
 func (t *Table) Remove(key Key) {
 	if e := t.entries[key]; e != nil && e.inProgress {
 		t.remove(e)
 	}
 }
 
-// Len is the number of exchanges.
+// Len returns the number of exchanges.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Bytes is what the exchanges are counted for: EntryCost each, and the stored responses.
+// Bytes returns the size that the exchanges count for: EntryCost each, plus the stored responses.
 func (t *Table) Bytes() int { return t.bytes }
 
-// Stats gives the counts since the table was made.
+// Stats returns the counts since the table was created.
 func (t *Table) Stats() Stats { return t.stats }
 
-// evictOldest removes the oldest evictable exchange; false where there is none.
+// evictOldest removes the oldest evictable exchange; false if there is none.
 func (t *Table) evictOldest() bool {
 	oldest := t.evictable.Front()
 	if oldest == nil {
@@ -147,8 +150,9 @@
 	return true
 }
 
-// evictOf removes an endpoint's oldest evictable exchange; false where there is none among the first maxScan.
-func (t *Table) evictOf(endpoint string) bool {
+// evictFromEndpoint removes the oldest evictable exchange of an endpoint; false if there is none among the first
+// maxScan.
+func (t *Table) evictFromEndpoint(endpoint string) bool {
 	scanned := 0
 	for element := t.evictable.Front(); element != nil && scanned < maxScan; element = element.Next() {
 		scanned++
@@ -162,15 +166,15 @@
 	return false
 }
 
-// expire removes the exchanges whose lifetime is over. One in progress stays: it is still owed a response.
+// expire removes the exchanges whose lifetime has ended, except those in progress, which still need a response.
 func (t *Table) expire(now time.Duration) {
-	for _, entries := range t.expiry {
+	for _, entries := range t.expiryLists {
 		for element := entries.Front(); element != nil; {
 			e := element.Value.(*entry)
 			if e.expiresAt > now {
 				break
 			}
-			element = element.Next() // before the element leaves the list
+			element = element.Next() // before the element is removed from the list
 			if !e.inProgress {
 				t.stats.Expired++
 				t.remove(e)
@@ -181,29 +185,29 @@
 
 // insert adds an exchange in progress.
 func (t *Table) insert(now time.Duration, m Message) {
-	kind, span := lifetimeOf(m)
+	kind, duration := lifetimeOf(m)
 	e := &entry{
 		key:         m.Key,
 		fingerprint: m.Fingerprint,
 		evictable:   m.Idempotent,
 		inProgress:  true,
-		expiresAt:   now + span,
+		expiresAt:   now + duration,
 		lifetime:    kind,
 	}
-	e.byExpiry = t.expiry[kind].PushBack(e)
+	e.byExpiry = t.expiryLists[kind].PushBack(e)
 	t.entries[m.Key] = e
 	t.perEndpoint[m.Endpoint]++
 	t.bytes += EntryCost
 }
 
-// remove takes an exchange out of every list.
+// remove removes an exchange from all maps and lists.
 func (t *Table) remove(e *entry) {
 	delete(t.entries, e.key)
 	t.perEndpoint[e.key.Endpoint]--
 	if t.perEndpoint[e.key.Endpoint] == 0 {
 		delete(t.perEndpoint, e.key.Endpoint)
 	}
-	t.expiry[e.lifetime].Remove(e.byExpiry)
+	t.expiryLists[e.lifetime].Remove(e.byExpiry)
 	if e.byCompletion != nil {
 		t.evictable.Remove(e.byCompletion)
 	}
--- a/internal/coap/dedup/table_test.go
+++ b/internal/coap/dedup/table_test.go
@@ -8,33 +8,33 @@
 	"pgregory.net/rapid"
 )
 
-// message is a confirmable request.
+// message returns a confirmable request.
 func message(endpoint string, id uint16, fingerprint uint64, idempotent bool) Message {
 	return Message{Key: Key{endpoint, id}, Confirmable: true, Idempotent: idempotent, Fingerprint: fingerprint}
 }
 
-func TestLifeOfAnExchange(t *testing.T) {
+func TestReceiveVerdictsOverExchangeLifetime(t *testing.T) {
 	tb := New(Limits{MaxEntries: 10, MaxBytes: 10_000, MaxPerEndpoint: 5})
 	m := message("a", 7, 1, false)
-	receive := func(at time.Duration, m Message, want Verdict, text string, acked bool) {
+	receive := func(now time.Duration, m Message, want Verdict, wantResponse string, wantAcknowledged bool) {
 		t.Helper()
-		if v, answer, a := tb.Receive(at, m); v != want || string(answer) != text || a != acked {
-			t.Errorf("at %v: %v %q %v, want %v %q %v", at, v, answer, a, want, text, acked)
+		if v, response, acknowledged := tb.Receive(now, m); v != want || string(response) != wantResponse || acknowledged != wantAcknowledged {
+			t.Errorf("at %v: got %v, response %q, acknowledged %v; want %v, %q, %v", now, v, response, acknowledged, want, wantResponse, wantAcknowledged)
 		}
 	}
 	receive(0, m, Fresh, "", false)
 	receive(1*time.Second, m, InProgress, "", false)
 	tb.MarkAcknowledged(m.Key)
 	receive(2*time.Second, m, InProgress, "", true)
-	receive(2*time.Second, message("a", 7, 2, false), EndpointFull, "", false) // another request under an id in progress
+	receive(2*time.Second, message("a", 7, 2, false), EndpointFull, "", false) // another request with an id in progress
 	tb.Complete(m.Key, []byte("done"), false)
 	receive(3*time.Second, m, Replay, "done", false)
 	receive(246*time.Second, m, Replay, "done", false)
-	receive(247*time.Second, m, Fresh, "", false) // its lifetime is over
+	receive(247*time.Second, m, Fresh, "", false) // the lifetime has ended
 	tb.Complete(m.Key, []byte("again"), false)
-	receive(248*time.Second, message("a", 7, 2, false), Fresh, "", false) // rebooted: same id, another token
+	receive(248*time.Second, message("a", 7, 2, false), Fresh, "", false) // after a reboot: same id, different token
 	tb.Remove(m.Key)
-	receive(249*time.Second, message("a", 7, 2, false), Fresh, "", false) // rejected before: it may run now
+	receive(249*time.Second, message("a", 7, 2, false), Fresh, "", false) // rejected and removed before, so it may run
 	receive(249*time.Second, message("b", 7, 2, false), Fresh, "", false) // another endpoint
 	non := Message{Key: Key{"a", 8}, Fingerprint: 1}
 	receive(300*time.Second, non, Fresh, "", false)
@@ -43,9 +43,9 @@
 	receive(445*time.Second, non, Fresh, "", false)
 }
 
-// At the limits responses to idempotent requests are evicted first, then new requests are rejected; no exchange that had an
-// effect is forgotten.
-func TestLimits(t *testing.T) {
+// At the limits, responses to idempotent requests must be evicted first, then new requests must be rejected. No
+// exchange that had an effect may be evicted.
+func TestReceiveAtLimitsEvictsOnlyIdempotent(t *testing.T) {
 	tb := New(Limits{MaxEntries: 4, MaxBytes: 100_000, MaxPerEndpoint: 3})
 	for i := range uint16(2) {
 		tb.Receive(0, message("a", i, 1, true))
@@ -55,59 +55,60 @@
 	}
 	for i := range uint16(2) {
 		if v, _, _ := tb.Receive(1, message("c", i, 1, false)); v != Fresh {
-			t.Errorf("message %d: %v, want it to take an idempotent request's place", i, v)
+			t.Errorf("message %d: verdict = %v, want Fresh after evicting an idempotent request", i, v)
 		}
 	}
 	if v, _, _ := tb.Receive(1, message("d", 1, 1, true)); v != TableFull {
-		t.Errorf("with effects alone left: %v", v)
+		t.Errorf("without evictable exchanges: verdict = %v, want TableFull", v)
 	}
 	for i := range uint16(2) {
 		if v, answer, _ := tb.Receive(1, message("b", i, 1, false)); v != Replay || string(answer) != "effect" {
-			t.Errorf("an effect was forgotten: %v", v)
+			t.Errorf("an exchange with an effect: verdict = %v, want Replay of its response", v)
 		}
 	}
 	if s := tb.Stats(); s.Evicted != 2 || s.TableFull != 1 {
-		t.Errorf("stats %+v", s)
+		t.Errorf("stats = %+v, want Evicted = 2, TableFull = 1", s)
 	}
 	small := New(Limits{MaxEntries: 10, MaxBytes: EntryCost + 10, MaxPerEndpoint: 3})
 	small.Receive(0, message("a", 1, 1, false))
-	small.Complete(Key{"a", 1}, make([]byte, 11), false) // no room for its bytes: it is remembered without them
+	small.Complete(Key{"a", 1}, make([]byte, 11), false) // no space for the response: the exchange is stored without it
 	if v, answer, _ := small.Receive(1, message("a", 1, 1, false)); v != Replay || answer != nil {
-		t.Errorf("%v %q", v, answer)
+		t.Errorf("got verdict %v, response %q; want Replay without a response", v, answer)
 	}
 	one := New(Limits{MaxEntries: 100, MaxBytes: 100_000, MaxPerEndpoint: 2})
 	one.Receive(0, message("a", 1, 1, false))
 	one.Receive(0, message("a", 2, 1, false))
 	if v, _, _ := one.Receive(0, message("a", 3, 1, false)); v != EndpointFull {
-		t.Errorf("an endpoint beyond its limit: %v", v)
+		t.Errorf("endpoint at its limit: verdict = %v, want EndpointFull", v)
 	}
 	if v, _, _ := one.Receive(0, message("b", 3, 1, false)); v != Fresh {
-		t.Errorf("another endpoint beside it: %v", v)
+		t.Errorf("another endpoint: verdict = %v, want Fresh", v)
 	}
 }
 
-// A flood of ids from invented endpoints stays within the limits, while a device with an exchange in progress gets its response.
-func TestFlood(t *testing.T) {
-	b := Limits{MaxEntries: 5000, MaxBytes: 3 << 20, MaxPerEndpoint: 50}
-	tb := New(b)
-	good := message("good", 1, 1, false)
-	tb.Receive(0, good)
+// A flood of ids from forged endpoints must not exceed the limits, and a device with an exchange in progress must
+// still get its response.
+func TestFloodStaysWithinLimits(t *testing.T) {
+	bounds := Limits{MaxEntries: 5000, MaxBytes: 3 << 20, MaxPerEndpoint: 50}
+	tb := New(bounds)
+	legitimate := message("good", 1, 1, false)
+	tb.Receive(0, legitimate)
 	for i := range 1_000_000 {
 		m := message(fmt.Sprint("evil", i%100_000), uint16(i), 1, i%2 == 0)
 		if v, _, _ := tb.Receive(time.Duration(i), m); v == Fresh {
 			tb.Complete(m.Key, make([]byte, 200), false)
 		}
-		if tb.Len() > b.MaxEntries || tb.Bytes() > b.MaxBytes {
-			t.Fatalf("%d entries, %d bytes", tb.Len(), tb.Bytes())
+		if tb.Len() > bounds.MaxEntries || tb.Bytes() > bounds.MaxBytes {
+			t.Fatalf("got %d entries and %d bytes, want them within the limits", tb.Len(), tb.Bytes())
 		}
 	}
-	tb.Complete(good.Key, []byte("answer"), false)
-	if v, answer, _ := tb.Receive(time.Second, good); v != Replay || string(answer) != "answer" {
-		t.Errorf("the device's own exchange: %v %q", v, answer)
+	tb.Complete(legitimate.Key, []byte("answer"), false)
+	if v, answer, _ := tb.Receive(time.Second, legitimate); v != Replay || string(answer) != "answer" {
+		t.Errorf("legitimate device: got verdict %v, response %q; want Replay of \"answer\"", v, answer)
 	}
 }
 
-// referenceTable forgets exchanges by their lifetime alone.
+// referenceTable is a model of Table that removes exchanges only when their lifetime ends.
 type referenceTable map[Key]*referenceEntry
 
 type referenceEntry struct {
@@ -117,8 +118,9 @@
 	expiresAt   time.Duration
 }
 
-// Whatever comes, a request runs at most once in its lifetime under one id and fingerprint, and a replay is its own response.
-func TestAgainstReference(t *testing.T) {
+// For any sequence of messages, a request must run at most once in its lifetime for one id and fingerprint, and a
+// replay must return its own response.
+func TestTableMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb := New(Limits{MaxEntries: 6, MaxBytes: 6*EntryCost + 40, MaxPerEndpoint: 4})
 		ref := referenceTable{}
@@ -144,16 +146,16 @@
 			e := ref[m.Key]
 			switch {
 			case v == Fresh && e != nil && e.fingerprint == m.Fingerprint:
-				t.Fatalf("%+v ran again at %v", m, now)
+				t.Fatalf("request %+v ran again at %v within its lifetime", m, now)
 			case v == Fresh:
 				ref[m.Key] = &referenceEntry{fingerprint: m.Fingerprint, inProgress: true, expiresAt: now + ExchangeLifetime}
 			case v == InProgress && (e == nil || !e.inProgress || e.fingerprint != m.Fingerprint):
-				t.Fatalf("joined to %+v", e)
+				t.Fatalf("verdict InProgress for reference entry %+v", e)
 			case v == Replay && (e == nil || e.inProgress || e.fingerprint != m.Fingerprint || answer != nil && string(answer) != e.response):
-				t.Fatalf("replayed %q of %+v", answer, e)
+				t.Fatalf("replayed %q for reference entry %+v", answer, e)
 			}
 			if tb.Len() > 6 {
-				t.Fatalf("%d entries", tb.Len())
+				t.Fatalf("got %d entries, want at most 6", tb.Len())
 			}
 		}
 	})
--- a/internal/coap/echo/authenticator_test.go
+++ b/internal/coap/echo/authenticator_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestCheck(t *testing.T) {
-	mine, other := New([32]byte{1}), New([32]byte{2})
-	v := mine.Issue(10*time.Second, "a")
+func TestCheckReturnsVerdicts(t *testing.T) {
+	own, other := New([32]byte{1}), New([32]byte{2})
+	v := own.Issue(10*time.Second, "a")
 	forged := append([]byte(nil), v...)
 	forged[0]++
 	for name, c := range map[string]struct {
-		at       time.Duration
+		now      time.Duration
 		endpoint string
 		value    []byte
 		present  bool
@@ -27,8 +27,8 @@
 		"forged time":       {10 * time.Second, "a", forged, true, Unknown},
 		"of another length": {10 * time.Second, "a", v[:6], true, Unknown},
 	} {
-		if got := mine.Check(c.at, c.endpoint, c.value, c.present); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+		if got := own.Check(c.now, c.endpoint, c.value, c.present); got != c.want {
+			t.Errorf("%s: Check() = %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/coap/wire/options.go
+++ b/internal/coap/wire/options.go
@@ -6,10 +6,11 @@
 	"tackhub.example/tackhub/internal/coap/blocks"
 )
 
-// maxUintLength is the length of the longest option that is read as a number, in bytes.
+// maxUintLength is the maximum length in bytes of an option that is read as a number.
 const maxUintLength = 4
 
-// Uint gives the value of a message's first option of an id as a number; false where there is none of up to four bytes.
+// Uint returns the first option of a message with an id as a number. Options longer than four bytes are skipped; false
+// if there is no other.
 func Uint(m *message.Message, id message.OptionID) (uint32, bool) {
 	for _, option := range m.Options {
 		if option.ID != id || len(option.Value) > maxUintLength {
@@ -24,7 +25,7 @@
 	return 0, false
 }
 
-// Bytes gives the value of a message's first option of an id; false where there is none.
+// Bytes returns the value of the first option of a message with an id; false if there is none.
 func Bytes(m *message.Message, id message.OptionID) ([]byte, bool) {
 	for _, option := range m.Options {
 		if option.ID == id {
@@ -34,7 +35,7 @@
 	return nil, false
 }
 
-// Strings gives the values of all of a message's options of an id, in order.
+// Strings returns the values of all options of a message with an id, in order.
 func Strings(m *message.Message, id message.OptionID) []string {
 	var values []string
 	for _, option := range m.Options {
@@ -45,7 +46,7 @@
 	return values
 }
 
-// Block reads a Block1 or Block2 option (RFC 7959); present is false where the message has none. The error is that of
+// Block reads a Block1 or Block2 option (RFC 7959); present is false if the message has none. The error is that of
 // blocks.Parse.
 func Block(m *message.Message, id message.OptionID) (b blocks.Block, present bool, err error) {
 	value, ok := Uint(m, id)
@@ -56,7 +57,7 @@
 	return b, true, err
 }
 
-// AddUint adds an option with a number, in as few bytes as hold it (RFC 7252, 3.2).
+// AddUint adds an option with a number as its value, encoded in as few bytes as possible (RFC 7252, 3.2).
 func AddUint(options message.Options, id message.OptionID, value uint32) message.Options {
 	var encoded []byte
 	for shift := 24; shift >= 0; shift -= 8 {
--- a/internal/coap/wire/wire.go
+++ b/internal/coap/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire converts CoAP messages (RFC 7252) to and from datagrams, by plgd-dev/go-coap's codec. It is pure.
+// Package wire converts CoAP messages (RFC 7252) to and from datagrams with the codec of plgd-dev/go-coap. It is pure.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 )
 
-// The message types (RFC 7252, 3), by the RFC's short names.
+// The message types (RFC 7252, 3), with the short names of the RFC.
 const (
 	Con = message.Confirmable
 	Non = message.NonConfirmable
@@ -19,7 +19,7 @@
 	Rst = message.Reset
 )
 
-// The classes of codes (RFC 7252, 3): the first digit, as the 2 of 2.05.
+// The classes of codes (RFC 7252, 3): the first digit, for example 2 in 2.05.
 const (
 	ClassRequest = 0 // methods, and with detail 0 the empty message
 	ClassSuccess = 2
@@ -29,24 +29,24 @@
 	// headerLength is the length of the fixed part of a message in bytes.
 	headerLength = 4
 
-	// protocolVersion is the one version of CoAP that there is.
+	// protocolVersion is the only version of CoAP.
 	protocolVersion = 1
 
-	// maxOptions bounds the options of a message. A request has some ten.
+	// maxOptions bounds the options of a message. A request has about ten.
 	maxOptions = 64
 )
 
-// ErrMalformed says that a datagram is no CoAP message of version 1.
-var ErrMalformed = errors.New("no CoAP message")
+// ErrMalformed is returned for a datagram that is not a CoAP message of version 1.
+var ErrMalformed = errors.New("not a CoAP message of version 1")
 
-// Header is the fixed part of a message, which can be read even where the rest cannot.
+// Header is the fixed part of a message, which can be read even if the rest is malformed.
 type Header struct {
 	Type message.Type
 	Code codes.Code
 	ID   uint16
 }
 
-// ParseHeader reads the fixed part. The error is ErrMalformed.
+// ParseHeader reads the fixed part of a message. The error is ErrMalformed.
 func ParseHeader(datagram []byte) (Header, error) {
 	if len(datagram) < headerLength || datagram[0]>>6 != protocolVersion {
 		return Header{}, ErrMalformed
@@ -58,16 +58,16 @@
 	}, nil
 }
 
-// TypeOf gives the message type of a datagram that holds a message.
+// TypeOf returns the message type of a datagram that contains a message.
 func TypeOf(datagram []byte) message.Type { return message.Type(datagram[0] >> 4 & 3) }
 
-// Class gives the class of a code.
+// Class returns the class of a code.
 func Class(code codes.Code) int { return int(code >> 5) }
 
-// Detail gives the detail of a code, as the 5 of 2.05.
+// Detail returns the detail of a code, for example 5 in 2.05.
 func Detail(code codes.Code) int { return int(code & 31) }
 
-// Decode reads a datagram. The message refers to its bytes. The error wraps ErrMalformed.
+// Decode decodes a datagram. The message refers to the bytes of the datagram. The error wraps ErrMalformed.
 func Decode(datagram []byte) (message.Message, error) {
 	if _, err := ParseHeader(datagram); err != nil {
 		return message.Message{}, err
@@ -79,7 +79,7 @@
 	return m, nil
 }
 
-// Encode writes a message.
+// Encode encodes a message as a datagram.
 func Encode(m message.Message) ([]byte, error) {
 	size, err := coder.DefaultCoder.Size(m)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return datagram[:n], err
 }
 
-// Empty gives the datagram of an empty message: an acknowledgement, a reset, or a ping.
+// Empty returns the datagram of an empty message: an acknowledgement, a reset, or a ping.
 func Empty(t message.Type, id uint16) []byte {
 	return []byte{protocolVersion<<6 | byte(t)<<4, 0, byte(id >> 8), byte(id)}
 }
--- a/internal/coap/wire/wire_test.go
+++ b/internal/coap/wire/wire_test.go
@@ -26,12 +26,12 @@
 	} {
 		got, err := ParseHeader(c.datagram)
 		if got != c.want || errors.Is(err, ErrMalformed) != c.fails {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("%s: ParseHeader() = %+v, %v; want the header or ErrMalformed of the case", name, got, err)
 		}
 	}
 }
 
-func TestMessagesSurviveEncoding(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	m := message.Message{Type: Con, Code: codes.POST, MessageID: 77, Token: []byte("tok"), Payload: []byte("body")}
 	m.Options = m.Options.Add(message.Option{ID: message.URIPath, Value: []byte("a")})
 	m.Options = m.Options.Add(message.Option{ID: message.URIPath, Value: []byte("b")})
@@ -45,26 +45,26 @@
 		t.Fatal(err)
 	}
 	if got.Type != Con || got.Code != codes.POST || got.MessageID != 77 || string(got.Token) != "tok" || string(got.Payload) != "body" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the encoded message", got)
 	}
 	if path := Strings(&got, message.URIPath); len(path) != 2 || path[0] != "a" || path[1] != "b" {
-		t.Errorf("path %q", path)
+		t.Errorf("path = %q, want a, b", path)
 	}
 	if block, present, err := Block(&got, message.Block1); !present || err != nil || block != (blocks.Block{Num: 5, More: true, SZX: 2}) {
-		t.Errorf("block %+v, %v, %v", block, present, err)
+		t.Errorf("Block1 = %+v, %v, %v; want number 5, more, size exponent 2", block, present, err)
 	}
 	if _, present, err := Block(&got, message.Block2); present || err != nil {
-		t.Errorf("a block that is not there: %v, %v", present, err)
+		t.Errorf("Block2, which is absent: present = %v, error = %v", present, err)
 	}
 	if TypeOf(datagram) != Con || Class(got.Code) != ClassRequest || Detail(got.Code) != 2 {
-		t.Errorf("type %v, code %d.%02d", TypeOf(datagram), Class(got.Code), Detail(got.Code))
+		t.Errorf("got type %v, code %d.%02d; want confirmable, 0.02", TypeOf(datagram), Class(got.Code), Detail(got.Code))
 	}
 	if _, err := Decode(datagram[:5]); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a truncated datagram: %v, want ErrMalformed", err)
+		t.Errorf("truncated datagram: error = %v, want ErrMalformed", err)
 	}
 }
 
-func TestUintTakesAsFewBytesAsHoldIt(t *testing.T) {
+func TestAddUintUsesShortestEncoding(t *testing.T) {
 	for value, encoded := range map[uint32][]byte{
 		0:          nil,
 		7:          {7},
@@ -78,12 +78,12 @@
 			t.Errorf("%d is encoded as %x, want %x", value, raw, encoded)
 		}
 		if got, ok := Uint(&m, message.MaxAge); !ok || got != value {
-			t.Errorf("%d is read as %d, %v", value, got, ok)
+			t.Errorf("Uint() of encoded %d = %d, %v", value, got, ok)
 		}
 	}
 	long := message.Message{Options: message.Options{}.Add(message.Option{ID: message.MaxAge, Value: make([]byte, 5)})}
 	if _, ok := Uint(&long, message.MaxAge); ok {
-		t.Error("a value of five bytes was read as a number")
+		t.Error("Uint() accepted a value of five bytes")
 	}
 }
 
@@ -94,7 +94,7 @@
 		Rst: {0x70, 0, 0x12, 0x34},
 	} {
 		if got := Empty(messageType, 0x1234); !bytes.Equal(got, want) {
-			t.Errorf("type %v: %x, want %x", messageType, got, want)
+			t.Errorf("Empty() of type %v = %x, want %x", messageType, got, want)
 		}
 	}
 }
