--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli reads a command line: a command, its flags, and its help. It is a thin layer on the standard library's flag,
-// since libraries that look up methods by name keep the linker from removing unused code;
-// docs/operating/command-line.md compares the size.
+// Package cli parses command lines of the form "program command flags arguments" and prints their help. It is a thin layer on
+// the standard library's flag package, because command-line libraries that look up methods by name keep the linker from removing
+// unused code; docs/operating/command-line.md compares the binary sizes.
 package cli
 
 import (
@@ -15,35 +15,35 @@
 // Command is one command of a Program.
 type Command struct {
 	Name        string
-	ArgsUsage   string                                   // what follows the flags, for the usage line; empty: no arguments are allowed
-	Help        string                                   // one line
-	Subcommands []Command                                // if there are any, the command has neither flags nor a Run of its own
+	ArgsUsage   string                                   // the arguments in the usage line; if empty, arguments are rejected
+	Help        string                                   // one-line description
+	Subcommands []Command                                // if not nil, Flags and Run are not used
 	Flags       func(*flag.FlagSet)                      // declares the flags; may be nil
-	Run         func(args []string, out io.Writer) error // ErrReported: what is wrong has been printed
+	Run         func(args []string, out io.Writer) error // returns ErrReported if it has already printed the error
 }
 
-// Program is a whole command line.
+// Program is a command-line program with one or more commands.
 type Program struct {
 	Name     string
-	Footer   []string // lines below the list of commands
+	Footer   []string // lines printed below the list of commands
 	Commands []Command
-	Default  string // the command where the first argument is none; empty: there has to be one
+	Default  string // command to run if the first argument is missing or a flag; if empty, a command is required
 }
 
-// ErrReported is a command's error if its output already says what is wrong.
-var ErrReported = errors.New("faults were found")
+// ErrReported is returned by a command that has already printed its errors. Program.Run prints nothing further.
+var ErrReported = errors.New("the command reported errors in its output")
 
-// The exit codes.
+// Exit codes of Program.Run.
 const (
 	ExitOK     = 0
 	ExitFailed = 1 // the command returned an error
 	ExitUsage  = 2 // the command line is wrong
 )
 
-// helpArgs are the first arguments that ask for help.
+// helpArgs are the values of the first argument that print the help.
 var helpArgs = []string{"help", "--help", "-help", "-h"}
 
-// Run reads the arguments, runs one command and returns the exit code.
+// Run parses the arguments, runs one command and returns the exit code.
 func (p Program) Run(args []string, out, errOut io.Writer) int {
 	if len(args) > 0 && slices.Contains(helpArgs, args[0]) {
 		p.printUsage(out)
@@ -63,17 +63,17 @@
 		p.printUsage(errOut)
 		return ExitUsage
 	default:
-		_, _ = fmt.Fprintf(errOut, "%s: there is no command %q; see %s --help\n", p.Name, name, p.Name)
+		_, _ = fmt.Fprintf(errOut, "%s: unknown command %q; see %s --help\n", p.Name, name, p.Name)
 		return ExitUsage
 	}
 }
 
-// subprogram is a command with subcommands as a program of its own.
+// subprogram returns a Program that runs the subcommands of a command.
 func (p Program) subprogram(c Command) Program {
 	return Program{Name: p.Name + " " + c.Name, Footer: []string{c.Help}, Commands: c.Subcommands}
 }
 
-// runCommand parses a command's flags and runs it.
+// runCommand parses the flags of a command, runs it and returns the exit code.
 func (p Program) runCommand(c Command, args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet(c.Name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard) // errors are printed below
@@ -88,7 +88,7 @@
 		_, _ = fmt.Fprintf(errOut, "%s %s: %v; see %s %s --help\n", p.Name, c.Name, err, p.Name, c.Name)
 		return ExitUsage
 	case flags.NArg() > 0 && c.ArgsUsage == "":
-		_, _ = fmt.Fprintf(errOut, "%s %s: %q is too much; see %s %s --help\n", p.Name, c.Name, flags.Arg(0), p.Name, c.Name)
+		_, _ = fmt.Fprintf(errOut, "%s %s: unexpected argument %q; see %s %s --help\n", p.Name, c.Name, flags.Arg(0), p.Name, c.Name)
 		return ExitUsage
 	}
 	switch err := c.Run(flags.Args(), out); {
@@ -106,13 +106,13 @@
 func (p Program) printUsage(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "Usage: %s [COMMAND] [FLAGS]\n\n", p.Name)
 	for _, c := range p.Commands {
-		note := ""
+		suffix := ""
 		if c.Name == p.Default {
-			note = " (the default)"
+			suffix = " (the default)"
 		}
-		_, _ = fmt.Fprintf(out, "  %-12s %s%s\n", c.Name, c.Help, note)
+		_, _ = fmt.Fprintf(out, "  %-12s %s%s\n", c.Name, c.Help, suffix)
 	}
-	_, _ = fmt.Fprintf(out, "\n%s COMMAND --help tells a command's flags.\n", p.Name)
+	_, _ = fmt.Fprintf(out, "\nRun %s COMMAND --help for the flags of a command.\n", p.Name)
 	for _, line := range p.Footer {
 		_, _ = fmt.Fprintln(out, line)
 	}
@@ -122,11 +122,11 @@
 func (p Program) printHelp(out io.Writer, c Command, flags *flag.FlagSet) {
 	usage := strings.Fields(p.Name + " " + c.Name + " [FLAGS] " + c.ArgsUsage)
 	_, _ = fmt.Fprintf(out, "Usage: %s\n\n%s\n", strings.Join(usage, " "), c.Help)
-	first := true
+	isFirst := true
 	flags.VisitAll(func(f *flag.Flag) {
-		if first {
+		if isFirst {
 			_, _ = fmt.Fprintln(out, "\nFlags:")
-			first = false
+			isFirst = false
 		}
 		value, usage := flag.UnquoteUsage(f)
 		_, _ = fmt.Fprintf(out, "  --%-22s %s\n", strings.TrimSpace(f.Name+" "+value), usage)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-func program(ran *string) Program {
+// testProgram returns a program whose commands write their name and arguments to ran.
+func testProgram(ran *string) Program {
 	file := ""
 	return Program{Name: "prog", Default: "serve", Footer: []string{"More."}, Commands: []Command{
 		{Name: "serve", Help: "Serve.", Flags: func(f *flag.FlagSet) { f.StringVar(&file, "edge", "", "the `FILE`") },
@@ -29,7 +30,7 @@
 	}}
 }
 
-func TestCommandLines(t *testing.T) {
+func TestRunExitCodeAndOutput(t *testing.T) {
 	for _, c := range []struct {
 		args      string
 		code      int
@@ -39,26 +40,26 @@
 		{"", ExitOK, "serve ", "", ""},
 		{"--edge x.toml", ExitOK, "serve x.toml", "", ""},
 		{"serve --edge=y", ExitOK, "serve y", "", ""},
-		{"serve extra", ExitUsage, "", "", `"extra" is too much`},
+		{"serve extra", ExitUsage, "", "", `unexpected argument "extra"`},
 		{"--egde x", ExitUsage, "", "", "egde"},
-		{"nothing", ExitUsage, "", "", `no command "nothing"`},
+		{"nothing", ExitUsage, "", "", `unknown command "nothing"`},
 		{"check", ExitFailed, "", "bad line", ""},
 		{"show a b", ExitFailed, "show a+b", "", "prog: no such thing"},
 		{"list lint a", ExitOK, "lint a", "", ""},
 		{"list", ExitUsage, "", "", "lint         Lint."},
 		{"list --help", ExitOK, "", "Usage: prog list", ""},
-		{"list none", ExitUsage, "", "", `prog list: there is no command "none"`},
+		{"list none", ExitUsage, "", "", `prog list: unknown command "none"`},
 		{"--help", ExitOK, "", "check        Check.", ""},
 		{"serve --help", ExitOK, "", "--edge FILE", ""},
 		{"show -h", ExitOK, "", "Usage: prog show [FLAGS] ID…", ""},
 	} {
 		ran, out, errs := "", strings.Builder{}, strings.Builder{}
-		code := program(&ran).Run(strings.Fields(c.args), &out, &errs)
+		code := testProgram(&ran).Run(strings.Fields(c.args), &out, &errs)
 		if code != c.code || ran != c.ran {
-			t.Errorf("%q: exit code %d and ran %q, want %d and %q", c.args, code, ran, c.code, c.ran)
+			t.Errorf("%q: exit code = %d, ran %q, want %d, %q", c.args, code, ran, c.code, c.ran)
 		}
 		if !strings.Contains(out.String(), c.out) || !strings.Contains(errs.String(), c.errs) || (c.errs == "") != (errs.Len() == 0) {
-			t.Errorf("%q: wrote %q and %q", c.args, &out, &errs)
+			t.Errorf("%q: output = %q, error output = %q, want them to contain %q and %q", c.args, &out, &errs, c.out, c.errs)
 		}
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock gives a node the time: Unix milliseconds at its start, continued by the monotonic clock. So the start times in
-// discovery's list need no conversion, and a later step of the wall clock changes no deadline.
+// Package clock provides the time of a node in Unix milliseconds. The wall clock is read once, when the node starts; from then
+// on the time advances with the monotonic clock. The server start times in the endpoint list are Unix times and therefore need no
+// conversion, and a later step of the wall clock changes no deadline.
 package clock
 
 import (
@@ -8,32 +9,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is a node's time. It is safe for concurrent use.
+// Clock is the time source of a node. It is safe for concurrent use.
 type Clock struct {
-	start     time.Time // with its monotonic reading
-	startUnix float64   // the same moment in Unix milliseconds
+	start           time.Time // includes a monotonic reading
+	startUnixMillis float64   // wall-clock time at start, in Unix milliseconds
 }
 
 // New returns a clock that starts now.
 func New() Clock {
 	now := time.Now()
-	return Clock{start: now, startUnix: float64(now.UnixMicro()) / 1000}
+	return Clock{start: now, startUnixMillis: float64(now.UnixMicro()) / 1000}
 }
 
-// Now returns the time in milliseconds.
+// Now returns the current time in Unix milliseconds.
 func (c Clock) Now() float64 { return c.At(time.Now()) }
 
-// At returns the clock's time in milliseconds at a reading of the system's clock.
-func (c Clock) At(t time.Time) float64 { return c.startUnix + Millis(t.Sub(c.start)) }
+// At converts a time from time.Now to this clock's milliseconds.
+func (c Clock) At(t time.Time) float64 { return c.startUnixMillis + Millis(t.Sub(c.start)) }
 
-// Millis returns a span in milliseconds.
+// Millis converts a duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Span returns a number of milliseconds as a duration.
+// Span converts a number of milliseconds to a duration.
 func Span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// MonotonicZero returns the clock's time at which the machine's monotonic clock began. It tells how far two processes' clocks on one machine
-// are apart: the wall clock may have been stepped between their starts. The error is the system's.
+// MonotonicZero returns this clock's time, in milliseconds, at which the machine's monotonic clock was 0. The difference between
+// the values of two processes on one machine is the offset between their clocks: it is not 0 if the wall clock was stepped between
+// their starts. The error is the one of clock_gettime.
 func (c Clock) MonotonicZero() (float64, error) {
 	var monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
--- a/internal/configpos/json.go
+++ b/internal/configpos/json.go
@@ -7,72 +7,74 @@
 	"strconv"
 )
 
-// errNoKey says that an object has something else in place of a key.
-var errNoKey = errors.New("no key")
+// errInvalidKey reports an object key that is not a string.
+var errInvalidKey = errors.New("JSON object key is not a string")
 
-// JSON finds the keys of a JSON text. Of one that is malformed it finds the keys before the error.
+// JSON returns the lines of the keys in a JSON text. If the text is malformed, it returns the keys before the error.
 func JSON(raw []byte) Lines {
 	w := &jsonWalker{raw: raw, decoder: json.NewDecoder(bytes.NewReader(raw)), lines: Lines{}}
-	_ = w.value("") // what was found until an error is the result
+	_ = w.walkValue("") // after an error, the keys found so far are the result
 	return w.lines
 }
 
-// jsonWalker walks through the tokens of a text.
+// jsonWalker reads the tokens of a JSON text and records the line of each key.
 type jsonWalker struct {
 	raw     []byte
 	decoder *json.Decoder
 	lines   Lines
 }
 
-// value walks through the value of a key.
-func (w *jsonWalker) value(path string) error {
+// walkValue reads one value. path is the dotted key of the value.
+func (w *jsonWalker) walkValue(path string) error {
 	token, err := w.decoder.Token()
 	if err != nil {
 		return err
 	}
 	switch token {
 	case json.Delim('{'):
-		return w.object(path)
+		return w.walkObject(path)
 	case json.Delim('['):
-		return w.array(path)
+		return w.walkArray(path)
 	}
 	return nil
 }
 
-func (w *jsonWalker) object(path string) error {
+// walkObject reads the rest of an object after its opening brace.
+func (w *jsonWalker) walkObject(path string) error {
 	for w.decoder.More() {
 		token, err := w.decoder.Token()
 		if err != nil {
 			return err
 		}
-		name, ok := token.(string)
-		if !ok {
-			return errNoKey
+		name, isString := token.(string)
+		if !isString {
+			return errInvalidKey
 		}
-		key := join(path, name)
+		key := joinKey(path, name)
 		w.lines[key] = LineAt(w.raw, w.decoder.InputOffset())
-		if err := w.value(key); err != nil {
+		if err := w.walkValue(key); err != nil {
 			return err
 		}
 	}
-	_, err := w.decoder.Token() // the closing bracket
+	_, err := w.decoder.Token() // the closing brace
 	return err
 }
 
-func (w *jsonWalker) array(path string) error {
+// walkArray reads the rest of an array after its opening bracket.
+func (w *jsonWalker) walkArray(path string) error {
 	for i := 0; w.decoder.More(); i++ {
 		key := path + "[" + strconv.Itoa(i) + "]"
-		w.lines[key] = LineAt(w.raw, w.nextValue())
-		if err := w.value(key); err != nil {
+		w.lines[key] = LineAt(w.raw, w.nextValueOffset())
+		if err := w.walkValue(key); err != nil {
 			return err
 		}
 	}
-	_, err := w.decoder.Token()
+	_, err := w.decoder.Token() // the closing bracket
 	return err
 }
 
-// nextValue is the offset of the next value, after white space and a comma.
-func (w *jsonWalker) nextValue() int64 {
+// nextValueOffset returns the byte offset of the next value, after white space and a comma.
+func (w *jsonWalker) nextValueOffset() int64 {
 	offset := w.decoder.InputOffset()
 	for offset < int64(len(w.raw)) && bytes.IndexByte([]byte(" \t\r\n,"), w.raw[offset]) >= 0 {
 		offset++
--- a/internal/configpos/lines.go
+++ b/internal/configpos/lines.go
@@ -1,5 +1,5 @@
-// Package configpos finds the lines on which keys stand in configuration files, so that a diagnostic can name its line. It is
-// pure. Of a file that its own parser rejects it finds what it can.
+// Package configpos finds the line of each key in a configuration file, so that a diagnostic can name the line. It has no side
+// effects. In a file with syntax errors it finds as many keys as it can.
 package configpos
 
 import (
@@ -7,11 +7,12 @@
 	"strings"
 )
 
-// Lines are the lines, counted from 1, on which keys begin. Keys are in dotted form, with [n] for the n-th entry of a list,
-// counted from 0.
+// Lines maps each key to the line on which it begins, counted from 1. Keys are in dotted form, with [n] for the n-th entry of a
+// list, counted from 0.
 type Lines map[string]int
 
-// Line is the line of a key, or of the nearest key above it that is known; 0 if none is.
+// Line returns the line of a key. If the key is unknown, it returns the line of the nearest known parent key, or 0 if there is
+// none.
 func (l Lines) Line(key string) int {
 	for {
 		if line, known := l[key]; known {
@@ -25,14 +26,14 @@
 	}
 }
 
-// LineAt is the line of a byte offset. An offset outside the text gives the first or last line.
+// LineAt returns the line that contains a byte offset. An offset outside the text gives the first or last line.
 func LineAt(raw []byte, offset int64) int {
 	offset = max(0, min(offset, int64(len(raw))))
 	return 1 + bytes.Count(raw[:offset], []byte("\n"))
 }
 
-// join is the dotted form of a key below a path.
-func join(path, key string) string {
+// joinKey appends a key to a dotted path.
+func joinKey(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/configpos/lines_test.go
+++ b/internal/configpos/lines_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestLines(t *testing.T) {
+func TestLineOfJSONAndTOMLKeys(t *testing.T) {
 	jsonText := "{\n \"a\": 1,\n \"b\": {\"c\": [\n   1,\n   {\"d\": 2}\n ]},\n \"e\": \"x\\n\\\"y\\\": 3\"\n}"
 	tomlText := "top = 1\n[a]\nb = \"\"\"\nc = 3\n\"\"\"\n\"q.d\" = [\n  \"x = 1\",\n  'y # no comment',\n]\ne.f = { g = 1 } # h = 2\n" +
 		"[[list]]\nname = \"one\"\n[[list]]\nname = \"two\"\n[a.deep]\nz = 'it''s'\n"
@@ -22,7 +22,7 @@
 		{TOML(tomlText), "top", 1},
 		{TOML(tomlText), "a", 2},
 		{TOML(tomlText), "a.b", 3},
-		{TOML(tomlText), "a.c", 2}, // within a string: no key, so the line of its table
+		{TOML(tomlText), "a.c", 2}, // part of a string and not a key, so the line of its table
 		{TOML(tomlText), "a.q.d", 6},
 		{TOML(tomlText), "a.e.f", 10},
 		{TOML(tomlText), "list[0].name", 12},
@@ -31,7 +31,7 @@
 		{TOML(tomlText), "none", 0},
 	} {
 		if got := c.lines.Line(c.key); got != c.want {
-			t.Errorf("%s: line %d, want %d", c.key, got, c.want)
+			t.Errorf("Line(%q) = %d, want %d", c.key, got, c.want)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		for key, line := range TOML(text) {
 			if line < 1 {
-				t.Errorf("%q on line %d", key, line)
+				t.Errorf("line of key %q = %d, want at least 1", key, line)
 			}
 		}
 		JSON([]byte(text))
--- a/internal/configpos/toml.go
+++ b/internal/configpos/toml.go
@@ -5,35 +5,36 @@
 	"strings"
 )
 
-// TOML finds the keys of a TOML text. It scans line by line and knows only as much of the language as it takes to tell keys
-// from values: tables, quotes, brackets and comments. Keys of inline tables are not found.
+// TOML returns the lines of the keys in a TOML text. It scans line by line and handles only the syntax that is needed to
+// distinguish keys from values: tables, quotes, brackets and comments. It does not find the keys of inline tables.
 func TOML(text string) Lines {
-	s := &tomlScanner{lines: Lines{}, entries: map[string]int{}}
+	s := &tomlScanner{lines: Lines{}, entryCounts: map[string]int{}}
 	for i, line := range strings.Split(text, "\n") {
 		s.scanLine(i+1, line)
 	}
 	return s.lines
 }
 
-// tomlScanner is the state of a scan between two lines.
+// tomlScanner holds the state of the scan between two lines.
 type tomlScanner struct {
-	lines    Lines
-	table    string         // the one that keys belong to now
-	entries  map[string]int // of each array of tables, so far
-	endQuote string         // that ends the multi-line string which the next line continues; empty: none
-	depth    int            // of the brackets within the value that the next line continues; 0: none
+	lines        Lines
+	table        string         // dotted name of the current table
+	entryCounts  map[string]int // number of entries so far, by array of tables
+	closingQuote string         // closing quote of the multi-line string that continues on the next line; empty if none
+	openBrackets int            // unclosed brackets of the value that continues on the next line; 0 if none
 }
 
+// scanLine records the key or table that a line begins. Lines that continue a value are skipped.
 func (s *tomlScanner) scanLine(number int, line string) {
-	if s.endQuote != "" {
-		_, rest, ends := strings.Cut(line, s.endQuote)
-		if ends {
-			s.endQuote = ""
+	if s.closingQuote != "" {
+		_, rest, closed := strings.Cut(line, s.closingQuote)
+		if closed {
+			s.closingQuote = ""
 			s.skipValue(rest)
 		}
 		return
 	}
-	if s.depth > 0 {
+	if s.openBrackets > 0 {
 		s.skipValue(line)
 		return
 	}
@@ -49,24 +50,25 @@
 		s.lines[s.table] = number
 	default:
 		if key, value, ok := cutKey(line); ok {
-			s.lines[join(s.table, unquoteKey(key))] = number
+			s.lines[joinKey(s.table, unquoteKey(key))] = number
 			s.skipValue(value)
 		}
 	}
 }
 
-// beginArrayEntry begins a further entry of an array of tables. The array itself begins with its first one.
+// beginArrayEntry makes the next entry of an array of tables the current table. The array itself begins at its first entry.
 func (s *tomlScanner) beginArrayEntry(number int, array string) {
-	entry := s.entries[array]
-	s.entries[array]++
-	if entry == 0 {
+	index := s.entryCounts[array]
+	s.entryCounts[array]++
+	if index == 0 {
 		s.lines[array] = number
 	}
-	s.table = array + "[" + strconv.Itoa(entry) + "]"
+	s.table = array + "[" + strconv.Itoa(index) + "]"
 	s.lines[s.table] = number
 }
 
-// skipValue skips a value, or the rest of one, and notes whether the next line continues it.
+// skipValue skips a value, or the continuation of one. It records in closingQuote and openBrackets whether the value continues
+// on the next line.
 func (s *tomlScanner) skipValue(rest string) {
 	for rest != "" {
 		switch c := rest[0]; {
@@ -74,9 +76,9 @@
 			return
 		case strings.HasPrefix(rest, `"""`) || strings.HasPrefix(rest, `'''`):
 			quote := rest[:3]
-			_, after, ends := strings.Cut(rest[3:], quote)
-			if !ends {
-				s.endQuote = quote
+			_, after, closed := strings.Cut(rest[3:], quote)
+			if !closed {
+				s.closingQuote = quote
 				return
 			}
 			rest = after
@@ -85,15 +87,16 @@
 			rest = rest[1+quotedLength(rest[1:], c):]
 			continue
 		case c == '[' || c == '{':
-			s.depth++
+			s.openBrackets++
 		case c == ']' || c == '}':
-			s.depth--
+			s.openBrackets--
 		}
 		rest = rest[1:]
 	}
 }
 
-// quotedLength is the length of a quoted string including its closing quote. Double-quoted strings have escapes.
+// quotedLength returns the length of a quoted string, including its closing quote. s begins after the opening quote. Only
+// double-quoted strings have escapes.
 func quotedLength(s string, quote byte) int {
 	for i := 0; i < len(s); i++ {
 		switch {
@@ -106,7 +109,7 @@
 	return len(s)
 }
 
-// cutKey cuts a line at the first equals sign outside quotes.
+// cutKey splits a line at the first equals sign outside quotes. ok is false if there is none.
 func cutKey(line string) (key, value string, ok bool) {
 	for i := 0; i < len(line); i++ {
 		switch c := line[i]; c {
@@ -119,7 +122,7 @@
 	return "", "", false
 }
 
-// unquoteKey is a dotted key without quotes and blanks.
+// unquoteKey removes the quotes and the surrounding white space from each part of a dotted key.
 func unquoteKey(key string) string {
 	parts := strings.Split(key, ".")
 	for i, part := range parts {
--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -4,8 +4,8 @@
 
 import "syscall"
 
-// Accept returns the error with which accept(2) fails; nil: it is to be called.
+// Accept is called before each accept(2). It returns nil because this build injects no faults.
 func Accept() error { return nil }
 
-// Connect is called before each connect(2), as a net.Dialer.Control; nil: no faults are injected.
+// Connect is the net.Dialer.Control function that injects faults into connect(2). It is nil because this build injects none.
 var Connect func(network, address string, raw syscall.RawConn) error
--- a/internal/operator/diagnostic.go
+++ b/internal/operator/diagnostic.go
@@ -9,15 +9,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Diagnostic is one thing that is wrong with a file.
+// Diagnostic describes one error in a configuration file.
 type Diagnostic struct {
-	File    string // empty: none in particular
-	Line    int    // from 1; 0: not known
-	Key     string // in dotted form; empty: none in particular
+	File    string // empty if the error concerns no particular file
+	Line    int    // counted from 1; 0 if unknown
+	Key     string // in dotted form; empty if the error concerns no particular key
 	Message string
 }
 
-// String is the diagnostic as one line.
+// String formats the diagnostic as one line: "file:line: key: message".
 func (d Diagnostic) String() string {
 	out := d.File
 	if d.Line > 0 {
@@ -32,10 +32,10 @@
 	return out + d.Message
 }
 
-// Diagnostics are all that is wrong with one file, by line. There is at least one.
+// Diagnostics holds all errors found in one file, in the order of their lines. It has at least one entry.
 type Diagnostics []Diagnostic
 
-// Error is the first diagnostic and the number of the others.
+// Error returns the first diagnostic and the number of the others.
 func (d Diagnostics) Error() string {
 	if len(d) == 1 {
 		return d[0].String()
@@ -47,7 +47,7 @@
 	sort.SliceStable(d, func(i, j int) bool { return d[i].Line < d[j].Line })
 }
 
-// syntaxDiagnostic says why a text is no TOML.
+// syntaxDiagnostic converts a TOML syntax error to a diagnostic, with line and key if the decoder reports them.
 func syntaxDiagnostic(path string, err error) Diagnostic {
 	var parseErr toml.ParseError
 	if errors.As(err, &parseErr) {
@@ -56,7 +56,8 @@
 	return Diagnostic{File: path, Message: err.Error()}
 }
 
-// decodeMessage is an error of the decoder without what the diagnostic says anyway.
+// decodeMessage returns the text of a decoder error without the position and the "toml: " prefix. The diagnostic already names
+// the file, line and key.
 func decodeMessage(err error) string {
 	var parseErr toml.ParseError
 	if errors.As(err, &parseErr) {
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator file: one TOML table for each subsystem, declared and checked by the package that owns
-// it. A subsystem whose table is missing is off. A file is accepted as a whole or not at all, and everything that is wrong
-// with it is reported with file, line and key.
+// Package operator reads the operator file, a TOML file with one table for each subsystem. The package of the subsystem
+// declares the table and checks its values. A subsystem is off if its table is missing. A file with any error is rejected as a
+// whole, and every error is reported with file, line and key.
 package operator
 
 import (
@@ -8,29 +8,30 @@
 	"os"
 )
 
-// maxFileBytes bounds the file. It has some hundred lines, and a node may have little memory.
+// maxFileBytes limits the size of the operator file. Real files have some hundred lines, and a node may have little memory.
 const maxFileBytes = 1 << 20
 
-// Section is the table of one subsystem.
+// Section declares the table of one subsystem.
 type Section struct {
-	Name    string // of the table
-	Summary string // one line
+	Name    string // name of the table
+	Summary string // one-line description of the subsystem
 
-	// New returns a pointer to the options, a struct, with their defaults. The keys are its fields' toml tags.
+	// New returns a pointer to an options struct that holds the defaults. The toml tags of its fields are the keys of the table.
 	New func() any
 
-	// Check reports what is wrong with options that New returned and that were filled in, by keys within the table. It is
-	// called only if every value could be read; nil: there is nothing to check.
+	// Check returns the errors in options that New created and the parser filled in. Their keys are relative to the table.
+	// Check is called only if every value was decoded. A nil Check accepts all values.
 	Check func(options any) []Diagnostic
 }
 
-// File is an operator file that was accepted.
+// File holds the options of an accepted operator file.
 type File struct {
 	Path    string
-	options map[string]any // by section
+	options map[string]any // by section name
 }
 
-// Options are the options of a section; nil if the file does not have it, so that the subsystem is off. A nil file has none.
+// Options returns the options of a section, or nil if the file does not have the section and its subsystem is therefore off.
+// A nil File has no sections.
 func (f *File) Options(section string) any {
 	if f == nil {
 		return nil
@@ -38,14 +39,14 @@
 	return f.options[section]
 }
 
-// Load reads a file. The error is a Diagnostics if the file could be read but is not accepted.
+// Load reads and parses the file at path. The error is a Diagnostics if the file exists but is rejected.
 func Load(path string, sections []Section) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator file: %w", err)
 	}
 	if info.Size() > maxFileBytes {
-		return nil, Diagnostics{{File: path, Message: fmt.Sprintf("%d bytes are too many, %d at most", info.Size(), maxFileBytes)}}
+		return nil, Diagnostics{{File: path, Message: fmt.Sprintf("file size is %d bytes, want at most %d", info.Size(), maxFileBytes)}}
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -54,13 +55,13 @@
 	return Parse(path, string(raw), sections)
 }
 
-// Parse reads a file's text. The error is a Diagnostics.
+// Parse parses the text of an operator file. The error is a Diagnostics. path is used only in the diagnostics and in File.Path.
 func Parse(path, text string, sections []Section) (*File, error) {
 	return newParser(path, text, sections).parse(allSections)
 }
 
-// ParseSection reads one section of a file's text and ignores the others, for commands that need no more. The error is a
-// Diagnostics.
+// ParseSection parses one section of an operator file and ignores all others. It is meant for commands that need only this
+// section. The error is a Diagnostics.
 func ParseSection(path, text string, s Section) (*File, error) {
 	return newParser(path, text, []Section{s}).parse(knownSections)
 }
--- a/internal/operator/parser.go
+++ b/internal/operator/parser.go
@@ -12,24 +12,24 @@
 	"tackhub.example/tackhub/internal/configpos"
 )
 
-// scope is which tables of a file are read.
+// scope selects which tables of a file are parsed.
 type scope int
 
 const (
-	allSections   scope = iota // any other table is an error
-	knownSections              // any other table is ignored
+	allSections   scope = iota // a table that no Section declares is an error
+	knownSections              // a table that no Section declares is ignored
 )
 
-// parser reads one file.
+// parser holds the state of parsing one file.
 type parser struct {
 	path        string
 	text        string
 	lines       configpos.Lines
 	sections    map[string]Section
 	metadata    toml.MetaData
-	options     map[string]any // by section
+	options     map[string]any // by section name
 	diagnostics Diagnostics
-	reported    []string // keys that have a diagnostic
+	reported    []string // keys that already have a diagnostic
 }
 
 func newParser(path, text string, sections []Section) *parser {
@@ -59,7 +59,7 @@
 		case known:
 			p.readSection(section, table)
 		case scope == allSections:
-			p.report(name, "there is no such section; there are: %s", joinKeys(p.sections))
+			p.report(name, "no such section; valid sections: %s", joinKeys(p.sections))
 		}
 	}
 	if scope == allSections {
@@ -83,35 +83,35 @@
 	})
 }
 
-// readSection reads one table key by key, so that one wrong value does not hide the next.
+// readSection decodes one table key by key, so that an error in one value does not hide errors in the others.
 func (p *parser) readSection(s Section, table toml.Primitive) {
 	values := map[string]toml.Primitive{}
 	err := p.metadata.PrimitiveDecode(table, &values)
 	if err != nil || p.metadata.Type(s.Name) != "Hash" {
-		p.report(s.Name, "a table is wanted")
+		p.report(s.Name, "must be a table")
 		return
 	}
 	options := s.New()
 	fields := taggedFields(options)
-	before := len(p.diagnostics)
+	previousCount := len(p.diagnostics)
 	for name, value := range values {
 		key := s.Name + "." + name
 		field, known := fields[name]
 		if !known {
-			p.report(key, "there is no such key; there are: %s", joinKeys(fields))
+			p.report(key, "no such key; valid keys: %s", joinKeys(fields))
 			continue
 		}
 		if err := p.metadata.PrimitiveDecode(value, field.Addr().Interface()); err != nil {
 			p.report(key, "%s", decodeMessage(err))
 		}
 	}
-	if len(p.diagnostics) == before { // a check may rely on every value
+	if len(p.diagnostics) == previousCount { // Check expects every value to be decoded
 		p.checkSection(s, options)
 	}
 	p.options[s.Name] = options
 }
 
-// checkSection runs the section's own check.
+// checkSection runs the section's Check and reports its diagnostics under keys that begin with the section's name.
 func (p *parser) checkSection(s Section, options any) {
 	if s.Check == nil {
 		return
@@ -125,24 +125,25 @@
 	}
 }
 
-// reportUndecoded reports the unknown keys further down, such as those of an array of tables.
+// reportUndecoded reports unknown keys at deeper levels, such as those of an array of tables. readSection reports only those at
+// the top level of a table.
 func (p *parser) reportUndecoded() {
 	for _, path := range p.metadata.Undecoded() {
 		key := path.String()
 		if !p.isReported(key) {
-			p.report(key, "there is no such key")
+			p.report(key, "no such key")
 		}
 	}
 }
 
-// isReported reports whether a key or one above it has a diagnostic.
+// isReported reports whether a key or one of its parent keys already has a diagnostic.
 func (p *parser) isReported(key string) bool {
 	return slices.ContainsFunc(p.reported, func(reported string) bool {
 		return key == reported || strings.HasPrefix(key, reported+".")
 	})
 }
 
-// taggedFields are the fields of a struct by their toml tags. Options is a pointer to it.
+// taggedFields returns the fields of a struct by their toml tags. options is a pointer to the struct.
 func taggedFields(options any) map[string]reflect.Value {
 	v := reflect.ValueOf(options).Elem()
 	fields := map[string]reflect.Value{}
@@ -154,12 +155,13 @@
 	return fields
 }
 
-// joinKeys lists the keys of a map.
+// joinKeys returns the keys of a map, sorted and separated by commas.
 func joinKeys[V any](m map[string]V) string {
 	return strings.Join(slices.Sorted(maps.Keys(m)), ", ")
 }
 
-// Describe returns the values of a section's options as lines of key and value. Options is what File.Options returned.
+// Describe returns the options of a section as lines of the form "key = value", sorted by key. options is a non-nil result of
+// File.Options.
 func Describe(options any) []string {
 	fields := taggedFields(options)
 	lines := []string{}
