--- a/internal/resourceusage/reading.go
+++ b/internal/resourceusage/reading.go
@@ -7,30 +7,30 @@
 	"strings"
 )
 
-// Reading is what a process uses at one moment. A field is 0 where the kernel does not tell it.
+// Reading is the resource usage of the process at one moment. A field is 0 if the kernel does not report its value.
 type Reading struct {
-	Resident    int64 // bytes of resident memory, as the kernel counts them
-	Heap        int64 // bytes of live objects and of dead ones not collected yet
-	Goroutines  int
-	Descriptors int // open descriptors of all kinds
+	ResidentBytes int64 // resident memory, as counted by the kernel
+	HeapBytes     int64 // live heap objects and dead ones that are not collected yet
+	Goroutines    int
+	Descriptors   int // open file descriptors of all kinds
 }
 
-// Measure reads what this process uses. It costs a walk over the descriptors.
+// Measure reads the resource usage of this process. Its cost grows with the number of open descriptors, which it lists.
 func Measure() Reading {
 	samples := []metrics.Sample{
 		{Name: "/memory/classes/heap/objects:bytes"},
 		{Name: "/sched/goroutines:goroutines"},
 	}
-	metrics.Read(samples) // unlike runtime.ReadMemStats it stops no goroutine
+	metrics.Read(samples) // unlike runtime.ReadMemStats, this does not stop the goroutines
 	return Reading{
-		Resident:    residentBytes(),
-		Heap:        int64(samples[0].Value.Uint64()),
-		Goroutines:  int(samples[1].Value.Uint64()),
-		Descriptors: openDescriptors(),
+		ResidentBytes: residentBytes(),
+		HeapBytes:     int64(samples[0].Value.Uint64()),
+		Goroutines:    int(samples[1].Value.Uint64()),
+		Descriptors:   openDescriptors(),
 	}
 }
 
-// residentBytes is the resident memory, the second field of statm, which counts pages.
+// residentBytes returns the resident memory in bytes. The second field of statm is the number of resident pages.
 func residentBytes() int64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// openDescriptors is the number of open descriptors, without the one that reads them.
+// openDescriptors returns the number of open descriptors, except the one that is opened to list them.
 func openDescriptors() int {
 	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/resourceusage/subsystem.go
+++ b/internal/resourceusage/subsystem.go
@@ -1,5 +1,6 @@
-// Package resourceusage is the subsystem [vitals] of the operator file: it logs at an interval what the node's process uses
-// (memory, descriptors, goroutines and, where asked, the counters), and warns once when a threshold is exceeded.
+// Package resourceusage implements the subsystem [vitals] of the operator file. At an interval it logs the resource usage of the
+// node's process: memory, descriptors, goroutines and, if configured, the counters. It logs one warning when a threshold is
+// exceeded, and the end of the warning when the usage has fallen below the threshold again.
 package resourceusage
 
 import (
@@ -12,27 +13,27 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// Options are the keys of [vitals].
+// Options are the keys of [vitals]. A warning is logged when the usage exceeds its fraction of the limit.
 type Options struct {
-	Interval        operator.Duration `toml:"every"`            // between two lines; default 10 s, from 1 s to 1 h
-	Counters        bool              `toml:"counters"`         // whether each line has the counters; default false
-	MemoryShare     float64           `toml:"memory_warn"`      // warning threshold, as a share of the node's memory; default 0.8, 0: never
-	DescriptorShare float64           `toml:"descriptors_warn"` // the same of the node's descriptors; default 0.9, 0: never
+	Interval               operator.Duration `toml:"every"`            // time between two log lines, 1 s to 1 h; default 10 s
+	Counters               bool              `toml:"counters"`         // adds the counters to each line; default false
+	MemoryWarnFraction     float64           `toml:"memory_warn"`      // fraction of the memory limit; default 0.8, 0 disables it
+	DescriptorWarnFraction float64           `toml:"descriptors_warn"` // fraction of the descriptor limit; default 0.9, 0 disables it
 }
 
-// The range of the interval. A line costs some kilobytes of log and a walk over the descriptors: more than one a second would
-// be felt on the part of a core that a node has, and one in several hours says nothing about the present.
+// Limits of the interval. Each reading writes some kilobytes of log and lists all descriptors. More than one reading per second
+// would take a noticeable part of the fraction of a core that a node has; one in several hours does not show the current state.
 const (
 	minInterval = operator.Duration(time.Second)
 	maxInterval = operator.Duration(time.Hour)
 )
 
-// Subsystem is the definition of [vitals].
+// Subsystem returns the definition of [vitals].
 func Subsystem() subsystem.Definition {
 	return subsystem.Definition{
 		Section: operator.Section{
 			Name:    "vitals",
-			Summary: "what the node costs, in its log at an interval",
+			Summary: "logs the resource usage of the node at an interval",
 			New:     func() any { return defaultOptions() },
 			Check:   check,
 		},
@@ -40,32 +41,32 @@
 	}
 }
 
-// defaultOptions are the options of a section without keys.
+// defaultOptions returns the options of a section without keys.
 func defaultOptions() *Options {
 	return &Options{
-		Interval:        operator.Duration(10 * time.Second),
-		MemoryShare:     0.8,
-		DescriptorShare: 0.9,
+		Interval:               operator.Duration(10 * time.Second),
+		MemoryWarnFraction:     0.8,
+		DescriptorWarnFraction: 0.9,
 	}
 }
 
-// check gives the faults of options.
+// check returns a diagnostic for each invalid option.
 func check(options any) []operator.Diagnostic {
 	o := options.(*Options)
-	var faults []operator.Diagnostic
+	var diagnostics []operator.Diagnostic
 	if o.Interval < minInterval || o.Interval > maxInterval {
-		faults = append(faults, operator.Diagnostic{Key: "every", Message: "must be " + minInterval.String() + " to " + maxInterval.String()})
+		diagnostics = append(diagnostics, operator.Diagnostic{Key: "every", Message: "must be " + minInterval.String() + " to " + maxInterval.String()})
 	}
-	for key, share := range map[string]float64{"memory_warn": o.MemoryShare, "descriptors_warn": o.DescriptorShare} {
-		valid := share >= 0 && share <= 1 // false for NaN as well
+	for key, fraction := range map[string]float64{"memory_warn": o.MemoryWarnFraction, "descriptors_warn": o.DescriptorWarnFraction} {
+		valid := fraction >= 0 && fraction <= 1 // also false if fraction is NaN
 		if !valid {
-			faults = append(faults, operator.Diagnostic{Key: key, Message: "must be a share from 0 to 1"})
+			diagnostics = append(diagnostics, operator.Diagnostic{Key: key, Message: "must be a fraction from 0 to 1"})
 		}
 	}
-	return faults
+	return diagnostics
 }
 
-// reporter is the running subsystem.
+// reporter is an instance of the subsystem.
 type reporter struct {
 	options    Options
 	host       subsystem.Host
@@ -74,27 +75,27 @@
 	running    sync.WaitGroup
 }
 
-// build makes a reporter. It cannot fail, and takes nothing over from an older one.
+// build returns a reporter. It cannot fail, and it takes over nothing from the previous instance.
 func build(host subsystem.Host, options any, _ subsystem.Instance) (subsystem.Instance, error) {
 	o := *options.(*Options)
 	return &reporter{
 		options: o,
 		host:    host,
 		thresholds: Thresholds{
-			Resident:    int64(o.MemoryShare * float64(host.Limits.MemoryBytes)),
-			Descriptors: int(o.DescriptorShare * float64(host.Limits.Descriptors)),
+			ResidentBytes: int64(o.MemoryWarnFraction * float64(host.Limits.MemoryBytes)),
+			Descriptors:   int(o.DescriptorWarnFraction * float64(host.Limits.Descriptors)),
 		},
 		cancel: func() {},
 	}, nil
 }
 
-// Start begins to log.
+// Start begins to log readings in the background.
 func (r *reporter) Start(ctx context.Context) {
 	ctx, r.cancel = context.WithCancel(ctx)
 	r.running.Go(func() { r.run(ctx) })
 }
 
-// Stop ends it.
+// Stop ends the logging and waits until it has ended.
 func (r *reporter) Stop() {
 	r.cancel()
 	r.running.Wait()
@@ -119,7 +120,7 @@
 
 // logReading writes a reading to the log.
 func (r *reporter) logReading(reading Reading) {
-	attributes := []any{"code", "vitals", "resident", reading.Resident, "heap", reading.Heap,
+	attributes := []any{"code", "vitals", "resident", reading.ResidentBytes, "heap", reading.HeapBytes,
 		"goroutines", reading.Goroutines, "descriptors", reading.Descriptors}
 	if r.options.Counters && r.host.Counters != nil {
 		attributes = append(attributes, slog.Any("counters", r.host.Counters()))
@@ -127,17 +128,17 @@
 	r.host.Log.Info("resource usage", attributes...)
 }
 
-// logWarnings logs the warnings that begin and end with a reading, and updates the active ones.
+// logWarnings logs the warnings that begin or end with a reading, and updates active, the codes of the current warnings.
 func (r *reporter) logWarnings(reading Reading, active map[string]bool) {
 	begin, end := Evaluate(reading, r.thresholds, active)
 	for _, code := range begin {
 		active[code] = true
-		r.host.Log.Warn("a resource threshold is exceeded", "code", code,
-			"resident", reading.Resident, "descriptors", reading.Descriptors)
+		r.host.Log.Warn("resource usage exceeds the warning threshold", "code", code,
+			"resident", reading.ResidentBytes, "descriptors", reading.Descriptors)
 	}
 	for _, code := range end {
 		delete(active, code)
-		r.host.Log.Info("back below the resource threshold", "code", code+"_over",
-			"resident", reading.Resident, "descriptors", reading.Descriptors)
+		r.host.Log.Info("resource usage is below the warning threshold again", "code", code+"_over",
+			"resident", reading.ResidentBytes, "descriptors", reading.Descriptors)
 	}
 }
--- a/internal/shadow/compare.go
+++ b/internal/shadow/compare.go
@@ -6,33 +6,35 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Kinds of differences: what the shadow settings would have done. The values are the counters' keys.
+// Kinds of differences between the actual decision and that of the shadow settings. Each comment says what the shadow settings
+// would have done. The values are the keys of the counters.
 const (
-	DifferentServer = "other_server"       // sent to another server of the same zone
-	DifferentZone   = "other_zone"         // sent to a server of another zone
-	Queued          = "held"               // queued what was sent, rejected or failed
-	Rejected        = "refused"            // rejected what was sent, queued or failed
-	Failed          = "failed"             // failed what was sent, queued or rejected
-	Sent            = "sent"               // sent what was queued, rejected or failed
-	Retried         = "further_attempt"    // retried what was not
-	NotRetried      = "no_further_attempt" // not retried what was
-	RetryAfter      = "retry_after"        // told the client another time to come back
+	DifferentServer = "other_server"       // sent the request to another server of the same zone
+	DifferentZone   = "other_zone"         // sent the request to a server of another zone
+	Queued          = "held"               // queued a request that was sent, rejected or failed
+	Rejected        = "refused"            // rejected a request that was sent, queued or failed
+	Failed          = "failed"             // failed a request that was sent, queued or rejected
+	Sent            = "sent"               // sent a request that was queued, rejected or failed
+	Retried         = "further_attempt"    // retried a request that was not retried
+	NotRetried      = "no_further_attempt" // did not retry a request that was retried
+	RetryAfter      = "retry_after"        // sent another Retry-After time to the client
 	Cancellation    = "withdrawal"         // cancelled other attempts
-	Probe           = "probe"              // probed other servers for their load
-	Gossip          = "message"            // told the other nodes something else, or nothing
+	Probe           = "probe"              // sent load probes to other servers
+	Gossip          = "message"            // sent other gossip messages, or none
 )
 
+// kinds lists all kinds of differences. The index of a kind is its bit in Evaluator.countedKinds.
 var kinds = []string{DifferentServer, DifferentZone, Queued, Rejected, Failed, Sent, Retried, NotRetried, RetryAfter,
 	Cancellation, Probe, Gossip}
 
-// decision is what became of a request in one step.
+// decision is what one step of the balancer decided about a request.
 type decision struct {
-	kind       string // Sent, Rejected, Failed, or empty: nothing
+	kind       string // Sent, Rejected or Failed; empty if the step decided nothing
 	server     balancer.ServerID
 	retryAfter balancer.Millis
 }
 
-// stepResult is one step's actions, by kind.
+// stepResult holds the actions of one step, grouped by kind.
 type stepResult struct {
 	requests  map[balancer.RequestID]decision
 	probes    []balancer.ServerID // sorted
@@ -40,7 +42,8 @@
 	messages  []string
 }
 
-func resultOf(actions []balancer.Action) stepResult {
+// newStepResult groups the actions of one step.
+func newStepResult(actions []balancer.Action) stepResult {
 	result := stepResult{requests: map[balancer.RequestID]decision{}}
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -62,15 +65,15 @@
 	return result
 }
 
-// compare counts where two results of one step differ.
+// compare counts the differences between the actual actions of a step and those of the shadow settings.
 func (e *Evaluator) compare(event balancer.Event, actual, shadow []balancer.Action) {
 	e.counters.Steps.Inc()
-	did, would := resultOf(actual), resultOf(shadow)
-	e.compareRequests(event, did, would)
+	actualResult, shadowResult := newStepResult(actual), newStepResult(shadow)
+	e.compareRequests(event, actualResult, shadowResult)
 	for kind, differs := range map[string]bool{
-		Probe:        !slices.Equal(did.probes, would.probes),
-		Cancellation: !slices.Equal(did.cancelled, would.cancelled),
-		Gossip:       !slices.Equal(did.messages, would.messages),
+		Probe:        !slices.Equal(actualResult.probes, shadowResult.probes),
+		Cancellation: !slices.Equal(actualResult.cancelled, shadowResult.cancelled),
+		Gossip:       !slices.Equal(actualResult.messages, shadowResult.messages),
 	} {
 		if differs {
 			e.counters.Differ.Inc(kind)
@@ -79,71 +82,72 @@
 	e.forgetFinished(event)
 }
 
-func (e *Evaluator) compareRequests(event balancer.Event, did, would stepResult) {
-	ended := balancer.RequestID(0) // the request whose attempt has ended, so that a further one is a retry
+// compareRequests counts the differences between the decisions about each request.
+func (e *Evaluator) compareRequests(event balancer.Event, actualResult, shadowResult stepResult) {
+	endedID := balancer.RequestID(0) // the request whose attempt has ended; a new attempt of it is a retry
 	if completed, ok := event.(balancer.AttemptCompleted); ok {
-		ended = completed.ID
+		endedID = completed.ID
 	}
-	for id, shadow := range would.requests {
-		e.countDifference(id, difference(did.requests[id], shadow, id == ended, e.balancer.ZoneOf))
+	for id, shadowDecision := range shadowResult.requests {
+		e.countDifference(id, difference(actualResult.requests[id], shadowDecision, id == endedID, e.balancer.ZoneOf))
 	}
-	for id, actual := range did.requests {
-		if _, both := would.requests[id]; !both {
-			e.countDifference(id, difference(actual, decision{}, id == ended, e.balancer.ZoneOf))
+	for id, actualDecision := range actualResult.requests {
+		if _, inShadow := shadowResult.requests[id]; !inShadow {
+			e.countDifference(id, difference(actualDecision, decision{}, id == endedID, e.balancer.ZoneOf))
 		}
-		if actual.kind != Sent {
-			delete(e.counted, id)
+		if actualDecision.kind != Sent {
+			delete(e.countedKinds, id)
 		}
 	}
 }
 
-// difference names what the shadow settings would have done instead; empty where they agree.
-func difference(did, would decision, attemptEnded bool, zoneOf func(balancer.ServerID) string) string {
+// difference returns the kind of the difference between two decisions about a request, or an empty string if they are equal.
+// attemptEnded is true if the step handled the end of an attempt of the request.
+func difference(actual, shadow decision, attemptEnded bool, zoneOf func(balancer.ServerID) string) string {
 	switch {
-	case did == would:
+	case actual == shadow:
 		return ""
-	case did.kind == Sent && would.kind == Sent:
-		if zoneOf(did.server) != zoneOf(would.server) {
+	case actual.kind == Sent && shadow.kind == Sent:
+		if zoneOf(actual.server) != zoneOf(shadow.server) {
 			return DifferentZone
 		}
 		return DifferentServer
-	case did.kind == would.kind:
+	case actual.kind == shadow.kind:
 		return RetryAfter
-	case attemptEnded && would.kind == Sent:
+	case attemptEnded && shadow.kind == Sent:
 		return Retried
-	case attemptEnded && did.kind == Sent:
+	case attemptEnded && actual.kind == Sent:
 		return NotRetried
-	case would.kind == "":
+	case shadow.kind == "":
 		return Queued
 	}
-	return would.kind
+	return shadow.kind
 }
 
-// countDifference counts a kind of difference once for each request: one that is queued is decided
-// on again and again.
+// countDifference counts a kind of difference once for each request, because a queued request is decided on again in many steps.
 func (e *Evaluator) countDifference(id balancer.RequestID, kind string) {
 	if kind == "" {
 		return
 	}
 	bit := uint(1) << slices.Index(kinds, kind)
-	if e.counted[id]&bit != 0 {
+	if e.countedKinds[id]&bit != 0 {
 		return
 	}
-	if len(e.counted) >= maxRequests {
-		clear(e.counted)
+	if len(e.countedKinds) >= maxTrackedRequests {
+		clear(e.countedKinds)
 	}
-	e.counted[id] |= bit
+	e.countedKinds[id] |= bit
 	e.counters.Differ.Inc(kind)
 }
 
-// forgetFinished drops a request that an event has ended.
+// forgetFinished removes a request from countedKinds if the event ends it.
 func (e *Evaluator) forgetFinished(event balancer.Event) {
 	switch event := event.(type) {
 	case balancer.AttemptCompleted:
 		if event.RequestFinished {
-			delete(e.counted, event.ID)
+			delete(e.countedKinds, event.ID)
 		}
 	case balancer.ClientCancelled:
-		delete(e.counted, event.ID)
+		delete(e.countedKinds, event.ID)
 	}
 }
--- a/internal/shadow/evaluator.go
+++ b/internal/shadow/evaluator.go
@@ -1,6 +1,6 @@
-// Package shadow evaluates other settings beside those in force: at each step of the balancer it
-// asks what they would have decided on the same state, and counts where that differs. The balancer
-// itself decides as if nobody asked.
+// Package shadow evaluates other settings, the shadow settings, alongside those in force. At each step of the balancer it computes
+// what the shadow settings would have decided in the same state, and counts the differences. The evaluation does not affect the
+// decisions of the balancer.
 package shadow
 
 import (
@@ -12,70 +12,71 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// maxRequests bounds the requests that are remembered. A node holds far fewer at a time; beyond it
-// some are counted twice.
-const maxRequests = 1 << 16
+// maxTrackedRequests limits the requests in Evaluator.countedKinds. A node has far fewer requests at a time. At the limit all entries
+// are removed, so some differences are counted twice.
+const maxTrackedRequests = 1 << 16
 
-// Evaluator is a balancer that decides by its own settings and counts what others would have done.
+// Evaluator wraps a balancer, which decides by its own settings, and counts where the shadow settings would have decided otherwise.
 type Evaluator struct {
-	balancer *balancer.Balancer
-	settings atomic.Pointer[balancer.Settings] // the shadow settings; nil: none
-	log      *slog.Logger
-	counters *counters.Shadow
-	counted  map[balancer.RequestID]uint // a bit for each kind of difference counted
+	balancer     *balancer.Balancer
+	settings     atomic.Pointer[balancer.Settings] // the shadow settings; nil if there are none
+	log          *slog.Logger
+	counters     *counters.Shadow
+	countedKinds map[balancer.RequestID]uint // a bit for each kind of difference that was counted
 }
 
-// New evaluates other settings beside a balancer's; with none it only passes steps on.
-func New(module *balancer.Balancer, other *balancer.Settings, log *slog.Logger, count *counters.Shadow) *Evaluator {
-	e := &Evaluator{balancer: module, log: log, counters: count, counted: map[balancer.RequestID]uint{}}
-	e.SetSettings(other)
+// New returns an Evaluator for a balancer. If shadowSettings is nil, it only forwards the steps to the balancer.
+func New(primary *balancer.Balancer, shadowSettings *balancer.Settings, log *slog.Logger, count *counters.Shadow) *Evaluator {
+	e := &Evaluator{balancer: primary, log: log, counters: count, countedKinds: map[balancer.RequestID]uint{}}
+	e.SetSettings(shadowSettings)
 	return e
 }
 
-// SetSettings evaluates other settings from the next step on; none where nil. It is safe for concurrent use.
-func (e *Evaluator) SetSettings(other *balancer.Settings) {
-	if old := e.settings.Swap(other); (old == nil) != (other == nil) {
-		e.log.Info("evaluating shadow settings", "code", "watch", "on", other != nil)
+// SetSettings replaces the shadow settings from the next step on. If shadowSettings is nil, the evaluation ends. It is safe for
+// concurrent use.
+func (e *Evaluator) SetSettings(shadowSettings *balancer.Settings) {
+	if previous := e.settings.Swap(shadowSettings); (previous == nil) != (shadowSettings == nil) {
+		e.log.Info("shadow evaluation turned on or off", "code", "watch", "on", shadowSettings != nil)
 	}
 }
 
-// CountEndpoints is the balancer's.
+// CountEndpoints returns the balancer's CountEndpoints.
 func (e *Evaluator) CountEndpoints() (listed, avoided int) { return e.balancer.CountEndpoints() }
 
-// EndpointVersion is the balancer's.
+// EndpointVersion returns the balancer's EndpointVersion.
 func (e *Evaluator) EndpointVersion() int { return e.balancer.EndpointVersion() }
 
-// ServerHealth is the balancer's.
+// ServerHealth returns the balancer's ServerHealth.
 func (e *Evaluator) ServerHealth(now balancer.Millis, limit int) []balancer.ServerHealth {
 	return e.balancer.ServerHealth(now, limit)
 }
 
-// Snapshot is what the balancer knows.
+// Snapshot returns the balancer's state.
 func (e *Evaluator) Snapshot() balancer.State { return e.balancer.Snapshot() }
 
-// Step lets the balancer decide.
+// Step runs a step of the balancer and returns its actions. If there are shadow settings, it counts where their actions differ.
 func (e *Evaluator) Step(now balancer.Millis, event balancer.Event) []balancer.Action {
 	settings := e.settings.Load()
 	if settings == nil {
 		return e.balancer.Step(now, event)
 	}
-	began := time.Now()
-	shadow := e.evaluate(*settings, now, event) // first: the balancer's own step changes the state
-	spent := time.Since(began)
+	startTime := time.Now()
+	shadow := e.evaluate(*settings, now, event) // before the balancer's own step, which changes the state
+	evaluationTime := time.Since(startTime)
 	actions := e.balancer.Step(now, event)
 	if shadow != nil {
 		e.compare(event, actions, shadow)
 	}
-	e.counters.Micros.Add(spent.Microseconds())
+	e.counters.Micros.Add(evaluationTime.Microseconds())
 	return actions
 }
 
-// evaluate lets a copy of the balancer decide by the shadow settings; nil where it can't. A panic
-// there must not end the node.
+// evaluate runs the step on a clone of the balancer with the shadow settings. It returns nil if that fails. It recovers from panics,
+// because a fault in the evaluation must not end the node.
 func (e *Evaluator) evaluate(settings balancer.Settings, now balancer.Millis, event balancer.Event) (actions []balancer.Action) {
 	defer func() {
-		if p := recover(); p != nil {
-			e.recordFault(p)
+		if panicValue := recover(); panicValue != nil {
+			e.recordFault(panicValue)
 			actions = nil
 		}
 	}()
@@ -87,10 +88,10 @@
 	return append([]balancer.Action{}, clone.Step(now, event)...)
 }
 
-// recordFault counts a step that the shadow settings could not decide, and logs the first.
-func (e *Evaluator) recordFault(fault any) {
+// recordFault counts a step whose shadow evaluation failed. It logs only the first one.
+func (e *Evaluator) recordFault(cause any) {
 	e.counters.Faults.Inc()
 	if e.counters.Faults.Get() == 1 {
-		e.log.Error("the shadow settings could not decide, further steps are only counted", "code", "watch_fault", "fault", fault)
+		e.log.Error("shadow evaluation of a step failed; further failures are only counted", "code", "watch_fault", "fault", cause)
 	}
 }
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -23,31 +23,31 @@
 		RetryAfterAllowed: true, MaxRetryAfter: 2000, Tick: 1}
 }
 
-// play drives a balancer through a run with failures, crowding, lost attempts, probes and messages,
-// the same each time, and gives the stream of its actions.
-func play(m engine.Balancer, steps int) []balancer.Action {
+// runScenario drives a balancer through a fixed pseudo-random sequence of events with failures, overload, lost attempts, probes
+// and gossip messages. It returns all actions of the balancer.
+func runScenario(b engine.Balancer, steps int) []balancer.Action {
 	rng := rand.New(rand.NewPCG(5, 6))
-	var all []balancer.Action
-	var open []balancer.AttemptCompleted // Elapsed holds when it was sent
+	var allActions []balancer.Action
+	var inFlight []balancer.AttemptCompleted // attempts in flight; Elapsed holds the send time
 	sent := map[balancer.RequestID]int{}
 	now := 1000.0
 	step := func(e balancer.Event) {
 		queue := []balancer.Event{e}
 		for len(queue) > 0 {
-			acts := m.Step(now, queue[0])
+			actions := b.Step(now, queue[0])
 			queue = queue[1:]
-			for _, a := range acts {
-				all = append(all, a)
+			for _, a := range actions {
+				allActions = append(allActions, a)
 				switch a := a.(type) {
 				case balancer.StartAttempt:
-					open = append(open, balancer.AttemptCompleted{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Elapsed: now})
+					inFlight = append(inFlight, balancer.AttemptCompleted{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Elapsed: now})
 					sent[a.ID]++
 				case balancer.CancelAttempt:
-					for i, o := range open {
-						if o.ID == a.ID && o.Attempt == a.Attempt {
-							open = append(open[:i], open[i+1:]...)
-							o.Outcome, o.Elapsed = balancer.Cancelled, now-o.Elapsed
-							queue = append(queue, o)
+					for i, attempt := range inFlight {
+						if attempt.ID == a.ID && attempt.Attempt == a.Attempt {
+							inFlight = append(inFlight[:i], inFlight[i+1:]...)
+							attempt.Outcome, attempt.Elapsed = balancer.Cancelled, now-attempt.Elapsed
+							queue = append(queue, attempt)
 							break
 						}
 					}
@@ -58,72 +58,72 @@
 			}
 		}
 	}
-	list := balancer.EndpointUpdate{Kind: balancer.CachedUpdate}
+	update := balancer.EndpointUpdate{Kind: balancer.CachedUpdate}
 	for i := range 9 {
-		list.Endpoints = append(list.Endpoints, balancer.Endpoint{ID: balancer.ServerID(fmt.Sprint("s", i)), Zone: []string{"a", "b"}[i%2],
+		update.Endpoints = append(update.Endpoints, balancer.Endpoint{ID: balancer.ServerID(fmt.Sprint("s", i)), Zone: []string{"a", "b"}[i%2],
 			Cell: i % 3, Capacity: 1})
 	}
-	step(list)
+	step(update)
 	for i := range steps {
 		now += rng.Float64() * 12
-		switch k := rng.IntN(10); {
-		case k < 4:
+		switch kind := rng.IntN(10); {
+		case kind < 4:
 			id := balancer.RequestID(i + 1)
 			step(balancer.Arrival{ID: id, Class: []string{"read", "put", "bill"}[rng.IntN(3)], Key: fmt.Sprint(rng.IntN(40)),
 				IsRetry: rng.IntN(9) == 0, Deadline: now + 300 + 1500*rng.Float64()})
-		case k < 8 && len(open) > 0:
-			j := rng.IntN(len(open))
-			o := open[j]
-			open = append(open[:j], open[j+1:]...)
+		case kind < 8 && len(inFlight) > 0:
+			index := rng.IntN(len(inFlight))
+			attempt := inFlight[index]
+			inFlight = append(inFlight[:index], inFlight[index+1:]...)
 			if rng.IntN(4) == 0 {
-				o.Outcome = []balancer.Outcome{balancer.Errored, balancer.Overloaded, balancer.Unreachable, balancer.ConnectionLost}[rng.IntN(4)]
+				attempt.Outcome = []balancer.Outcome{balancer.Errored, balancer.Overloaded, balancer.Unreachable, balancer.ConnectionLost}[rng.IntN(4)]
 			}
-			o.Elapsed, o.RequestFinished = now-o.Elapsed, o.Outcome == balancer.OK
-			step(o)
-		case k == 8:
+			attempt.Elapsed, attempt.RequestFinished = now-attempt.Elapsed, attempt.Outcome == balancer.OK
+			step(attempt)
+		case kind == 8:
 			step(balancer.GossipReceived{From: 1 + rng.IntN(3), Body: []byte{0x10}})
 		default:
 			step(balancer.TimerFired{Token: []string{"sweep", "probes"}[rng.IntN(2)]})
 		}
 	}
-	return all
+	return allActions
 }
 
-func newModule(t testing.TB, set balancer.Settings) *balancer.Balancer {
+func newBalancer(t testing.TB, s balancer.Settings) *balancer.Balancer {
 	t.Helper()
-	l, err := balancer.New(set, 11)
+	b, err := balancer.New(s, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return b
 }
 
-// The same settings on both sides count nothing, and watching any leaves the stream of actions as
-// it is, chance included.
-func TestWatchingChangesNothing(t *testing.T) {
+// The shadow evaluation must not change the balancer's actions, for example by using its random numbers. Shadow settings that equal
+// the balancer's own must count no difference.
+func TestShadowEvaluationKeepsActions(t *testing.T) {
 	const steps = 3000
-	alone := play(newModule(t, settings()), steps)
-	if len(alone) < steps {
-		t.Fatalf("only %d actions in %d steps", len(alone), steps)
+	want := runScenario(newBalancer(t, settings()), steps)
+	if len(want) < steps {
+		t.Fatalf("got %d actions in %d steps, want at least one a step", len(want), steps)
 	}
-	same, other := settings(), settings()
-	other.ProbesAllowed, other.Classes[0].Idempotency, other.Prices.CrossZone = false, balancer.NonIdempotent, 0.5
-	for name, set := range map[string]*balancer.Settings{"the same": &same, "others": &other, "none": nil} {
+	sameSettings, otherSettings := settings(), settings()
+	otherSettings.ProbesAllowed, otherSettings.Classes[0].Idempotency, otherSettings.Prices.CrossZone = false, balancer.NonIdempotent, 0.5
+	for name, shadowSettings := range map[string]*balancer.Settings{"the same": &sameSettings, "others": &otherSettings, "none": nil} {
 		count := &counters.Shadow{}
-		if got := play(New(newModule(t, settings()), set, slog.Default(), count), steps); !reflect.DeepEqual(got, alone) {
-			t.Errorf("%s watched: another stream of actions", name)
+		if got := runScenario(New(newBalancer(t, settings()), shadowSettings, slog.Default(), count), steps); !reflect.DeepEqual(got, want) {
+			t.Errorf("shadow settings %q: the actions differ from those without an Evaluator", name)
 		}
 		differ, _ := count.Differ.MarshalJSON()
 		if name == "the same" && (string(differ) != "{}" || count.Steps.Get() < steps) {
-			t.Errorf("the same settings differ: %s in %d steps", differ, count.Steps.Get())
+			t.Errorf("the same settings: differences = %s in %d steps, want none in at least %d", differ, count.Steps.Get(), steps)
 		}
 		if name == "others" && string(differ) == "{}" || count.Faults.Get() != 0 {
-			t.Errorf("%s: counted %s, %d faults", name, differ, count.Faults.Get())
+			t.Errorf("shadow settings %q: differences = %s, faults = %d, want 0 faults, and differences for others", name, differ, count.Faults.Get())
 		}
 	}
 }
 
-func TestEachKindIsCounted(t *testing.T) {
+func TestEvaluatorCountsEachKindOfDifference(t *testing.T) {
 	for kind, change := range map[string]func(base, other *balancer.Settings){
 		DifferentZone:   func(_, o *balancer.Settings) { o.Prices.CrossZone = 0.3 },
 		DifferentServer: func(_, o *balancer.Settings) { o.KeyAffinity = true },
@@ -140,37 +140,37 @@
 	} {
 		base, other, count := settings(), settings(), &counters.Shadow{}
 		change(&base, &other)
-		play(New(newModule(t, base), &other, slog.Default(), count), 6000) // enough for the rarest kind to come up
+		runScenario(New(newBalancer(t, base), &other, slog.Default(), count), 6000) // enough steps for the rarest kind to occur
 		if count.Differ.Get(kind) == 0 {
 			all, _ := count.Differ.MarshalJSON()
-			t.Errorf("%s never counted, only %s", kind, all)
+			t.Errorf("count of kind %q = 0, want at least 1; all counts: %s", kind, all)
 		}
 	}
 }
 
-// Guards against a class that the settings watched do not name, and against following others in
-// mid-run.
-func TestOtherClassesAndAChange(t *testing.T) {
-	other, count := settings(), &counters.Shadow{}
-	other.Classes = other.Classes[1:]
-	w := New(newModule(t, settings()), nil, slog.Default(), count)
-	play(w, 500)
+// The shadow settings are set during a run and lack a class of the requests. Neither may cause a fault; requests of the missing
+// class are counted as rejected.
+func TestSetSettingsDuringRunWithMissingClass(t *testing.T) {
+	shadowSettings, count := settings(), &counters.Shadow{}
+	shadowSettings.Classes = shadowSettings.Classes[1:]
+	evaluator := New(newBalancer(t, settings()), nil, slog.Default(), count)
+	runScenario(evaluator, 500)
 	if count.Steps.Get() != 0 {
-		t.Error("compared with nothing to watch")
+		t.Error("steps were compared without shadow settings, want none")
 	}
-	w.SetSettings(&other)
-	play(w, 500)
+	evaluator.SetSettings(&shadowSettings)
+	runScenario(evaluator, 500)
 	if count.Steps.Get() == 0 || count.Faults.Get() != 0 || count.Differ.Get(Rejected) == 0 {
-		t.Errorf("%d steps, %d faults, %d refused", count.Steps.Get(), count.Faults.Get(), count.Differ.Get(Rejected))
+		t.Errorf("steps = %d, faults = %d, rejected = %d, want >0, 0, >0", count.Steps.Get(), count.Faults.Get(), count.Differ.Get(Rejected))
 	}
 }
 
 func BenchmarkWatch(b *testing.B) {
-	same := settings()
-	for name, set := range map[string]*balancer.Settings{"off": nil, "on": &same} {
+	sameSettings := settings()
+	for name, shadowSettings := range map[string]*balancer.Settings{"off": nil, "on": &sameSettings} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
-			play(New(newModule(b, settings()), set, slog.Default(), &counters.Shadow{}), b.N)
+			runScenario(New(newBalancer(b, settings()), shadowSettings, slog.Default(), &counters.Shadow{}), b.N)
 		})
 	}
 }
--- a/internal/subsystem/manager.go
+++ b/internal/subsystem/manager.go
@@ -11,8 +11,8 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// ErrStopped says that a file cannot be applied because the node is ending.
-var ErrStopped = errors.New("the node is ending")
+// ErrStopped is the error of Manager.Apply after Manager.Stop.
+var ErrStopped = errors.New("the subsystems are stopped because the node is shutting down")
 
 // Manager runs the subsystems of one node.
 type Manager struct {
@@ -20,22 +20,22 @@
 	host        Host
 
 	mu      sync.Mutex
-	running map[string]running // by the section's name
+	running map[string]runningInstance // by section name
 	stopped bool
 }
 
-// running is a started instance with the options that it was built from.
-type running struct {
+// runningInstance is a started instance and the options that it was built from.
+type runningInstance struct {
 	instance Instance
 	options  any
 }
 
-// NewManager makes a manager with every subsystem off. The order of the definitions is the order in which they start.
+// NewManager returns a Manager with every subsystem off. Subsystems start in the order of their definitions.
 func NewManager(definitions []Definition, host Host) *Manager {
-	return &Manager{definitions: definitions, host: host, running: map[string]running{}}
+	return &Manager{definitions: definitions, host: host, running: map[string]runningInstance{}}
 }
 
-// Change names the sections whose subsystems a file turned on, turned off, or restarted with other options.
+// Change lists the sections whose subsystems a new file started, stopped, or restarted with other options.
 type Change struct{ Started, Stopped, Restarted []string }
 
 // Any reports whether anything changed.
@@ -43,9 +43,10 @@
 	return len(c.Started) > 0 || len(c.Stopped) > 0 || len(c.Restarted) > 0
 }
 
-// Apply makes the running subsystems those of a file. All that are new or have other options are built first; only when
-// every one could be, they replace the old ones. A subsystem with the options it has goes on undisturbed. After an error
-// nothing has changed; it is ErrStopped after Stop, else one that names the section. The context is the instances'.
+// Apply starts, stops and restarts subsystems according to a file. It first builds every instance that is new or has other options,
+// and replaces the running instances only if all were built. A subsystem whose options are equal keeps running. If Apply returns an
+// error, nothing has changed. The error is ErrStopped after Stop, otherwise it names the section that could not be built. ctx is
+// passed to the instances that start.
 func (m *Manager) Apply(ctx context.Context, file *operator.File) (Change, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,8 +67,8 @@
 	return change, nil
 }
 
-// replace puts a built instance in the place of the running one. Without one the subsystem goes on where it has options,
-// and is stopped where it has none.
+// replace replaces the running instance of a subsystem by next. If next is nil, the subsystem keeps running if it has options, and
+// is stopped otherwise.
 func (m *Manager) replace(ctx context.Context, name string, options any, next Instance) {
 	if next == nil && options != nil {
 		return
@@ -77,12 +78,13 @@
 		delete(m.running, name)
 	}
 	if next != nil {
-		m.running[name] = running{instance: next, options: options}
+		m.running[name] = runningInstance{instance: next, options: options}
 		next.Start(ctx)
 	}
 }
 
-// build makes the instances that are new or have other options. With an error it gives those made before it.
+// build builds the instances that are new or have other options. If one cannot be built, it returns the error and the instances
+// built before.
 func (m *Manager) build(file *operator.File) (map[string]Instance, Change, error) {
 	built := map[string]Instance{}
 	change := Change{}
@@ -110,7 +112,7 @@
 	return built, change, nil
 }
 
-// Stop stops every subsystem, the last one first. Apply fails from then on.
+// Stop stops every subsystem, in the reverse order of the definitions. From then on Apply returns ErrStopped.
 func (m *Manager) Stop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,7 +126,7 @@
 	}
 }
 
-// Active gives the names of the running subsystems, in the order of the definitions.
+// Active returns the names of the running subsystems, in the order of the definitions.
 func (m *Manager) Active() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/subsystem/manager_test.go
+++ b/internal/subsystem/manager_test.go
@@ -15,7 +15,7 @@
 	N int `toml:"n"`
 }
 
-// fakeInstance records what is done to it.
+// fakeInstance records the calls of its methods.
 type fakeInstance struct {
 	name  string
 	calls *[]string
@@ -24,7 +24,7 @@
 func (f *fakeInstance) Start(context.Context) { *f.calls = append(*f.calls, "start "+f.name) }
 func (f *fakeInstance) Stop()                 { *f.calls = append(*f.calls, "stop "+f.name) }
 
-// fakeDefinitions gives a definition for each name. One with a negative option cannot be built.
+// fakeDefinitions returns a definition for each name. Building an instance fails if its option n is negative.
 func fakeDefinitions(calls *[]string, names ...string) []Definition {
 	var definitions []Definition
 	for _, name := range names {
@@ -45,9 +45,9 @@
 	return definitions
 }
 
-// A file is applied whole or not at all: one that cannot be built changes nothing, and one that can touches only the
-// subsystems whose options differ.
-func TestApplyIsAllOrNothing(t *testing.T) {
+// A file is applied as a whole or not at all. If a subsystem cannot be built, nothing changes; otherwise only the subsystems whose
+// options differ are stopped or restarted.
+func TestApplyChangesNothingOnBuildFailure(t *testing.T) {
 	var calls []string
 	definitions := fakeDefinitions(&calls, "a", "b", "c")
 	manager := NewManager(definitions, Host{})
@@ -59,8 +59,8 @@
 		change string
 	}{
 		{"[a]\nn = 1\n[b]\nn = 1\n", false, "a b", "build a, build b, start a, start b", "{[a b] [] []}"},
-		{"[a]\nn = 2\n[b]\nn = 1\n[c]\nn = -1\n", true, "a b", "build a, stop a", "{[] [] []}"}, // the built one is released
-		{"[a]\nn = 1\n[b]\nn = 1\n", false, "a b", "", "{[] [] []}"},                            // the old options still stand
+		{"[a]\nn = 2\n[b]\nn = 1\n[c]\nn = -1\n", true, "a b", "build a, stop a", "{[] [] []}"}, // the instance that was built is stopped
+		{"[a]\nn = 1\n[b]\nn = 1\n", false, "a b", "", "{[] [] []}"},                            // the options are still the old ones
 		{"[a]\nn = 2\n[c]\n", false, "a c", "build a, build c, stop a, start a, stop b, start c", "{[c] [b] [a]}"},
 		{"", false, "", "stop a, stop c", "{[] [a c] []}"},
 	} {
@@ -71,22 +71,22 @@
 		}
 		change, err := manager.Apply(context.Background(), file)
 		if (err != nil) != c.fails || err != nil && !strings.Contains(err.Error(), "edge.toml: [c]") {
-			t.Errorf("%q: %v", c.text, err)
+			t.Errorf("%q: error = %v, want an error naming section [c] = %v", c.text, err, c.fails)
 		}
 		if got := fmt.Sprint(change); got != c.change || change.Any() != (c.change != "{[] [] []}") {
-			t.Errorf("%q: change %s, want %s", c.text, got, c.change)
+			t.Errorf("%q: change = %s, want %s", c.text, got, c.change)
 		}
 		if got := strings.Join(calls, ", "); got != c.calls {
-			t.Errorf("%q: %s, want %s", c.text, got, c.calls)
+			t.Errorf("%q: calls = %s, want %s", c.text, got, c.calls)
 		}
 		if got := strings.Join(manager.Active(), " "); got != c.active {
-			t.Errorf("%q: active are %s, want %s", c.text, got, c.active)
+			t.Errorf("%q: active = %s, want %s", c.text, got, c.active)
 		}
 	}
 }
 
-// At the node's end subsystems stop in the reverse order, and a SIGHUP that comes then starts nothing again.
-func TestStopIsFinal(t *testing.T) {
+// When the node shuts down, subsystems stop in reverse order, and a reload by SIGHUP after that starts nothing.
+func TestApplyAfterStopFails(t *testing.T) {
 	var calls []string
 	definitions := fakeDefinitions(&calls, "a", "b", "c")
 	manager := NewManager(definitions, Host{})
@@ -100,9 +100,9 @@
 	calls = nil
 	manager.Stop()
 	if !slices.Equal(calls, []string{"stop b", "stop a"}) {
-		t.Errorf("at the end: %v", calls)
+		t.Errorf("calls on Stop = %v, want stop b, stop a", calls)
 	}
 	if _, err := manager.Apply(context.Background(), file); !errors.Is(err, ErrStopped) {
-		t.Errorf("a file applied after the end: %v, want ErrStopped", err)
+		t.Errorf("Apply after Stop: error = %v, want ErrStopped", err)
 	}
 }
--- a/internal/subsystem/subsystem.go
+++ b/internal/subsystem/subsystem.go
@@ -1,6 +1,5 @@
-// Package subsystem runs the optional subsystems of a node, which the operator file turns on: how one is built, started and
-// stopped, and how a new file is applied. A file is applied whole or not at all: everything that can fail happens in Build,
-// before anything changes.
+// Package subsystem builds, starts and stops the optional subsystems of a node. The operator file turns them on, and a new file is
+// applied as a whole or not at all: everything that can fail happens in Build, before any running subsystem is changed.
 package subsystem
 
 import (
@@ -11,12 +10,12 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// Host is what a node gives its subsystems.
+// Host holds what a node provides to its subsystems.
 type Host struct {
 	Log      *slog.Logger
 	Limits   Limits
-	Counters func() json.RawMessage // the node's counters at the moment of the call; nil where there are none
-	Node     any                    // the node, which subsystems ask for interfaces of their own
+	Counters func() json.RawMessage // returns the current counters of the node; nil if there are none
+	Node     any                    // the node; each subsystem asserts it to the interface that it needs
 }
 
 // Limits are the configured limits of the process.
@@ -25,25 +24,26 @@
 	Descriptors int
 }
 
-// Instance is a subsystem that was built.
+// Instance is one built subsystem.
 type Instance interface {
-	// Start sets it going and returns at once; it cannot fail. The context ends with the node.
+	// Start starts the instance and returns immediately; it cannot fail. ctx is cancelled when the node ends.
 	Start(ctx context.Context)
-	// Stop ends it and waits until it has ended. An instance that was never started releases what Build acquired.
+	// Stop stops the instance and waits until it has ended. If the instance was never started, Stop releases the resources that
+	// Build acquired.
 	Stop()
 }
 
-// Definition is one subsystem that a node can run.
+// Definition defines one subsystem that a node can run.
 type Definition struct {
-	// Section is its section of the operator file, with the defaults and checks of its options.
+	// Section is the section of the operator file, with the defaults and checks of the options.
 	Section operator.Section
-	// Build makes an instance from options, which are a pointer as Section.New gives it. Old is the instance that runs, nil
-	// where the subsystem is off; what both can use, such as a listener, may be taken over from it. A new instance has no
-	// visible effect before Start.
+	// Build returns an instance with the given options, a pointer of the type that Section.New returns. old is the running
+	// instance, or nil if the subsystem is off. The new instance may take over resources from it that both can use, such as a
+	// listener. It has no visible effect before Start.
 	Build func(host Host, options any, old Instance) (Instance, error)
 }
 
-// Sections gives the sections of definitions, in their order.
+// Sections returns the sections of the definitions, in the same order.
 func Sections(definitions []Definition) []operator.Section {
 	sections := make([]operator.Section, len(definitions))
 	for i, definition := range definitions {
