--- a/cmd/bench-adapter/main.go
+++ b/cmd/bench-adapter/main.go
@@ -1,5 +1,5 @@
-// Command bench-adapter connects the balancer to the simulator's wire: batches on standard input, replies
-// on standard output, plain messages on standard error.
+// Command bench-adapter connects the balancer to the simulator. It reads batches of events from standard input and writes replies to
+// standard output and error messages to standard error.
 package main
 
 import (
--- a/internal/simadapter/instances.go
+++ b/internal/simadapter/instances.go
@@ -11,108 +11,111 @@
 	"tackhub.example/tackhub/internal/settings"
 )
 
-// instance is one balancer and how its load reports are read; nothing in it is shared.
+// instance is one balancer with the indexes of its load report figures. Instances share no state.
 type instance struct {
 	balancer *balancer.Balancer
 	indexes  ReportIndexes
 }
 
-// Instances are many balancers behind one pair of streams.
+// Instances holds many balancers that are served over one input and one output stream.
 type Instances struct {
-	byID  map[int]*instance
-	lists map[int][]Entry // raw lists: each instance gets entries of its own
-	errs  io.Writer
+	byID   map[int]*instance
+	lists  map[int][]Entry // endpoint lists by number; each instance gets its own translated copy
+	errOut io.Writer
 }
 
-// NewInstances makes an empty set; plain messages go to errs.
-func NewInstances(errs io.Writer) *Instances {
-	return &Instances{byID: map[int]*instance{}, lists: map[int][]Entry{}, errs: errs}
+// NewInstances returns an empty set of instances. Error messages are written to errOut.
+func NewInstances(errOut io.Writer) *Instances {
+	return &Instances{byID: map[int]*instance{}, lists: map[int][]Entry{}, errOut: errOut}
 }
 
-// Serve answers batches until the input ends.
-func (all *Instances) Serve(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<16)
-	enc := json.NewEncoder(w)
-	enc.SetEscapeHTML(false)
-	for number := 1; ; number++ {
-		line, err := r.ReadBytes('\n')
+// Serve reads batches, one per line, and writes a reply to each, until the input ends or a line is invalid.
+func (s *Instances) Serve(in io.Reader, out io.Writer) error {
+	reader := bufio.NewReaderSize(in, 1<<20)
+	writer := bufio.NewWriterSize(out, 1<<16)
+	encoder := json.NewEncoder(writer)
+	encoder.SetEscapeHTML(false)
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := reader.ReadBytes('\n')
 		if len(line) == 0 && errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		batch, perr := ParseBatch(line)
-		if perr != nil {
-			return fmt.Errorf("line %d: %w", number, perr)
+		batch, parseErr := ParseBatch(line)
+		if parseErr != nil {
+			return fmt.Errorf("line %d: %w", lineNumber, parseErr)
 		}
-		if err := enc.Encode(all.Batch(batch)); err != nil {
-			return fmt.Errorf("reply to line %d: %w", number, err)
+		if err := encoder.Encode(s.HandleBatch(batch)); err != nil {
+			return fmt.Errorf("reply to line %d: %w", lineNumber, err)
 		}
-		if err := w.Flush(); err != nil {
-			return fmt.Errorf("reply to line %d: %w", number, err)
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("reply to line %d: %w", lineNumber, err)
 		}
 	}
 }
 
-// Batch answers one batch.
-func (all *Instances) Batch(b Batch) Reply {
+// HandleBatch passes the events of a batch to their instances and returns the actions.
+func (s *Instances) HandleBatch(b Batch) Reply {
 	reply := Reply{Serial: b.Serial, Parts: []ReplyPart{}}
 	for i := range b.Parts {
-		p := &b.Parts[i]
+		part := &b.Parts[i]
 		var decisions []any
-		for j := range p.Items {
-			decisions = append(decisions, all.event(b.Now, p.Node, &p.Items[j])...)
+		for j := range part.Items {
+			decisions = append(decisions, s.handleEvent(b.Now, part.Node, &part.Items[j])...)
 		}
 		if len(decisions) > 0 {
-			reply.Parts = append(reply.Parts, ReplyPart{p.Node, decisions})
+			reply.Parts = append(reply.Parts, ReplyPart{part.Node, decisions})
 		}
 	}
 	return reply
 }
 
-func (all *Instances) event(now float64, id int, e *Event) []any {
-	switch e.What {
+// handleEvent handles one event of an instance and returns the encoded actions. Events of unknown instances are ignored.
+func (s *Instances) handleEvent(now float64, id int, e *Event) []any {
+	switch e.Type {
 	case "pool":
-		all.lists[e.Ref] = e.Members
+		s.lists[e.ListNumber] = e.Members
 		return nil
 	case "hello":
-		return all.hello(id, e)
+		return s.createInstance(id, e)
 	case "destroy":
-		delete(all.byID, id)
+		delete(s.byID, id)
 		return nil
 	}
-	i := all.byID[id]
-	if i == nil {
+	target := s.byID[id]
+	if target == nil {
 		return nil
 	}
 	var lists map[int][]balancer.Endpoint
-	if e.What == "announce" {
-		lists = map[int][]balancer.Endpoint{e.Ref: Entries(all.lists[e.Ref])}
+	if e.Type == "announce" {
+		lists = map[int][]balancer.Endpoint{e.ListNumber: Entries(s.lists[e.ListNumber])}
 	}
-	event := Translate(e, lists, i.indexes)
+	event := Translate(e, lists, target.indexes)
 	if event == nil {
 		return nil
 	}
-	var out []any
-	for _, a := range i.balancer.Step(now, event) {
-		out = append(out, Encode(a))
+	var encoded []any
+	for _, a := range target.balancer.Step(now, event) {
+		encoded = append(encoded, Encode(a))
 	}
-	return out
+	return encoded
 }
 
-func (all *Instances) hello(id int, e *Event) []any {
-	delete(all.byID, id)
-	set, err := settings.Parse(e.Options)
+// createInstance creates an instance with the settings of a hello event and replaces an earlier one with the same id. If the
+// settings are invalid, it returns an internal error.
+func (s *Instances) createInstance(id int, e *Event) []any {
+	delete(s.byID, id)
+	parsed, err := settings.Parse(e.Options)
 	var b *balancer.Balancer
 	if err == nil {
-		b, err = balancer.New(set.Balancer, e.Nonce)
+		b, err = balancer.New(parsed.Balancer, e.Nonce)
 	}
 	if err != nil {
-		fmt.Fprintf(all.errs, "instance %d: %v\n", id, err)
+		fmt.Fprintf(s.errOut, "instance %d: %v\n", id, err)
 		return []any{InternalError(err.Error())}
 	}
-	all.byID[id] = &instance{balancer: b, indexes: ReportIndexes{set.InFlightIndex, set.QueuedIndex}}
+	s.byID[id] = &instance{balancer: b, indexes: ReportIndexes{parsed.InFlightIndex, parsed.QueuedIndex}}
 	return nil
 }
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -31,7 +31,7 @@
 		`"az":"a","start_time_ms":null,"machine":"m"}]},{"what":"announce","revision":1,"form":"cached","ref":0}]}]}`
 }
 
-func TestGoldenExchange(t *testing.T) {
+func TestServeGoldenExchange(t *testing.T) {
 	out, errs, err := serve(t, `{"now_ms":1,"serial":0,"parts":[]}`, hello(helloOptions),
 		`{"now_ms":110,"serial":2,"parts":[{"node_id":4,"items":[{"what":"arrival","job":77,"size_hint_ms":null,`+
 			`"kind":"look","object":null,"retry":false,"project":0,"expires_ms":700,"mutates":false},`+
@@ -41,7 +41,7 @@
 		`{"now_ms":140,"serial":4,"parts":[{"node_id":4,"items":[{"what":"destroy"},{"what":"arrival","job":78,`+
 			`"kind":"look","expires_ms":900}]}]}`)
 	if err != nil || errs != "" {
-		t.Fatalf("error %v, messages %q", err, errs)
+		t.Fatalf("error = %v, error output = %q, want none", err, errs)
 	}
 	want := []string{
 		`{"serial":0,"parts":[]}`,
@@ -55,29 +55,29 @@
 	}
 }
 
-func TestUnknownClassIsRefused(t *testing.T) {
+func TestArrivalOfUnknownClassIsRejected(t *testing.T) {
 	out, _, err := serve(t, hello(helloOptions),
 		`{"now_ms":110,"serial":2,"parts":[{"node_id":4,"items":[{"what":"announce","form":"full","ref":3},`+
 			`{"what":"arrival","job":1,"kind":"unnamed","expires_ms":700}]}]}`)
 	if err != nil || !strings.Contains(out, `{"what":"busy","job":1}`) {
-		t.Errorf("error %v, replies %s", err, out)
+		t.Errorf("error = %v, replies = %s, want a busy reply to job 1", err, out)
 	}
 }
 
-func TestMalformedLinesEndTheRun(t *testing.T) {
+func TestServeFailsOnMalformedLine(t *testing.T) {
 	for _, line := range []string{"", "[]", "nonsense", `{"now_ms":"x","parts":[]}`, `{"now_ms":1}`,
 		`{"now_ms":1,"serial":1,"parts":[{"node_id":1,"items":[{"what":7}]}]}`} {
 		out, _, err := serve(t, `{"now_ms":1,"serial":0,"parts":[]}`, line)
 		if err == nil || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%q: error %v, want one naming line 2", line, err)
+			t.Errorf("%q: error = %v, want an error that names line 2", line, err)
 		}
 		if out != "{\"serial\":0,\"parts\":[]}\n" {
-			t.Errorf("%q: output %q", line, out)
+			t.Errorf("%q: output = %q, want only the reply to line 1", line, out)
 		}
 	}
 }
 
-func TestSettingsThatCannotDecide(t *testing.T) {
+func TestHelloWithInvalidSettingsFails(t *testing.T) {
 	for key, change := range map[string][2]string{
 		"fleet_size":               {`"fleet_size":2,`, ``},
 		"obligations.cold_from":    {`"cold_from":0.3,`, ``},
@@ -94,53 +94,54 @@
 	} {
 		options := strings.Replace(helloOptions, change[0], change[1], 1)
 		if options == helloOptions {
-			t.Fatalf("%s: nothing changed", key)
+			t.Fatalf("%s: the replacement did not change the options", key)
 		}
 		out, errs, err := serve(t, hello(options))
 		if err != nil || !strings.Contains(out, `"what":"internal_error"`) || !strings.Contains(errs, key) {
-			t.Errorf("%s: error %v, reply %s, messages %q", key, err, out, errs)
+			t.Errorf("%s: error = %v, reply = %s, error output = %q, want an internal_error that names the key", key, err, out, errs)
 		}
 	}
 }
 
-func TestReportIsReadByName(t *testing.T) {
+func TestLoadReportFiguresAreFoundByName(t *testing.T) {
 	options := strings.Replace(helloOptions, `"how":"none","names":["concurrent"]`,
 		`"how":"answers","names":["never_heard","depth","concurrent"]`, 1)
-	set, err := settings.Parse([]byte(options))
-	if err != nil || set.InFlightIndex != 2 || !set.Balancer.LoadReports {
-		t.Fatalf("place %d, reports %v, error %v", set.InFlightIndex, set.Balancer.LoadReports, err)
+	parsed, err := settings.Parse([]byte(options))
+	if err != nil || parsed.InFlightIndex != 2 || !parsed.Balancer.LoadReports {
+		t.Fatalf("in-flight index = %d, load reports = %v, error = %v, want 2, true, nil", parsed.InFlightIndex, parsed.Balancer.LoadReports, err)
 	}
 	for _, c := range []struct {
 		feedback []float64
 		valid    bool
 	}{{[]float64{9, 8, 3}, true}, {[]float64{9}, false}, {nil, false}} {
-		e := Translate(&Event{What: "sampled", RC: "success", Feedback: c.feedback}, nil, ReportIndexes{set.InFlightIndex, -1})
-		load := e.(balancer.LoadProbeCompleted).Report
-		if load.Valid != c.valid || c.valid && load.InFlight != 3 {
-			t.Errorf("%v: read as %+v", c.feedback, load)
+		event := Translate(&Event{Type: "sampled", ResultCode: "success", Feedback: c.feedback}, nil, ReportIndexes{parsed.InFlightIndex, -1})
+		report := event.(balancer.LoadProbeCompleted).Report
+		if report.Valid != c.valid || c.valid && report.InFlight != 3 {
+			t.Errorf("feedback %v: report = %+v, want valid = %v, with 3 in flight if valid", c.feedback, report, c.valid)
 		}
 	}
 }
 
-func TestOneProcessOrSeveral(t *testing.T) {
-	two := `{"now_ms":100,"serial":1,"parts":[{"node_id":4,"items":[{"what":"hello","nonce64":9,"options":` + helloOptions +
+// An instance must give the same actions whether it shares the process with other instances or not.
+func TestInstancesAreIndependent(t *testing.T) {
+	hellos := `{"now_ms":100,"serial":1,"parts":[{"node_id":4,"items":[{"what":"hello","nonce64":9,"options":` + helloOptions +
 		`}]},{"node_id":5,"items":[{"what":"hello","nonce64":9,"options":` + helloOptions + `}]}]}`
 	arrival := `{"node_id":%,"items":[{"what":"pool","ref":0,"members_list":[{"block":0,"readiness":"Running",` +
 		`"capacity_hint":1,"backend":"h:1","az":"a"}]},{"what":"announce","form":"full","ref":0},` +
 		`{"what":"arrival","job":%,"kind":"look","expires_ms":700}]}`
-	both, _, err := serve(t, two, `{"now_ms":110,"serial":2,"parts":[`+strings.ReplaceAll(arrival, "%", "4")+`,`+
+	both, _, err := serve(t, hellos, `{"now_ms":110,"serial":2,"parts":[`+strings.ReplaceAll(arrival, "%", "4")+`,`+
 		strings.ReplaceAll(arrival, "%", "5")+`]}`)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"4", "5"} {
-		alone, _, err := serve(t, two, `{"now_ms":110,"serial":2,"parts":[`+strings.ReplaceAll(arrival, "%", id)+`]}`)
+		alone, _, err := serve(t, hellos, `{"now_ms":110,"serial":2,"parts":[`+strings.ReplaceAll(arrival, "%", id)+`]}`)
 		if err != nil {
 			t.Fatal(err)
 		}
 		part := alone[strings.LastIndex(alone, `{"node_id":`+id) : len(alone)-3]
 		if !strings.Contains(both, part) {
-			t.Errorf("instance %s acts otherwise alone: %s", id, part)
+			t.Errorf("instance %s: replies with both instances = %s, want them to contain the reply of the instance alone: %s", id, both, part)
 		}
 	}
 }
