--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -17,8 +17,8 @@
 	// that send nothing must not push it out.
 	evictionGrace = 20 * time.Millisecond
 
-	// admitRetry is the pause before a place is looked for again when no connection may be evicted.
-	admitRetry = time.Millisecond
+	// admitRetryInterval is the pause before a place is looked for again when no connection may be evicted.
+	admitRetryInterval = time.Millisecond
 )
 
 // connection is an accepted connection.
@@ -89,7 +89,7 @@
 			return
 		}
 		if evicted == nil {
-			time.Sleep(admitRetry)
+			time.Sleep(admitRetryInterval)
 			continue
 		}
 		s.counters.Admin.Evicted.Inc()
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// maxLine bounds a message, in bytes: the state of a node with ten thousand servers has some megabytes.
-const maxLine = 16 << 20
+// maxMessageBytes limits the size of a message. The state of a node with ten thousand servers takes some megabytes.
+const maxMessageBytes = 16 << 20
 
-var errLineTooLong = errors.New("the message is too long")
+var errMessageTooLong = errors.New("message is longer than 16 MiB")
 
-// messageConn is one side of the connection between the processes.
+// messageConn reads and writes messages on the connection between the two processes.
 type messageConn struct {
 	conn   *net.UnixConn
 	reader *bufio.Reader
 }
 
-// read returns the next message. A timeout of 0 means none.
+// read returns the next message. A timeout of 0 means no timeout.
 func (c *messageConn) read(timeout time.Duration) (Message, error) {
 	var deadline time.Time
 	if timeout > 0 {
@@ -31,11 +31,11 @@
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return Message{}, err
 	}
-	return c.next()
+	return c.readMessage()
 }
 
-// next reads one line.
-func (c *messageConn) next() (Message, error) {
+// readMessage reads and decodes one line.
+func (c *messageConn) readMessage() (Message, error) {
 	var m Message
 	line, err := c.readLine()
 	if err != nil {
@@ -44,17 +44,17 @@
 	return m, json.Unmarshal(line, &m)
 }
 
-// readLine collects a line of at most maxLine bytes, or a little more.
+// readLine reads a line. Its length may exceed maxMessageBytes by up to the size of the reader's buffer.
 func (c *messageConn) readLine() ([]byte, error) {
 	var line []byte
 	for {
-		part, err := c.reader.ReadSlice('\n')
-		line = append(line, part...)
+		chunk, err := c.reader.ReadSlice('\n')
+		line = append(line, chunk...)
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return line, err
 		}
-		if len(line) >= maxLine {
-			return nil, errLineTooLong
+		if len(line) >= maxMessageBytes {
+			return nil, errMessageTooLong
 		}
 	}
 }
@@ -71,8 +71,8 @@
 	return err
 }
 
-// withShortPath calls f with another path to the same file. A Unix socket's address holds about a hundred bytes, and $TMPDIR may be
-// longer; the path over the folder's descriptor is short.
+// withShortPath calls f with a short path to the same file, which goes through a descriptor of the file's directory. The address of
+// a Unix socket is limited to about a hundred bytes, and $TMPDIR may be longer.
 func withShortPath(path string, f func(string) error) error {
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
--- a/internal/handover/descriptor.go
+++ b/internal/handover/descriptor.go
@@ -13,8 +13,8 @@
 const descriptorBytes = 4
 
 var (
-	errNoDescriptor = errors.New("no listener was handed over")
-	errOtherUser    = errors.New("another user's process asked for the listener")
+	errNoDescriptor = errors.New("the predecessor sent no listener")
+	errOtherUser    = errors.New("a process of another user asked for the listener")
 )
 
 // parseDescriptor returns the first descriptor of a control message, and closes any others.
@@ -37,8 +37,8 @@
 	return nil, errNoDescriptor
 }
 
-// sendListener sends a message with a listener's descriptor. The descriptor is used as it is: TCPListener.File would set the socket
-// to blocking, and with it the accept queue that both processes use.
+// sendListener sends a message with a listener's descriptor. It does not use TCPListener.File, which would switch the socket to
+// blocking mode for both processes, since they share its accept queue.
 func sendListener(conn *net.UnixConn, listener *net.TCPListener, m Message) error {
 	raw, err := json.Marshal(m)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return errors.Join(err, writeErr)
 }
 
-// checkSameUser returns an error if the other side is another user's process, which must not get the listener.
+// checkSameUser returns an error if the connected process belongs to another user, who must not receive the listener.
 func checkSameUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,8 +1,9 @@
-// Package handover lets a new version of a node take over from the one that runs. The two processes meet at a Unix socket under
-// $TMPDIR, named after the address that clients use. The new process, the successor, gets the listening socket itself and the state
-// of the old one, its predecessor. As long as both run they tell each other what a node must not count twice.
+// Package handover lets a new process of a node take over from the running one, for example in an upgrade. The processes connect
+// over a Unix socket in $TMPDIR, which is named after the address that clients use. The new process, the successor, receives the
+// listening socket itself and the state of the old process, its predecessor. While both run, they send each other the ids of
+// their open requests, so that a retransmitted request does not run twice, and the administrative drain.
 //
-// The package carries messages; what they mean is decided by the node.
+// The package transports the messages; the node interprets them.
 package handover
 
 import (
@@ -14,65 +15,65 @@
 	"time"
 )
 
-// Version is the version of the messages. Processes of different versions do not hand over.
+// Version is the version of the message format. There is no handover between processes with different versions.
 const Version = 1
 
-// stepTimeout bounds each step between the processes. The successor is to be ready within 6 s, and a predecessor that hangs must
-// not use that time up; it answers from memory.
+// stepTimeout limits each step of the protocol. The successor must be ready within 6 s, and a predecessor that hangs must not use
+// up that time. It responds from memory, so that a step is short.
 const stepTimeout = 700 * time.Millisecond
 
 var (
-	// ErrNoPredecessor means that there is no process to take over from.
+	// ErrNoPredecessor means that no process of the node runs.
 	ErrNoPredecessor = errors.New("no process to take over from")
 
-	// ErrPredecessorGone means that a process left its socket there and has ended.
+	// ErrPredecessorGone means that the predecessor has ended without removing its socket.
 	ErrPredecessorGone = errors.New("the predecessor has ended")
 
-	// ErrOtherNode means that another node's process serves at the address.
+	// ErrOtherNode means that the process that serves at the address belongs to another node.
 	ErrOtherNode = errors.New("another node serves at this address")
 )
 
-// Identity says which node a process belongs to. The socket's name depends on the clients' address alone, so the process that is
-// met there may belong to another node.
+// Identity identifies the node that a process belongs to. The socket's name depends only on the clients' address, so that the
+// process behind the socket may belong to another node.
 type Identity struct {
 	Name      string `json:"node,omitempty"`
 	Discovery string `json:"discovery,omitempty"`
-	Settings  string `json:"settings,omitempty"` // a digest
+	Settings  string `json:"settings,omitempty"` // digest of the settings
 }
 
-// known reports whether a process said who it is. Earlier versions do not.
-func (i Identity) known() bool { return i.Name != "" }
+// isSet reports whether the identity is present. Processes of earlier versions send none.
+func (i Identity) isSet() bool { return i.Name != "" }
 
-// SameNode reports whether two processes belong to one node: they have the same name, and the same discovery or the same settings,
-// either of which an upgrade may change.
+// SameNode reports whether two processes belong to the same node: they have the same name, and the same discovery address or the
+// same settings. An upgrade may change one of the two.
 func (i Identity) SameNode(other Identity) bool {
 	sameConfiguration := i.Discovery == other.Discovery || i.Settings == other.Settings
 	return i.Name == other.Name && sameConfiguration
 }
 
-// foreign reports whether a process said that it belongs to another node.
-func (i Identity) foreign(own Identity) bool { return i.known() && !i.SameNode(own) }
+// belongsToOtherNode reports whether a process sent the identity of another node.
+func (i Identity) belongsToOtherNode(own Identity) bool { return i.isSet() && !i.SameNode(own) }
 
-// SocketPath returns the path of the socket at which the processes for one clients' address meet.
-func SocketPath(dir, listen string) string {
+// SocketPath returns the path of the handover socket for a clients' address.
+func SocketPath(dir, clientAddress string) string {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(listen))
+	_, _ = h.Write([]byte(clientAddress))
 	return filepath.Join(dir, fmt.Sprintf("tackhub-%016x.sock", h.Sum64()))
 }
 
-// requestState asks the predecessor for its state.
+// requestState is the value of Message.Request that asks the predecessor for its state.
 const requestState = "state"
 
-// Message is one line between the processes. The first of each side has the version, the address and the identity; each later one
-// sets one of the other fields.
+// Message is one message between the processes, sent as a line of JSON. The first message of each side has the version, the address
+// and the identity; each later one sets one of the other fields.
 type Message struct {
 	Version       int             `json:"tackhub_handover,omitempty"`
 	Listen        string          `json:"listen,omitempty"` // the clients' address
 	Identity      Identity        `json:"who,omitzero"`
-	Request       string          `json:"want,omitempty"`    // of the successor: "state"
-	State         json.RawMessage `json:"state,omitempty"`   // the answer
-	Ready         bool            `json:"ready,omitempty"`   // the successor serves, or the predecessor has noted it
-	Drained       *bool           `json:"drained,omitempty"` // an administrator began a drain, or ended it
-	RequestOpened string          `json:"opened,omitempty"`  // id of a request that was received
-	RequestClosed string          `json:"closed,omitempty"`  // id of one that has ended
+	Request       string          `json:"want,omitempty"`    // from the successor: "state"
+	State         json.RawMessage `json:"state,omitempty"`   // the response to it
+	Ready         bool            `json:"ready,omitempty"`   // the successor serves, or the predecessor confirms that
+	Drained       *bool           `json:"drained,omitempty"` // an administrative drain began (true) or ended (false)
+	RequestOpened string          `json:"opened,omitempty"`  // id of a received request
+	RequestClosed string          `json:"closed,omitempty"`  // id of a request that has ended
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,53 +15,53 @@
 	"testing"
 )
 
-// ownIdentity is the node whose processes meet.
-var ownIdentity = Identity{Name: "n0", Discovery: "d", Settings: "s"}
+// testIdentity is the identity of the node whose processes hand over.
+var testIdentity = Identity{Name: "n0", Discovery: "d", Settings: "s"}
 
-// idleNode is a node without state.
-type idleNode struct{}
+// fakeNode is a Node with an empty state that ignores all calls.
+type fakeNode struct{}
 
-func (idleNode) SetSibling(bool)                 {}
-func (idleNode) State() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
-func (idleNode) SuccessorReady()                 {}
-func (idleNode) HandleMessage(Message)           {}
+func (fakeNode) SetSibling(bool)                 {}
+func (fakeNode) State() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
+func (fakeNode) SuccessorReady()                 {}
+func (fakeNode) HandleMessage(Message)           {}
 
-// listen returns the old process's side, and the listener that clients use.
-func listen(t *testing.T, dir string) (*Predecessor, *net.TCPListener) {
+// startPredecessor returns the old process's side of a handover, and its listener for clients.
+func startPredecessor(t *testing.T, dir string) (*Predecessor, *net.TCPListener) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Listen(dir, "here", ownIdentity, l, idleNode{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p, err := Listen(dir, "here", testIdentity, l, fakeNode{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close(); _ = p.listener.Close() })
+	t.Cleanup(func() { _ = l.Close(); _ = p.socketListener.Close() })
 	return p, l
 }
 
-// A connection that waits in the accept queue when the old process closes its listener must not be lost: the new process has the
-// same queue. The folder's name is longer than a Unix socket's address may be.
-func TestListenerIsTheSame(t *testing.T) {
+// Guards against losing connections that are in the accept queue when the old process closes its listener: the new process must
+// have the same queue. The path of the socket is longer than the address of a Unix socket may be.
+func TestHandoverKeepsQueuedConnections(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("a-long-name", 15))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	p, old := listen(t, dir)
+	p, old := startPredecessor(t, dir)
 	go p.Run(t.Context())
-	successor, err := TakeOver(dir, "here", ownIdentity)
+	successor, err := TakeOver(dir, "here", testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer successor.Close()
 	if raw, err := successor.RequestState(); err != nil || string(raw) != "{}" {
-		t.Errorf("state %s, %v", raw, err)
+		t.Errorf("RequestState() = %s, %v; want {}", raw, err)
 	}
 	if err := successor.AnnounceReady(); err != nil {
 		t.Error(err)
 	}
-	waiting, err := net.Dial("tcp", old.Addr().String())
+	queued, err := net.Dial("tcp", old.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,81 +69,83 @@
 		t.Fatal(err)
 	}
 	c, err := successor.Listener.Accept()
-	if err != nil || c.RemoteAddr().String() != waiting.LocalAddr().String() {
-		t.Errorf("the connection that waited: %v", err)
+	if err != nil || c.RemoteAddr().String() != queued.LocalAddr().String() {
+		t.Errorf("the successor did not accept the queued connection from %v: error %v", queued.LocalAddr(), err)
 	}
 }
 
-// Without a predecessor the new process starts plainly. A file of another kind at the socket's path is not removed.
-func TestNoPredecessor(t *testing.T) {
-	if _, err := TakeOver(t.TempDir(), "here", ownIdentity); err != ErrNoPredecessor {
-		t.Errorf("an empty place: %v", err)
+// Guards against a start that fails without a predecessor, and against removing a file at the socket's path that is not a socket.
+func TestTakeOverWithoutPredecessor(t *testing.T) {
+	if _, err := TakeOver(t.TempDir(), "here", testIdentity); err != ErrNoPredecessor {
+		t.Errorf("TakeOver() without a socket: error %v, want %v", err, ErrNoPredecessor)
 	}
 	dir := t.TempDir()
 	if err := os.WriteFile(SocketPath(dir, "here"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := TakeOver(dir, "here", ownIdentity); err == nil || err == ErrNoPredecessor {
-		t.Errorf("a foreign file: %v", err)
+	if _, err := TakeOver(dir, "here", testIdentity); err == nil || err == ErrNoPredecessor {
+		t.Errorf("TakeOver() with a regular file at the path: error %v, want one other than %v", err, ErrNoPredecessor)
 	}
-	if _, err := Listen(dir, "here", ownIdentity, nil, idleNode{}, nil); err == nil {
-		t.Error("a foreign file made way")
+	if _, err := Listen(dir, "here", testIdentity, nil, fakeNode{}, nil); err == nil {
+		t.Error("Listen() with a regular file at the path: no error")
 	}
 }
 
-// The socket's name depends on the clients' address alone, so another customer's node may find it. It must not get the listener.
-func TestAnotherNodeGetsNothing(t *testing.T) {
+// Guards against handing the listener to a process of another node. The socket's name depends only on the clients' address, so that
+// such a process can find the socket.
+func TestTakeOverRefusedForOtherNode(t *testing.T) {
 	dir := t.TempDir()
-	p, _ := listen(t, dir)
+	p, _ := startPredecessor(t, dir)
 	go p.Run(t.Context())
 	for _, other := range []Identity{{Name: "n1", Discovery: "d", Settings: "s"}, {Name: "n0", Discovery: "e", Settings: "t"}} {
-		if h, err := TakeOver(dir, "here", other); !errors.Is(err, ErrOtherNode) || h != nil {
-			t.Errorf("%+v: %v", other, err)
+		if successor, err := TakeOver(dir, "here", other); !errors.Is(err, ErrOtherNode) || successor != nil {
+			t.Errorf("TakeOver() as %+v: error %v, want %v", other, err, ErrOtherNode)
 		}
 	}
-	for _, same := range []Identity{ownIdentity, {Name: "n0", Discovery: "e", Settings: "s"}, {Name: "n0", Discovery: "d", Settings: "t"}} {
-		h, err := TakeOver(dir, "here", same)
-		if err != nil || h.PredecessorIdentity != ownIdentity {
-			t.Fatalf("%+v: %v", same, err)
+	for _, same := range []Identity{testIdentity, {Name: "n0", Discovery: "e", Settings: "s"}, {Name: "n0", Discovery: "d", Settings: "t"}} {
+		successor, err := TakeOver(dir, "here", same)
+		if err != nil || successor.PredecessorIdentity != testIdentity {
+			t.Fatalf("TakeOver() as %+v: error %v, want the listener of %+v", same, err, testIdentity)
 		}
-		_ = h.Listener.Close()
-		h.Close()
+		_ = successor.Listener.Close()
+		successor.Close()
 	}
 }
 
-// Two processes run during an upgrade, and the socket's file is the new one's by then. The old one must not remove it at its end.
-func TestSocketIsRemovedByItsOwner(t *testing.T) {
+// Guards against an old process that removes the new one's socket when it ends: during an upgrade both run, and the new process has
+// replaced the socket's file.
+func TestRunRemovesOnlyItsOwnSocket(t *testing.T) {
 	dir := t.TempDir()
-	first, _ := listen(t, dir)
-	second, _ := listen(t, dir)
-	for _, p := range []*Predecessor{first, second} {
+	replaced, _ := startPredecessor(t, dir)
+	latest, _ := startPredecessor(t, dir)
+	for _, p := range []*Predecessor{replaced, latest} {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		p.Run(ctx)
-		_, err := os.Lstat(p.path)
-		if there := err == nil; there != (p == first) {
-			t.Errorf("after the end of one the file is there: %v", there)
+		_, err := os.Lstat(p.socketPath)
+		if exists := err == nil; exists != (p == replaced) {
+			t.Errorf("socket exists after Run = %v, want %v", exists, p == replaced)
 		}
 	}
 }
 
-// FuzzMessages reads whatever another process may write.
+// FuzzMessages checks that any input from another process is read without a panic, and that it has no more messages than lines.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("{\"tackhub_handover\":1}\n{\"opened\":\"x\"}\n"))
 	f.Add([]byte("{\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		mine, tsuccessors := net.Pipe()
-		defer func() { _ = mine.Close() }()
+		local, remote := net.Pipe()
+		defer func() { _ = local.Close() }()
 		go func() {
-			_, _ = tsuccessors.Write(raw)
-			_ = tsuccessors.Close()
+			_, _ = remote.Write(raw)
+			_ = remote.Close()
 		}()
-		l := &messageConn{reader: bufio.NewReader(mine)}
+		conn := &messageConn{reader: bufio.NewReader(local)}
 		for range bytes.Count(raw, []byte{'\n'}) + 1 {
-			if _, err := l.next(); err != nil {
+			if _, err := conn.readMessage(); err != nil {
 				return
 			}
 		}
-		t.Error("more messages than lines")
+		t.Error("read more messages than lines")
 	})
 }
--- a/internal/handover/messages_test.go
+++ b/internal/handover/messages_test.go
@@ -13,14 +13,14 @@
 	"tackhub.example/tackhub/internal/discovery"
 )
 
-// The files under testdata hold what a released version wrote: one line for each form of message, and the state of a node. An
-// upgrade hands over between two versions, so a rename must change none of these bytes.
+// The files under testdata contain the output of a released version: one line for each form of message, and the state of a node.
+// The two processes of an upgrade may have different versions, so that these bytes must not change.
 
 var yes, no = true, false
 
-var wireLines = []Message{
+var wireMessages = []Message{
 	{Version: 1, Listen: "127.0.0.1:8080", Identity: Identity{Name: "n0", Discovery: "http://127.0.0.1:9000", Settings: "ab12"}},
-	{Version: 1, Listen: "127.0.0.1:8080"}, // of a version that does not say who it is
+	{Version: 1, Listen: "127.0.0.1:8080"}, // of a version that sends no identity
 	{Request: "state"},
 	{State: json.RawMessage(`{"list":{"revision":0,"complete":false,"members":null},"module":{},"drained":false}`)},
 	{Ready: true},
@@ -30,37 +30,38 @@
 	{RequestClosed: "key-1"},
 }
 
-// pipe gives the two ends of a connection as the processes of one node have it.
-func pipe(t *testing.T) (near, far *net.UnixConn) {
+// socketPair returns the two ends of a Unix connection, as two processes of a node use it.
+func socketPair(t *testing.T) (local, remote *net.UnixConn) {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	if near, err = net.DialUnix("unix", nil, l.Addr().(*net.UnixAddr)); err != nil {
+	if local, err = net.DialUnix("unix", nil, l.Addr().(*net.UnixAddr)); err != nil {
 		t.Fatal(err)
 	}
-	if far, err = l.AcceptUnix(); err != nil {
+	if remote, err = l.AcceptUnix(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	return near, far
+	t.Cleanup(func() { _, _ = local.Close(), remote.Close() })
+	return local, remote
 }
 
-func TestMessagesAreThoseOfReleasedVersions(t *testing.T) {
+// Guards against incompatible changes of the message format, in both directions.
+func TestMessagesMatchReleasedFormat(t *testing.T) {
 	raw, err := os.ReadFile("testdata/messages.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := bytes.SplitAfter(raw, []byte("\n"))
-	if lines = lines[:len(lines)-1]; len(lines) != len(wireLines) {
-		t.Fatalf("%d lines for %d messages", len(lines), len(wireLines))
+	if lines = lines[:len(lines)-1]; len(lines) != len(wireMessages) {
+		t.Fatalf("testdata/messages.jsonl has %d lines, want %d", len(lines), len(wireMessages))
 	}
-	near, far := pipe(t)
-	out, in := &messageConn{conn: near}, bufio.NewReader(far)
-	for i, want := range wireLines {
-		got, err := (&messageConn{reader: bufio.NewReader(bytes.NewReader(lines[i]))}).next()
+	local, remote := socketPair(t)
+	out, in := &messageConn{conn: local}, bufio.NewReader(remote)
+	for i, want := range wireMessages {
+		got, err := (&messageConn{reader: bufio.NewReader(bytes.NewReader(lines[i]))}).readMessage()
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("read %+v, want %+v; %v", got, want, err)
 		}
@@ -73,14 +74,15 @@
 	}
 }
 
-// nodeState has the form in which a node hands its state over (internal/node); the module's part is kept as it came.
+// nodeState has the JSON form of the state that a node transfers (internal/node). The balancer's state in it is not decoded.
 type nodeState struct {
 	List    discovery.List  `json:"list"`
 	Module  json.RawMessage `json:"module"`
 	Drained bool            `json:"drained"`
 }
 
-func TestHandedOverStateIsThatOfReleasedVersions(t *testing.T) {
+// Guards against incompatible changes of the transferred state.
+func TestStateMatchesReleasedFormat(t *testing.T) {
 	raw, err := os.ReadFile("testdata/state.json")
 	if err != nil {
 		t.Fatal(err)
@@ -93,20 +95,20 @@
 	if err := json.Unmarshal(raw, &got); err != nil || !got.Drained || !reflect.DeepEqual(got.List, want) || !json.Valid(got.Module) {
 		t.Errorf("read %+v, want the list %+v; %v", got, want, err)
 	}
-	if again, err := json.Marshal(nodeState{List: want, Module: got.Module, Drained: true}); err != nil || !bytes.Equal(again, raw) {
-		t.Errorf("wrote %s, want %s; %v", again, raw, err)
+	if encoded, err := json.Marshal(nodeState{List: want, Module: got.Module, Drained: true}); err != nil || !bytes.Equal(encoded, raw) {
+		t.Errorf("wrote %s, want %s; %v", encoded, raw, err)
 	}
-	near, far := pipe(t)
-	go func() { _ = (&messageConn{conn: near}).write(Message{State: raw}) }()
-	m, err := (&messageConn{conn: far, reader: bufio.NewReader(far)}).read(stepTimeout)
+	local, remote := socketPair(t)
+	go func() { _ = (&messageConn{conn: local}).write(Message{State: raw}) }()
+	m, err := (&messageConn{conn: remote, reader: bufio.NewReader(remote)}).read(stepTimeout)
 	if err != nil || !bytes.Equal(m.State, raw) {
-		t.Errorf("handed over %s, want %s; %v", m.State, raw, err)
+		t.Errorf("received state %s, want %s; %v", m.State, raw, err)
 	}
 }
 
-// The name of the socket is where processes of two versions meet.
-func TestSocketNameIsThatOfReleasedVersions(t *testing.T) {
+// Guards against a change of the socket's path, by which processes of different versions find each other.
+func TestSocketPathMatchesReleasedVersions(t *testing.T) {
 	if got := SocketPath("/tmp", "0.0.0.0:8080"); got != "/tmp/tackhub-64437901d19ee2e9.sock" {
-		t.Errorf("the socket is %s", got)
+		t.Errorf("SocketPath() = %s, want /tmp/tackhub-64437901d19ee2e9.sock", got)
 	}
 }
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -17,71 +17,74 @@
 )
 
 const (
-	// readyTimeout is how long a successor may take until it serves. It is ready within 6 s if all is well; one that hangs must
-	// not keep a later one out.
+	// readyTimeout is the longest time until a successor must serve. A working successor is ready within 6 s. One that hangs must
+	// not block the next one.
 	readyTimeout = 15 * time.Second
 
-	// acceptErrorPause passes after an error of accept. Most go away by themselves.
-	acceptErrorPause = 100 * time.Millisecond
+	// acceptRetryDelay is the delay after a failed accept. Most such errors are temporary.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
 var (
-	// ErrNoSuccessor means that no other process has taken over.
+	// ErrNoSuccessor means that there is no successor that serves.
 	ErrNoSuccessor = errors.New("no process has taken over")
 
 	errOtherVersion = errors.New("the successor has another version or another address")
 )
 
-// Node is the process that serves, as its successor finds it.
+// Node is the interface through which a Predecessor uses the node of its process.
 type Node interface {
-	// SetSibling reports whether there is a second process of the node.
+	// SetSibling tells the node whether a second process of it runs.
 	SetSibling(present bool)
-	// State returns what the successor should know.
+	// State returns the state for the successor.
 	State() (json.RawMessage, error)
-	// SuccessorReady says that the successor serves.
+	// SuccessorReady is called when the successor serves.
 	SuccessorReady()
-	// HandleMessage takes the successor's messages after that.
+	// HandleMessage handles any other message of the successor.
 	HandleMessage(Message)
 }
 
-// Predecessor is the old process's side of a handover: it waits for a successor.
+// Predecessor is the old process's side of a handover. It waits for successors at the socket.
 type Predecessor struct {
-	path     string
-	listen   string // the clients' address
-	identity Identity
-	clients  *net.TCPListener
-	node     Node
-	log      *slog.Logger
-	listener *net.UnixListener
-	inode    uint64 // of the socket's file
+	socketPath     string
+	clientAddress  string // address that clients connect to
+	identity       Identity
+	clientListener *net.TCPListener
+	node           Node
+	log            *slog.Logger
+	socketListener *net.UnixListener
+	inode          uint64 // of the socket's file
 
 	mu        sync.Mutex
-	successor *messageConn // once it has said that it serves
+	successor *messageConn // nil until a successor serves
 }
 
-// Listen waits for a successor at the socket of a clients' address. A socket that an earlier process left is replaced; another kind
-// of file stays, and is an error.
-func Listen(dir, listen string, identity Identity, clients *net.TCPListener, node Node, log *slog.Logger) (*Predecessor, error) {
-	p := &Predecessor{path: SocketPath(dir, listen), listen: listen, identity: identity, clients: clients, node: node, log: log}
-	info, err := os.Lstat(p.path)
+// Listen opens the handover socket for a clients' address; Run serves it. A socket that an earlier process left is replaced. Any
+// other kind of file at its path is left unchanged, and an error is returned.
+func Listen(
+	dir, clientAddress string, identity Identity, clientListener *net.TCPListener, node Node, log *slog.Logger,
+) (*Predecessor, error) {
+	p := &Predecessor{socketPath: SocketPath(dir, clientAddress), clientAddress: clientAddress, identity: identity,
+		clientListener: clientListener, node: node, log: log}
+	info, err := os.Lstat(p.socketPath)
 	if err == nil && info.Mode()&fs.ModeSocket == 0 {
-		return nil, errors.New(p.path + " is no socket")
+		return nil, errors.New(p.socketPath + " is not a socket")
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
 	if err := p.bind(); err != nil {
-		if p.listener != nil {
-			_ = p.listener.Close()
+		if p.socketListener != nil {
+			_ = p.socketListener.Close()
 		}
 		return nil, err
 	}
 	return p, nil
 }
 
-// bind makes the socket under another name and renames it, so that a successor finds one at every moment.
+// bind creates the socket under a temporary name and renames it, so that a successor finds a socket at any time.
 func (p *Predecessor) bind() error {
-	temporary := p.path + ".new"
+	temporary := p.socketPath + ".new"
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -91,16 +94,16 @@
 			return err
 		}
 		l.SetUnlinkOnClose(false)
-		p.listener = l
-		return os.Chmod(short, 0o600) // whoever can connect can take the listener
+		p.socketListener = l
+		return os.Chmod(short, 0o600) // any process that can connect can request the listener
 	})
 	if err != nil {
 		return err
 	}
-	if err := os.Rename(temporary, p.path); err != nil {
+	if err := os.Rename(temporary, p.socketPath); err != nil {
 		return err
 	}
-	p.inode, err = inodeOf(p.path)
+	p.inode, err = inodeOf(p.socketPath)
 	return err
 }
 
@@ -110,31 +113,31 @@
 	return s.Ino, err
 }
 
-// Run serves one successor after the other until the context ends. Then it removes the socket's file, unless that is the
-// successor's by now.
+// Run serves one successor at a time until the context ends. Then it removes the socket's file, unless a successor has replaced it
+// with its own.
 func (p *Predecessor) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, p.close)()
 	for {
-		conn, err := p.listener.AcceptUnix()
+		conn, err := p.socketListener.AcceptUnix()
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			break
 		}
-		if err != nil { // out of descriptors, or the caller has gone already
-			pause(ctx, acceptErrorPause)
+		if err != nil { // out of descriptors, or the successor has disconnected already
+			pause(ctx, acceptRetryDelay)
 			continue
 		}
 		err = p.handOver(&messageConn{conn: conn, reader: bufio.NewReader(conn)})
 		if err != nil && ctx.Err() == nil {
-			p.log.Warn("the successor has disconnected, this process goes on", "code", "handover_failed", "error", err)
+			p.log.Warn("handover to the successor ended, this process continues to serve", "code", "handover_failed", "error", err)
 		}
 		_ = conn.Close()
 	}
-	if inode, err := inodeOf(p.path); err == nil && inode == p.inode {
-		_ = os.Remove(p.path)
+	if inode, err := inodeOf(p.socketPath); err == nil && inode == p.inode {
+		_ = os.Remove(p.socketPath)
 	}
 }
 
-// pause waits for a while, or until the context ends.
+// pause waits for a duration, or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -144,9 +147,9 @@
 	}
 }
 
-// close has blocked accepts and reads return.
+// close closes the socket and the connection to the successor, so that blocked accepts and reads return.
 func (p *Predecessor) close() {
-	_ = p.listener.Close()
+	_ = p.socketListener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.successor != nil {
@@ -160,7 +163,7 @@
 	p.successor = c
 }
 
-// Send sends a message to the successor; without one that serves the error is ErrNoSuccessor.
+// Send sends a message to the successor. It returns ErrNoSuccessor if no successor serves.
 func (p *Predecessor) Send(m Message) error {
 	p.mu.Lock()
 	c := p.successor
@@ -171,7 +174,7 @@
 	return c.write(m)
 }
 
-// handOver hands the listener to a successor, and stays with it until one of the two ends.
+// handOver sends the listener to a successor, and serves the successor until one of the two processes ends.
 func (p *Predecessor) handOver(c *messageConn) error {
 	if err := checkSameUser(c.conn); err != nil {
 		return err
@@ -180,14 +183,14 @@
 	if err != nil {
 		return err
 	}
-	if m.Identity.foreign(p.identity) { // it learns whose address this is, and gets no listener
+	if m.Identity.belongsToOtherNode(p.identity) { // it receives this node's identity, but not the listener
 		return errors.Join(fmt.Errorf("node %q asked for the listener of %q", m.Identity.Name, p.identity.Name), c.write(p.hello()))
 	}
-	// A process of another version gets the listener too: its own check of the version says so in its log.
-	if err := sendListener(c.conn, p.clients, p.hello()); err != nil {
+	// A process with another version receives the listener too. It detects the difference itself and logs it.
+	if err := sendListener(c.conn, p.clientListener, p.hello()); err != nil {
 		return err
 	}
-	if m.Version != Version || m.Listen != p.listen {
+	if m.Version != Version || m.Listen != p.clientAddress {
 		return errOtherVersion
 	}
 	p.node.SetSibling(true)
@@ -196,12 +199,12 @@
 	return p.serve(c)
 }
 
-// hello is the first message.
+// hello returns the first message, which identifies this process.
 func (p *Predecessor) hello() Message {
-	return Message{Version: Version, Listen: p.listen, Identity: p.identity}
+	return Message{Version: Version, Listen: p.clientAddress, Identity: p.identity}
 }
 
-// serve answers a successor until one of the two ends.
+// serve responds to a successor's messages until one of the two processes ends.
 func (p *Predecessor) serve(c *messageConn) error {
 	timeout := readyTimeout
 	for {
@@ -214,7 +217,7 @@
 			err = p.sendState(c)
 		case m.Ready:
 			err = p.acceptSuccessor(c)
-			timeout = 0 // from now on for as long as it lives
+			timeout = 0 // no timeout for a successor that serves
 		default:
 			p.node.HandleMessage(m)
 		}
@@ -232,7 +235,7 @@
 	return c.write(Message{State: state})
 }
 
-// acceptSuccessor notes that the successor serves.
+// acceptSuccessor registers and confirms that the successor serves.
 func (p *Predecessor) acceptSuccessor(c *messageConn) error {
 	p.setSuccessor(c)
 	if err := c.write(Message{Ready: true}); err != nil {
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -18,26 +18,26 @@
 var (
 	errPredecessorClosed = errors.New("the predecessor closed the connection")
 	errNoState           = errors.New("the predecessor sent no state")
-	errNotAccepted       = errors.New("the predecessor did not confirm that this process is ready")
-	errNotTCP            = errors.New("the descriptor handed over is no TCP listener")
+	errReadyNotConfirmed = errors.New("the predecessor did not confirm that this process is ready")
+	errNotTCP            = errors.New("the descriptor from the predecessor is not a TCP listener")
 )
 
 // Successor is the new process's side of a handover.
 type Successor struct {
-	Listener            *net.TCPListener // the one that clients connect to
-	PredecessorIdentity Identity         // empty where the predecessor's version does not say
+	Listener            *net.TCPListener // the clients' listener
+	PredecessorIdentity Identity         // empty if the predecessor's version sends none
 	peer                messageConn
 }
 
-// TakeOver asks the process that serves at a clients' address for its listener. The error is ErrNoPredecessor, ErrPredecessorGone
-// or ErrOtherNode, or another one if there is something that cannot hand over.
-func TakeOver(dir, listen string, own Identity) (*Successor, error) {
-	conn, err := dialPredecessor(SocketPath(dir, listen))
+// TakeOver requests the listener of the process that serves at a clients' address. It returns ErrNoPredecessor, ErrPredecessorGone,
+// an error that wraps ErrOtherNode, or another error if the handover fails.
+func TakeOver(dir, clientAddress string, own Identity) (*Successor, error) {
+	conn, err := dialPredecessor(SocketPath(dir, clientAddress))
 	if err != nil {
 		return nil, err
 	}
 	s := &Successor{peer: messageConn{conn: conn}}
-	s.Listener, err = s.receiveListener(listen, own)
+	s.Listener, err = s.receiveListener(clientAddress, own)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -53,14 +53,14 @@
 	case err != nil:
 		return nil, err
 	case info.Mode()&fs.ModeSocket == 0:
-		return nil, fmt.Errorf("%s is no socket", filepath.Base(path))
+		return nil, fmt.Errorf("%s is not a socket", filepath.Base(path))
 	}
 	var conn net.Conn
 	err = withShortPath(path, func(short string) error {
 		conn, err = net.DialTimeout("unix", short, stepTimeout)
 		return err
 	})
-	if errors.Is(err, unix.ECONNREFUSED) { // it was killed: whoever listens at the clients' address now is somebody else
+	if errors.Is(err, unix.ECONNREFUSED) { // the predecessor was killed: a listener at the clients' address now belongs to another program
 		return nil, ErrPredecessorGone
 	}
 	if err != nil {
@@ -69,9 +69,9 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// receiveListener exchanges the first messages. The listener comes along with the first byte of the predecessor's.
-func (s *Successor) receiveListener(listen string, own Identity) (*net.TCPListener, error) {
-	if err := s.peer.write(Message{Version: Version, Listen: listen, Identity: own}); err != nil {
+// receiveListener exchanges the first messages. The listener's descriptor arrives with the first byte of the predecessor's message.
+func (s *Successor) receiveListener(clientAddress string, own Identity) (*net.TCPListener, error) {
+	if err := s.peer.write(Message{Version: Version, Listen: clientAddress, Identity: own}); err != nil {
 		return nil, err
 	}
 	firstByte, file, fileErr, err := s.receiveDescriptor()
@@ -81,24 +81,24 @@
 	if fileErr == nil {
 		defer func() { _ = file.Close() }() // net.FileListener makes its own copy
 	}
-	s.peer.reader = bufio.NewReader(io.MultiReader(&singleByte{value: firstByte}, s.peer.conn))
+	s.peer.reader = bufio.NewReader(io.MultiReader(&singleByteReader{value: firstByte}, s.peer.conn))
 	m, err := s.peer.read(stepTimeout)
 	s.PredecessorIdentity = m.Identity
 	switch {
 	case err != nil:
 		return nil, err
-	case m.Identity.foreign(own):
+	case m.Identity.belongsToOtherNode(own):
 		return nil, fmt.Errorf("%w: %q", ErrOtherNode, m.Identity.Name)
 	case fileErr != nil:
 		return nil, fileErr
-	case m.Version != Version || m.Listen != listen:
+	case m.Version != Version || m.Listen != clientAddress:
 		return nil, fmt.Errorf("the predecessor has version %d and the address %q", m.Version, m.Listen)
 	}
 	return tcpListener(file)
 }
 
-// receiveDescriptor reads the first byte with the descriptor that comes along. That there is none is fileErr, since the message may
-// say why.
+// receiveDescriptor reads the first byte and the descriptor that arrives with it. A missing descriptor is reported as fileErr, not
+// as err, since the message that follows may contain the reason.
 func (s *Successor) receiveDescriptor() (first byte, file *os.File, fileErr, err error) {
 	if err := s.peer.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return 0, nil, nil, err
@@ -116,7 +116,7 @@
 	return data[0], file, fileErr, nil
 }
 
-// tcpListener returns a listener on a copy of a descriptor.
+// tcpListener returns a listener on a duplicate of a descriptor.
 func tcpListener(file *os.File) (*net.TCPListener, error) {
 	l, err := net.FileListener(file)
 	if err != nil {
@@ -129,14 +129,14 @@
 	return tcp, nil
 }
 
-// singleByte is a reader of the byte that came with the descriptor.
-type singleByte struct {
+// singleByteReader is a reader that returns the byte that arrived with the descriptor.
+type singleByteReader struct {
 	value byte
 	done  bool
 }
 
 // Read returns the byte once, and io.EOF after it.
-func (s *singleByte) Read(p []byte) (int, error) {
+func (s *singleByteReader) Read(p []byte) (int, error) {
 	if s.done || len(p) == 0 {
 		return 0, io.EOF
 	}
@@ -145,7 +145,7 @@
 	return 1, nil
 }
 
-// RequestState returns the predecessor's state.
+// RequestState requests the predecessor's state and returns it.
 func (s *Successor) RequestState() (json.RawMessage, error) {
 	if err := s.peer.write(Message{Request: requestState}); err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 	return m.State, nil
 }
 
-// AnnounceReady tells the predecessor that this process serves, and returns once it has noted that.
+// AnnounceReady notifies the predecessor that this process serves, and waits for the confirmation.
 func (s *Successor) AnnounceReady() error {
 	if err := s.peer.write(Message{Ready: true}); err != nil {
 		return err
@@ -170,7 +170,7 @@
 		return err
 	}
 	if !m.Ready {
-		return errNotAccepted
+		return errReadyNotConfirmed
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 // Send sends a message to the predecessor.
 func (s *Successor) Send(m Message) error { return s.peer.write(m) }
 
-// ReceiveAll hands the predecessor's messages to a function until the predecessor has gone.
+// ReceiveAll passes the predecessor's messages to a function until the connection ends.
 func (s *Successor) ReceiveAll(handle func(Message)) {
 	for {
 		m, err := s.peer.read(0)
@@ -189,5 +189,5 @@
 	}
 }
 
-// Close ends the handover. A predecessor that still runs goes on alone.
+// Close closes the connection to the predecessor, which then serves as the node's only process if it still runs.
 func (s *Successor) Close() { _ = s.peer.conn.Close() }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// queueLen is the number of lines that may wait: some seconds of a busy node, about a megabyte at most.
-	queueLen = 4096
+	// queueLines is the number of lines that may wait: some seconds of a busy node, about a megabyte at most.
+	queueLines = 4096
 
 	// batchBytes is about the most that is written by one call. Lines that wait together are written together, since a call for
 	// each would take a busy node too much CPU.
@@ -35,7 +35,7 @@
 
 // NewSink returns a sink that writes to out until Close.
 func NewSink(out io.Writer, dropped Counter) *Sink {
-	s := &Sink{lines: make(chan []byte, queueLen), done: make(chan struct{}), dropped: dropped}
+	s := &Sink{lines: make(chan []byte, queueLines), done: make(chan struct{}), dropped: dropped}
 	go s.run(out)
 	return s
 }
@@ -44,13 +44,13 @@
 	defer close(s.done)
 	var batch []byte
 	for ended := false; !ended; {
-		batch, ended = s.gather(batch[:0])
+		batch, ended = s.nextBatch(batch[:0])
 		_, _ = out.Write(batch) // there is nowhere to report that the log cannot be written
 	}
 }
 
-// gather waits for a line, and adds those that wait behind it. It reports whether the end was among them.
-func (s *Sink) gather(batch []byte) (lines []byte, ended bool) {
+// nextBatch waits for a line, and adds those that wait behind it. It reports whether the end was among them.
+func (s *Sink) nextBatch(batch []byte) (lines []byte, ended bool) {
 	line := <-s.lines
 	for line != nil {
 		batch = append(batch, line...)
@@ -66,13 +66,13 @@
 	return batch, true
 }
 
-// clone copies a line, whose buffer the logger uses again. It is never nil.
-func clone(p []byte) []byte { return append(make([]byte, 0, len(p)), p...) }
+// copyLine copies a line, whose buffer the logger uses again. It is never nil.
+func copyLine(p []byte) []byte { return append(make([]byte, 0, len(p)), p...) }
 
 // Write queues one line, or drops it. It reports no error in either case.
 func (s *Sink) Write(p []byte) (int, error) {
 	select {
-	case s.lines <- clone(p):
+	case s.lines <- copyLine(p):
 	default:
 		s.dropped.Inc()
 	}
@@ -107,7 +107,7 @@
 	timeout := time.NewTimer(enqueueTimeout)
 	defer timeout.Stop()
 	select {
-	case w.sink.lines <- clone(p):
+	case w.sink.lines <- copyLine(p):
 	case <-timeout.C:
 		w.sink.dropped.Inc()
 	}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -39,7 +39,7 @@
 	out := stuckWriter{make(chan struct{})}
 	var dropped counters.Count
 	s := NewSink(out, &dropped)
-	for range queueLen + batchBytes {
+	for range queueLines + batchBytes {
 		if n, err := s.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatalf("%d %v", n, err)
 		}
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -25,88 +25,94 @@
 )
 
 const (
-	// reservedDescriptors are the node's own: the standard streams, the poller, the listener,
-	// discovery, and connections that are just being closed.
+	// reservedDescriptors is the number of descriptors for the node itself: the standard streams,
+	// the poller, the listener, discovery, and connections that are being closed.
 	reservedDescriptors = 32
 
-	// maxServerShare of the connections to servers may lead to one server: one that hangs must not
-	// take them all.
-	maxServerShare = 0.25
-	// minConnsPerServer may lead to one server, however few descriptors there are.
+	// maxConnFractionPerServer is the largest fraction of the connections to servers that one server
+	// may use. Without the limit, a server that hangs would use them all.
+	maxConnFractionPerServer = 0.25
+	// minConnsPerServer is the number of connections that one server may always use, even if the
+	// node has few descriptors.
 	minConnsPerServer = 4
 
-	// Of so many descriptors one may be the file of a large request, and at least minFiles. Large
-	// requests are few beside the rest, and one that finds no file waits.
-	descriptorsPerFile = 32
-	minFiles           = 4
-
-	// bodyMemoryShare of the memory may be buffers of large requests and responses.
-	bodyMemoryShare = 0.125
-	bytesPerMB      = 1 << 20
-
-	// defaultConnectTimeout, in ms, is the limit for a connection to come up where the settings
-	// have none.
-	defaultConnectTimeout = 250
-
-	// coapMaxExchanges bounds the exchanges out to one CoAP server. RFC 7252 (4.7) has 1 for
-	// servers that nobody knows; these stand in an inventory of the operator's, and what is sent to
-	// them is the balancer's to choose. It is what one server may have of the HTTP connections on a
-	// node with the fewest descriptors.
+	// descriptorsPerBodyFile is the number of descriptors per temporary file of a large request.
+	// Large requests are rare, and a request that finds no free file waits.
+	descriptorsPerBodyFile = 32
+	// minBodyFiles is the least number of temporary files, even if the node has few descriptors.
+	minBodyFiles = 4
+
+	// bodyMemoryFraction is the fraction of the memory limit that may be used as buffers for large
+	// requests and responses.
+	bodyMemoryFraction = 0.125
+	bytesPerMB         = 1 << 20
+
+	// defaultConnectTimeoutMillis limits the time to connect to a server if the settings contain no
+	// connect timeout.
+	defaultConnectTimeoutMillis = 250
+
+	// coapMaxExchanges limits the exchanges in flight to one CoAP server. The default of RFC 7252
+	// (NSTART, section 4.7) is 1, which is meant for unknown servers. These servers are listed by
+	// the operator, and the balancer controls the load that it sends to them. The value equals the
+	// limit of HTTP connections to one server on a node with the fewest descriptors.
 	coapMaxExchanges = 28
 
-	// In a fleet of more than largeFleet nodes a node keeps at most largeFleetIdleConns idle
-	// connections to a server: servers hold only so many of all nodes together, and a node's part
-	// of the traffic falls with their number.
-	largeFleet          = 8
+	// largeFleet is the number of nodes above which each node keeps at most largeFleetIdleConns
+	// idle connections to a server. A server limits the connections from all nodes together, and
+	// the traffic of one node decreases as the number of nodes grows.
+	largeFleet = 8
+	// largeFleetIdleConns is the limit of idle connections to one server in a large fleet.
 	largeFleetIdleConns = 1
 
-	// probeTimeout is a load probe's: by then the request that it was sent for has long gone
-	// elsewhere, and a server that takes longer can't serve in time.
+	// probeTimeout is the timeout of a load probe. By then the request that caused the probe has
+	// been sent to another server, and a server that is slower cannot respond in time.
 	probeTimeout = 50 * time.Millisecond
 )
 
-// descriptors is how a node divides the descriptors that it may have.
-type descriptors struct {
-	files    int // of large requests
-	reserved int // for the node itself, the files among them
-	perSide  int // connections to clients, and as many to servers
+// descriptorBudget is the division of the node's descriptor limit between its uses.
+type descriptorBudget struct {
+	bodyFiles int // temporary files of large requests
+	reserved  int // descriptors for the node itself, including bodyFiles
+	perSide   int // limit of the connections to clients, and of those to servers
 }
 
-func divideDescriptors(c config.Config) descriptors {
-	files := max(minFiles, c.Limits.Sockets/descriptorsPerFile)
-	reserved := reservedDescriptors + files
+// divideDescriptors reserves the descriptors of the node itself, and divides the rest evenly between
+// connections to clients and connections to servers.
+func divideDescriptors(c config.Config) descriptorBudget {
+	bodyFiles := max(minBodyFiles, c.Limits.Sockets/descriptorsPerBodyFile)
+	reserved := reservedDescriptors + bodyFiles
 	if c.AdminAddress != "" {
 		reserved += admin.MaxConnections + 1
 	}
-	return descriptors{files: files, reserved: reserved, perSide: (c.Limits.Sockets - reserved) / 2}
+	return descriptorBudget{bodyFiles: bodyFiles, reserved: reserved, perSide: (c.Limits.Sockets - reserved) / 2}
 }
 
-// newNode builds a node; nothing of it runs yet.
+// newNode builds a node without starting any of its goroutines.
 func newNode(c config.Config, log *slog.Logger, count *counters.Counters) (*node, error) {
-	set := c.Settings.Balancer
-	module, err := balancer.New(set, c.Seed)
+	settings := c.Settings.Balancer
+	activeBalancer, err := balancer.New(settings, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	count.Operations = counters.Operations{}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		count.Operations[class.Name] = &counters.Operation{}
 	}
 	budget := divideDescriptors(c)
 	n := &node{
 		name:            c.Name,
-		nodeNumber:      set.Node,
-		known:           c.Known,
-		classes:         set.Classes,
-		dedupWindow:     longestDedupWindow(set),
+		nodeNumber:      settings.Node,
+		initialList:     c.Known,
+		classes:         settings.Classes,
+		dedupWindow:     longestDedupWindow(settings),
 		clock:           clock.New(),
 		counters:        count,
 		maxConnsPerSide: budget.perSide,
-		drainPlan:       drain.NewPlan(longestTimeout(set)),
+		drainPlan:       drain.NewPlan(longestTimeout(settings)),
 	}
 	n.buildEndpoints(c, log)
 	n.buildTransports(c, budget, log)
-	n.shadow = shadow.New(module, c.Shadow, log, &count.Shadow)
+	n.shadow = shadow.New(activeBalancer, c.Shadow, log, &count.Shadow)
 	if err := n.buildGossip(c, log); err != nil {
 		return nil, err
 	}
@@ -116,7 +122,7 @@
 		Prober:          n,
 		EndpointWatcher: n.discovery,
 		Broadcaster:     n,
-		MaxAttempts:     set.MaxAttempts,
+		MaxAttempts:     settings.MaxAttempts,
 		Log:             log,
 		Counters:        count,
 	})
@@ -125,33 +131,33 @@
 }
 
 func (n *node) buildEndpoints(c config.Config, log *slog.Logger) {
-	set := c.Settings.Balancer
+	settings := c.Settings.Balancer
 	n.discovery = discovery.New(discovery.Options{
 		Address:         c.Discovery,
-		Nodes:           set.Nodes,
-		WatchOnRequest:  set.WatchEndpoints,
-		MaxPollInterval: clock.Span(set.MaxPollInterval),
-		DrainGrace:      clock.Span(set.DrainGrace),
+		Nodes:           settings.Nodes,
+		WatchOnRequest:  settings.WatchEndpoints,
+		MaxPollInterval: clock.Span(settings.MaxPollInterval),
+		DrainGrace:      clock.Span(settings.DrainGrace),
 		Log:             log,
 		Count:           n.counters,
 	}, c.Known)
 	n.endpoints = endpoints.New(n.discovery, engineForwarder{n})
 }
 
-func (n *node) buildTransports(c config.Config, budget descriptors, log *slog.Logger) {
-	set := c.Settings.Balancer
+func (n *node) buildTransports(c config.Config, budget descriptorBudget, log *slog.Logger) {
+	settings := c.Settings.Balancer
 	n.pool = upstream.New(upstream.Options{
 		Resolver:          n.endpoints,
-		ConnectTimeout:    clock.Span(connectTimeout(set)),
+		ConnectTimeout:    clock.Span(connectTimeout(settings)),
 		IdleTimeout:       clock.Span(c.Settings.ServerIdleTimeout),
 		ProbeTimeout:      probeTimeout,
 		MaxConns:          budget.perSide,
-		MaxConnsPerServer: max(minConnsPerServer, int(float64(budget.perSide)*maxServerShare)),
-		MaxIdlePerServer:  maxIdlePerServer(set.Nodes),
+		MaxConnsPerServer: max(minConnsPerServer, int(float64(budget.perSide)*maxConnFractionPerServer)),
+		MaxIdlePerServer:  maxIdlePerServer(settings.Nodes),
 		OnIdleClosed: func(id balancer.ServerID) {
 			n.engine.Post(balancer.ConnectionClosed{Server: id})
 		},
-		LoadReports:  set.LoadReports,
+		LoadReports:  settings.LoadReports,
 		QueueReports: c.Settings.QueuedIndex >= 0,
 		Log:          log,
 		Counters:     n.counters,
@@ -159,7 +165,7 @@
 	n.coapTransport = back.New(back.Options{
 		Resolver:         n.endpoints,
 		MaxExchanges:     coapMaxExchanges,
-		RetransmitWindow: clock.Span(set.DrainGrace / 2),
+		RetransmitWindow: clock.Span(settings.DrainGrace / 2),
 		ParseLoad:        n.pool.ParseLoad,
 		Log:              log,
 		Count:            &n.counters.CoapServers,
@@ -181,9 +187,9 @@
 	return err
 }
 
-func (n *node) buildClientSide(c config.Config, budget descriptors, log *slog.Logger) {
-	buffers := int(c.Limits.MemoryMB*bodyMemoryShare*bytesPerMB) / body.BufferSize
-	bodies := body.New(os.Getenv("TMPDIR"), budget.files, max(minFiles, buffers), &n.counters.Bodies)
+func (n *node) buildClientSide(c config.Config, budget descriptorBudget, log *slog.Logger) {
+	buffers := int(c.Limits.MemoryMB*bodyMemoryFraction*bytesPerMB) / body.BufferSize
+	bodies := body.New(os.Getenv("TMPDIR"), budget.bodyFiles, max(minBodyFiles, buffers), &n.counters.Bodies)
 	n.handler = proxy.NewHandler(proxy.Options{
 		Router:        n.engine,
 		Send:          n.sendAttempt,
@@ -203,13 +209,13 @@
 		Log:                 log,
 		Counters:            n.counters,
 		OnListenerBroken: func(l ingress.Listener, err error) {
-			log.Error("the listener is broken, the node ends once all is answered", "code", "listener_broken", "error", err)
+			log.Error("listener failed, shutting down after all requests are answered", "code", "listener_broken", "error", err)
 			n.beginShutdown(n.drainPlan.Start(time.Now()), l, "", log)
 		},
 	})
 }
 
-// maxIdlePerServer is how many idle connections to one server are kept; 0: all.
+// maxIdlePerServer returns the limit of idle connections to one server; 0 means no limit.
 func maxIdlePerServer(nodes int) int {
 	if nodes > largeFleet {
 		return largeFleetIdleConns
@@ -217,17 +223,17 @@
 	return 0
 }
 
-func connectTimeout(set balancer.Settings) balancer.Millis {
-	if set.ConnectTimeout > 0 {
-		return set.ConnectTimeout
+func connectTimeout(settings balancer.Settings) balancer.Millis {
+	if settings.ConnectTimeout > 0 {
+		return settings.ConnectTimeout
 	}
-	return defaultConnectTimeout
+	return defaultConnectTimeoutMillis
 }
 
-// longestDedupWindow is the longest time in which a class's repeats are dropped.
-func longestDedupWindow(set balancer.Settings) time.Duration {
+// longestDedupWindow returns the longest dedup window of the classes with idempotency keys.
+func longestDedupWindow(settings balancer.Settings) time.Duration {
 	longest := 0.0
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		if class.Idempotency == balancer.IdempotentWithKey {
 			longest = max(longest, class.DedupWindow)
 		}
@@ -235,10 +241,10 @@
 	return clock.Span(longest)
 }
 
-// longestTimeout is the longest that a client waits for a response.
-func longestTimeout(set balancer.Settings) time.Duration {
+// longestTimeout returns the longest total timeout of any class.
+func longestTimeout(settings balancer.Settings) time.Duration {
 	longest := 0.0
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		longest = max(longest, class.TotalTimeout)
 	}
 	return clock.Span(longest)
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -11,8 +11,8 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// Check reads configuration and operator file as a start would, and prints what would run, or every
-// fault. It reports whether a start would succeed.
+// Check validates the configuration and the operator file as a start does, and prints either the
+// effective configuration or every fault. It reports whether a start would succeed.
 func Check(out io.Writer, getenv func(string) string, operatorFile string) bool {
 	c, faults := config.Check(getenv)
 	file, err := loadOperatorFile(operatorFile)
@@ -46,56 +46,56 @@
 
 // describe prints the effective configuration.
 func describe(out io.Writer, c config.Config, file *operator.File) {
-	say := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
-	describeNode(say, c)
-	describeSettings(say, c.Settings.Balancer)
-	say("peers     %s", onOrOff(len(c.GossipNodes) > 0, fmt.Sprintf("%d nodes", len(c.GossipNodes))))
-	say("watch     %s", onOrOff(c.Shadow != nil, "other settings are watched"))
-	describeSubsystems(say, file)
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
+	describeNode(printf, c)
+	describeSettings(printf, c.Settings.Balancer)
+	printf("peers     %s", onOrOff(len(c.GossipNodes) > 0, fmt.Sprintf("%d nodes", len(c.GossipNodes))))
+	printf("watch     %s", onOrOff(c.Shadow != nil, "shadow settings are evaluated"))
+	describeSubsystems(printf, file)
 }
 
-func describeNode(say func(format string, args ...any), c config.Config) {
-	set := c.Settings.Balancer
-	say("node      %s, node %d of %d, zone %q", c.Name, set.Node, set.Nodes, set.Zone)
-	say("listen    %s", c.Listen)
-	say("discovery %s, %d servers known", c.Discovery, len(c.Known.Members))
+func describeNode(printf func(format string, args ...any), c config.Config) {
+	settings := c.Settings.Balancer
+	printf("node      %s, node %d of %d, zone %q", c.Name, settings.Node, settings.Nodes, settings.Zone)
+	printf("listen    %s", c.Listen)
+	printf("discovery %s, %d servers known", c.Discovery, len(c.Known.Members))
 	if c.AdminAddress != "" {
-		say("operator  %s", c.AdminAddress)
+		printf("operator  %s", c.AdminAddress)
 	}
-	say("limits    %v cores, %v MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
+	printf("limits    %v cores, %v MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 }
 
-func describeSettings(say func(format string, args ...any), set balancer.Settings) {
-	slowStart := set.SlowStart
-	say("rules     drain grace %v ms, cold from %v for %v ms, falls at %v times for %v ms, %d attempts", set.DrainGrace,
-		slowStart.InitialCapacity, slowStart.Duration, slowStart.OverloadFactor, slowStart.OverloadWindow, set.MaxAttempts)
-	for _, class := range set.Classes {
-		say("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", class.Name, idempotencyName(class),
+func describeSettings(printf func(format string, args ...any), settings balancer.Settings) {
+	slowStart := settings.SlowStart
+	printf("rules     drain grace %v ms, slow start from %v for %v ms, overload at %v times for %v ms, %d attempts", settings.DrainGrace,
+		slowStart.InitialCapacity, slowStart.Duration, slowStart.OverloadFactor, slowStart.OverloadWindow, settings.MaxAttempts)
+	for _, class := range settings.Classes {
+		printf("class     %-16s %-6s aim %v ms, hard limit %v ms, worth %v", class.Name, idempotencyName(class),
 			class.LatencyObjective, class.TotalTimeout, class.PriorityWeight)
 	}
-	say("tenants   %d", len(set.Tenants))
+	printf("tenants   %d", len(settings.Tenants))
 }
 
-func describeSubsystems(say func(format string, args ...any), file *operator.File) {
+func describeSubsystems(printf func(format string, args ...any), file *operator.File) {
 	if file == nil {
-		say("edge      no operator file")
+		printf("edge      no operator file")
 	} else {
-		say("edge      %s", file.Path)
+		printf("edge      %s", file.Path)
 	}
-	for _, p := range Subsystems() {
-		section := p.Section
+	for _, definition := range Subsystems() {
+		section := definition.Section
 		options := file.Options(section.Name)
 		if options == nil {
-			say("  [%s] off: %s", section.Name, section.Summary)
+			printf("  [%s] off: %s", section.Name, section.Summary)
 			continue
 		}
-		say("  [%s] on: %s", section.Name, strings.Join(operator.Describe(options), ", "))
+		printf("  [%s] on: %s", section.Name, strings.Join(operator.Describe(options), ", "))
 	}
 }
 
-func onOrOff(on bool, what string) string {
+func onOrOff(on bool, description string) string {
 	if on {
-		return what
+		return description
 	}
 	return "off"
 }
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -12,57 +12,58 @@
 	"tackhub.example/tackhub/internal/inflight"
 )
 
-// What the administrators' listener and the subsystems need of the node: admin.Node,
-// endpoints.Node, front.Node and cluster.Node.
+// This file implements the interfaces through which the administrators' listener and the subsystems
+// use the node: admin.Node, endpoints.Node, front.Node and cluster.Node.
 
-// Ready reports whether this process serves clients and is not drained.
+// Ready reports whether this process serves clients and is not in an administrative drain.
 func (n *node) Ready() bool { return n.serving.Load() && !n.ingress.AdminDraining() }
 
-// Stats is the counters' summary for administrators, in JSON.
+// Stats returns the summary of the counters for administrators, in JSON.
 func (n *node) Stats() []byte { return n.counters.AdminSummary() }
 
-// Drain sends clients elsewhere until Undrain; the process runs on.
+// Drain begins an administrative drain: the health check fails, so that clients move to other nodes.
+// The process keeps running. The sibling process of an upgrade is notified.
 func (n *node) Drain() {
 	n.ingress.BeginAdminDrain()
 	n.upgrade.sendDrain(true)
 }
 
-// Undrain ends a drain by an administrator.
+// Undrain ends an administrative drain and notifies the sibling process of an upgrade.
 func (n *node) Undrain() {
 	n.ingress.EndAdminDrain()
 	n.upgrade.sendDrain(false)
 }
 
-// Name is the node's name.
+// Name returns the node's name.
 func (n *node) Name() string { return n.name }
 
-// Number is the node's number by its settings.
+// Number returns the node's number, which the settings define.
 func (n *node) Number() int { return n.nodeNumber }
 
-// Classes are those of the settings.
+// Classes returns the request classes of the settings.
 func (n *node) Classes() []balancer.Class { return n.classes }
 
-// Clock is the node's clock.
+// Clock returns the node's clock.
 func (n *node) Clock() clock.Clock { return n.clock }
 
-// Counters are the node's counters.
+// Counters returns the node's counters.
 func (n *node) Counters() *counters.Counters { return n.counters }
 
-// LongestDedupWindow is the longest time in which the repeats of a request with an idempotency key
-// are dropped.
+// LongestDedupWindow returns the longest time during which repeats of a request with an idempotency
+// key are dropped.
 func (n *node) LongestDedupWindow() time.Duration { return n.dedupWindow }
 
-// Endpoints is where the endpoint list comes from.
+// Endpoints returns the directory that provides the endpoint list.
 func (n *node) Endpoints() *endpoints.Directory { return n.endpoints }
 
-// Handler takes requests through the stages, whatever protocol they came by.
+// Handler returns the handler of client requests, which is the same for all protocols.
 func (n *node) Handler() front.Handler { return n.handler }
 
-// InFlight accounts for the requests that the node has received.
+// InFlight returns the tracker of the requests that the node has received and not yet answered.
 func (n *node) InFlight() *inflight.Tracker { return &n.inFlight }
 
-// SetBroadcaster has the balancer's messages to other nodes go over a cluster's transport; with nil
-// no longer.
+// SetBroadcaster sends the balancer's messages to other nodes over a cluster's transport; nil ends
+// that.
 func (n *node) SetBroadcaster(b cluster.Broadcaster) {
 	if b == nil {
 		n.broadcaster.Store(nil)
@@ -71,20 +72,20 @@
 	n.broadcaster.Store(&b)
 }
 
-// ReceiveGossip hands the balancer another node's message.
+// ReceiveGossip passes another node's message to the balancer.
 func (n *node) ReceiveGossip(m balancer.GossipReceived) { n.engine.ReceiveGossip(m) }
 
-// ApplyEvent hands the balancer an event that concerns the whole fleet; with wait it returns once
-// the event is in force.
+// ApplyEvent passes an event that concerns the whole fleet to the balancer. If wait is set, it
+// returns after the balancer has processed the event.
 func (n *node) ApplyEvent(event balancer.Event, wait bool) {
 	n.engine.Post(event)
 	if wait {
-		n.engine.RunBetweenSteps(func() {}) // behind the event in the mailbox
+		n.engine.RunBetweenSteps(func() {}) // runs after the event, since the mailbox is a FIFO queue
 	}
 }
 
-// HasPredecessor reports whether another process of this node ran when this one started.
+// HasPredecessor reports whether this process took over from another process of this node.
 func (n *node) HasPredecessor() bool { return n.upgrade != nil && n.upgrade.predecessorLink != nil }
 
-// HasSuccessor reports whether another process takes over now.
+// HasSuccessor reports whether a successor of this process serves.
 func (n *node) HasSuccessor() bool { return n.upgrade != nil && n.upgrade.successorServes.Load() }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// memoryShare of the memory limit is where the collector starts to work harder; the rest is for
-	// stacks, the program itself and what the kernel counts.
-	memoryShare = 0.6
+	// gcMemoryFraction is the fraction of the memory limit that is set as the runtime's memory limit,
+	// near which garbage is collected more often. The rest is for stacks, the program's code and
+	// memory that the kernel accounts to the process.
+	gcMemoryFraction = 0.6
 
-	// gcPercent lets garbage grow to four times what lives before it is collected: what lives is a
-	// few megabytes, and on one core each collection delays responses.
+	// gcPercent lets garbage grow to four times the live heap before it is collected. The live heap
+	// is a few megabytes, and on one core each collection delays responses.
 	gcPercent = 400
 )
 
-// applyLimits keeps the process within its machine's limits, and returns the descriptors that it
-// may have: the system's own limit may be the lower one.
+// applyLimits applies the CPU and memory limits to the Go runtime and returns the number of
+// descriptors that the process may open: the configured limit or, if lower, RLIMIT_NOFILE.
 func applyLimits(l config.Limits) int {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	debug.SetMemoryLimit(memoryLimit(l))
 	debug.SetGCPercent(gcPercent)
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
+	var fileLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &fileLimit); err != nil {
 		return l.Sockets
 	}
-	return int(min(uint64(l.Sockets), files.Cur))
+	return int(min(uint64(l.Sockets), fileLimit.Cur))
 }
 
-// memoryLimit is the collector's limit, in bytes.
-func memoryLimit(l config.Limits) int64 { return int64(l.MemoryMB * memoryShare * bytesPerMB) }
+// memoryLimit returns the Go runtime's memory limit, in bytes.
+func memoryLimit(l config.Limits) int64 { return int64(l.MemoryMB * gcMemoryFraction * bytesPerMB) }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -17,50 +17,51 @@
 	"tackhub.example/tackhub/internal/ingress"
 )
 
-// acquired is the clients' listener, and what came with it from the predecessor.
-type acquired struct {
+// acquiredListener is the clients' listener and, after a handover, the connection to the predecessor
+// and its state.
+type acquiredListener struct {
 	listener  *net.TCPListener
-	successor *handover.Successor // nil at a plain start
-	state     *transferredNode    // nil where the predecessor told nothing that can be read
+	successor *handover.Successor // nil without a predecessor
+	state     *handoverState      // nil if the predecessor sent no readable state
 }
 
-// acquireListener gets the clients' listener: from the process that serves, where there is one,
-// otherwise a new one. The endpoint list of the predecessor replaces what the configuration
-// knows.
-func acquireListener(c *config.Config, log *slog.Logger) (acquired, error) {
+// acquireListener returns the clients' listener. It takes over the listener of the running process
+// if there is one, and opens a new one otherwise. The endpoint list of the predecessor replaces the
+// one in the configuration.
+func acquireListener(c *config.Config, log *slog.Logger) (acquiredListener, error) {
 	id := identity(c)
 	successor, err := takeOverFromPredecessor(c.Listen, id)
 	switch {
 	case err == nil:
 		deferAccept(successor.Listener, log)
-		return acquired{successor.Listener, successor, requestState(c, successor, id, log)}, nil
-	case errors.Is(err, handover.ErrOtherNode): // nor may the address be shared with it
-		return acquired{}, fmt.Errorf("ROUTER_LISTEN: %s: %w", c.Listen, err)
+		return acquiredListener{successor.Listener, successor, requestState(c, successor, id, log)}, nil
+	case errors.Is(err, handover.ErrOtherNode): // two nodes must not share an address either
+		return acquiredListener{}, fmt.Errorf("ROUTER_LISTEN: %s: %w", c.Listen, err)
 	}
 	noPredecessor := errors.Is(err, handover.ErrNoPredecessor)
 	if !noPredecessor {
-		log.Warn("nothing can be taken over, starting plainly", "code", "handover_failed", "error", err)
+		log.Warn("handover from the predecessor failed, starting without it", "code", "handover_failed", "error", err)
 	}
 	shareAddress := !noPredecessor && !errors.Is(err, handover.ErrPredecessorGone)
 	listener, err := listen(c.Listen, shareAddress)
-	return acquired{listener: listener}, err
+	return acquiredListener{listener: listener}, err
 }
 
-// requestState asks the predecessor for what it knows. Without an answer that can be read this
-// process starts all the same: the listener is what clients need.
-func requestState(c *config.Config, successor *handover.Successor, id handover.Identity, log *slog.Logger) *transferredNode {
-	state := &transferredNode{}
+// requestState asks the predecessor for its state. Without a readable response it returns nil and this
+// process starts anyway, since clients need only the listener.
+func requestState(c *config.Config, successor *handover.Successor, id handover.Identity, log *slog.Logger) *handoverState {
+	state := &handoverState{}
 	raw, err := successor.RequestState()
 	if err == nil {
 		err = json.Unmarshal(raw, state)
 	}
 	if err != nil {
-		log.Warn("the predecessor sent no state that can be read", "code", "handover_failed", "error", err)
+		log.Warn("the predecessor sent no readable state", "code", "handover_failed", "error", err)
 		return nil
 	}
 	state.dropIncompatible(successor.PredecessorIdentity, id)
 	if successor.PredecessorIdentity != id {
-		log.Warn("the predecessor has other settings or another discovery: what depends on them is not taken over",
+		log.Warn("the predecessor has different settings or another discovery address, the state that depends on them is not taken over",
 			"code", "handover_part", "list", len(state.List.Members) > 0, "records", len(state.Balancer.Servers) > 0)
 	}
 	if len(state.List.Members) > 0 {
@@ -69,19 +70,19 @@
 	return state
 }
 
-// deferAccept has the kernel hold silent connections back from a listener that was taken over: a
-// process that is ending has told it not to.
+// deferAccept makes the kernel defer accepting connections without data on a listener that was taken
+// over. A predecessor that is shutting down has turned this off for the shared socket.
 func deferAccept(l *net.TCPListener, log *slog.Logger) {
 	raw, err := l.SyscallConn()
 	if err == nil {
 		err = ingress.DeferAccept("tcp", l.Addr().String(), raw)
 	}
 	if err != nil {
-		log.Warn("silent connections are not held back by the kernel", "code", "defer_accept", "error", err)
+		log.Warn("cannot defer accepting of connections without data", "code", "defer_accept", "error", err)
 	}
 }
 
-// takeOverFromPredecessor meets the process that serves under $TMPDIR.
+// takeOverFromPredecessor takes over from the running process, whose socket is in $TMPDIR.
 func takeOverFromPredecessor(address string, id handover.Identity) (*handover.Successor, error) {
 	dir := os.Getenv("TMPDIR")
 	if dir == "" {
@@ -90,8 +91,9 @@
 	return handover.TakeOver(dir, address, id)
 }
 
-// listen opens the clients' address. Beside a process that can't hand over, both listen there for a
-// while; without a sign of one, an address in use is somebody else's.
+// listen opens a listener at the clients' address. With shareAddress, the process may listen beside
+// a running process of this node that cannot hand over. Otherwise an address in use belongs to
+// another program, and the result is an error.
 func listen(address string, shareAddress bool) (*net.TCPListener, error) {
 	if !shareAddress {
 		free, err := freeAddress(address)
@@ -100,19 +102,20 @@
 		}
 		address = free
 	}
-	config := net.ListenConfig{Control: controlListener}
-	l, err := config.Listen(context.Background(), "tcp", address)
+	listenConfig := net.ListenConfig{Control: controlListener}
+	l, err := listenConfig.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_LISTEN: %w", err)
 	}
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("ROUTER_LISTEN: %s gives no TCP listener", address)
+		return nil, fmt.Errorf("ROUTER_LISTEN: the listener at %s is not a TCP listener", address)
 	}
 	return tcp, nil
 }
 
-// freeAddress checks that nobody listens at an address, and returns it with the port that 0 became.
+// freeAddress checks that no process listens at an address, and returns the address. If its port is
+// 0, the result has a free port instead.
 func freeAddress(address string) (string, error) {
 	probe, err := net.Listen("tcp", address)
 	if err != nil {
@@ -122,8 +125,8 @@
 	return address, probe.Close()
 }
 
-// controlListener lets a later process listen at the same address, and has the kernel hold silent
-// connections back.
+// controlListener sets the socket options of the clients' listener: a later process may listen at the
+// same address, and the kernel defers accepting connections without data.
 func controlListener(network, address string, raw syscall.RawConn) error {
 	var optionErr error
 	controlErr := raw.Control(func(fd uintptr) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles one node: it builds the parts around the balancer, keeps the process
-// within its machine's limits, follows signals, and runs the subsystems that the operator file
-// turns on.
+// Package node assembles one node: it builds the components around the balancer, keeps the process
+// within the limits of its machine, handles signals, and runs the subsystems that the operator file
+// enables.
 package node
 
 import (
@@ -28,18 +28,18 @@
 	"tackhub.example/tackhub/internal/upstream"
 )
 
-// node is all parts of one running node.
+// node holds the components of one running node.
 type node struct {
 	name        string
-	nodeNumber  int // by the settings
-	known       discovery.List
+	nodeNumber  int            // from the settings
+	initialList discovery.List // from the configuration or the predecessor, used until discovery responds
 	classes     []balancer.Class
-	dedupWindow time.Duration // the longest of any class
+	dedupWindow time.Duration // the longest of all classes
 	clock       clock.Clock
 	counters    *counters.Counters
 
 	engine        *engine.Engine
-	shadow        *shadow.Evaluator // the balancer, and other settings beside it
+	shadow        *shadow.Evaluator // the balancer, and a shadow evaluation of other settings
 	handler       *proxy.Handler
 	ingress       *ingress.Server
 	pool          *upstream.Pool
@@ -47,23 +47,23 @@
 	discovery     *discovery.Client
 	endpoints     *endpoints.Directory
 
-	gossip      *gossip.Transport                   // nil where nodes send no messages to one another
-	broadcaster atomic.Pointer[cluster.Broadcaster] // of the balancer's messages; nil: gossip, where there is any
-	admin       *admin.Server                       // nil where administrators have no listener
+	gossip      *gossip.Transport                   // nil if gossip between nodes is off
+	broadcaster atomic.Pointer[cluster.Broadcaster] // sends the balancer's messages; nil: gossip is used if it is on
+	admin       *admin.Server                       // nil without an administrators' listener
 	subsystems  *subsystem.Manager
 
-	serving         atomic.Bool // clients are accepted
+	serving         atomic.Bool // client connections are accepted
 	drainPlan       drain.Plan
-	inFlight        inflight.Tracker // requests that were received, over whichever protocol
-	maxConnsPerSide int              // connections to clients, and to servers
+	inFlight        inflight.Tracker // received requests of all protocols
+	maxConnsPerSide int              // limit of the connections to clients, and of those to servers
 
 	upgrade          *upgrade
-	transferredState atomic.Pointer[balancer.State] // of the predecessor, until the endpoint list is known
+	transferredState atomic.Pointer[balancer.State] // the predecessor's, until the balancer has an endpoint list
 
 	background sync.WaitGroup
 }
 
-// startBackground starts the engine, the connection pool and the listeners beside the clients' one.
+// startBackground starts the engine, the connection pool and all listeners except the clients' one.
 func (n *node) startBackground(ctx context.Context) {
 	n.background.Go(func() { n.engine.Run(ctx) })
 	n.background.Go(func() { n.pool.Run(ctx) })
@@ -75,17 +75,18 @@
 	}
 }
 
-// waitBackground lets the engine and the pool end, so that their last log lines and counts are there.
+// waitBackground waits until the goroutines of startBackground have returned, so that their last log
+// lines and counts are recorded.
 func (n *node) waitBackground() { n.background.Wait() }
 
-// followDiscovery begins to follow the endpoint list. The subsystems are started by then: one that
-// merges lists gets the first one too. The exit does not wait for it, since its call may be held
-// for seconds.
+// followDiscovery starts the discovery client. The subsystems must be started before, so that a
+// subsystem that merges endpoint lists receives the first list too. The exit of the process does not
+// wait for this goroutine, since discovery may delay the response to a call for seconds.
 func (n *node) followDiscovery(ctx context.Context) {
-	go n.discovery.Run(ctx, n.known, n.endpoints)
+	go n.discovery.Run(ctx, n.initialList, n.endpoints)
 }
 
-// sendAttempt sends a request to a server, over the protocol that the server speaks.
+// sendAttempt sends a request to a server over the protocol of that server.
 func (n *node) sendAttempt(server balancer.ServerID, r engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
 	if n.coapTransport.Handles(server) {
 		return n.coapTransport.Send(server, r, done)
@@ -93,7 +94,7 @@
 	return n.pool.Send(server, r, done)
 }
 
-// ProbeLoad asks a server for its load, over the protocol that the server speaks.
+// ProbeLoad sends a load probe to a server over the protocol of that server.
 func (n *node) ProbeLoad(server balancer.ServerID, done func(engine.Completion)) {
 	if n.coapTransport.Handles(server) {
 		n.coapTransport.Probe(server, probeTimeout, done)
@@ -102,7 +103,7 @@
 	n.pool.ProbeLoad(server, done)
 }
 
-// Broadcast passes a message of the balancer's on to the other nodes. It does not wait.
+// Broadcast sends a message of the balancer to the other nodes. It does not block.
 func (n *node) Broadcast(body []byte) {
 	if b := n.broadcaster.Load(); b != nil {
 		(*b).Broadcast(body)
@@ -111,14 +112,15 @@
 	}
 }
 
-// engineForwarder hands endpoint lists and gossip to the engine, which is made after their sources.
+// engineForwarder passes endpoint lists and gossip to the engine. It exists because the engine is built
+// after their sources.
 type engineForwarder struct{ n *node }
 
-// UpdateEndpoints hands the list on, and after it the state of the predecessor, which is of
-// servers that the balancer has heard of by then.
+// UpdateEndpoints passes an endpoint update to the engine. After the first update with endpoints it
+// also passes on the predecessor's state, which the balancer can apply only to servers in its list.
 func (f engineForwarder) UpdateEndpoints(update balancer.EndpointUpdate) {
 	f.n.engine.UpdateEndpoints(update)
-	if len(update.Endpoints) == 0 { // the list itself may not have been taken over
+	if len(update.Endpoints) == 0 { // the predecessor's list is not always taken over
 		return
 	}
 	if state := f.n.transferredState.Swap(nil); state != nil {
@@ -126,5 +128,5 @@
 	}
 }
 
-// ReceiveGossip hands another node's message on.
+// ReceiveGossip passes another node's message to the engine.
 func (f engineForwarder) ReceiveGossip(m balancer.GossipReceived) { f.n.engine.ReceiveGossip(m) }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,15 +11,16 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// maxLoggedFaults bounds the lines for one bad file: a file of another kind has a fault in every line.
+// maxLoggedFaults limits the log lines for one invalid file: a file in another format can have a fault
+// in every line.
 const maxLoggedFaults = 20
 
-// reloadOnSignal reads the configuration file again at each signal, while the node serves and while it
-// drains.
-func (n *node) reloadOnSignal(ctx context.Context, ask <-chan os.Signal, running config.Config, operatorFile string, log *slog.Logger) {
+// reloadOnSignal reads the configuration file and the operator file again at each signal, also while the
+// node is draining.
+func (n *node) reloadOnSignal(ctx context.Context, reload <-chan os.Signal, running config.Config, operatorFile string, log *slog.Logger) {
 	for {
 		select {
-		case <-ask:
+		case <-reload:
 			n.reloadConfig(running, log)
 			n.reloadOperatorFile(ctx, operatorFile, log)
 		case <-ctx.Done():
@@ -28,23 +29,23 @@
 	}
 }
 
-// reloadConfig takes over what a running node can: where discovery is. A file that is missing, half
-// written or impossible changes nothing, whatever parts of it could be read.
+// reloadConfig applies the changes that a running node supports: the discovery address and the shadow
+// settings. A missing, incomplete or invalid file changes nothing, even if parts of it are valid.
 func (n *node) reloadConfig(running config.Config, log *slog.Logger) {
 	next, err := config.Reload(os.Getenv)
 	if err != nil {
-		log.Error("the new configuration is not taken, the running one stands", "code", "reload_failed", "error", err)
+		log.Error("invalid configuration, keeping the running one", "code", "reload_failed", "error", err)
 		return
 	}
 	if keys := running.NeedRestart(next); len(keys) > 0 {
-		log.Warn("these keys have changed and need a restart", "code", "reload_restart", "keys", keys)
+		log.Warn("changes to these keys need a restart", "code", "reload_restart", "keys", keys)
 	}
 	n.discovery.SetAddress(next.Discovery)
 	n.shadow.SetSettings(next.Shadow)
-	log.Info("configuration read again", "code", "reload", "discovery", next.Discovery)
+	log.Info("configuration reloaded", "code", "reload", "discovery", next.Discovery)
 }
 
-// loadOperatorFile reads the operator file; nil where there is none.
+// loadOperatorFile reads the operator file. Without a path it returns nil.
 func loadOperatorFile(path string) (*operator.File, error) {
 	if path == "" {
 		return nil, nil
@@ -52,8 +53,8 @@
 	return operator.Load(path, subsystem.Sections(Subsystems()))
 }
 
-// reloadOperatorFile takes a new operator file whole, or leaves everything as it is and names each
-// fault.
+// reloadOperatorFile applies a new operator file as a whole. If the file has faults, it changes nothing
+// and logs the faults.
 func (n *node) reloadOperatorFile(ctx context.Context, path string, log *slog.Logger) {
 	if path == "" {
 		return
@@ -69,10 +70,10 @@
 		for _, f := range faults[:min(len(faults), maxLoggedFaults)] {
 			log.Error("fault in the operator file", "code", "edge_fault", "file", f.File, "line", f.Line, "key", f.Key, "error", f.Message)
 		}
-		log.Error("the new operator file is not taken, the running one stands", "code", "edge_failed", "faults", len(faults))
+		log.Error("invalid operator file, keeping the running one", "code", "edge_failed", "faults", len(faults))
 	case err != nil:
-		log.Error("the new operator file is not taken, the running one stands", "code", "edge_failed", "error", err)
+		log.Error("invalid operator file, keeping the running one", "code", "edge_failed", "error", err)
 	default:
-		log.Info("operator file taken", "code", "edge", "file", path, "on", change.Started, "off", change.Stopped, "changed", change.Restarted)
+		log.Info("operator file applied", "code", "edge", "file", path, "on", change.Started, "off", change.Stopped, "changed", change.Restarted)
 	}
 }
--- a/internal/node/report.go
+++ b/internal/node/report.go
@@ -8,10 +8,11 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// maxHealthLines bounds the lines on servers of one report: in a large fleet those that matter come first.
+// maxHealthLines limits the servers in one health report. ServerHealth returns the most relevant servers
+// first, so that the report of a large fleet contains them.
 const maxHealthLines = 32
 
-// reportOnSignal writes the counters and the servers' health to the log whenever a signal asks for them.
+// reportOnSignal logs the counters and the health of the servers at each signal.
 func (n *node) reportOnSignal(ctx context.Context, report <-chan os.Signal, log *slog.Logger) {
 	for {
 		select {
@@ -28,7 +29,7 @@
 	log.Info("counters", "code", "counters", "counters", rawJSON(n.counters.JSON()))
 }
 
-// logServerHealth writes a line for each server, with the reason why it is or is not ejected.
+// logServerHealth logs one line per server, with the reason why it is or is not ejected.
 func (n *node) logServerHealth(log *slog.Logger) {
 	var servers []balancer.ServerHealth
 	n.engine.RunBetweenSteps(func() { servers = n.shadow.ServerHealth(n.clock.Now(), maxHealthLines) })
@@ -39,8 +40,8 @@
 	}
 }
 
-// rawJSON is a text that goes into the log as the JSON it is.
+// rawJSON is a JSON text that is logged as a JSON value, not as a string.
 type rawJSON []byte
 
-// MarshalJSON returns the text as it is.
+// MarshalJSON returns the text unchanged.
 func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -16,16 +16,16 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// Serve runs one node until a signal ends it. The environment tells it everything but the operator
-// file, whose path is empty where it has none. An error is why the node could not start, in one
-// line, or why its listener broke.
+// Serve runs one node until a signal stops it. The configuration comes from the environment; the path
+// of the operator file is empty if there is none. Serve returns an error if the node cannot start,
+// in one line, or if its listener fails.
 func Serve(operatorFile string) error {
-	signals := notifySignals() // before anything that takes time: a stop may come at once
+	signals := notifySignals() // first of all, since a stop signal may arrive at once
 	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	running := c // as it was configured, to compare a new file with
+	running := c // the configuration before the changes below, for comparison at a reload
 	c.Limits.Sockets = applyLimits(c.Limits)
 	count := &counters.Counters{}
 	sink := logs.NewSink(os.Stderr, &count.LogLines.Dropped)
@@ -36,35 +36,35 @@
 		return err
 	}
 	id := identity(&c)
-	taken, err := acquireListener(&c, log)
+	acquired, err := acquireListener(&c, log)
 	if err != nil {
 		return err
 	}
-	n, err := newServingNode(c, taken.successor, log, count)
+	n, err := newServingNode(c, acquired.successor, log, count)
 	if err != nil {
 		return err
 	}
-	logStart(c, taken.listener, log)
+	logStart(c, acquired.listener, log)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if err := n.startAll(ctx, file, taken.state, log); err != nil {
+	if err := n.startAll(ctx, file, acquired.state, log); err != nil {
 		return err
 	}
-	go n.stopOnSignals(signals.stop, taken.listener, log)
+	go n.stopOnSignals(signals.stop, acquired.listener, log)
 	go n.reportOnSignal(ctx, signals.report, log)
 	go n.reloadOnSignal(ctx, signals.reload, running, operatorFile, log)
-	n.upgrade.serve(ctx, c.Listen, id, taken.listener)
+	n.upgrade.serve(ctx, c.Listen, id, acquired.listener)
 	n.serving.Store(true)
-	err = n.ingress.Serve(taken.listener)
+	err = n.ingress.Serve(acquired.listener)
 	n.subsystems.Stop()
-	<-n.inFlight.Empty() // over whichever protocol: no request that was received is cut off
+	<-n.inFlight.Empty() // requests of all protocols: no received request is aborted
 	cancel()
 	n.waitBackground()
-	n.logEnd(sink.Waiting().Logger(c.Name)) // the last lines wait for their place in the log
+	n.logEnd(sink.Waiting().Logger(c.Name)) // waits for a place in the queue, so that the last lines are not dropped
 	return err
 }
 
-// newServingNode is a node with its upgrade, its subsystems and its administrators' listener.
+// newServingNode builds a node with its upgrade state, its subsystems and its administrators' listener.
 func newServingNode(c config.Config, successor *handover.Successor, log *slog.Logger, count *counters.Counters) (*node, error) {
 	n, err := newNode(c, log, count)
 	if err != nil {
@@ -78,22 +78,22 @@
 	return n, err
 }
 
-// startAll starts everything but the clients' listener.
-func (n *node) startAll(ctx context.Context, file *operator.File, state *transferredNode, log *slog.Logger) error {
-	n.upgrade.begin(state)
+// startAll starts everything except the clients' listener.
+func (n *node) startAll(ctx context.Context, file *operator.File, state *handoverState, log *slog.Logger) error {
+	n.upgrade.startAsSuccessor(state)
 	n.startBackground(ctx)
 	if file != nil {
 		change, err := n.subsystems.Apply(ctx, file)
 		if err != nil {
 			return err
 		}
-		log.Info("operator file taken", "code", "edge", "file", file.Path, "on", change.Started)
+		log.Info("operator file applied", "code", "edge", "file", file.Path, "on", change.Started)
 	}
 	n.followDiscovery(ctx)
 	return nil
 }
 
-// subsystemHost is what a node gives its subsystems.
+// subsystemHost returns what the subsystems may use of the node.
 func subsystemHost(n *node, c config.Config, log *slog.Logger, count *counters.Counters) subsystem.Host {
 	return subsystem.Host{
 		Log:      log,
@@ -111,7 +111,7 @@
 		"listen", listener.Addr().String(),
 		"discovery", c.Discovery,
 		"operator", c.AdminAddress,
-		"tmpdir", os.Getenv("TMPDIR"), // empty: no large requests, no handover
+		"tmpdir", os.Getenv("TMPDIR"), // empty: large requests and handover are off
 		"known", len(c.Known.Members),
 		"cores", c.Limits.Cores,
 		"memory_mb", c.Limits.MemoryMB,
@@ -121,5 +121,5 @@
 func (n *node) logEnd(log *slog.Logger) {
 	n.logShutdown(log)
 	n.logCounters(log)
-	log.Info("ended", "code", "end")
+	log.Info("stopped", "code", "end")
 }
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -6,15 +6,16 @@
 	"syscall"
 )
 
-// signals are what a running node is told by signals.
+// signals holds the channels on which a running node receives signals.
 type signals struct {
-	stop   <-chan os.Signal // SIGTERM, SIGINT: planned stop
-	report <-chan os.Signal // SIGUSR1: counters and servers' health into the log
-	reload <-chan os.Signal // SIGHUP: read the configuration again
+	stop   <-chan os.Signal // SIGTERM, SIGINT: graceful shutdown
+	report <-chan os.Signal // SIGUSR1: log the counters and the health of the servers
+	reload <-chan os.Signal // SIGHUP: reload the configuration
 }
 
-// notifySignals catches the signals; until then any of them would kill the process. SIGPIPE is
-// ignored: otherwise the next log line kills the node once whoever reads its log has gone.
+// notifySignals starts to receive the signals; before that, each of them would kill the process.
+// SIGPIPE is ignored: otherwise the next log line would kill the node after the reader of its log has
+// exited.
 func notifySignals() signals {
 	s := signals{
 		stop:   notify(syscall.SIGTERM, syscall.SIGINT),
@@ -25,8 +26,8 @@
 	return s
 }
 
-func notify(which ...os.Signal) <-chan os.Signal {
+func notify(sigs ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
-	signal.Notify(c, which...)
+	signal.Notify(c, sigs...)
 	return c
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,23 +10,24 @@
 	"tackhub.example/tackhub/internal/ingress"
 )
 
-// maxLoggedRepeats bounds the log lines for further signals of one stop; all are counted.
+// maxLoggedRepeats limits the log lines for further stop signals during a shutdown. All of them are
+// counted.
 const maxLoggedRepeats = 3
 
-// stopOnSignals begins a planned stop at the first signal. Further ones change nothing: what was taken
-// is still owed.
+// stopOnSignals begins a graceful shutdown at the first signal. Further signals change nothing, since the
+// requests that were received must still be answered.
 func (n *node) stopOnSignals(stop <-chan os.Signal, l ingress.Listener, log *slog.Logger) {
-	first := <-stop
-	n.beginShutdown(n.drainPlan.Start(time.Now()), l, first.String(), log)
-	for again := range stop {
+	firstSignal := <-stop
+	n.beginShutdown(n.drainPlan.Start(time.Now()), l, firstSignal.String(), log)
+	for repeatedSignal := range stop {
 		n.counters.Stop.Repeated.Inc()
 		if n.counters.Stop.Repeated.Get() <= maxLoggedRepeats {
-			log.Info("stopping already, a further signal changes nothing", "code", "drain_again", "signal", again.String())
+			log.Info("already draining, ignoring a further signal", "code", "drain_again", "signal", repeatedSignal.String())
 		}
 	}
 }
 
-// beginShutdown has all fronts follow the schedule.
+// beginShutdown starts the graceful shutdown of all front ends on a schedule.
 func (n *node) beginShutdown(schedule *drain.Schedule, l ingress.Listener, signal string, log *slog.Logger) {
 	n.serving.Store(false)
 	n.inFlight.BeginShutdown(schedule.Began)
@@ -40,18 +41,18 @@
 		"kill_ms", schedule.Kill.Milliseconds())
 }
 
-// logShutdown leaves one line of what became of the requests of a planned stop.
+// logShutdown logs one line with the outcomes of the requests of a graceful shutdown.
 func (n *node) logShutdown(log *slog.Logger) {
-	figures, ok := n.inFlight.ShutdownStats()
+	stats, ok := n.inFlight.ShutdownStats()
 	if !ok {
 		return
 	}
-	log.Info("drained", "code", "drain_end", "took_ms", time.Since(figures.Began).Milliseconds(),
-		"open_at_signal", figures.OpenAtStart, "read_since", figures.ReceivedSince,
-		"answered", figures.Outcomes[inflight.Answered],
-		"refused", figures.Outcomes[inflight.Rejected],
-		"client_left", figures.Outcomes[inflight.ClientDisconnected],
-		"unanswered", figures.Outcomes[inflight.Unanswered],
-		"latest_answer_ms", figures.LastAnswer.Milliseconds(),
+	log.Info("drained", "code", "drain_end", "took_ms", time.Since(stats.Began).Milliseconds(),
+		"open_at_signal", stats.OpenAtStart, "read_since", stats.ReceivedSince,
+		"answered", stats.Outcomes[inflight.Answered],
+		"refused", stats.Outcomes[inflight.Rejected],
+		"client_left", stats.Outcomes[inflight.ClientDisconnected],
+		"unanswered", stats.Outcomes[inflight.Unanswered],
+		"latest_answer_ms", stats.LastAnswer.Milliseconds(),
 		"open", n.inFlight.Open(), "further_signals", n.counters.Stop.Repeated.Get())
 }
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -8,8 +8,8 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// Subsystems are the subsystems that the operator file can turn on, in the order in which they
-// start. A new one adds its package and one line here.
+// Subsystems returns the subsystems that the operator file can enable, in the order in which they
+// start. A new subsystem is added here.
 func Subsystems() []subsystem.Definition {
 	return []subsystem.Definition{
 		endpoints.Subsystem(),
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -17,62 +17,64 @@
 	"tackhub.example/tackhub/internal/handover"
 )
 
-// siblingQueueSize bounds the messages to the other process that wait: some seconds of a busy
-// node's request ids. Beyond it they are dropped; an id that is then not known there is one that no
-// client sends twice.
+// siblingQueueSize limits the queued messages to the sibling process. It holds the request ids of some
+// seconds on a busy node. Messages beyond it are dropped; a dropped request id matters only if a
+// client sends the same id again, which is not expected.
 const siblingQueueSize = 4096
 
-// errEngineEnded says that the state can't be read any more.
-var errEngineEnded = errors.New("the engine has ended")
+// errEngineEnded means that the engine has stopped, so that its state cannot be read.
+var errEngineEnded = errors.New("the engine has stopped, its state cannot be read")
 
-// transferredNode is what a process hands over to the next. The JSON names are the form between
-// versions.
-type transferredNode struct {
+// handoverState is the state that a process transfers to its successor. Its JSON names are fixed, since
+// the two processes may have different versions.
+type handoverState struct {
 	List     discovery.List `json:"list"`
 	Balancer balancer.State `json:"module"`
-	Drained  bool           `json:"drained"` // by an administrator
-	// ClockZero is the node's time at which the machine's monotonic clock began. 0: an earlier version, or not known.
+	Drained  bool           `json:"drained"` // in an administrative drain
+	// ClockZero is the node's time, in ms, at which the machine's monotonic clock began. It is 0 if the
+	// predecessor could not read it or has an earlier version.
 	ClockZero float64 `json:"clock_zero_ms,omitempty"`
 }
 
-// adjustClock moves the times of the balancer's state to this process's clock, which is another one where the wall clock was stepped
-// between the two processes' starts.
-func (t *transferredNode) adjustClock(own clock.Clock) {
-	zero, err := own.MonotonicZero()
+// adjustClock converts the times of the balancer's state to this process's clock. The clocks of the two
+// processes differ if the wall clock was stepped between their starts.
+func (t *handoverState) adjustClock(own clock.Clock) {
+	monotonicZero, err := own.MonotonicZero()
 	if t.ClockZero == 0 || err != nil {
-		return // the balancer takes no time of the future over
+		return // the balancer itself discards times in the future
 	}
-	t.Balancer.Shift(zero - t.ClockZero)
+	t.Balancer.Shift(monotonicZero - t.ClockZero)
 }
 
-// dropIncompatible leaves of what the predecessor knew what holds for this one as well. The list
-// goes with its discovery, where revisions compare; the balancer's records go with the settings,
-// since a class or a tenant of the same name need not be the same. A process that doesn't say who
-// it is leaves neither.
-func (t *transferredNode) dropIncompatible(before, now handover.Identity) {
-	if before.Discovery != now.Discovery {
+// dropIncompatible drops the parts of the predecessor's state that are not valid for this process. The
+// endpoint list is kept only with the same discovery address, since revisions of different discovery
+// services cannot be compared. The balancer's state is kept only with the same settings, since a class
+// or a tenant of the same name may be defined differently. If the predecessor sent no identity, both
+// are dropped.
+func (t *handoverState) dropIncompatible(predecessor, current handover.Identity) {
+	if predecessor.Discovery != current.Discovery {
 		t.List = discovery.List{}
 	}
-	if before.Settings != now.Settings {
+	if predecessor.Settings != current.Settings {
 		t.Balancer = balancer.State{}
 	}
 }
 
-// identity is whose process this is. Everything that is held by a class's, a tenant's or a server's
-// name is the settings'.
+// identity returns the identity of this process. The digest of the settings is part of it because the
+// balancer's state is stored under the names of classes, tenants and servers.
 func identity(c *config.Config) handover.Identity {
 	return handover.Identity{Name: c.Name, Discovery: c.Discovery, Settings: c.Settings.Digest}
 }
 
-// upgrade is a node's part in the change from one process to the next. It may be the successor of
-// the predecessor, and the predecessor of the next.
+// upgrade handles the handovers of a node's process: as the successor of an earlier process, and later
+// as the predecessor of the next one.
 type upgrade struct {
 	node            *node
 	limits          config.Limits
 	log             *slog.Logger
-	predecessorLink *handover.Successor   // nil at a plain start
-	successorLink   *handover.Predecessor // nil where $TMPDIR has no place for it
-	outgoing        chan handover.Message // to the other process
+	predecessorLink *handover.Successor   // nil without a predecessor
+	successorLink   *handover.Predecessor // nil if no socket could be created in $TMPDIR
+	outgoing        chan handover.Message // queued for the sibling process
 
 	successorServes atomic.Bool
 }
@@ -87,9 +89,10 @@
 	}
 }
 
-// begin makes the node one of two processes, where it has taken over, before it hears of the
-// endpoint list.
-func (u *upgrade) begin(state *transferredNode) {
+// startAsSuccessor applies the predecessor's state after a handover, and shares the node's limits with
+// the predecessor. It must be called before the first endpoint list arrives. Without a handover it does
+// nothing.
+func (u *upgrade) startAsSuccessor(state *handoverState) {
 	if u.predecessorLink == nil {
 		return
 	}
@@ -106,9 +109,9 @@
 	}
 }
 
-// serve tells the predecessor that this one serves, and waits for the successor.
+// serve notifies the predecessor that this process serves, and starts to wait for a successor.
 func (u *upgrade) serve(ctx context.Context, address string, id handover.Identity, clients *net.TCPListener) {
-	defer func() { u.node.background.Go(func() { u.sendToSibling(ctx) }) }() // once both sides are known
+	defer func() { u.node.background.Go(func() { u.sendToSibling(ctx) }) }() // after both links are set
 	if u.predecessorLink != nil {
 		u.announceReady(ctx)
 	}
@@ -118,7 +121,7 @@
 	}
 	predecessor, err := handover.Listen(dir, address, id, clients, u, u.log)
 	if err != nil {
-		u.log.Warn("the next version will not be able to take over", "code", "handover_failed", "error", err)
+		u.log.Warn("cannot listen for a successor, the next process cannot take over", "code", "handover_failed", "error", err)
 		return
 	}
 	u.successorLink = predecessor
@@ -127,7 +130,7 @@
 
 func (u *upgrade) announceReady(ctx context.Context) {
 	if err := u.predecessorLink.AnnounceReady(); err != nil {
-		u.log.Warn("the predecessor has gone", "code", "handover_failed", "error", err)
+		u.log.Warn("the predecessor has disconnected", "code", "handover_failed", "error", err)
 		u.predecessorLink.Close()
 		u.SetSibling(false)
 		return
@@ -137,7 +140,7 @@
 	u.node.background.Go(func() { u.receiveFromPredecessor(ctx) })
 }
 
-// receiveFromPredecessor handles the messages of the predecessor until it has gone.
+// receiveFromPredecessor handles the messages of the predecessor until the connection ends.
 func (u *upgrade) receiveFromPredecessor(ctx context.Context) {
 	stop := context.AfterFunc(ctx, u.predecessorLink.Close)
 	defer stop()
@@ -148,29 +151,29 @@
 	}
 }
 
-// SetSibling shares the node's limits and the balancer's parts with a second process, or has them
-// whole again. Two processes that each used the whole would together use twice what the node may.
-func (u *upgrade) SetSibling(on bool) {
+// SetSibling halves the node's limits and the balancer's quotas while a second process of the node runs,
+// and restores them afterwards. Otherwise the two processes together would use twice the node's limits.
+func (u *upgrade) SetSibling(present bool) {
 	processes := 1
-	if on {
+	if present {
 		processes = 2
 	}
 	debug.SetMemoryLimit(memoryLimit(u.limits) / int64(processes))
 	u.node.ingress.SetMaxConns(u.node.maxConnsPerSide / processes)
 	u.node.pool.SetProcessCount(processes)
 	u.node.engine.Post(balancer.SiblingProcesses{Count: processes})
-	if !on {
+	if !present {
 		u.successorServes.Store(false)
 		u.node.ingress.SetSuccessor(false)
 		u.node.handler.PublishRequestIDs(nil)
 	}
 }
 
-// State is what the successor gets.
+// State returns the state that is transferred to the successor.
 func (u *upgrade) State() (json.RawMessage, error) {
-	state := transferredNode{List: u.node.discovery.List(), Drained: u.node.ingress.AdminDraining()}
-	if zero, err := u.node.clock.MonotonicZero(); err == nil {
-		state.ClockZero = zero
+	state := handoverState{List: u.node.discovery.List(), Drained: u.node.ingress.AdminDraining()}
+	if monotonicZero, err := u.node.clock.MonotonicZero(); err == nil {
+		state.ClockZero = monotonicZero
 	}
 	if !u.node.engine.RunBetweenSteps(func() { state.Balancer = u.node.shadow.Snapshot() }) {
 		return nil, errEngineEnded
@@ -178,14 +181,14 @@
 	return json.Marshal(state)
 }
 
-// SuccessorReady says that the successor serves.
+// SuccessorReady is called when the successor serves clients.
 func (u *upgrade) SuccessorReady() {
 	u.successorServes.Store(true)
 	u.node.ingress.SetSuccessor(true)
 	u.node.handler.PublishRequestIDs(u.sendRequestID)
 }
 
-// HandleMessage handles a message of the other process.
+// HandleMessage handles a message of the sibling process.
 func (u *upgrade) HandleMessage(m handover.Message) {
 	switch {
 	case m.RequestOpened != "":
@@ -199,7 +202,8 @@
 	}
 }
 
-// sendRequestID queues a request's id for the other process. It does not wait.
+// sendRequestID queues the id of a request that was opened or closed for the sibling process. It does
+// not block.
 func (u *upgrade) sendRequestID(id string, open bool) {
 	if open {
 		u.enqueue(handover.Message{RequestOpened: id})
@@ -208,8 +212,9 @@
 	}
 }
 
-// sendDrain tells the other process of an administrator's drain, which is of the node.
-func (u *upgrade) sendDrain(on bool) { u.enqueue(handover.Message{Drained: &on}) }
+// sendDrain notifies the sibling process that an administrative drain began or ended. The drain applies to
+// the node, that is, to both processes.
+func (u *upgrade) sendDrain(draining bool) { u.enqueue(handover.Message{Drained: &draining}) }
 
 func (u *upgrade) enqueue(m handover.Message) {
 	select {
@@ -219,14 +224,15 @@
 	}
 }
 
-// sendToSibling sends the queued messages to the successor, or else to the one before. Without
-// either they reach nobody; one that is ending is noticed by its reader.
+// sendToSibling sends the queued messages to the successor or, without one, to the predecessor. If there
+// is neither, the messages are discarded. Send errors are ignored, since the goroutine that reads from
+// the link detects that the other process has ended.
 func (u *upgrade) sendToSibling(ctx context.Context) {
 	for {
 		select {
 		case m := <-u.outgoing:
-			sentToNext := u.successorLink != nil && u.successorLink.Send(m) == nil
-			if !sentToNext && u.predecessorLink != nil {
+			sentToSuccessor := u.successorLink != nil && u.successorLink.Send(m) == nil
+			if !sentToSuccessor && u.predecessorLink != nil {
 				_ = u.predecessorLink.Send(m)
 			}
 		case <-ctx.Done():
