--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// MaxConnections is how many connections may be open at once. Administrators and their tools are few; beyond it the
-	// oldest connection whose request has not arrived is closed. The node reserves this many descriptors, and one for the listener.
+	// MaxConnections is the limit of open connections. Administrators and their tools need few. At the limit, a new connection
+	// evicts the oldest connection whose request has not arrived. The node reserves one descriptor per connection, and one for
+	// the listener.
 	MaxConnections = 12
 
-	// evictionGrace is how long a new connection is never evicted. Its request is on the way, and a crowd of connections
-	// that send nothing must not push it out.
+	// evictionGrace is the time after accept in which a connection is not evicted. Otherwise many idle connections could evict
+	// a connection whose request is still in transit.
 	evictionGrace = 20 * time.Millisecond
 
-	// admitRetryInterval is the pause before a place is looked for again when no connection may be evicted.
+	// admitRetryInterval is the delay before the next attempt to admit a connection if none could be evicted.
 	admitRetryInterval = time.Millisecond
 )
 
@@ -25,17 +26,17 @@
 type connection struct {
 	net.Conn
 	acceptedAt  time.Time
-	requestRead bool // its request has arrived; guarded by the table's lock
+	requestRead bool // the request has arrived; guarded by the mutex of the table
 }
 
 // connectionTable holds the open connections, at most MaxConnections. Its zero value is empty.
 type connectionTable struct {
 	mu   sync.Mutex
-	open []*connection // in the order of arrival
+	open []*connection // oldest first
 }
 
-// add takes a connection into the table. Where the table is full it removes the oldest connection whose request has not
-// arrived, and returns it; without such a connection nothing changes and added is false.
+// add adds a connection to the table if the table is not full. Otherwise added is false, and the oldest connection whose
+// request has not arrived is removed and returned, if there is one that may be evicted.
 func (t *connectionTable) add(conn *connection) (evicted *connection, added bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,23 +55,23 @@
 	return evicted, false
 }
 
-// remove takes a connection out of the table. One that was evicted is not in it any more.
+// remove removes a connection from the table. It does nothing if the connection has been evicted.
 func (t *connectionTable) remove(conn *connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at := slices.Index(t.open, conn); at >= 0 {
-		t.open = slices.Delete(t.open, at, at+1)
+	if index := slices.Index(t.open, conn); index >= 0 {
+		t.open = slices.Delete(t.open, index, index+1)
 	}
 }
 
-// markRead notes that a connection's request has arrived, after which it is not evicted.
+// markRead records that a connection's request has arrived. The connection is not evicted from then on.
 func (t *connectionTable) markRead(conn *connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	conn.requestRead = true
 }
 
-// closeAll closes every connection of the table.
+// closeAll closes every connection in the table.
 func (t *connectionTable) closeAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,8 +80,9 @@
 	}
 }
 
-// admit waits until the table has a place for a connection, evicting silent ones. The wait is short: connections that may
-// not be evicted have just arrived, or are being answered, which takes no time.
+// admit adds a connection to the table, and evicts connections without a request if the table is full. It waits while none
+// may be evicted. The wait is short, since such connections have just been accepted or are being answered, which takes
+// little time.
 func (s *Server) admit(conn *connection) {
 	for {
 		evicted, added := s.connections.add(conn)
@@ -93,11 +95,11 @@
 			continue
 		}
 		s.counters.Admin.Evicted.Inc()
-		_ = evicted.Close() // its serve returns
+		_ = evicted.Close() // its serve call returns
 	}
 }
 
-// serve answers the one request of a connection. A panic ends that connection only.
+// serve handles the single request of a connection. A panic ends only that connection.
 func (s *Server) serve(conn *connection) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -107,5 +109,5 @@
 		s.counters.Admin.Open.Add(-1)
 		_ = conn.Close()
 	}()
-	_ = s.http.ServeConn(conn) // a caller that breaks off is owed nothing
+	_ = s.http.ServeConn(conn) // a client that disconnects gets no response
 }
--- a/internal/admin/handlers.go
+++ b/internal/admin/handlers.go
@@ -8,13 +8,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// route is an operation of the listener: the one method that its path takes, and the handler.
+// route is the handler of a path, with the only method that is allowed there.
 type route struct {
 	method string
 	handle func(*Server, *fasthttp.RequestCtx)
 }
 
-// routes are the operations by path.
+// routes holds the routes by path.
 var routes = map[string]route{
 	"/healthcheck":      {fasthttp.MethodGet, (*Server).healthcheck},
 	"/stats":            {fasthttp.MethodGet, (*Server).stats},
@@ -22,14 +22,14 @@
 	"/healthcheck/ok":   {fasthttp.MethodPut, (*Server).undrain},
 }
 
-// healthcheck answers 200 while the node is ready, else 503.
+// healthcheck responds with 200 if the node is ready, and with 503 otherwise.
 func (s *Server) healthcheck(ctx *fasthttp.RequestCtx) {
 	if !s.node.Ready() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// stats answers the node's statistics as JSON.
+// stats responds with the node's statistics as JSON.
 func (s *Server) stats(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("application/json")
 	ctx.SetBody(s.node.Stats())
@@ -41,7 +41,7 @@
 // undrain ends the administrative drain.
 func (s *Server) undrain(*fasthttp.RequestCtx) { s.node.Undrain() }
 
-// handle routes a request: 404 for a path without a route, 405 with Allow for another method.
+// handle routes a request. It responds with 404 to an unknown path, and with 405 and an Allow header to another method.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if conn, ok := ctx.Conn().(*connection); ok {
 		s.connections.markRead(conn)
@@ -59,7 +59,7 @@
 	s.countResponse(ctx)
 }
 
-// handleUnreadable answers what could not be read as a request: 408 where it did not arrive in time, else 400.
+// handleUnreadable responds to a request that could not be read: with 408 if it did not arrive in time, and with 400 otherwise.
 func (s *Server) handleUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	var netErr net.Error
@@ -70,7 +70,7 @@
 	s.countResponse(ctx)
 }
 
-// countResponse counts a response among the answered requests, or by its status where it is a rejection.
+// countResponse counts a 2xx response as an answered request, and any other response by its status.
 func (s *Server) countResponse(ctx *fasthttp.RequestCtx) {
 	if status := ctx.Response.StatusCode(); status >= fasthttp.StatusMultipleChoices {
 		s.counters.Admin.Refused.Inc(strconv.Itoa(status))
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
 // Package admin serves the administrators' HTTP listener: the health check of the process, its statistics, and the
-// administrative drain. It has a listener, descriptors and time limits of its own, so that it answers while clients use up
-// everything else.
+// administrative drain. It has its own listener, reserved descriptors and timeouts, so that it responds even if clients use up
+// all other resources.
 package admin
 
 import (
@@ -17,28 +17,28 @@
 )
 
 const (
-	// acceptPause is how long the listener rests after Accept failed. Without it a shortage of descriptors, which lasts,
-	// would turn the accept loop into a busy loop on the node's one core.
+	// acceptPause is the delay after a failed Accept. Without it, the accept loop would use up the node's only core during a
+	// shortage of descriptors, which can last.
 	acceptPause = 20 * time.Millisecond
 
-	// readTimeout bounds the arrival of a request. A connection that sends nothing, or half a request, is closed after it.
+	// readTimeout limits the time to receive a request. A connection without a complete request is closed after it.
 	readTimeout = 2 * time.Second
 
-	// writeTimeout bounds the writing of a response: the statistics are some kilobytes, which fit the socket's buffer.
+	// writeTimeout limits the time to write a response. The statistics take some kilobytes, which fit into the socket's buffer.
 	writeTimeout = time.Second
 
-	// maxHeadBytes bounds a request's line and header.
+	// maxHeadBytes limits the request line and the header fields together.
 	maxHeadBytes = 4 << 10
 
-	// maxBodyBytes bounds what is read of a body. No request needs one.
+	// maxBodyBytes limits the size of a request body. No request needs a body.
 	maxBodyBytes = 4 << 10
 )
 
-// Node is what administrators may read and change. Its methods are called from many goroutines.
+// Node is the interface through which the listener reads and changes the node. Its methods are called from many goroutines.
 type Node interface {
 	// Ready reports whether this process serves clients and is not draining.
 	Ready() bool
-	// Stats gives the statistics as a JSON object.
+	// Stats returns the statistics as a JSON object.
 	Stats() []byte
 	// Drain begins an administrative drain. It is idempotent.
 	Drain()
@@ -56,7 +56,7 @@
 	connections connectionTable
 }
 
-// Listen opens the listener at an address with a port; Run serves it.
+// Listen opens the listener at an address of the form IP:port; Run serves it.
 func Listen(address string, node Node, log *slog.Logger, count *counters.Counters) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -79,12 +79,12 @@
 	return s, nil
 }
 
-// Address is the address that the listener has.
+// Address returns the address of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Run serves until the context ends, then closes the listener and every connection and waits for their goroutines.
 func (s *Server) Run(ctx context.Context) {
-	stopClosing := context.AfterFunc(ctx, func() { _ = s.listener.Close() }) // Accept returns
+	stopClosing := context.AfterFunc(ctx, func() { _ = s.listener.Close() }) // makes Accept return
 	defer stopClosing()
 	var serving sync.WaitGroup
 	for {
@@ -107,8 +107,8 @@
 	}
 }
 
-// discardLogger drops fasthttp's own log: the faults of callers are counted.
+// discardLogger discards fasthttp's own log lines. The errors of clients are counted instead.
 type discardLogger struct{}
 
-// Printf drops the line.
+// Printf discards the line.
 func (discardLogger) Printf(string, ...any) {}
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -23,7 +23,7 @@
 func (n *fakeNode) Drain()        { n.draining.Store(true) }
 func (n *fakeNode) Undrain()      { n.draining.Store(false) }
 
-// startServer runs a server for a test and gives it with its counters.
+// startServer runs a server until the test ends, and returns it with its counters.
 func startServer(t *testing.T) (*Server, *counters.Counters) {
 	t.Helper()
 	count := &counters.Counters{}
@@ -41,13 +41,13 @@
 		cancel()
 		<-stopped
 		if n := count.Admin.Open.Get(); n != 0 {
-			t.Errorf("%d connections are open after Run", n)
+			t.Errorf("open connections after Run = %d, want 0", n)
 		}
 	})
 	return s, count
 }
 
-// roundTrip sends a request's head on a connection of its own and reads the response.
+// roundTrip sends the head of a request on a new connection and returns the response.
 func roundTrip(t *testing.T, s *Server, head string) (status int, header http.Header, body string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Address())
@@ -63,7 +63,7 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("%q: %v", head, err)
+		t.Fatalf("no response to %q: %v", head, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	read, err := io.ReadAll(response.Body)
@@ -99,22 +99,22 @@
 		}
 		status, header, body := roundTrip(t, s, head)
 		if status != c.status || header.Get("Allow") != c.allow || c.body != "" && body != c.body {
-			t.Errorf("%s: %d, Allow %q, %q; want %d, %q, %q", c.line, status, header.Get("Allow"), body, c.status, c.allow, c.body)
+			t.Errorf("%s: got %d, Allow %q, body %q; want %d, %q, %q", c.line, status, header.Get("Allow"), body, c.status, c.allow, c.body)
 		}
 	}
 	if n := count.Admin.Calls.Get(); n != 6 {
-		t.Errorf("%d answered requests are counted, want 6", n)
+		t.Errorf("counted 2xx responses = %d, want 6", n)
 	}
 	for status, want := range map[string]int64{"503": 1, "405": 2, "404": 1, "400": 1} {
 		if n := count.Admin.Refused.Get(status); n != want {
-			t.Errorf("%d responses with %s are counted, want %d", n, status, want)
+			t.Errorf("counted responses with status %s = %d, want %d", status, n, want)
 		}
 	}
 }
 
-// A crowd of connections that send nothing takes every place. An administrator who comes then must be answered all the
-// same: the connection that has been silent longest makes way.
-func TestSilentConnectionsAreEvicted(t *testing.T) {
+// Guards against idle connections that block the listener: if connections without a request fill the table, a new connection
+// evicts the oldest of them and is answered.
+func TestIdleConnectionIsEvictedAtLimit(t *testing.T) {
 	s, count := startServer(t)
 	for range MaxConnections {
 		conn, err := net.Dial("tcp", s.Address())
@@ -124,50 +124,51 @@
 		defer func() { _ = conn.Close() }()
 	}
 	if status, _, _ := roundTrip(t, s, "GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n"); status != http.StatusOK {
-		t.Errorf("answered %d, want 200", status)
+		t.Errorf("status = %d, want 200", status)
 	}
 	if n := count.Admin.Evicted.Get(); n != 1 {
-		t.Errorf("%d connections were evicted, want 1", n)
+		t.Errorf("evicted connections = %d, want 1", n)
 	}
 }
 
-// Three kinds of connections stay: those that have just come, those whose request has arrived, and all while there is room.
-func TestConnectionTable(t *testing.T) {
+// Three kinds of connections must not be evicted: those just accepted, those whose request has arrived, and all connections while
+// the table is not full.
+func TestConnectionTableEvictsOldestIdleConnection(t *testing.T) {
 	var table connectionTable
 	old := time.Now().Add(-time.Second)
 	connections := make([]*connection, MaxConnections)
 	for i := range connections {
 		connections[i] = &connection{acceptedAt: old}
 		if evicted, added := table.add(connections[i]); evicted != nil || !added {
-			t.Fatalf("connection %d: evicted %v, added %v", i, evicted, added)
+			t.Fatalf("connection %d: evicted %v, added %v, want nil, true", i, evicted, added)
 		}
 	}
 	table.markRead(connections[0])
 	connections[1].acceptedAt = time.Now().Add(time.Hour)
 	latest := &connection{acceptedAt: time.Now()}
 	if evicted, added := table.add(latest); evicted != connections[2] || added {
-		t.Errorf("evicted %p, added %v, want the oldest that is silent, %p", evicted, added, connections[2])
+		t.Errorf("evicted %p, added %v, want evicted %p (the oldest idle connection), added false", evicted, added, connections[2])
 	}
 	if evicted, added := table.add(latest); evicted != nil || !added {
-		t.Errorf("with a place free: evicted %v, added %v", evicted, added)
+		t.Errorf("after an eviction: evicted %v, added %v, want nil, true", evicted, added)
 	}
 	for _, conn := range connections {
 		table.markRead(conn)
 	}
 	if evicted, added := table.add(&connection{acceptedAt: old}); evicted != nil || added {
-		t.Errorf("with every request read: evicted %v, added %v", evicted, added)
+		t.Errorf("with every request read: evicted %v, added %v, want nil, false", evicted, added)
 	}
 	table.remove(connections[5])
-	table.remove(connections[5]) // a second time changes nothing
+	table.remove(connections[5]) // a second call changes nothing
 	if n := len(table.open); n != MaxConnections-1 {
-		t.Errorf("%d connections are left, want %d", n, MaxConnections-1)
+		t.Errorf("open connections = %d, want %d", n, MaxConnections-1)
 	}
 }
 
-func TestAddressInUse(t *testing.T) {
+func TestListenOnAddressInUse(t *testing.T) {
 	s, _ := startServer(t)
 	_, err := Listen(s.Address(), &fakeNode{}, slog.New(slog.NewTextHandler(io.Discard, nil)), &counters.Counters{})
 	if err == nil || !strings.HasPrefix(err.Error(), "ROUTER_OPERATOR: ") {
-		t.Errorf("error %v, want one that names ROUTER_OPERATOR", err)
+		t.Errorf("Listen() error = %v, want one that begins with ROUTER_OPERATOR", err)
 	}
 }
--- a/internal/counters/counter.go
+++ b/internal/counters/counter.go
@@ -6,22 +6,22 @@
 	"sync/atomic"
 )
 
-// Count is a counter, or a gauge that is set. The zero value is 0. It is safe for concurrent use.
+// Count is a counter or a gauge. Its zero value is ready to use and holds 0. It is safe for concurrent use.
 type Count struct{ n atomic.Int64 }
 
 // Add adds to the count.
 func (c *Count) Add(n int64) { c.n.Add(n) }
 
-// Inc adds one.
+// Inc adds one to the count.
 func (c *Count) Inc() { c.n.Add(1) }
 
-// Set sets a gauge.
+// Set sets the count, which is then used as a gauge.
 func (c *Count) Set(n int64) { c.n.Store(n) }
 
 // Get returns the count.
 func (c *Count) Get() int64 { return c.n.Load() }
 
-// Max raises the count to n if it is lower.
+// Max sets the count to n if n is higher.
 func (c *Count) Max(n int64) {
 	for {
 		old := c.n.Load()
@@ -31,16 +31,17 @@
 	}
 }
 
-// MarshalJSON returns the number.
+// MarshalJSON returns the count as a JSON number.
 func (c *Count) MarshalJSON() ([]byte, error) { return json.Marshal(c.n.Load()) }
 
-// ByCode counts by a code, such as the reason of an error. The zero value is empty. It is safe for concurrent use.
+// ByCode holds a count for each code, such as the reason of an error. Its zero value is empty and ready to use. It is safe for
+// concurrent use.
 type ByCode struct {
 	mu     sync.Mutex
 	counts map[string]int64
 }
 
-// Inc adds one to a code's count.
+// Inc adds one to the count of a code.
 func (b *ByCode) Inc(code string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,14 +51,14 @@
 	b.counts[code]++
 }
 
-// Get returns a code's count; 0 for one that has not been counted.
+// Get returns the count of a code, which is 0 if the code has not been counted.
 func (b *ByCode) Get(code string) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counts[code]
 }
 
-// MarshalJSON returns an object of the codes and their counts.
+// MarshalJSON returns a JSON object with the count of each code.
 func (b *ByCode) MarshalJSON() ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestJSON(t *testing.T) {
+func TestCountersJSON(t *testing.T) {
 	var c Counters
 	c.Requests.Taken.Add(3)
 	c.Outcomes.Inc("served")
@@ -22,9 +22,9 @@
 		t.Fatal(err)
 	}
 	if got.Requests["taken"] != 3 || got.Outcomes["served"] != 2 || got.Engine["timer_late_max_us"] != 7 || got.Ends == nil {
-		t.Errorf("wrote %s", c.JSON())
+		t.Errorf("JSON() = %s, want taken 3, served 2, timer_late_max_us 7 and an object client_connection_ends", c.JSON())
 	}
 	if c.Outcomes.Get("served") != 2 || c.Outcomes.Get("none") != 0 {
-		t.Error("counts cannot be read back")
+		t.Errorf("Get(served) = %d, Get(none) = %d; want 2, 0", c.Outcomes.Get("served"), c.Outcomes.Get("none"))
 	}
 }
--- a/internal/counters/json_test.go
+++ b/internal/counters/json_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Operators' tools read both objects. The files hold what a released version wrote.
-func TestJSONIsThatOfReleasedVersions(t *testing.T) {
+// Guards against changes of the two JSON objects, which operators' tools read. The files contain the output of a released version.
+func TestJSONMatchesReleasedFormat(t *testing.T) {
 	c := Counters{Operations: Operations{"look": &Operation{}}}
 	c.Outcomes.Inc("served")
 	for file, got := range map[string][]byte{"counters.json": c.JSON(), "summary.json": c.AdminSummary()} {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs queues lines of the log and writes them on a goroutine of their own, so that a slow standard error delays nobody.
-// Lines that find the queue full are dropped and counted.
+// Package logs queues log lines and writes them on a separate goroutine, so that a slow standard error does not delay the callers.
+// If the queue is full, lines are dropped and counted.
 package logs
 
 import (
@@ -9,31 +9,31 @@
 )
 
 const (
-	// queueLines is the number of lines that may wait: some seconds of a busy node, about a megabyte at most.
+	// queueLines is the capacity of the queue in lines: some seconds of a busy node, at most about a megabyte.
 	queueLines = 4096
 
-	// batchBytes is about the most that is written by one call. Lines that wait together are written together, since a call for
-	// each would take a busy node too much CPU.
+	// batchBytes is the approximate maximum of one write call. Queued lines are written together, since one call per line would
+	// use too much CPU on a busy node.
 	batchBytes = 32 << 10
 
-	// closeTimeout bounds Close: a standard error that is stuck must not hold up the exit.
+	// closeTimeout limits the duration of Close, so that a blocked standard error does not block the exit of the process.
 	closeTimeout = 200 * time.Millisecond
 
-	// enqueueTimeout is how long a WaitingSink waits for a place in the queue.
+	// enqueueTimeout limits how long a WaitingSink waits for space in the queue.
 	enqueueTimeout = 100 * time.Millisecond
 )
 
 // Counter counts dropped lines.
 type Counter interface{ Inc() }
 
-// Sink is an io.Writer that never waits.
+// Sink is an io.Writer that queues lines and never blocks.
 type Sink struct {
-	lines   chan []byte // nil: the end
+	lines   chan []byte // a nil line marks the end
 	done    chan struct{}
 	dropped Counter
 }
 
-// NewSink returns a sink that writes to out until Close.
+// NewSink returns a sink that writes to out until Close is called.
 func NewSink(out io.Writer, dropped Counter) *Sink {
 	s := &Sink{lines: make(chan []byte, queueLines), done: make(chan struct{}), dropped: dropped}
 	go s.run(out)
@@ -45,11 +45,11 @@
 	var batch []byte
 	for ended := false; !ended; {
 		batch, ended = s.nextBatch(batch[:0])
-		_, _ = out.Write(batch) // there is nowhere to report that the log cannot be written
+		_, _ = out.Write(batch) // an error cannot be reported, since this is the log
 	}
 }
 
-// nextBatch waits for a line, and adds those that wait behind it. It reports whether the end was among them.
+// nextBatch waits for a line, and appends it and further queued lines to batch. It reports whether the end was reached.
 func (s *Sink) nextBatch(batch []byte) (lines []byte, ended bool) {
 	line := <-s.lines
 	for line != nil {
@@ -66,10 +66,10 @@
 	return batch, true
 }
 
-// copyLine copies a line, whose buffer the logger uses again. It is never nil.
+// copyLine copies a line, since the logger reuses its buffer. The result is never nil.
 func copyLine(p []byte) []byte { return append(make([]byte, 0, len(p)), p...) }
 
-// Write queues one line, or drops it. It reports no error in either case.
+// Write queues one line, or drops it if the queue is full. It never returns an error.
 func (s *Sink) Write(p []byte) (int, error) {
 	select {
 	case s.lines <- copyLine(p):
@@ -79,10 +79,10 @@
 	return len(p), nil
 }
 
-// Logger returns a logger that writes one JSON object a line to the sink.
+// Logger returns a logger that writes one JSON object per line to the sink.
 func (s *Sink) Logger(node string) *slog.Logger { return newLogger(s, node) }
 
-// Close writes what is queued, for a bounded time. Later lines are lost.
+// Close writes the queued lines, for closeTimeout at most. Later lines are lost.
 func (s *Sink) Close() {
 	timeout := time.After(closeTimeout)
 	select {
@@ -96,13 +96,13 @@
 	}
 }
 
-// Waiting returns a writer into the same sink for the few lines that must not be lost.
+// Waiting returns a writer to the same queue that waits for space, for the few lines that must not be lost.
 func (s *Sink) Waiting() *WaitingSink { return &WaitingSink{s} }
 
-// WaitingSink is an io.Writer that waits for a place in a sink's queue, for a bounded time.
+// WaitingSink is an io.Writer that waits for space in a sink's queue, for enqueueTimeout at most.
 type WaitingSink struct{ sink *Sink }
 
-// Write queues one line, and drops it only if no place became free in time. It reports no error in either case.
+// Write queues one line, and drops it only if the queue has no space within enqueueTimeout. It never returns an error.
 func (w *WaitingSink) Write(p []byte) (int, error) {
 	timeout := time.NewTimer(enqueueTimeout)
 	defer timeout.Stop()
@@ -114,7 +114,7 @@
 	return len(p), nil
 }
 
-// Logger returns a logger that writes one JSON object a line to the sink.
+// Logger returns a logger that writes one JSON object per line to the sink.
 func (w *WaitingSink) Logger(node string) *slog.Logger { return newLogger(w, node) }
 
 func newLogger(out io.Writer, node string) *slog.Logger {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,8 +9,8 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// Lines are written as JSON with the node's name, in their order, and all of them before Close returns.
-func TestLinesInOrder(t *testing.T) {
+// Close must write all queued lines before it returns, in their order, as JSON with the node's name.
+func TestSinkWritesLinesInOrder(t *testing.T) {
 	var out bytes.Buffer
 	var dropped counters.Count
 	s := NewSink(&out, &dropped)
@@ -21,36 +21,37 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 || !strings.Contains(lines[0], `"msg":"one"`) || !strings.Contains(lines[1], `"code":"b"`) ||
 		!strings.Contains(lines[1], `"node":"n1"`) {
-		t.Errorf("wrote %q", lines)
+		t.Errorf("wrote %q, want the messages one and two of the node n1, in this order", lines)
 	}
 }
 
-// stuckWriter is an output that blocks until its gate is closed.
-type stuckWriter struct{ gate chan struct{} }
+// blockedWriter is an output that blocks until its channel is closed.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (s stuckWriter) Write(p []byte) (int, error) {
-	<-s.gate
+func (s blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	return len(p), nil
 }
 
-// A standard error that nobody reads blocks writes for ever. Logging must go on without waiting, drop what the queue does not hold,
-// count that, and not hold up the exit.
-func TestStuckOutputDropsAndCounts(t *testing.T) {
-	out := stuckWriter{make(chan struct{})}
+// Guards against a node that hangs because no process reads its standard error, so that writes block forever. Logging must continue
+// without waiting and drop and count the lines that do not fit into the queue, and Close must return in time.
+func TestSinkDropsLinesWhileOutputIsBlocked(t *testing.T) {
+	out := blockedWriter{make(chan struct{})}
 	var dropped counters.Count
 	s := NewSink(out, &dropped)
 	for range queueLines + batchBytes {
 		if n, err := s.Write([]byte("line\n")); n != 5 || err != nil {
-			t.Fatalf("%d %v", n, err)
+			t.Fatalf("Write() = %d, %v; want 5, nil", n, err)
 		}
 	}
-	if n, most := dropped.Get(), int64(batchBytes); n < most-batchBytes/5-1 || n > most { // a batch may be on its way
-		t.Errorf("%d lines dropped, want some under %d", n, most)
+	// One batch may be in the blocked write.
+	if n, maxDropped := dropped.Get(), int64(batchBytes); n < maxDropped-batchBytes/5-1 || n > maxDropped {
+		t.Errorf("dropped lines = %d, want %d to %d", n, maxDropped-batchBytes/5-1, maxDropped)
 	}
 	began := time.Now()
 	s.Close()
 	if took := time.Since(began); took > 20*closeTimeout {
-		t.Errorf("closing a stuck log took %v", took)
+		t.Errorf("Close() with a blocked output took %v, want at most %v", took, 20*closeTimeout)
 	}
-	close(out.gate)
+	close(out.unblock)
 }
