--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads a node's configuration: the ROUTER_ variables and the configuration file that
-// they name. Anything missing or impossible is an error that names the key.
+// Package config reads a node's configuration: the ROUTER_ environment variables and the configuration
+// file that ROUTER_CONFIG names. A missing or invalid value is an error that names the key.
 package config
 
 import (
@@ -20,28 +20,29 @@
 	"tackhub.example/tackhub/internal/settings"
 )
 
-// Limits are what the node's machine gives it.
+// Limits are the resource limits of the node's process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is everything that a node is configured with.
+// Config is the complete configuration of a node.
 type Config struct {
 	Name         string
 	Listen       string
 	Discovery    string
-	AdminAddress string // address of the administrators' listener; empty: none
+	AdminAddress string // address of the administrators' listener; empty: off
 	Seed         uint64
 	Limits       Limits
 	Known        discovery.List
 	Settings     settings.Settings
-	GossipNodes  []netip.AddrPort   // of all nodes, by number; none where they send no messages
-	Shadow       *balancer.Settings // evaluated beside those in force; nil: none
+	GossipNodes  []netip.AddrPort   // addresses of all nodes, indexed by node number; empty if gossip is off
+	Shadow       *balancer.Settings // shadow settings, evaluated in addition to Settings; nil: none
 }
 
-// file is the configuration file. Its JSON names are the operators'.
+// file is the content of the configuration file. Its JSON names are used in operators' files and must
+// not change.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -57,12 +58,12 @@
 	Watch string `json:"watch"`
 }
 
-// minSockets are the fewest descriptors with which a node can serve: those that it needs for itself,
-// and some on either side.
+// minSockets is the smallest descriptor limit with which a node can serve: the descriptors for the node
+// itself, and some for connections to clients and to servers.
 const minSockets = 64
 
-// Load reads the environment and the file. The error is the first fault, in one line that names the
-// key.
+// Load reads the environment and the configuration file. The error describes the first fault, in one
+// line that names the key.
 func Load(getenv func(string) string) (Config, error) {
 	c, faults := Check(getenv)
 	if len(faults) > 0 {
@@ -71,7 +72,7 @@
 	return c, nil
 }
 
-// Check reads the environment and the file, and returns every fault with its line.
+// Check reads the environment and the configuration file, and returns every fault with its line.
 func Check(getenv func(string) string) (Config, []operator.Diagnostic) {
 	path := getenv("ROUTER_CONFIG")
 	f, raw, fault := readFile(path)
@@ -82,7 +83,7 @@
 	return f.validate(path, configpos.JSON(raw))
 }
 
-// oneLine is a fault as a start prints it, the key first.
+// oneLine formats a fault as one line that begins with its key.
 func oneLine(f operator.Diagnostic) string {
 	if f.Key == "" {
 		return f.Message
@@ -104,42 +105,42 @@
 	return f, raw, nil
 }
 
-// syntaxFault is the fault of a text that is no configuration.
+// syntaxFault returns the fault of a file that is not valid JSON or has a value of the wrong type.
 func syntaxFault(path string, raw []byte, err error) *operator.Diagnostic {
 	f := &operator.Diagnostic{File: path, Key: "ROUTER_CONFIG", Message: path + ": " + err.Error()}
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
 		f.Line = configpos.LineAt(raw, syntax.Offset)
-	case errors.As(err, &kind):
-		f.Line = configpos.LineAt(raw, kind.Offset)
+	case errors.As(err, &wrongType):
+		f.Line = configpos.LineAt(raw, wrongType.Offset)
 	}
 	return f
 }
 
-// applyEnvironment lets the variables win over the file: they are what the machine's own manager
-// set last.
+// applyEnvironment overrides values of the file with environment variables, since the program that
+// starts the node sets these last.
 func (f *file) applyEnvironment(getenv func(string) string) {
 	for key, field := range map[string]*string{
 		"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery,
 		"ROUTER_OPERATOR": &f.Operator,
 	} {
-		if v := getenv(key); v != "" {
-			*field = v
+		if value := getenv(key); value != "" {
+			*field = value
 		}
 	}
 }
 
-// validate reads every part, and returns every fault.
+// validate parses and checks all values of the file, and returns every fault.
 func (f *file) validate(path string, lines configpos.Lines) (Config, []operator.Diagnostic) {
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddress: f.Operator, Limits: f.Limits}
 	var faults []operator.Diagnostic
-	fault := func(at, key, format string, args ...any) {
-		faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(at), Key: key, Message: fmt.Sprintf(format, args...)})
+	fault := func(position, key, format string, args ...any) {
+		faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(position), Key: key, Message: fmt.Sprintf(format, args...)})
 	}
 	if c.Name == "" {
-		fault("name", "", "ROUTER_NAME is not set, nor name in the configuration")
+		fault("name", "", "ROUTER_NAME is not set, and the configuration has no name")
 	}
 	if err := checkAddress("ROUTER_LISTEN", "listen", c.Listen); err != nil {
 		fault("listen", "", "%v", err)
@@ -157,7 +158,7 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		fault("seed", "seed", "%q is not a hexadecimal number of 64 bits", f.Seed)
+		fault("seed", "seed", "%q is not a 64-bit hexadecimal number", f.Seed)
 	}
 	if len(f.Settings) == 0 {
 		fault("settings", "", "settings is missing")
@@ -168,9 +169,9 @@
 	}
 	c.GossipNodes = f.gossipNodes(c.Settings.Balancer, fault)
 	if f.Watch != "" {
-		var wrong []operator.Diagnostic
-		c.Shadow, wrong = loadShadowSettings(path, f.Watch)
-		faults = append(faults, wrong...)
+		var shadowFaults []operator.Diagnostic
+		c.Shadow, shadowFaults = loadShadowSettings(path, f.Watch)
+		faults = append(faults, shadowFaults...)
 	}
 	if len(f.Known) > 0 {
 		if c.Known, err = discovery.ParseList(f.Known); err != nil {
@@ -180,90 +181,94 @@
 	return c, faults
 }
 
-// gossipNodes are the nodes' addresses, needed where the settings allow gossip.
-func (f *file) gossipNodes(set balancer.Settings, fault func(at, key, format string, args ...any)) []netip.AddrPort {
-	if !set.GossipAllowed && len(f.Peers.Nodes) == 0 {
+// gossipNodes returns the addresses of all nodes for gossip, which are required if the settings allow
+// gossip.
+func (f *file) gossipNodes(balancerSettings balancer.Settings, fault func(position, key, format string, args ...any)) []netip.AddrPort {
+	if !balancerSettings.GossipAllowed && len(f.Peers.Nodes) == 0 {
 		return nil
 	}
 	switch n := len(f.Peers.Nodes); {
 	case n == 0:
-		fault("settings.policy_limits.peers", "settings.policy_limits.peers", "nodes may talk, but peers.nodes names no addresses")
+		fault("settings.policy_limits.peers", "settings.policy_limits.peers", "gossip between nodes is on, but peers.nodes contains no addresses")
 		return nil
-	case set.Nodes > 0 && n != set.Nodes:
-		fault("peers.nodes", "peers.nodes", "%d addresses for %d nodes", n, set.Nodes)
+	case balancerSettings.Nodes > 0 && n != balancerSettings.Nodes:
+		fault("peers.nodes", "peers.nodes", "%d addresses for %d nodes", n, balancerSettings.Nodes)
 		return nil
-	case set.Node < 0 || set.Node >= n:
-		fault("settings.me", "settings.me", "node %d is none of %d", set.Node, n)
+	case balancerSettings.Node < 0 || balancerSettings.Node >= n:
+		fault("settings.me", "settings.me", "node number %d is out of range for %d nodes, numbered from 0", balancerSettings.Node, n)
 		return nil
 	}
-	var out []netip.AddrPort
+	var addresses []netip.AddrPort
 	for i, text := range f.Peers.Nodes {
-		a, err := netip.ParseAddrPort(text)
-		if key := fmt.Sprintf("peers.nodes[%d]", i); err != nil || a.Port() == 0 || slices.Contains(out, a) {
-			fault(key, key, "%q is no address and port of a node's own", text)
+		address, err := netip.ParseAddrPort(text)
+		if key := fmt.Sprintf("peers.nodes[%d]", i); err != nil || address.Port() == 0 || slices.Contains(addresses, address) {
+			fault(key, key, "%q is not an IP address with a port from 1 to 65535, or another node has it too", text)
 			return nil
 		}
-		out = append(out, a)
+		addresses = append(addresses, address)
 	}
-	if !set.GossipAllowed {
-		return nil // named ahead of the settings that will use them
+	if !balancerSettings.GossipAllowed {
+		return nil // the addresses may be configured before gossip is turned on
 	}
-	return out
+	return addresses
 }
 
-// loadShadowSettings reads the shadow settings; the path is relative to the configuration file.
-func loadShadowSettings(config, path string) (*balancer.Settings, []operator.Diagnostic) {
+// loadShadowSettings reads the shadow settings. A relative path is relative to the directory of the
+// configuration file.
+func loadShadowSettings(configPath, path string) (*balancer.Settings, []operator.Diagnostic) {
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(config), path)
+		path = filepath.Join(filepath.Dir(configPath), path)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, []operator.Diagnostic{{File: config, Key: "watch", Message: err.Error()}}
+		return nil, []operator.Diagnostic{{File: configPath, Key: "watch", Message: err.Error()}}
 	}
 	lines := configpos.JSON(raw)
-	set, err := settings.Parse(raw)
+	shadowSettings, err := settings.Parse(raw)
 	if err != nil {
-		var out []operator.Diagnostic
+		var faults []operator.Diagnostic
 		for _, e := range settings.All(err) {
-			out = append(out, operator.Diagnostic{File: path, Line: lines.Line(e.Key), Key: "watch", Message: e.Text})
+			faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(e.Key), Key: "watch", Message: e.Text})
 		}
-		return nil, out
+		return nil, faults
 	}
-	if _, err := balancer.New(set.Balancer, 0); err != nil {
+	if _, err := balancer.New(shadowSettings.Balancer, 0); err != nil {
 		return nil, []operator.Diagnostic{{File: path, Key: "watch", Message: err.Error()}}
 	}
-	return &set.Balancer, nil
+	return &shadowSettings.Balancer, nil
 }
 
-// validate returns the limits with which no node can run.
+// validate returns a fault for each limit with which a node cannot run.
 func (l Limits) validate() []operator.Diagnostic {
-	var out []operator.Diagnostic
+	var faults []operator.Diagnostic
 	if !(l.Cores > 0) {
-		out = append(out, operator.Diagnostic{Key: "limits.cores", Message: fmt.Sprintf("%v is not a share of cores", l.Cores)})
+		faults = append(faults, operator.Diagnostic{Key: "limits.cores", Message: fmt.Sprintf("%v is not a positive number of cores", l.Cores)})
 	}
 	if !(l.MemoryMB > 0) {
-		out = append(out, operator.Diagnostic{Key: "limits.memory_mb", Message: fmt.Sprintf("%v is no memory", l.MemoryMB)})
+		faults = append(faults, operator.Diagnostic{Key: "limits.memory_mb",
+			Message: fmt.Sprintf("%v is not a positive amount of memory in MB", l.MemoryMB)})
 	}
 	if l.Sockets < minSockets {
-		out = append(out, operator.Diagnostic{Key: "limits.sockets",
-			Message: fmt.Sprintf("%d is too few, %d are needed", l.Sockets, minSockets)})
+		faults = append(faults, operator.Diagnostic{Key: "limits.sockets",
+			Message: fmt.Sprintf("%d descriptors are too few, at least %d are needed", l.Sockets, minSockets)})
 	}
-	return out
+	return faults
 }
 
+// checkAddress checks that a value is an IP address with a port. Errors name its environment variable.
 func checkAddress(variable, key, value string) error {
 	if value == "" {
-		return fmt.Errorf("%s is not set, nor %s in the configuration", variable, key)
+		return fmt.Errorf("%s is not set, and the configuration has no %s", variable, key)
 	}
 	host, port, err := net.SplitHostPort(value)
 	if err != nil {
 		return fmt.Errorf("%s: %w", variable, err)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%s: %q is not an IP address: there is no name service", variable, host)
+		return fmt.Errorf("%s: %q is not an IP address, and host names are not resolved", variable, host)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
-		return fmt.Errorf("%s: %q is not a port", variable, port)
+		return fmt.Errorf("%s: %q is not a port number from 0 to 65535", variable, port)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+const validFile = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"revision":41,"complete":true,"members":[{"id":"a","host_port":"127.0.0.3:1","phase":"SERVING"}]},
  "settings":{"classes":[{"aim_ms":300,"effect":"free","group":"all","hard_limit_ms":900,"name":"look","worth":1}],
@@ -27,23 +27,24 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := load(t, good, map[string]string{"ROUTER_NAME": "n4"})
+	c, err := load(t, validFile, map[string]string{"ROUTER_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n4" || c.Listen != "127.0.0.1:8081" || c.Discovery != "127.0.0.2:8500" {
-		t.Errorf("the variable did not win over the file, or the file was not read: %+v", c)
+		t.Errorf("got %+v, want the name n4 of ROUTER_NAME and the addresses of the file", c)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 192, 1024}) || len(c.Known.Members) != 1 {
-		t.Errorf("seed %x, limits %+v, known %+v", c.Seed, c.Limits, c.Known)
+		t.Errorf("seed %x, limits %+v, known %+v; want the values of the file", c.Seed, c.Limits, c.Known)
 	}
 	if s := c.Settings; s.ServerIdleTimeout != 60000 || s.ResponseSlack != 5 || s.Balancer.Nodes != 2 || s.Balancer.DrainGrace != 1500 {
-		t.Errorf("settings %+v", s)
+		t.Errorf("settings = %+v, want idle timeout 60000 ms, slack 5 ms, 2 nodes, drain grace 1500 ms", s)
 	}
 }
 
-func TestImpossible(t *testing.T) {
-	for _, c := range []struct{ key, part, with string }{
+// Guards against a start with an invalid configuration, and against an error that does not name the key.
+func TestLoadRejectsInvalidValues(t *testing.T) {
+	for _, c := range []struct{ key, old, replacement string }{
 		{"ROUTER_CONFIG", "{", "["},
 		{"ROUTER_NAME", `"n3"`, `""`},
 		{"ROUTER_LISTEN", `"127.0.0.1:8081"`, `""`},
@@ -62,54 +63,54 @@
 		{"settings", `"settings":{`, `"other":{`},
 		{"stop_sending_within_ms", `"stop_sending_within_ms":1500`, `"other":1`},
 	} {
-		file := strings.Replace(good, c.part, c.with, 1)
-		if file == good {
-			t.Fatalf("%q is not in the file", c.part)
+		file := strings.Replace(validFile, c.old, c.replacement, 1)
+		if file == validFile {
+			t.Fatalf("%q is not in the file", c.old)
 		}
 		_, err := load(t, file, nil)
 		if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: error %v, want one line naming %s", c.with, c.part, err, c.key)
+			t.Errorf("%s instead of %s: error %v, want one line naming %s", c.replacement, c.old, err, c.key)
 		}
 	}
 }
 
-func TestNoFile(t *testing.T) {
+func TestLoadWithoutFileNamesVariable(t *testing.T) {
 	for _, path := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		if _, err := Load(func(string) string { return path }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
-			t.Errorf("%q: %v", path, err)
+			t.Errorf("ROUTER_CONFIG=%q: error %v, want one naming ROUTER_CONFIG", path, err)
 		}
 	}
 }
 
-// Talk between nodes needs an address for each, and settings to be watched must be some.
-func TestPeersAndWatch(t *testing.T) {
-	file := strings.Replace(good, `"policy_limits":{`, `"policy_limits":{"peers":true,`, 1)
-	with := func(part string) string { return strings.Replace(file, `{"name"`, "{"+part+`,"name"`, 1) }
-	two := `"peers":{"nodes":["127.0.0.1:9001","127.0.0.1:9002"]}`
-	c, err := load(t, with(two), nil)
+// Gossip needs a distinct address for each node, and a file of shadow settings must be valid. Errors begin with the key.
+func TestLoadPeersAndShadowSettings(t *testing.T) {
+	file := strings.Replace(validFile, `"policy_limits":{`, `"policy_limits":{"peers":true,`, 1)
+	withKey := func(member string) string { return strings.Replace(file, `{"name"`, "{"+member+`,"name"`, 1) }
+	twoNodes := `"peers":{"nodes":["127.0.0.1:9001","127.0.0.1:9002"]}`
+	c, err := load(t, withKey(twoNodes), nil)
 	if err != nil || len(c.GossipNodes) != 2 || c.GossipNodes[1].Port() != 9002 {
-		t.Errorf("peers %v, %v", c.GossipNodes, err)
+		t.Errorf("peers = %v, error %v; want both addresses", c.GossipNodes, err)
 	}
-	if c, err = load(t, strings.Replace(good, `{"name"`, "{"+two+`,"name"`, 1), nil); err != nil || c.GossipNodes != nil {
-		t.Errorf("addresses named ahead: %v, %v", c.GossipNodes, err)
+	if c, err = load(t, strings.Replace(validFile, `{"name"`, "{"+twoNodes+`,"name"`, 1), nil); err != nil || c.GossipNodes != nil {
+		t.Errorf("peers with gossip off = %v, error %v; want none", c.GossipNodes, err)
 	}
-	settings := good[strings.Index(good, `"settings":`)+len(`"settings":`) : len(good)-1]
+	settings := validFile[strings.Index(validFile, `"settings":`)+len(`"settings":`) : len(validFile)-1]
 	for key, f := range map[string]string{
 		"settings.policy_limits.peers": file,
-		"peers.nodes":                  with(`"peers":{"nodes":["127.0.0.1:9001"]}`),
-		"peers.nodes[1]":               with(`"peers":{"nodes":["127.0.0.1:9001","elsewhere:1"]}`),
-		"settings.me":                  strings.Replace(with(two), `"me":1`, `"me":2`, 1),
-		"watch":                        strings.Replace(good, `{"name"`, `{"watch":"/nowhere/at/all","name"`, 1),
-		"watch: report.how": strings.Replace(good, `{"name"`, `{"watch":"`+write(t, strings.Replace(settings, `"none"`, `"letters"`, 1))+
+		"peers.nodes":                  withKey(`"peers":{"nodes":["127.0.0.1:9001"]}`),
+		"peers.nodes[1]":               withKey(`"peers":{"nodes":["127.0.0.1:9001","elsewhere:1"]}`),
+		"settings.me":                  strings.Replace(withKey(twoNodes), `"me":1`, `"me":2`, 1),
+		"watch":                        strings.Replace(validFile, `{"name"`, `{"watch":"/nowhere/at/all","name"`, 1),
+		"watch: report.how": strings.Replace(validFile, `{"name"`, `{"watch":"`+write(t, strings.Replace(settings, `"none"`, `"letters"`, 1))+
 			`","name"`, 1),
 	} {
 		if _, err := load(t, f, nil); err == nil || !strings.HasPrefix(err.Error(), key+":") {
-			t.Errorf("%s: error %v", key, err)
+			t.Errorf("error %v, want one that begins with %s:", err, key)
 		}
 	}
-	c, err = load(t, strings.Replace(good, `{"name"`, `{"watch":"`+write(t, settings)+`","name"`, 1), nil)
+	c, err = load(t, strings.Replace(validFile, `{"name"`, `{"watch":"`+write(t, settings)+`","name"`, 1), nil)
 	if err != nil || c.Shadow == nil || c.Shadow.Nodes != 2 {
-		t.Errorf("watch %+v, %v", c.Shadow, err)
+		t.Errorf("shadow settings = %+v, error %v; want settings with 2 nodes", c.Shadow, err)
 	}
 }
 
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -8,8 +8,9 @@
 	"tackhub.example/tackhub/internal/configpos"
 )
 
-// Reload reads the file again for a node that runs. The file's discovery address wins over
-// ROUTER_DISCOVERY, which holds the value at the start; all else is read and checked as at a start.
+// Reload reads the configuration file again for a running node. The file's discovery address overrides
+// ROUTER_DISCOVERY, which still has the value from the start of the process. Everything else is read and
+// checked as at a start.
 func Reload(getenv func(string) string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	f, raw, fault := readFile(path)
@@ -28,14 +29,15 @@
 	return c, nil
 }
 
-// NeedRestart names the keys that differ from what runs and that a running node can't take over: its
-// address and its limits are the process's, and the balancer gets its settings only at the start.
-// Discovery and the shadow settings are taken over at once; seed and known are for a start only.
+// NeedRestart returns the changed keys that a running node cannot apply: the addresses and limits belong
+// to the process, and the balancer receives its settings only at the start. Changes of the discovery
+// address and of the shadow settings are applied at once. The keys seed and known are used only at a
+// start and are not compared.
 func (c Config) NeedRestart(next Config) []string {
 	keys := []string{}
-	for _, k := range []struct {
-		name string
-		same bool
+	for _, key := range []struct {
+		name      string
+		unchanged bool
 	}{
 		{"name", c.Name == next.Name},
 		{"listen", c.Listen == next.Listen},
@@ -44,8 +46,8 @@
 		{"peers", slices.Equal(c.GossipNodes, next.GossipNodes)},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
 	} {
-		if !k.same {
-			keys = append(keys, k.name)
+		if !key.unchanged {
+			keys = append(keys, key.name)
 		}
 	}
 	return keys
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,7 +1,7 @@
 // Package handover lets a new process of a node take over from the running one, for example in an upgrade. The processes connect
 // over a Unix socket in $TMPDIR, which is named after the address that clients use. The new process, the successor, receives the
 // listening socket itself and the state of the old process, its predecessor. While both run, they send each other the ids of
-// their open requests, so that a retransmitted request does not run twice, and the administrative drain.
+// their open requests, so that a repeated request does not run twice, and the state of an administrative drain.
 //
 // The package transports the messages; the node interprets them.
 package handover
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -34,7 +34,7 @@
 
 // Node is the interface through which a Predecessor uses the node of its process.
 type Node interface {
-	// SetSibling tells the node whether a second process of it runs.
+	// SetSibling notifies the node when a second process of it starts (true) or ends (false).
 	SetSibling(present bool)
 	// State returns the state for the successor.
 	State() (json.RawMessage, error)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -34,7 +34,7 @@
 func (n *node) reloadConfig(running config.Config, log *slog.Logger) {
 	next, err := config.Reload(os.Getenv)
 	if err != nil {
-		log.Error("invalid configuration, keeping the running one", "code", "reload_failed", "error", err)
+		log.Error("configuration not reloaded, keeping the running one", "code", "reload_failed", "error", err)
 		return
 	}
 	if keys := running.NeedRestart(next); len(keys) > 0 {
@@ -70,9 +70,9 @@
 		for _, f := range faults[:min(len(faults), maxLoggedFaults)] {
 			log.Error("fault in the operator file", "code", "edge_fault", "file", f.File, "line", f.Line, "key", f.Key, "error", f.Message)
 		}
-		log.Error("invalid operator file, keeping the running one", "code", "edge_failed", "faults", len(faults))
+		log.Error("operator file not applied, keeping the running one", "code", "edge_failed", "faults", len(faults))
 	case err != nil:
-		log.Error("invalid operator file, keeping the running one", "code", "edge_failed", "error", err)
+		log.Error("operator file not applied, keeping the running one", "code", "edge_failed", "error", err)
 	default:
 		log.Info("operator file applied", "code", "edge", "file", path, "on", change.Started, "off", change.Stopped, "changed", change.Restarted)
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// subsystemHost returns what the subsystems may use of the node.
+// subsystemHost returns the parts of the node that the subsystems may use.
 func subsystemHost(n *node, c config.Config, log *slog.Logger, count *counters.Counters) subsystem.Host {
 	return subsystem.Host{
 		Log:      log,
@@ -121,5 +121,5 @@
 func (n *node) logEnd(log *slog.Logger) {
 	n.logShutdown(log)
 	n.logCounters(log)
-	log.Info("stopped", "code", "end")
+	log.Info("ended", "code", "end")
 }
