--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -30,8 +30,8 @@
 // Millis converts a duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Span converts a number of milliseconds to a duration.
-func Span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// Duration converts a number of milliseconds to a duration.
+func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // MonotonicZero returns this clock's time, in milliseconds, at which the machine's monotonic clock was 0. The difference between
 // the values of two processes on one machine is the offset between their clocks: it is not 0 if the wall clock was stepped between
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -16,7 +16,7 @@
 	if d := c.At(now.Add(1500*time.Microsecond)) - c.At(now); math.Abs(d-1.5) > 0.01 {
 		t.Errorf("difference between two times = %v ms, want 1.5 ms", d)
 	}
-	if Span(2.5) != 2500*time.Microsecond || Millis(2500*time.Microsecond) != 2.5 {
+	if Duration(2.5) != 2500*time.Microsecond || Millis(2500*time.Microsecond) != 2.5 {
 		t.Error("Span(2.5) is not 2.5ms or Millis(2.5ms) is not 2.5")
 	}
 }
--- a/internal/cluster/loop.go
+++ b/internal/cluster/loop.go
@@ -103,7 +103,7 @@
 }
 
 // warnings are the events that are logged as warnings. Changes of the connectivity are warnings only if this process is now isolated.
-var warnings = []membership.EventCode{membership.EventConnectivity, membership.EventPause, membership.EventSuperseded, membership.EventFull}
+var warnings = []membership.EventCode{membership.EventConnectivity, membership.EventPause, membership.EventSuperseded, membership.EventTableFull}
 
 // logEvents logs the core's events, and updates the counters when the view has changed.
 func (l *link) logEvents(events []membership.Event) {
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -185,7 +185,7 @@
 	for _, s := range o.controller.NextSummaries(now, o.reportsPerMessage) {
 		reports = append(reports, reportFromSummary(s))
 	}
-	o.link.core.SendToSome(membership.Message{Kind: membership.LoadReports, LoadReports: reports})
+	o.link.core.SendToRandomMembers(membership.Message{Kind: membership.LoadReports, LoadReports: reports})
 }
 
 // status returns the status shown to operators, or nil if overload control is off.
--- a/internal/cluster/quota.go
+++ b/internal/cluster/quota.go
@@ -191,10 +191,10 @@
 	if reduced {
 		since = time.Now()
 	}
-	q.addRecord(AllocationRecord{At: since.UnixNano(), Fraction: next.Fraction, ValidUntil: until, FractionAfter: next.FractionAfter})
+	q.addRecord(AllocationRecord{EffectiveFrom: since.UnixNano(), Fraction: next.Fraction, ValidUntil: until, FractionAfter: next.FractionAfter})
 	q.applied = next
 	q.hasApplied = true
-	q.link.counters.Share.Set(int64(next.Fraction * allocationCounterScale))
+	q.link.counters.QuotaFraction.Set(int64(next.Fraction * allocationCounterScale))
 }
 
 // addRecord adds an allocation to those kept for the status.
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -24,7 +24,7 @@
 // AllocationRecord is an allocation that was passed to the balancer. It applies from At on: Fraction until ValidUntil, and
 // FractionAfter from then on. Times are Unix nanoseconds of the wall clock.
 type AllocationRecord struct {
-	At            int64   `json:"at_ns"`
+	EffectiveFrom int64   `json:"at_ns"`
 	Fraction      float64 `json:"value"`
 	ValidUntil    int64   `json:"until_ns"`
 	FractionAfter float64 `json:"after"`
--- a/internal/cluster/wire_test.go
+++ b/internal/cluster/wire_test.go
@@ -154,7 +154,7 @@
 			SinceAcked: 300, SinceSeen: 400, Link: "one-way", OwnConnectivity: membership.OutboundLost, SuspectedBy: map[string]int64{"n3": 1}, HeardBy: map[string]int64{"n4": 2},
 			LossCount: 3, DampedFor: 4, PreviousGeneration: 5}}},
 	Quota: &QuotaStatus{Status: quota.Status{Fraction: 0.25, Members: 4, UnitsLeased: 3, UnitsOfEndedLessors: 2, LapsedLessors: []string{"n2"}, InheritedFrom: []string{"n3"}},
-		Allocations: []AllocationRecord{{At: 1, Fraction: 0.25, ValidUntil: 2, FractionAfter: 0.125}}},
+		Allocations: []AllocationRecord{{EffectiveFrom: 1, Fraction: 0.25, ValidUntil: 2, FractionAfter: 0.125}}},
 	Overload: &OverloadStatus{Active: true, Requested: map[string]float64{"look": 10}, Accepted: map[string]float64{"look": 9}, Admit: map[string]float64{"look": 0.9},
 		Limit: 9, Members: 2, Coverage: 1, FailureRatio: 0.1, RetryBudget: 0.5, Duration: 700},
 }
--- a/internal/coap/back/conn.go
+++ b/internal/coap/back/conn.go
@@ -147,7 +147,7 @@
 		}
 		m, err := wire.Decode(bytes.Clone(buffer[:n]))
 		if err != nil {
-			c.count.Junk.Inc()
+			c.count.Invalid.Inc()
 			continue
 		}
 		c.deliver(m)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -163,7 +163,7 @@
 	if len(f.Settings) == 0 {
 		fault("settings", "", "settings is missing")
 	} else if c.Settings, err = settings.Parse(f.Settings); err != nil {
-		for _, e := range settings.All(err) {
+		for _, e := range settings.Faults(err) {
 			fault("settings."+e.Key, "settings", "%v", e)
 		}
 	}
@@ -227,7 +227,7 @@
 	shadowSettings, err := settings.Parse(raw)
 	if err != nil {
 		var faults []operator.Diagnostic
-		for _, e := range settings.All(err) {
+		for _, e := range settings.Faults(err) {
 			faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(e.Key), Key: "watch", Message: e.Text})
 		}
 		return nil, faults
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -9,16 +9,16 @@
 
 // Requests counts requests by outcome.
 type Requests struct {
-	Taken      Count `json:"taken"`      // passed to the proxy; a large request counts before its whole body has arrived
-	Served     Count `json:"served"`     // answered 200
-	Refused    Count `json:"refused"`    // answered 503 by the balancer's decision
-	Failed     Count `json:"failed"`     // answered 502 or 504
-	Rejected   Count `json:"rejected"`   // without the balancer: malformed (4xx), draining or no capacity (503), deadline exceeded (504)
-	Left       Count `json:"left"`       // the client closed or reset its connection before the response
-	Open       Count `json:"open"`       // in flight now
-	Overdue    Count `json:"overdue"`    // subset of Failed: ended by the watchdog, since the balancer made no decision in time
-	Unanswered Count `json:"unanswered"` // ended without a complete response, although the client was not known to have disconnected
-	Unsent     Count `json:"unsent"`     // subset of Served, Refused and Failed: the response could not be written to the client
+	Taken              Count `json:"taken"`      // passed to the proxy; a large request counts before its whole body has arrived
+	Served             Count `json:"served"`     // answered 200
+	Refused            Count `json:"refused"`    // answered 503 by the balancer's decision
+	Failed             Count `json:"failed"`     // answered 502 or 504
+	Rejected           Count `json:"rejected"`   // without the balancer: malformed (4xx), draining or no capacity (503), deadline exceeded (504)
+	ClientDisconnected Count `json:"left"`       // the client closed or reset its connection before the response
+	Open               Count `json:"open"`       // in flight now
+	Overdue            Count `json:"overdue"`    // subset of Failed: ended by the watchdog, since the balancer made no decision in time
+	Unanswered         Count `json:"unanswered"` // ended without a complete response, although the client was not known to have disconnected
+	Unsent             Count `json:"unsent"`     // subset of Served, Refused and Failed: the response could not be written to the client
 }
 
 // Shutdown counts events during the shutdown of the process.
@@ -59,8 +59,8 @@
 	Buffers   Count `json:"buffers"`    // buffers of 32 KiB in use now
 	Waited    Count `json:"waited"`     // times a sender waited for a free file or buffer
 	Refused   Count `json:"refused"`    // times no file or buffer became free in time
-	Passed    Count `json:"passed"`     // large responses that were forwarded completely
-	Broken    Count `json:"broken"`     // large responses that were cut off
+	Forwarded Count `json:"passed"`     // large responses that were forwarded completely
+	Truncated Count `json:"broken"`     // large responses that were cut off
 }
 
 // Handover counts messages between two processes of a node. All are 0 without a handover.
@@ -78,11 +78,11 @@
 
 // Attempts counts attempts, each of which sends a request to a server.
 type Attempts struct {
-	Sent     Count `json:"sent"`     // started by a decision of the balancer
-	Open     Count `json:"open"`     // in flight now
-	Written  Count `json:"written"`  // written completely to a server
-	Late     Count `json:"late"`     // completed by the server after the node had cancelled them
-	Unwanted Count `json:"unwanted"` // not written, since the client had disconnected just before
+	Sent               Count `json:"sent"`     // started by a decision of the balancer
+	Open               Count `json:"open"`     // in flight now
+	Written            Count `json:"written"`  // written completely to a server
+	Late               Count `json:"late"`     // completed by the server after the node had cancelled them
+	ClientDisconnected Count `json:"unwanted"` // not written, since the client had disconnected just before
 }
 
 // Probes counts load probes.
@@ -99,11 +99,11 @@
 
 // ClientConnections counts the connections of clients.
 type ClientConnections struct {
-	Opened      Count `json:"opened"`
-	Open        Count `json:"open"`              // open now
-	HeldUnknown Count `json:"held_back_unknown"` // times the kernel did not report whether it defers accepting connections without data
-	Paused      Count `json:"paused"`            // times accepting paused: at the connection limit, or after a failed accept
-	Short       Count `json:"short"`             // times a connection took one of the reserved descriptors
+	Opened             Count `json:"opened"`
+	Open               Count `json:"open"`              // open now
+	DeferAcceptUnknown Count `json:"held_back_unknown"` // times the kernel did not report whether it defers accepting connections without data
+	Paused             Count `json:"paused"`            // times accepting paused: at the connection limit, or after a failed accept
+	ReservedUsed       Count `json:"short"`             // times a connection took one of the reserved descriptors
 }
 
 // ServerConnections counts the connections to servers.
@@ -115,18 +115,18 @@
 
 // ServerList counts the results of discovery calls.
 type ServerList struct {
-	Full     Count `json:"full"`             // complete lists
-	Delta    Count `json:"delta"`            // lists of changes
-	Failed   Count `json:"failed"`           // calls that failed or had an invalid response
-	Late     Count `json:"late"`             // times the list became stale: no response for longer than a change may take to arrive
-	Informed Count `json:"informed_unix_ms"` // time of the last response, in Unix milliseconds; 0: none yet
+	Full         Count `json:"full"`             // complete lists
+	Delta        Count `json:"delta"`            // lists of changes
+	Failed       Count `json:"failed"`           // calls that failed or had an invalid response
+	Stale        Count `json:"late"`             // times the list became stale: no response for longer than a change may take to arrive
+	LastResponse Count `json:"informed_unix_ms"` // time of the last response, in Unix milliseconds; 0: none yet
 }
 
 // Inventory counts the work of the inventory subsystem. All are 0 if it is off.
 type Inventory struct {
 	Lists        Count `json:"lists"`     // files accepted
-	Bad          Count `json:"bad"`       // files that are invalid, missing or unreadable
-	Held         Count `json:"held"`      // lists held back, since they would remove too many servers
+	Invalid      Count `json:"bad"`       // files that are invalid, missing or unreadable
+	HeldBack     Count `json:"held"`      // lists held back, since they would remove too many servers
 	Conflicts    Count `json:"conflicts"` // fields whose values began to differ between sources
 	Pushes       Count `json:"pushes"`    // lists passed to the balancer
 	Entries      Count `json:"entries"`   // servers in these lists
@@ -152,15 +152,15 @@
 	StreamsFailed Count  `json:"streams_failed"`
 	Views         Count  `json:"views"`     // changes of the membership view
 	Members       Count  `json:"members"`   // members in the view now
-	Share         Count  `json:"share_ppm"` // this node's fraction of the fleet's quota, in millionths; 0 if quotas are off
+	QuotaFraction Count  `json:"share_ppm"` // this node's fraction of the fleet's quota, in millionths; 0 if quotas are off
 }
 
 // Shadow counts decisions that the shadow settings would have made differently. All are 0 without shadow settings.
 type Shadow struct {
-	Steps  Count  `json:"steps"`  // compared steps of the balancer
-	Differ ByCode `json:"differ"` // differences by kind, each counted once per request
-	Faults Count  `json:"faults"` // steps in which the shadow evaluation failed
-	Micros Count  `json:"micros"` // time spent on the evaluation, in microseconds
+	Steps       Count  `json:"steps"`  // compared steps of the balancer
+	Differences ByCode `json:"differ"` // differences by kind, each counted once per request
+	Faults      Count  `json:"faults"` // steps in which the shadow evaluation failed
+	Micros      Count  `json:"micros"` // time spent on the evaluation, in microseconds
 }
 
 // CoapServers counts attempts at CoAP servers, which are also counted in Attempts. All are 0 without CoAP servers.
@@ -168,7 +168,7 @@
 	Outcomes    ByCode `json:"outcomes"`
 	Retransmits Count  `json:"retransmits"`
 	Late        Count  `json:"late"` // responses after the end of their exchange
-	Junk        Count  `json:"junk"` // datagrams that are not responses
+	Invalid     Count  `json:"junk"` // datagrams that are not responses
 }
 
 // Coap counts the work of the CoAP front end, whose requests are also counted in Requests. All are 0 if it is off.
@@ -189,11 +189,11 @@
 
 // Engine holds figures about the goroutine that runs the balancer.
 type Engine struct {
-	Events   Count `json:"events"`
-	Panics   Count `json:"panics"`
-	LateBy   Count `json:"timer_late_max_us"` // the longest delay of a timer, in microseconds
-	StepMax  Count `json:"step_max_us"`       // the longest step of the balancer, in microseconds
-	QueueMax Count `json:"mailbox_max"`       // the largest number of queued events
+	Events        Count `json:"events"`
+	Panics        Count `json:"panics"`
+	MaxTimerDelay Count `json:"timer_late_max_us"` // the longest delay of a timer, in microseconds
+	MaxStep       Count `json:"step_max_us"`       // the longest step of the balancer, in microseconds
+	MaxQueue      Count `json:"mailbox_max"`       // the largest number of queued events
 }
 
 // LogLines counts log lines.
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -10,8 +10,8 @@
 	c.Requests.Taken.Add(3)
 	c.Outcomes.Inc("served")
 	c.Outcomes.Inc("served")
-	c.Engine.LateBy.Max(7)
-	c.Engine.LateBy.Max(5)
+	c.Engine.MaxTimerDelay.Max(7)
+	c.Engine.MaxTimerDelay.Max(5)
 	var got struct {
 		Requests map[string]int `json:"requests"`
 		Outcomes map[string]int `json:"outcomes"`
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -352,6 +352,6 @@
 	case balancer.CachedUpdate:
 		b.client.WatchEndpoints()
 	case balancer.UpdateFailed:
-		time.AfterFunc(clock.Span(balancer.MaxPollBackoff), b.client.WatchEndpoints)
+		time.AfterFunc(clock.Duration(balancer.MaxPollBackoff), b.client.WatchEndpoints)
 	}
 }
--- a/internal/discovery/intervals.go
+++ b/internal/discovery/intervals.go
@@ -126,7 +126,7 @@
 	delayAfterCall := max(iv.maxRetryDelay, maxWithJitter(max(iv.maxRejectedBackoff, iv.maxFailureBackoff)))
 	if watchOnRequest {
 		delayAfterWatch = iv.rewatchSpread
-		delayAfterCall = clock.Span(balancer.MaxPollBackoff)
+		delayAfterCall = clock.Duration(balancer.MaxPollBackoff)
 	}
 	lostWatchDelay := iv.watchHold + iv.watchTimeoutMargin + delayAfterWatch
 	lostCallDelay := iv.callTimeout + delayAfterCall
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -42,7 +42,7 @@
 		return // a response arrived while the timer fired
 	}
 	s.reported = true
-	c.count.ServerList.Late.Inc()
+	c.count.ServerList.Stale.Inc()
 	c.log.Warn("server list may be stale: no response from discovery in time", "code", "list_late", "for_ms", age.Milliseconds())
 	c.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: balancer.UpdateStale})
 }
@@ -59,7 +59,7 @@
 	s.reported = false
 	s.lastResponse = time.Now()
 	s.timer.Reset(staleAfter)
-	c.count.ServerList.Informed.Set(s.lastResponse.UnixMilli())
+	c.count.ServerList.LastResponse.Set(s.lastResponse.UnixMilli())
 	switch {
 	case list.Complete:
 		c.count.ServerList.Full.Inc()
--- a/internal/discovery/staleness_test.go
+++ b/internal/discovery/staleness_test.go
@@ -40,11 +40,11 @@
 		f.clients = append(f.clients, client)
 		go client.Run(f.ctx, d.list(), &recorder)
 		time.Sleep(notifyDeadline)
-		if count.ServerList.Late.Get() != 0 {
+		if count.ServerList.Stale.Get() != 0 {
 			t.Error("list reported as stale before notifyDeadline")
 		}
 		time.Sleep(2 * notifyDeadline)
-		if n := count.ServerList.Late.Get(); n != 1 {
+		if n := count.ServerList.Stale.Get(); n != 1 {
 			t.Errorf("staleness reports in one outage = %d, want 1", n)
 		}
 		d.update(func() { d.rejecting = false })
@@ -54,7 +54,7 @@
 		if last := recorder.kinds[len(recorder.kinds)-1]; last != balancer.DeltaUpdate {
 			t.Errorf("last update = %v, want %v", last, balancer.DeltaUpdate)
 		}
-		if count.ServerList.Informed.Get() == 0 {
+		if count.ServerList.LastResponse.Get() == 0 {
 			t.Error("time of the last response is not recorded")
 		}
 	})
@@ -85,7 +85,7 @@
 					d.drainServer()
 					time.Sleep(notifyDeadline + 100*time.Millisecond)
 					for _, client := range f.clients {
-						if client.count.ServerList.Late.Get() != 1 && client.List().Revision != 2 {
+						if client.count.ServerList.Stale.Get() != 1 && client.List().Revision != 2 {
 							t.Fatalf("client missed a change without reporting staleness")
 						}
 					}
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -159,7 +159,7 @@
 			return
 		}
 		if nextTick > 0 {
-			tickTimer.Reset(max(0, clock.Span(nextTick-i.node.Clock().Now())))
+			tickTimer.Reset(max(0, clock.Duration(nextTick-i.node.Clock().Now())))
 		}
 	}
 }
@@ -179,7 +179,7 @@
 func (i *Inventory) handle(e sourceEvent) endpointmerge.Millis {
 	count := &i.node.Counters().Inventory
 	if e.err != nil {
-		count.Bad.Inc()
+		count.Invalid.Inc()
 		i.logRejected(e.file, e.err)
 		return 0
 	}
--- a/internal/endpoints/report.go
+++ b/internal/endpoints/report.go
@@ -31,7 +31,7 @@
 // logHeld logs the lists that are newly held or released by an event.
 func (i *Inventory) logHeld(outcome endpointmerge.Outcome) {
 	for _, held := range outcome.Held {
-		i.node.Counters().Inventory.Held.Inc()
+		i.node.Counters().Inventory.HeldBack.Inc()
 		i.log.Error("list held for confirmation: it removes too many servers; keeping the previous list", "code", "inventory_held",
 			"source", held.Source, "sha256", held.Revision, "away", held.Removed, "of", held.Total)
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -108,7 +108,7 @@
 		wake.Reset(e.untilNextTimer())
 		select {
 		case m := <-e.mailbox:
-			e.counters.Engine.QueueMax.Max(int64(len(e.mailbox)) + 1)
+			e.counters.Engine.MaxQueue.Max(int64(len(e.mailbox)) + 1)
 			e.recoverPanic(func() { m.deliver(e) })
 		case <-wake.C:
 		case <-ctx.Done():
@@ -122,7 +122,7 @@
 	if !ok {
 		return noTimerWait
 	}
-	return clock.Span(max(0, fireAt-e.clock.Now()))
+	return clock.Duration(max(0, fireAt-e.clock.Now()))
 }
 
 // recoverPanic calls f and recovers from a panic in it, so that a fault in the handling of one event
@@ -146,7 +146,7 @@
 		if !ok {
 			return
 		}
-		e.counters.Engine.LateBy.Max(int64((now - t.fireAt) * 1000))
+		e.counters.Engine.MaxTimerDelay.Max(int64((now - t.fireAt) * 1000))
 		switch {
 		case t.attempt == nil:
 			e.step(balancer.TimerFired{Token: t.token})
@@ -167,7 +167,7 @@
 		began := time.Now()
 		actions := e.balancer.Step(e.clock.At(began), e.pendingEvents[0])
 		e.counters.Engine.Events.Inc()
-		e.counters.Engine.StepMax.Max(time.Since(began).Microseconds())
+		e.counters.Engine.MaxStep.Max(time.Since(began).Microseconds())
 		for _, a := range actions {
 			e.execute(a)
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -288,8 +288,8 @@
 		t.Errorf("event %+v, want Cancelled with the request finished", end)
 	}
 	ticket.Cancel() // as the watcher of the client's connection does shortly after
-	if !e.RunBetweenSteps(func() {}) || count.Attempts.Unwanted.Get() != 1 || count.Attempts.Open.Get() != 0 {
-		t.Errorf("unwanted = %d, in flight = %d, want 1 and 0", count.Attempts.Unwanted.Get(), count.Attempts.Open.Get())
+	if !e.RunBetweenSteps(func() {}) || count.Attempts.ClientDisconnected.Get() != 1 || count.Attempts.Open.Get() != 0 {
+		t.Errorf("unwanted = %d, in flight = %d, want 1 and 0", count.Attempts.ClientDisconnected.Get(), count.Attempts.Open.Get())
 	}
 	if len(request.responses) > 0 {
 		t.Error("a disconnected client was answered")
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -119,7 +119,7 @@
 		return
 	}
 	if c.ClientDisconnected { // the cancellation may still be queued in the mailbox
-		e.counters.Attempts.Unwanted.Inc()
+		e.counters.Attempts.ClientDisconnected.Inc()
 		e.handleCancelled(a.request)
 		return
 	}
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Open returns the number of requests in flight.
-func (t *Tracker) Open() int {
+// Count returns the number of requests in flight.
+func (t *Tracker) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.requests)
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -25,8 +25,8 @@
 	empty := tracker.Empty()
 	first.End(Answered)
 	first.End(Answered) // has no effect
-	if tracker.Open() != 1 || isClosed(empty) {
-		t.Errorf("after one of two requests ended: open = %d, empty = %v, want 1 and false", tracker.Open(), isClosed(empty))
+	if tracker.Count() != 1 || isClosed(empty) {
+		t.Errorf("after one of two requests ended: open = %d, empty = %v, want 1 and false", tracker.Count(), isClosed(empty))
 	}
 	second.End(Unanswered)
 	if !isClosed(empty) || !isClosed(tracker.Empty()) {
--- a/internal/ingress/accept_test.go
+++ b/internal/ingress/accept_test.go
@@ -104,7 +104,7 @@
 		_ = resp.Body.Close()
 		status <- resp.StatusCode
 	}()
-	for end := time.Now().Add(10 * time.Second); s.options.InFlight.Open() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); s.options.InFlight.Count() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("requests in flight = 0 after 10 s, want 1")
 		}
--- a/internal/ingress/descriptors.go
+++ b/internal/ingress/descriptors.go
@@ -45,7 +45,7 @@
 func (s *Server) lowerLimit() {
 	n := max(minConns, int64(s.connCount()))
 	s.maxConnsByDescriptors.Store(n)
-	s.options.Counters.Clients.Short.Inc()
+	s.options.Counters.Clients.ReservedUsed.Inc()
 	if s.allowLog(&s.lastLogged.descriptors) {
 		s.options.Log.Warn("few file descriptors left, closing the client connections that are idle longest",
 			"code", "descriptors_short", "clients", n)
--- a/internal/ingress/halfopen.go
+++ b/internal/ingress/halfopen.go
@@ -45,7 +45,7 @@
 	s.halfOpen.checkedAt = now
 	found, err := anyHalfOpen(l.Addr())
 	if err != nil { // without a result, deferred connections are reset when the listener closes
-		s.options.Counters.Clients.HeldUnknown.Inc()
+		s.options.Counters.Clients.DeferAcceptUnknown.Inc()
 	}
 	s.halfOpen.found = found
 	return found
--- a/internal/ingress/handle.go
+++ b/internal/ingress/handle.go
@@ -83,7 +83,7 @@
 	_ = ctx.SetWriteDeadline(time.Now().Add(writeTimeout)) // conn.SetWriteDeadline never fails
 	c.markHandled()
 	if ctx.Request.Header.ConnectionClose() {
-		c.SetCloseReason(proxy.ReasonClientAsked)
+		c.SetCloseReason(proxy.ReasonCloseRequested)
 	} else if reason := c.closeAfterResponse(); reason != "" {
 		c.SetCloseReason(reason)
 		ctx.SetConnectionClose()
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -69,7 +69,7 @@
 	EventPause        EventCode = "standstill" // this process was paused
 	EventReplaced     EventCode = "replaced"   // another process uses a member's name
 	EventSuperseded   EventCode = "outdated"   // another process uses this process's name
-	EventFull         EventCode = "full"       // a member was rejected because MaxMembers are known
+	EventTableFull    EventCode = "full"       // a member was rejected because MaxMembers are known
 )
 
 // Event is a change that the caller writes to its log.
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -167,7 +167,7 @@
 		c.Receive(0, from("b"+string(rune('A'+i)), 1, Ping))
 	}
 	_, events := c.TakeOutput()
-	if len(c.peers.byName) != 7 || c.rejected != 13 || !hasEvent(events, EventFull) {
+	if len(c.peers.byName) != 7 || c.rejected != 13 || !hasEvent(events, EventTableFull) {
 		t.Errorf("members = %d, rejected = %d, want 7, 13", len(c.peers.byName), c.rejected)
 	}
 	c.peers.byName["bA"].state, c.peers.byName["bA"].stateSince = Unreachable, 0
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -198,7 +198,7 @@
 	}
 	c.rejected++
 	if c.rejected == 1 {
-		c.emit(EventFull, "the member table is full, further members are rejected", "most", c.options.MaxMembers)
+		c.emit(EventTableFull, "the member table is full, further members are rejected", "most", c.options.MaxMembers)
 	}
 	return false
 }
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// SendToSome queues another subsystem's message to a few random members of the view.
-func (c *Core) SendToSome(m Message) {
+// SendToRandomMembers queues another subsystem's message to a few random members of the view.
+func (c *Core) SendToRandomMembers(m Message) {
 	if c.state != Alive {
 		return
 	}
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -136,8 +136,8 @@
 		Address:         c.Discovery,
 		Nodes:           settings.Nodes,
 		WatchOnRequest:  settings.WatchEndpoints,
-		MaxPollInterval: clock.Span(settings.MaxPollInterval),
-		DrainGrace:      clock.Span(settings.DrainGrace),
+		MaxPollInterval: clock.Duration(settings.MaxPollInterval),
+		DrainGrace:      clock.Duration(settings.DrainGrace),
 		Log:             log,
 		Count:           n.counters,
 	}, c.Known)
@@ -148,8 +148,8 @@
 	settings := c.Settings.Balancer
 	n.pool = upstream.New(upstream.Options{
 		Resolver:          n.endpoints,
-		ConnectTimeout:    clock.Span(connectTimeout(settings)),
-		IdleTimeout:       clock.Span(c.Settings.ServerIdleTimeout),
+		ConnectTimeout:    clock.Duration(connectTimeout(settings)),
+		IdleTimeout:       clock.Duration(c.Settings.ServerIdleTimeout),
 		ProbeTimeout:      probeTimeout,
 		MaxConns:          budget.perSide,
 		MaxConnsPerServer: max(minConnsPerServer, int(float64(budget.perSide)*maxConnFractionPerServer)),
@@ -165,7 +165,7 @@
 	n.coapTransport = back.New(back.Options{
 		Resolver:         n.endpoints,
 		MaxExchanges:     coapMaxExchanges,
-		RetransmitWindow: clock.Span(settings.DrainGrace / 2),
+		RetransmitWindow: clock.Duration(settings.DrainGrace / 2),
 		ParseLoad:        n.pool.ParseLoad,
 		Log:              log,
 		Count:            &n.counters.CoapServers,
@@ -238,7 +238,7 @@
 			longest = max(longest, class.DedupWindow)
 		}
 	}
-	return clock.Span(longest)
+	return clock.Duration(longest)
 }
 
 // longestTimeout returns the longest total timeout of any class.
@@ -247,5 +247,5 @@
 	for _, class := range settings.Classes {
 		longest = max(longest, class.TotalTimeout)
 	}
-	return clock.Span(longest)
+	return clock.Duration(longest)
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -33,7 +33,7 @@
 	n.inFlight.BeginShutdown(schedule.Began)
 	n.handler.BeginShutdown(schedule)
 	n.ingress.BeginShutdown(l, schedule)
-	log.Info("draining", "code", "drain", "signal", signal, "open", n.inFlight.Open(),
+	log.Info("draining", "code", "drain", "signal", signal, "open", n.inFlight.Count(),
 		"close_idle_ms", schedule.CloseIdle.Milliseconds(),
 		"close_listener_ms", schedule.CloseListener.Milliseconds(),
 		"last_forward_ms", schedule.LastAdmission.Milliseconds(),
@@ -54,5 +54,5 @@
 		"client_left", stats.Outcomes[inflight.ClientDisconnected],
 		"unanswered", stats.Outcomes[inflight.Unanswered],
 		"latest_answer_ms", stats.LastAnswer.Milliseconds(),
-		"open", n.inFlight.Open(), "further_signals", n.counters.Stop.Repeated.Get())
+		"open", n.inFlight.Count(), "further_signals", n.counters.Stop.Repeated.Get())
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -60,7 +60,7 @@
 
 // timeUntilWatchdog returns the time from now until the request's watchdog fires.
 func (r *request) timeUntilWatchdog() time.Duration {
-	return clock.Span(r.deadline + r.handler.watchdogDelay() - r.handler.options.Clock.Now())
+	return clock.Duration(r.deadline + r.handler.watchdogDelay() - r.handler.options.Clock.Now())
 }
 
 // shutdownTimeoutOutcome is the outcome of a request that ran into a deadline shortened by a shutdown.
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -91,7 +91,7 @@
 		ClientWaiting: r.clientWaiting,
 	}
 	if writeDeadline > 0 {
-		attempt.WriteDeadline = time.Now().Add(clock.Span(writeDeadline - r.handler.options.Clock.Now()))
+		attempt.WriteDeadline = time.Now().Add(clock.Duration(writeDeadline - r.handler.options.Clock.Now()))
 	}
 	return r.handler.options.Send(server, attempt, done)
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -21,10 +21,10 @@
 
 // Reasons for which the handler closes a client's connection.
 const (
-	ReasonClientLeft  = "client_left"  // the client disconnected while its request was in flight
-	ReasonPanic       = "panic"        // the handler panicked on the request
-	ReasonClientAsked = "client_asked" // the request had the field "Connection: close"
-	ReasonBadRequest  = "bad_request"  // the request is malformed or could not be read
+	ReasonClientDisconnected = "client_left"  // the client disconnected while its request was in flight
+	ReasonPanic              = "panic"        // the handler panicked on the request
+	ReasonCloseRequested     = "client_asked" // the request had the field "Connection: close"
+	ReasonBadRequest         = "bad_request"  // the request is malformed or could not be read
 )
 
 // Router routes requests to servers.
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -94,7 +94,7 @@
 	c.disconnected = true
 	ctx := lookRequest(60_000)
 	testHandler(panickingRouter{}, count).Serve(ctx, c)
-	if ctx.Response.StatusCode() != statusClientClosedRequest || c.closeReason != ReasonClientLeft || count.Requests.Left.Get() != 1 {
+	if ctx.Response.StatusCode() != statusClientClosedRequest || c.closeReason != ReasonClientDisconnected || count.Requests.ClientDisconnected.Get() != 1 {
 		t.Errorf("status = %d, close reason = %q, counters = %s, want 499 for a disconnected client", ctx.Response.StatusCode(),
 			c.closeReason, count.JSON())
 	}
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -25,7 +25,7 @@
 		c.Rejected.Inc()
 		r.handler.options.Counters.Rejections.Inc(o.rejectCode)
 	case o.clientDisconnected:
-		c.Left.Inc()
+		c.ClientDisconnected.Inc()
 	case o.status == fasthttp.StatusOK:
 		c.Served.Inc()
 	case o.kind == engine.Rejected:
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -65,7 +65,7 @@
 
 // clientDisconnected closes the connection of a client that has disconnected and returns the outcome.
 func (r *request) clientDisconnected(ctx *fasthttp.RequestCtx) outcome {
-	r.client.SetCloseReason(ReasonClientLeft)
+	r.client.SetCloseReason(ReasonClientDisconnected)
 	ctx.SetConnectionClose()
 	return outcome{status: statusClientClosedRequest, clientDisconnected: true}
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -92,10 +92,10 @@
 	s.request.releaseID()
 	count := &s.request.handler.options.Counters.Bodies
 	if s.complete {
-		count.Passed.Inc()
+		count.Forwarded.Inc()
 		s.request.count(outcome{status: fasthttp.StatusOK})
 	} else {
-		count.Broken.Inc()
+		count.Truncated.Inc()
 		s.request.count(outcome{status: fasthttp.StatusBadGateway, kind: engine.Failed})
 	}
 	return nil
@@ -109,7 +109,7 @@
 		return outcome{status: statusStreamingUnsupported, kind: engine.Failed}
 	}
 	// From here on, the request counts as answered, and only the stream's own timeouts apply.
-	resp.Remaining.SetDeadline(time.Now().Add(clock.Span(r.deadline - r.handler.options.Clock.Now())))
+	resp.Remaining.SetDeadline(time.Now().Add(clock.Duration(r.deadline - r.handler.options.Clock.Now())))
 	s := &responseStream{request: r, prefix: resp.Body, remaining: resp.Remaining, conn: conn, buffers: r.handler.options.Bodies}
 	if resp.Remaining.Size() < 0 && !ctx.Request.Header.IsHTTP11() {
 		s.writeHTTP10(ctx)
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -28,8 +28,8 @@
 	return strings.Join(out, "; ")
 }
 
-// All returns the faults that an error of Parse contains, at least one.
-func All(err error) []Fault {
+// Faults returns the faults that an error of Parse contains, at least one.
+func Faults(err error) []Fault {
 	var found faults
 	if errors.As(err, &found) {
 		return found
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -91,7 +91,7 @@
 		"policy_limits.cpu_us":  {`"probes":true}`, `"probes":true,"cpu_us_per_request":-1}`},
 	} {
 		_, err := parseWith(change[0], change[1])
-		if err == nil || !strings.HasPrefix(All(err)[0].Key, key) {
+		if err == nil || !strings.HasPrefix(Faults(err)[0].Key, key) {
 			t.Errorf("%s: error = %v, want a fault with this key first", key, err)
 		}
 	}
--- a/internal/shadow/compare.go
+++ b/internal/shadow/compare.go
@@ -76,7 +76,7 @@
 		Gossip:       !slices.Equal(actualResult.messages, shadowResult.messages),
 	} {
 		if differs {
-			e.counters.Differ.Inc(kind)
+			e.counters.Differences.Inc(kind)
 		}
 	}
 	e.forgetFinished(event)
@@ -137,7 +137,7 @@
 		clear(e.countedKinds)
 	}
 	e.countedKinds[id] |= bit
-	e.counters.Differ.Inc(kind)
+	e.counters.Differences.Inc(kind)
 }
 
 // forgetFinished removes a request from countedKinds if the event ends it.
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -113,7 +113,7 @@
 		if got := runScenario(New(newBalancer(t, settings()), shadowSettings, slog.Default(), count), steps); !reflect.DeepEqual(got, want) {
 			t.Errorf("shadow settings %q: the actions differ from those without an Evaluator", name)
 		}
-		differ, _ := count.Differ.MarshalJSON()
+		differ, _ := count.Differences.MarshalJSON()
 		if name == "the same" && (string(differ) != "{}" || count.Steps.Get() < steps) {
 			t.Errorf("the same settings: differences = %s in %d steps, want none in at least %d", differ, count.Steps.Get(), steps)
 		}
@@ -141,8 +141,8 @@
 		base, other, count := settings(), settings(), &counters.Shadow{}
 		change(&base, &other)
 		runScenario(New(newBalancer(t, base), &other, slog.Default(), count), 6000) // enough steps for the rarest kind to occur
-		if count.Differ.Get(kind) == 0 {
-			all, _ := count.Differ.MarshalJSON()
+		if count.Differences.Get(kind) == 0 {
+			all, _ := count.Differences.MarshalJSON()
 			t.Errorf("count of kind %q = 0, want at least 1; all counts: %s", kind, all)
 		}
 	}
@@ -160,8 +160,8 @@
 	}
 	evaluator.SetSettings(&shadowSettings)
 	runScenario(evaluator, 500)
-	if count.Steps.Get() == 0 || count.Faults.Get() != 0 || count.Differ.Get(Rejected) == 0 {
-		t.Errorf("steps = %d, faults = %d, rejected = %d, want >0, 0, >0", count.Steps.Get(), count.Faults.Get(), count.Differ.Get(Rejected))
+	if count.Steps.Get() == 0 || count.Faults.Get() != 0 || count.Differences.Get(Rejected) == 0 {
+		t.Errorf("steps = %d, faults = %d, rejected = %d, want >0, 0, >0", count.Steps.Get(), count.Faults.Get(), count.Differences.Get(Rejected))
 	}
 }
 
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -194,15 +194,15 @@
 	}
 	key := [2]uint64{uint64(node), st.Generation}
 	for _, h := range st.Quota.Allocations {
-		if h.At <= m.lastGrant[key] {
+		if h.EffectiveFrom <= m.lastGrant[key] {
 			continue
 		}
-		m.lastGrant[key] = h.At
+		m.lastGrant[key] = h.EffectiveFrom
 		until := audit.Forever
 		if h.ValidUntil != math.MaxInt64 {
 			until = time.Duration(h.ValidUntil - start.UnixNano())
 		}
-		m.grants = append(m.grants, audit.QuotaGrant{Node: node, Start: st.Generation, At: time.Duration(h.At - start.UnixNano()), Value: h.Fraction,
+		m.grants = append(m.grants, audit.QuotaGrant{Node: node, Start: st.Generation, At: time.Duration(h.EffectiveFrom - start.UnixNano()), Value: h.Fraction,
 			Until: until, After: h.FractionAfter})
 	}
 }
