--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -19,7 +19,8 @@
 	"tackhub.example/tackhub/lab/netfault"
 )
 
-// testCluster is several nodes that are a cluster, with a link of its own for each directed pair.
+// testCluster is a cluster of several nodes. Each direction between two nodes has a separate link, on which a test can inject
+// faults.
 type testCluster struct {
 	t     *testing.T
 	dir   string
@@ -28,33 +29,34 @@
 	start func(i int) *nodeProcess
 	setup func(i int) nodeOptions
 
-	listens   []string
-	discovery string
+	listenAddresses []string
+	discovery       string
 }
 
-// startTestCluster starts n members named m0, m1 and so on; the first two are the seeds. Discovery lists the servers.
+// startTestCluster starts n members named m0, m1 and so on, and a discovery server that lists the given servers. A member's
+// seeds are the first two other members.
 func startTestCluster(t *testing.T, n int, servers ...*backend) *testCluster {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "th") // short: local sockets' paths are bounded
+	dir, err := os.MkdirTemp("", "th") // short, because the path of a Unix socket is limited to 108 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	var listens []string
+	var listenAddresses []string
 	for range n {
-		listens = append(listens, freeAddress(t))
+		listenAddresses = append(listenAddresses, freeAddress(t))
 	}
-	links, err := netfault.NewMesh(listens, 1)
+	links, err := netfault.NewMesh(listenAddresses, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(links.Close)
 	d := startDiscoveryServer(t, members(servers...))
-	b := &testCluster{t: t, dir: dir, links: links, listens: listens, discovery: d.addr}
+	b := &testCluster{t: t, dir: dir, links: links, listenAddresses: listenAddresses, discovery: d.addr}
 	b.setup = func(i int) nodeOptions {
 		edge := filepath.Join(dir, fmt.Sprintf("m%d.toml", i))
-		text := fmt.Sprintf("[cluster]\nname = \"m%d\"\nlisten = %q\n", i, listens[i])
-		seeds, book := []string{}, []string{}
+		text := fmt.Sprintf("[cluster]\nname = \"m%d\"\nlisten = %q\n", i, listenAddresses[i])
+		seeds, addresses := []string{}, []string{}
 		for j := range n {
 			if i == j {
 				continue
@@ -62,9 +64,9 @@
 			if len(seeds) < 2 {
 				seeds = append(seeds, fmt.Sprintf("%q", links.Address(i, j)))
 			}
-			book = append(book, fmt.Sprintf("m%d = %q", j, links.Address(i, j)))
+			addresses = append(addresses, fmt.Sprintf("m%d = %q", j, links.Address(i, j)))
 		}
-		text += "seeds = [" + strings.Join(seeds, ", ") + "]\naddresses = { " + strings.Join(book, ", ") + " }\n"
+		text += "seeds = [" + strings.Join(seeds, ", ") + "]\naddresses = { " + strings.Join(addresses, ", ") + " }\n"
 		writeFile(t, edge, text)
 		return nodeOptions{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}}
 	}
@@ -75,7 +77,7 @@
 	return b
 }
 
-// status is what a member reports; the zero value where it does not answer.
+// status returns the status that a member reports, or the zero value if it does not answer.
 func (b *testCluster) status(i int) cluster.Status {
 	s, _, err := cluster.QueryStatus(cluster.SocketPath(b.dir, fmt.Sprintf("m%d", i)))
 	if err != nil {
@@ -84,104 +86,106 @@
 	return s
 }
 
-// waitViews waits until each of some members has exactly the wanted ones in its view.
-func (b *testCluster) waitViews(what string, of []int, want ...string) {
+// waitViews waits until the views of the members with the given indexes contain exactly the members in want.
+func (b *testCluster) waitViews(what string, indexes []int, want ...string) {
 	b.t.Helper()
 	eventually(b.t, what, func() bool {
-		return !slices.ContainsFunc(of, func(i int) bool { return !slices.Equal(b.status(i).View.Members, want) })
+		return !slices.ContainsFunc(indexes, func(i int) bool { return !slices.Equal(b.status(i).View.Members, want) })
 	})
 }
 
-// One of two members cannot be heard by the other, but hears it. Both must notice: the first removes the silent one,
-// and that one must learn that it is not heard. After the partition they have one view again.
-func TestOneWayPartition(t *testing.T) {
+// Messages from m1 to m0 are lost, those in the other direction arrive. Both members must detect it: m0 removes m1 from its
+// view, and m1 reports that its messages do not arrive. After the partition both have one view again.
+func TestBothMembersDetectOneWayPartition(t *testing.T) {
 	t.Parallel()
 	b := startTestCluster(t, 2)
 	both := []int{0, 1}
-	b.waitViews("both to meet", both, "m0", "m1")
+	b.waitViews("both members in both views", both, "m0", "m1")
 	before := b.status(0).View.Number
-	cut(b.links, 1, 0, true)
-	b.waitViews("m0 to lose m1", []int{0}, "m0")
-	eventually(t, "the verdict with its evidence", func() bool {
+	setLinkCut(b.links, 1, 0, true)
+	b.waitViews("m0 to remove m1", []int{0}, "m0")
+	eventually(t, "m0 to report m1 as unreachable, with its reporter", func() bool {
 		m := b.status(0).Members
 		return len(m) == 1 && m[0].State == swim.Unreachable && m[0].SuspectedBy["m0"] > 0
 	})
-	eventually(t, "both to hold themselves for cut off", func() bool {
+	eventually(t, "both to report lost connectivity", func() bool {
 		return b.status(0).Connectivity == swim.InboundLost && b.status(1).Connectivity == swim.OutboundLost
 	})
 	if !strings.Contains(b.nodes[1].log.String(), `"is":"not heard"`) {
-		t.Error("m1 does not say in its log that it is not heard")
+		t.Error("m1 has not logged that its messages do not arrive")
 	}
-	cut(b.links, 1, 0, false)
+	setLinkCut(b.links, 1, 0, false)
 	b.waitViews("one view again", both, "m0", "m1")
-	eventually(t, "both to be connected", func() bool {
+	eventually(t, "both to report that they are connected", func() bool {
 		return b.status(0).Connectivity == swim.Connected && b.status(1).Connectivity == swim.Connected
 	})
 	if after := b.status(0).View.Number; after <= before {
-		t.Errorf("the view's number went from %d to %d", before, after)
+		t.Errorf("view number after the partition = %d, want more than %d", after, before)
 	}
 	out, code := runTackhub(t, []string{"TMPDIR=" + b.dir}, "members", "--name", "m0")
 	if code != 0 || !strings.Contains(out, "m1 ") || !strings.Contains(out, "2 members: m0 m1") {
-		t.Errorf("exit code %d:\n%s", code, out)
+		t.Errorf("tackhub members: exit code %d, want 0 and both members:\n%s", code, out)
 	}
 	b.nodes[1].terminate()
 	if code := b.nodes[1].exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
-	eventually(t, "the goodbye", func() bool {
+	eventually(t, "the leave message", func() bool {
 		m := b.status(0).Members
 		return len(m) == 1 && m[0].State == swim.Left
 	})
 }
 
-// A member is upgraded: the next process waits for the member's address. No other member's view may lack it meanwhile.
+// A member is upgraded: the successor process waits until the predecessor releases the member's address. The member must stay
+// in the views of the others all the time.
 func TestUpgradeKeepsMembership(t *testing.T) {
 	t.Parallel()
 	b := startTestCluster(t, 2)
-	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
-	before, watching, stop := b.status(0).Generation, make(chan bool), make(chan struct{})
+	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
+	before, result, stop := b.status(0).Generation, make(chan bool), make(chan struct{})
 	go func() { // until the upgrade is over
-		lost := false
+		missing := false
 		for {
 			select {
 			case <-stop:
-				watching <- lost
+				result <- missing
 				return
 			default:
 				v := b.status(1).View.Members
-				lost = lost || len(v) == 1
+				missing = missing || len(v) == 1
 			}
 		}
 	}()
-	next := launch(t, b.nodes[0].addr, b.setup(0))
-	eventually(t, "the next process to wait for the address", func() bool { return strings.Contains(next.log.String(), "cluster_waits") })
-	eventually(t, "it to serve beside the old one", func() bool { return strings.Contains(next.log.String(), `"code":"handover"`) })
+	successor := launch(t, b.nodes[0].addr, b.setup(0))
+	eventually(t, "the successor to wait for the address", func() bool { return strings.Contains(successor.log.String(), "cluster_waits") })
+	eventually(t, "the handover to the successor", func() bool { return strings.Contains(successor.log.String(), `"code":"handover"`) })
 	b.nodes[0].terminate()
 	if code := b.nodes[0].exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
-	eventually(t, "m1 to hear of the next process", func() bool {
+	eventually(t, "m1 to see the successor's generation", func() bool {
 		m := b.status(1).Members
 		return len(m) == 1 && m[0].Generation > before && m[0].State == swim.Alive
 	})
 	close(stop)
-	if <-watching {
-		t.Error("m1's view lacked m0 during its upgrade")
+	if <-result {
+		t.Error("m1's view did not contain m0 during the upgrade")
 	}
-	b.waitViews("both still there", []int{0, 1}, "m0", "m1")
+	b.waitViews("both members in both views after the upgrade", []int{0, 1}, "m0", "m1")
 }
 
-// Two processes have one member name. On one machine the second fails to start with a line that says why; on another
-// machine the later one wins, and the earlier one reports that it is superseded.
+// Two processes are started with the same member name. With the same address the second must fail to start and print the
+// reason. With another address, as on another machine, the later one replaces the earlier one, which must report that it is
+// superseded.
 func TestDuplicateMemberName(t *testing.T) {
 	t.Parallel()
 	b := startTestCluster(t, 2)
-	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
-	s := b.setup(0)
-	s.discovery = b.discovery
-	out, code := runTackhub(t, append(environment(t, freeAddress(t), s), s.env...))
+	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
+	options := b.setup(0)
+	options.discovery = b.discovery
+	out, code := runTackhub(t, append(environment(t, freeAddress(t), options), options.env...))
 	if code != 1 || !strings.Contains(out, "address already in use") || !strings.Contains(out, "[cluster]") {
-		t.Errorf("exit code %d: %s", code, out)
+		t.Errorf("second process at the same address: exit code %d, want 1 and the reason: %s", code, out)
 	}
 	dir, err := os.MkdirTemp("", "th")
 	if err != nil {
@@ -191,40 +195,40 @@
 	edge := filepath.Join(dir, "edge.toml")
 	writeFile(t, edge, fmt.Sprintf("[cluster]\nname = \"m0\"\nlisten = %q\nseeds = [%q]\n", freeAddress(t), b.links.Address(0, 1)))
 	second := startNode(t, nodeOptions{discovery: b.discovery, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}})
-	eventually(t, "the first to say so", func() bool { return strings.Contains(b.nodes[0].log.String(), "cluster_outdated") })
-	eventually(t, "it to hold itself for outdated", func() bool { return b.status(0).Connectivity == swim.Superseded })
-	eventually(t, "m1 to hold the second", func() bool {
+	eventually(t, "the first to log that it is outdated", func() bool { return strings.Contains(b.nodes[0].log.String(), "cluster_outdated") })
+	eventually(t, "the first to report that it is superseded", func() bool { return b.status(0).Connectivity == swim.Superseded })
+	eventually(t, "m1 to see the second process as m0", func() bool {
 		m := b.status(1).Members
 		return len(m) == 1 && m[0].PreviousGeneration > 0 && m[0].State == swim.Alive
 	})
 	if strings.Contains(second.log.String(), "cluster_outdated") {
-		t.Error("both hold themselves for outdated")
+		t.Error("the second process logged that it is outdated, want only the first to do so")
 	}
 }
 
-// Messages come from another version of the protocol and from another cluster. Unknown fields are ignored; what would
-// be misunderstood or is foreign is dropped and counted.
-func TestForeignVersionsAndClusters(t *testing.T) {
+// A member receives messages of newer protocol versions and of another cluster. It must ignore unknown fields of a compatible
+// version, and drop and count messages that are incompatible, malformed or of another cluster.
+func TestIncompatibleClusterMessagesAreDropped(t *testing.T) {
 	t.Parallel()
 	b := startTestCluster(t, 1)
-	conn, err := net.Dial("udp", b.listens[0])
+	conn, err := net.Dial("udp", b.listenAddresses[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	say := func(m swim.Message, more ...byte) {
+	send := func(m swim.Message, extra ...byte) {
 		raw, err := m.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(more) > 0 {
-			raw[0]++ // one more key in the map
+		if len(extra) > 0 {
+			raw[0]++ // increments the key count of the msgpack map
 		}
-		_, _ = conn.Write(append(raw, more...))
+		_, _ = conn.Write(append(raw, extra...))
 	}
-	name := uint32(xxhash.Sum64String("tackhub"))
-	later := swim.Message{Kind: swim.Ping, Version: 9, ClusterHash: name, From: "x9", Generation: 1, Address: conn.LocalAddr().String(), Seq: 7}
-	say(later, 0xa2, 'z', 'z', 0x92, 1, 2) // "zz": [1, 2]
+	hash := uint32(xxhash.Sum64String("tackhub"))
+	newer := swim.Message{Kind: swim.Ping, Version: 9, ClusterHash: hash, From: "x9", Generation: 1, Address: conn.LocalAddr().String(), Seq: 7}
+	send(newer, 0xa2, 'z', 'z', 0x92, 1, 2) // "zz": [1, 2]
 	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	buf, reply := make([]byte, 1500), swim.Message{}
 	for reply.Kind != swim.Ack {
@@ -237,38 +241,38 @@
 		}
 	}
 	if reply.Seq != 7 || reply.Version != swim.WireVersion {
-		t.Errorf("answered %+v", reply)
+		t.Errorf("reply = %+v, want sequence number 7 and the own version", reply)
 	}
-	later.MinVersion, later.From = 9, "x8" // a version that this one would misunderstand
-	say(later)
-	say(swim.Message{Kind: swim.Ping, Version: 1, ClusterHash: name + 1, From: "x7", Generation: 1, Address: "127.0.0.1:9"})
+	newer.MinVersion, newer.From = 9, "x8" // the sender requires at least version 9
+	send(newer)
+	send(swim.Message{Kind: swim.Ping, Version: 1, ClusterHash: hash + 1, From: "x7", Generation: 1, Address: "127.0.0.1:9"})
 	_, _ = conn.Write([]byte("no message"))
-	eventually(t, "the drops to be counted", func() bool {
+	eventually(t, "one drop of each kind to be counted", func() bool {
 		drops := b.nodes[0].counts().Cluster.Drops
 		return drops["version"] == 1 && drops["other_cluster"] == 1 && drops["malformed"] == 1
 	})
 	if m := b.status(0).Members; len(m) != 1 || m[0].Name != "x9" {
-		t.Errorf("members %+v", m)
+		t.Errorf("members = %+v, want only x9", m)
 	}
 }
 
-// All seeds are down when a member starts. It serves alone, and joins once a seed is there.
-func TestAllSeedsDownAtStart(t *testing.T) {
+// All seeds are down when a member starts. It must serve without peers, and join when a seed is up.
+func TestMemberStartsAloneIfAllSeedsAreDown(t *testing.T) {
 	t.Parallel()
 	b := startTestCluster(t, 2)
-	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
+	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
 	for _, n := range b.nodes {
 		n.terminate()
 		n.exit()
 	}
 	b.nodes[0] = b.start(0)
-	eventually(t, "it to go on alone", func() bool { s := b.status(0); return s.State == swim.Alive && s.Connectivity == swim.NoPeers })
+	eventually(t, "m0 to run without peers", func() bool { s := b.status(0); return s.State == swim.Alive && s.Connectivity == swim.NoPeers })
 	b.nodes[1] = b.start(1)
-	b.waitViews("both to meet again", []int{0, 1}, "m0", "m1")
+	b.waitViews("both members in both views again", []int{0, 1}, "m0", "m1")
 }
 
-// The [cluster] section is invalid. Each fault is reported with file, line and key.
-func TestClusterOptionsAreChecked(t *testing.T) {
+// The [cluster] section of the configuration is invalid in several keys. The check must report each with its line and key.
+func TestInvalidClusterOptionsAreReported(t *testing.T) {
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "[cluster]\nlisten = \"0.0.0.0:7946\"\nseeds = [\"here\"]\nperiod = \"1s\"\ntimeout = \"2s\"\nsuspicion = \"3s\"\nlease = \"1s\"\n"+
 		"accept = [\"10/8\"]\nname = \"a b\"\nshares = { n0 = \"x\" }\n")
@@ -276,36 +280,36 @@
 	for _, want := range []string{"cluster.advertise", ":3: cluster.seeds", ":5: cluster.timeout", ":6: cluster.suspicion", ":7: cluster.lease",
 		":8: cluster.accept", ":9: cluster.name", "cluster.shares"} {
 		if code != 1 || !strings.Contains(out, want) {
-			t.Errorf("exit code %d, no %q in\n%s", code, want, out)
+			t.Errorf("exit code %d, want 1 and %q in\n%s", code, want, out)
 		}
 	}
 }
 
-// SIGHUP disables the cluster and enables it again. The member leaves, and then rejoins. A change of its keys while it
-// runs is rejected.
-func TestClusterDisabledAndEnabled(t *testing.T) {
+// A reload disables the cluster and another one enables it again. The member must leave and then rejoin. A reload that changes
+// keys of the enabled cluster is rejected.
+func TestReloadDisablesAndEnablesCluster(t *testing.T) {
 	t.Parallel()
 	b := startTestCluster(t, 2)
-	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
+	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
 	edge := filepath.Join(b.dir, "m0.toml")
-	on, err := os.ReadFile(edge)
+	enabled, err := os.ReadFile(edge)
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, edge, string(on)+"period = \"300ms\"\n")
+	writeFile(t, edge, string(enabled)+"period = \"300ms\"\n")
 	b.nodes[0].reload("edge_failed")
 	writeFile(t, edge, "")
 	b.nodes[0].reload("edge")
-	eventually(t, "the goodbye", func() bool {
+	eventually(t, "the leave message", func() bool {
 		m := b.status(1).Members
 		return len(m) == 1 && m[0].State == swim.Left
 	})
-	writeFile(t, edge, string(on))
+	writeFile(t, edge, string(enabled))
 	b.nodes[0].reload("edge")
-	b.waitViews("it to be back", []int{0, 1}, "m0", "m1")
+	b.waitViews("m0 to be back in both views", []int{0, 1}, "m0", "m1")
 }
 
-// enableQuotas turns the cluster of one member off and on again by SIGHUP, from then on with a quota that both members divide.
+// enableQuotas disables the cluster of one member by a reload, and enables it again with a quota that both members divide.
 func (b *testCluster) enableQuotas(i int) {
 	b.t.Helper()
 	edge := filepath.Join(b.dir, fmt.Sprintf("m%d.toml", i))
@@ -315,16 +319,16 @@
 	}
 	writeFile(b.t, edge, "")
 	b.nodes[i].reload("edge")
-	writeFile(b.t, edge, fmt.Sprintf("%sshares = { m0 = %q, m1 = %q }\n", text, b.listens[0], b.listens[1]))
+	writeFile(b.t, edge, fmt.Sprintf("%sshares = { m0 = %q, m1 = %q }\n", text, b.listenAddresses[0], b.listenAddresses[1]))
 	b.nodes[i].reload("edge")
 }
 
-// Quotas are rolled out to two members under load, one after the other. The first opens a liveness stream to the second, which has
-// no quota yet: no process may end of it, and no request may be lost.
-func TestQuotasRolledOutNodeByNode(t *testing.T) {
+// Quotas are enabled on two members under load, one after the other. The first opens a liveness stream to the second, which has
+// no quota yet and drops it. No process may exit because of that, and no request may be lost.
+func TestQuotaRolloutLosesNoRequest(t *testing.T) {
 	t.Parallel()
 	b := startTestCluster(t, 2, startBackend(t, "s1", respond(200, "done")))
-	b.waitViews("both to meet", []int{0, 1}, "m0", "m1")
+	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
 	stop := make(chan struct{})
 	var lost, answered atomic.Int64
 	var clients sync.WaitGroup
@@ -337,7 +341,7 @@
 				default:
 				}
 				if a, err := node.do(request("look", 1400)); err != nil || a.status != 200 {
-					t.Logf("%+v, %v", a, err)
+					t.Logf("lost request: %+v, %v", a, err)
 					lost.Add(1)
 				}
 				answered.Add(1)
@@ -360,17 +364,17 @@
 		return ok && got.Cluster.Drops["lifeline"] > 0
 	})
 	b.enableQuotas(1)
-	eventually(t, "half of the quota at each", func() bool {
+	eventually(t, "each member to have half of the quota", func() bool {
 		half := func(i int) bool { q := b.status(i).Quota; return q != nil && q.Fraction == 0.5 }
 		return half(0) && half(1)
 	})
 	stopClients()
 	if n := lost.Load(); n > 0 || answered.Load() == 0 {
-		t.Errorf("%d of %d requests lost", n, answered.Load())
+		t.Errorf("%d of %d requests lost, want 0 and at least one answered", n, answered.Load())
 	}
 }
 
-// cut begins or ends a cut of the link from one node to another.
-func cut(links *netfault.Mesh, from, to int, on bool) {
-	links.SetFaults(from, to, func(f *netfault.PacketFaults) { f.Cut = on })
+// setLinkCut blocks or unblocks the link from one node to another.
+func setLinkCut(links *netfault.Mesh, from, to int, blocked bool) {
+	links.SetFaults(from, to, func(f *netfault.PacketFaults) { f.Cut = blocked })
 }
--- a/cmd/tackhub/connlimit_test.go
+++ b/cmd/tackhub/connlimit_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Each client opens a connection, sends one request and keeps the connection. Clients may hold a third of the
-// descriptors, so idle connections are closed long before new clients find no room.
+// Each client opens a connection, sends one request and keeps the connection open. All clients together hold at most a third of
+// the node's descriptors, and send nothing more at that limit. The node must therefore close idle connections well below it.
 func TestIdleClientsAreEvictedEarly(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s) // 256 descriptors
@@ -22,62 +22,62 @@
 		c := p.connect()
 		c.write(request("look", 1000))
 		if a, err := c.read(); err != nil || a.status != 200 {
-			t.Fatalf("connection %d: %v %v", i, a, err)
+			t.Fatalf("connection %d: %v, %v, want status 200", i, a, err)
 		}
 	}
-	time.Sleep(60 * time.Millisecond) // by now all have stood idle long enough to make way
+	time.Sleep(60 * time.Millisecond) // a connection can be evicted after it has been idle for 50 ms
 	eventually(t, "fewer than a sixth of the descriptors in use", func() bool { return p.counts().Clients["open"] < 256/6 })
 }
 
-// Far more clients connect at once than the node has descriptors, and none sends anything. A well-behaved client behind
-// them is served at once, and the silent ones are closed in time.
+// Far more clients connect at once than the node has descriptors, and send nothing. A client that connects after them and sends
+// a request must be served without a delay, and the silent connections must be closed within maxCloseTime.
 func TestSilentConnectionsDoNotDelayRequests(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 64})
-	eventually(t, "list", func() bool { return d.watchCount() > 0 })
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
 	began := time.Now()
-	var crowd []*client
+	var clients []*client
 	for range 300 {
-		crowd = append(crowd, p.connect())
+		clients = append(clients, p.connect())
 	}
 	if a := p.mustDo(request("look", 1000)); a.status != 200 {
-		t.Errorf("status %d after %v", a.status, a.took)
+		t.Errorf("status %d after %v, want 200", a.status, a.took)
 	}
 	if n := p.counts().Clients["opened"]; n > 100 {
-		t.Errorf("%d connections were taken from the kernel while most had said nothing", n)
+		t.Errorf("the node accepted %d connections although nearly all clients were silent, want at most 100", n)
 	}
-	for i, c := range crowd {
+	for i, c := range clients {
 		if _, err := c.read(); err != nil && time.Since(began) > maxCloseTime {
-			t.Fatalf("connection %d was closed after %v", i, time.Since(began))
+			t.Fatalf("connection %d was closed after %v, want at most %v", i, time.Since(began), maxCloseTime)
 		}
 	}
 }
 
-// More clients keep their connections than the node has descriptors. Idle connections are closed for new ones, and
-// every client is served.
+// More clients keep their connections open than the node has descriptors. The node must evict idle connections in favor of new
+// ones and serve every client.
 func TestIdleClientsAreEvictedAtDescriptorLimit(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 64})
-	eventually(t, "list", func() bool { return d.watchCount() > 0 })
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
 	for i := range 100 {
 		c := p.connect()
 		c.write(request("look", 5000))
 		if a, err := c.read(); err != nil || a.status != 200 {
-			t.Fatalf("connection %d: %v %v", i, a, err)
+			t.Fatalf("connection %d: %v, %v, want status 200", i, a, err)
 		}
 	}
 	eventually(t, "evictions", func() bool { return p.counts().ClientEnds["descriptor_limit"] >= 84 })
 }
 
-// Far more clients connect and send a request at once than the node has descriptors. A new connection whose request has
-// not arrived yet must not be evicted as idle.
+// Far more clients connect and send a request at once than the node has descriptors. The node must not evict a new connection
+// as idle before its request has arrived.
 func TestConnectionBurstLosesNoRequest(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 64})
-	eventually(t, "list", func() bool { return d.watchCount() > 0 })
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
 	var all []<-chan asyncResult
 	for range 300 {
 		all = append(all, p.send(request("look", 5000, "Connection: close")))
@@ -88,38 +88,39 @@
 	got := p.counts()
 	got.addUp(t)
 	if got.ClientEnds["descriptor_limit"] > 0 {
-		t.Errorf("%d new connections were closed for want of descriptors", got.ClientEnds["descriptor_limit"])
+		t.Errorf("%d new connections were evicted at the descriptor limit, want 0", got.ClientEnds["descriptor_limit"])
 	}
 }
 
-// The process gets fewer descriptors than its configuration says, so that accept fails. The node goes on with what it
-// has, and recovers once clients leave.
+// The system allows the process fewer descriptors than its configuration, so accept fails. The node must keep serving with the
+// descriptors that it has, and recover when clients close their connections.
 func TestRecoveryFromDescriptorExhaustion(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 4096})
-	eventually(t, "list", func() bool { return d.watchCount() > 0 })
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
 	lim := syscall.Rlimit{Cur: 24, Max: 24}
 	if err := prlimit(p.cmd.Process.Pid, &lim); err != nil {
 		t.Fatal(err)
 	}
-	var held []*client
+	var connections []*client
 	for range 60 {
 		c := p.connect()
 		c.write(request("look", 5000))
 		if a, err := c.read(); err != nil || a.status != 200 && a.status != 503 {
-			t.Fatalf("%v %v", a, err)
+			t.Fatalf("response %v, %v, want status 200 or 503", a, err)
 		}
-		held = append(held, c)
+		connections = append(connections, c)
 	}
-	// Idle connections make way for the client; where none is left for the server the request is refused at once.
+	// The node evicts an idle connection in favor of the client. If no descriptor is left for a connection to the server, it rejects
+	// the request at once.
 	if a := p.mustDo(request("look", 5000)); a.status != 200 && a.status != 503 {
-		t.Errorf("status %d with no descriptor left", a.status)
+		t.Errorf("status %d with no descriptor left, want 200 or 503", a.status)
 	}
 	if n := p.counts().Clients["paused"]; n == 0 {
-		t.Error("accepting never failed")
+		t.Error("accept never failed: the limit of 24 descriptors had no effect")
 	}
-	for _, c := range held {
+	for _, c := range connections {
 		_ = c.Close()
 	}
 	eventually(t, "recovery", func() bool {
@@ -128,8 +129,8 @@
 	})
 }
 
-// Twice as many clients as the node has room for stay with a part of a request. They are evicted for a client that
-// sends a whole one, though slowly.
+// Twice as many clients connect as the node accepts, and each sends only part of a request. The node must evict these connections
+// in favor of a client that sends a complete request slowly.
 func TestPartialRequestsAreEvicted(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
@@ -144,57 +145,57 @@
 		}
 	}
 	c, raw := p.connect(), request("look", 1400)
-	for i := range 4 { // the time is what is tested
+	for i := range 4 { // sends the request in four parts over 0.8 s
 		c.write(raw[i*len(raw)/4 : (i+1)*len(raw)/4])
 		time.Sleep(200 * time.Millisecond)
 	}
 	if a, err := c.read(); err != nil || a.status != 200 || a.took > time.Second {
-		t.Errorf("status %d after %v, %v", a.status, a.took, err)
+		t.Errorf("status %d after %v, %v, want 200 within a second", a.status, a.took, err)
 	}
 	if n := p.counts().ClientEnds["descriptor_limit"]; n == 0 {
-		t.Error("none made way")
+		t.Error("no connection was evicted at the descriptor limit")
 	}
 }
 
-// connectManyIdle has clients connect and stay idle until stop is called, which returns the most descriptors that the
-// node held meanwhile.
+// connectManyIdle opens idle client connections until stop is called. stop returns the highest number of descriptors that the
+// node had open meanwhile.
 func (p *nodeProcess) connectManyIdle() (stop func() int) {
-	most := 0
-	over, done := make(chan struct{}), make(chan struct{})
+	maxOpen := 0
+	stopping, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		var all []net.Conn
+		var conns []net.Conn
 		defer func() {
-			for _, c := range all {
+			for _, c := range conns {
 				_ = c.Close()
 			}
 		}()
-		for len(all) < 5000 {
+		for len(conns) < 5000 {
 			if c, err := net.DialTimeout("tcp", p.addr, waitTimeout); err == nil {
-				_, _ = c.Write([]byte("G")) // else the kernel keeps it back
-				all = append(all, c)
+				_, _ = c.Write([]byte("G")) // the kernel hands over a connection only after its first data (TCP_DEFER_ACCEPT)
+				conns = append(conns, c)
 			}
-			if held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)); err == nil {
-				most = max(most, len(held))
+			if openFiles, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)); err == nil {
+				maxOpen = max(maxOpen, len(openFiles))
 			}
 			select {
-			case <-over:
+			case <-stopping:
 				return
 			default:
 			}
 		}
 	}()
 	return sync.OnceValue(func() int {
-		close(over)
+		close(stopping)
 		<-done
-		return most
+		return maxOpen
 	})
 }
 
-// While discovery is down, idle clients would take every descriptor of a process whose system gives it fewer than its
-// configuration says. When discovery is back, its list must be followed at once, its servers reached, the admin
-// listener answered and a new configuration read.
-func TestDescriptorReserveBesideIdleClients(t *testing.T) {
+// The system allows the process fewer descriptors than its configuration, and idle clients connect while discovery is down. The
+// node must reserve descriptors: when discovery is back, it must apply the new list, connect to the listed servers, serve the
+// admin listener and reload its configuration.
+func TestDescriptorsAreReservedFromIdleClients(t *testing.T) {
 	const files, clients = 64, 150
 	s1, s2 := startBackend(t, "s1", respond(200, "one")), startBackend(t, "s2", respond(200, "two"))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -213,13 +214,13 @@
 	}
 	_ = srv.Close()
 	for i := range clients {
-		c := p.connect() // and stays
+		c := p.connect() // stays open until the end of the test
 		if i%2 == 0 {
 			continue
 		}
 		c.write(request("look", 1400))
 		if a, err := c.read(); err != nil || a.status != 200 && a.status != 503 {
-			t.Fatalf("client %d: %v %v", i, a, err)
+			t.Fatalf("client %d: %v, %v, want status 200 or 503", i, a, err)
 		}
 	}
 	stop := p.connectManyIdle()
@@ -227,10 +228,10 @@
 	second := startDiscoveryServerAt(t, first.addr, members(s2))
 	eventually(t, "the new list", func() bool { return second.watchCount() > 0 })
 	if n := stop(); n > files*3/4 {
-		t.Errorf("%d of %d descriptors were taken: half should be set aside, but for what was on its way", n, files)
+		t.Errorf("%d of %d descriptors were open, want at most three quarters: half reserved, except for connections being accepted", n, files)
 	}
 	if a := p.mustDo(request("look", 1400)); a.status != 200 || a.body != "two" {
-		t.Errorf("%d %q after discovery's return", a.status, a.body)
+		t.Errorf("request after discovery is back: status %d, body %q, want 200, \"two\"", a.status, a.body)
 	}
 	resp, err := http.Get("http://" + admin + "/stats")
 	if err != nil {
@@ -246,11 +247,11 @@
 	p.reload("reload")
 	eventually(t, "the list at the new address", func() bool { return third.watchCount() > 0 })
 	if n := strings.Count(p.log.String(), `"code":"descriptors_short"`); n != 1 {
-		t.Errorf("the log says %d times that descriptors run short", n)
+		t.Errorf("descriptors_short was logged %d times, want 1", n)
 	}
 	got := p.counts()
 	got.addUp(t)
 	if got.Requests["unsent"] > 0 {
-		t.Errorf("%d answers were not written", got.Requests["unsent"])
+		t.Errorf("%d responses were not written, want 0", got.Requests["unsent"])
 	}
 }
--- a/cmd/tackhub/counters_test.go
+++ b/cmd/tackhub/counters_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// counts are the node's counters.
+// counts returns the node's counters, which it reads on a new connection.
 func (p *nodeProcess) counts() counts {
 	p.t.Helper()
 	c := p.connect()
 	defer func() { _ = c.Close() }()
 	got, ok := p.countsOn(c)
 	if !ok {
-		p.t.Fatal("no counters")
+		p.t.Fatal("cannot read the node's counters")
 	}
 	return got
 }
 
-// countsOn reads the counters on a connection that is open already.
+// countsOn reads the node's counters on an open connection. It reports whether that succeeded.
 func (p *nodeProcess) countsOn(c *client) (got counts, ok bool) {
 	if _, err := io.WriteString(c, "GET /_counters HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		return got, false
@@ -33,7 +33,7 @@
 	return got, err == nil
 }
 
-// counts is the part of the counters that the tests read.
+// counts holds the counters of a node that the tests read.
 type counts struct {
 	Requests   map[string]int `json:"requests"`
 	Attempts   map[string]int `json:"attempts"`
@@ -49,30 +49,31 @@
 	Inventory  map[string]int `json:"inventory"`
 	Log        map[string]int `json:"log_lines"`
 	Bodies     map[string]int `json:"large_bodies"`
-	Watch      struct {
+	Shadow     struct {
 		Steps  int            `json:"steps"`
 		Differ map[string]int `json:"differ"`
 	} `json:"watch"`
-	Peers   struct{ Sent, Taken int } `json:"peers"`
+	Gossip  struct{ Sent, Taken int } `json:"peers"`
 	Cluster struct {
 		Drops map[string]int `json:"drops"`
 	} `json:"cluster"`
 }
 
-// addUp checks that every received request has one ending.
+// addUp checks that each received request is counted with exactly one outcome or as open.
 func (c counts) addUp(t *testing.T) {
 	t.Helper()
 	r := c.Requests
 	if sum := r["served"] + r["refused"] + r["failed"] + r["rejected"] + r["left"] + r["open"]; sum != r["taken"] {
-		t.Errorf("taken %d, but endings and open make %d: %v", r["taken"], sum, r)
+		t.Errorf("taken = %d, want %d as the sum of outcomes and open requests: %v", r["taken"], sum, r)
 	}
 }
 
-// A failing server is not ejected, and an operator asks why. The log must say it of each server, on SIGUSR1.
-func TestHealthOfServersOnRequest(t *testing.T) {
+// An operator wants to know why servers are ejected or not. On SIGUSR1 the node must log the ejection state of each server with
+// its reason.
+func TestServerHealthIsLoggedOnSIGUSR1(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", resetConn)
 	p, _ := startWithBackends(t, "", s1, s2)
-	eventually(t, "an ejection", func() bool {
+	eventually(t, "the ejection of s2", func() bool {
 		p.mustDo(request("look", 1400))
 		return strings.Contains(p.log.String(), "ejected s2")
 	})
@@ -84,16 +85,16 @@
 	}
 }
 
-// The counters are logged on SIGUSR1 and at the end.
-func TestCountersOnRequestAndAtExit(t *testing.T) {
+// The node must log its counters on SIGUSR1 and when it exits.
+func TestCountersAreLoggedOnSIGUSR1AndAtExit(t *testing.T) {
 	p := startNode(t, nodeOptions{discovery: freeAddress(t)})
-	said := func() int { return strings.Count(p.log.String(), `"code":"counters"`) }
+	logLines := func() int { return strings.Count(p.log.String(), `"code":"counters"`) }
 	if err := p.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "counters on request", func() bool { return said() == 1 })
+	eventually(t, "counters on request", func() bool { return logLines() == 1 })
 	p.terminate()
-	if code := p.exit(); code != 0 || said() != 2 {
-		t.Errorf("exit code %d, counters said %d times", code, said())
+	if code := p.exit(); code != 0 || logLines() != 2 {
+		t.Errorf("exit code %d, counters logged %d times, want 0 and 2", code, logLines())
 	}
 }
--- a/cmd/tackhub/forward_test.go
+++ b/cmd/tackhub/forward_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// A request line, its fields and its body hold bytes that a parser might normalize. They reach the server unchanged;
-// only the deadline is what is left of it.
+// The request line, the fields and the body contain bytes that a parser might normalize. The node must forward them unchanged,
+// except the deadline field, which it replaces by the remaining time.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	body := strings.Repeat("\x00\xff%41\r\n", 9362) + "ab" // 64 KiB, nothing that is text
+	body := strings.Repeat("\x00\xff%41\r\n", 9362) + "ab" // 64 KiB of binary data
 	s := startBackend(t, "s1", respond(200, "answer\x00\r\n\xfe"))
 	p, _ := startWithBackends(t, "", s)
 	uri := "/store/a%2Fb/../c//d?x=1&&y=%20+%zz#f"
@@ -17,22 +17,22 @@
 		"Idempotency-Key: k=\"1\"; %\r\nX-Deadline-Ms: 1000\r\nX-Extras: a=1,b=2\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n\r\n" + body)
 	if a.status != 200 || a.body != "answer\x00\r\n\xfe" {
-		t.Fatalf("answer %d %q", a.status, a.body)
+		t.Fatalf("response: status %d, body %q, want 200 and the server's body", a.status, a.body)
 	}
 	g := s.requests()[0]
 	if g.line != "POST "+uri+" HTTP/1.1" {
-		t.Errorf("first line %q", g.line)
+		t.Errorf("request line = %q, want the one that was sent", g.line)
 	}
 	if string(g.body) != body {
-		t.Errorf("a body of %d bytes came as another of %d", len(body), len(g.body))
+		t.Errorf("the body of %d bytes was changed; the server received %d bytes", len(body), len(g.body))
 	}
 	for name, want := range map[string]string{"X-Request-Id": `id-%20"1"`, "Idempotency-Key": `k="1"; %`,
 		"X-Extras": "a=1,b=2", "X-Class": "store"} {
 		if v := g.header.Get(name); v != want {
-			t.Errorf("%s is %q, want %q", name, v, want)
+			t.Errorf("%s = %q, want %q", name, v, want)
 		}
 	}
-	if left, err := strconv.Atoi(g.header.Get("X-Deadline-Ms")); err != nil || left < 1 || left > 1000 {
-		t.Errorf("the server got a deadline of %q of 1000 ms", g.header.Get("X-Deadline-Ms"))
+	if remaining, err := strconv.Atoi(g.header.Get("X-Deadline-Ms")); err != nil || remaining < 1 || remaining > 1000 {
+		t.Errorf("deadline at the server = %q ms, want 1 to 1000", g.header.Get("X-Deadline-Ms"))
 	}
 }
--- a/cmd/tackhub/largeresponse_test.go
+++ b/cmd/tackhub/largeresponse_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// respondInPieces sends a head and half of a body, and the rest once a gate opens, where whole; otherwise it breaks
-// off.
-func respondInPieces(head string, b []byte, gate <-chan struct{}, whole bool) behavior {
+// respondInPieces sends a head and the first half of a body, and waits until gate is closed. Then it sends the second half if
+// complete is set, and closes the connection otherwise.
+func respondInPieces(head string, b []byte, gate <-chan struct{}, complete bool) behavior {
 	return func(c net.Conn, _ receivedRequest) bool {
 		_, _ = io.WriteString(c, head)
 		_, _ = c.Write(b[:len(b)/2])
 		<-gate
-		if !whole {
+		if !complete {
 			return false
 		}
 		_, err := c.Write(b[len(b)/2:])
@@ -25,8 +25,9 @@
 	}
 }
 
-// A server sends half of a large response and pauses. The client must have that half already, and must be able to tell
-// whether the rest came.
+// A server sends half of a large response and pauses. The node must forward that half during the pause. If the server then
+// closes the connection, the client's read must fail. The exception is a response without a length, which the close of the
+// connection ends regularly.
 func TestLargeResponsesAreStreamed(t *testing.T) {
 	b := largeBody(1 << 20)
 	for name, head := range map[string]string{
@@ -34,33 +35,33 @@
 		"1xx":    fmt.Sprintf("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(b)),
 		"close":  "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
-		for _, whole := range []bool{true, false} {
+		for _, complete := range []bool{true, false} {
 			for _, version := range []string{"1.1", "1.0"} {
 				gate := make(chan struct{})
-				p, _ := startWithLargeBodies(t, respondInPieces(head, b, gate, whole))
+				p, _ := startWithLargeBodies(t, respondInPieces(head, b, gate, complete))
 				c := p.connect()
 				c.write(strings.Replace(request("look", 1400), "HTTP/1.1", "HTTP/"+version, 1))
 				resp, err := http.ReadResponse(c.r, nil)
 				if err != nil {
-					t.Fatalf("%s: %v", name, err)
+					t.Fatalf("%s: response head: %v", name, err)
 				}
 				half := make([]byte, len(b)/2-100)
-				if _, err := io.ReadFull(resp.Body, half); err != nil { // before the rest is there
-					t.Fatalf("%s: the first half: %v", name, err)
+				if _, err := io.ReadFull(resp.Body, half); err != nil { // arrives during the server's pause
+					t.Fatalf("%s: first half of the body: %v", name, err)
 				}
 				close(gate)
 				rest, err := io.ReadAll(resp.Body)
 				got := append(half, rest...)
 				switch {
-				case whole && (err != nil || !bytes.Equal(got, b)):
-					t.Errorf("%s to HTTP/%s: %d of %d bytes, %v", name, version, len(got), len(b), err)
-				case !whole && name != "close" && err == nil:
-					t.Errorf("%s to HTTP/%s: broke off and the client cannot tell", name, version)
+				case complete && (err != nil || !bytes.Equal(got, b)):
+					t.Errorf("%s to HTTP/%s: received %d of %d bytes, %v, want the unchanged body", name, version, len(got), len(b), err)
+				case !complete && name != "close" && err == nil:
+					t.Errorf("%s to HTTP/%s: no error for a truncated response", name, version)
 				}
-				eventually(t, "no room held", func() bool { f, b := p.bodyCounts(); return f == 0 && b == 0 })
+				eventually(t, "files and buffers to be released", func() bool { f, b := p.bodyCounts(); return f == 0 && b == 0 })
 				counts := p.counts()
-				if failed := counts.Requests["failed"]; name != "close" && (failed == 1) == whole {
-					t.Errorf("%s, whole %v: %d failed", name, whole, failed)
+				if failed := counts.Requests["failed"]; name != "close" && (failed == 1) == complete {
+					t.Errorf("%s, complete %v: %d failed requests", name, complete, failed)
 				}
 				counts.addUp(t)
 			}
@@ -68,9 +69,9 @@
 	}
 }
 
-// Clients do not read their large responses. The servers have to wait, instead of the node buffering what they send.
-func TestSlowReadersTakeNoNodeMemory(t *testing.T) {
-	b := largeBody(24 << 20) // more than sockets hold
+// Clients do not read their large responses. The node must stop reading from the servers instead of buffering the responses.
+func TestSlowReadersDoNotGrowNodeMemory(t *testing.T) {
+	b := largeBody(24 << 20) // more than the socket buffers hold
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(b))
 	p, _ := startWithLargeBodies(t, func(c net.Conn, _ receivedRequest) bool {
 		_, _ = io.WriteString(c, head)
@@ -83,19 +84,19 @@
 		c.write(request("look", 1400))
 		clients = append(clients, c)
 	}
-	eventually(t, "answers on their way", func() bool { _, n := p.bodyCounts(); return n == len(clients) })
+	eventually(t, "six responses in progress", func() bool { _, n := p.bodyCounts(); return n == len(clients) })
 	if kb := residentKB(t, p.cmd.Process.Pid); kb > 64<<10 {
-		t.Errorf("%d kB resident with 144 MB on their way", kb)
+		t.Errorf("resident memory = %d kB with 144 MiB of responses in progress, want at most 64 MiB", kb)
 	}
 	for _, c := range clients {
 		a, err := c.read()
 		if err != nil || len(a.body) != len(b) {
-			t.Errorf("%d bytes, %v", len(a.body), err)
+			t.Errorf("received %d bytes, %v, want %d", len(a.body), err, len(b))
 		}
 	}
 }
 
-// A server sends a response of unknown length slowly. The client gets each part when it comes.
+// A server sends the first chunk of a response and pauses. The node must forward the chunk during the pause.
 func TestChunkedResponseIsNotBuffered(t *testing.T) {
 	b, gate := largeBody(8<<10), make(chan struct{})
 	p, _ := startWithLargeBodies(t, func(c net.Conn, _ receivedRequest) bool {
@@ -113,10 +114,10 @@
 	}
 	got := make([]byte, len(b))
 	if _, err := io.ReadFull(resp.Body, got); err != nil || !bytes.Equal(got, b) {
-		t.Errorf("the first pieces: %v", err)
+		t.Errorf("first chunk: %v, want it unchanged", err)
 	}
 	close(gate)
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) != len(b) {
-		t.Errorf("the rest: %d bytes, %v", len(rest), err)
+		t.Errorf("second chunk: %d bytes, %v, want %d", len(rest), err, len(b))
 	}
 }
--- a/cmd/tackhub/log_test.go
+++ b/cmd/tackhub/log_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// Nobody reads the node's log, so its pipe is full. Requests are served, and log lines are dropped and counted.
-func TestBlockedLogStallsNothing(t *testing.T) {
-	r, w, err := os.Pipe() // nobody reads it
+// The pipe of the node's log is full because its reader has stopped reading. The node must serve requests, and drop and count
+// log lines.
+func TestBlockedLogDoesNotBlockRequests(t *testing.T) {
+	r, w, err := os.Pipe() // the test never reads from r
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -15,21 +16,22 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, stderr: w})
-	eventually(t, "list", func() bool { return d.watchCount() > 0 })
-	for i := range 6000 { // a line for each connection: far more than pipe and queue hold
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	for i := range 6000 { // each connection writes a log line; the pipe and the queue hold far fewer
 		a, err := p.do(request("look", 1000, "Connection: close"))
 		if err != nil || a.status != 200 {
-			t.Fatalf("request %d: %v %v", i, a, err)
+			t.Fatalf("request %d: %v, %v, want status 200", i, a, err)
 		}
 		if i%500 == 0 && p.counts().Log["dropped"] > 0 {
 			return
 		}
 	}
-	t.Error("no line was ever dropped: the log is not stuck")
+	t.Error("no log line was dropped: the pipe did not fill up")
 }
 
-// The reader of standard error closes its end. By default the next log line would kill the process by SIGPIPE.
-func TestLogReaderCloses(t *testing.T) {
+// The reader of standard error closes its end of the pipe. The node must continue to run; by default the next log line would end
+// the process with SIGPIPE.
+func TestNodeKeepsRunningAfterLogReaderCloses(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -37,16 +39,16 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, stderr: w})
-	eventually(t, "list", func() bool { return d.watchCount() > 0 })
+	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
 	_, _ = r.Close(), w.Close()
-	for i := range 20 { // each leaves a line
+	for i := range 20 { // each connection writes a log line
 		a, err := p.do(request("look", 1000, "Connection: close"))
 		if err != nil || a.status != 200 {
-			t.Fatalf("request %d: %v %v", i, a, err)
+			t.Fatalf("request %d: %v, %v, want status 200", i, a, err)
 		}
 	}
 	p.terminate()
 	if code := p.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 }
--- a/cmd/tackhub/savedstate_test.go
+++ b/cmd/tackhub/savedstate_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// savedStateFixture is a state folder that the version before the rename of the code's identifiers wrote; see
-// testdata/README.md.
+// savedStateFixture is a state folder that an earlier version of the node wrote, before the identifiers of the code were renamed;
+// see testdata/README.md.
 const savedStateFixture = "testdata/state-v1"
 
-// savedMembers are the members in the newest generation of a state folder, as generic JSON: no type of the program stands
-// between the test and the file's own keys.
+// savedMembers returns the members in the newest generation of a state folder. They are decoded as generic JSON, so that the test
+// checks the keys of the file independently of the program's types.
 func savedMembers(t *testing.T, folder string) (file string, members []any) {
 	t.Helper()
 	generations, err := filepath.Glob(filepath.Join(folder, "inventory.0*"))
 	if err != nil || len(generations) == 0 {
-		t.Fatalf("no generation in %s: %v", folder, err)
+		t.Fatalf("folder %s: no generation of the saved state, %v", folder, err)
 	}
 	file = generations[len(generations)-1]
 	raw, err := os.ReadFile(file)
@@ -37,7 +37,7 @@
 	return filepath.Base(file), state.Members
 }
 
-// copyFolder copies the files of a folder and gives the copy, so that a test cannot change a fixture.
+// copyFolder copies a folder to a temporary one and returns its path, so that a test cannot change a fixture.
 func copyFolder(t *testing.T, from string) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), "state")
@@ -47,7 +47,7 @@
 	return to
 }
 
-// silentAddress accepts connections and never answers on them.
+// silentAddress returns the address of a listener that accepts connections and never responds.
 func silentAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,13 +67,13 @@
 	return l.Addr().String()
 }
 
-// A new version is installed while discovery is down and the inventory file is missing. All it has is the state folder
-// that the version before it wrote. If it could not read that folder, or read a field under another name, it would have
-// no servers, send requests to a draining one, or lose a server's pod.
+// A new version starts while discovery is down and the inventory file is missing, with only the state folder that the previous
+// version wrote. If it could not read that folder, or expected a field under another name, it would have no servers, send
+// requests to a draining server, or lose a server's pod.
 func TestNodeServesFromStateOfPreviousVersion(t *testing.T) {
 	for name, discoveryAddress := range map[string]func(*testing.T) string{"discovery absent": freeAddress, "discovery silent": silentAddress} {
 		t.Run(name, func(t *testing.T) {
-			// The addresses stand in the fixture. They lie outside of the ranges that the other tests use.
+			// These addresses are part of the fixture and outside the ranges that the other tests use.
 			s1 := startBackendAt(t, "s1", "127.201.7.1:21871", respond(200, "one"))
 			draining := startBackendAt(t, "s2", "127.201.7.2:21872", respond(200, "two"))
 			s3 := startBackendAt(t, "s3", "127.201.7.3:21873", respond(200, "three"))
@@ -86,57 +86,56 @@
 			p := startNode(t, nodeOptions{discovery: discoveryAddress(t), env: []string{"TACKHUB_EDGE=" + edge}})
 			p.waitLog(`"code":"inventory_stale"`, 1)
 			if p.logCount(`"code":"state_skipped"`) > 0 {
-				t.Error("a generation of the version before was passed over")
+				t.Error("the node skipped a generation that the previous version saved")
 			}
 			for range 60 {
 				if a := p.mustDo(request("look", 1000)); a.status != 200 {
-					t.Fatalf("status %d from the saved list", a.status)
+					t.Fatalf("request with the saved list: status %d, want 200", a.status)
 				}
 			}
 			if len(s1.requests()) == 0 || len(s3.requests()) == 0 {
-				t.Errorf("%d and %d requests at the two servers that serve", len(s1.requests()), len(s3.requests()))
+				t.Errorf("s1 and s3 received %d and %d requests, want both to be used", len(s1.requests()), len(s3.requests()))
 			}
 			if n := len(draining.requests()); n > 0 {
-				t.Errorf("%d requests at a server that was saved as draining", n)
+				t.Errorf("the server saved as draining received %d requests, want 0", n)
 			}
 			if n := len(retired.requests()); n > 0 {
-				t.Errorf("%d requests at a server that only the older generation names", n)
+				t.Errorf("the server that only the older generation contains received %d requests, want 0", n)
 			}
 			writeFile(t, list, "id,address,zone,pod,size,phase,tags,rack\n"+
 				"s1,127.201.7.1:21871,a,p1,1,serving,ssd;big,r12\ns2,127.201.7.2:21872,a,p1,1,draining,,r12\n"+
 				"s3,127.201.7.3:21873,a,p2,1,serving,ssd,r13\ns4,127.201.7.5:21875,a,p2,1,draining,,r13\n# end 4\n")
-			checkSavedAgain(t, p, folder)
+			checkNextGeneration(t, p, folder)
 		})
 	}
 }
 
-// checkSavedAgain checks that the node saves its next generation, which has one member more, in the same form: each other
-// member with all its keys and values. The sources of the fields may differ: a field that came from discovery now comes from
-// the saved state.
-func checkSavedAgain(t *testing.T, p *nodeProcess, folder string) {
+// checkNextGeneration checks that the node saves a next generation with one more member, and the other members with the same keys
+// and values as before. The sources of the fields may differ: a field that came from discovery now comes from the saved state.
+func checkNextGeneration(t *testing.T, p *nodeProcess, folder string) {
 	t.Helper()
 	_, before := savedMembers(t, savedStateFixture)
 	var file string
 	var after []any
-	eventually(t, "a save of the new member", func() bool {
+	eventually(t, "a saved generation with the new member", func() bool {
 		if p.counts().Inventory["saves"] > 0 {
 			file, after = savedMembers(t, folder)
 		}
 		return len(after) == len(before)+1
 	})
 	if file <= "inventory.000000000002" {
-		t.Errorf("the newest generation is %s after the node has saved", file)
+		t.Errorf("newest generation = %s, want one after inventory.000000000002", file)
 	}
 	for _, members := range [][]any{before, after} {
 		for _, m := range members {
 			fields, ok := m.(map[string]any)
 			if !ok || fields["from"] == nil {
-				t.Fatalf("a member without its sources: %v", m)
+				t.Fatalf("saved member has no field sources (\"from\"): %v", m)
 			}
 			delete(fields, "from")
 		}
 	}
 	if after = after[:len(before)]; !reflect.DeepEqual(before, after) {
-		t.Errorf("saved members changed:\n%v\n%v", before, after)
+		t.Errorf("saved members differ:\ngot  %v\nwant %v", after, before)
 	}
 }
--- a/cmd/tackhub/shadow_test.go
+++ b/cmd/tackhub/shadow_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A node evaluates other settings beside its own. The same settings differ in nothing, others are counted where they
-// would decide otherwise but decide nothing, and an invalid file leaves the running evaluation on.
+// A node evaluates shadow settings. Settings equal to its own must show no difference. Different ones must be counted where they
+// decide differently, without an effect on requests. An invalid file must not end the running shadow evaluation.
 func TestShadowEvaluation(t *testing.T) {
 	s := startBackend(t, "s1", respond(500, "no"))
 	p, _ := startWithBackends(t, "", s)
@@ -15,26 +15,26 @@
 	for range 3 {
 		p.mustDo(request("look", 1000))
 	}
-	if got := p.counts().Watch; got.Steps == 0 || len(got.Differ) != 0 {
-		t.Fatalf("the same settings: %d steps, %v", got.Steps, got.Differ)
+	if got := p.counts().Shadow; got.Steps == 0 || len(got.Differ) != 0 {
+		t.Fatalf("equal settings: %d steps, differences %v, want at least 1 step and no difference", got.Steps, got.Differ)
 	}
 	single := strings.Replace(testSettings, `"effect":"free"`, `"effect":"single_shot"`, 1)
 	p.configure("watch", writeTempFile(t, "single.json", single))
 	p.reload("reload")
 	if a := p.mustDo(request("look", 1000)); a.status != 503 {
-		t.Errorf("status %d: the settings watched decided", a.status)
+		t.Errorf("status %d, want 503: the shadow settings affected the request", a.status)
 	}
-	if got := p.counts().Watch.Differ["failed"]; got == 0 {
-		t.Error("a request that is rejected here and failed by the other settings is not counted")
+	if got := p.counts().Shadow.Differ["failed"]; got == 0 {
+		t.Error("difference \"failed\" = 0, want at least 1: the shadow settings fail a request that the node rejects")
 	}
-	bad := writeTempFile(t, "bad.json", strings.Replace(testSettings, `"goal":{"whole":1}`, `"goal":{"whole":1,"nines_wanted":0}`, 1))
-	before := p.counts().Watch.Steps
-	p.configure("watch", bad)
+	invalid := writeTempFile(t, "bad.json", strings.Replace(testSettings, `"goal":{"whole":1}`, `"goal":{"whole":1,"nines_wanted":0}`, 1))
+	before := p.counts().Shadow.Steps
+	p.configure("watch", invalid)
 	p.reload("reload_failed")
 	if !strings.Contains(p.log.String(), "goal.nines_wanted") {
-		t.Error("no line names the key that is wrong")
+		t.Error("no log line names the invalid key goal.nines_wanted")
 	}
-	if p.mustDo(request("look", 1000)); p.counts().Watch.Steps <= before {
-		t.Error("a bad file ended the watch that was on")
+	if p.mustDo(request("look", 1000)); p.counts().Shadow.Steps <= before {
+		t.Error("the invalid file ended the running shadow evaluation")
 	}
 }
--- a/cmd/tackhub/shutdownload_test.go
+++ b/cmd/tackhub/shutdownload_test.go
@@ -11,43 +11,44 @@
 )
 
 const (
-	// shortDeadline is the longest deadline of the deployment in these tests, in milliseconds.
+	// shortDeadline is the longest deadline that the settings of these tests allow, in milliseconds.
 	shortDeadline = 390
 
-	// earliestKill is when SIGKILL may come after SIGTERM: the longest deadline and 0.7 s.
+	// earliestKill is the shortest time from SIGTERM to SIGKILL: the longest deadline and 0.7 s.
 	earliestKill = (shortDeadline + 700) * time.Millisecond
 
-	// raceTime is how shortly before a connection's end a request may have been written and still count as one that raced
-	// with the close and was not read.
-	raceTime = 20 * time.Millisecond
+	// closeRaceWindow is how long before the end of its connection a request may be written and still race with the close, in
+	// which case the node has not read it.
+	closeRaceWindow = 20 * time.Millisecond
 )
 
-// shortSettings are the test settings with short deadlines, as in the incident.
+// shortSettings returns the test settings with short deadlines, as in the incident that TestShutdownAnswersLateFirstRequests
+// reproduces.
 func shortSettings() string {
 	return strings.ReplaceAll(testSettings, `"hard_limit_ms":1500`, fmt.Sprintf(`"hard_limit_ms":%d`, shortDeadline))
 }
 
-// sentRequest is one request of a stop test as its client saw it.
+// sentRequest is one request of a shutdown test with the times and the result that its client measured.
 type sentRequest struct {
 	raw    string
 	sent   time.Time
 	ended  time.Time
-	status int // 0: no whole answer
+	status int // 0: no complete response
 	err    error
 }
 
-// wasLost reports whether the node read the request and never answered it: the connection ended too long after the request's
-// last byte for the close to have raced with it.
-func (r sentRequest) wasLost() bool { return r.status == 0 && r.ended.Sub(r.sent) > raceTime }
+// wasLost reports whether the node read the request and did not answer it. It assumes that the node read every request that was
+// written longer than closeRaceWindow before the connection ended.
+func (r sentRequest) wasLost() bool { return r.status == 0 && r.ended.Sub(r.sent) > closeRaceWindow }
 
-// shutdownClients collects what the clients of a shutdown test saw.
+// shutdownClients collects the requests of the clients in a shutdown test.
 type shutdownClients struct {
-	mu   sync.Mutex
-	seen []sentRequest
-	all  sync.WaitGroup
+	mu       sync.Mutex
+	requests []sentRequest
+	running  sync.WaitGroup
 }
 
-// exchange sends one request on a connection and notes how it ended. It reports whether the connection can be used again.
+// exchange sends one request on a connection and records its result. It reports whether the connection can be reused.
 func (s *shutdownClients) exchange(c *client, class string) bool {
 	if closedAlready(c) {
 		return false
@@ -55,7 +56,7 @@
 	r := sentRequest{raw: request(class, shortDeadline)}
 	r.sent = time.Now()
 	if _, err := io.WriteString(c, r.raw); err != nil {
-		return false // the end had come before it
+		return false // the node closed the connection before the request was written
 	}
 	r.sent = time.Now()
 	a, err := c.read()
@@ -64,12 +65,12 @@
 		r.status = a.status
 	}
 	s.mu.Lock()
-	s.seen = append(s.seen, r)
+	s.requests = append(s.requests, r)
 	s.mu.Unlock()
 	return err == nil && !a.closesConn
 }
 
-// closedAlready reports whether the node has ended a connection on which nothing is expected.
+// closedAlready reports whether the node has closed a connection on which no response is outstanding.
 func closedAlready(c *client) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.r.Peek(1)
@@ -78,13 +79,13 @@
 	return !ok || !timeout.Timeout()
 }
 
-// lost are the requests that the node took and did not answer.
-func (s *shutdownClients) lost() []sentRequest {
-	s.all.Wait()
+// lostRequests waits for the clients to finish and returns the requests that the node read and did not answer.
+func (s *shutdownClients) lostRequests() []sentRequest {
+	s.running.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []sentRequest
-	for _, r := range s.seen {
+	for _, r := range s.requests {
 		if r.wasLost() {
 			out = append(out, r)
 		}
@@ -92,9 +93,9 @@
 	return out
 }
 
-// An incident: servers hang, clients keep the node busy, and connections that were opened shortly after SIGTERM send
-// their first request 0.5 to 1.05 s after it. The process once exited by itself at the longest deadline plus 0.65 s and
-// left what it had read late unanswered.
+// Servers hang, clients keep the node busy, and connections that were opened shortly after SIGTERM send their first request 0.5
+// to 1.05 s after SIGTERM. In an incident the process exited at the longest deadline plus 0.65 s, without an answer to requests
+// that it had read shortly before. The node must answer each request that it has read.
 func TestShutdownAnswersLateFirstRequests(t *testing.T) {
 	var servers []*backend
 	for i := range 6 {
@@ -105,24 +106,24 @@
 		servers = append(servers, startBackend(t, fmt.Sprintf("s%d", i+1), act))
 	}
 	d := startDiscoveryServer(t, members(servers...))
-	for stop := range 4 {
+	for round := range 4 {
 		p := startNode(t, nodeOptions{discovery: d.addr, settings: shortSettings(), known: members(servers...)})
 		clients := &shutdownClients{}
 		quit := make(chan struct{})
 		for range 12 {
-			clients.all.Go(func() { keepRequesting(p, clients, quit) })
+			clients.running.Go(func() { keepRequesting(p, clients, quit) })
 		}
 		eventually(t, "traffic", func() bool {
 			clients.mu.Lock()
 			defer clients.mu.Unlock()
-			return len(clients.seen) > 24
+			return len(clients.requests) > 24
 		})
 		p.terminate()
 		signalled := time.Now()
 		for i := range 24 {
 			opens := time.Duration(10+14*i) * time.Millisecond
 			sends := time.Duration(500+23*i) * time.Millisecond
-			clients.all.Go(func() {
+			clients.running.Go(func() {
 				time.Sleep(time.Until(signalled.Add(opens)))
 				c, err := p.dial()
 				if err != nil {
@@ -132,16 +133,16 @@
 				clients.exchange(c, []string{"look", "store", "bill"}[i%3])
 			})
 		}
-		killed := endOrKill(p, signalled.Add(earliestKill))
+		killed := waitOrKill(p, signalled.Add(earliestKill))
 		close(quit)
-		for _, r := range clients.lost() {
-			t.Errorf("stop %d (killed: %v): request sent %v after SIGTERM, connection ended at %v with no whole answer: %v",
-				stop, killed, r.sent.Sub(signalled), r.ended.Sub(signalled), r.err)
+		for _, r := range clients.lostRequests() {
+			t.Errorf("shutdown %d (killed: %v): request sent %v after SIGTERM, connection ended after %v without a complete response: %v",
+				round, killed, r.sent.Sub(signalled), r.ended.Sub(signalled), r.err)
 		}
 	}
 }
 
-// keepAsking sends requests one after the other, on one connection for as long as the node keeps it.
+// keepRequesting sends requests one after the other until quit is closed. It reuses a connection until the node closes it.
 func keepRequesting(p *nodeProcess, clients *shutdownClients, quit <-chan struct{}) {
 	var c *client
 	for {
@@ -163,12 +164,13 @@
 	}
 }
 
-// endOrKill waits until a process ends by itself and kills it at the given time. It reports whether it had to.
-func endOrKill(p *nodeProcess, at time.Time) bool {
+// waitOrKill waits until a process exits, and kills it if it still runs at the given time. It reports whether it killed the
+// process.
+func waitOrKill(p *nodeProcess, killTime time.Time) bool {
 	select {
 	case <-p.done:
 		return false
-	case <-time.After(time.Until(at)):
+	case <-time.After(time.Until(killTime)):
 	}
 	_ = p.cmd.Process.Kill()
 	<-p.done
