--- a/cmd/tackhub/backend_test.go
+++ b/cmd/tackhub/backend_test.go
@@ -13,57 +13,60 @@
 	"testing"
 )
 
-// respondRaw writes a response as it stands and keeps the connection open; %s is the request's id.
+// respondRaw returns a behavior that writes text unchanged, except that %s becomes the request's id, and keeps the
+// connection open.
 func respondRaw(text string) behavior {
-	return func(c net.Conn, g receivedRequest) bool {
-		_, err := io.WriteString(c, strings.ReplaceAll(text, "%s", g.header.Get("X-Request-Id")))
+	return func(c net.Conn, req receivedRequest) bool {
+		_, err := io.WriteString(c, strings.ReplaceAll(text, "%s", req.header.Get("X-Request-Id")))
 		return err == nil
 	}
 }
 
-// respondWithID responds with the request's id, so that another request's response shows.
+// respondWithID responds with the request's id, so that a test detects a response that belongs to another request.
 var respondWithID = respondRaw("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n%s")
 
-// respondEndlessly announces 3 GB and sends until the node closes the connection.
+// respondEndlessly announces a body of 3 GB and sends zero bytes until the node closes the connection.
 func respondEndlessly(c net.Conn, _ receivedRequest) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
-	for part := make([]byte, 64<<10); err == nil; {
-		_, err = c.Write(part)
+	for chunk := make([]byte, 64<<10); err == nil; {
+		_, err = c.Write(chunk)
 	}
 	return false
 }
 
-// receivedRequest is one request as a server read it.
+// receivedRequest is one request as a backend read it.
 type receivedRequest struct {
-	line   string // as it came
+	line   string // the request line, byte for byte
 	header http.Header
 	body   []byte
 }
 
-// behavior responds to one request; it tells whether the connection goes on.
-type behavior func(c net.Conn, g receivedRequest) bool
+// behavior responds to one request and reports whether the backend keeps the connection open.
+type behavior func(c net.Conn, req receivedRequest) bool
 
-// backend is a small stand-in server: it reads whole requests and responds as its behavior says.
+// backend is a small HTTP server for tests. It reads complete requests and responds by its behavior, except to load
+// probes and health probes, which it counts and answers itself.
 type backend struct {
 	id         string
 	addr       string
 	l          net.Listener
-	alsoCounts *backend // requests there count as well
+	alsoCounts *backend // if set, requests also returns the requests that this backend received
 
-	mu       sync.Mutex
-	behavior behavior
-	received []receivedRequest
-	probes   int
-	conns    map[net.Conn]bool
-	closed   atomic.Int64 // connections that the node has closed
+	mu          sync.Mutex
+	behavior    behavior
+	received    []receivedRequest
+	probes      int
+	conns       map[net.Conn]bool
+	closedConns atomic.Int64 // connections that ended before a complete request was read
 }
 
+// startBackend starts a backend on a free port.
 func startBackend(t *testing.T, id string, act behavior) *backend {
 	t.Helper()
 	return startBackendAt(t, id, "127.0.0.1:0", act)
 }
 
-// startServerAt starts it at an address.
+// startBackendAt starts a backend at an address.
 func startBackendAt(t *testing.T, id, addr string, act behavior) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -102,27 +105,27 @@
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
-		g, err := readRequest(r)
+		req, err := readRequest(r)
 		if err != nil {
-			s.closed.Add(1)
+			s.closedConns.Add(1)
 			return
 		}
 		s.mu.Lock()
 		act := s.behavior
-		if path := g.line; path == "GET /_load HTTP/1.1" || path == "GET /ping HTTP/1.1" {
+		if path := req.line; path == "GET /_load HTTP/1.1" || path == "GET /ping HTTP/1.1" {
 			s.probes++
 			act = respond(200, "TEXT inflight=0, queue=0, util=0.1")
 		} else {
-			s.received = append(s.received, g)
+			s.received = append(s.received, req)
 		}
 		s.mu.Unlock()
-		if !act(c, g) {
+		if !act(c, req) {
 			return
 		}
 	}
 }
 
-// readRequest reads one request and keeps its first line byte for byte.
+// readRequest reads one request and keeps its request line byte for byte.
 func readRequest(r *bufio.Reader) (receivedRequest, error) {
 	var raw bytes.Buffer
 	for {
@@ -136,19 +139,19 @@
 		}
 	}
 	line, _, _ := bytes.Cut(raw.Bytes(), []byte("\r\n"))
-	g := receivedRequest{line: string(line)}
+	received := receivedRequest{line: string(line)}
 	req, err := http.ReadRequest(bufio.NewReader(io.MultiReader(&raw)))
 	if err != nil {
 		return receivedRequest{}, err
 	}
-	g.header = req.Header
+	received.header = req.Header
 	if n, _ := strconv.Atoi(req.Header.Get("Content-Length")); n > 0 {
-		g.body = make([]byte, n)
-		if _, err := io.ReadFull(r, g.body); err != nil {
+		received.body = make([]byte, n)
+		if _, err := io.ReadFull(r, received.body); err != nil {
 			return receivedRequest{}, err
 		}
 	}
-	return g, nil
+	return received, nil
 }
 
 func (s *backend) setBehavior(act behavior) {
@@ -157,26 +160,29 @@
 	s.behavior = act
 }
 
+// requests returns the requests that the backend and alsoCounts received.
 func (s *backend) requests() []receivedRequest {
 	if s.alsoCounts != nil {
-		return append(s.own(), s.alsoCounts.own()...)
+		return append(s.ownRequests(), s.alsoCounts.ownRequests()...)
 	}
-	return s.own()
+	return s.ownRequests()
 }
 
-func (s *backend) own() []receivedRequest {
+// ownRequests returns the requests that this backend received.
+func (s *backend) ownRequests() []receivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]receivedRequest(nil), s.received...)
 }
 
+// probeCount returns the number of load probes and health probes.
 func (s *backend) probeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.probes
 }
 
-// respond responds with a status, further header lines and a body.
+// respond returns a behavior that responds with a status, a body and additional header lines.
 func respond(status int, body string, header ...string) behavior {
 	return func(c net.Conn, _ receivedRequest) bool {
 		head := "HTTP/1.1 " + strconv.Itoa(status) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
@@ -188,19 +194,19 @@
 	}
 }
 
-// resetConn resets the connection once the request was read.
+// resetConn resets the connection after the request was read.
 func resetConn(c net.Conn, _ receivedRequest) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// respondTruncated ends the connection in the middle of a response.
+// respondTruncated closes the connection in the middle of a response.
 func respondTruncated(c net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
 	return false
 }
 
-// respondGarbage writes what is not HTTP.
+// respondGarbage writes bytes that are not HTTP.
 func respondGarbage(c net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(c, "this is not HTTP\r\n\r\n")
 	return false
@@ -212,15 +218,15 @@
 	return false
 }
 
-// respondAfter responds once the gate is closed.
+// respondAfter returns a behavior that waits until the channel gate is closed and then behaves as then.
 func respondAfter(gate <-chan struct{}, then behavior) behavior {
-	return func(c net.Conn, g receivedRequest) bool {
+	return func(c net.Conn, req receivedRequest) bool {
 		<-gate
-		return then(c, g)
+		return then(c, req)
 	}
 }
 
-// member is one entry of discovery's list.
+// member is one entry of discovery's endpoint list.
 type member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -231,10 +237,12 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
+// member returns the backend's entry for discovery's list.
 func (s *backend) member() member {
 	return member{ID: s.id, HostPort: s.addr, Locality: "a", Phase: "SERVING", Size: 1}
 }
 
+// members returns the backends' entries for discovery's list.
 func members(servers ...*backend) []member {
 	out := []member{}
 	for _, s := range servers {
--- a/cmd/tackhub/blockedbackend_test.go
+++ b/cmd/tackhub/blockedbackend_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// blockedBackend is a server to which connections are established only once it is unblocked: its backlog is full, so
-// the kernel drops each SYN. The client's kernel sends the next one a second after the first.
+// blockedBackend is a backend to which no connection can be established until unblock is called: its listen backlog is
+// full, so the kernel drops each SYN. The client's kernel retransmits the SYN one second after the first.
 type blockedBackend struct {
 	*backend
 	t            *testing.T
 	fd           int
-	queueFillers int // connections that fill its queue
+	queueFillers int // connections that fill the listen backlog
 }
 
-// startBlockedBackend starts one and fills its backlog.
+// startBlockedBackend starts a blocked backend and fills its listen backlog.
 func startBlockedBackend(t *testing.T, id string, act behavior) *blockedBackend {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -38,7 +38,7 @@
 	}
 	addr := "127.0.0.1:" + strconv.Itoa(sa.(*syscall.SockaddrInet4).Port)
 	fillers := 0
-	for range 2 { // the queue holds one more than it says; the second shows that it is full
+	for range 2 { // Linux accepts one connection more than the backlog of 0; the second dial confirms that it is full
 		filler, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err == nil {
 			fillers++
@@ -50,7 +50,7 @@
 	return h
 }
 
-// unblock has it accept from now on.
+// unblock starts accepting connections.
 func (h *blockedBackend) unblock() {
 	h.t.Helper()
 	go func() {
@@ -71,10 +71,11 @@
 			go h.serve(c)
 		}
 	}()
-	h.t.Cleanup(func() { _ = syscall.Shutdown(h.fd, syscall.SHUT_RDWR) }) // ends the accepting
+	h.t.Cleanup(func() { _ = syscall.Shutdown(h.fd, syscall.SHUT_RDWR) }) // ends the accept loop
 }
 
-// longConnectTimeout are settings with which a connection attempt may take long.
-func longConnectTimeout(more ...string) string {
-	return strings.NewReplacer(append([]string{`"connect_timeout_ms":150`, `"connect_timeout_ms":5000`}, more...)...).Replace(testSettings)
+// settingsWithLongConnectTimeout returns testSettings with a connect timeout of 5 s. Further pairs of old and new text are
+// replaced as well.
+func settingsWithLongConnectTimeout(replacements ...string) string {
+	return strings.NewReplacer(append([]string{`"connect_timeout_ms":150`, `"connect_timeout_ms":5000`}, replacements...)...).Replace(testSettings)
 }
--- a/cmd/tackhub/discovery_test.go
+++ b/cmd/tackhub/discovery_test.go
@@ -11,30 +11,31 @@
 	"time"
 )
 
-// A request was assigned to a server, and discovery announced the server's drain before the connection was established.
-// The request must not be sent to it.
-func TestServerDrainDuringConnect(t *testing.T) {
-	held, other := startBlockedBackend(t, "s1", respond(200, "late")), startBackend(t, "s2", respond(200, "done"))
-	p, d := startWithBackends(t, longConnectTimeout(), held.backend)
+// A request is assigned to a server, and discovery announces the server's drain before the connection is established.
+// The request must not be sent to that server.
+func TestServerDrainDuringConnectGetsNoRequest(t *testing.T) {
+	draining, other := startBlockedBackend(t, "s1", respond(200, "late")), startBackend(t, "s2", respond(200, "done"))
+	p, d := startWithBackends(t, settingsWithLongConnectTimeout(), draining.backend)
 	pending := p.send(request("look", 1500))
-	eventually(t, "attempt", func() bool { return p.counts().Attempts["open"] == 1 })
-	drains := held.member()
-	drains.Phase = "DRAINING"
+	eventually(t, "an open attempt", func() bool { return p.counts().Attempts["open"] == 1 })
+	entry := draining.member()
+	entry.Phase = "DRAINING"
 	before := p.counts().List["delta"]
-	d.announce(drains, other.member())
-	eventually(t, "the news", func() bool { return p.counts().List["delta"] > before })
-	held.unblock()
-	// Its connection may come up so late that it is refused; that is harmless, since nothing of it was written.
-	if a := await(t, "the request", pending); a.status != 503 && (a.status != 200 || a.body != "done") {
-		t.Errorf("%d %q, want the other server's response or a rejection", a.status, a.body)
+	d.announce(entry, other.member())
+	eventually(t, "the changed list", func() bool { return p.counts().List["delta"] > before })
+	draining.unblock()
+	// The connection may be established so late that the request is rejected. That is harmless: nothing was written.
+	if resp := await(t, "the request", pending); resp.status != 503 && (resp.status != 200 || resp.body != "done") {
+		t.Errorf("got %d %q, want 200 \"done\" from the other server or 503", resp.status, resp.body)
 	}
-	if n := len(held.requests()); n > 0 {
-		t.Errorf("%d requests went to a server that drains", n)
+	if n := len(draining.requests()); n > 0 {
+		t.Errorf("got %d requests at the draining server, want 0", n)
 	}
 }
 
-// Discovery's response to a watch begins and does not end. The node polls again, and follows what it then gets.
-func TestDiscoveryResponseStalls(t *testing.T) {
+// Discovery sends only the beginning of its response to a watch. The node must poll again and apply the list that it
+// then receives.
+func TestStalledDiscoveryResponseIsPolledAgain(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", respond(200, "one")), startBackend(t, "s2", respond(200, "two"))
 	l, err := net.Listen("tcp", freeAddress(t))
 	if err != nil {
@@ -50,7 +51,7 @@
 	}
 	stalled := make(chan struct{})
 	go func() {
-		halves := 0
+		stalledCount := 0
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -63,123 +64,124 @@
 					if err != nil {
 						return
 					}
-					answer := list(1, s1)
+					rawResponse := list(1, s1)
 					switch from := req.URL.Query().Get("from"); {
-					case halves > 0:
-						answer = list(2, s2)
+					case stalledCount > 0:
+						rawResponse = list(2, s2)
 					case from != "":
-						halves++
-						answer = list(2, s2)[:120]
+						stalledCount++
+						rawResponse = list(2, s2)[:120]
 						close(stalled)
 					}
-					if _, err := c.Write([]byte(answer)); err != nil {
+					if _, err := c.Write([]byte(rawResponse)); err != nil {
 						return
 					}
 				}
 			}()
-			<-stalled // so that halves is never touched by two
+			<-stalled // one connection at a time until the stall, so stalledCount has no data race
 		}
 	}()
 	p := startNode(t, nodeOptions{discovery: l.Addr().String(),
 		settings: strings.Replace(testSettings, `"cold_from"`, `"must_ask_in_ms":200,"cold_from"`, 1)})
 	<-stalled
-	eventually(t, "the new list", func() bool { a := p.mustDo(request("look", 1500)); return a.status == 200 && a.body == "two" })
+	eventually(t, "the new list", func() bool { resp := p.mustDo(request("look", 1500)); return resp.status == 200 && resp.body == "two" })
 }
 
-// With a subscribed discovery only a poll brings the list. The node polls by itself, also after an outage.
-func TestSubscribedDiscovery(t *testing.T) {
+// With "discovery":"subscribe" the list is only sent in response to a poll. The node must poll unprompted, also after an
+// outage.
+func TestSubscribedDiscoveryPollsAfterOutage(t *testing.T) {
 	settings := strings.Replace(testSettings, `"discovery":"automatic"`, `"discovery":"subscribe"`, 1)
 	settings = strings.Replace(settings, `"cold_from"`, `"must_ask_in_ms":10000,"cold_from"`, 1)
 	s := startBackend(t, "s1", respond(200, "done"))
-	p, d := startWithBackends(t, settings, s) // its watch says that it has asked
-	if a := p.mustDo(request("look", 1000)); a.status != 200 {
-		t.Errorf("status %d", a.status)
+	p, d := startWithBackends(t, settings, s) // returns after the first watch, which follows the first poll
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+		t.Errorf("got status %d, want 200", resp.status)
 	}
 	full := p.counts().List["full"]
 	d.respondWith("nonsense")
-	eventually(t, "a failed call", func() bool { return p.counts().List["failed"] > 0 })
+	eventually(t, "a failed poll", func() bool { return p.counts().List["failed"] > 0 })
 	d.respondWith("")
-	eventually(t, "asking again", func() bool { return p.counts().List["full"] > full })
-	if a := p.mustDo(request("look", 1000)); a.status != 200 {
-		t.Errorf("status %d after an outage", a.status)
+	eventually(t, "another full list", func() bool { return p.counts().List["full"] > full })
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+		t.Errorf("got status %d after the outage, want 200", resp.status)
 	}
 }
 
-// Discovery announces that a server drains. It gets no new request.
+// Discovery announces that a server drains. The server must get no new request.
 func TestDrainingServerGetsNoNewRequest(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", respond(200, "one")), startBackend(t, "s2", respond(200, "two"))
 	p, d := startWithBackends(t, "", s1, s2)
-	leaving := s1.member()
-	leaving.Phase = "DRAINING"
-	d.announce(leaving)
-	eventually(t, "news", func() bool { return p.counts().List["delta"] == 1 })
+	entry := s1.member()
+	entry.Phase = "DRAINING"
+	d.announce(entry)
+	eventually(t, "the changed list", func() bool { return p.counts().List["delta"] == 1 })
 	before := len(s1.requests())
 	for range 20 {
-		if a := p.mustDo(request("look", 1000)); a.body != "two" {
-			t.Fatalf("%d %q", a.status, a.body)
+		if resp := p.mustDo(request("look", 1000)); resp.body != "two" {
+			t.Fatalf("got %d %q, want the body \"two\"", resp.status, resp.body)
 		}
 	}
 	if n := len(s1.requests()); n != before {
-		t.Errorf("%d requests to a draining server", n-before)
+		t.Errorf("got %d new requests at the draining server, want 0", n-before)
 	}
 }
 
-// A server moves to another address and is then removed. Requests follow it, then are rejected at once, and its
-// connections are closed.
-func TestServerRemovedOrMoved(t *testing.T) {
+// A server moves to another address and is then removed. Requests must go to the new address, then be rejected at once,
+// and the connections to the server must be closed.
+func TestRequestsFollowMovedAndRemovedServer(t *testing.T) {
 	s1 := startBackend(t, "s1", respond(200, "one"))
 	p, d := startWithBackends(t, "", s1)
-	if a := p.mustDo(request("look", 1000)); a.body != "one" {
-		t.Fatalf("%d %q", a.status, a.body)
+	if resp := p.mustDo(request("look", 1000)); resp.body != "one" {
+		t.Fatalf("got %d %q, want the body \"one\"", resp.status, resp.body)
 	}
 	moved := startBackend(t, "s1", respond(200, "moved"))
 	d.announce(moved.member())
-	eventually(t, "the move", func() bool { return p.counts().List["delta"] == 1 })
-	if a := p.mustDo(request("look", 1000)); a.body != "moved" {
-		t.Errorf("%d %q", a.status, a.body)
+	eventually(t, "the changed address in the list", func() bool { return p.counts().List["delta"] == 1 })
+	if resp := p.mustDo(request("look", 1000)); resp.body != "moved" {
+		t.Errorf("got %d %q, want the body \"moved\"", resp.status, resp.body)
 	}
 	d.announce(member{ID: "s1", Phase: "DELETED"})
-	eventually(t, "the end", func() bool { return p.counts().List["delta"] == 2 })
-	if a := p.mustDo(request("look", 1000)); a.status != 503 || a.took > 500*time.Millisecond {
-		t.Errorf("%d after %v with no server, want a rejection at once", a.status, a.took)
+	eventually(t, "the removal from the list", func() bool { return p.counts().List["delta"] == 2 })
+	if resp := p.mustDo(request("look", 1000)); resp.status != 503 || resp.took > 500*time.Millisecond {
+		t.Errorf("got %d after %v with no server, want 503 within 500ms", resp.status, resp.took)
 	}
-	eventually(t, "closed connections", func() bool { return p.counts().Servers["open"] == 0 })
+	eventually(t, "the connections to the server to be closed", func() bool { return p.counts().Servers["open"] == 0 })
 }
 
-// A second server joins that has just started or has been up for long, by discovery's list. A server that is cold for a
-// quarter of an hour, at a two-hundredth of its capacity, may get hardly anything.
-func TestColdServerGetsFewRequests(t *testing.T) {
+// A second server joins, which has just started or has been up for a long time, according to discovery. With a slow start
+// of 1,000 s that begins at 1/200 of the capacity, a server that has just started must get few requests.
+func TestSlowStartServerGetsFewRequests(t *testing.T) {
 	settings := strings.Replace(testSettings, `"cold_from":0.3,"cold_ms":9000`, `"cold_from":0.005,"cold_ms":1e6`, 1)
 	const requests = 40
 	for name, c := range map[string]struct {
-		up          int64
-		least, most int
+		upSince                  int64
+		minRequests, maxRequests int
 	}{"just started": {time.Now().UnixMilli(), 0, requests / 4}, "long up": {0, requests / 4, requests}} {
-		act := func(c net.Conn, g receivedRequest) bool {
-			time.Sleep(10 * time.Millisecond) // a server's work, by which the module reckons the budget
-			return respond(200, "done")(c, g)
+		act := func(c net.Conn, req receivedRequest) bool {
+			time.Sleep(10 * time.Millisecond) // response time, from which the balancer calculates the slow start budget
+			return respond(200, "done")(c, req)
 		}
-		warm, other := startBackend(t, "s1", act), startBackend(t, "s2", act)
-		p, d := startWithBackends(t, settings, warm)
+		established, other := startBackend(t, "s1", act), startBackend(t, "s2", act)
+		p, d := startWithBackends(t, settings, established)
 		for range 5 {
 			p.mustDo(request("look", 1000))
 		}
-		m := other.member()
-		m.UpSince = c.up
-		d.announce(m)
-		eventually(t, "news", func() bool { return p.counts().List["delta"] == 1 })
+		entry := other.member()
+		entry.UpSince = c.upSince
+		d.announce(entry)
+		eventually(t, "the changed list", func() bool { return p.counts().List["delta"] == 1 })
 		for range requests {
-			if a := p.mustDo(request("look", 1000)); a.status != 200 {
-				t.Fatalf("%s: status %d", name, a.status)
+			if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+				t.Fatalf("%s: got status %d, want 200", name, resp.status)
 			}
 		}
-		if n := len(other.requests()); n < c.least || n > c.most {
-			t.Errorf("%s: %d of %d requests, want %d to %d", name, n, requests, c.least, c.most)
+		if n := len(other.requests()); n < c.minRequests || n > c.maxRequests {
+			t.Errorf("%s: the second server got %d of %d requests, want %d to %d", name, n, requests, c.minRequests, c.maxRequests)
 		}
 	}
 }
 
-// Discovery responds with invalid lists. The last good list stays in force, and a good one is followed again.
+// Discovery responds with invalid lists. The node must keep the last valid list, and apply the next valid one.
 func TestInvalidDiscoveryResponsesAreIgnored(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, d := startWithBackends(t, "", s)
@@ -188,12 +190,12 @@
 		`{"revision":9,"complete":true,"members":[{"id":"x","host_port":"nowhere"}]}`, `[]`} {
 		before := p.counts().List["failed"]
 		d.respondWith(raw)
-		eventually(t, "a rejected response", func() bool { return p.counts().List["failed"] > before })
-		if a := p.mustDo(request("look", 1000)); a.status != 200 {
-			t.Errorf("status %d after %s", a.status, raw)
+		eventually(t, "the invalid list to be counted as failed", func() bool { return p.counts().List["failed"] > before })
+		if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+			t.Errorf("got status %d after the list %s, want 200", resp.status, raw)
 		}
 	}
 	full := p.counts().List["full"]
 	d.respondWith("")
-	eventually(t, "the list again", func() bool { return p.counts().List["full"] > full })
+	eventually(t, "the valid list", func() bool { return p.counts().List["full"] > full })
 }
--- a/cmd/tackhub/discoveryserver_test.go
+++ b/cmd/tackhub/discoveryserver_test.go
@@ -12,21 +12,23 @@
 	"time"
 )
 
-// discoveryServer is a small discovery: it sends the whole list, then each change that a test announces.
+// discoveryServer is a small discovery server for tests. It responds to a poll without a revision with the full list,
+// and to a watch with the next change that a test announces.
 type discoveryServer struct {
 	addr string
 
-	mu       sync.Mutex
-	revision int
-	list     []member
-	delta    []member
-	raw      string // answered instead, where set
-	changed  chan struct{}
-	watches  int
-	ends     int // watches that the node has ended
-	answered atomic.Int64
+	mu              sync.Mutex
+	revision        int
+	list            []member
+	delta           []member
+	raw             string        // if not empty, the body of every response
+	changed         chan struct{} // closed on a change, then replaced
+	watches         int
+	endedWatchCount int          // watches that the node cancelled
+	answered        atomic.Int64 // responses and cancelled watches
 }
 
+// startDiscoveryServer starts a discovery server on a free port.
 func startDiscoveryServer(t *testing.T, list []member) *discoveryServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,11 +42,11 @@
 	return d
 }
 
-// startDiscoveryServerAt serves at an address that another one had before.
+// startDiscoveryServerAt starts a discovery server at an address that another one used before.
 func startDiscoveryServerAt(t *testing.T, addr string, list []member) *discoveryServer {
 	t.Helper()
 	var l net.Listener
-	eventually(t, "the address", func() (ok bool) {
+	eventually(t, "the listener on the discovery address", func() (listening bool) {
 		var err error
 		l, err = net.Listen("tcp", addr)
 		return err == nil
@@ -56,7 +58,7 @@
 	return d
 }
 
-// announce changes entries; the node's watch is answered with them.
+// announce increments the revision and responds to the node's watch with the changed entries.
 func (d *discoveryServer) announce(delta ...member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,7 +68,7 @@
 	d.changed = make(chan struct{})
 }
 
-// respondWith has every poll answered with a text from now on; "" ends that.
+// respondWith sets the body of every further response; "" returns to the list.
 func (d *discoveryServer) respondWith(raw string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,20 +79,20 @@
 
 func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer d.answered.Add(1)
-	from, hold := r.URL.Query().Get("from"), r.URL.Query().Get("hold_ms")
+	from, holdMs := r.URL.Query().Get("from"), r.URL.Query().Get("hold_ms")
 	d.mu.Lock()
-	if n, _ := strconv.Atoi(from); from != "" && n == d.revision && d.raw == "" {
-		changed, ms := d.changed, 0
-		ms, _ = strconv.Atoi(hold)
+	if fromRevision, _ := strconv.Atoi(from); from != "" && fromRevision == d.revision && d.raw == "" {
+		changed, waitMs := d.changed, 0
+		waitMs, _ = strconv.Atoi(holdMs)
 		d.watches++
 		d.mu.Unlock()
 		select {
 		case <-changed:
-		case <-time.After(time.Duration(ms) * time.Millisecond):
+		case <-time.After(time.Duration(waitMs) * time.Millisecond):
 		case <-r.Context().Done():
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.ends++
+			d.endedWatchCount++
 			return
 		}
 		d.mu.Lock()
@@ -110,15 +112,16 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
+// watchCount returns the number of watches that the node has started.
 func (d *discoveryServer) watchCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watches
 }
 
-// endedWatches is the number of watches that the node has ended.
+// endedWatches returns the number of watches that the node cancelled.
 func (d *discoveryServer) endedWatches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ends
+	return d.endedWatchCount
 }
--- a/cmd/tackhub/harness_test.go
+++ b/cmd/tackhub/harness_test.go
@@ -19,7 +19,7 @@
 	"unsafe"
 )
 
-// testSettings is a settings object in the operators' form, with one class of each effect.
+// testSettings is a settings object as in a node's configuration file, with one class of each effect.
 const testSettings = `{"classes":[
  {"aim_ms":400,"dedup_window_ms":500,"effect":"free","group":"all","hard_limit_ms":1500,"late_share":0,"name":"look","streamed":false,"worth":1},
  {"aim_ms":400,"dedup_window_ms":800,"effect":"guarded","group":"cell","hard_limit_ms":1500,"late_share":0,"name":"store","streamed":false,"worth":2},
@@ -32,35 +32,35 @@
  "report":{"how":"none","names":["concurrent"]},"tick_ms":1,"weights":"none","zone":"a","zones":["a"],
  "realms":[{"name":"acme","quota_per_s":500,"share":1}]}`
 
-// withReports are the same settings where servers report their load and may be probed.
+// withReports returns testSettings with load reports in responses and with load probes allowed.
 func withReports() string {
 	s := strings.Replace(testSettings, `"how":"none"`, `"how":"answers"`, 1)
 	return strings.Replace(s, `"probes":false`, `"probes":true`, 1)
 }
 
-// nodeOptions say how a node is started.
+// nodeOptions are the options of startNode and launch.
 type nodeOptions struct {
-	discovery string    // address
+	discovery string    // address of the discovery server
 	settings  string    // empty: testSettings
-	known     []member  // the list in the configuration
-	sockets   int       // 0: 256
-	peers     []string  // all nodes' addresses for gossip
-	env       []string  // further variables
-	stderr    io.Writer // nil: the test's log buffer
+	known     []member  // the endpoint list in the configuration
+	sockets   int       // limit of sockets in the configuration; 0: 256
+	peers     []string  // the gossip addresses of all nodes, this one included
+	env       []string  // additional environment variables
+	stderr    io.Writer // nil: nodeProcess.log
 }
 
-// nodeProcess is a running node.
+// nodeProcess is a process of the built node.
 type nodeProcess struct {
 	t      *testing.T
 	addr   string
-	config string // the configuration file
+	config string // path of the configuration file
 	cmd    *exec.Cmd
 	log    *logBuffer
-	done   chan struct{}
-	err    error
+	done   chan struct{} // closed when the process has exited
+	err    error         // the result of Wait, valid after done is closed
 }
 
-// logBuffer keeps what a node writes to its log.
+// logBuffer stores the log output of a node; it is safe for concurrent use.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -78,14 +78,14 @@
 	return b.buf.String()
 }
 
-// hosts counts the loopback addresses handed out.
-var hostCount atomic.Int64
+// loopbackHostCount counts the loopback addresses that freeAddress has returned.
+var loopbackHostCount atomic.Int64
 
-// freeAddress is an address that nobody listens on and nobody else will: each has a host of its own in the loopback
-// range, so that no stand-in, no client and no test beside this one can get its port.
+// freeAddress returns an address on which nothing listens. Each address has a loopback host of its own, so no backend,
+// client or concurrent test can take the port before the caller uses it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	n := hostCount.Add(1)
+	n := loopbackHostCount.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, 1+n/200, 1+n%200)
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -95,60 +95,61 @@
 	return l.Addr().String()
 }
 
-// environment writes the configuration and returns the variables.
-func environment(t *testing.T, addr string, s nodeOptions) []string {
+// environment writes the configuration file and returns the node's environment variables.
+func environment(t *testing.T, addr string, opts nodeOptions) []string {
 	t.Helper()
-	if s.settings == "" {
-		s.settings = testSettings
+	if opts.settings == "" {
+		opts.settings = testSettings
 	}
-	if s.sockets == 0 {
-		s.sockets = 256
+	if opts.sockets == 0 {
+		opts.sockets = 256
 	}
-	if s.known == nil {
-		s.known = []member{}
+	if opts.known == nil {
+		opts.known = []member{}
 	}
-	conf, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": s.discovery,
-		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": s.sockets},
-		"known":    map[string]any{"revision": 0, "complete": true, "members": s.known},
-		"settings": json.RawMessage(s.settings), "peers": map[string]any{"nodes": append([]string{}, s.peers...)}})
+	config, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": opts.discovery,
+		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": opts.sockets},
+		"known":    map[string]any{"revision": 0, "complete": true, "members": opts.known},
+		"settings": json.RawMessage(opts.settings), "peers": map[string]any{"nodes": append([]string{}, opts.peers...)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, conf, 0o600); err != nil {
+	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return []string{"ROUTER_NAME=n0", "ROUTER_LISTEN=" + addr, "ROUTER_DISCOVERY=" + s.discovery,
+	return []string{"ROUTER_NAME=n0", "ROUTER_LISTEN=" + addr, "ROUTER_DISCOVERY=" + opts.discovery,
 		"ROUTER_CONFIG=" + path}
 }
 
-// startNode starts the program and waits until it is healthy.
-func startNode(t *testing.T, s nodeOptions) *nodeProcess {
+// startNode starts a node on a free address and waits until its health check succeeds.
+func startNode(t *testing.T, opts nodeOptions) *nodeProcess {
 	t.Helper()
-	return startNodeAt(t, freeAddress(t), s)
+	return startNodeAt(t, freeAddress(t), opts)
 }
 
-// startNodeAt starts it at an address.
-func startNodeAt(t *testing.T, addr string, s nodeOptions) *nodeProcess {
+// startNodeAt starts a node at an address and waits until its health check succeeds.
+func startNodeAt(t *testing.T, addr string, opts nodeOptions) *nodeProcess {
 	t.Helper()
-	p := launch(t, addr, s)
-	eventually(t, "health", func() bool {
-		a, err := p.do("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		return err == nil && a.status == 200
+	p := launch(t, addr, opts)
+	eventually(t, "a health check with status 200", func() bool {
+		resp, err := p.do("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		return err == nil && resp.status == 200
 	})
 	return p
 }
 
-// launch starts the program without waiting for its health.
-func launch(t *testing.T, addr string, s nodeOptions) *nodeProcess {
+// launch starts a node without waiting for its health check. At the end of the test the node is killed, and a data race
+// in its log fails the test.
+func launch(t *testing.T, addr string, opts nodeOptions) *nodeProcess {
 	t.Helper()
 	p := &nodeProcess{t: t, addr: addr, log: &logBuffer{}, done: make(chan struct{})}
 	p.cmd = exec.Command(program)
-	p.cmd.Env = append(environment(t, p.addr, s), s.env...)
+	p.cmd.Env = append(environment(t, p.addr, opts), opts.env...)
 	p.config = strings.TrimPrefix(p.cmd.Env[3], "ROUTER_CONFIG=")
 	p.cmd.Stderr = p.log
-	if s.stderr != nil {
-		p.cmd.Stderr = s.stderr
+	if opts.stderr != nil {
+		p.cmd.Stderr = opts.stderr
 	}
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -159,7 +160,7 @@
 	}()
 	t.Cleanup(func() {
 		if t.Failed() {
-			p.reportHealth()
+			p.logServerHealth()
 		}
 		_ = p.cmd.Process.Kill()
 		<-p.done
@@ -173,31 +174,31 @@
 	return p
 }
 
-// reportTimeout is how long a node of a failed test may take to say what it knows of its servers.
-const reportTimeout = time.Second
+// serverHealthTimeout is how long logServerHealth waits for the node of a failed test to log the health of its servers.
+const serverHealthTimeout = time.Second
 
-// reportHealth has a node write its counters and what it knows of its servers to the log, for whoever traces a failed test.
-func (p *nodeProcess) reportHealth() {
+// logServerHealth makes the node log its counters and the health of its servers, to help debug a failed test.
+func (p *nodeProcess) logServerHealth() {
 	if p.cmd.Process.Signal(syscall.SIGUSR1) != nil {
 		return
 	}
-	for end := time.Now().Add(reportTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(serverHealthTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if strings.Contains(p.log.String(), `"code":"server_health"`) {
 			return
 		}
 	}
 }
 
-// startWithBackends starts a discovery with some servers and a node that has polled it.
+// startWithBackends starts a discovery server that lists the servers and a node, and waits for the node's first watch.
 func startWithBackends(t *testing.T, settings string, servers ...*backend) (*nodeProcess, *discoveryServer) {
 	t.Helper()
 	d := startDiscoveryServer(t, members(servers...))
 	p := startNode(t, nodeOptions{discovery: d.addr, settings: settings})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	return p, d
 }
 
-// terminate sends SIGTERM.
+// terminate sends SIGTERM to the node.
 func (p *nodeProcess) terminate() {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -205,18 +206,18 @@
 	}
 }
 
-// exit waits for the end and returns the exit code.
+// exit waits until the process has exited and returns its exit code.
 func (p *nodeProcess) exit() int {
 	p.t.Helper()
 	select {
 	case <-p.done:
 	case <-time.After(waitTimeout):
-		p.t.Fatal("the node does not end")
+		p.t.Fatalf("the node has not exited within %v", waitTimeout)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// suspended reports whether all threads of the process are stopped.
+// suspended reports whether all threads of the process are stopped, as after SIGSTOP.
 func (p *nodeProcess) suspended() bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -226,14 +227,16 @@
 	return strings.HasPrefix(state, "T")
 }
 
+// logCount returns how often a text occurs in the node's log.
 func (p *nodeProcess) logCount(text string) int { return strings.Count(p.log.String(), text) }
 
+// waitLog waits until a text occurs at least n times in the node's log.
 func (p *nodeProcess) waitLog(text string, n int) {
 	p.t.Helper()
 	eventually(p.t, text, func() bool { return p.logCount(text) >= n })
 }
 
-// residentMB is the memory that the process holds, in MB.
+// residentMB returns the resident memory of the node in MB.
 func (p *nodeProcess) residentMB() float64 {
 	p.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -248,7 +251,7 @@
 	return kb / 1024
 }
 
-// residentKB is a process's memory in kB.
+// residentKB returns the resident memory of a process in kB.
 func residentKB(t *testing.T, pid int) (kb int) {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -261,31 +264,31 @@
 	return kb
 }
 
-// prlimit sets the descriptors that a running process may hold.
-func prlimit(pid int, lim *syscall.Rlimit) error {
+// prlimit sets the limit of open file descriptors (RLIMIT_NOFILE) of a running process.
+func prlimit(pid int, limit *syscall.Rlimit) error {
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), syscall.RLIMIT_NOFILE,
-		uintptr(unsafe.Pointer(lim)), 0, 0, 0)
+		uintptr(unsafe.Pointer(limit)), 0, 0, 0)
 	if errno != 0 {
 		return errno
 	}
 	return nil
 }
 
-// waitTimeout bounds every wait for a condition; only a broken node uses it up.
+// waitTimeout limits every wait for a condition. It is only reached if the node is faulty.
 const waitTimeout = 10 * time.Second
 
-// eventually waits for a condition.
-func eventually(t *testing.T, what string, cond func() bool) {
+// eventually polls a condition until it is true and fails the test after waitTimeout.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after %v waiting for %s", waitTimeout, description)
 }
 
-// writeFile replaces a file in one step.
+// writeFile replaces a file atomically, by a rename.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".next", []byte(text), 0o600); err != nil {
@@ -296,6 +299,7 @@
 	}
 }
 
+// writeTempFile writes a file in a new temporary folder and returns its path.
 func writeTempFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -305,7 +309,7 @@
 	return path
 }
 
-// runTackhub runs the program to its end and returns its output and exit code.
+// runTackhub runs the program until it exits and returns its output (stdout and stderr) and exit code.
 func runTackhub(t *testing.T, env []string, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(program, args...)
--- a/cmd/tackhub/main.go
+++ b/cmd/tackhub/main.go
@@ -1,7 +1,7 @@
 // Command tackhub is one node of a load balancer for HTTP and CoAP. Without arguments it serves.
 //
-// Exit codes: 0 after a planned end or a check without a fault, 1 where a start or the serving failed or a check found
-// faults, 2 where the command line cannot be read.
+// Exit codes: 0 after a graceful shutdown or a check that found no errors, 1 if the node failed to start or to serve or
+// a check found errors, 2 if the command line is invalid.
 package main
 
 import (
@@ -19,23 +19,23 @@
 	"tackhub.example/tackhub/internal/node"
 )
 
-// edgeVariable is the environment variable that names the operator file where no flag does.
-const edgeVariable = "TACKHUB_EDGE"
+// operatorFileVariable is the environment variable with the path of the operator file; the flag --edge overrides it.
+const operatorFileVariable = "TACKHUB_EDGE"
 
 func main() { os.Exit(commands().Run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 func commands() cli.Program {
-	var edge string
-	withEdge := func(f *flag.FlagSet) {
-		f.StringVar(&edge, "edge", os.Getenv(edgeVariable),
-			"operator `FILE`; without it ("+edgeVariable+" names it too) all subsystems are off")
+	var operatorFile string
+	operatorFileFlag := func(f *flag.FlagSet) {
+		f.StringVar(&operatorFile, "edge", os.Getenv(operatorFileVariable),
+			"operator `FILE` (default: the value of "+operatorFileVariable+"); without a file all subsystems are off")
 	}
 	return cli.Program{Name: "tackhub", Default: "serve", Commands: []cli.Command{
-		{Name: "serve", Help: "Serve as one node, told by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG", Flags: withEdge,
-			Run: func([]string, io.Writer) error { return node.Serve(edge) }},
-		{Name: "check", Help: "Read configuration and operator file as a start would; print what would run, or every fault", Flags: withEdge,
+		{Name: "serve", Help: "Serve as one node, configured by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG", Flags: operatorFileFlag,
+			Run: func([]string, io.Writer) error { return node.Serve(operatorFile) }},
+		{Name: "check", Help: "Read the configuration and the operator file as at a start; print what would run, or every error", Flags: operatorFileFlag,
 			Run: func(_ []string, out io.Writer) error {
-				if !node.Check(out, os.Getenv, edge) {
+				if !node.Check(out, os.Getenv, operatorFile) {
 					return cli.ErrReported
 				}
 				return nil
@@ -44,32 +44,32 @@
 		cluster.MembersCommand(),
 		cluster.OverloadCommand(),
 		coapclient.Command(),
-		{Name: "version", Help: "Print the build", Run: func(_ []string, out io.Writer) error { return version(out) }},
+		{Name: "version", Help: "Print revision, Go version and platform", Run: func(_ []string, out io.Writer) error { return version(out) }},
 	}, Footer: []string{
 		"",
-		"Signals while it serves: SIGTERM or SIGINT drains and ends it (further ones change nothing), SIGHUP reads its files again,",
-		"SIGUSR1 writes the counters and the servers' health to the log.",
-		"Exit codes: 0 planned end or a good check, 1 failed or faults found, 2 the command line cannot be read.",
+		"Signals to a running node: SIGTERM or SIGINT starts a graceful shutdown (repeated ones are ignored), SIGHUP reloads the files,",
+		"SIGUSR1 writes the counters and the health of the servers to the log.",
+		"Exit codes: 0 graceful shutdown or no errors found, 1 failure or errors found, 2 invalid command line.",
 	}}
 }
 
-// version prints what the Go tool chain recorded of the build.
+// version prints the build information that the Go toolchain recorded in the binary.
 func version(out io.Writer) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this build holds no information about itself")
+		return errors.New("the binary has no Go build information")
 	}
-	about := map[string]string{}
-	for _, s := range info.Settings {
-		about[s.Key] = s.Value
+	buildSettings := map[string]string{}
+	for _, setting := range info.Settings {
+		buildSettings[setting.Key] = setting.Value
 	}
-	revision := about["vcs.revision"]
+	revision := buildSettings["vcs.revision"]
 	if revision == "" {
 		revision = "no revision"
 	}
-	if about["vcs.modified"] == "true" {
+	if buildSettings["vcs.modified"] == "true" {
 		revision += " with changes"
 	}
-	_, err := fmt.Fprintf(out, "tackhub %s, %s, %s/%s\n", revision, info.GoVersion, about["GOOS"], about["GOARCH"])
+	_, err := fmt.Fprintf(out, "tackhub %s, %s, %s/%s\n", revision, info.GoVersion, buildSettings["GOOS"], buildSettings["GOARCH"])
 	return err
 }
--- a/cmd/tackhub/norace_test.go
+++ b/cmd/tackhub/norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceEnabled says that the tests run with the race detector.
+// raceEnabled reports whether the tests run with the race detector.
 const raceEnabled = false
--- a/cmd/tackhub/race_test.go
+++ b/cmd/tackhub/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceEnabled says that the tests run with the race detector; the node is built with it then.
+// raceEnabled reports whether the tests run with the race detector. If so, the node is built with it too.
 const raceEnabled = true
--- a/cmd/tackhub/retry_test.go
+++ b/cmd/tackhub/retry_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// A 503 promises that the request was not executed. For each class and each failure of its servers the status must keep
-// that promise, and no more servers may be tried than the class allows.
-func TestRejectionOnlyWhereHarmless(t *testing.T) {
-	rejects := respond(503, "", "X-Not-Run: 1")
+// A 503 means that a retry by the client is harmless, so an unsafe request gets it only if no server executed it. For each
+// class and each failure of its servers, the status and the number of attempts must be the ones that the class allows.
+func TestServerFailureStatusByRequestClass(t *testing.T) {
+	reject := respond(503, "", "X-Not-Run: 1")
 	for _, c := range []struct {
-		name   string
-		class  string
-		act    behavior
-		status int
-		copies int // 0: not looked at
+		name     string
+		class    string
+		act      behavior
+		status   int
+		attempts int // requests that both servers received in total
 	}{
 		{"unsafe, reset", "bill", resetConn, 502, 1},
 		{"unsafe, error", "bill", respond(500, "boom"), 502, 1},
 		{"unsafe, 503 that may have run", "bill", respond(503, ""), 502, 1},
 		{"unsafe, 504 that may have run", "bill", respond(504, "", "X-Not-Run: 0"), 502, 1},
-		{"unsafe, rejected", "bill", rejects, 503, 2},
+		{"unsafe, rejected", "bill", reject, 503, 2},
 		{"unsafe, truncated", "bill", respondTruncated, 502, 1},
 		{"unsafe, garbage", "bill", respondGarbage, 502, 1},
 		{"unsafe, silent", "bill", neverRespond, 504, 1},
 		{"unsafe, served", "bill", respond(200, "done"), 200, 1},
-		{"keyed, reset", "store", resetConn, 502, 2}, // both servers are in the group
-		{"keyed, rejected", "store", rejects, 503, 2},
+		{"keyed, reset", "store", resetConn, 502, 2}, // both servers are in the same idempotency scope
+		{"keyed, rejected", "store", reject, 503, 2},
 		{"safe, reset", "look", resetConn, 503, 2},
 		{"safe, silent", "look", neverRespond, 503, 1},
 		{"safe, error", "look", respond(500, ""), 503, 2},
@@ -37,116 +37,116 @@
 			t.Parallel()
 			s1, s2 := startBackend(t, "s1", c.act), startBackend(t, "s2", c.act)
 			p, _ := startWithBackends(t, "", s1, s2)
-			a := p.mustDo(request(c.class, 300))
-			if a.status != c.status {
-				t.Errorf("status %d, want %d", a.status, c.status)
+			resp := p.mustDo(request(c.class, 300))
+			if resp.status != c.status {
+				t.Errorf("got status %d, want %d", resp.status, c.status)
 			}
-			if n := len(s1.requests()) + len(s2.requests()); n != c.copies {
-				t.Errorf("%d copies, want %d", n, c.copies)
+			if n := len(s1.requests()) + len(s2.requests()); n != c.attempts {
+				t.Errorf("got %d attempts, want %d", n, c.attempts)
 			}
-			if a.status != 200 && a.body != "" {
-				t.Errorf("a server's words %q went to the client", a.body)
+			if resp.status != 200 && resp.body != "" {
+				t.Errorf("got body %q of a failed server's response, want an empty body", resp.body)
 			}
 			got := p.counts()
 			got.addUp(t)
 			if got.Requests["overdue"] != 0 {
-				t.Error("the guard had to answer")
+				t.Errorf("%d requests were answered only when overdue, want 0", got.Requests["overdue"])
 			}
 		})
 	}
 }
 
-// A server's port is closed, so nothing was executed there. Even an unsafe request may go to another server.
+// A server's port is closed, so nothing was executed there. Even an unsafe request must be retried on another server.
 func TestUnreachableServerIsRetried(t *testing.T) {
-	dead := startBackend(t, "s1", resetConn)
-	dead.stop()
-	alive := startBackend(t, "s2", respond(200, "done"))
-	p, _ := startWithBackends(t, "", dead, alive)
-	for range 10 { // whichever is drawn first, an unsafe request may go on to the other
-		if a := p.mustDo(request("bill", 1000)); a.status != 200 {
-			t.Fatalf("status %d", a.status)
+	closed := startBackend(t, "s1", resetConn)
+	closed.stop()
+	available := startBackend(t, "s2", respond(200, "done"))
+	p, _ := startWithBackends(t, "", closed, available)
+	for range 10 { // the first attempt of a request may go to either server
+		if resp := p.mustDo(request("bill", 1000)); resp.status != 200 {
+			t.Fatalf("got status %d, want 200", resp.status)
 		}
 	}
-	if n := len(alive.requests()); n != 10 {
-		t.Errorf("%d copies of 10 requests", n)
+	if n := len(available.requests()); n != 10 {
+		t.Errorf("got %d requests at the available server, want 10", n)
 	}
 }
 
-// No server can be reached. The request is rejected at once with Retry-After.
-func TestAllServersUnreachable(t *testing.T) {
-	dead := startBackend(t, "s1", resetConn)
-	dead.stop()
-	p, _ := startWithBackends(t, "", dead)
-	a := p.mustDo(request("bill", 1000))
-	if a.status != 503 || a.took > 900*time.Millisecond {
-		t.Errorf("status %d after %v, want a rejection at once", a.status, a.took)
+// No server can be reached. The request must be rejected at once with Retry-After.
+func TestAllServersUnreachableRejectsAtOnce(t *testing.T) {
+	closed := startBackend(t, "s1", resetConn)
+	closed.stop()
+	p, _ := startWithBackends(t, "", closed)
+	resp := p.mustDo(request("bill", 1000))
+	if resp.status != 503 || resp.took > 900*time.Millisecond {
+		t.Errorf("got status %d after %v, want 503 within 900ms", resp.status, resp.took)
 	}
-	if n, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64); err != nil || n <= 0 || n > 2 {
-		t.Errorf("Retry-After %q", a.header.Get("Retry-After"))
+	if n, err := strconv.ParseFloat(resp.header.Get("Retry-After"), 64); err != nil || n <= 0 || n > 2 {
+		t.Errorf("Retry-After is %q, want a number of seconds above 0 and at most 2", resp.header.Get("Retry-After"))
 	}
 }
 
-// The node knows no server. Requests of each class are rejected at once instead of at their deadline.
+// The endpoint list is empty. Requests of each class must be rejected at once instead of at their deadline.
 func TestNoServersRejectsAtOnce(t *testing.T) {
 	p := startNode(t, nodeOptions{discovery: freeAddress(t)})
 	for _, class := range []string{"look", "store", "bill"} {
-		if a := p.mustDo(request(class, 1000)); a.status != 503 || a.took > 500*time.Millisecond {
-			t.Errorf("%s: %d after %v", class, a.status, a.took)
+		if resp := p.mustDo(request(class, 1000)); resp.status != 503 || resp.took > 500*time.Millisecond {
+			t.Errorf("%s: got status %d after %v, want 503 within 500ms", class, resp.status, resp.took)
 		}
 	}
 }
 
-// A server does not respond to an unsafe request. The client gets 504 at its deadline, and the connection to the server
-// is closed.
-func TestSilentServerTimesOut(t *testing.T) {
+// A server does not respond to an unsafe request. The client must get 504 at its deadline, and the connection to the
+// server must be closed.
+func TestUnresponsiveServerTimesOut(t *testing.T) {
 	s := startBackend(t, "s1", neverRespond)
 	p, _ := startWithBackends(t, "", s)
-	a := p.mustDo(request("bill", 200))
-	if a.status != 504 || a.took < 150*time.Millisecond || a.took > time.Second {
-		t.Errorf("status %d after %v, want 504 after 200 ms", a.status, a.took)
+	resp := p.mustDo(request("bill", 200))
+	if resp.status != 504 || resp.took < 150*time.Millisecond || resp.took > time.Second {
+		t.Errorf("got status %d after %v, want 504 after 150ms to 1s", resp.status, resp.took)
 	}
-	eventually(t, "closed connection", func() bool { return s.closed.Load() > 0 || p.counts().Servers["open"] == 0 })
+	eventually(t, "the connection to the server to be closed", func() bool { return s.closedConns.Load() > 0 || p.counts().Servers["open"] == 0 })
 }
 
-// A keyed request was to be retried within the window in which its group drops duplicates, and the connection was
-// established after the window. The server could execute it a second time, so it must not be sent.
+// A retry of a keyed request is decided within the dedup window of its servers, but its connection is established after
+// the window. The server could execute the request a second time, so the retry must not be sent.
 func TestRetryAfterDedupWindowIsNotSent(t *testing.T) {
 	gate := make(chan struct{})
-	first, held := startBackend(t, "s1", respondAfter(gate, resetConn)), startBlockedBackend(t, "s2", respond(200, "twice"))
-	p, d := startWithBackends(t, longConnectTimeout(`"dedup_window_ms":800`, `"dedup_window_ms":500`), first)
+	failing, blocked := startBackend(t, "s1", respondAfter(gate, resetConn)), startBlockedBackend(t, "s2", respond(200, "twice"))
+	p, d := startWithBackends(t, settingsWithLongConnectTimeout(`"dedup_window_ms":800`, `"dedup_window_ms":500`), failing)
 	pending := p.send(request("store", 1500))
-	eventually(t, "the first copy", func() bool { return len(first.requests()) == 1 })
+	eventually(t, "the first attempt at the server", func() bool { return len(failing.requests()) == 1 })
 	before := p.counts().List["delta"]
-	d.announce(held.member())
-	eventually(t, "the news", func() bool { return p.counts().List["delta"] > before })
+	d.announce(blocked.member())
+	eventually(t, "the changed list", func() bool { return p.counts().List["delta"] > before })
 	close(gate)
-	eventually(t, "the repeat's attempt", func() bool { return p.counts().Attempts["sent"] == 2 })
-	held.unblock() // the next SYN comes a second after the first
-	if a := await(t, "the request", pending); a.status != 502 && a.status != 504 {
-		t.Errorf("%d %q, want a failure", a.status, a.body)
+	eventually(t, "the second attempt", func() bool { return p.counts().Attempts["sent"] == 2 })
+	blocked.unblock() // the kernel retransmits the SYN one second after the first
+	if resp := await(t, "the request", pending); resp.status != 502 && resp.status != 504 {
+		t.Errorf("got %d %q, want 502 or 504", resp.status, resp.body)
 	}
-	if n := len(held.requests()); n > 0 {
-		t.Errorf("%d repeats were written after the window", n)
+	if n := len(blocked.requests()); n > 0 {
+		t.Errorf("got %d retries at the server after the dedup window, want 0", n)
 	}
 	p.counts().addUp(t)
 }
 
-// Two servers are in different groups, so neither drops the other's duplicates. A keyed request that may have been
-// executed must not be retried on the other one.
-func TestIdempotentRetryStaysInGroup(t *testing.T) {
+// Two servers are in different cells, so neither detects a duplicate of a request that the other one executed. A keyed
+// request that may have been executed must not be retried on the other server.
+func TestIdempotentRetryStaysInCell(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", resetConn), startBackend(t, "s2", resetConn)
 	list := members(s1, s2)
 	list[1].Cell = 7
 	d := startDiscoveryServer(t, list)
 	p := startNode(t, nodeOptions{discovery: d.addr})
-	eventually(t, "list", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	for i := range 4 {
 		before := len(s1.requests()) + len(s2.requests())
-		if a := p.mustDo(request("store", 1000)); a.status != 502 {
-			t.Errorf("request %d: status %d", i, a.status)
+		if resp := p.mustDo(request("store", 1000)); resp.status != 502 {
+			t.Errorf("request %d: got status %d, want 502", i, resp.status)
 		}
 		if n := len(s1.requests()) + len(s2.requests()); n != before+1 {
-			t.Errorf("request %d: %d copies", i, n-before)
+			t.Errorf("request %d: got %d attempts, want 1", i, n-before)
 		}
 	}
 }
--- a/cmd/tackhub/shutdown_test.go
+++ b/cmd/tackhub/shutdown_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// SIGTERM comes while requests are in flight, and the platform's front still opens connections. Requests in flight and
-// late ones are served, health turns to 503, idle connections are closed, and the exit code is 0.
+// SIGTERM arrives while requests are in flight, and the platform's front end still opens connections. Requests in flight
+// and requests that arrive during the drain must be served, the health check must return 503, idle connections must be
+// closed, and the exit code must be 0.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	gate := make(chan struct{})
 	var servers []*backend
@@ -16,48 +17,48 @@
 		servers = append(servers, startBackend(t, id, respondAfter(gate, respond(200, "done"))))
 	}
 	p, _ := startWithBackends(t, "", servers...)
-	sent := func(n int) func() bool {
+	received := func(n int) func() bool {
 		return func() bool {
-			got := 0
+			count := 0
 			for _, s := range servers {
-				got += len(s.requests())
+				count += len(s.requests())
 			}
-			return got == n
+			return count == n
 		}
 	}
 	idle, kept := p.connect(), p.connect()
 	kept.write(request("bill", 1500))
 	inFlight := p.send(request("look", 1500))
-	eventually(t, "requests in flight", sent(2))
+	eventually(t, "2 requests at the servers", received(2))
 	p.terminate()
-	eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
-	late := p.send(request("look", 1500)) // the front goes on dealing connections out
-	eventually(t, "the late request", sent(3))
-	if a := p.mustDo("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); a.status != 503 {
-		t.Errorf("health is %d while draining", a.status)
+	eventually(t, "the drain in the log", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
+	late := p.send(request("look", 1500)) // the front end still opens connections
+	eventually(t, "the late request at a server", received(3))
+	if resp := p.mustDo("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); resp.status != 503 {
+		t.Errorf("health check during the drain: got status %d, want 503", resp.status)
 	}
 	close(gate)
-	if a := await(t, "in flight", inFlight); a.status != 200 {
-		t.Errorf("in flight: %d", a.status)
+	if resp := await(t, "the request in flight", inFlight); resp.status != 200 {
+		t.Errorf("request in flight: got status %d, want 200", resp.status)
 	}
-	if a := await(t, "late", late); a.status != 200 || !a.closesConn {
-		t.Errorf("late: %d, last %v", a.status, a.closesConn)
+	if resp := await(t, "the late request", late); resp.status != 200 || !resp.closesConn {
+		t.Errorf("late request: got status %d, closes connection %v, want 200, true", resp.status, resp.closesConn)
 	}
-	if a, err := kept.read(); err != nil || a.status != 200 {
-		t.Errorf("kept: %v %v", a, err)
+	if resp, err := kept.read(); err != nil || resp.status != 200 {
+		t.Errorf("request in flight on an open connection: got %+v, %v, want status 200", resp, err)
 	}
 	if _, err := idle.read(); err == nil {
-		t.Error("an idle connection got an answer")
+		t.Error("the idle connection got a response, want a close")
 	}
 	if code := p.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 	if !strings.Contains(p.log.String(), `"code":"counters"`) || !strings.Contains(p.log.String(), `"code":"drained"`) {
-		t.Error("no counters at the end, or no line of a drained connection")
+		t.Error("the log lacks a line with code counters or code drained")
 	}
 }
 
-// Clients go on connecting while the node shuts down. Whoever gets a connection gets a response.
+// Clients continue to connect while the node shuts down. Each client whose connection is accepted must get a response.
 func TestShutdownUnderLoad(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s)
@@ -73,90 +74,91 @@
 				}
 				c, err := p.dial()
 				if err != nil {
-					return // refused: the node never took it
+					return // refused by the kernel: the node never accepted the connection
 				}
-				a, err := doOn(c)
-				results <- asyncResult{a, err}
+				got, err := doOn(c)
+				results <- asyncResult{got, err}
 				_ = c.Close()
 			}
 		}()
 	}
-	eventually(t, "traffic", func() bool { return len(results) > 50 })
+	eventually(t, "50 responses", func() bool { return len(results) > 50 })
 	p.terminate()
-	time.AfterFunc(400*time.Millisecond, func() { close(stop) }) // the protocol's longest time of new ones
+	time.AfterFunc(400*time.Millisecond, func() { close(stop) }) // the protocol's limit for new connections after SIGTERM
 	if code := p.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 	for range len(results) {
-		if o := <-results; o.err != nil || o.a.status != 200 && o.a.status != 503 {
-			t.Fatalf("lost: %v, %v", o.a, o.err)
+		if result := <-results; result.err != nil || result.resp.status != 200 && result.resp.status != 503 {
+			t.Fatalf("request lost: got %+v, %v, want status 200 or 503", result.resp, result.err)
 		}
 	}
 }
 
-// A server does not respond while the node shuts down. The client gets 504 at its deadline, and the node exits in time.
-func TestShutdownWithSilentServer(t *testing.T) {
+// A server does not respond while the node shuts down. The client must get 504 at its deadline, and the node must exit in
+// time.
+func TestShutdownWithUnresponsiveServerEndsInTime(t *testing.T) {
 	s := startBackend(t, "s1", neverRespond)
 	p, _ := startWithBackends(t, "", s)
 	pending := p.send(request("bill", 400))
-	eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
+	eventually(t, "the request at the server", func() bool { return len(s.requests()) == 1 })
 	began := time.Now()
 	p.terminate()
-	if a := await(t, "pending", pending); a.status != 504 {
-		t.Errorf("status %d", a.status)
+	if resp := await(t, "the request in flight", pending); resp.status != 504 {
+		t.Errorf("got status %d, want 504", resp.status)
 	}
 	if code := p.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 	if took := time.Since(began); took > 1500*time.Millisecond+700*time.Millisecond {
-		t.Errorf("ended only after %v", took)
+		t.Errorf("the node exited after %v, want at most 2.2s", took)
 	}
 }
 
-// A client goes on using its connection during a shutdown. Its request is served with a notice that the connection
-// ends.
+// A client sends another request on its connection during a shutdown. The request must be served, and the response must
+// announce that the connection is closed.
 func TestShutdownEndsConnectionsBetweenRequests(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s)
 	c := p.connect()
 	c.write(request("look", 1000))
-	if a, err := c.read(); err != nil || a.status != 200 {
-		t.Fatalf("%v %v", a, err)
+	if resp, err := c.read(); err != nil || resp.status != 200 {
+		t.Fatalf("first request: got %+v, %v, want status 200", resp, err)
 	}
 	p.terminate()
-	eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
-	c.write(request("bill", 1000)) // clients go on using what they have
-	if a, err := c.read(); err != nil || a.status != 200 || !a.closesConn {
-		t.Fatalf("%v %v", a, err)
+	eventually(t, "the drain in the log", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
+	c.write(request("bill", 1000)) // clients continue to use their open connections
+	if resp, err := c.read(); err != nil || resp.status != 200 || !resp.closesConn {
+		t.Fatalf("request during the drain: got %+v, %v, want status 200 and a close", resp, err)
 	}
 	if code := p.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 }
 
-// A client has sent a part of a request that never becomes whole. It must not delay the shutdown.
-func TestShutdownWithPartialRequest(t *testing.T) {
+// A client has sent a part of a request and never sends the rest. It must not delay the shutdown.
+func TestPartialRequestDoesNotDelayShutdown(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s)
 	c := p.connect()
-	c.write(request("look", 1000)[:30]) // it will never be whole, so it is not taken
-	watch := p.connect()
-	eventually(t, "arrival", func() bool {
-		got, ok := p.countsOn(watch)
+	c.write(request("look", 1000)[:30]) // never complete, so the node does not count it as a request
+	observer := p.connect()
+	eventually(t, "both connections in the counters", func() bool {
+		got, ok := p.countsOn(observer)
 		return ok && got.Clients["open"] == 2
 	})
 	began := time.Now()
 	p.terminate()
 	if code := p.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
-	if took := time.Since(began); took > 4*time.Second { // a request may take 5 s to arrive otherwise
-		t.Errorf("ended only after %v", took)
+	if took := time.Since(began); took > 4*time.Second { // without a shutdown a client has 5 s to send its request
+		t.Errorf("the node exited after %v, want at most 4s", took)
 	}
 }
 
-// A partial request at shutdown was once left until the process ended, so its last byte could arrive, be accepted and
-// never be answered. It must be rejected while the client can still go to another node.
+// At shutdown the node once kept the connection of a partial request open until the process ended. The last byte could
+// then still be accepted, and the request got no response. It must be rejected while the client can retry on another node.
 func TestShutdownRejectsPartialRequests(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, d := startWithBackends(t, "", s)
@@ -170,39 +172,38 @@
 			p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TMPDIR=" + t.TempDir()}})
 			c := p.connect()
 			c.write(raw)
-			watch := p.connect()
-			eventually(t, "arrival", func() bool {
-				got, ok := p.countsOn(watch)
+			observer := p.connect()
+			eventually(t, "both connections in the counters", func() bool {
+				got, ok := p.countsOn(observer)
 				return ok && got.Clients["open"] == 2
 			})
 			p.terminate()
-			if a, err := c.read(); err != nil || a.status != 503 || !a.closesConn {
-				t.Errorf("%v, %v: want a rejection that ends the connection", a, err)
+			if resp, err := c.read(); err != nil || resp.status != 503 || !resp.closesConn {
+				t.Errorf("got %+v, %v, want status 503 and a close", resp, err)
 			}
 			if code := p.exit(); code != 0 {
-				t.Errorf("exit code %d", code)
+				t.Errorf("exit code %d, want 0", code)
 			}
 		})
 	}
 	p.terminate()
 	p.exit()
 	if n := len(s.requests()); n > 0 {
-		t.Errorf("%d requests were forwarded", n)
+		t.Errorf("got %d requests at the server, want 0", n)
 	}
 }
 
-// Further signals come during a shutdown, as from an impatient supervisor. They must take nothing from the request in
-// flight.
-func TestRepeatedSignalsDuringShutdown(t *testing.T) {
+// More signals arrive during a shutdown, as a supervisor may send them. The request in flight must still be completed.
+func TestRepeatedSignalsDuringShutdownKeepRequestInFlight(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1} {
 		t.Run(sig.String(), func(t *testing.T) {
 			gate := make(chan struct{})
 			s := startBackend(t, "s1", respondAfter(gate, respond(200, "done")))
 			p, _ := startWithBackends(t, "", s)
 			pending := p.send(request("bill", 1400))
-			eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
+			eventually(t, "the request at the server", func() bool { return len(s.requests()) == 1 })
 			p.terminate()
-			eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
+			eventually(t, "the drain in the log", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
 			for range 3 {
 				if err := p.cmd.Process.Signal(sig); err != nil {
 					t.Fatal(err)
@@ -210,11 +211,11 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			close(gate)
-			if a := await(t, "pending", pending); a.status != 200 {
-				t.Errorf("status %d", a.status)
+			if resp := await(t, "the request in flight", pending); resp.status != 200 {
+				t.Errorf("got status %d, want 200", resp.status)
 			}
 			if code := p.exit(); code != 0 {
-				t.Errorf("exit code %d", code)
+				t.Errorf("exit code %d, want 0", code)
 			}
 		})
 	}
