--- a/cmd/tackhub/coapbackend_test.go
+++ b/cmd/tackhub/coapbackend_test.go
@@ -18,28 +18,29 @@
 	"tackhub.example/tackhub/lab/netfault"
 )
 
-// coapBackend is a small CoAP server that responds to each datagram as its test says.
+// coapBackend is a small CoAP server for tests. It passes each confirmable message to handle and sends the messages that
+// handle returns.
 type coapBackend struct {
 	addr string
 	conn net.PacketConn
 
-	mu   sync.Mutex
-	act  func(n int, m *message.Message) []message.Message // the n-th datagram, from 0; what it gives is sent
-	seen []message.Message
-	at   []time.Time
+	mu         sync.Mutex
+	handle     func(n int, m *message.Message) []message.Message // n counts the messages from 0
+	received   []message.Message
+	receivedAt []time.Time
 }
 
-// startCoapBackend starts one, on a link where one is given.
-func startCoapBackend(t *testing.T, l *netfault.Link, act func(int, *message.Message) []message.Message) *coapBackend {
+// startCoapBackend starts a CoAP server. If link is not nil, its datagrams pass through it.
+func startCoapBackend(t *testing.T, link *netfault.Link, handle func(int, *message.Message) []message.Message) *coapBackend {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &coapBackend{addr: conn.LocalAddr().String(), conn: conn, act: act}
+	s := &coapBackend{addr: conn.LocalAddr().String(), conn: conn, handle: handle}
 	t.Cleanup(func() { _ = conn.Close() })
-	if l != nil {
-		s.conn = l.WrapPacket(conn)
+	if link != nil {
+		s.conn = link.WrapPacket(conn)
 	}
 	go s.run()
 	return s
@@ -57,10 +58,10 @@
 			continue
 		}
 		s.mu.Lock()
-		out := s.act(len(s.seen), &m)
-		s.seen, s.at = append(s.seen, m), append(s.at, time.Now())
+		responses := s.handle(len(s.received), &m)
+		s.received, s.receivedAt = append(s.received, m), append(s.receivedAt, time.Now())
 		s.mu.Unlock()
-		for _, o := range out {
+		for _, o := range responses {
 			if b, err := wire.Encode(o); err == nil {
 				_, _ = s.conn.WriteTo(b, from)
 			}
@@ -68,24 +69,24 @@
 	}
 }
 
-// messages are how many datagrams came, and how many different message ids they had.
-func (s *coapBackend) messages() (all, different int) {
+// messageCounts returns the number of received messages and of distinct message ids among them.
+func (s *coapBackend) messageCounts() (total, distinct int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := map[int32]bool{}
-	for _, m := range s.seen {
+	for _, m := range s.received {
 		ids[m.MessageID] = true
 	}
-	return len(s.seen), len(ids)
+	return len(s.received), len(ids)
 }
 
-// piggyback is a response in the acknowledgement.
-func piggyback(m *message.Message, code codes.Code, body string) []message.Message {
+// piggybackedResponse returns a response in the acknowledgement of m.
+func piggybackedResponse(m *message.Message, code codes.Code, body string) []message.Message {
 	return []message.Message{{Type: wire.Ack, Code: code, MessageID: m.MessageID, Token: m.Token, Payload: []byte(body),
 		Options: message.Options{}.Add(message.Option{ID: back.OptLoad, Value: []byte("inflight=2")})}}
 }
 
-// startWithCoapBackends starts a node whose servers stand in its operator file.
+// startWithCoapBackends starts a node whose servers are listed in its operator file.
 func startWithCoapBackends(t *testing.T, addrs ...string) *nodeProcess {
 	t.Helper()
 	edge := filepath.Join(t.TempDir(), "edge.toml")
@@ -98,19 +99,25 @@
 	return p
 }
 
-// An HTTP request reaches a CoAP server. Each of the server's outcomes, lost and reordered messages included, becomes
-// the HTTP response that an HTTP server's outcome would; a retransmission must be the same message, and come early
-// enough for a drain.
+// An HTTP request is forwarded to a CoAP server. Each outcome, lost and reordered messages included, must become the
+// HTTP response that the same outcome of an HTTP server becomes. A retransmission must be the same message, and must be
+// sent early enough to complete during a drain.
 func TestCoapServerOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
-		act    func(int, *message.Message) []message.Message
+		handle func(int, *message.Message) []message.Message
 		status int
-		ids    int // different message ids that reach the server; 0: not looked at
+		ids    int // distinct message ids that the server must receive; 0: not checked
 	}{
-		"served": {"bill", func(_ int, m *message.Message) []message.Message { return piggyback(m, codes.Changed, "done") }, 200, 1},
-		"error":  {"bill", func(_ int, m *message.Message) []message.Message { return piggyback(m, codes.InternalServerError, "") }, 502, 1},
-		"turned": {"bill", func(_ int, m *message.Message) []message.Message { return piggyback(m, codes.ServiceUnavailable, "") }, 503, 0},
+		"served": {"bill", func(_ int, m *message.Message) []message.Message {
+			return piggybackedResponse(m, codes.Changed, "done")
+		}, 200, 1},
+		"error": {"bill", func(_ int, m *message.Message) []message.Message {
+			return piggybackedResponse(m, codes.InternalServerError, "")
+		}, 502, 1},
+		"turned": {"bill", func(_ int, m *message.Message) []message.Message {
+			return piggybackedResponse(m, codes.ServiceUnavailable, "")
+		}, 503, 0},
 		"reset": {"bill", func(_ int, m *message.Message) []message.Message {
 			return []message.Message{{Type: wire.Rst, MessageID: m.MessageID}}
 		}, 503, 0},
@@ -119,87 +126,89 @@
 			if n < 2 {
 				return nil
 			}
-			return piggyback(m, codes.Changed, "done")
+			return piggybackedResponse(m, codes.Changed, "done")
 		}, 200, 1},
 		"separate": {"look", func(_ int, m *message.Message) []message.Message {
 			return []message.Message{{Type: wire.Ack, MessageID: m.MessageID}, {Type: wire.Con, Code: codes.Content, MessageID: 777, Token: m.Token, Payload: []byte("done")}}
 		}, 200, 1},
-		"outrun": {"look", func(_ int, m *message.Message) []message.Message { // the separate answer before the acknowledgement
+		"outrun": {"look", func(_ int, m *message.Message) []message.Message { // the separate response overtakes the acknowledgement
 			return []message.Message{{Type: wire.Con, Code: codes.Content, MessageID: 778, Token: m.Token, Payload: []byte("done")}, {Type: wire.Ack, MessageID: m.MessageID}}
 		}, 200, 1},
 		"another's token": {"bill", func(_ int, m *message.Message) []message.Message {
-			out := piggyback(m, codes.Changed, "not yours")
+			out := piggybackedResponse(m, codes.Changed, "not yours")
 			out[0].Token = []byte("other")
 			return out
 		}, 504, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startCoapBackend(t, nil, c.act)
+			s := startCoapBackend(t, nil, c.handle)
 			p := startWithCoapBackends(t, back.Scheme+s.addr)
-			a := p.mustDo(request(c.class, 900))
-			if a.status != c.status || a.status == 200 && a.body != "done" {
-				t.Errorf("status %d %q, want %d", a.status, a.body, c.status)
+			resp := p.mustDo(request(c.class, 900))
+			if resp.status != c.status || resp.status == 200 && resp.body != "done" {
+				t.Errorf("got status %d %q, want %d", resp.status, resp.body, c.status)
 			}
-			all, ids := s.messages()
+			total, ids := s.messageCounts()
 			if c.ids > 0 && ids != c.ids {
-				t.Errorf("%d messages with %d ids: sent again it must be the same message", all, ids)
+				t.Errorf("got %d messages with %d message ids, want %d: a retransmission keeps its id", total, ids, c.ids)
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			m := s.seen[0]
+			m := s.received[0]
 			if path := wire.Strings(&m, message.URIPath); len(path) != 1 || path[0] != c.class {
-				t.Errorf("path %v", path)
+				t.Errorf("path %v, want [%s]", path, c.class)
 			}
 			if id, ok := wire.Bytes(&m, back.OptRequestID); !ok || len(id) == 0 {
-				t.Error("no request id")
+				t.Error("the message has no request id option")
 			}
-			if first, last := s.at[0], s.at[len(s.at)-1]; last.Sub(first) > 750*time.Millisecond {
-				t.Errorf("sent again %v after the first sending: later than half of the drain grace", last.Sub(first))
+			if first, last := s.receivedAt[0], s.receivedAt[len(s.receivedAt)-1]; last.Sub(first) > 750*time.Millisecond {
+				t.Errorf("last retransmission %v after the first transmission, want at most 750ms (half of the drain grace)", last.Sub(first))
 			}
 		})
 	}
 }
 
-// A CoAP server's port is closed. The kernel does not tell whether an earlier copy arrived, so only a safe request may
-// be retried on another server.
+// A CoAP server's port is closed. The kernel's error does not show whether an earlier transmission arrived, so only a
+// safe request may be retried on another server.
 func TestCoapServerUnreachable(t *testing.T) {
-	gone := startCoapBackend(t, nil, nil)
-	_ = gone.conn.Close()
-	good := startCoapBackend(t, nil, func(_ int, m *message.Message) []message.Message { return piggyback(m, codes.Content, "done") })
-	p := startWithCoapBackends(t, back.Scheme+gone.addr, back.Scheme+good.addr)
+	closed := startCoapBackend(t, nil, nil)
+	_ = closed.conn.Close()
+	listening := startCoapBackend(t, nil, func(_ int, m *message.Message) []message.Message {
+		return piggybackedResponse(m, codes.Content, "done")
+	})
+	p := startWithCoapBackends(t, back.Scheme+closed.addr, back.Scheme+listening.addr)
 	for range 20 {
-		if a := p.mustDo(request("look", 900)); a.status != 200 {
-			t.Errorf("status %d", a.status)
+		if resp := p.mustDo(request("look", 900)); resp.status != 200 {
+			t.Errorf("status %d, want 200", resp.status)
 		}
 	}
 }
 
-// Large bodies are transferred block-wise to and from a CoAP server.
+// Large request and response bodies must be transferred block-wise to and from a CoAP server.
 func TestCoapServerBlockTransfer(t *testing.T) {
-	long := bytes.Repeat([]byte("0123456789abcdef"), 300)
-	var body []byte
+	responseBody := bytes.Repeat([]byte("0123456789abcdef"), 300)
+	var uploaded []byte
 	s := startCoapBackend(t, nil, func(_ int, m *message.Message) []message.Message {
-		if b, there, _ := wire.Block(m, message.Block1); there {
-			body = append(body, m.Payload...)
+		if b, present, _ := wire.Block(m, message.Block1); present {
+			uploaded = append(uploaded, m.Payload...)
 			if b.More {
 				return []message.Message{{Type: wire.Ack, Code: codes.Continue, MessageID: m.MessageID, Token: m.Token, Options: wire.AddUint(nil, message.Block1, b.Value())}}
 			}
 		}
 		b, _, _ := wire.Block(m, message.Block2)
-		part, out, _ := blocks.Block{Num: b.Num, SZX: 5}.Slice(long)
-		return []message.Message{{Type: wire.Ack, Code: codes.Changed, MessageID: m.MessageID, Token: m.Token, Payload: part, Options: wire.AddUint(nil, message.Block2, out.Value())}}
+		payload, block2, _ := blocks.Block{Num: b.Num, SZX: 5}.Slice(responseBody)
+		return []message.Message{{Type: wire.Ack, Code: codes.Changed, MessageID: m.MessageID, Token: m.Token, Payload: payload, Options: wire.AddUint(nil, message.Block2, block2.Value())}}
 	})
 	p := startWithCoapBackends(t, back.Scheme+s.addr)
-	send := bytes.Repeat([]byte("cover"), 1000)
+	requestBody := bytes.Repeat([]byte("cover"), 1000)
 	raw := fmt.Sprintf("POST /bill HTTP/1.1\r\nHost: x\r\nX-Request-Id: abc%d\r\nX-Class: bill\r\nX-Tenant: acme\r\nX-Deadline-Ms: 1200\r\nContent-Length: %d\r\n\r\n%s",
-		requestCount.Add(1), len(send), send)
-	if a := p.mustDo(raw); a.status != 200 || a.body != string(long) {
-		t.Errorf("status %d, %d bytes of %d", a.status, len(a.body), len(long))
+		requestCount.Add(1), len(requestBody), requestBody)
+	if resp := p.mustDo(raw); resp.status != 200 || resp.body != string(responseBody) {
+		t.Errorf("got status %d and %d bytes, want 200 and %d bytes", resp.status, len(resp.body), len(responseBody))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !bytes.Equal(body, send) {
-		t.Errorf("the server got %d bytes of %d", len(body), len(send))
+	if !bytes.Equal(uploaded, requestBody) {
+		t.Errorf("the server got another body of %d bytes, want %d bytes", len(uploaded), len(requestBody))
 	}
 }
--- a/cmd/tackhub/deploy_test.go
+++ b/cmd/tackhub/deploy_test.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The deployed node was once built without external linking. Go then makes a static program, into which the fleet
-// trial's library cannot be loaded. The test builds the node as deploy/balancer.toml says.
+// The deployed node was once built without external linking. Go then produces a static executable, into which the library
+// of the fleet trial cannot be loaded. The test builds the node with the command in deploy/balancer.toml.
 func TestDeployedNodeIsLinkedDynamically(t *testing.T) {
 	var deploy struct {
 		Build, Run string
@@ -22,14 +22,14 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(deploy.Run, "exec ") || strings.ContainsAny(deploy.Run, ";&|") {
-		t.Errorf("run is %q, want one exec", deploy.Run)
+		t.Errorf("run is %q, want a single exec command", deploy.Run)
 	}
 	if len(deploy.Packages) == 0 {
-		t.Error("packages is empty: cgo needs a C compiler and its headers")
+		t.Error("packages is empty, want a C compiler and its headers, which cgo needs")
 	}
 	const output = "-o bin/ ./cmd/..."
 	if !strings.Contains(deploy.Build, output) {
-		t.Fatalf("build is %q, want it to end in %q", deploy.Build, output)
+		t.Fatalf("build is %q, want it to contain %q", deploy.Build, output)
 	}
 	dir := t.TempDir()
 	build := exec.Command("sh", "-c", strings.Replace(deploy.Build, output, "-o "+dir+"/ ./cmd/tackhub", 1))
@@ -48,5 +48,5 @@
 			return
 		}
 	}
-	t.Error("the built node has no interpreter: it is linked statically")
+	t.Error("the built node has no PT_INTERP segment, so it is linked statically, want dynamically")
 }
--- a/cmd/tackhub/largerequest_test.go
+++ b/cmd/tackhub/largerequest_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// largeBody is a body of n bytes in which no two pieces are alike.
+// largeBody returns a body of n bytes in which each group of 8 bytes is unique, so that missing, repeated or reordered
+// parts are detected.
 func largeBody(n int) []byte {
 	b := make([]byte, 0, n+8)
 	for i := 0; len(b) < n; i++ {
@@ -24,95 +25,97 @@
 	return b[:n]
 }
 
-// postHead is the head of a request with a large body.
-func postHead(more ...string) string {
+// postHead returns the head of a request with a large body, with additional header lines.
+func postHead(header ...string) string {
 	return "POST /store HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: " + fmt.Sprintf("9b1f%012x", requestCount.Add(1)) +
-		"\r\nX-Class: store\r\nX-Tenant: acme\r\nX-Deadline-Ms: 1400\r\nIdempotency-Key: 5c0f6e1a\r\n" + strings.Join(more, "\r\n") + "\r\n\r\n"
+		"\r\nX-Class: store\r\nX-Tenant: acme\r\nX-Deadline-Ms: 1400\r\nIdempotency-Key: 5c0f6e1a\r\n" + strings.Join(header, "\r\n") + "\r\n\r\n"
 }
 
-// chunked is a body in the chunked encoding, with extensions and a trailer.
-func chunked(b []byte, size int) string {
+// chunked returns a body in the chunked encoding, in chunks of at most size bytes, with chunk extensions and a trailer.
+func chunked(body []byte, size int) string {
 	var out bytes.Buffer
-	for len(b) > 0 {
-		n := min(size, len(b))
-		_, _ = fmt.Fprintf(&out, "%x;note=\"a\"\r\n%s\r\n", n, b[:n]) // a buffer takes all
-		b = b[n:]
+	for len(body) > 0 {
+		n := min(size, len(body))
+		_, _ = fmt.Fprintf(&out, "%x;note=\"a\"\r\n%s\r\n", n, body[:n]) // writing to a bytes.Buffer never fails
+		body = body[n:]
 	}
 	return out.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
-// startWithLargeBodies starts two servers and a node that has a folder for large bodies.
+// startWithLargeBodies starts two servers and a node that has a folder for large bodies. The returned backend includes the
+// requests of both servers.
 func startWithLargeBodies(t *testing.T, act behavior) (*nodeProcess, *backend) {
 	t.Helper()
 	s, other := startBackend(t, "s1", act), startBackend(t, "s2", act)
 	s.alsoCounts = other
 	d := startDiscoveryServer(t, members(s, other))
 	p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TMPDIR=" + t.TempDir()}})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	return p, s
 }
 
-// bodyCounts are the large bodies that the node holds in files and in buffers.
+// bodyCounts returns the numbers of files and of buffers in which the node holds large bodies.
 func (p *nodeProcess) bodyCounts() (files, buffers int) {
-	b := p.counts().Bodies
-	return b["files"], b["buffers"]
+	bodies := p.counts().Bodies
+	return bodies["files"], bodies["buffers"]
 }
 
-// Requests with bodies of 3 MB arrive whole in each form that HTTP has for them, also when the first server rejects
-// them and they are sent again.
-func TestLargeRequestsArriveWhole(t *testing.T) {
-	b := largeBody(3 << 20)
-	var busy atomic.Bool
-	p, s := startWithLargeBodies(t, func(c net.Conn, g receivedRequest) bool {
-		if busy.CompareAndSwap(false, true) { // the file is kept: it can be sent again
-			return respond(503, "busy", "X-Not-Run: 1")(c, g)
+// Requests with bodies of 3 MB, in each form that HTTP has for them, are rejected by the first server and retried. Each
+// must arrive complete at both servers.
+func TestLargeRequestsArriveComplete(t *testing.T) {
+	sent := largeBody(3 << 20)
+	var rejected atomic.Bool
+	p, s := startWithLargeBodies(t, func(c net.Conn, req receivedRequest) bool {
+		if rejected.CompareAndSwap(false, true) { // the node must keep the file for the retry
+			return respond(503, "busy", "X-Not-Run: 1")(c, req)
 		}
-		return respond(200, "done")(c, g)
+		return respond(200, "done")(c, req)
 	})
-	length := fmt.Sprintf("Content-Length: %d", len(b))
+	length := fmt.Sprintf("Content-Length: %d", len(sent))
 	for name, raw := range map[string]string{
-		"length": postHead(length) + string(b), "chunks": postHead("Transfer-Encoding: chunked") + chunked(b, 50_000),
-		"100-continue":  postHead(length, "Expect: 100-continue") + string(b),
-		"absolute form": strings.Replace(postHead(length), " /store", " http://app.svc/store", 1) + string(b),
-		"HTTP/1.0":      strings.Replace(postHead(length), "HTTP/1.1", "HTTP/1.0", 1) + string(b),
+		"length": postHead(length) + string(sent), "chunks": postHead("Transfer-Encoding: chunked") + chunked(sent, 50_000),
+		"100-continue":  postHead(length, "Expect: 100-continue") + string(sent),
+		"absolute form": strings.Replace(postHead(length), " /store", " http://app.svc/store", 1) + string(sent),
+		"HTTP/1.0":      strings.Replace(postHead(length), "HTTP/1.1", "HTTP/1.0", 1) + string(sent),
 	} {
-		busy.Store(false)
+		rejected.Store(false)
 		c := p.connect()
-		go func() { _, _ = io.WriteString(c, raw) }() // the reading shows a failure
-		a, err := c.read()
-		if name == "100-continue" && a.status == 100 {
-			a, err = c.read()
+		go func() { _, _ = io.WriteString(c, raw) }() // a failed write becomes a failed read
+		resp, err := c.read()
+		if name == "100-continue" && resp.status == 100 {
+			resp, err = c.read()
 		}
-		if err != nil || a.status != 200 || a.body != "done" {
-			t.Errorf("%s: %d %q, %v", name, a.status, a.body, err)
+		if err != nil || resp.status != 200 || resp.body != "done" {
+			t.Errorf("%s: got %d %q, %v, want 200 \"done\"", name, resp.status, resp.body, err)
 			continue
 		}
-		for _, g := range s.requests() {
-			if sha256.Sum256(g.body) != sha256.Sum256(b) {
-				t.Errorf("%s: the server got %d bytes of another body", name, len(g.body))
+		for _, req := range s.requests() {
+			if sha256.Sum256(req.body) != sha256.Sum256(sent) {
+				t.Errorf("%s: the server got a body of %d bytes with a wrong checksum", name, len(req.body))
 			}
-			if g.line != "POST /store HTTP/1.1" {
-				t.Errorf("%s: %s", name, g.line)
+			if req.line != "POST /store HTTP/1.1" {
+				t.Errorf("%s: got request line %q, want %q", name, req.line, "POST /store HTTP/1.1")
 			}
 		}
 	}
-	eventually(t, "no room held", func() bool { f, b := p.bodyCounts(); return f == 0 && b == 0 })
+	eventually(t, "the files and buffers of bodies to be released", func() bool { files, buffers := p.bodyCounts(); return files == 0 && buffers == 0 })
 }
 
-// A client asks whether it may send a body above the limit. It is rejected before it sends any of it.
+// A client asks with Expect: 100-continue whether it may send a body above the limit. It must be rejected before it
+// sends any of the body.
 func TestExpectContinueBeyondLimit(t *testing.T) {
 	p, _ := startWithLargeBodies(t, respond(200, "done"))
-	if a := p.mustDo(postHead("Content-Length: 60000000", "Expect: 100-continue")); a.status != 413 {
-		t.Errorf("status %d before the body", a.status)
+	if resp := p.mustDo(postHead("Content-Length: 60000000", "Expect: 100-continue")); resp.status != 413 {
+		t.Errorf("got status %d before the body, want 413", resp.status)
 	}
 }
 
-// A body is above the limit, announced or only found out while it arrives. It is rejected with 413, as is each large
-// body where the node has no folder for them.
+// A body exceeds the limit, either by its Content-Length or only as its chunks arrive. It must be rejected with 413, and
+// so must each large body if the node has no folder for large bodies.
 func TestTooLargeRequestsAreRejected(t *testing.T) {
 	p, _ := startWithLargeBodies(t, respond(200, "done"))
-	if a := p.mustDo(postHead(fmt.Sprintf("Content-Length: %d", 60_000_000)) + string(largeBody(10_000))); a.status != 413 {
-		t.Errorf("60 MB announced: %d", a.status)
+	if resp := p.mustDo(postHead(fmt.Sprintf("Content-Length: %d", 60_000_000)) + string(largeBody(10_000))); resp.status != 413 {
+		t.Errorf("Content-Length of 60 MB: got status %d, want 413", resp.status)
 	}
 	c := p.connect()
 	go func() {
@@ -121,43 +124,44 @@
 			_, _ = fmt.Fprintf(c, "186a0\r\n%s\r\n", largeBody(100_000))
 		}
 	}()
-	if a, err := c.read(); err != nil || a.status != 413 {
-		t.Errorf("60 MB in chunks: %d, %v", a.status, err)
+	if resp, err := c.read(); err != nil || resp.status != 413 {
+		t.Errorf("60 MB in chunks: got status %d, %v, want 413", resp.status, err)
 	}
-	node := startNode(t, nodeOptions{discovery: freeAddress(t)})
-	if a := node.mustDo(postHead("Content-Length: 100000") + string(largeBody(100_000))); a.status != 413 {
-		t.Errorf("without $TMPDIR: %d", a.status)
+	nodeWithoutFolder := startNode(t, nodeOptions{discovery: freeAddress(t)})
+	if resp := nodeWithoutFolder.mustDo(postHead("Content-Length: 100000") + string(largeBody(100_000))); resp.status != 413 {
+		t.Errorf("without $TMPDIR: got status %d, want 413", resp.status)
 	}
 }
 
-// A client never sends the end of a large body. It gets 408 in time, and its file and buffers are removed.
+// A client never sends the end of a large body. It must get 408 in time, and the file and buffers must be removed.
 func TestIncompleteBodyIsCleanedUp(t *testing.T) {
 	p, _ := startWithLargeBodies(t, respond(200, "done"))
 	c := p.connect()
 	c.write(postHead("Content-Length: 1000000") + string(largeBody(200_000)))
-	eventually(t, "its file", func() bool { f, _ := p.bodyCounts(); return f == 1 })
+	eventually(t, "the file of the body", func() bool { files, _ := p.bodyCounts(); return files == 1 })
 	began := time.Now()
-	if a, err := c.read(); err != nil || a.status != 408 || time.Since(began) > 6*time.Second {
-		t.Errorf("status %d after %v, %v", a.status, time.Since(began), err)
+	if resp, err := c.read(); err != nil || resp.status != 408 || time.Since(began) > 6*time.Second {
+		t.Errorf("got status %d after %v, %v, want 408 within 6s", resp.status, time.Since(began), err)
 	}
-	eventually(t, "no room held", func() bool { f, b := p.bodyCounts(); return f == 0 && b == 0 })
-	if left, err := os.ReadDir(strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "TMPDIR=")); err != nil || len(left) > 1 {
-		t.Errorf("left behind: %v, %v", left, err) // the handover's socket alone
+	eventually(t, "the files and buffers of bodies to be released", func() bool { files, buffers := p.bodyCounts(); return files == 0 && buffers == 0 })
+	if entries, err := os.ReadDir(strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "TMPDIR=")); err != nil || len(entries) > 1 {
+		t.Errorf("$TMPDIR contains %v, %v, want at most the handover socket", entries, err)
 	}
 }
 
-// A server gets the beginning of a large body before the client has sent the end. If that server fails meanwhile,
-// nothing has been executed, and another one gets the whole body. A body whose end never comes reaches no server whole.
+// A server must get the beginning of a large body before the client has sent the end. If that server fails meanwhile,
+// nothing was executed, and another server must get the complete body. If the client never sends the end, no server may
+// get a complete request.
 func TestLargeRequestsAreStreamed(t *testing.T) {
-	b := largeBody(1 << 20)
-	whole, broken := make(chan []byte, 4), make(chan struct{}, 4)
+	sent := largeBody(1 << 20)
+	complete, reset := make(chan []byte, 4), make(chan struct{}, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	var first atomic.Bool
-	began := make(chan int, 4)
+	var resetSent atomic.Bool
+	receivedHalf := make(chan int, 4)
 	serve := func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		r := bufio.NewReader(c)
@@ -165,17 +169,17 @@
 		if err != nil {
 			return
 		}
-		part := make([]byte, len(b)/2)
+		part := make([]byte, len(sent)/2)
 		n, _ := io.ReadFull(req.Body, part)
-		began <- n
-		if first.CompareAndSwap(false, true) {
-			_ = c.Close() // with the other half unread, so it is reset
-			broken <- struct{}{}
+		receivedHalf <- n
+		if resetSent.CompareAndSwap(false, true) {
+			_ = c.Close() // half of the body is unread, so the kernel sends a reset
+			reset <- struct{}{}
 			return
 		}
 		rest, err := io.ReadAll(req.Body)
 		if err == nil {
-			whole <- append(part, rest...)
+			complete <- append(part, rest...)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 		}
 	}
@@ -189,71 +193,71 @@
 		}
 	}()
 	var list []member
-	for _, id := range []string{"s1", "s2", "s3"} { // one listener: which of them is asked first does not matter
-		m := startBackend(t, id, respond(200, "")).member()
-		m.HostPort = l.Addr().String()
-		list = append(list, m)
+	for _, id := range []string{"s1", "s2", "s3"} { // all at one listener, so the order in which they are tried is irrelevant
+		entry := startBackend(t, id, respond(200, "")).member()
+		entry.HostPort = l.Addr().String()
+		list = append(list, entry)
 	}
 	d := startDiscoveryServer(t, list)
 	p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TMPDIR=" + t.TempDir()}})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	c := p.connect()
-	c.write(postHead(fmt.Sprintf("Content-Length: %d", len(b))) + string(b[:len(b)-1]))
+	c.write(postHead(fmt.Sprintf("Content-Length: %d", len(sent))) + string(sent[:len(sent)-1]))
 	select {
-	case n := <-began:
-		if n != len(b)/2 {
-			t.Errorf("a server got %d bytes ahead", n)
+	case n := <-receivedHalf:
+		if n != len(sent)/2 {
+			t.Errorf("a server got %d bytes before the end of the body, want %d", n, len(sent)/2)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("no server got any of it ahead of its end")
+		t.Fatalf("no server got half of the body within %v", waitTimeout)
 	}
-	<-broken // which the node notices now, if it is still writing, or with the last piece
+	<-reset // the node detects it now, if it is still writing, or when it writes the last byte
 	select {
-	case <-whole:
-		t.Error("a server got the whole body before its end had come")
-	case <-time.After(50 * time.Millisecond): // it must not come
+	case <-complete:
+		t.Error("a server got a complete body before the client sent the last byte")
+	case <-time.After(50 * time.Millisecond): // no server got a complete body, as expected
 	}
-	c.write(string(b[len(b)-1:]))
-	if a, err := c.read(); err != nil || a.status != 200 || a.body != "done" {
-		t.Fatalf("%d, %v", a.status, err)
+	c.write(string(sent[len(sent)-1:]))
+	if resp, err := c.read(); err != nil || resp.status != 200 || resp.body != "done" {
+		t.Fatalf("got status %d, %v, want 200", resp.status, err)
 	}
-	if got := <-whole; !bytes.Equal(got, b) {
-		t.Errorf("the server got %d other bytes", len(got))
+	if got := <-complete; !bytes.Equal(got, sent) {
+		t.Errorf("the server got another body of %d bytes, want %d bytes", len(got), len(sent))
 	}
 	if n := p.counts().Attempts["written"]; n != 1 {
-		t.Errorf("%d attempts written whole, want the second alone", n)
+		t.Errorf("got %d attempts written completely, want 1 (the second)", n)
 	}
-	// One that never gets its end is no request at any server.
-	for len(began) > 0 {
-		<-began
+	// The client sends another request and closes the connection before the last byte. No server may get it complete.
+	for len(receivedHalf) > 0 {
+		<-receivedHalf
 	}
 	c = p.connect()
-	c.write(postHead(fmt.Sprintf("Content-Length: %d", len(b))) + string(b[:len(b)-1]))
-	<-began
+	c.write(postHead(fmt.Sprintf("Content-Length: %d", len(sent))) + string(sent[:len(sent)-1]))
+	<-receivedHalf
 	_ = c.Close()
-	eventually(t, "no room held", func() bool { f, b := p.bodyCounts(); return f == 0 && b == 0 })
+	eventually(t, "the files and buffers of bodies to be released", func() bool { files, buffers := p.bodyCounts(); return files == 0 && buffers == 0 })
 	select {
-	case <-whole:
-		t.Error("a body without its end came to a server whole")
+	case <-complete:
+		t.Error("a server got a complete body, but the client never sent the last byte")
 	default:
 	}
 	p.counts().addUp(t)
 }
 
-// The folder for large bodies cannot be used. Each request that needs it is rejected and counted, and the cause is
-// logged once.
+// The folder for large bodies does not exist. Each request that needs it must be rejected and counted, and the cause
+// must be logged only once.
 func TestMissingBodyFolderIsLoggedOnce(t *testing.T) {
 	d, dir, admin := startDiscoveryServer(t, members(startBackend(t, "s1", respond(200, "done")))), t.TempDir()+"/gone", freeAddress(t)
 	p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TMPDIR=" + dir, "ROUTER_OPERATOR=" + admin}})
 	for range 3 {
-		if a := p.mustDo(postHead("Content-Length: 100000") + string(largeBody(100_000))); a.status != 503 || a.header.Get("Retry-After") == "" {
-			t.Errorf("status %d, %v", a.status, a.header)
+		if resp := p.mustDo(postHead("Content-Length: 100000") + string(largeBody(100_000))); resp.status != 503 || resp.header.Get("Retry-After") == "" {
+			t.Errorf("got status %d, header %v, want 503 with Retry-After", resp.status, resp.header)
 		}
 	}
 	if n := strings.Count(p.log.String(), `"code":"no_room"`); n != 1 {
-		t.Errorf("%d lines", n)
+		t.Errorf("got %d log lines with code no_room, want 1", n)
 	}
-	if f := queryAdminStats(t, admin); f.Operations["store"]["throttled"] != 3 {
-		t.Errorf("figures %v", f.Operations["store"])
+	if stats := queryAdminStats(t, admin); stats.Operations["store"]["throttled"] != 3 {
+		t.Errorf("operations of store: got %v, want 3 throttled", stats.Operations["store"])
 	}
 }
--- a/cmd/tackhub/operatorfile_test.go
+++ b/cmd/tackhub/operatorfile_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// Each command of the program has its output and exit code, and a check names every fault with file, line and key.
+// Each command must have its output and exit code, and check must report every error with file, line and key.
 func TestCommandLine(t *testing.T) {
 	env := environment(t, "127.0.0.1:8081", nodeOptions{discovery: "127.0.0.1:8500"})
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "[vitals]\nevery = \"30s\"\n")
-	bad := filepath.Join(t.TempDir(), "bad.toml")
-	writeFile(t, bad, "[vitals]\nevery = 30\nmemory = 1\n")
-	conf := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, conf, "{\n \"name\": \"n0\",\n \"listen\": \"127.0.0.1:1\",\n \"discovery\": \"here\",\n \"seed\": \"xyz\",\n"+
+	invalidEdge := filepath.Join(t.TempDir(), "bad.toml")
+	writeFile(t, invalidEdge, "[vitals]\nevery = 30\nmemory = 1\n")
+	config := filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, config, "{\n \"name\": \"n0\",\n \"listen\": \"127.0.0.1:1\",\n \"discovery\": \"here\",\n \"seed\": \"xyz\",\n"+
 		" \"limits\": {\n  \"cores\": 0,\n  \"memory_mb\": 1,\n  \"sockets\": 100}\n}\n")
 	for _, c := range []struct {
 		name string
@@ -24,14 +24,14 @@
 		code int
 		want []string
 	}{
-		{"a good check", env, []string{"check", "--edge", edge}, 0, []string{"127.0.0.1:8081", "[vitals] on: counters = false", "every = 30s", "look"}},
-		{"the variable", append(env, "TACKHUB_EDGE="+edge), []string{"check"}, 0, []string{"every = 30s"}},
+		{"a check without errors", env, []string{"check", "--edge", edge}, 0, []string{"127.0.0.1:8081", "[vitals] on: counters = false", "every = 30s", "look"}},
+		{"the operator file from TACKHUB_EDGE", append(env, "TACKHUB_EDGE="+edge), []string{"check"}, 0, []string{"every = 30s"}},
 		{"no operator file", env, []string{"check"}, 0, []string{"no operator file", "[vitals] off"}},
-		{"faults of both files", []string{"ROUTER_CONFIG=" + conf}, []string{"check", "--edge", bad}, 1, []string{
-			conf + ":4: ", "ROUTER_DISCOVERY", conf + ":5: seed", conf + ":7: limits.cores", "settings is missing",
-			bad + ":2: vitals.every", bad + ":3: vitals.memory", "6 faults"}},
-		{"a missing file", env, []string{"check", "--edge", edge + ".none"}, 1, []string{".none"}},
-		{"a start with a bad file", env, []string{"--edge", bad}, 1, []string{"bad.toml:2", "and 1 more"}},
+		{"errors in both files", []string{"ROUTER_CONFIG=" + config}, []string{"check", "--edge", invalidEdge}, 1, []string{
+			config + ":4: ", "ROUTER_DISCOVERY", config + ":5: seed", config + ":7: limits.cores", "settings is missing",
+			invalidEdge + ":2: vitals.every", invalidEdge + ":3: vitals.memory", "6 faults"}},
+		{"a missing operator file", env, []string{"check", "--edge", edge + ".none"}, 1, []string{".none"}},
+		{"a start with an invalid operator file", env, []string{"--edge", invalidEdge}, 1, []string{"bad.toml:2", "and 1 more"}},
 		{"an unknown flag", env, []string{"--egde", edge}, 2, []string{"-egde", "--help"}},
 		{"version", nil, []string{"version"}, 0, []string{"tackhub ", "go1."}},
 		{"help", nil, []string{"--help"}, 0, []string{"check", "SIGHUP", "Exit codes"}},
@@ -40,49 +40,49 @@
 		if code != c.code {
 			t.Errorf("%s: exit code %d, want %d:\n%s", c.name, code, c.code, out)
 		}
-		for _, w := range c.want {
-			if !strings.Contains(out, w) {
-				t.Errorf("%s: no %q in\n%s", c.name, w, out)
+		for _, text := range c.want {
+			if !strings.Contains(out, text) {
+				t.Errorf("%s: output lacks %q:\n%s", c.name, text, out)
 			}
 		}
 	}
 }
 
-// A running node gets a new operator file, a faulty one, and an empty one. A faulty file changes nothing and is
-// reported; the last good one stays in force.
+// A running node reloads a valid operator file, an invalid one, and an empty one. The invalid file must be reported and
+// change nothing; the last valid one stays in force.
 func TestOperatorFileOnReload(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "")
 	p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge}})
-	said := func(text string) int { return strings.Count(p.log.String(), text) }
-	if said(`"code":"vitals"`) > 0 {
-		t.Error("a subsystem runs that the file does not name")
+	logCount := func(text string) int { return strings.Count(p.log.String(), text) }
+	if logCount(`"code":"vitals"`) > 0 {
+		t.Error("the vitals subsystem runs, but the operator file does not enable it")
 	}
 	writeFile(t, edge, "[vitals]\nevery = \"1s\"\ncounters = true\nmemory_warn = 0.001\n")
 	p.reload("edge")
-	eventually(t, "lines", func() bool { return said(`"code":"vitals"`) > 0 && said(`"taken":`) > 0 })
-	eventually(t, "a warning", func() bool { return said(`"code":"vitals_memory"`) == 1 })
+	eventually(t, "log lines with the vitals and counters", func() bool { return logCount(`"code":"vitals"`) > 0 && logCount(`"taken":`) > 0 })
+	eventually(t, "a memory warning in the log", func() bool { return logCount(`"code":"vitals_memory"`) == 1 })
 	writeFile(t, edge, "[vitals]\nevery = \"2s\"\n[other]\n")
 	p.reload("edge_failed")
-	if said(`"key":"other"`) != 1 || said(`"line":3`) != 1 {
-		t.Error("the fault is not named with line and key")
+	if logCount(`"key":"other"`) != 1 || logCount(`"line":3`) != 1 {
+		t.Error("the log lacks the error with key other and line 3")
 	}
-	before := said(`"code":"vitals"`)
-	eventually(t, "the last good file to stay in force", func() bool { return said(`"code":"vitals"`) > before })
+	before := logCount(`"code":"vitals"`)
+	eventually(t, "another vitals line by the last valid file", func() bool { return logCount(`"code":"vitals"`) > before })
 	writeFile(t, edge, "")
 	p.reload("edge")
-	if said(`"off":["vitals"]`) != 1 {
-		t.Error("the subsystem was not turned off")
+	if logCount(`"off":["vitals"]`) != 1 {
+		t.Error("the log does not report the vitals subsystem as off")
 	}
-	if a := p.mustDo(request("look", 1000)); a.status != 200 {
-		t.Errorf("status %d after the reloads", a.status)
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+		t.Errorf("got status %d after the reloads, want 200", resp.status)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if code := p.exit(); code != 0 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("exit code %d, want 0", code)
 	}
 }
--- a/cmd/tackhub/upgrade_test.go
+++ b/cmd/tackhub/upgrade_test.go
@@ -16,37 +16,40 @@
 	"tackhub.example/tackhub/internal/handover"
 )
 
-// upgradeTest is a node that can be upgraded: where its processes meet, and what the next one is configured with.
+// upgradeTest is a node that can be upgraded, with the folder for the handover socket and the configuration of the next
+// process.
 type upgradeTest struct {
-	t         *testing.T
-	dir       string
-	discovery *discoveryServer
-	old       *nodeProcess
-	admin     string
+	t           *testing.T
+	dir         string // $TMPDIR of the processes, which contains the handover socket
+	discovery   *discoveryServer
+	predecessor *nodeProcess
+	admin       string // address of the predecessor's admin listener
 }
 
+// newUpgradeTest starts a discovery server and the first process of a node.
 func newUpgradeTest(t *testing.T, servers ...*backend) *upgradeTest {
 	t.Helper()
 	u := &upgradeTest{t: t, dir: t.TempDir(), discovery: startDiscoveryServer(t, members(servers...)), admin: freeAddress(t)}
-	u.old = startNode(t, u.setup(u.admin))
-	eventually(t, "watch", func() bool { return u.discovery.watchCount() > 0 })
+	u.predecessor = startNode(t, u.options(u.admin))
+	eventually(t, "the first discovery watch", func() bool { return u.discovery.watchCount() > 0 })
 	return u
 }
 
-func (u *upgradeTest) setup(admin string) nodeOptions {
+// options returns the options of a process with an admin listener at the address admin.
+func (u *upgradeTest) options(admin string) nodeOptions {
 	return nodeOptions{discovery: u.discovery.addr, env: []string{"TMPDIR=" + u.dir, "ROUTER_OPERATOR=" + admin}}
 }
 
-// next starts the next process and waits until its admin listener reports it healthy.
-func (u *upgradeTest) next() (p *nodeProcess, admin string) {
+// startSuccessor starts the next process of the node and waits until its admin listener reports it healthy.
+func (u *upgradeTest) startSuccessor() (p *nodeProcess, admin string) {
 	u.t.Helper()
 	admin = freeAddress(u.t)
-	p = launch(u.t, u.old.addr, u.setup(admin))
-	eventually(u.t, "the new process's health", func() bool { return adminHealth(admin) == 200 })
+	p = launch(u.t, u.predecessor.addr, u.options(admin))
+	eventually(u.t, "a successful health check of the new process", func() bool { return adminHealth(admin) == 200 })
 	return p, admin
 }
 
-// adminHealth is an admin listener's status for a health check; 0 where there is none.
+// adminHealth returns the status of a health check at an admin listener, or 0 if there is no response.
 func adminHealth(admin string) int {
 	c, err := net.DialTimeout("tcp", admin, waitTimeout)
 	if err != nil {
@@ -63,169 +66,170 @@
 	return status
 }
 
-// A node is upgraded while clients use new and kept connections. No request may be lost, and the new process can be
-// upgraded in turn.
+// A node is upgraded while clients use new and persistent connections. No request may be lost, and the new process must
+// support another upgrade.
 func TestUpgradeLosesNoRequest(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", respond(200, "done"))
 	u := newUpgradeTest(t, s1, s2)
-	var failed, asked atomic.Int64
+	var failed, sent atomic.Int64
 	stop, clients := make(chan struct{}), sync.WaitGroup{}
 	for i := range 8 {
 		clients.Go(func() {
-			var kept *client
+			var conn *client
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				if kept == nil {
-					c, err := u.old.dial()
+				if conn == nil {
+					c, err := u.predecessor.dial()
 					if err != nil {
 						failed.Add(1)
 						continue
 					}
-					kept = c
+					conn = c
 				}
-				asked.Add(1)
-				_, _ = fmt.Fprint(kept, request("look", 1400))
-				a, err := kept.read()
-				if err != nil || a.status != 200 && a.status != 503 { // a refusal is an answer
-					t.Logf("asked and got %+v, %v", a, err)
+				sent.Add(1)
+				_, _ = fmt.Fprint(conn, request("look", 1400))
+				resp, err := conn.read()
+				if err != nil || resp.status != 200 && resp.status != 503 { // a rejection is a response, not a lost request
+					t.Logf("got %+v, %v, want status 200 or 503", resp, err)
 					failed.Add(1)
 				}
-				if err != nil || a.closesConn || i%2 == 0 {
-					_ = kept.Close()
-					kept = nil
+				if err != nil || resp.closesConn || i%2 == 0 {
+					_ = conn.Close()
+					conn = nil
 				}
 			}
 		})
 	}
-	eventually(t, "traffic", func() bool { return asked.Load() > 200 })
-	p, admin := u.next()
-	both := asked.Load()
-	eventually(t, "traffic at both", func() bool { return asked.Load() > both+200 })
-	u.old.terminate()
-	if code := u.old.exit(); code != 0 {
-		t.Errorf("the old process: exit %d", code)
+	eventually(t, "200 requests", func() bool { return sent.Load() > 200 })
+	p, admin := u.startSuccessor()
+	countWithBoth := sent.Load()
+	eventually(t, "200 more requests to both processes", func() bool { return sent.Load() > countWithBoth+200 })
+	u.predecessor.terminate()
+	if code := u.predecessor.exit(); code != 0 {
+		t.Errorf("old process: exit code %d, want 0", code)
 	}
-	alone := asked.Load()
-	eventually(t, "traffic at the new one", func() bool { return asked.Load() > alone+200 })
+	countAfterExit := sent.Load()
+	eventually(t, "200 more requests to the new process", func() bool { return sent.Load() > countAfterExit+200 })
 	close(stop)
 	clients.Wait()
 	if n := failed.Load(); n > 0 {
-		t.Errorf("%d of %d requests lost", n, asked.Load())
+		t.Errorf("%d of %d requests were lost, want 0", n, sent.Load())
 	}
-	eventually(t, "the end noticed", func() bool { return strings.Contains(p.log.String(), "the predecessor has ended") })
-	if f := queryAdminStats(t, admin); f.Operations["look"]["fulfilled"] == 0 || f.Entries != 2 {
-		t.Errorf("the new process's figures: %+v", f)
+	eventually(t, "the new process to log the end of the old one", func() bool { return strings.Contains(p.log.String(), "the predecessor has ended") })
+	if stats := queryAdminStats(t, admin); stats.Operations["look"]["fulfilled"] == 0 || stats.Entries != 2 {
+		t.Errorf("statistics of the new process: got %+v, want fulfilled look requests and 2 entries", stats)
 	}
-	if _, admin := u.next(); adminHealth(admin) != 200 { // the new one can be followed as well
-		t.Error("no second upgrade")
+	if _, admin := u.startSuccessor(); adminHealth(admin) != 200 { // a second upgrade
+		t.Error("second upgrade: the health check of the new process failed")
 	}
 }
 
-// The old process has ejected a server, and discovery has been silent since. The new process must know the list and the
-// ejection, and send that server nothing.
+// The old process has ejected a server, and since then discovery has sent only invalid lists. The new process must take
+// over the endpoint list and the ejection, and must send that server no request.
 func TestUpgradeTransfersState(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", respond(200, "done"))
 	u := newUpgradeTest(t, s1, s2)
 	for range 20 {
-		u.old.mustDo(request("look", 1400))
+		u.predecessor.mustDo(request("look", 1400))
 	}
 	s2.setBehavior(resetConn)
-	eventually(t, "exclusion", func() bool {
-		u.old.mustDo(request("look", 1400))
+	eventually(t, "the ejection", func() bool {
+		u.predecessor.mustDo(request("look", 1400))
 		return queryAdminStats(t, u.admin).Ejected == 1
 	})
 	u.discovery.respondWith("noise")
-	p, admin := u.next()
-	eventually(t, "what was known", func() bool { f := queryAdminStats(t, admin); return f.Entries == 2 && f.Ejected == 1 })
-	u.old.terminate()
-	u.old.exit()
+	p, admin := u.startSuccessor()
+	eventually(t, "the list and the ejection after the handover", func() bool { stats := queryAdminStats(t, admin); return stats.Entries == 2 && stats.Ejected == 1 })
+	u.predecessor.terminate()
+	u.predecessor.exit()
 	before := len(s2.requests())
 	for range 30 {
-		if a := p.mustDo(request("look", 1400)); a.status != 200 {
-			t.Errorf("status %d", a.status)
+		if resp := p.mustDo(request("look", 1400)); resp.status != 200 {
+			t.Errorf("got status %d, want 200", resp.status)
 		}
 	}
 	if n := len(s2.requests()) - before; n > 0 {
-		t.Errorf("%d requests to the excluded server", n)
+		t.Errorf("got %d requests at the ejected server, want 0", n)
 	}
 }
 
-// The same, with a server that fails from its first request on. It has no record of answers that could keep requests away from it, so the
-// ejection comes on a machine that stands still at times as well. Guards against an upgrade that forgets the list or an ejection.
+// As TestUpgradeTransfersState, but the server fails from its first request. Without earlier responses it has no score
+// that diverts requests from it, so it is ejected even if the machine pauses at times. Guards against an upgrade that
+// loses the endpoint list or an ejection.
 func TestUpgradeTransfersEjection(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", resetConn)
 	u := newUpgradeTest(t, s1, s2)
-	eventually(t, "ejection", func() bool {
-		u.old.mustDo(request("look", 1400))
+	eventually(t, "the ejection", func() bool {
+		u.predecessor.mustDo(request("look", 1400))
 		return queryAdminStats(t, u.admin).Ejected == 1
 	})
 	u.discovery.respondWith("noise")
-	next, admin := u.next()
-	eventually(t, "what was known", func() bool { f := queryAdminStats(t, admin); return f.Entries == 2 && f.Ejected == 1 })
-	u.old.terminate()
-	u.old.exit()
+	successor, admin := u.startSuccessor()
+	eventually(t, "the list and the ejection after the handover", func() bool { stats := queryAdminStats(t, admin); return stats.Entries == 2 && stats.Ejected == 1 })
+	u.predecessor.terminate()
+	u.predecessor.exit()
 	before := len(s2.requests())
 	for range 30 {
-		if a := next.mustDo(request("look", 1400)); a.status != 200 {
-			t.Errorf("status %d", a.status)
+		if resp := successor.mustDo(request("look", 1400)); resp.status != 200 {
+			t.Errorf("got status %d, want 200", resp.status)
 		}
 	}
 	if n := len(s2.requests()) - before; n > 0 {
-		t.Errorf("%d requests to the ejected server", n)
+		t.Errorf("got %d requests at the ejected server, want 0", n)
 	}
 }
 
-// Two processes of one node serve during an upgrade. A request id in flight at one must be known to the other, and a
-// drain at one must hold for both, also after the old one has ended.
+// Two processes of one node serve during an upgrade. Each must reject a request id that is in flight at the other. An
+// administrative drain at one must apply to both, also after the old process has exited.
 func TestUpgradeSharesIDsAndDrains(t *testing.T) {
 	gate := make(chan struct{})
 	u := newUpgradeTest(t, startBackend(t, "s1", respondAfter(gate, respond(200, "done"))))
-	open := request("look", 1400)
-	first := u.old.send(open)
+	duplicated := request("look", 1400)
+	pending := u.predecessor.send(duplicated)
 	eventually(t, "a request in flight", func() bool { return queryAdminStats(t, u.admin).Open == 1 })
-	p, admin := u.next()
-	// Both processes take connections: the one that does not have the request must know of it as well.
+	p, admin := u.startSuccessor()
+	// The kernel distributes connections over both processes, so the process without the request must reject the id as well.
 	for range 8 {
-		if a := p.mustDo(open); a.status != 409 {
-			t.Errorf("an id in flight: status %d", a.status)
+		if resp := p.mustDo(duplicated); resp.status != 409 {
+			t.Errorf("duplicate of a request in flight: got status %d, want 409", resp.status)
 		}
 	}
 	close(gate)
-	if a := await(t, "the request in flight", first); a.status != 200 {
-		t.Errorf("the request in flight: %d", a.status)
+	if resp := await(t, "the request in flight", pending); resp.status != 200 {
+		t.Errorf("request in flight: got status %d, want 200", resp.status)
 	}
 	adminCall(t, admin, "PUT", "/healthcheck/fail")
-	eventually(t, "both drained", func() bool { return adminHealth(u.admin) == 503 && adminHealth(admin) == 503 })
+	eventually(t, "the drain of both processes", func() bool { return adminHealth(u.admin) == 503 && adminHealth(admin) == 503 })
 	adminCall(t, u.admin, "PUT", "/healthcheck/ok")
-	eventually(t, "the end of the drain at both", func() bool { return adminHealth(u.admin) == 200 && adminHealth(admin) == 200 })
+	eventually(t, "the end of the drain of both processes", func() bool { return adminHealth(u.admin) == 200 && adminHealth(admin) == 200 })
 	adminCall(t, u.admin, "PUT", "/healthcheck/fail")
-	u.old.terminate()
-	u.old.exit()
+	u.predecessor.terminate()
+	u.predecessor.exit()
 	if adminHealth(admin) != 503 {
-		t.Error("the drain ended with the old process")
+		t.Error("the health check of the new process is not 503 after the exit of the old one, want a continued drain")
 	}
 	adminCall(t, admin, "PUT", "/healthcheck/ok")
 	if adminHealth(admin) != 200 {
-		t.Error("not healthy after the drain")
+		t.Error("the health check of the new process is not 200 after the end of the drain")
 	}
 }
 
-// A new process starts where nothing can be taken over: the old one was killed or hangs, a foreign file is in its
-// place, or it speaks another version. The new one starts as without an upgrade.
-func TestUpgradeFallsBack(t *testing.T) {
+// A new process cannot take over: the old process was killed or hangs, the socket's path has a foreign file, or the old
+// process uses another protocol version. The new process must start as it does without an upgrade.
+func TestUpgradeFallsBackToNormalStart(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	for name, act := range map[string]func(t *testing.T, u *upgradeTest, path string){
 		"killed": func(t *testing.T, u *upgradeTest, _ string) {
-			_ = u.old.cmd.Process.Kill()
-			<-u.old.done
+			_ = u.predecessor.cmd.Process.Kill()
+			<-u.predecessor.done
 		},
 		"hangs": func(t *testing.T, u *upgradeTest, _ string) {
-			_ = u.old.cmd.Process.Signal(syscall.SIGSTOP)
-			eventually(t, "the suspension", u.old.suspended)
+			_ = u.predecessor.cmd.Process.Signal(syscall.SIGSTOP)
+			eventually(t, "the process to be stopped", u.predecessor.suspended)
 		},
 		"foreign file": func(t *testing.T, u *upgradeTest, path string) {
 			if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte("mine"), 0o600)); err != nil {
@@ -254,109 +258,109 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpgradeTest(t, s)
-			path := handover.SocketPath(u.dir, u.old.addr)
-			eventually(t, "the meeting place", func() bool { _, err := os.Stat(path); return err == nil })
+			path := handover.SocketPath(u.dir, u.predecessor.addr)
+			eventually(t, "the handover socket", func() bool { _, err := os.Stat(path); return err == nil })
 			act(t, u, path)
-			p, admin := u.next()
-			eventually(t, "the list", func() bool { return queryAdminStats(t, admin).Entries == 1 })
+			p, admin := u.startSuccessor()
+			eventually(t, "the endpoint list", func() bool { return queryAdminStats(t, admin).Entries == 1 })
 			if n := strings.Count(p.log.String(), `"code":"handover_failed"`); n < 1 || n > 2 {
-				t.Errorf("%d lines of the failure, want one, and one more where the place is taken", n)
+				t.Errorf("got %d log lines with code handover_failed, want 1, or 2 if the socket path is occupied", n)
 			}
-			_ = u.old.cmd.Process.Kill()
-			<-u.old.done
-			if a := p.mustDo(request("look", 1400)); a.status != 200 {
-				t.Errorf("status %d", a.status)
+			_ = u.predecessor.cmd.Process.Kill()
+			<-u.predecessor.done
+			if resp := p.mustDo(request("look", 1400)); resp.status != 200 {
+				t.Errorf("got status %d, want 200", resp.status)
 			}
 			if raw, err := os.ReadFile(path); name == "foreign file" && (err != nil || string(raw) != "mine") {
-				t.Errorf("the foreign file: %q, %v", raw, err)
+				t.Errorf("foreign file: got %q, %v, want it unchanged", raw, err)
 			}
 		})
 	}
 }
 
-// A process of another customer serves at the same address with the same $TMPDIR, known by its name or by its discovery
-// and settings. Taking its listener over would mix the clients of both.
-func TestForeignProcessHandsNothingOver(t *testing.T) {
+// A process of another customer, with another name or another discovery and settings, starts at the same address with the
+// same $TMPDIR. If it took over the listener, the clients of both customers would be mixed.
+func TestHandoverRefusedToForeignProcess(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	for name, change := range map[string]func(*nodeOptions){
-		"name": func(s *nodeOptions) { s.env = append(s.env, "ROUTER_NAME=n9") },
-		"discovery and settings": func(s *nodeOptions) {
-			s.discovery, s.settings = startDiscoveryServer(t, nil).addr, strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1)
+		"name": func(o *nodeOptions) { o.env = append(o.env, "ROUTER_NAME=n9") },
+		"discovery and settings": func(o *nodeOptions) {
+			o.discovery, o.settings = startDiscoveryServer(t, nil).addr, strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpgradeTest(t, s)
-			eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.old.addr)); return err == nil })
-			other := u.setup(freeAddress(t))
+			eventually(t, "the handover socket", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.predecessor.addr)); return err == nil })
+			other := u.options(freeAddress(t))
 			change(&other)
-			p := launch(t, u.old.addr, other)
+			p := launch(t, u.predecessor.addr, other)
 			if code := p.exit(); code == 0 || !strings.Contains(p.log.String(), "ROUTER_LISTEN") {
-				t.Errorf("exit %d, log %s", code, p.log)
+				t.Errorf("got exit code %d, want a failure that names ROUTER_LISTEN; log:\n%s", code, p.log)
 			}
-			if a := u.old.mustDo(request("look", 1400)); a.status != 200 || queryAdminStats(t, u.admin).Open != 0 {
-				t.Errorf("the process that serves: %d", a.status)
+			if resp := u.predecessor.mustDo(request("look", 1400)); resp.status != 200 || queryAdminStats(t, u.admin).Open != 0 {
+				t.Errorf("running process: got status %d, want 200 and no open request", resp.status)
 			}
-			if p, admin := u.next(); adminHealth(admin) != 200 || !strings.Contains(p.log.String(), `"code":"handover"`) {
-				t.Error("its own next version cannot take over any more")
+			if p, admin := u.startSuccessor(); adminHealth(admin) != 200 || !strings.Contains(p.log.String(), `"code":"handover"`) {
+				t.Error("the node's own successor did not take over")
 			}
 		})
 	}
 }
 
-// An upgrade changes a class in the settings, or the discovery. What was measured for the old one must not count for
-// the new one.
-func TestChangedSettingsDropRecords(t *testing.T) {
+// An upgrade changes a class in the settings, or the discovery address. State that belongs to the old settings or the old
+// discovery must not be applied to the new ones.
+func TestUpgradeWithChangedSettingsDropsState(t *testing.T) {
 	s1, s2 := startBackend(t, "s1", respond(200, "done")), startBackend(t, "s2", respond(200, "done"))
 	for name, change := range map[string]func(*nodeOptions){
-		"settings":  func(s *nodeOptions) { s.settings = strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1) },
-		"discovery": func(s *nodeOptions) { s.discovery = startDiscoveryServer(t, members(s2)).addr },
+		"settings":  func(o *nodeOptions) { o.settings = strings.Replace(testSettings, `"name":"look"`, `"name":"seek"`, 1) },
+		"discovery": func(o *nodeOptions) { o.discovery = startDiscoveryServer(t, members(s2)).addr },
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpgradeTest(t, s1, s2)
 			for range 20 {
-				u.old.mustDo(request("look", 1400))
+				u.predecessor.mustDo(request("look", 1400))
 			}
 			s2.setBehavior(resetConn)
 			defer s2.setBehavior(respond(200, "done"))
-			eventually(t, "exclusion", func() bool {
-				u.old.mustDo(request("look", 1400))
+			eventually(t, "the ejection", func() bool {
+				u.predecessor.mustDo(request("look", 1400))
 				return queryAdminStats(t, u.admin).Ejected == 1
 			})
 			admin := freeAddress(t)
-			next := u.setup(admin)
+			next := u.options(admin)
 			change(&next)
-			p := launch(t, u.old.addr, next)
-			eventually(t, "the new process's health", func() bool { return adminHealth(admin) == 200 })
+			p := launch(t, u.predecessor.addr, next)
+			eventually(t, "a successful health check of the new process", func() bool { return adminHealth(admin) == 200 })
 			entries := map[string]int{"settings": 2, "discovery": 1}[name]
-			eventually(t, "its list", func() bool { return queryAdminStats(t, admin).Entries == entries })
-			avoided := map[string]int{"settings": 0, "discovery": 1}[name] // the same settings' records of a server that both list
-			eventually(t, "its records", func() bool { return queryAdminStats(t, admin).Ejected >= avoided })
-			if f := queryAdminStats(t, admin); f.Ejected != avoided || !strings.Contains(p.log.String(), `"code":"handover_part"`) {
-				t.Errorf("avoids %d of %d servers, want %d", f.Ejected, f.Entries, avoided)
+			eventually(t, "the endpoint list of the new process", func() bool { return queryAdminStats(t, admin).Entries == entries })
+			ejected := map[string]int{"settings": 0, "discovery": 1}[name] // with equal settings, the state of a server that both lists contain is kept
+			eventually(t, "the ejections of the new process", func() bool { return queryAdminStats(t, admin).Ejected >= ejected })
+			if stats := queryAdminStats(t, admin); stats.Ejected != ejected || !strings.Contains(p.log.String(), `"code":"handover_part"`) {
+				t.Errorf("got %d of %d servers ejected and the log below, want %d and code handover_part\n%s", stats.Ejected, stats.Entries, ejected, p.log)
 			}
 		})
 	}
 }
 
-// A killed process left its socket in $TMPDIR, and another program now listens at its address. The socket says nothing
-// about that program, so the address must not be shared with it.
+// A killed process left its socket in $TMPDIR, and another program now listens at its address. The socket does not prove
+// that this program is a predecessor, so a new process must not share the address with it.
 func TestAddressOfKilledProcessIsNotShared(t *testing.T) {
 	u := newUpgradeTest(t, startBackend(t, "s1", respond(200, "done")))
-	eventually(t, "the meeting place", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.old.addr)); return err == nil })
-	_ = u.old.cmd.Process.Kill()
-	<-u.old.done
-	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+	eventually(t, "the handover socket", func() bool { _, err := os.Stat(handover.SocketPath(u.dir, u.predecessor.addr)); return err == nil })
+	_ = u.predecessor.cmd.Process.Kill()
+	<-u.predecessor.done
+	listenConfig := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
-		cerr := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(cerr, err)
+		controlErr := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
+		return errors.Join(controlErr, err)
 	}}
-	l, err := config.Listen(t.Context(), "tcp", u.old.addr)
+	l, err := listenConfig.Listen(t.Context(), "tcp", u.predecessor.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	p := launch(t, u.old.addr, u.setup(freeAddress(t)))
+	p := launch(t, u.predecessor.addr, u.options(freeAddress(t)))
 	if code := p.exit(); code == 0 || !strings.Contains(p.log.String(), "ROUTER_LISTEN") {
-		t.Errorf("exit %d, log %s", code, p.log)
+		t.Errorf("got exit code %d, want a failure that names ROUTER_LISTEN; log:\n%s", code, p.log)
 	}
 }
