--- a/cmd/tackhub/admin_test.go
+++ b/cmd/tackhub/admin_test.go
@@ -16,11 +16,11 @@
 
 // adminStats holds the fields of the admin listener's /stats response that the tests check.
 type adminStats struct {
-	Operations map[string]map[string]int `json:"operations"`
-	Relayed    int                       `json:"relayed"`
-	Open       int                       `json:"open_requests"`
-	Entries    int                       `json:"registry_entries"`
-	Ejected    int                       `json:"out_of_rotation"`
+	Operations   map[string]map[string]int `json:"operations"`
+	Relayed      int                       `json:"relayed"`
+	OpenRequests int                       `json:"open_requests"`
+	Endpoints    int                       `json:"registry_entries"`
+	Ejected      int                       `json:"out_of_rotation"`
 }
 
 // startWithAdmin starts a discovery server and a node with an admin listener, and returns the listener's address.
@@ -114,7 +114,7 @@
 func TestAdminStatsMatchTraffic(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, admin := startWithAdmin(t, s)
-	if stats := queryAdminStats(t, admin); len(stats.Operations) != 3 || stats.Entries != 1 || stats.Ejected != 0 {
+	if stats := queryAdminStats(t, admin); len(stats.Operations) != 3 || stats.Endpoints != 1 || stats.Ejected != 0 {
 		t.Errorf("stats before the first request = %+v, want three classes, one server and no ejection", stats)
 	}
 	statusCounts := map[string]int{}
@@ -133,7 +133,7 @@
 	gate := make(chan struct{})
 	s.setBehavior(respondAfter(gate, respond(200, "done")))
 	inFlight := p.send(request("store", 1400))
-	eventually(t, "a request in flight", func() bool { return queryAdminStats(t, admin).Open == 1 })
+	eventually(t, "a request in flight", func() bool { return queryAdminStats(t, admin).OpenRequests == 1 })
 	stats := queryAdminStats(t, admin)
 	close(gate)
 	await(t, "the request in flight", inFlight)
--- a/cmd/tackhub/badrequest_test.go
+++ b/cmd/tackhub/badrequest_test.go
@@ -96,7 +96,7 @@
 	if a := p.mustDo(strings.Replace(good, "acme", "nobody", 1)); a.status != 200 {
 		t.Errorf("unknown tenant: status %d, want 200", a.status)
 	}
-	p.counts().addUp(t)
+	p.counts().checkRequestTotals(t)
 }
 
 // A second client sends a request with the ID of a request in flight. The node must reject the second request and serve
--- a/cmd/tackhub/badresponse_test.go
+++ b/cmd/tackhub/badresponse_test.go
@@ -76,7 +76,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startBackend(t, "s1", act)
-			p, _ := startWithBackends(t, withReports(), s)
+			p, _ := startWithBackends(t, settingsWithLoadReports(), s)
 			for i := range 4 {
 				req := request("bill", 1000)
 				if a := p.mustDo(req); a.status != 200 || a.body != requestID(req) {
--- a/cmd/tackhub/cancel_test.go
+++ b/cmd/tackhub/cancel_test.go
@@ -15,20 +15,20 @@
 		got = p.counts()
 		return got.Requests["left"] == cancelled && got.Attempts["open"] == 0 && got.Requests["open"] == 0
 	})
-	got.addUp(p.t)
+	got.checkRequestTotals(p.t)
 }
 
 // A client sends a request and further bytes, and closes the connection. The node once did not detect the close because of
 // the unread bytes, and the request occupied a server until its deadline.
 func TestCancelIsDetectedDespiteUnreadInput(t *testing.T) {
-	for name, hard := range cancelWays {
+	for name, hard := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			s := startBackend(t, "s1", neverRespond)
 			p, _ := startWithBackends(t, "", s)
 			c := p.connect()
 			c.write(request("look", 1500) + strings.Repeat(request("look", 1500), 200)) // exceeds the node's read buffer
 			eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
-			c.cancel(hard)
+			c.disconnect(hard)
 			p.waitCancelled(1)
 			got := p.counts()
 			if n := len(s.requests()); n != 1 || got.Outcomes["cancelled"] != 1 || got.Requests["failed"]+got.Requests["rejected"] > 0 {
@@ -51,11 +51,11 @@
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	eventually(t, "the suspension", p.suspended)
 	keepAlive.write(request("bill", 60_000))
-	keepAlive.cancel(false) // a reset would discard the unread request
+	keepAlive.disconnect(false) // a reset would discard the unread request
 	for range 20 {
 		unaccepted := p.connect()
 		unaccepted.write(request("bill", 60_000))
-		unaccepted.cancel(false)
+		unaccepted.disconnect(false)
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	p.waitCancelled(21)
@@ -67,14 +67,14 @@
 // A client closes its connection while its request waits for a connection to a server. The node must not send the request
 // when the server's connection is established.
 func TestRequestCancelledDuringConnectIsNotSent(t *testing.T) {
-	for name, hard := range cancelWays {
+	for name, hard := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			s := startBlockedBackend(t, "s1", respond(200, "done"))
 			p, _ := startWithBackends(t, strings.Replace(testSettings, `"connect_timeout_ms":150`, `"connect_timeout_ms":5000`, 1), s.backend)
 			c := p.connect()
 			c.write(request("bill", 1500))
 			eventually(t, "attempt", func() bool { return p.counts().Attempts["open"] == 1 })
-			c.cancel(hard)
+			c.disconnect(hard)
 			p.waitCancelled(1)
 			s.unblock()
 			// The server accepts this request's connection after the cancelled request's, whose SYN the kernel retransmits earlier.
@@ -90,7 +90,7 @@
 
 // A client closes its connection during the first attempt, which fails later. The node must not start a second attempt.
 func TestCancelledRequestIsNotRetried(t *testing.T) {
-	for name, hard := range cancelWays {
+	for name, hard := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			gate := make(chan struct{})
 			s1, s2 := startBackend(t, "s1", respondAfter(gate, resetConn)), startBackend(t, "s2", respondAfter(gate, resetConn))
@@ -98,7 +98,7 @@
 			c := p.connect()
 			c.write(request("look", 1500))
 			eventually(t, "attempt", func() bool { return len(s1.requests())+len(s2.requests()) == 1 })
-			c.cancel(hard)
+			c.disconnect(hard)
 			p.waitCancelled(1)
 			close(gate)
 			p.mustDo(request("store", 1500)) // a second attempt of the first request would start before this one is served
@@ -121,7 +121,7 @@
 func TestRequestCancelledAsConnectionIsEstablishedIsNotSent(t *testing.T) {
 	longLimits := strings.NewReplacer(`"connect_timeout_ms":150`, `"connect_timeout_ms":20000`, `"hard_limit_ms":1500`, `"hard_limit_ms":20000`,
 		`"aim_ms":400`, `"aim_ms":20000`).Replace(testSettings)
-	for name, hard := range cancelWays {
+	for name, hard := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			s := startBlockedBackend(t, "s1", respond(200, "done"))
 			p, _ := startWithBackends(t, longLimits, s.backend)
@@ -130,7 +130,7 @@
 			eventually(t, "attempt", func() bool { return p.counts().Attempts["open"] == 1 })
 			_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 			eventually(t, "the suspension", p.suspended)
-			c.cancel(hard)
+			c.disconnect(hard)
 			s.unblock()
 			eventually(t, "the server to accept the connection", func() bool {
 				s.mu.Lock()
@@ -165,5 +165,5 @@
 		return got.Requests["left"] == 1 && got.Outcomes["cancelled"] == 1 && got.Attempts["open"] == 0
 	})
 	eventually(t, "the log line", func() bool { return strings.Contains(p.log.String(), `"code":"client_left"`) })
-	p.counts().addUp(t)
+	p.counts().checkRequestTotals(t)
 }
--- a/cmd/tackhub/client_test.go
+++ b/cmd/tackhub/client_test.go
@@ -156,13 +156,13 @@
 	return c.read()
 }
 
-// cancel closes the client's connection: with a reset, or else with a FIN after the sent data.
-func (c *client) cancel(reset bool) {
+// disconnect closes the client's connection: with a reset, or else with a FIN after the sent data.
+func (c *client) disconnect(reset bool) {
 	if reset {
 		_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// cancelWays maps the name of each way to close a client's connection to the argument of client.cancel.
-var cancelWays = map[string]bool{"closed": false, "reset": true}
+// disconnectModes maps the name of each way to close a client's connection to the argument of client.cancel.
+var disconnectModes = map[string]bool{"closed": false, "reset": true}
--- a/cmd/tackhub/coapbackend_test.go
+++ b/cmd/tackhub/coapbackend_test.go
@@ -95,7 +95,7 @@
 		text += fmt.Sprintf("[[inventory.static]]\nid = \"c%d\"\naddress = %q\npod = \"p%d\"\n", i, a, i)
 	}
 	writeFile(t, edge, text)
-	p := startNode(t, nodeOptions{discovery: freeAddress(t), settings: withReports(), env: []string{"TACKHUB_EDGE=" + edge}})
+	p := startNode(t, nodeOptions{discovery: freeAddress(t), settings: settingsWithLoadReports(), env: []string{"TACKHUB_EDGE=" + edge}})
 	return p
 }
 
--- a/cmd/tackhub/coapfrontend_test.go
+++ b/cmd/tackhub/coapfrontend_test.go
@@ -113,7 +113,7 @@
 	if got := coapDo(t, c, coap.Request{Code: codes.POST, Path: "bill", Body: []byte("x")}); got.Code != codes.BadGateway {
 		t.Errorf("failed request that may have been executed: got %v, want BadGateway", got.Code)
 	}
-	p.counts().addUp(t)
+	p.counts().checkRequestTotals(t)
 }
 
 // Bodies must be transferred block-wise in both directions, up to the limit of 64 KiB.
--- a/cmd/tackhub/connlimit_test.go
+++ b/cmd/tackhub/connlimit_test.go
@@ -86,7 +86,7 @@
 		await(t, "answer", o)
 	}
 	got := p.counts()
-	got.addUp(t)
+	got.checkRequestTotals(t)
 	if got.ClientEnds["descriptor_limit"] > 0 {
 		t.Errorf("%d new connections were evicted at the descriptor limit, want 0", got.ClientEnds["descriptor_limit"])
 	}
@@ -250,7 +250,7 @@
 		t.Errorf("descriptors_short was logged %d times, want 1", n)
 	}
 	got := p.counts()
-	got.addUp(t)
+	got.checkRequestTotals(t)
 	if got.Requests["unsent"] > 0 {
 		t.Errorf("%d responses were not written, want 0", got.Requests["unsent"])
 	}
--- a/cmd/tackhub/counters_test.go
+++ b/cmd/tackhub/counters_test.go
@@ -59,8 +59,8 @@
 	} `json:"cluster"`
 }
 
-// addUp checks that each received request is counted with exactly one outcome or as open.
-func (c counts) addUp(t *testing.T) {
+// checkRequestTotals checks that each received request is counted with exactly one outcome or as open.
+func (c counts) checkRequestTotals(t *testing.T) {
 	t.Helper()
 	r := c.Requests
 	if sum := r["served"] + r["refused"] + r["failed"] + r["rejected"] + r["left"] + r["open"]; sum != r["taken"] {
--- a/cmd/tackhub/discoveryserver_test.go
+++ b/cmd/tackhub/discoveryserver_test.go
@@ -25,7 +25,7 @@
 	changed         chan struct{} // closed on a change, then replaced
 	watches         int
 	endedWatchCount int          // watches that the node cancelled
-	answered        atomic.Int64 // responses and cancelled watches
+	responseCount   atomic.Int64 // responses and cancelled watches
 }
 
 // startDiscoveryServer starts a discovery server on a free port.
@@ -78,7 +78,7 @@
 }
 
 func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer d.answered.Add(1)
+	defer d.responseCount.Add(1)
 	from, holdMs := r.URL.Query().Get("from"), r.URL.Query().Get("hold_ms")
 	d.mu.Lock()
 	if fromRevision, _ := strconv.Atoi(from); from != "" && fromRevision == d.revision && d.raw == "" {
--- a/cmd/tackhub/gossip_test.go
+++ b/cmd/tackhub/gossip_test.go
@@ -11,7 +11,7 @@
 	s := startBackend(t, "s1", respond(200, "ok"))
 	d := startDiscoveryServer(t, members(s))
 	nodes := []string{freeAddress(t), freeAddress(t)}
-	firstSettings := strings.Replace(withReports(), `"fleet_size":1`, `"fleet_size":2`, 1)
+	firstSettings := strings.Replace(settingsWithLoadReports(), `"fleet_size":1`, `"fleet_size":2`, 1)
 	firstSettings = strings.Replace(firstSettings, `"may_cancel":true`, `"may_cancel":true,"peers":true`, 1)
 	secondSettings := strings.Replace(firstSettings, `"me":0`, `"me":1`, 1)
 	node0 := startNode(t, nodeOptions{discovery: d.addr, settings: firstSettings, peers: nodes})
--- a/cmd/tackhub/harness_test.go
+++ b/cmd/tackhub/harness_test.go
@@ -32,8 +32,8 @@
  "report":{"how":"none","names":["concurrent"]},"tick_ms":1,"weights":"none","zone":"a","zones":["a"],
  "realms":[{"name":"acme","quota_per_s":500,"share":1}]}`
 
-// withReports returns testSettings with load reports in responses and with load probes allowed.
-func withReports() string {
+// settingsWithLoadReports returns testSettings with load reports in responses and with load probes allowed.
+func settingsWithLoadReports() string {
 	s := strings.Replace(testSettings, `"how":"none"`, `"how":"answers"`, 1)
 	return strings.Replace(s, `"probes":false`, `"probes":true`, 1)
 }
--- a/cmd/tackhub/inventory_test.go
+++ b/cmd/tackhub/inventory_test.go
@@ -81,7 +81,7 @@
 		t.Errorf("%d of %d requests failed, want 0", failed.Load(), sent.Load())
 	}
 	c := p.counts()
-	c.addUp(t)
+	c.checkRequestTotals(t)
 	if c.Inventory["lists"] != 2 || c.Inventory["bad"] < 5 || c.Inventory["pushes"] != 2 {
 		t.Errorf("inventory counters = %v, want 2 lists, at least 5 bad files and 2 pushes", c.Inventory)
 	}
--- a/cmd/tackhub/largerequest_test.go
+++ b/cmd/tackhub/largerequest_test.go
@@ -241,7 +241,7 @@
 		t.Error("a server got a complete body, but the client never sent the last byte")
 	default:
 	}
-	p.counts().addUp(t)
+	p.counts().checkRequestTotals(t)
 }
 
 // The folder for large bodies does not exist. Each request that needs it must be rejected and counted, and the cause
--- a/cmd/tackhub/largeresponse_test.go
+++ b/cmd/tackhub/largeresponse_test.go
@@ -63,7 +63,7 @@
 				if failed := counts.Requests["failed"]; name != "close" && (failed == 1) == complete {
 					t.Errorf("%s, complete %v: %d failed requests", name, complete, failed)
 				}
-				counts.addUp(t)
+				counts.checkRequestTotals(t)
 			}
 		}
 	}
--- a/cmd/tackhub/loadreport_test.go
+++ b/cmd/tackhub/loadreport_test.go
@@ -9,7 +9,7 @@
 func TestLoadReportsOfResponsesAndProbesAreCounted(t *testing.T) {
 	report := "X-Load: TEXT inflight=1, queue=0, util=0.5"
 	s1, s2 := startBackend(t, "s1", respond(200, "done", report)), startBackend(t, "s2", respond(200, "done", report))
-	p, _ := startWithBackends(t, withReports(), s1, s2)
+	p, _ := startWithBackends(t, settingsWithLoadReports(), s1, s2)
 	for range 5 {
 		if a := p.mustDo(request("look", 1000)); a.status != 200 {
 			t.Fatalf("status %d, want 200", a.status)
--- a/cmd/tackhub/reload_test.go
+++ b/cmd/tackhub/reload_test.go
@@ -137,12 +137,12 @@
 		t.Fatal(err)
 	}
 	p.reload("reload_failed")
-	if a := p.mustDo(request("look", 1000)); a.status != 200 || otherDiscovery.answered.Load() != 0 {
-		t.Errorf("status %d, %d calls to the other discovery address, want 200 and 0", a.status, otherDiscovery.answered.Load())
+	if a := p.mustDo(request("look", 1000)); a.status != 200 || otherDiscovery.responseCount.Load() != 0 {
+		t.Errorf("status %d, %d calls to the other discovery address, want 200 and 0", a.status, otherDiscovery.responseCount.Load())
 	}
 	p.replace(validFile)
 	p.reload("reload")
-	eventually(t, "a call to the new discovery address", func() bool { return otherDiscovery.answered.Load() > 0 })
+	eventually(t, "a call to the new discovery address", func() bool { return otherDiscovery.responseCount.Load() > 0 })
 }
 
 // A reload changes a limit that takes effect only after a restart. The node must name the key in a log line.
--- a/cmd/tackhub/retry_test.go
+++ b/cmd/tackhub/retry_test.go
@@ -48,7 +48,7 @@
 				t.Errorf("got body %q of a failed server's response, want an empty body", resp.body)
 			}
 			got := p.counts()
-			got.addUp(t)
+			got.checkRequestTotals(t)
 			if got.Requests["overdue"] != 0 {
 				t.Errorf("%d requests were answered only when overdue, want 0", got.Requests["overdue"])
 			}
@@ -128,7 +128,7 @@
 	if n := len(blocked.requests()); n > 0 {
 		t.Errorf("got %d retries at the server after the dedup window, want 0", n)
 	}
-	p.counts().addUp(t)
+	p.counts().checkRequestTotals(t)
 }
 
 // Two servers are in different cells, so neither detects a duplicate of a request that the other one executed. A keyed
--- a/cmd/tackhub/scale_test.go
+++ b/cmd/tackhub/scale_test.go
@@ -72,7 +72,7 @@
 func TestNodeWith1024GossipPeersServes(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
-	settings := strings.Replace(withReports(), `"fleet_size":1`, `"fleet_size":1024`, 1)
+	settings := strings.Replace(settingsWithLoadReports(), `"fleet_size":1`, `"fleet_size":1024`, 1)
 	settings = strings.Replace(settings, `"may_cancel":true`, `"may_cancel":true,"peers":true`, 1)
 	addresses := []string{freeAddress(t)}
 	for i := 1; i < 1024; i++ {
--- a/cmd/tackhub/upgrade_test.go
+++ b/cmd/tackhub/upgrade_test.go
@@ -120,7 +120,7 @@
 		t.Errorf("%d of %d requests were lost, want 0", n, sent.Load())
 	}
 	eventually(t, "the new process to log the end of the old one", func() bool { return strings.Contains(p.log.String(), "the predecessor has ended") })
-	if stats := queryAdminStats(t, admin); stats.Operations["look"]["fulfilled"] == 0 || stats.Entries != 2 {
+	if stats := queryAdminStats(t, admin); stats.Operations["look"]["fulfilled"] == 0 || stats.Endpoints != 2 {
 		t.Errorf("statistics of the new process: got %+v, want fulfilled look requests and 2 entries", stats)
 	}
 	if _, admin := u.startSuccessor(); adminHealth(admin) != 200 { // a second upgrade
@@ -143,7 +143,7 @@
 	})
 	u.discovery.respondWith("noise")
 	p, admin := u.startSuccessor()
-	eventually(t, "the list and the ejection after the handover", func() bool { stats := queryAdminStats(t, admin); return stats.Entries == 2 && stats.Ejected == 1 })
+	eventually(t, "the list and the ejection after the handover", func() bool { stats := queryAdminStats(t, admin); return stats.Endpoints == 2 && stats.Ejected == 1 })
 	u.predecessor.terminate()
 	u.predecessor.exit()
 	before := len(s2.requests())
@@ -169,7 +169,7 @@
 	})
 	u.discovery.respondWith("noise")
 	successor, admin := u.startSuccessor()
-	eventually(t, "the list and the ejection after the handover", func() bool { stats := queryAdminStats(t, admin); return stats.Entries == 2 && stats.Ejected == 1 })
+	eventually(t, "the list and the ejection after the handover", func() bool { stats := queryAdminStats(t, admin); return stats.Endpoints == 2 && stats.Ejected == 1 })
 	u.predecessor.terminate()
 	u.predecessor.exit()
 	before := len(s2.requests())
@@ -190,7 +190,7 @@
 	u := newUpgradeTest(t, startBackend(t, "s1", respondAfter(gate, respond(200, "done"))))
 	duplicated := request("look", 1400)
 	pending := u.predecessor.send(duplicated)
-	eventually(t, "a request in flight", func() bool { return queryAdminStats(t, u.admin).Open == 1 })
+	eventually(t, "a request in flight", func() bool { return queryAdminStats(t, u.admin).OpenRequests == 1 })
 	p, admin := u.startSuccessor()
 	// The kernel distributes connections over both processes, so the process without the request must reject the id as well.
 	for range 8 {
@@ -262,7 +262,7 @@
 			eventually(t, "the handover socket", func() bool { _, err := os.Stat(path); return err == nil })
 			act(t, u, path)
 			p, admin := u.startSuccessor()
-			eventually(t, "the endpoint list", func() bool { return queryAdminStats(t, admin).Entries == 1 })
+			eventually(t, "the endpoint list", func() bool { return queryAdminStats(t, admin).Endpoints == 1 })
 			if n := strings.Count(p.log.String(), `"code":"handover_failed"`); n < 1 || n > 2 {
 				t.Errorf("got %d log lines with code handover_failed, want 1, or 2 if the socket path is occupied", n)
 			}
@@ -297,7 +297,7 @@
 			if code := p.exit(); code == 0 || !strings.Contains(p.log.String(), "ROUTER_LISTEN") {
 				t.Errorf("got exit code %d, want a failure that names ROUTER_LISTEN; log:\n%s", code, p.log)
 			}
-			if resp := u.predecessor.mustDo(request("look", 1400)); resp.status != 200 || queryAdminStats(t, u.admin).Open != 0 {
+			if resp := u.predecessor.mustDo(request("look", 1400)); resp.status != 200 || queryAdminStats(t, u.admin).OpenRequests != 0 {
 				t.Errorf("running process: got status %d, want 200 and no open request", resp.status)
 			}
 			if p, admin := u.startSuccessor(); adminHealth(admin) != 200 || !strings.Contains(p.log.String(), `"code":"handover"`) {
@@ -332,11 +332,11 @@
 			p := launch(t, u.predecessor.addr, next)
 			eventually(t, "a successful health check of the new process", func() bool { return adminHealth(admin) == 200 })
 			entries := map[string]int{"settings": 2, "discovery": 1}[name]
-			eventually(t, "the endpoint list of the new process", func() bool { return queryAdminStats(t, admin).Entries == entries })
+			eventually(t, "the endpoint list of the new process", func() bool { return queryAdminStats(t, admin).Endpoints == entries })
 			ejected := map[string]int{"settings": 0, "discovery": 1}[name] // with equal settings, the state of a server that both lists contain is kept
 			eventually(t, "the ejections of the new process", func() bool { return queryAdminStats(t, admin).Ejected >= ejected })
 			if stats := queryAdminStats(t, admin); stats.Ejected != ejected || !strings.Contains(p.log.String(), `"code":"handover_part"`) {
-				t.Errorf("got %d of %d servers ejected and the log below, want %d and code handover_part\n%s", stats.Ejected, stats.Entries, ejected, p.log)
+				t.Errorf("got %d of %d servers ejected and the log below, want %d and code handover_part\n%s", stats.Ejected, stats.Endpoints, ejected, p.log)
 			}
 		})
 	}
