--- a/internal/ingress/admindrain.go
+++ b/internal/ingress/admindrain.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// adminDrainIdleDelay is how long idle connections stay open after a drain begins. New connections still arrive during
-	// that time, and a client whose connection is closed earlier would only reconnect.
+	// adminDrainIdleDelay is how long idle connections stay open after a drain begins. New connections still reach this node
+	// during that time, and a client whose connection is closed earlier would only reconnect to it.
 	adminDrainIdleDelay = drain.NewConnectionTime
 
 	// adminDrainInterval and adminDrainBatch limit how fast idle connections are closed, so that the clients do not all
-	// reconnect to the other nodes at the same moment. Closing 512 connections, the most that are in use, takes 1.1 s, well
-	// within the 4 s after which no connection may remain.
+	// reconnect to the other nodes at the same moment. At most 512 connections are in use. Closing them takes 1.1 s, well
+	// within the 4 s in which all connections must be closed.
 	adminDrainInterval = 25 * time.Millisecond
 	adminDrainBatch    = 12
 )
--- a/internal/ingress/connstate.go
+++ b/internal/ingress/connstate.go
@@ -21,21 +21,21 @@
 	closeOther         = "ended"            // any other reason
 )
 
-// setCloseReason sets why the connection ends. Only the first reason counts. The caller must hold c.mu.
+// setCloseReason sets the reason for closing the connection. Only the first call has an effect. The caller must hold c.mu.
 func (c *conn) setCloseReason(reason string) {
 	if c.closeReason == "" {
 		c.closeReason = reason
 	}
 }
 
-// SetCloseReason sets why the connection ends. Only the first reason counts.
+// SetCloseReason sets the reason for closing the connection. Only the first call has an effect.
 func (c *conn) SetCloseReason(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.setCloseReason(reason)
 }
 
-// closeAfterResponse returns why the node closes the connection after the next response, or "" if it keeps it open.
+// closeAfterResponse returns the reason for closing the connection after the next response, or "" if it stays open.
 func (c *conn) closeAfterResponse() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +74,7 @@
 		return false
 	}
 	if c.nodeCloseReason != "" && reason != closeDrained {
-		return false // the request arrived during an earlier close, so it is being served
+		return false // an earlier close found the connection idle; the request that has arrived since is served
 	}
 	if c.nodeCloseReason == "" {
 		c.nodeCloseReason = reason
--- a/internal/ingress/evict.go
+++ b/internal/ingress/evict.go
@@ -8,24 +8,25 @@
 
 const (
 	// softLimitFraction is the fraction of the connection limit above which the connections that are idle longest are evicted.
-	// Clients that open a connection for each request then need not wait for an eviction. All clients together use at most a
-	// third of the descriptors and send nothing beyond that, so idle connections must not use up that third.
+	// Clients that open a connection for each request then need not wait for an eviction. All clients together open connections
+	// for at most a third of the descriptors and send no request that would need another one. Idle connections must therefore
+	// not use up that third.
 	softLimitFraction = 0.3
 
-	// minEvictIdleTime is how long a connection must be idle before it is evicted below the connection limit. A busy client sends
-	// its next request sooner.
+	// minEvictIdleTime is how long a connection must be idle before it can be evicted while the number of connections is below
+	// the limit. A busy client sends its next request sooner.
 	minEvictIdleTime = 50 * time.Millisecond
 
-	// minEvictUnusedTime is how long a connection that has not sent a request is not evicted. A client that has a request sends it
-	// at once, and hundreds of clients that never send one must not block the others for long.
+	// minEvictUnusedTime is how long a new connection without a request is protected from eviction. A client that has a request
+	// sends it at once, and hundreds of clients that never send one must not block the others for long.
 	minEvictUnusedTime = 150 * time.Millisecond
 
 	// minEvictSilentTime is how long a connection with an incomplete request must receive nothing before it is evicted. A client
 	// that takes 2 s to send a request sends parts of it throughout that time.
 	minEvictSilentTime = 300 * time.Millisecond
 
-	// evictBatch is the number of connections that are evicted at once. Evicting one at a time would check all connections for
-	// each new one, which costs too much CPU time.
+	// evictBatch is the number of connections that are evicted at once. If only one were evicted at a time, each new connection
+	// would require a check of all connections, which costs too much CPU time.
 	evictBatch = 16
 )
 
@@ -50,9 +51,9 @@
 	inactiveFor time.Duration // time without a request, or without bytes of an incomplete one
 }
 
-// evict closes up to evictBatch connections: those that have been idle longest, and for at least minIdleTime. If no connection
-// is idle and minIdleTime is 0, which means that the limit is reached, it closes connections with incomplete requests instead,
-// because thousands of clients may connect and never complete a request.
+// evict closes up to evictBatch of the connections that have been idle for at least minIdleTime, longest idle first. A minIdleTime
+// of 0 means that the limit on connections or descriptors is reached. If no connection is idle then, evict closes connections with
+// incomplete requests instead, because thousands of clients may connect and never complete a request.
 func (s *Server) evict(minIdleTime time.Duration) {
 	candidates := s.idleConns(minIdleTime)
 	closeConn := (*conn).closeWhenIdle
--- a/internal/ingress/shutdownlistener_test.go
+++ b/internal/ingress/shutdownlistener_test.go
@@ -11,9 +11,9 @@
 	"tackhub.example/tackhub/internal/drain"
 )
 
-// Closing the listener resets its queued and deferred connections, although their clients may have sent a request. The listener must
-// stay open for both kinds, even if the last accept timed out. After LastResponse only queued connections delay the close, and MaxPause
-// later none do.
+// Closing the listener resets the connections in its accept queue and those that the kernel still defers (TCP_DEFER_ACCEPT),
+// although their clients may have sent a request. The listener must stay open for both kinds, even if the last accept timed out.
+// From LastResponse on, only queued connections delay the close; after another MaxPause, it closes in any case.
 func TestListenerStaysOpenForQueuedAndDeferredConnections(t *testing.T) {
 	plan := drain.NewPlan(time.Second)
 	for name, test := range map[string]struct {
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -11,15 +11,15 @@
 	resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 		syscall.EADDRNOTAVAIL}
 
-	// networkErrors are returned by socket(2) and connect(2) if this machine fails before it sends anything: it has no network
-	// or no route, or its own rules deny the call.
+	// networkErrors are returned by socket(2) and connect(2) if this machine fails before it sends anything: its network is
+	// down, it has no route, or its security policy or firewall denies the call.
 	networkErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM}
 
 	// listenerErrors are returned by accept(2) if the descriptor is no longer a listening socket.
 	listenerErrors = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 )
 
-// IsLocalFailure reports whether connecting failed because of this machine, so that the peer must not be blamed.
+// IsLocalFailure reports whether connecting failed because of this machine, not because of the peer.
 func IsLocalFailure(err error) bool { return IsResourceExhausted(err) || isOneOf(err, networkErrors) }
 
 // IsResourceExhausted reports whether a call failed because the system has no free descriptor, memory or address.
