--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -91,8 +91,8 @@
 	return balancer.Unreachable
 }
 
-// notSent returns the completion of an attempt whose request was not written completely for a reason other than a server
-// fault.
+// notSent returns the completion of an attempt that did not write the complete request because of this node or the client, not
+// because of the server.
 func notSent(reason error) engine.Completion {
 	return engine.Completion{Outcome: balancer.NotSent, ClientDisconnected: errors.Is(reason, engine.ErrClientDisconnected)}
 }
@@ -129,7 +129,7 @@
 		if streamed {
 			return
 		}
-		resp.Reset() // its body reads from the connection
+		resp.Reset() // releases the body stream, which reads from the connection
 		fasthttp.ReleaseResponse(resp)
 		a.pool.finish(c, reason, err)
 	}()
@@ -154,8 +154,8 @@
 	a.reportCompletion(result)
 }
 
-// exchange writes the request and reads the response. The closeReason is reusable, or the reason why the connection cannot be
-// reused.
+// exchange writes the request and reads the response. The closeReason is the constant reusable if the connection can be reused,
+// and otherwise the reason for closing it.
 func (a *Attempt) exchange(c *conn, resp *fasthttp.Response) (response, closeReason, error) {
 	c.requests++
 	if err := a.write(c); err != nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,24 +14,24 @@
 func TestAcquirePrefersNewestConnectionPastReuseDelay(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
-	one := mustAcquire(t, p, "s1")
-	two := mustAcquire(t, p, "s1")
-	three := mustAcquire(t, p, "s1")
-	p.put(one)
-	p.put(two)
-	p.put(three)
-	one.idleSince = one.idleSince.Add(-2 * time.Minute / 10)
-	two.idleSince = two.idleSince.Add(-time.Minute / 10)
-	three.idleSince = time.Now().Add(time.Minute) // its reuseDelay has not passed, however long this test takes
-	for i, want := range []*conn{two, one, three} {
-		if want == three {
-			three.idleSince = time.Now()
+	idle12s := mustAcquire(t, p, "s1")
+	idle6s := mustAcquire(t, p, "s1")
+	justUsed := mustAcquire(t, p, "s1")
+	p.put(idle12s)
+	p.put(idle6s)
+	p.put(justUsed)
+	idle12s.idleSince = idle12s.idleSince.Add(-2 * time.Minute / 10)
+	idle6s.idleSince = idle6s.idleSince.Add(-time.Minute / 10)
+	justUsed.idleSince = time.Now().Add(time.Minute) // its reuseDelay has not passed, however long this test takes
+	for i, want := range []*conn{idle6s, idle12s, justUsed} {
+		if want == justUsed {
+			justUsed.idleSince = time.Now()
 		}
 		if got := mustAcquire(t, p, "s1"); got != want {
 			t.Errorf("acquire %d returned the connection idle since %v, want the one idle since %v", i, got.idleSince, want.idleSince)
 		}
 	}
-	if idle := time.Since(three.idleSince); idle < reuseDelay {
+	if idle := time.Since(justUsed.idleSince); idle < reuseDelay {
 		t.Errorf("connection reused after %v, want at least %v", idle, reuseDelay)
 	}
 	if n := count.Servers.Dialed.Get(); n != 3 {
@@ -77,12 +77,12 @@
 	}
 	c.idleSince = time.Now().Add(-reuseDelay)
 	if mustAcquire(t, p, "s1") != c {
-		t.Error("acquire returned another connection, want the one that the cancelled request did not use")
+		t.Error("acquire returned another connection, want the idle one that the cancelled request did not use")
 	}
 }
 
 // An idle connection that the server has closed, or on which it has sent unsolicited bytes, must not be reused.
-func TestAcquireSkipsClosedConnectionsAndUnreadInput(t *testing.T) {
+func TestAcquireSkipsUnusableIdleConnections(t *testing.T) {
 	addr, accepted := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr}, 8, 8)
 	for i, breakConn := range []func(net.Conn){
@@ -102,7 +102,7 @@
 			_ = accepted(i + 1)
 		}
 		if i == 0 {
-			accepted = skip(accepted, 1)
+			accepted = skip(accepted, 1) // this iteration opened two connections
 		}
 	}
 	if n := count.ServerEnds.Get(string(closePeerClosed)); n != 2 {
@@ -113,7 +113,7 @@
 	}
 }
 
-// skip returns a function that waits for the connection n places after the i-th one.
+// skip returns a function like accepted whose index 0 is the connection with index n.
 func skip(accepted func(int) net.Conn, n int) func(int) net.Conn {
 	return func(i int) net.Conn { return accepted(i + n) }
 }
@@ -121,21 +121,21 @@
 func TestConnectionLimits(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, count := testPool(fixedResolver{"s1": addr, "s2": addr}, 3, 2)
-	one := mustAcquire(t, p, "s1")
-	two := mustAcquire(t, p, "s1")
+	s1First := mustAcquire(t, p, "s1")
+	s1Second := mustAcquire(t, p, "s1")
 	if _, err := p.acquire(context.Background(), "s1"); err != errNoCapacity {
 		t.Errorf("third connection to one server: error = %v, want %v", err, errNoCapacity)
 	}
-	three := mustAcquire(t, p, "s2")
+	s2First := mustAcquire(t, p, "s2")
 	if _, err := p.acquire(context.Background(), "s2"); err != errNoCapacity {
 		t.Errorf("fourth connection in total: error = %v, want %v", err, errNoCapacity)
 	}
-	p.put(one)
-	four := mustAcquire(t, p, "s2") // the idle one is evicted
+	p.put(s1First)
+	s2Second := mustAcquire(t, p, "s2") // the idle s1First is evicted
 	if n := count.ServerEnds.Get(string(closeEvicted)); n != 1 {
 		t.Errorf("evictions = %d, want 1", n)
 	}
-	for _, c := range []*conn{two, three, four} {
+	for _, c := range []*conn{s1Second, s2First, s2Second} {
 		p.close(c, closeExit, nil)
 	}
 	if p.total != 0 || len(p.reserved) != 0 {
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -60,8 +60,8 @@
 	return p.probeCompletion(resp, reason, err)
 }
 
-// exchangeProbe writes the probe and reads its response before the context's deadline. The closeReason is reusable, or the
-// reason why the connection cannot be reused.
+// exchangeProbe writes the probe and reads its response before the context's deadline. The closeReason is the constant reusable
+// if the connection can be reused, and otherwise the reason for closing it.
 func (p *Pool) exchangeProbe(ctx context.Context, c *conn, resp *fasthttp.Response) (closeReason, error) {
 	deadline, _ := ctx.Deadline()
 	_ = c.SetDeadline(deadline) // fails only on a broken connection, on which the write fails too
@@ -87,8 +87,8 @@
 	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
 }
 
-// readProbeResponse reads the complete response to a probe. The closeReason is reusable, or the reason why the connection
-// cannot be reused.
+// readProbeResponse reads the complete response to a probe. The closeReason is the constant reusable if the connection can be
+// reused, and otherwise the reason for closing it.
 func readProbeResponse(c *conn, resp *fasthttp.Response) (closeReason, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return closeReset, err
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -19,8 +19,8 @@
 func (lateTimerContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
 // A probe's deadline passes before the probe is written, either while its connection is dialed (the socket's timer fires before
-// the context's timer) or on an idle connection. The outcome must be TimedOut: Unreachable would wrongly count against the
-// server, and the connection must not be counted as ended by the dialer's own timeout.
+// the context's timer) or on an idle connection. The outcome must be TimedOut, because Unreachable would wrongly count against
+// the server. The connection must be counted as closeAborted, not as closeConnectTimeout.
 func TestProbeTimesOutBeforeRequestIsSent(t *testing.T) {
 	for _, idle := range []bool{false, true} {
 		addr, _ := acceptingListener(t)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -35,8 +35,8 @@
 	rest *Stream // nil: body is complete
 }
 
-// readResponse reads a response, or the beginning of a large one. The closeReason is reusable, or the reason why the connection
-// cannot be reused.
+// readResponse reads a response, or the beginning of a large one. The closeReason is the constant reusable if the connection can
+// be reused, and otherwise the reason for closing it.
 func (p *Pool) readResponse(c *conn, resp *fasthttp.Response) (response, closeReason, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return response{}, closeReset, err
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -13,7 +13,7 @@
 
 const (
 	// stallTimeout is the longest accepted pause in a large response. A slow response must be forwarded as long as bytes
-	// arrive, but after such a pause the server is considered dead.
+	// arrive, but after a longer pause the server is considered dead.
 	stallTimeout = 5 * time.Second
 
 	// stallTimeoutAfterDeadline is the longest accepted pause in a response of unknown size after the request's deadline. Such
@@ -72,9 +72,9 @@
 	return n, err
 }
 
-// readDeadline returns the time by which the next bytes must arrive. The request's deadline applies only to the first bytes of a
-// body over 64 KiB; after them only stallTimeout applies. A body of unknown size may exceed 64 KiB, so it is forwarded even after
-// the request's deadline, but with the shorter stallTimeoutAfterDeadline.
+// readDeadline returns the time by which the next bytes must arrive. For a body over 64 KiB it depends only on stallTimeout,
+// because the request's deadline applies only to the first bytes of such a body. A body of unknown size may exceed 64 KiB, so it
+// is forwarded even after the request's deadline, but then stallTimeoutAfterDeadline replaces stallTimeout.
 func (s *Stream) readDeadline() time.Time {
 	now := time.Now()
 	latest := now.Add(stallTimeout)
@@ -95,12 +95,12 @@
 	if s.conn.SetReadDeadline(time.Time{}) != nil && reason == reusable {
 		reason = closeReset
 	}
-	s.resp.Reset() // its body reads from the connection
+	s.resp.Reset() // releases the body stream, which reads from the connection
 	fasthttp.ReleaseResponse(s.resp)
 	s.pool.finish(s.conn, reason, s.err)
 }
 
-// closeReason returns reusable, or the reason why the connection cannot be reused.
+// closeReason returns the constant reusable if the connection can be reused, and otherwise the reason for closing it.
 func (s *Stream) closeReason() closeReason {
 	delimitedByClose := s.size == unknownSize && s.resp.Header.ContentLength() == contentLengthUntilClose
 	switch {
@@ -114,7 +114,8 @@
 	return reusable
 }
 
-// wrapReadError adds the number of bytes read to an error, which distinguishes a slow server from a broken one.
+// wrapReadError adds the number of bytes read and the body size to an error, so that a slow server can be distinguished from a
+// broken one.
 func (s *Stream) wrapReadError(err error) error {
 	return fmt.Errorf("response body ended after %d of %d bytes (-1: unknown size): %w", s.bytesRead, s.size, err)
 }
