--- a/internal/discovery/hedge_test.go
+++ b/internal/discovery/hedge_test.go
@@ -11,8 +11,8 @@
 	"tackhub.example/tackhub/internal/counters"
 )
 
-// When discovery recovers, it does not answer the calls that were in flight. Nodes that waited for such a call to time out kept a list
-// with draining servers, and sent requests to them for 0.6 s beyond the drain grace.
+// When discovery recovers, it does not answer the calls that were in flight. Nodes that waited for such a call to time out kept an
+// outdated list and sent requests to draining servers for 0.6 s after the end of the drain grace.
 func TestHedgedPollDoesNotWaitForLostCalls(t *testing.T) {
 	for _, tc := range deployments {
 		t.Run(fmt.Sprintf("%d nodes, %v", tc.nodes, tc.grace), func(t *testing.T) {
@@ -40,13 +40,13 @@
 			}
 			defer func() { _ = conn.Close() }()
 			if took := time.Since(recovered); took > tc.grace {
-				t.Errorf("next call came %v after discovery recovered, want at most %v", took, tc.grace)
+				t.Errorf("next call arrived %v after discovery recovered, want at most %v", took, tc.grace)
 			}
 			if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(sampleListJSON))+"\r\n\r\n"+sampleListJSON); err != nil {
 				t.Fatal(err)
 			}
-			for timeout := time.Now().Add(10 * time.Second); client.Size() == 0; time.Sleep(time.Millisecond) {
-				if time.Now().After(timeout) {
+			for deadline := time.Now().Add(10 * time.Second); client.Size() == 0; time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
 					t.Fatal("client has no list 10 s after the response")
 				}
 			}
--- a/internal/discovery/intervals_test.go
+++ b/internal/discovery/intervals_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Each wait once had its own bound, but their sum had none: a node received a change 20 s late, after a large fleet's watch that was
-// held for 20 s or a Retry-After of 15 s. The sum must stay within notifyDeadline for any number of nodes and any drain grace.
+// Each delay used to have a limit, but their sum had none. A node received a change 20 s late after discovery had held a watch of a
+// large fleet for 20 s, or had sent a Retry-After of 15 s. The sum must stay within notifyDeadline for any number of nodes and any
+// drain grace.
 func TestWorstCaseDelayWithinNotifyDeadline(t *testing.T) {
 	for nodes := range 1025 {
 		for _, grace := range []time.Duration{0, time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,7 +1,8 @@
 // Package discovery is the client of the discovery service. It keeps the endpoint list up to date with watches, passes each
 // change to a ListHandler, provides the address of each server, and reports when the list may be stale.
 //
-// The time until this node receives a change is bounded; intervals.go divides that bound among all timeouts and delays.
+// The node receives a change at most 6 s (notifyDeadline) after discovery has the change and can be reached. The code in
+// intervals.go divides this time among all timeouts and delays.
 package discovery
 
 import (
--- a/internal/statefile/format_test.go
+++ b/internal/statefile/format_test.go
@@ -26,7 +26,7 @@
 	dir := filepath.Join("testdata", "view")
 	data, skipped, err := New(OS{}, dir, "view", 1).Load()
 	if err != nil || len(skipped) != 0 {
-		t.Fatalf("Load: error %v, skipped %v, want neither", err, skipped)
+		t.Fatalf("Load: error = %v, skipped = %v, want neither", err, skipped)
 	}
 	if want := goldenStates[3]; !bytes.Equal(data, want) {
 		t.Errorf("Load = %q, want %q", data, want)
@@ -46,7 +46,7 @@
 		}
 	}
 	if _, skipped, err := New(OS{}, dir, "other", 1).Load(); !errors.Is(err, ErrNoState) || len(skipped) != 0 {
-		t.Errorf("state of another name: error %v, skipped %v, want %v and none", err, skipped, ErrNoState)
+		t.Errorf("Load with another name: error = %v, skipped = %v, want %v and none skipped", err, skipped, ErrNoState)
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	names, err := OS{}.ReadDir(dir)
 	if err != nil || len(names) != len(goldenFiles) {
-		t.Fatalf("files %v (%v), want %v", names, err, goldenFiles)
+		t.Fatalf("saved files = %v (error %v), want %v", names, err, goldenFiles)
 	}
 	for i, name := range goldenFiles {
 		if names[i] != name {
