--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -17,10 +17,12 @@
 	pollBackoffPerNode = 25.0
 	// maxPollBackoffBase, in ms, is the longest backoff before jitter.
 	maxPollBackoffBase = 2000.0
-	// minPollJitter is the lowest factor by which jitter multiplies a backoff. The highest is 1 more.
+	// minPollJitter is the lowest factor by which jitter multiplies a backoff. The highest factor is
+	// minPollJitter+1.
 	minPollJitter = 0.5
 	// MaxPollBackoff, in ms, is the longest time from a failed poll to the next one. Together with all
-	// other delays of a poll it must fit into the time within which a change of the list must be known.
+	// other delays of a poll, it must not exceed the time within which a node must receive a change of
+	// the list.
 	MaxPollBackoff = (minPollJitter + 1) * maxPollBackoffBase
 	// pollAnswerTimeout, in ms, is the time after which the answer to a poll counts as lost.
 	pollAnswerTimeout = 5000
@@ -29,14 +31,15 @@
 // endpointPolling is the state of this node's polls and watch of the endpoint list.
 type endpointPolling struct {
 	listReceived bool   // discovery has sent the list since this process started
-	staleSince   Millis // time since which changes may be missing; +Inf: the list is current
+	staleSince   Millis // changes may have been missed since then; +Inf: the list is current
 	backoff      Millis // before jitter
 	nextAt       Millis // time of the next poll
 	pending      bool   // a poll is waiting for its answer
 	watching     bool   // a poll was answered and became a watch, which delivers changes
 }
 
-// stale reports whether changes of the list may be missing since an UpdateStale.
+// stale reports whether changes of the list may have been missed: an UpdateStale has arrived, and no delta
+// or full update since.
 func (p *endpointPolling) stale() bool { return !math.IsInf(p.staleSince, 1) }
 
 // startPolling schedules the first poll at a random time. If nodes that start together all polled at
@@ -62,7 +65,7 @@
 }
 
 // pollEndpoints polls the list; the answer may start a watch. It also schedules the next poll in case the
-// answer is lost, early enough for this node to learn of changes within MaxPollInterval.
+// answer is lost, early enough to receive changes within MaxPollInterval.
 func (b *Balancer) pollEndpoints() {
 	b.polling.pending = true
 	b.emit(WatchEndpoints{})
@@ -79,7 +82,7 @@
 
 func (b *Balancer) handleEndpointUpdate(e EndpointUpdate) {
 	// If no change has been missed, a server that a delta update reports as started has just started.
-	live := e.Kind == DeltaUpdate && b.polling.listReceived && !b.polling.stale()
+	noChangeMissed := e.Kind == DeltaUpdate && b.polling.listReceived && !b.polling.stale()
 	switch e.Kind {
 	case UpdateFailed:
 		b.handleUpdateFailed()
@@ -91,7 +94,7 @@
 	case FullUpdate, DeltaUpdate:
 		b.handleListReceived()
 	}
-	b.applyEndpoints(e, live)
+	b.applyEndpoints(e, noChangeMissed)
 	b.forgetRemovedServers()
 	b.assignGossipTags()
 	b.servers.version++
@@ -109,13 +112,13 @@
 	}
 }
 
-// applyEndpoints updates the servers from the entries. Servers that a complete list omits have been
-// removed.
-func (b *Balancer) applyEndpoints(e EndpointUpdate, live bool) {
+// applyEndpoints updates the servers from the entries. It marks the servers that a complete list omits
+// as removed.
+func (b *Balancer) applyEndpoints(e EndpointUpdate, noChangeMissed bool) {
 	named := map[ServerID]bool{}
 	for _, entry := range e.Endpoints {
 		named[entry.ID] = true
-		b.addEndpoint(entry, live)
+		b.addEndpoint(entry, noChangeMissed)
 	}
 	b.servers.ready = b.servers.ready[:0]
 	for _, s := range b.servers.known {
@@ -130,7 +133,7 @@
 
 // addEndpoint adds or updates one server. A server that has restarted, or moved to another zone or cell,
 // starts without its previous state.
-func (b *Balancer) addEndpoint(entry Endpoint, live bool) {
+func (b *Balancer) addEndpoint(entry Endpoint, noChangeMissed bool) {
 	s := b.servers.byID[entry.ID]
 	if s != nil && (entry.State != Ready || sameProcess(s.Endpoint, entry)) {
 		// Zone and cell are not updated: the entry of a removed server may lack them, and they define the
@@ -139,7 +142,7 @@
 		s.Capacity = entry.Capacity
 		return
 	}
-	fresh := b.newServer(entry, live)
+	fresh := b.newServer(entry, noChangeMissed)
 	b.servers.byID[entry.ID] = fresh
 	if s == nil {
 		b.servers.known = append(b.servers.known, fresh)
@@ -154,10 +157,11 @@
 	return a.Started == b.Started && a.Zone == b.Zone && a.Cell == b.Cell
 }
 
-func (b *Balancer) newServer(entry Endpoint, live bool) *server {
+func (b *Balancer) newServer(entry Endpoint, noChangeMissed bool) *server {
 	s := &server{Endpoint: entry, zoneFailures: b.zoneRecord(entry.Zone)}
-	s.slowStart.since = b.slowStartBegin(entry.Started, live)
-	// Each node starts with a random fraction of a token, so that their first requests are spread over time.
+	s.slowStart.since = b.slowStartBegin(entry.Started, noChangeMissed)
+	// Each node starts with a random fraction of a token, so that the nodes do not all send their first
+	// request to the server at the same time.
 	s.slowStart.budget = tokenBucket{available: b.rng.Float64(), refilledAt: b.now}
 	s.timing.outcomeAt = b.now
 	s.timing.unitTime = b.typicalUnitTime(s)
@@ -185,15 +189,16 @@
 	b.schedulePoll(nextAt)
 }
 
-// mayBeDraining reports whether a server may be draining without this node's knowledge: for more than half
-// of the drain grace the list has been stale and no attempt sent to the server in that time has been
-// answered. A draining server accepts no new requests.
+// mayBeDraining reports whether a server may be draining although the stale list does not say so: the list
+// has been stale for more than half of the drain grace, and no attempt that was sent to the server in that
+// time has succeeded. A success shows that the server is not draining, because a draining server accepts no
+// new requests.
 func (b *Balancer) mayBeDraining(s *server) bool {
 	return b.now > max(b.polling.staleSince, s.attempts.latestAnswered)+b.settings.DrainGrace/2
 }
 
-// logZoneChanges logs one line when the balancer starts to avoid a zone, and one when nearly all attempts
-// to the zone are answered again.
+// logZoneChanges logs one line when the balancer starts to avoid a zone, and one when the rate of
+// unanswered attempts to the zone is low again, because attempts are answered or the failures are old.
 func (b *Balancer) logZoneChanges() {
 	for _, name := range sortedKeys(b.zones) {
 		switch record := b.zones[name]; {
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -19,7 +19,7 @@
 type fleetEstimate struct {
 	unitTime        Millis  // typical time in which a server of capacity 1 serves a request of mean work
 	initialUnitTime Millis  // unitTime assumed before any was measured
-	slowdownFactor  float64 // slowdown factor: service times now, divided by the servers' unit times
+	slowdownFactor  float64 // service times now, divided by the servers' unit times
 	parallelism     float64 // requests that a server works on in parallel; further ones wait
 	extraCapacity   float64 // fraction of the capacity above its minimum that a server in slow start has
 	othersLoad      float64 // mean number of requests of other nodes at a server, by recent reports
--- a/balancer/failurerate.go
+++ b/balancer/failurerate.go
@@ -4,22 +4,22 @@
 
 const (
 	// failureGain is the fraction by which a failure moves a failure rate toward 1. A single failure
-	// is only a warning; two in a row count as evidence.
+	// may be chance; two in a row are evidence of a fault.
 	failureGain = 0.35
 	// successGain is the fraction by which a success moves a failure rate toward 0. It is smaller than
 	// failureGain, so that one failure is offset only by many successes.
 	successGain = 0.1
-	// faultyClassRate is the failure rate from which a class is considered to fail at a server. One
-	// failure reaches it; after two in a row, the rate stays above it for several successes.
+	// faultyClassRate is the failure rate at or above which a class is considered to fail at a server.
+	// One failure reaches it; after two in a row, the rate stays above it for several successes.
 	faultyClassRate = 0.3
-	// healthyOtherDivisor defines when another class or zone is healthy: a class if its failure rate is
-	// below faultyClassRate divided by this, a zone if its rate is below the failing zone's divided by
-	// this.
+	// healthyOtherDivisor sets the failure rate below which another class or zone counts as healthy. The
+	// limit for a class is faultyClassRate divided by it, the limit for a zone is the failing zone's
+	// rate divided by it.
 	healthyOtherDivisor = 3
 	// classFailureTimeConstant, in ms, is the time constant with which the failure rate of a class at
 	// a server decays.
 	classFailureTimeConstant = 3 * ejectionTime
-	// unreachableZoneRate is the rate of unanswered attempts from which a zone may be unreachable.
+	// unreachableZoneRate is the rate of unanswered attempts at or above which a zone may be unreachable.
 	unreachableZoneRate = 0.5
 	// connectTimeoutFraction is the fraction of the connect timeout after which a failed connection
 	// counts as unanswered. An earlier failure is a refused connection, which shows that the zone is
@@ -32,7 +32,7 @@
 type failureRate struct {
 	rate      float64 // rate from 0 to 1, as of updatedAt
 	observed  bool    // at least one outcome was recorded
-	logged    bool    // it has been logged that the zone is avoided
+	logged    bool    // only for a zone: a log line has reported that it is avoided
 	updatedAt Millis
 }
 
@@ -40,9 +40,9 @@
 
 func (f *failureRate) recordSuccess() { f.rate -= successGain * f.rate }
 
-// decayed returns the rate at the time now, decayed with the time constant memory.
-func (f *failureRate) decayed(now, memory Millis) float64 {
-	return f.rate * math.Exp(-(now-f.updatedAt)/memory)
+// decayed returns the rate at the time now, after exponential decay with the given time constant.
+func (f *failureRate) decayed(now, timeConstant Millis) float64 {
+	return f.rate * math.Exp(-(now-f.updatedAt)/timeConstant)
 }
 
 // classFailure returns the failure rate record of a class at this server, which it creates if needed.
@@ -53,9 +53,9 @@
 	return &s.classFailures[c.index]
 }
 
-// classFailureRate returns the rate at which requests of a class fail at a server. It decays slowly.
-// The picker adds it to the placement cost as time, because a server may fail one class and serve the
-// others well.
+// classFailureRate returns the rate at which requests of a class fail at a server. It decays slowly,
+// with classFailureTimeConstant. A server may fail one class and serve another well. In this case the
+// picker multiplies the rate by the class's latency objective and adds it to the placement cost.
 func (b *Balancer) classFailureRate(s *server, c *classState) float64 {
 	record := s.classFailure(c)
 	if record.rate == 0 {
@@ -127,10 +127,10 @@
 	return zone.decayed(b.now, staleTimeConstant)
 }
 
-// zoneFailureRate returns the rate of unanswered attempts to a zone if it is high while another zone
-// answers, which means that the zone is down or unreachable from this node; otherwise 0. Without it, a
-// node that contacts each server once in several seconds would wait for a timeout at each server of
-// the zone in turn.
+// zoneFailureRate returns the rate of unanswered attempts to a zone if the zone appears to be down or
+// unreachable from this node: its rate is high while another zone answers. Otherwise it returns 0. The
+// picker uses it to raise the cost of all servers of the zone. Without this, a node that contacts each
+// server only once in several seconds would wait for a timeout at each of them in turn.
 func (b *Balancer) zoneFailureRate(zone *failureRate) float64 {
 	if zone.rate < unreachableZoneRate {
 		return 0
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Each node must learn from gossip which requests the other nodes have at a server. Otherwise all nodes
-// could choose the same server, since each sees only its own requests.
+// Gossip must report to each node how many requests the other nodes have at a server. Otherwise all nodes
+// could choose the same server, since each has records only of its own requests.
 func TestGossipReportsRequestsInFlight(t *testing.T) {
 	set := probeOnlySettings(2)
 	set.ProbesAllowed = false
@@ -63,22 +63,22 @@
 	}
 }
 
-// A server that fails immediately looks idle and would attract requests. Its failure share must rise with
+// A server that fails immediately looks idle and would attract requests. Its failure rate must rise with
 // consecutive failures and with failures reported by gossip, even before it is ejected.
 func TestFailureShareCountsGossipAndConsecutiveFailures(t *testing.T) {
 	b := newTestNode(t, probeOnlySettings(2), testEndpoints(2)...)
 	s := b.balancer.servers.byID["s0"]
 	if b.balancer.estimatedFailureRate(s) != 0 {
-		t.Fatal("failure share is not 0 before any failure")
+		t.Fatal("failure rate is not 0 before any failure")
 	}
 	b.step(GossipReceived{From: 1, Body: []byte{gossipVersion | byte(gossipOutcomes), byte(s.gossipTag >> 8), byte(s.gossipTag), 10, 30}})
 	if got := b.balancer.estimatedFailureRate(s); got < 0.3 || s.outlier.ejected {
-		t.Errorf("30 of 40 attempts of another node failed: failure share = %.2f, want at least 0.3; ejected = %v, want false", got, s.outlier.ejected)
+		t.Errorf("30 of 40 attempts of another node failed: failure rate = %.2f, want at least 0.3; ejected = %v, want false", got, s.outlier.ejected)
 	}
 	failingServer := b.balancer.servers.byID["s1"]
 	failingServer.outcomes.record(b.now, false)
 	failingServer.outlier.consecutiveFailures, failingServer.timing.outcomeAt = 3, b.now
 	if got := b.balancer.estimatedFailureRate(failingServer); got < 0.8 {
-		t.Errorf("three consecutive failures: failure share = %.2f, want at least 0.8", got)
+		t.Errorf("three consecutive failures: failure rate = %.2f, want at least 0.8", got)
 	}
 }
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// A gossip message starts with a byte that holds version and kind. Then follows an entry for each server:
-// two bytes with its tag, and one or two counts of one byte each. A message replaces the previous one of
-// the same node and kind, so a lost message is corrected by the next one.
+// A gossip message starts with a byte that holds version and kind, followed by an entry for each server.
+// An entry consists of two bytes with the server's tag, and one or two counts of one byte each. A message
+// replaces the previous one of the same node and kind, so the next message corrects the loss of one.
 
 const (
 	// gossipVersion is the version, in the upper four bits of a message's first byte. The lower four bits
@@ -29,16 +29,16 @@
 
 // gossipReport is the latest report from another node about a server.
 type gossipReport struct {
-	from            int
+	from            int // number of the node
 	kind            gossipKind
 	loadOrSuccesses float64 // requests in flight, or successes
-	failures        float64 // failures; for gossipLoads requests in flight again
+	failures        float64 // unused for gossipLoads
 	at              Millis
 }
 
 // gossipSource identifies the messages of one node and kind.
 type gossipSource struct {
-	from int
+	from int // number of the node
 	kind gossipKind
 }
 
@@ -107,7 +107,8 @@
 	return kind <= gossipOutcomes && (len(body)-1)%kind.entryLen() == 0
 }
 
-// recordGossipTime records the time of a node's message and updates the usual interval.
+// recordGossipTime records the arrival time of a node's message and updates the smoothed interval between
+// messages.
 func (b *Balancer) recordGossipTime(from int) {
 	if previous, known := b.gossip.heardFrom[from]; known {
 		b.gossip.interval += reportLagSmoothing * (b.now - previous - b.gossip.interval)
@@ -138,8 +139,8 @@
 	return sum
 }
 
-// assignGossipTags assigns each server a tag of two bytes, which is the same at every node. Reports are
-// ignored for servers that have the same tag.
+// assignGossipTags assigns each server a tag of two bytes, which is the same at every node. If several
+// servers have equal tags, reports about them are ignored.
 func (b *Balancer) assignGossipTags() {
 	b.gossip.serversByTag = map[uint16]*server{}
 	for _, s := range b.servers.known {
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -60,11 +60,12 @@
 }
 
 // completeAttempt completes attempt number n of a request.
-func (b *testNode) completeAttempt(id RequestID, n int, s ServerID, res Outcome, took Millis) []Action {
-	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: res, Elapsed: took, RequestFinished: res == OK})
+func (b *testNode) completeAttempt(id RequestID, n int, s ServerID, outcome Outcome, took Millis) []Action {
+	return b.step(AttemptCompleted{ID: id, Attempt: n, Server: s, Outcome: outcome, Elapsed: took, RequestFinished: outcome == OK})
 }
 
-// serve sends one request and completes its attempts. It returns the server of the first attempt; empty if there is none.
+// serve sends one request and completes its first attempt after took ms, with the outcome that result returns for its server.
+// Later attempts succeed. It returns the server of the first attempt; empty if there was none.
 func (b *testNode) serve(class string, took Millis, result func(ServerID) Outcome) ServerID {
 	id, acts := b.arrive(class, 2000)
 	s := sentTo(acts)
@@ -82,7 +83,7 @@
 
 func allOK(ServerID) Outcome { return OK }
 
-// advance advances the time in steps of 250 ms and dispatches the queue in each.
+// advance advances the time in steps of 250 ms and dispatches the queue after each step.
 func (b *testNode) advance(d Millis) {
 	for until := b.now + d; b.now < until; {
 		b.now += 250
@@ -109,14 +110,14 @@
 	return n
 }
 
-// largeFleetSettings returns the settings of a node in a largeFleetSettings of 300, with the given price of probes.
-func largeFleetSettings(probe float64) Settings {
+// largeFleetSettings returns the settings of a node in a fleet of 300 nodes, with the given price of load probes.
+func largeFleetSettings(probePrice float64) Settings {
 	set := settings()
-	set.Nodes, set.ProbesAllowed, set.LoadReports, set.Prices.Probe = 300, true, true, probe
+	set.Nodes, set.ProbesAllowed, set.LoadReports, set.Prices.Probe = 300, true, true, probePrice
 	return set
 }
 
-// probeOnlySettings returns settings in which only probes report load and gossip is allowed.
+// probeOnlySettings returns settings in which only probe results contain load reports, and gossip is allowed.
 func probeOnlySettings(nodes int) Settings {
 	set := settings()
 	set.Nodes, set.ProbesAllowed, set.LoadReports, set.ReportsFromProbesOnly, set.GossipAllowed = nodes, true, true, true, true
--- a/balancer/healthscore.go
+++ b/balancer/healthscore.go
@@ -9,7 +9,8 @@
 	latencyWeight       = 0.4
 	errorRateWeight     = 0.3
 	recentSuccessWeight = 0.1
-	// minLatency, in ms, is a lower bound that keeps quotients finite.
+	// minLatency, in ms, is the lower bound of latencies and unit times, because they are used as
+	// divisors.
 	minLatency = 1e-3
 )
 
@@ -63,8 +64,8 @@
 }
 
 // unansweredTime returns how long the oldest attempt at a server has been unanswered. It ignores
-// attempts that were sent before an attempt that has already been answered: those are lost or heavy
-// and give no evidence about the server.
+// attempts that were sent before an attempt that has already been answered: such an attempt was lost
+// or belongs to a heavy request, so it is no evidence of a slow server.
 func (b *Balancer) unansweredTime(s *server) Millis {
 	unanswered, _ := b.oldestUnanswered(s)
 	return unanswered
@@ -79,7 +80,8 @@
 
 // oldestUnanswered returns how long the oldest attempt at a server has been unanswered, and its
 // expected number of unit times. The time counts from the last outcome if that came after the attempt
-// was sent. It is 0 if there is no such attempt or if the server fails only that attempt's class.
+// was sent. It is 0 if all open attempts are superseded, or if the server fails only the class of that
+// attempt.
 func (b *Balancer) oldestUnanswered(s *server) (unanswered Millis, serviceRounds float64) {
 	r, a := s.oldestAttempt()
 	if a == nil || b.classFault(s, r.class) {
--- a/balancer/loadprobe.go
+++ b/balancer/loadprobe.go
@@ -72,7 +72,7 @@
 // two ticks, because a node processes results only once per tick.
 func (b *Balancer) probeWait() Millis { return max(minProbeWait, 2*b.settings.Tick) }
 
-// probeCoverage returns the probability that a queued request learns of an idle server. It is
+// probeCoverage returns the probability that probes find an idle server for a queued request. It is
 // estimated as the number of probes that the budget allows for each request, at most 1. If probes are
 // expensive and there are many nodes, the load of nearly all servers is unknown, so waiting gains no
 // information.
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -9,7 +9,7 @@
 func failUntilEjected(t *testing.T, b *testNode, bad ServerID, outcome Outcome) {
 	t.Helper()
 	for i := 0; i < 300 && !b.balancer.servers.byID[bad].outlier.ejected; i++ {
-		b.balancer.servers.byID[bad].timing.measured, b.balancer.servers.byID[bad].timing.unitTime = true, 1 // fast, so that it is drawn
+		b.balancer.servers.byID[bad].timing.measured, b.balancer.servers.byID[bad].timing.unitTime = true, 1 // fast, so that it gets requests
 		b.serve("read", 5, func(s ServerID) Outcome {
 			if s == bad {
 				return outcome
@@ -57,23 +57,23 @@
 // Guards against readmitting a failing server on the response to an attempt sent before its ejection.
 func TestResponseToAttemptBeforeEjectionDoesNotReadmit(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
-	var old RequestID
-	for i := 0; i < 300 && old == 0; i++ {
+	var sentBefore RequestID
+	for i := 0; i < 300 && sentBefore == 0; i++ {
 		if id, acts := b.arrive("read", 5000); sentTo(acts) == "s1" {
-			old = id
+			sentBefore = id
 		} else {
 			b.now += 5
 			b.completeAttempt(id, 0, sentTo(acts), OK, 5)
 			b.balancer.scoredAt = 0
 		}
 	}
-	if old == 0 {
+	if sentBefore == 0 {
 		t.Fatal("s1 got no request")
 	}
 	s := b.balancer.servers.byID["s1"]
 	s.outlier.ejected, s.outlier.trialAt = true, b.now+ejectionTime
 	b.now += 50
-	b.completeAttempt(old, 0, "s1", OK, 50)
+	b.completeAttempt(sentBefore, 0, "s1", OK, 50)
 	if !s.outlier.ejected {
 		t.Error("the response to an attempt sent before the ejection readmitted the server")
 	}
@@ -152,36 +152,36 @@
 	for i := 0; i < 60; i++ {
 		b.serve("read", 20, allOK)
 	}
-	lost := func(s ServerID) Outcome {
+	outcomeAt := func(s ServerID) Outcome {
 		if s == "s3" || s == "s4" || s == "s5" {
 			return Unreachable
 		}
 		return OK
 	}
-	served, toLost := 0, 0
+	served, sentToUnreachable := 0, 0
 	for i := 0; i < 400; i++ {
-		if s := b.serve("read", 20, lost); lost(s) == OK && s != "" {
+		if s := b.serve("read", 20, outcomeAt); outcomeAt(s) == OK && s != "" {
 			served++
 		} else if i > 200 {
-			toLost++
+			sentToUnreachable++
 		}
 	}
-	if toLost > 10 {
-		t.Errorf("first attempts at unreachable servers = %d of the last 200, want at most 10", toLost)
+	if sentToUnreachable > 10 {
+		t.Errorf("first attempts at unreachable servers = %d of the last 200, want at most 10", sentToUnreachable)
 	}
 	if served < 300 {
 		t.Errorf("successful first attempts = %d of 400, want at least 300", served)
 	}
 }
 
-// Guards against two faults at the same time: the whole fleet is slow and one server fails fast. The
-// failing server must not count as the fastest, and the slow ones must not be ejected.
+// While the whole fleet is slow, one server fails all its requests fast. The failing server must not
+// count as the fastest, and the slow ones must not be ejected.
 func TestFastFailingServerIsAvoidedInSlowFleet(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(5)...)
 	for i := 0; i < 60; i++ {
 		b.serve("read", 20, allOK)
 	}
-	bad := 0
+	sentToFailing := 0
 	for i := 0; i < 300; i++ {
 		id, acts := b.arrive("read", 2000)
 		s := sentTo(acts)
@@ -189,7 +189,7 @@
 		case s == "":
 			continue
 		case s == "s2":
-			bad++
+			sentToFailing++
 			b.now += 2
 			for n, next := 0, s; next != ""; n++ {
 				outcome := OK
@@ -204,8 +204,8 @@
 		}
 		b.balancer.scoredAt = 0
 	}
-	if bad > 30 {
-		t.Errorf("requests sent to the failing server = %d of 300, want at most 30", bad)
+	if sentToFailing > 30 {
+		t.Errorf("requests sent to the failing server = %d of 300, want at most 30", sentToFailing)
 	}
 	for _, s := range b.balancer.servers.ready {
 		if s.outlier.ejected && s.ID != "s2" {
@@ -243,8 +243,8 @@
 	}
 }
 
-// Guards against ejecting a server for a streak that is likely by chance because a tenth of its attempts
-// fail, and against not ejecting a server that is really down.
+// A server that fails a tenth of its attempts sometimes fails several in a row by chance. Such a streak
+// must not eject it. A longer streak must, and a short one must eject a server that had not failed before.
 func TestShortFailureStreakDoesNotEjectFlakyServer(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	for _, s := range b.balancer.servers.ready {
@@ -252,7 +252,7 @@
 			s.outcomes.record(b.now, s.ID != "s0" || i%10 != 0)
 		}
 	}
-	failStreak := func(s *server, n int) bool {
+	ejectedAfterFailures := func(s *server, n int) bool {
 		for range n {
 			s.outcomes.record(b.now, false)
 			b.balancer.updateEjection(s, ConnectionLost, b.now)
@@ -260,20 +260,20 @@
 		return s.outlier.ejected
 	}
 	flaky, clean := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
-	if failStreak(flaky, ejectionConsecutiveFailures) {
+	if ejectedAfterFailures(flaky, ejectionConsecutiveFailures) {
 		t.Error("a server with a failure rate of 0.1 was ejected after three consecutive failures")
 	}
-	if !failStreak(flaky, 5) {
+	if !ejectedAfterFailures(flaky, 5) {
 		t.Error("a server with a failure rate of 0.1 was not ejected after eight consecutive failures")
 	}
-	if !failStreak(clean, ejectionConsecutiveFailures) {
+	if !ejectedAfterFailures(clean, ejectionConsecutiveFailures) {
 		t.Error("a server that had never failed was not ejected after three consecutive failures")
 	}
 }
 
-// Guards against never readmitting an ejected server if no class is idempotent: the class with the
-// safest retries is used for trials.
-func TestTrialUsesMostRepeatableClass(t *testing.T) {
+// If no class is idempotent, requests of the class with the safest retries must be used as trials.
+// Otherwise an ejected server would never be readmitted.
+func TestTrialUsesClassWithSafestRetries(t *testing.T) {
 	set := settings()
 	set.Classes = set.Classes[1:]
 	b := newTestNode(t, set, testEndpoints(4)...)
@@ -293,8 +293,8 @@
 	}
 }
 
-// Guards against not logging a second shared cause hours after the first, and against logging each
-// failure of one.
+// Each episode in which a shared cause prevents ejections must be logged exactly once: not once for each
+// failure, and also if an earlier episode was logged hours before.
 func TestEachSharedCauseIsLoggedOnce(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	failAll := func() {
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// maxCostRatio is the highest placement cost of a server that is drawn, as a multiple of the lowest.
+	// maxCostRatio is the highest placement cost at which a server can be chosen, as a multiple of the
+	// lowest cost.
 	maxCostRatio = 1.25
-	// newRequestTimeFraction is the fraction of the time from arrival to the objective that an attempt
-	// may be expected to take. The rest allows for variance.
+	// newRequestTimeFraction limits the expected time of an attempt, as a fraction of the time from
+	// arrival to the objective. The rest allows for variance.
 	newRequestTimeFraction = 0.4
-	// queuedRequestTimeFraction is the fraction of the remaining time to the objective that an attempt
-	// may be expected to take. With a smaller fraction, newer requests would always be placed before
-	// a queued one.
+	// queuedRequestTimeFraction limits the expected time of an attempt, as a fraction of the remaining
+	// time to the objective. With a smaller fraction, newer requests would always be placed before a
+	// queued one.
 	queuedRequestTimeFraction = 0.7
 	// idleServerRequests is the estimated number of requests below which a server counts as idle.
 	idleServerRequests = 0.5
-	// idleTimeFraction is the fraction of the time to the objective that an attempt at an idle server
-	// may be expected to take. It is larger than newRequestTimeFraction because service times there vary
-	// less, and keeping an idle server free gains nothing.
+	// idleTimeFraction limits the expected time of an attempt at an idle server, as a fraction of the
+	// time to the objective. It is larger than newRequestTimeFraction because service times at an idle
+	// server vary less, and keeping it free gains nothing.
 	idleTimeFraction = 0.7
 	// idleFleetTimeFraction is multiplied by the idle fraction of the fleet and added to
-	// newRequestTimeFraction: from 0.3 of the fleet idle, an attempt may take the whole time.
+	// newRequestTimeFraction. If at least 0.3 of the fleet is idle, the expected time of an attempt may
+	// be all of the time to the objective.
 	idleFleetTimeFraction = 2.0
-	// saturationFactor is the number of requests, as a multiple of its parallelism, above which a
-	// server becomes slower for all of them.
+	// saturationFactor, as a multiple of a server's parallelism, is the number of requests above which
+	// the server becomes slower for all of them.
 	saturationFactor = 3.0
 	// keyAffinitySaving is the fraction of the work that is assumed to be saved at a server that has
 	// recently processed a request with the same key.
@@ -33,7 +35,7 @@
 	// explorationFraction is the fraction of the servers' capacity that may be used by requests that are
 	// sent only to detect the end of a slowdown.
 	explorationFraction = 0.1
-	// minPriorityWeight is a lower bound that keeps quotients finite.
+	// minPriorityWeight is the lower bound of a priority weight that is used as a divisor.
 	minPriorityWeight = 1e-3
 )
 
@@ -108,25 +110,25 @@
 
 // drawByScore draws a server at random, with a probability proportional to its score. It returns nil
 // if there are no servers.
-func (b *Balancer) drawByScore(from []*server) *server {
+func (b *Balancer) drawByScore(candidates []*server) *server {
 	sum := 0.0
-	for _, s := range from {
+	for _, s := range candidates {
 		sum += s.score
 	}
 	remaining := b.rng.Float64() * sum
-	for i, s := range from {
+	for i, s := range candidates {
 		remaining -= s.score
-		if remaining < 0 || i == len(from)-1 {
+		if remaining < 0 || i == len(candidates)-1 {
 			return s
 		}
 	}
 	return nil
 }
 
-// pickServer chooses the server for a request among the candidates that are expected to respond in
-// time and cost little more than the best one: one that the request's key prefers, otherwise one drawn
-// by score. If no candidate is expected to respond in time, it returns nil, or a server drawn by score
-// if the request is used for exploration.
+// pickServer chooses the server for a request. It considers the candidates that are expected to
+// respond in time and whose placement cost is close to the lowest. Among these it prefers the request's
+// affinity servers; otherwise it draws one by score. If no candidate is expected to respond in time, it
+// returns nil, or a server drawn by score if the request is used for exploration.
 func (b *Balancer) pickServer(r *request) *server {
 	primary, secondary := b.affinityServers(r)
 	limits := b.placementLimits(r)
@@ -148,8 +150,7 @@
 	if len(inTime) == 0 && b.mayExplore(r) {
 		return b.drawByScore(allowed)
 	}
-	// Removing the servers that cost too much leaves the ratio of the probabilities of the others
-	// unchanged.
+	// Removing expensive servers does not change the ratios between the draw probabilities of the others.
 	inTime = slices.DeleteFunc(inTime, func(s *server) bool { return s.placement.cost > best*maxCostRatio })
 	for _, preferred := range []*server{primary, secondary} {
 		if preferred != nil && slices.Contains(inTime, preferred) {
@@ -201,12 +202,12 @@
 func (b *Balancer) placementCost(r *request, s *server) Millis {
 	objective := r.class.LatencyObjective
 	cost := s.placement.expected + (s.estimate.failureRate+b.zoneFailureRate(s.zoneFailures))*objective
-	wholeWeight := objective * b.meanPriorityWeight / max(minPriorityWeight, r.class.PriorityWeight)
+	timePerPrice := objective * b.meanPriorityWeight / max(minPriorityWeight, r.class.PriorityWeight)
 	if s.Zone != b.settings.Zone {
-		cost += b.settings.Prices.CrossZone * wholeWeight
+		cost += b.settings.Prices.CrossZone * timePerPrice
 	}
 	if s.idleConnections < 1 {
-		cost += b.settings.Prices.Handshake * wholeWeight
+		cost += b.settings.Prices.Handshake * timePerPrice
 	}
 	if b.classFault(s, r.class) {
 		cost += b.classFailureRate(s, r.class) * objective
@@ -214,9 +215,9 @@
 	return cost
 }
 
-// idleServerTimeFraction returns the fraction of the time to the objective that an attempt at an idle
-// server may be expected to take. It is larger while much of the fleet is idle, because work hints are
-// inaccurate and a heavy request then delays no others.
+// idleServerTimeFraction returns the limit of the expected time of an attempt at an idle server, as a
+// fraction of the time to the objective. It is larger while much of the fleet is idle, because work
+// hints are inaccurate and a heavy request then delays no others.
 func (b *Balancer) idleServerTimeFraction() float64 {
 	if !b.settings.LoadReports {
 		return idleTimeFraction
@@ -240,11 +241,11 @@
 	return !r.late && b.openAttempts == 0 && b.timeToObjective(r) > 0 && b.takeExploration()
 }
 
-// takeExploration reports whether the exploration budget allows another request, and takes it from the
-// budget. Without exploration, outdated estimates could cause all requests to be rejected permanently.
-// If each node always had an exploration in flight, an overloaded fleet with more nodes than servers
-// would not recover. Therefore all nodes together are limited to a fraction of the servers' capacity,
-// with each node at a random phase of its budget.
+// takeExploration takes a token from the exploration budget and reports whether one was available.
+// Without exploration, outdated estimates could cause all requests to be rejected permanently. If each
+// node always had an exploration in flight, an overloaded fleet with more nodes than servers would not
+// recover. Therefore all nodes together are limited to a fraction of the servers' capacity, and each
+// node's budget starts at a random fill level, so that explorations are spread over time.
 func (b *Balancer) takeExploration() bool {
 	unitTime := min(b.estimate.unitTime, b.estimate.initialUnitTime)
 	rate := explorationFraction * float64(len(b.servers.ready)) / unitTime / float64(b.fleet.size)
@@ -253,8 +254,9 @@
 }
 
 // affinityServers returns the two servers that all nodes prefer for a request's key, because a server
-// that has recently processed the key needs less work for it. They are the servers with the highest
-// hashes of key and server name among those that are not ejected (rendezvous hashing).
+// that has recently processed a request with the key does less work for the next one. They are the
+// servers with the highest hashes of key and server name among those that are not ejected (rendezvous
+// hashing).
 func (b *Balancer) affinityServers(r *request) (primary, secondary *server) {
 	if r.affinityKey == 0 || r.affinity.version == b.servers.version {
 		return r.affinity.first, r.affinity.second
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -208,8 +208,8 @@
 }
 
 // Guards against queuing requests, and rejecting them later, if the load of the servers is unknown and the
-// budget allows no probes to learn it: with hundreds of nodes, a fifth of the requests were rejected while
-// servers had free capacity.
+// budget allows no probes: with hundreds of nodes, a fifth of the requests were rejected while servers had
+// free capacity.
 func TestRequestIsSentAtOnceIfLoadCannotBeLearned(t *testing.T) {
 	sent := func(set Settings, load float64) bool {
 		b := newTestNode(t, set, testEndpoints(40)...)
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -48,8 +48,8 @@
 // actionTypes are the names of the Action types.
 var actionTypes = []string{"StartAttempt", "CancelAttempt", "Reject", "Fail", "SetTimer", "ProbeLoad", "WatchEndpoints", "BroadcastGossip", "Log"}
 
-// minEmitters is the minimum number of functions in the policy files that emit actions. If the check finds
-// fewer, it doesn't recognize them any more.
+// minEmitters is the minimum number of emitting functions that the check must find in the policy files. If
+// it finds fewer, it no longer recognizes the code that emits actions.
 const minEmitters = 15
 
 // Only the policy files that deploy/balancer.toml lists may contain decisions. A function in another file
@@ -60,22 +60,22 @@
 		t.Fatal(err)
 	}
 	policy := policyFiles(t)
-	inside := 0
+	policyEmitters := 0
 	for _, name := range files {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
 		emitters := emittersIn(t, name)
 		if slices.Contains(policy, "balancer/"+name) {
-			inside += len(emitters)
+			policyEmitters += len(emitters)
 			continue
 		}
 		for _, function := range emitters {
 			t.Errorf("%s in %s emits an action outside the policy files", function, name)
 		}
 	}
-	if inside < minEmitters {
-		t.Errorf("functions in the policy files that emit actions = %d, want at least %d", inside, minEmitters)
+	if policyEmitters < minEmitters {
+		t.Errorf("functions in the policy files that emit actions = %d, want at least %d", policyEmitters, minEmitters)
 	}
 }
 
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -9,8 +9,8 @@
 const (
 	// sweepInterval, in ms, is the interval at which queued requests are dispatched.
 	sweepInterval = 10.0
-	// maxPlacementFailures is the number of requests without a suitable server at one time after which
-	// the servers count as full. Trying further requests would only cost CPU.
+	// maxPlacementFailures is the number of requests without a suitable server after which the servers
+	// count as full until the clock advances. Trying further requests would only cost CPU.
 	maxPlacementFailures = 4
 )
 
@@ -18,10 +18,11 @@
 type requestQueue struct {
 	waiting             []*request
 	sweepScheduled      bool
-	placementFailuresAt Millis // the time for which placementFailures counts
+	placementFailuresAt Millis // the time to which placementFailures applies
 	placementFailures   int    // requests without a suitable server at that time
-	// fastest caches the shortest time in which any server serves a request of mean work that may go to
-	// any server. It is valid only at the time fastestAt.
+	// fastest caches the shortest time in which any server serves a request of mean work, for requests
+	// without an attempt that may have run: all ready servers are eligible for them. It is valid only at
+	// the time fastestAt.
 	fastest   Millis
 	fastestAt Millis
 }
@@ -40,7 +41,7 @@
 	b.emit(SetTimer{timerSweep, b.now + sweepInterval})
 }
 
-// dispatchQueue sends the queued requests to servers, highest marginal value first. It rejects the ones
+// dispatchQueue sends the queued requests to servers, highest marginal value first. It rejects requests
 // that can't meet their latency objective.
 func (b *Balancer) dispatchQueue() {
 	if len(b.queue.waiting) == 0 {
@@ -100,7 +101,7 @@
 		b.startAttempt(r, s)
 		return true
 	}
-	if !r.mayHaveRun { // requests bound to a lost dedup scope must not block the others
+	if !r.mayHaveRun { // a request bound to a dedup scope without usable servers must not block the others
 		b.queue.placementFailures++
 	}
 	return false
@@ -128,7 +129,8 @@
 	}
 	best = math.Inf(1)
 	for _, s := range b.servers.ready {
-		// A request that may have run is bound to its dedup scope, and all servers there may be ejected.
+		// A request that may have run may be bound to a dedup scope. It must not wait for the servers there
+		// if all are ejected or were tried.
 		unusable := r.mayHaveRun && (s.outlier.ejected || r.triedServer(s))
 		if b.eligible(r, s) && !unusable {
 			best = min(best, b.estimatedUnitTime(s)*r.work)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -52,7 +52,8 @@
 // eligible limits the servers for such a repeat.
 func (c *classState) repeatable() bool { return c.Idempotency != NonIdempotent }
 
-// rejectOrFail gives the final answer: a rejection if the client can retry safely, otherwise a failure.
+// rejectOrFail gives the final answer: a rejection if the client can retry safely, otherwise a failure. It
+// gives the answer immediately and never delays it.
 func (b *Balancer) rejectOrFail(r *request, reason RejectReason) {
 	if b.retryMayHarm(r) {
 		b.emit(Fail{r.id, reason})
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,24 +1,24 @@
 package balancer
 
 const (
-	// maxNewServerAge, in ms, is the maximum age of a server that is new in an endpoint list that this
-	// node has watched without a gap.
+	// maxNewServerAge, in ms, is the maximum age that this node assumes for a server that a delta update
+	// reports as started, if this node has missed no earlier change of the endpoint list.
 	maxNewServerAge Millis = 1000
 	// slowStartBudgetFraction is the fraction of a server's slow start budget that the nodes use. The
 	// rest is a margin, because this node's estimate of the server's capacity may be off by half.
 	slowStartBudgetFraction = 0.6
-	// slowStartBurstWindows is the length of time, in overload windows, for which a node may save its
-	// quota of a server's slow start budget.
+	// slowStartBurstWindows is the time, in overload windows, for which a node may save its unspent quota
+	// of a server's slow start budget.
 	slowStartBurstWindows = 0.5
 	// extraCapacityStep is how much one response of a server in slow start changes the estimated
 	// capacity of all servers in slow start.
 	extraCapacityStep = 0.05
 )
 
-// slowStartState is one server's slow start.
+// slowStartState is the state of one server's slow start.
 type slowStartState struct {
 	since  Millis      // when it began, by this node's clock; 0 if the server started long ago
-	budget tokenBucket // work that may still be sent during slow start, in requests of mean work
+	budget tokenBucket // work that this node may send now, in requests of mean work
 }
 
 // slowStartBegin returns when a server's slow start began, by this node's monotonic clock.
@@ -26,21 +26,22 @@
 // The start time that discovery reports is wall time. If the clocks of the two machines differ, a
 // server that has just started could skip its slow start and be overloaded, or a server that started
 // long ago could remain in slow start until this node's clock has caught up. Therefore a start time
-// in the future counts as now, and one first reported by a live list as at most maxNewServerAge ago.
-func (b *Balancer) slowStartBegin(started Millis, live bool) Millis {
+// in the future counts as now. If this node has missed no change of the endpoint list, the server has
+// just started, and a start time more than maxNewServerAge ago counts as maxNewServerAge ago.
+func (b *Balancer) slowStartBegin(started Millis, noChangeMissed bool) Millis {
 	switch {
 	case started <= 0:
 		return 0
 	case started > b.now:
 		return b.now
-	case live:
+	case noChangeMissed:
 		return max(started, b.now-maxNewServerAge)
 	}
 	return started
 }
 
-// minimumCapacity returns the fraction of its full capacity, from 0 to 1, that a server has at least
-// at this point of its slow start.
+// minimumCapacity returns the minimum capacity of a server at this point of its slow start, as a
+// fraction of its full capacity from 0 to 1.
 func (b *Balancer) minimumCapacity(s *server) float64 {
 	slowStart := b.settings.SlowStart
 	if s.slowStart.since <= 0 || slowStart.Duration <= 0 {
@@ -50,18 +51,19 @@
 	return min(1, slowStart.InitialCapacity+(1-slowStart.InitialCapacity)*age/slowStart.Duration)
 }
 
-// estimatedCapacity returns the estimated fraction of its full capacity that a server has now: the
-// minimum, plus the fraction of the remainder that responses of servers in slow start have shown.
-// Without such a common estimate, each node's first request to each new server would be late.
+// estimatedCapacity returns the estimated capacity of a server, as a fraction of its full capacity. It
+// is the minimum capacity plus a fraction of the rest, which is estimated from the responses of all
+// servers in slow start. Without such a common estimate, each node's first request to each new server
+// would be late.
 func (b *Balancer) estimatedCapacity(s *server) float64 {
 	minimum := b.minimumCapacity(s)
 	return minimum + b.estimate.extraCapacity*(1-minimum)
 }
 
 // unitTimeAtFullCapacity converts the measured unit time of a server in slow start to the unit time
-// that it would have had at full capacity. A success also moves the estimated capacity of the servers
-// in slow start by a fixed step. The size of the error cannot be measured, because the server's other
-// requests at the time are unknown.
+// that it would have had at full capacity. A success also raises or lowers the estimated capacity of
+// all servers in slow start by a fixed step. The step is fixed because the error of the estimate cannot
+// be measured: the number of the server's other requests at the time is unknown.
 func (b *Balancer) unitTimeAtFullCapacity(s *server, unitTime Millis, success bool) Millis {
 	capacity := b.estimatedCapacity(s)
 	if capacity < 1 && success {
@@ -75,7 +77,7 @@
 }
 
 // slowStartRate returns the work per ms that this node may send to a server in slow start: its quota
-// of what all nodes together may send. Rejected work counts too.
+// of the work that all nodes together may send. Work that the server rejects counts too.
 func (b *Balancer) slowStartRate(s *server) float64 {
 	fleetLoad := slowStartBudgetFraction * b.settings.SlowStart.OverloadFactor * b.minimumCapacity(s)
 	return fleetLoad / b.typicalUnitTime(s) / b.fleetDivisor()
@@ -93,6 +95,6 @@
 		return true
 	}
 	rate := b.slowStartRate(s)
-	saved := rate * slowStartBurstWindows * b.settings.SlowStart.OverloadWindow
-	return rate > 0 && s.slowStart.budget.refillPhased(b.now, rate, saved) >= max(1, min(work, saved))
+	maxSaved := rate * slowStartBurstWindows * b.settings.SlowStart.OverloadWindow
+	return rate > 0 && s.slowStart.budget.refillPhased(b.now, rate, maxSaved) >= max(1, min(work, maxSaved))
 }
