--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine runs the single goroutine that owns the balancer. Events arrive through a mailbox.
 // The engine passes each one to the balancer and executes the actions that the balancer returns. It
-// makes no decisions of its own and never blocks on I/O; neither may the interfaces through which it
-// executes actions.
+// makes no decisions of its own and never blocks on I/O. The interfaces through which it executes
+// actions must not block either.
 package engine
 
 import (
@@ -126,7 +126,7 @@
 }
 
 // recoverPanic calls f and recovers from a panic in it, so that a fault in the handling of one event
-// does not end the node. Events that are still pending from the failed step are dropped.
+// does not end the process. Events that are still pending from the failed step are dropped.
 func (e *Engine) recoverPanic(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -156,8 +156,8 @@
 	}
 }
 
-// step passes an event to the balancer and executes the resulting actions. Events that are raised by
-// executing an action are handled after the current one, in the same call.
+// step passes an event to the balancer and executes the resulting actions. If executing an action
+// raises another event, this event is handled after the current one, before step returns.
 func (e *Engine) step(event balancer.Event) {
 	e.pendingEvents = append(e.pendingEvents, event)
 	if len(e.pendingEvents) > 1 {
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// isClosed reports whether a channel is isClosed.
+// isClosed reports whether a channel is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -16,7 +16,7 @@
 	head              []byte // request line and header fields, without the empty line after them
 	body              []byte
 	largeBody         engine.RequestBody // replaces body if not nil
-	submittedDeadline balancer.Millis    // the deadline that the balancer gets at the arrival
+	submittedDeadline balancer.Millis    // the deadline in the Arrival that is submitted to the balancer
 }
 
 // notForwarded contains the hop-by-hop fields and the fields that the node writes itself.
--- a/internal/proxy/respond_test.go
+++ b/internal/proxy/respond_test.go
@@ -45,7 +45,7 @@
 	ctx := lookRequest(60_000)
 	testHandler(silentEngine(t, count), count).Serve(ctx, c)
 	if ctx.Response.StatusCode() != statusClientClosedRequest || c.closeReason != ReasonClientDisconnected || count.Requests.ClientDisconnected.Get() != 1 {
-		t.Errorf("status = %d, close reason = %q, counters = %s, want 499 for a disconnected client", ctx.Response.StatusCode(),
+		t.Errorf("status = %d, close reason = %q, counters = %s, want 499, client_left and 1 disconnected client", ctx.Response.StatusCode(),
 			c.closeReason, count.JSON())
 	}
 }
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -27,7 +27,7 @@
 }
 
 // maxUploadTime returns how long the rest of the upload may take, in milliseconds; 0 if the body is complete. The client's
-// connection ends an upload that is too slow for its size. This limit only prevents the request from expiring before that.
+// connection ends an upload that is too slow for its size. The limit is so long that the request does not expire earlier.
 func (r *request) maxUploadTime() balancer.Millis {
 	if !r.received.uploading {
 		return 0
@@ -59,9 +59,9 @@
 	return r.routeAgain(ctx)
 }
 
-// routeAgain routes a request again if its response arrived before its body was complete, because there was no capacity for it
-// at that time or its server failed. That response is discarded, since no server has run the request. A response that arrives
-// after the last byte is final, since the request may have run.
+// routeAgain routes a request again if its response arrived before its body was complete. Such a response means that there was
+// no capacity at that time, or that the server failed. It is discarded, since no server has run the request. A response that
+// arrives after the last byte is final, since the request may have run.
 func (r *request) routeAgain(ctx *fasthttp.RequestCtx) *outcome {
 	discard(<-r.response)
 	if r.client.Disconnected() {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,10 +23,10 @@
 	got := s.Balancer
 	if got.Nodes != 3 || got.Node != 1 || !got.WatchEndpoints || !got.WeightByWork || !got.CapacitiesListed ||
 		!got.ClientsMarkRetries || !got.LoadReports || got.MaxAttempts != 4 || got.MaxPollInterval != 10000 || got.DrainGrace != 1500 || got.ConnectTimeout != 250 {
-		t.Errorf("balancer settings = %+v", got)
+		t.Errorf("balancer settings = %+v, want those of validSettings", got)
 	}
 	if len(got.Classes) != 2 || got.Classes[1].Idempotency != balancer.IdempotentWithKey || got.Classes[1].DedupScope != balancer.DedupWithinZone {
-		t.Errorf("classes = %+v", got.Classes)
+		t.Errorf("classes = %+v, want 2, the second idempotent with a key within a zone", got.Classes)
 	}
 	if s.InFlightIndex != 1 || s.ServerIdleTimeout != 10000 || s.ResponseSlack != 5 {
 		t.Errorf("in-flight index = %d, idle timeout = %v ms, response slack = %v ms, want 1, 10000 and 5",
@@ -48,7 +48,7 @@
 		}
 	}
 	if s, err := Parse([]byte(strings.Replace(validSettings, `"answers"`, `"none"`, 1))); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 {
-		t.Errorf("without load reports: settings = %+v, error = %v", s, err)
+		t.Errorf("without load reports: settings = %+v, error = %v, want LoadReports false, InFlightIndex -1 and no error", s, err)
 	}
 }
 
@@ -60,21 +60,21 @@
  "family_info":{"warm_keys":true},"prices":{"cross_zone":0.13,"handshake":0.02,"peer":0.01,"probe":0.008}`)
 	if got := s.Balancer; err != nil || got.Goal.Availability != 0.2 || !got.KeyAffinity || got.Prices.CrossZone != 0.13 || got.Prices.Handshake != 0.02 ||
 		got.Prices.Gossip != 0.01 || got.Prices.Probe != 0.008 || got.ReportsFromProbesOnly || got.GossipAllowed || got.CPUPerRequest != 0 {
-		t.Errorf("balancer settings = %+v, error = %v", got, err)
+		t.Errorf("with optional keys: balancer settings = %+v, error = %v, want the values of these keys and no error", got, err)
 	}
 	s, err = parseWith(`"probes":true}`, `"probes":true,"peers":true,"cpu_us_per_request":10}`)
 	if err != nil || !s.Balancer.GossipAllowed || s.Balancer.CPUPerRequest != 10 || s.QueuedIndex != 0 {
-		t.Errorf("settings = %+v, error = %v", s, err)
+		t.Errorf("with gossip: settings = %+v, error = %v, want GossipAllowed, CPUPerRequest 10, QueuedIndex 0 and no error", s, err)
 	}
 	if s, err = parseWith(`"how":"answers"`, `"how":"probe"`); err != nil || !s.Balancer.ReportsFromProbesOnly || !s.Balancer.LoadReports {
-		t.Errorf("balancer settings = %+v, error = %v", s.Balancer, err)
+		t.Errorf("with reports from probes: balancer settings = %+v, error = %v, want ReportsFromProbesOnly, LoadReports and no error", s.Balancer, err)
 	}
 	// If load reports come only with load probes and probes are forbidden, no reports arrive. The
 	// balancer must not wait for them.
 	if s, err = parseWith(`"probes":true},"realms":[{"name":"t","quota_per_s":5}],
  "report":{"how":"answers"`, `"probes":false},"realms":[{"name":"t","quota_per_s":5}],
  "report":{"how":"probe"`); err != nil || s.Balancer.LoadReports || s.InFlightIndex != -1 || s.Balancer.ProbesAllowed {
-		t.Errorf("reports with forbidden probes: balancer settings = %+v, error = %v", s.Balancer, err)
+		t.Errorf("with reports from forbidden probes: balancer settings = %+v, error = %v, want no load reports, InFlightIndex -1 and no error", s.Balancer, err)
 	}
 	for key, change := range map[string][2]string{
 		"goal.nines_wanted":     {`"whole":1}`, `"whole":1,"nines_wanted":0}`},
