--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -10,8 +10,8 @@
 	b := newTestNode(t, settings(), testEndpoints(3)...)
 	admitted := func(class string, mark uint64) (ok bool) {
 		t.Helper()
-		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: class, SamplingMark: mark, Deadline: b.now + 1000})
+		b.lastRequestID++
+		acts := b.step(Arrival{ID: b.lastRequestID, Class: class, SamplingMark: mark, Deadline: b.now + 1000})
 		for _, a := range acts {
 			if r, isReject := a.(Reject); isReject {
 				if r.Reason != FleetOverload {
@@ -53,8 +53,8 @@
 		set.Classes[0].LateFraction = lateFraction
 		b := newTestNode(t, set, testEndpoints(2)...)
 		b.arrive("read", 1000) // sets the longest timeout of the class
-		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: "read", IsRetry: true, Deadline: b.now + 300}) // the first attempt began 1.7 s ago
+		b.lastRequestID++
+		acts := b.step(Arrival{ID: b.lastRequestID, Class: "read", IsRetry: true, Deadline: b.now + 300}) // the first attempt began 1.7 s ago
 		if rejected := count[Reject](acts) == 1; rejected != (lateFraction == 0) {
 			t.Errorf("LateFraction %.1f: late retry got %v, want rejected = %v", lateFraction, acts, lateFraction == 0)
 		}
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -75,7 +75,7 @@
 		c.addServer(s)
 	}
 	for _, r := range c.from.requests {
-		for _, s := range []*server{r.dedupServer, r.affinity.first, r.affinity.second} {
+		for _, s := range []*server{r.dedupServer, r.affinity.primary, r.affinity.secondary} {
 			c.addServer(s)
 		}
 		for i := range r.attempts {
@@ -132,8 +132,8 @@
 		n.tenant = c.to.tenants[r.tenant.Name]
 	}
 	n.dedupServer = c.servers[r.dedupServer]
-	n.affinity.first = c.servers[r.affinity.first]
-	n.affinity.second = c.servers[r.affinity.second]
+	n.affinity.primary = c.servers[r.affinity.primary]
+	n.affinity.secondary = c.servers[r.affinity.secondary]
 	n.attempts = slices.Clone(r.attempts)
 	for i := range n.attempts {
 		n.attempts[i].server = c.servers[n.attempts[i].server]
--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -80,7 +80,7 @@
 	failed := float64(failures)
 	total := float64(successes+failures) + assumedSuccesses
 	for _, report := range s.gossipReports {
-		if report.kind == gossipOutcomes && b.now < report.at+gossipedOutcomesMaxAge {
+		if report.kind == gossipOutcomes && b.now < report.receivedAt+gossipedOutcomesMaxAge {
 			failed += report.failures / gossipedOutcomeDivisor
 			total += (report.loadOrSuccesses + report.failures) / gossipedOutcomeDivisor
 		}
--- a/balancer/fairness_test.go
+++ b/balancer/fairness_test.go
@@ -13,13 +13,13 @@
 	b := newTestNode(t, set, testEndpoints(1)...)
 	tenant, sent := map[RequestID]string{}, map[string]int{}
 	for i := 0; i < 400; i++ { // ten times as many from one tenant as from the other
-		b.next++
+		b.lastRequestID++
 		name := "loud"
 		if i%11 == 0 {
 			name = "meek"
 		}
-		tenant[b.next] = name
-		acts := b.step(Arrival{ID: b.next, Class: "read", Tenant: name, Deadline: b.now + 2000})
+		tenant[b.lastRequestID] = name
+		acts := b.step(Arrival{ID: b.lastRequestID, Class: "read", Tenant: name, Deadline: b.now + 2000})
 		b.now += 10
 		if i%5 == 4 { // the server answers one request in 50 ms
 			if r := b.balancer.servers.ready[0].attempts.requests; len(r) > 0 {
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -65,7 +65,7 @@
 
 // A server that fails immediately looks idle and would attract requests. Its failure rate must rise with
 // consecutive failures and with failures reported by gossip, even before it is ejected.
-func TestFailureShareCountsGossipAndConsecutiveFailures(t *testing.T) {
+func TestFailureRateCountsGossipAndConsecutiveFailures(t *testing.T) {
 	b := newTestNode(t, probeOnlySettings(2), testEndpoints(2)...)
 	s := b.balancer.servers.byID["s0"]
 	if b.balancer.estimatedFailureRate(s) != 0 {
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -33,7 +33,7 @@
 	kind            gossipKind
 	loadOrSuccesses float64 // requests in flight, or successes
 	failures        float64 // unused for gossipLoads
-	at              Millis
+	receivedAt      Millis
 }
 
 // gossipSource identifies the messages of one node and kind.
@@ -90,7 +90,7 @@
 			kind:            source.kind,
 			loadOrSuccesses: float64(entry[2]),
 			failures:        float64(entry[size-1]),
-			at:              b.now,
+			receivedAt:      b.now,
 		})
 		s.estimate.computedAt = estimateOutdated
 		reported = append(reported, s)
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -7,11 +7,11 @@
 
 // testNode wraps a Balancer whose events and time a test controls, and records the actions.
 type testNode struct {
-	t        *testing.T
-	balancer *Balancer
-	now      Millis
-	actions  []Action
-	next     RequestID
+	t             *testing.T
+	balancer      *Balancer
+	now           Millis
+	actions       []Action
+	lastRequestID RequestID
 }
 
 func settings() Settings {
@@ -55,8 +55,8 @@
 
 // arrive sends an Arrival whose deadline is ttl from now, and returns the request's ID and the actions.
 func (b *testNode) arrive(class string, ttl Millis) (RequestID, []Action) {
-	b.next++
-	return b.next, b.step(Arrival{ID: b.next, Class: class, Deadline: b.now + ttl})
+	b.lastRequestID++
+	return b.lastRequestID, b.step(Arrival{ID: b.lastRequestID, Class: class, Deadline: b.now + ttl})
 }
 
 // completeAttempt completes attempt number n of a request.
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -259,7 +259,7 @@
 // hashing).
 func (b *Balancer) affinityServers(r *request) (primary, secondary *server) {
 	if r.affinityKey == 0 || r.affinity.version == b.servers.version {
-		return r.affinity.first, r.affinity.second
+		return r.affinity.primary, r.affinity.secondary
 	}
 	var highest, secondHighest uint64
 	for _, s := range b.servers.ready {
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -94,13 +94,13 @@
 	set.LoadReports = true
 	b := newTestNode(t, set, testEndpoints(4)...)
 	for i := 0; i < 40; i++ {
-		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: "read", WorkHint: 50, Deadline: b.now + 2000})
+		b.lastRequestID++
+		acts := b.step(Arrival{ID: b.lastRequestID, Class: "read", WorkHint: 50, Deadline: b.now + 2000})
 		b.now += 100
-		b.completeAttempt(b.next, 0, sentTo(acts), OK, 100)
+		b.completeAttempt(b.lastRequestID, 0, sentTo(acts), OK, 100)
 	}
-	b.next++
-	if acts := b.step(Arrival{ID: b.next, Class: "read", WorkHint: 250, Deadline: b.now + 2000}); sentTo(acts) == "" {
+	b.lastRequestID++
+	if acts := b.step(Arrival{ID: b.lastRequestID, Class: "read", WorkHint: 250, Deadline: b.now + 2000}); sentTo(acts) == "" {
 		t.Error("a request with a large work hint was rejected by an idle fleet")
 	}
 }
@@ -196,11 +196,11 @@
 			b.balancer.recordLoadReport(s, LoadReport{Valid: true, InFlight: 0})
 		}
 		b.balancer.estimate.othersLoad = load
-		b.next++
-		b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 10})
+		b.lastRequestID++
+		b.step(Arrival{ID: b.lastRequestID, Class: "read", Deadline: b.now + 2000, WorkHint: 10})
 		b.balancer.estimate.meanWorkHint = 2
-		b.next++
-		acts := b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + 2000, WorkHint: 8}) // four times the mean
+		b.lastRequestID++
+		acts := b.step(Arrival{ID: b.lastRequestID, Class: "read", Deadline: b.now + 2000, WorkHint: 8}) // four times the mean
 		if sent := sentTo(acts) != ""; sent != (load < 1) {
 			t.Errorf("mean load %.1f: sent = %v, want %v", load, sent, load < 1)
 		}
@@ -210,7 +210,7 @@
 // Guards against queuing requests, and rejecting them later, if the load of the servers is unknown and the
 // budget allows no probes: with hundreds of nodes, a fifth of the requests were rejected while servers had
 // free capacity.
-func TestRequestIsSentAtOnceIfLoadCannotBeLearned(t *testing.T) {
+func TestRequestIsSentAtOnceIfServerLoadIsUnknown(t *testing.T) {
 	sent := func(set Settings, load float64) bool {
 		b := newTestNode(t, set, testEndpoints(40)...)
 		b.balancer.estimate.othersLoad, b.balancer.probing.tokens.available = load, 0
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -15,8 +15,8 @@
 	for i := 0; i < 2*maxPlacementFailures; i++ {
 		b.balancer.servers.byID["s0"].outlier.ejected = false
 		b.balancer.retryBudget.available = retryBurst
-		b.next++
-		r := &request{id: b.next, class: b.balancer.classes["put"], arrived: b.now, deadline: b.now + 2000,
+		b.lastRequestID++
+		r := &request{id: b.lastRequestID, class: b.balancer.classes["put"], arrived: b.now, deadline: b.now + 2000,
 			objectiveAt: b.now + 400, work: 1, mayHaveRun: true, dedupServer: b.balancer.servers.byID["s0"], dedupUntil: b.now + 1000}
 		b.balancer.requests[r.id] = r
 		b.balancer.enqueue(r)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -35,8 +35,8 @@
 
 // affinityPair caches the two preferred servers for a request's key. It is valid for one serverSet.version.
 type affinityPair struct {
-	first, second *server
-	version       int
+	primary, secondary *server
+	version            int
 }
 
 // requestIdentity is the same for a request and its client's retries.
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -80,9 +80,9 @@
 		b.balancer.explorations.available = -1e9 // no explorations: they pass the same budget, and the test is on the budget alone
 		for k := 0; b.now < from+span; k++ {
 			b.now += every * (0.5 + float64((i*7+k)%11)/10)
-			b.next++
-			costs[b.next] = cost(i + k)
-			perform(b, b.step(Arrival{ID: b.next, Class: "read", Deadline: b.now + f.set.SlowStart.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
+			b.lastRequestID++
+			costs[b.lastRequestID] = cost(i + k)
+			perform(b, b.step(Arrival{ID: b.lastRequestID, Class: "read", Deadline: b.now + f.set.SlowStart.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
 			perform(b, b.step(TimerFired{"sweep"}))
 		}
 	}
--- a/balancer/tenantquota_test.go
+++ b/balancer/tenantquota_test.go
@@ -11,8 +11,8 @@
 	b := newTestNode(t, set, testEndpoints(1)...)
 	for i := 0; i < 100; i++ {
 		b.now += 10
-		b.next++
-		b.step(Arrival{ID: b.next, Class: "read", Tenant: "loud", Deadline: b.now + 2000})
+		b.lastRequestID++
+		b.step(Arrival{ID: b.lastRequestID, Class: "read", Tenant: "loud", Deadline: b.now + 2000})
 	}
 	loudRequest := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["loud"], work: 1}
 	meekRequest := &request{class: b.balancer.classes["read"], tenant: b.balancer.tenants["meek"], work: 1}
--- a/internal/ingress/connstate.go
+++ b/internal/ingress/connstate.go
@@ -35,8 +35,8 @@
 	c.setCloseReason(reason)
 }
 
-// closeAfterResponse returns the reason for closing the connection after the next response, or "" if it stays open.
-func (c *conn) closeAfterResponse() string {
+// closeReasonAfterResponse returns the reason for closing the connection after the next response, or "" if it stays open.
+func (c *conn) closeReasonAfterResponse() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nodeCloseReason == "" && (c.server.draining() || c.server.AdminDraining()) {
--- a/internal/ingress/handle.go
+++ b/internal/ingress/handle.go
@@ -84,7 +84,7 @@
 	c.markHandled()
 	if ctx.Request.Header.ConnectionClose() {
 		c.SetCloseReason(proxy.ReasonCloseRequested)
-	} else if reason := c.closeAfterResponse(); reason != "" {
+	} else if reason := c.closeReasonAfterResponse(); reason != "" {
 		c.SetCloseReason(reason)
 		ctx.SetConnectionClose()
 	}
