--- a/lab/loopback/loopback.go
+++ b/lab/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback hands out addresses of the loopback range, each with a host of its own. Connections' own ends lie on
-// 127.0.0.1, so a listener that comes back at its old address never finds the port taken by one of them.
+// Package loopback allocates loopback addresses, each with its own host. Outgoing connections use 127.0.0.1 as their local
+// address, so they never occupy the port of a listener that is reopened on its previous address.
 package loopback
 
 import (
@@ -9,16 +9,16 @@
 	"sync/atomic"
 )
 
-var handed atomic.Int64
+var hostCount atomic.Int64
 
-// NextHost is a host that this process has not handed out before; two processes' hosts are seldom the same, and then their
-// ports differ.
+// NextHost returns a loopback host that this process has not returned before. Two processes rarely get the same host, and
+// if they do, the kernel assigns them different ports.
 func NextHost() string {
-	n := handed.Add(1)
+	n := hostCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, 1+n/200%250, 1+n%200)
 }
 
-// FreeAddress is an address on which nobody listens.
+// FreeAddress returns an address on which no socket listens.
 func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", NextHost()+":0")
 	if err != nil {
--- a/lab/netfault/conn.go
+++ b/lab/netfault/conn.go
@@ -12,53 +12,53 @@
 func (l *Link) Wrap(nc net.Conn) *Conn {
 	n := l.connCount.Add(1)
 	l.mu.Lock()
-	c := &Conn{Conn: nc, link: l, began: time.Now(), ended: make(chan struct{}),
+	c := &Conn{Conn: nc, link: l, startedAt: time.Now(), ended: make(chan struct{}),
 		out: newPipe(NewShaper(l.up, l.seed, 2*n)), in: newPipe(NewShaper(l.down, l.seed, 2*n+1))}
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
-	go c.push()
-	go c.pull()
-	go c.deliver()
+	go c.writeWhenDue()
+	go c.readSocket()
+	go c.deliverWhenDue()
 	return c
 }
 
-// Conn is a TCP connection on a link. Reads and writes pass through the link's shapers; the order is kept, and a
-// half-close comes after what was written before.
+// Conn is a TCP connection on a simulated link. Reads and writes pass through the link's shapers. Bytes keep their order, and
+// a half-close takes effect after all bytes written before it.
 type Conn struct {
 	net.Conn
-	link  *Link
-	began time.Time
-	out   *pipe
-	in    *pipe
+	link      *Link
+	startedAt time.Time
+	out       *pipe
+	in        *pipe
 
-	once  sync.Once
-	ended chan struct{}
+	terminateOnce sync.Once
+	ended         chan struct{}
 }
 
-// Write hands bytes to the link. It waits while too many are in flight.
+// Write queues bytes on the link. It blocks while too many bytes are in flight.
 func (c *Conn) Write(b []byte) (int, error) {
 	for n := 0; n < len(b); n += segmentBytes {
-		part := b[n:min(len(b), n+segmentBytes)]
-		if err := c.out.put(time.Since(c.began), part); err != nil {
+		segment := b[n:min(len(b), n+segmentBytes)]
+		if err := c.out.put(time.Since(c.startedAt), segment); err != nil {
 			return n, err
 		}
 	}
 	return len(b), nil
 }
 
-// CloseWrite half-closes the connection once what was written has passed.
+// CloseWrite half-closes the connection after all written bytes have been delivered.
 func (c *Conn) CloseWrite() error { return c.out.finish(io.EOF) }
 
-// Read returns what has arrived.
+// Read returns bytes that have arrived.
 func (c *Conn) Read(b []byte) (int, error) { return c.in.read(b) }
 
 // SetReadDeadline sets the deadline of Read.
 func (c *Conn) SetReadDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
-// SetDeadline sets the deadline of Read; a blocked Write ends with Close.
+// SetDeadline sets the deadline of Read only. A blocked Write ends when the connection is closed.
 func (c *Conn) SetDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
-// ResetMaxDelay begins a new measurement for MaxDelay.
+// ResetMaxDelay starts a new measurement for MaxDelay.
 func (c *Conn) ResetMaxDelay() {
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// MaxDelay is what the link has added since ResetMaxDelay: the largest delay of each direction, summed.
+// MaxDelay returns the delay that the link has added since ResetMaxDelay: the sum of the largest delays of each direction.
 func (c *Conn) MaxDelay() time.Duration {
 	sum := time.Duration(0)
 	for _, p := range []*pipe{c.out, c.in} {
@@ -78,7 +78,7 @@
 	return sum
 }
 
-// InFlight reports whether the link still holds bytes of either direction.
+// InFlight reports whether bytes are in flight in either direction.
 func (c *Conn) InFlight() bool {
 	for _, p := range []*pipe{c.out, c.in} {
 		p.mu.Lock()
@@ -91,23 +91,23 @@
 	return false
 }
 
-// Close closes the connection once what was written has passed.
+// Close ends reads immediately and closes the connection after all written bytes have been delivered.
 func (c *Conn) Close() error {
 	c.in.fail(net.ErrClosed)
 	return c.out.finish(net.ErrClosed)
 }
 
-// Reset breaks the connection at once; what is in flight is lost.
+// Reset resets the connection immediately. Bytes in flight are lost.
 func (c *Conn) Reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	c.end()
+	c.terminate()
 }
 
-// end closes the socket and unblocks whoever waits.
-func (c *Conn) end() {
-	c.once.Do(func() {
+// terminate closes the socket and unblocks all pending operations of the connection.
+func (c *Conn) terminate() {
+	c.terminateOnce.Do(func() {
 		close(c.ended)
 		_ = c.Conn.Close()
 		c.in.fail(io.ErrUnexpectedEOF)
@@ -118,39 +118,39 @@
 	})
 }
 
-// push writes chunks to the socket when they are due.
-func (c *Conn) push() {
+// writeWhenDue writes outgoing chunks to the socket when they are due, until the connection ends.
+func (c *Conn) writeWhenDue() {
 	for {
-		p, err := c.out.next()
-		if err == nil || errors.Is(err, io.EOF) { // the end passes a silent link no sooner than bytes do
-			err = errors.Join(err, c.waitUntilDue(Out, p.at))
+		outgoing, err := c.out.next()
+		if err == nil || errors.Is(err, io.EOF) { // a stall delays the half-close as well as bytes
+			err = errors.Join(err, c.waitUntilDue(Out, outgoing.dueAt))
 		}
 		if err == nil {
-			_, err = c.Conn.Write(p.b)
-			c.out.delivered(len(p.b))
+			_, err = c.Conn.Write(outgoing.data)
+			c.out.delivered(len(outgoing.data))
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF): // only the sending ends
+		case errors.Is(err, io.EOF): // half-close: the other direction stays open
 			if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 				_ = t.CloseWrite()
 			}
-			c.out.waitFailed() // what the other side still sends is read until then
-			c.end()
+			c.out.waitFailed() // until then, bytes from the other side are still read
+			c.terminate()
 			return
 		default:
-			c.end()
+			c.terminate()
 			return
 		}
 	}
 }
 
-// pull reads from the socket into the incoming pipe.
-func (c *Conn) pull() {
+// readSocket reads from the socket into the incoming pipe.
+func (c *Conn) readSocket() {
 	buf := make([]byte, segmentBytes)
 	for {
 		n, err := c.Conn.Read(buf)
-		if n > 0 && c.in.put(time.Since(c.began), buf[:n]) != nil {
+		if n > 0 && c.in.put(time.Since(c.startedAt), buf[:n]) != nil {
 			return
 		}
 		if err == nil {
@@ -165,20 +165,20 @@
 	}
 }
 
-// deliver makes incoming chunks readable when they are due.
-func (c *Conn) deliver() {
+// deliverWhenDue makes incoming chunks readable when they are due.
+func (c *Conn) deliverWhenDue() {
 	for {
-		q, err := c.in.next()
-		if werr := error(nil); err == nil || errors.Is(err, io.EOF) { // the end passes a silent link no sooner than bytes do
-			if werr = c.waitUntilDue(In, q.at); werr != nil {
-				err = werr
+		incoming, err := c.in.next()
+		if waitErr := error(nil); err == nil || errors.Is(err, io.EOF) { // a stall delays the half-close as well as bytes
+			if waitErr = c.waitUntilDue(In, incoming.dueAt); waitErr != nil {
+				err = waitErr
 			}
 		}
 		c.in.mu.Lock()
 		if err != nil {
-			c.in.end = err
+			c.in.readErr = err
 		} else {
-			c.in.ready = append(c.in.ready, q.b)
+			c.in.ready = append(c.in.ready, incoming.data)
 		}
 		c.in.cond.Broadcast()
 		c.in.mu.Unlock()
@@ -188,20 +188,21 @@
 	}
 }
 
-// waitUntilDue waits until a moment of the connection, and until the end of a stall.
-func (c *Conn) waitUntilDue(d Direction, at time.Duration) error {
-	if span := at - time.Since(c.began); span > 0 {
-		t := time.NewTimer(span)
-		defer t.Stop()
+// waitUntilDue waits until the given time since the start of the connection, and until the direction is not stalled. It
+// returns net.ErrClosed if the connection ends first.
+func (c *Conn) waitUntilDue(d Direction, dueAt time.Duration) error {
+	if wait := dueAt - time.Since(c.startedAt); wait > 0 {
+		timer := time.NewTimer(wait)
+		defer timer.Stop()
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-c.ended:
 			return net.ErrClosed
 		}
 	}
-	for s := c.link.stallEnd(d); s != nil; s = c.link.stallEnd(d) {
+	for stallEnded := c.link.stallEnd(d); stallEnded != nil; stallEnded = c.link.stallEnd(d) {
 		select {
-		case <-s:
+		case <-stallEnded:
 		case <-c.ended:
 			return net.ErrClosed
 		}
--- a/lab/netfault/link.go
+++ b/lab/netfault/link.go
@@ -5,66 +5,65 @@
 	"sync/atomic"
 )
 
-// Link is what lies between two parties, with all connections on it.
+// Link is a simulated network link between two endpoints, with all connections on it. One endpoint's sockets are wrapped.
 type Link struct {
-	up, down  Impairment // up: what the wrapped side writes; down: what it reads
+	up, down  Impairment // up: written by the wrapped side; down: read by it
 	seed      uint64
-	connCount atomic.Uint64 // of connections and sockets ever wrapped: each has a stream of random numbers of its own
+	connCount atomic.Uint64 // connections and sockets ever wrapped; selects the random number stream of each
 
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
-	stalls [2]chan struct{} // by direction: not nil while nothing passes; closed at the end of the stall
+	stalls [2]chan struct{} // by direction: nil unless stalled; closed at the end of the stall
 }
 
-// Impair changes what is done to connections that are wrapped from now on.
+// Impair sets the impairments of connections that are wrapped from now on.
 func (l *Link) Impair(up, down Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up, l.down = up, down
 }
 
-// Direction is one direction of a link, as the wrapped side sees it.
+// Direction is one direction of a link, from the point of view of the wrapped side.
 type Direction int
 
-// The directions.
+// Directions of a link.
 const (
-	Out Direction = iota // what the wrapped side writes
-	In                   // what it reads
+	Out Direction = iota // written by the wrapped side
+	In                   // read by the wrapped side
 )
 
-// NewLink makes a link. up is what the wrapped side writes, down what it reads.
+// NewLink creates a link. up impairs what the wrapped side writes, down what it reads.
 func NewLink(up, down Impairment, seed uint64) *Link {
 	return &Link{up: up, down: down, seed: seed, conns: map[*Conn]struct{}{}}
 }
 
-// Stall begins or ends a stall of both directions: nothing passes, nothing breaks.
-func (l *Link) Stall(on bool) {
-	l.StallDirection(Out, on)
-	l.StallDirection(In, on)
+// Stall starts or ends a stall of both directions. During a stall nothing is delivered, but connections stay open.
+func (l *Link) Stall(stalled bool) {
+	l.StallDirection(Out, stalled)
+	l.StallDirection(In, stalled)
 }
 
-// StallDirection begins or ends a stall of one direction. A begin within a stall changes nothing, nor does an end
-// outside of one.
-func (l *Link) StallDirection(d Direction, on bool) {
+// StallDirection starts or ends a stall of one direction. It has no effect if the direction is already in that state.
+func (l *Link) StallDirection(d Direction, stalled bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case on && l.stalls[d] == nil:
+	case stalled && l.stalls[d] == nil:
 		l.stalls[d] = make(chan struct{})
-	case !on && l.stalls[d] != nil:
+	case !stalled && l.stalls[d] != nil:
 		close(l.stalls[d])
 		l.stalls[d] = nil
 	}
 }
 
-// stallEnd is closed at the end of a direction's stall; nil where there is none.
+// stallEnd returns a channel that is closed at the end of a direction's stall, or nil if the direction is not stalled.
 func (l *Link) stallEnd(d Direction) chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stalls[d]
 }
 
-// Reset breaks all connections and returns how many there were.
+// Reset resets all connections and returns their number.
 func (l *Link) Reset() int {
 	l.mu.Lock()
 	open := make([]*Conn, 0, len(l.conns))
--- a/lab/netfault/mesh.go
+++ b/lab/netfault/mesh.go
@@ -8,16 +8,17 @@
 	"tackhub.example/tackhub/lab/loopback"
 )
 
-// Mesh is a link for each directed pair of nodes, for datagrams and for connections. A node reaches each other node by an
-// address that belongs to the link, so loopback and an address book are all it needs.
+// Mesh connects nodes by one link for each directed pair, for datagrams and TCP connections. Each link has its own loopback
+// address at which one node reaches the other, so a node only needs the list of these addresses.
 type Mesh struct {
 	pairs map[[2]int]*pair
 
 	mu     sync.Mutex
-	faults map[[2]int]PacketFaults // as set, by direction
+	faults map[[2]int]PacketFaults // configured faults by sender and receiver
 }
 
-// pair is how one node reaches another: datagrams go this direction alone, connections need both.
+// pair relays traffic from one node to another. The datagram relay works in this direction only, the connection relay in
+// both.
 type pair struct {
 	address string
 	packets *PacketRelay
@@ -33,7 +34,7 @@
 			if i == j {
 				continue
 			}
-			p, err := open(to, seed<<20+uint64(i)<<10+uint64(j))
+			p, err := openPair(to, seed<<20+uint64(i)<<10+uint64(j))
 			if err != nil {
 				m.Close()
 				return nil, fmt.Errorf("link %d to %d: %w", i, j, err)
@@ -44,8 +45,8 @@
 	return m, nil
 }
 
-// open makes the relays of one pair.
-func open(to string, seed uint64) (*pair, error) {
+// openPair creates the relays of one pair.
+func openPair(to string, seed uint64) (*pair, error) {
 	p := &pair{link: NewLink(Impairment{}, Impairment{}, seed)}
 	var err error
 	if p.streams, err = NewRelay(net.JoinHostPort(loopback.NextHost(), "0"), to, p.link); err != nil {
@@ -59,10 +60,10 @@
 	return p, nil
 }
 
-// Address is the address at which one node reaches another.
+// Address returns the address at which one node reaches another.
 func (m *Mesh) Address(from, to int) string { return m.pairs[[2]int{from, to}].address }
 
-// SetFaults changes what the link from one node to another does.
+// SetFaults changes the faults of the link from one node to another.
 func (m *Mesh) SetFaults(from, to int, change func(*PacketFaults)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,23 +72,23 @@
 	change(&f)
 	m.faults[key] = f
 	m.pairs[key].packets.SetFaults(f)
-	// On a connection that the first node opened the link's Out leads to that node, In comes from it.
+	// A relay wraps the connection that k[0] opened to it, so Out leads to k[0] and In comes from k[0].
 	for _, k := range [][2]int{key, {to, from}} {
-		there, back := m.faults[k], m.faults[[2]int{k[1], k[0]}]
-		m.pairs[k].link.Impair(back.Impairment, there.Impairment)
-		m.pairs[k].link.StallDirection(In, there.Cut)
-		m.pairs[k].link.StallDirection(Out, back.Cut)
+		forward, reverse := m.faults[k], m.faults[[2]int{k[1], k[0]}]
+		m.pairs[k].link.Impair(reverse.Impairment, forward.Impairment)
+		m.pairs[k].link.StallDirection(In, forward.Cut)
+		m.pairs[k].link.StallDirection(Out, reverse.Cut)
 	}
 }
 
-// Close ends all links.
+// Close closes all links.
 func (m *Mesh) Close() {
-	var all sync.WaitGroup
+	var closing sync.WaitGroup
 	for _, p := range m.pairs {
-		all.Go(func() {
+		closing.Go(func() {
 			p.packets.Close()
 			p.streams.Close()
 		})
 	}
-	all.Wait()
+	closing.Wait()
 }
--- a/lab/netfault/netfault_test.go
+++ b/lab/netfault/netfault_test.go
@@ -11,109 +11,107 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// The delay of segments follows from loss and timeout; the order is kept; one seed gives one sequence of delays.
-func TestShaper(t *testing.T) {
-	p := Impairment{Loss: 0.1, RTO: 300 * time.Millisecond, Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond}
-	a, b := NewShaper(p, 3, 1), NewShaper(p, 3, 1)
-	late, last := 0, time.Duration(0)
+// Segments are delayed by loss and retransmission timeout and keep their order. The same seed gives the same delays.
+func TestShaperAppliesLossDelayAndBandwidth(t *testing.T) {
+	impairment := Impairment{Loss: 0.1, RTO: 300 * time.Millisecond, Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond}
+	shaper, sameSeed := NewShaper(impairment, 3, 1), NewShaper(impairment, 3, 1)
+	retransmitted, previous := 0, time.Duration(0)
 	const n = 20000
 	for i := range n {
-		now := time.Duration(i) * 10 * time.Second // far enough apart for no segment to wait behind another
-		at := a.SegmentArrival(now, 100)
-		if at != b.SegmentArrival(now, 100) {
-			t.Fatal("one seed gave two schedules")
+		now := time.Duration(i) * 10 * time.Second // so far apart that no segment delays another
+		arrival := shaper.SegmentArrival(now, 100)
+		if arrival != sameSeed.SegmentArrival(now, 100) {
+			t.Fatal("arrival times differ between shapers with the same seed, want equal")
 		}
-		if at < last {
-			t.Fatal("segments out of order")
+		if arrival < previous {
+			t.Fatalf("segment arrives at %v, want no earlier than the previous one at %v", arrival, previous)
 		}
-		last = at
-		if d := at - now; d < p.Delay {
-			t.Fatalf("delay %v is below the link's", d)
-		} else if d > p.Delay+p.Jitter {
-			late++
+		previous = arrival
+		if delay := arrival - now; delay < impairment.Delay {
+			t.Fatalf("delay = %v, want at least the delay of the link, %v", delay, impairment.Delay)
+		} else if delay > impairment.Delay+impairment.Jitter {
+			retransmitted++
 		}
 	}
-	if share := float64(late) / n; math.Abs(share-p.Loss) > 0.01 {
-		t.Errorf("%v of the segments were sent again, want %v", share, p.Loss)
+	if fraction := float64(retransmitted) / n; math.Abs(fraction-impairment.Loss) > 0.01 {
+		t.Errorf("fraction of retransmitted segments = %v, want %v", fraction, impairment.Loss)
 	}
 	lost := 0
 	for range n {
-		if _, gone := a.DatagramArrival(0, 100); gone {
+		if _, isLost := shaper.DatagramArrival(0, 100); isLost {
 			lost++
 		}
 	}
-	if share := float64(lost) / n; math.Abs(share-p.Loss) > 0.01 {
-		t.Errorf("%v of the datagrams were lost, want %v", share, p.Loss)
+	if fraction := float64(lost) / n; math.Abs(fraction-impairment.Loss) > 0.01 {
+		t.Errorf("fraction of lost datagrams = %v, want %v", fraction, impairment.Loss)
 	}
-	narrow := NewShaper(Impairment{Bandwidth: 10_000}, 1, 1)
-	if at := narrow.SegmentArrival(0, 5000); at != 500*time.Millisecond {
-		t.Errorf("5,000 bytes at 10,000 a second are there after %v", at)
+	slowLine := NewShaper(Impairment{Bandwidth: 10_000}, 1, 1)
+	if arrival := slowLine.SegmentArrival(0, 5000); arrival != 500*time.Millisecond {
+		t.Errorf("arrival of 5,000 bytes at 10,000 bytes/s = %v, want 500ms", arrival)
 	}
-	if at := narrow.SegmentArrival(0, 5000); at != time.Second {
-		t.Errorf("what follows waits for the line: %v, want 1s", at)
+	if arrival := slowLine.SegmentArrival(0, 5000); arrival != time.Second {
+		t.Errorf("arrival of the next 5,000 bytes = %v, want 1s", arrival)
 	}
 }
 
-// relayed connects through a relay with a link, and gives both ends.
-//
-// The relay's own sockets stand on the loopback interface.
-func relayed(t *testing.T, l *Link) (client, server *net.TCPConn) {
+// connectThroughRelay opens a connection through a relay with the given link and returns both ends.
+func connectThroughRelay(t *testing.T, l *Link) (client, server *net.TCPConn) {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = target.Close() })
-	r, err := NewRelay("127.0.0.1:0", target.Addr().String(), l)
+	relay, err := NewRelay("127.0.0.1:0", target.Addr().String(), l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	c, err := net.Dial("tcp", r.Addr())
+	t.Cleanup(relay.Close)
+	dialed, err := net.Dial("tcp", relay.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := target.Accept()
+	accepted, err := target.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close(); _ = s.Close() })
-	for _, x := range []net.Conn{c, s} {
-		_ = x.SetDeadline(time.Now().Add(patience))
+	t.Cleanup(func() { _ = dialed.Close(); _ = accepted.Close() })
+	for _, conn := range []net.Conn{dialed, accepted} {
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	}
-	return c.(*net.TCPConn), s.(*net.TCPConn)
+	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// Bytes arrive whole and in order in both directions over a bad link, and each half-close arrives once, after them.
+// All bytes arrive in order in both directions over an impaired link, and each half-close arrives after them.
 func TestRelayPreservesBytesAndHalfCloses(t *testing.T) {
-	p := Impairment{Delay: 5 * time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.01}
-	client, server := relayed(t, NewLink(p, p, 1))
+	impairment := Impairment{Delay: 5 * time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.01}
+	client, server := connectThroughRelay(t, NewLink(impairment, impairment, 1))
 	up, down := bytes.Repeat([]byte("upwards "), 20_000), bytes.Repeat([]byte("down "), 30_000)
 	go func() {
 		_, _ = client.Write(up)
 		_ = client.CloseWrite()
 	}()
-	got, err := io.ReadAll(server) // ends only at the half-close
+	got, err := io.ReadAll(server) // returns only after the half-close
 	if err != nil || !bytes.Equal(got, up) {
-		t.Fatalf("upwards: %d bytes of %d, %v", len(got), len(up), err)
+		t.Fatalf("server read %d bytes and error %v, want the %d bytes that the client sent", len(got), err, len(up))
 	}
-	go func() { // the other direction goes on after the first has ended
+	go func() { // the other direction must stay open after the half-close of the first
 		_, _ = server.Write(down)
 		_ = server.CloseWrite()
 	}()
 	if got, err = io.ReadAll(client); err != nil || !bytes.Equal(got, down) {
-		t.Fatalf("downwards: %d bytes of %d, %v", len(got), len(down), err)
+		t.Fatalf("client read %d bytes and error %v, want the %d bytes that the server sent", len(got), err, len(down))
 	}
 }
 
-// A link delays what passes, and a stall holds it back until its end without breaking a connection.
-func TestDelayAndStall(t *testing.T) {
+// A link delays traffic. A stall blocks it until the end of the stall without closing the connection or losing bytes.
+func TestLinkDelaysAndStallsTraffic(t *testing.T) {
 	l := NewLink(Impairment{Delay: 60 * time.Millisecond}, Impairment{Delay: 60 * time.Millisecond}, 1)
-	client, server := relayed(t, l)
-	ask := func() time.Duration {
-		began := time.Now()
+	client, server := connectThroughRelay(t, l)
+	roundTrip := func() time.Duration {
+		start := time.Now()
 		_, _ = client.Write([]byte("ping"))
 		buf := make([]byte, 4)
 		if _, err := io.ReadFull(server, buf); err != nil {
@@ -123,81 +121,80 @@
 		if _, err := io.ReadFull(client, buf); err != nil {
 			t.Fatal(err)
 		}
-		return time.Since(began)
+		return time.Since(start)
 	}
-	if d := ask(); d < 120*time.Millisecond {
-		t.Errorf("there and back took %v, the link alone takes 120ms", d)
+	if d := roundTrip(); d < 120*time.Millisecond {
+		t.Errorf("round trip time = %v, want at least 120ms", d)
 	}
 	l.Stall(true)
 	_, _ = client.Write([]byte("ping"))
 	_ = server.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if n, err := server.Read(make([]byte, 4)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a stalled link passed %d bytes, %v", n, err)
+		t.Errorf("read on a stalled link = %d bytes, error %v, want 0 bytes and a timeout", n, err)
 	}
 	l.Stall(false)
-	_ = server.SetReadDeadline(time.Now().Add(patience))
+	_ = server.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(server, make([]byte, 4)); err != nil {
-		t.Errorf("what was sent during the stall never came: %v", err)
+		t.Errorf("reading bytes sent during the stall: error = %v, want nil", err)
 	}
 }
 
-// A reset of the link breaks all of its open connections.
-func TestResetBreaksOpenConnections(t *testing.T) {
+// Resetting a link resets all of its open connections.
+func TestLinkResetBreaksOpenConnections(t *testing.T) {
 	l := NewLink(Impairment{Delay: time.Millisecond}, Impairment{}, 1)
-	client, server := relayed(t, l)
+	client, server := connectThroughRelay(t, l)
 	_, _ = client.Write([]byte("x"))
 	if _, err := io.ReadFull(server, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	if n := l.Reset(); n != 1 {
-		t.Errorf("%d connections reset, want 1", n)
+		t.Errorf("number of reset connections = %d, want 1", n)
 	}
 	if _, err := client.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection stands after its reset: %v", err)
+		t.Errorf("read after the reset: error = %v, want a connection error", err)
 	}
 }
 
-// Datagrams are lost and delayed by the link's impairment.
-func TestDatagramsAreLostAndDelayed(t *testing.T) {
-	a, err := net.ListenPacket("udp", "127.0.0.1:0")
+// A packet connection loses and delays datagrams as the impairment of its link specifies.
+func TestPacketConnLosesAndDelaysDatagrams(t *testing.T) {
+	sender, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := net.ListenPacket("udp", "127.0.0.1:0")
+	receiver, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = a.Close(); _ = b.Close() }()
-	w := NewLink(Impairment{Loss: 0.5, Delay: 30 * time.Millisecond}, Impairment{}, 5).WrapPacket(a)
+	defer func() { _ = sender.Close(); _ = receiver.Close() }()
+	wrapped := NewLink(Impairment{Loss: 0.5, Delay: 30 * time.Millisecond}, Impairment{}, 5).WrapPacket(sender)
 	want, shaper := 0, NewShaper(Impairment{Loss: 0.5, Delay: 30 * time.Millisecond}, 5, 2)
-	began := time.Now()
+	start := time.Now()
 	for range 200 {
 		if _, lost := shaper.DatagramArrival(0, 1); !lost {
 			want++
 		}
-		if _, err := w.WriteTo([]byte("x"), b.LocalAddr()); err != nil {
+		if _, err := wrapped.WriteTo([]byte("x"), receiver.LocalAddr()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	buf := make([]byte, 8)
 	for i := range want {
-		_ = b.SetReadDeadline(time.Now().Add(patience))
-		if _, _, err := b.ReadFrom(buf); err != nil {
-			t.Fatalf("datagram %d of %d never came: %v", i, want, err)
+		_ = receiver.SetReadDeadline(time.Now().Add(testTimeout))
+		if _, _, err := receiver.ReadFrom(buf); err != nil {
+			t.Fatalf("read of datagram %d of %d: error = %v, want nil", i, want, err)
 		}
-		if i == 0 && time.Since(began) < 30*time.Millisecond {
-			t.Error("the first came before the link's delay")
+		if i == 0 && time.Since(start) < 30*time.Millisecond {
+			t.Error("first datagram arrived in less than 30ms, want at least the delay of the link")
 		}
 	}
-	_ = b.SetReadDeadline(time.Now().Add(60 * time.Millisecond))
-	if _, _, err := b.ReadFrom(buf); err == nil {
-		t.Error("a datagram came that the seed loses")
+	_ = receiver.SetReadDeadline(time.Now().Add(60 * time.Millisecond))
+	if _, _, err := receiver.ReadFrom(buf); err == nil {
+		t.Errorf("received more than %d datagrams, want the others lost", want)
 	}
 }
 
-// A deadline in the past is set while a read waits, which is how a caller that is cancelled ends it. The read must return, as one of a
-// socket does.
-func TestDeadlineEndsAReadThatWaits(t *testing.T) {
+// A caller cancels a blocked read by setting a deadline in the past. The read must return, as on a real socket.
+func TestSetReadDeadlineUnblocksReadFrom(t *testing.T) {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -215,9 +212,9 @@
 	select {
 	case err := <-ended:
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%v, want the deadline's error", err)
+			t.Errorf("error = %v, want %v", err, os.ErrDeadlineExceeded)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the read goes on")
+		t.Error("ReadFrom still blocks 10s after its deadline, want it to return")
 	}
 }
--- a/lab/netfault/packetrelay.go
+++ b/lab/netfault/packetrelay.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// PacketFaults are what a PacketRelay does to datagrams.
+// PacketFaults are the faults that a PacketRelay applies to datagrams.
 type PacketFaults struct {
 	Impairment
-	Cut          bool
-	Duplicate    float64       // share that comes twice, the second after a delay of its own
-	Reorder      float64       // share that is delayed, so that later ones overtake it
-	ReorderDelay time.Duration // of those
+	Cut          bool          // all datagrams are lost
+	Duplicate    float64       // fraction that is duplicated; each copy has its own delay
+	Reorder      float64       // fraction that is delayed by ReorderDelay, so that later ones overtake it
+	ReorderDelay time.Duration // in addition to the link's delay
 }
 
-// maxInFlightPackets bounds the datagrams that a relay delays at a time; beyond it they are lost, as in a full queue.
+// maxInFlightPackets limits the datagrams that a relay delays at the same time. Further ones are lost, as in a full queue.
 const maxInFlightPackets = 4096
 
-// PacketRelay carries datagrams one way: what comes to its socket goes on to another address, from that socket.
+// PacketRelay forwards datagrams in one direction: from its socket to a target address, with its socket as the source.
 type PacketRelay struct {
 	conn *net.UDPConn
 	to   netip.AddrPort
 
-	mu       sync.Mutex
-	faults   PacketFaults
-	shaper   *Shaper
-	seed     uint64
-	began    time.Time
-	inFlight int
-	running  sync.WaitGroup
+	mu        sync.Mutex
+	faults    PacketFaults
+	shaper    *Shaper
+	seed      uint64
+	startedAt time.Time
+	inFlight  int
+	running   sync.WaitGroup
 }
 
-// NewPacketRelay listens on an address and carries what comes to another.
+// NewPacketRelay listens on one address and forwards datagrams to another.
 func NewPacketRelay(listen, to string, seed uint64) (*PacketRelay, error) {
-	at, err := netip.ParseAddrPort(listen)
+	listenAddr, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, err
 	}
@@ -44,27 +44,27 @@
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAddr))
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("packet relay to %s: %w", to, err)
 	}
-	r := &PacketRelay{conn: conn, to: target, seed: seed, began: time.Now(), shaper: NewShaper(Impairment{}, seed, 0)}
+	r := &PacketRelay{conn: conn, to: target, seed: seed, startedAt: time.Now(), shaper: NewShaper(Impairment{}, seed, 0)}
 	r.running.Go(r.run)
 	return r, nil
 }
 
-// SetFaults changes what is done to datagrams from now on. Those in flight arrive as planned.
+// SetFaults changes the faults for datagrams that arrive from now on. It does not affect datagrams in flight.
 func (r *PacketRelay) SetFaults(f PacketFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f.Impairment != r.faults.Impairment {
-		r.shaper = NewShaper(f.Impairment, r.seed, uint64(time.Since(r.began)))
-		r.began = time.Now()
+		r.shaper = NewShaper(f.Impairment, r.seed, uint64(time.Since(r.startedAt)))
+		r.startedAt = time.Now()
 	}
 	r.faults = f
 }
 
-// run carries datagrams until the relay is closed.
+// run forwards datagrams until the relay is closed.
 func (r *PacketRelay) run() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -72,14 +72,14 @@
 		if err != nil {
 			return
 		}
-		for _, in := range r.arrivals(n) {
-			if in <= 0 {
-				_, _ = r.conn.WriteToUDPAddrPort(buf[:n], r.to) // a closed port loses it
+		for _, delay := range r.arrivals(n) {
+			if delay <= 0 {
+				_, _ = r.conn.WriteToUDPAddrPort(buf[:n], r.to) // errors are ignored: a closed target port loses the datagram
 				continue
 			}
-			b := append([]byte(nil), buf[:n]...)
-			time.AfterFunc(in, func() {
-				_, _ = r.conn.WriteToUDPAddrPort(b, r.to)
+			datagram := append([]byte(nil), buf[:n]...)
+			time.AfterFunc(delay, func() {
+				_, _ = r.conn.WriteToUDPAddrPort(datagram, r.to)
 				r.mu.Lock()
 				r.inFlight--
 				r.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// arrivals are when the copies of a datagram of n bytes arrive, from now; none where it is lost.
+// arrivals returns the delay of each copy of a datagram of n bytes that is to be delivered. It is empty if all are lost.
 func (r *PacketRelay) arrivals(n int) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,25 +98,25 @@
 		copies = 2
 	}
 	for range copies {
-		now := time.Since(r.began)
-		at, lost := r.shaper.DatagramArrival(now, n)
-		at -= now
+		now := time.Since(r.startedAt)
+		delay, lost := r.shaper.DatagramArrival(now, n)
+		delay -= now
 		if r.shaper.rng.Float64() < r.faults.Reorder {
-			at += r.faults.ReorderDelay
+			delay += r.faults.ReorderDelay
 		}
-		queueFull := at > 0 && r.inFlight >= maxInFlightPackets
+		queueFull := delay > 0 && r.inFlight >= maxInFlightPackets
 		if lost || r.faults.Cut || queueFull {
 			continue
 		}
-		if at > 0 {
+		if delay > 0 {
 			r.inFlight++
 		}
-		out = append(out, at)
+		out = append(out, delay)
 	}
 	return out
 }
 
-// Close ends the relay. Datagrams in flight are lost.
+// Close stops the relay. Datagrams in flight are lost.
 func (r *PacketRelay) Close() {
 	_ = r.conn.Close()
 	r.running.Wait()
--- a/lab/netfault/pipe.go
+++ b/lab/netfault/pipe.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// chunk is what arrives together.
+// chunk is a number of bytes that arrive together. dueAt is measured from the start of the connection.
 type chunk struct {
-	at time.Duration
-	b  []byte
+	dueAt time.Duration
+	data  []byte
 }
 
-// pipe is one direction: chunks in order, each with the time at which it is due.
+// pipe is one direction of a Conn: chunks in order, each with the time at which it is due.
 type pipe struct {
 	mu             sync.Mutex
 	cond           *sync.Cond
 	shaper         *Shaper
 	queue          []chunk
-	bytes          int
+	bytes          int           // in flight: queued or not yet read or written to the socket
 	maxDelay       time.Duration // the largest delay since Conn.ResetMaxDelay
-	done           error         // no more comes; what is queued still passes
-	failed         error         // nothing passes any more
+	finishErr      error         // set if nothing more is queued; queued chunks are still delivered
+	failErr        error         // set if nothing is delivered any more
 	timer          *time.Timer
-	deadlinePassed bool     // the read deadline has passed
-	ready          [][]byte // due, not yet read
-	rest           []byte
-	end            error // what follows the last chunk that was due
+	deadlinePassed bool     // of read
+	ready          [][]byte // chunks that are due but not read yet
+	unread         []byte
+	readErr        error // returned by read after the last ready chunk
 }
 
 func newPipe(s *Shaper) *pipe {
@@ -38,46 +38,46 @@
 	return p
 }
 
-// put queues bytes. It waits while too many are in flight.
+// put queues bytes. It blocks while too many bytes are in flight.
 func (p *pipe) put(now time.Duration, b []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.bytes > maxInFlightBytes && p.failed == nil && p.done == nil {
+	for p.bytes > maxInFlightBytes && p.failErr == nil && p.finishErr == nil {
 		p.cond.Wait()
 	}
-	if p.failed != nil {
-		return p.failed
+	if p.failErr != nil {
+		return p.failErr
 	}
-	if p.done != nil {
+	if p.finishErr != nil {
 		return net.ErrClosed
 	}
-	at := p.shaper.SegmentArrival(now, len(b))
-	p.maxDelay = max(p.maxDelay, at-now)
-	p.queue = append(p.queue, chunk{at, append([]byte(nil), b...)})
+	dueAt := p.shaper.SegmentArrival(now, len(b))
+	p.maxDelay = max(p.maxDelay, dueAt-now)
+	p.queue = append(p.queue, chunk{dueAt, append([]byte(nil), b...)})
 	p.bytes += len(b)
 	p.cond.Broadcast()
 	return nil
 }
 
-// next waits for the next chunk; its bytes count as in flight until delivered.
+// next waits for the next chunk and returns it. Its bytes count as in flight until delivered or read is called.
 func (p *pipe) next() (chunk, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.queue) == 0 && p.done == nil && p.failed == nil {
+	for len(p.queue) == 0 && p.finishErr == nil && p.failErr == nil {
 		p.cond.Wait()
 	}
 	switch {
-	case p.failed != nil:
-		return chunk{}, p.failed
+	case p.failErr != nil:
+		return chunk{}, p.failErr
 	case len(p.queue) == 0:
-		return chunk{}, p.done
+		return chunk{}, p.finishErr
 	}
 	out := p.queue[0]
 	p.queue = p.queue[1:]
 	return out, nil
 }
 
-// delivered says that n bytes have passed.
+// delivered records that n bytes are no longer in flight.
 func (p *pipe) delivered(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,32 +85,32 @@
 	p.cond.Broadcast()
 }
 
-// finish ends the direction after what is queued.
+// finish ends the direction after the queued chunks. err is returned once they are delivered.
 func (p *pipe) finish(err error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done == nil || errors.Is(p.done, io.EOF) {
-		p.done = err
+	if p.finishErr == nil || errors.Is(p.finishErr, io.EOF) {
+		p.finishErr = err
 	}
 	p.cond.Broadcast()
 	return nil
 }
 
-// waitFailed waits until the connection is closed, after its sending has ended.
+// waitFailed waits until a half-closed direction is closed or fails.
 func (p *pipe) waitFailed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.failed == nil && errors.Is(p.done, io.EOF) {
+	for p.failErr == nil && errors.Is(p.finishErr, io.EOF) {
 		p.cond.Wait()
 	}
 }
 
-// fail ends the direction at once; what is queued is lost.
+// fail ends the direction immediately. Queued chunks are lost.
 func (p *pipe) fail(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failed == nil {
-		p.failed = err
+	if p.failErr == nil {
+		p.failErr = err
 	}
 	p.cond.Broadcast()
 }
@@ -135,31 +135,31 @@
 	})
 }
 
-// read returns what is due. It waits for the first byte, the deadline or the end.
+// read returns bytes that are due. It blocks until there are any, the deadline passes or the direction ends.
 func (p *pipe) read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.rest) == 0 {
+	for len(p.unread) == 0 {
 		switch {
-		case p.failed != nil:
-			return 0, p.failed
+		case p.failErr != nil:
+			return 0, p.failErr
 		case p.deadlinePassed:
 			return 0, os.ErrDeadlineExceeded
 		case len(p.ready) > 0:
-			p.rest = p.ready[0]
+			p.unread = p.ready[0]
 			p.ready = p.ready[1:]
-		case p.end != nil:
-			return 0, p.end
+		case p.readErr != nil:
+			return 0, p.readErr
 		default:
 			p.cond.Wait()
 		}
 	}
-	n := copy(b, p.rest)
-	p.rest = p.rest[n:]
+	n := copy(b, p.unread)
+	p.unread = p.unread[n:]
 	p.bytes -= n
 	p.cond.Broadcast()
 	return n, nil
 }
 
-// maxInFlightBytes bounds the bytes in flight in one direction. Beyond it a writer waits, as on a full socket.
+// maxInFlightBytes limits the bytes in flight in one direction. A writer blocks above it, as on a full socket buffer.
 const maxInFlightBytes = 256 << 10
--- a/lab/netfault/relay.go
+++ b/lab/netfault/relay.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Relay carries TCP connections over a link between two parties neither of which is the lab's own. Each half-close is
-// passed on once, after what was sent before it.
+// Relay forwards TCP connections over a simulated link between two endpoints outside the lab's process. It forwards each
+// half-close once, after all bytes sent before it.
 type Relay struct {
 	listener net.Listener
 	to       string
@@ -19,7 +19,7 @@
 	running sync.WaitGroup
 }
 
-// NewRelay listens on an address and carries what comes to another.
+// NewRelay listens on one address and forwards connections to another.
 func NewRelay(listen, to string, link *Link) (*Relay, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -30,21 +30,21 @@
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// accept carries connections until the relay is closed.
+// accept forwards connections until the relay is closed.
 func (r *Relay) accept() {
 	for {
 		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.running.Go(func() { r.carry(c) })
+		r.running.Go(func() { r.forward(c) })
 	}
 }
 
-// track remembers a connection so that Close ends it; false where the relay is closed already.
+// track registers a connection so that Close closes it. It closes it and returns false if the relay is already closed.
 func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,7 @@
 	return true
 }
 
-// untrack closes a connection and forgets it.
+// untrack closes a connection and removes it from the registered ones.
 func (r *Relay) untrack(c net.Conn) {
 	_ = c.Close()
 	r.mu.Lock()
@@ -64,35 +64,35 @@
 	delete(r.conns, c)
 }
 
-// carry connects to the other side and copies both directions.
-func (r *Relay) carry(c net.Conn) {
+// forward connects to the target and copies both directions until both have ended.
+func (r *Relay) forward(c net.Conn) {
 	if !r.track(c) {
 		return
 	}
 	defer r.untrack(c)
-	to, err := net.Dial("tcp", r.to)
-	if err != nil { // who connected sees a reset, the nearest to the refusal that a relay can give
+	target, err := net.Dial("tcp", r.to)
+	if err != nil { // the client gets a reset, because a relay that has accepted a connection can't refuse it any more
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
 		return
 	}
-	if !r.track(to) {
+	if !r.track(target) {
 		return
 	}
-	defer r.untrack(to)
-	near := r.link.Wrap(c)
-	defer func() { // what is still in flight on the link passes first
-		_ = near.Close()
-		<-near.ended
+	defer r.untrack(target)
+	wrapped := r.link.Wrap(c)
+	defer func() { // waits until the bytes in flight on the link are delivered
+		_ = wrapped.Close()
+		<-wrapped.ended
 	}()
-	var both sync.WaitGroup
-	both.Go(func() { copyUntilEOF(to, near) })
-	both.Go(func() { copyUntilEOF(near, to) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { copyUntilEOF(target, wrapped) })
+	directions.Go(func() { copyUntilEOF(wrapped, target) })
+	directions.Wait()
 }
 
-// copyUntilEOF copies one direction and passes on its half-close. An error closes both connections.
+// copyUntilEOF copies one direction and forwards its half-close. It closes both connections after an error.
 func copyUntilEOF(to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Close ends the relay and all its connections.
+// Close stops the relay and resets all its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
--- a/lab/netfault/shaper.go
+++ b/lab/netfault/shaper.go
@@ -1,7 +1,7 @@
-// Package netfault makes the link between two parties worse than loopback: delay, jitter, loss, low bandwidth, stalls,
-// resets. What happens to each segment or datagram is worked out by a Shaper, which is pure and takes its random
-// numbers from its seed alone. Conn, PacketConn, Relay and PacketRelay carry it out on sockets, and Mesh connects many
-// nodes by such links.
+// Package netfault simulates impaired network links on loopback: delay, jitter, loss, limited bandwidth, stalls and
+// resets. A Shaper computes the arrival time of each segment or datagram. It does no I/O, and its random numbers depend
+// only on its seed. Conn, PacketConn, Relay and PacketRelay apply the result to sockets, and Mesh connects many nodes by
+// such links.
 package netfault
 
 import (
@@ -9,41 +9,42 @@
 	"time"
 )
 
-// Impairment is what one direction of a link does. The zero value does nothing.
+// Impairment describes one direction of a link. The zero value is an unimpaired link.
 type Impairment struct {
-	Loss      float64       // share of segments that must be sent again (TCP), or of datagrams that vanish (UDP)
-	RTO       time.Duration // the first retransmission time-out; it doubles with each loss of one segment
+	Loss      float64       // fraction of segments that are retransmitted (TCP) or of datagrams that are lost (UDP)
+	RTO       time.Duration // first retransmission timeout; doubles with each loss of the same segment
 	Delay     time.Duration // one way
-	Jitter    time.Duration // added evenly between 0 and it
-	Bandwidth float64       // bytes a second; 0: no limit
+	Jitter    time.Duration // upper limit of an additional delay, uniformly distributed from 0
+	Bandwidth float64       // bytes per second; 0: unlimited
 }
 
-// Clean reports whether nothing at all is done.
+// Clean reports whether the direction is unimpaired.
 func (p Impairment) Clean() bool {
 	return p.Loss == 0 && p.Delay == 0 && p.Jitter == 0 && p.Bandwidth == 0
 }
 
 const (
-	// segmentBytes is what a TCP segment carries over Ethernet: 1,500 less the two headers.
+	// segmentBytes is the payload of a TCP segment over Ethernet: 1,500 bytes minus 40 bytes of IP and TCP headers.
 	segmentBytes = 1460
 
-	// minRTO is the floor of the retransmission time-out that Linux keeps; RFC 6298 would have it at 1 s.
+	// minRTO is the minimum retransmission timeout of Linux. RFC 6298 recommends 1 s.
 	minRTO = 200 * time.Millisecond
 
-	// maxRetransmissions of one segment in a row are played: at a loss of a half the next one is less likely than a thousandth.
+	// maxRetransmissions limits the simulated retransmissions of one segment. Even at a loss of 0.5, the probability of
+	// another one is below 0.001.
 	maxRetransmissions = 10
 )
 
-// Shaper works out one direction of one connection. Times are spans since the connection began.
+// Shaper computes arrival times for one direction of one connection. Times are measured from the start of the connection.
 type Shaper struct {
 	impairment  Impairment
 	rng         *rand.Rand
-	lineFree    time.Duration // when the line has sent what came before
-	lastArrival time.Duration // of what came before: TCP keeps the order
+	lineFreeAt  time.Duration // when the line has transmitted all earlier bytes
+	lastArrival time.Duration // of all earlier segments, which TCP delivers first
 }
 
-// NewShaper makes a shaper whose random numbers depend on the seed and the stream alone. A retransmission timeout below
-// minRTO is raised to it.
+// NewShaper creates a shaper whose random numbers depend only on the seed and the stream number. It raises a
+// retransmission timeout below minRTO to minRTO.
 func NewShaper(p Impairment, seed, stream uint64) *Shaper {
 	if p.RTO < minRTO {
 		p.RTO = minRTO
@@ -51,36 +52,36 @@
 	return &Shaper{impairment: p, rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// SegmentArrival is when n bytes that are written now arrive on a TCP connection. A lost segment arrives after its
-// retransmission, and what follows waits behind it.
+// SegmentArrival returns when n bytes that are written now arrive on a TCP connection. A lost segment arrives after its
+// retransmission and delays all later segments.
 func (s *Shaper) SegmentArrival(now time.Duration, n int) time.Duration {
-	at := s.transmitted(now, n) + s.propagation()
+	arrival := s.transmitEnd(now, n) + s.propagationDelay()
 	rto := s.impairment.RTO
 	for i := 0; i < maxRetransmissions && s.rng.Float64() < s.impairment.Loss; i++ {
-		at += rto
+		arrival += rto
 		rto *= 2
 	}
-	s.lastArrival = max(s.lastArrival, at)
+	s.lastArrival = max(s.lastArrival, arrival)
 	return s.lastArrival
 }
 
-// DatagramArrival is when a datagram arrives, if it does. A later one may overtake it.
-func (s *Shaper) DatagramArrival(now time.Duration, n int) (at time.Duration, lost bool) {
-	at = s.transmitted(now, n) + s.propagation()
-	return at, s.rng.Float64() < s.impairment.Loss
+// DatagramArrival returns when a datagram of n bytes arrives, and whether it is lost. Later datagrams may overtake it.
+func (s *Shaper) DatagramArrival(now time.Duration, n int) (arrival time.Duration, lost bool) {
+	arrival = s.transmitEnd(now, n) + s.propagationDelay()
+	return arrival, s.rng.Float64() < s.impairment.Loss
 }
 
-// transmitted is when the line has sent n bytes.
-func (s *Shaper) transmitted(now time.Duration, n int) time.Duration {
-	s.lineFree = max(s.lineFree, now)
+// transmitEnd returns when the line has transmitted another n bytes.
+func (s *Shaper) transmitEnd(now time.Duration, n int) time.Duration {
+	s.lineFreeAt = max(s.lineFreeAt, now)
 	if s.impairment.Bandwidth > 0 {
-		s.lineFree += time.Duration(float64(n) / s.impairment.Bandwidth * float64(time.Second))
+		s.lineFreeAt += time.Duration(float64(n) / s.impairment.Bandwidth * float64(time.Second))
 	}
-	return s.lineFree
+	return s.lineFreeAt
 }
 
-// propagation is the delay from the line to the other end.
-func (s *Shaper) propagation() time.Duration {
+// propagationDelay returns the one-way delay of the link, including jitter.
+func (s *Shaper) propagationDelay() time.Duration {
 	d := s.impairment.Delay
 	if s.impairment.Jitter > 0 {
 		d += time.Duration(s.rng.Float64() * float64(s.impairment.Jitter))
