--- a/lab/backend/coap.go
+++ b/lab/backend/coap.go
@@ -16,11 +16,11 @@
 	"tackhub.example/tackhub/internal/coap/wire"
 )
 
-// practicallyUnlimited is more than any run needs: a stand-in server must not reject for want of memory.
-const practicallyUnlimited = 1 << 20
+// effectivelyUnlimited exceeds what any run needs, so that a simulated server never rejects a request for lack of memory.
+const effectivelyUnlimited = 1 << 20
 
-// coapServer is a stand-in server's CoAP side for one node. It recognizes duplicate messages and assembles block-wise
-// uploads.
+// coapServer is the CoAP endpoint that a simulated server provides for one node. It detects retransmitted messages and
+// assembles block-wise uploads.
 type coapServer struct {
 	server     *Server
 	node       int
@@ -29,14 +29,14 @@
 	uploads    *blocks.Store
 }
 
-// speaksCoap reports whether a server is listed by the scheme coap://.
-func (f *Fleet) speaksCoap(server int) bool {
+// usesCoap reports whether a server is listed with the scheme coap://. Of every ten servers, the first Fleet.Coap*10 are.
+func (f *Fleet) usesCoap(server int) bool {
 	return float64(server%10) < f.scenario.Fleet.Coap*10
 }
 
-// listenCoap opens the datagram socket at the address of the TCP listener. The caller holds the lock.
+// listenCoap opens a UDP socket on the address of the TCP listener. The caller holds s.mu.
 func (s *Server) listenCoap(node int) error {
-	if !s.fleet.speaksCoap(s.index) {
+	if !s.fleet.usesCoap(s.index) {
 		return nil
 	}
 	conn, err := net.ListenPacket("udp", s.addrs[node])
@@ -52,14 +52,14 @@
 		node:   node,
 		conn:   conn,
 		duplicates: dedup.New(dedup.Limits{
-			MaxEntries:     practicallyUnlimited,
-			MaxBytes:       practicallyUnlimited << 8,
-			MaxPerEndpoint: practicallyUnlimited,
+			MaxEntries:     effectivelyUnlimited,
+			MaxBytes:       effectivelyUnlimited << 8,
+			MaxPerEndpoint: effectivelyUnlimited,
 		}),
 		uploads: blocks.New(blocks.Limits{
-			MaxTransfers:   practicallyUnlimited,
-			MaxPerEndpoint: practicallyUnlimited,
-			MaxBytes:       practicallyUnlimited << 6,
+			MaxTransfers:   effectivelyUnlimited,
+			MaxPerEndpoint: effectivelyUnlimited,
+			MaxBytes:       effectivelyUnlimited << 6,
 			MaxBodyBytes:   64 << 10,
 			IdleTimeout:    time.Minute,
 		}),
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// run reads datagrams. Duplicates and blocks belong to this goroutine; each request is executed by one of its own.
+// run reads datagrams until the socket is closed. Only this goroutine accesses duplicates and uploads; each request is
+// executed in a separate goroutine.
 func (b *coapServer) run() {
 	type answer struct {
 		key  dedup.Key
@@ -86,31 +87,31 @@
 			a := <-answers
 			b.duplicates.Complete(a.key, a.data, false)
 		}
-		m, err := wire.Decode(bytes.Clone(buf[:n]))
-		if err != nil || m.Type != wire.Con {
+		msg, err := wire.Decode(bytes.Clone(buf[:n]))
+		if err != nil || msg.Type != wire.Con {
 			continue
 		}
-		key := dedup.Key{Endpoint: from.String(), ID: uint16(m.MessageID)}
-		if m.Code == codes.Empty {
+		key := dedup.Key{Endpoint: from.String(), ID: uint16(msg.MessageID)}
+		if msg.Code == codes.Empty {
 			_, _ = b.conn.WriteTo(wire.Empty(wire.Rst, key.ID), from)
 			continue
 		}
 		received := dedup.Message{Key: key, Confirmable: true, Fingerprint: dedup.Fingerprint(buf[:n])}
-		v, stored, _ := b.duplicates.Receive(b.now(), received)
+		verdict, stored, _ := b.duplicates.Receive(b.now(), received)
 		switch {
-		case v == dedup.Replay:
+		case verdict == dedup.Replay:
 			_, _ = b.conn.WriteTo(stored, from)
-		case v == dedup.Fresh:
-			whole, more := b.assembleBody(&m, from)
-			if more != nil {
-				b.duplicates.Complete(key, more, false)
-				_, _ = b.conn.WriteTo(more, from)
+		case verdict == dedup.Fresh:
+			body, interim := b.assembleBody(&msg, from)
+			if interim != nil {
+				b.duplicates.Complete(key, interim, false)
+				_, _ = b.conn.WriteTo(interim, from)
 				continue
 			}
-			first := time.Now()
+			receivedAt := time.Now()
 			go func() {
-				data := b.serve(&m, whole, first)
-				if data == nil { // the process died with it
+				data := b.serve(&msg, body, receivedAt)
+				if data == nil { // the process ended before it could respond
 					return
 				}
 				_, _ = b.conn.WriteTo(data, from)
@@ -120,64 +121,65 @@
 	}
 }
 
-// assembleBody assembles an upload. more is the response to a block before the last; it is nil once the body is whole.
-func (b *coapServer) assembleBody(m *message.Message, from net.Addr) (whole, more []byte) {
-	block, there, err := wire.Block(m, message.Block1)
-	if !there || err != nil {
-		return m.Payload, nil
+// assembleBody adds a message's block to its upload. It returns the body if it is complete. Otherwise it returns the
+// encoded response to this block.
+func (b *coapServer) assembleBody(msg *message.Message, from net.Addr) (complete, interim []byte) {
+	block, present, err := wire.Block(msg, message.Block1)
+	if !present || err != nil {
+		return msg.Payload, nil
 	}
-	id, _ := wire.Bytes(m, back.OptRequestID)
+	id, _ := wire.Bytes(msg, back.OptRequestID)
 	upload := blocks.Key{Endpoint: from.String(), Resource: dedup.Fingerprint(id)}
-	v, body := b.uploads.Add(b.now(), upload, block, m.Payload)
+	verdict, body := b.uploads.Add(b.now(), upload, block, msg.Payload)
 	code := codes.RequestEntityIncomplete
-	switch v {
+	switch verdict {
 	case blocks.Complete:
 		return body, nil
 	case blocks.Continue:
 		code = codes.Continue
 	}
-	out, _ := wire.Encode(message.Message{Type: wire.Ack, Code: code, MessageID: m.MessageID, Token: m.Token,
+	out, _ := wire.Encode(message.Message{Type: wire.Ack, Code: code, MessageID: msg.MessageID, Token: msg.Token,
 		Options: wire.AddUint(nil, message.Block1, block.Value())})
 	return nil, out
 }
 
-// fieldOfOption are the options that carry an HTTP field.
+// fieldOfOption maps CoAP options to the HTTP header fields that they correspond to.
 var fieldOfOption = map[message.OptionID]string{
 	back.OptRequestID:      "X-Request-Id",
 	back.OptIdempotencyKey: "Idempotency-Key",
 	back.OptClass:          "X-Class",
 }
 
-// now is the time since the run's start.
+// now returns the time since the start of the run.
 func (b *coapServer) now() time.Duration { return time.Since(b.server.fleet.start) }
 
-// serve executes a request and returns the response's datagram; nil where the process died with it.
-func (b *coapServer) serve(m *message.Message, body []byte, first time.Time) []byte {
+// serve executes a request and returns the encoded response, or nil if the process ended before it could respond.
+func (b *coapServer) serve(msg *message.Message, body []byte, receivedAt time.Time) []byte {
 	var req fasthttp.Request
 	uri := ""
-	for _, p := range wire.Strings(m, message.URIPath) {
+	for _, p := range wire.Strings(msg, message.URIPath) {
 		uri += "/" + p
 	}
-	for i, q := range wire.Strings(m, message.URIQuery) {
+	for i, q := range wire.Strings(msg, message.URIQuery) {
 		uri += map[bool]string{true: "?", false: "&"}[i == 0] + q
 	}
 	req.SetRequestURI(uri)
 	for id, name := range fieldOfOption {
-		if v, ok := wire.Bytes(m, id); ok {
+		if v, ok := wire.Bytes(msg, id); ok {
 			req.Header.SetBytesV(name, v)
 		}
 	}
 	req.SetBody(body)
-	a := b.server.execute(&req, b.node, false, first)
-	out := message.Message{Type: wire.Ack, Code: codes.Content, MessageID: m.MessageID, Token: m.Token}
+	res := b.server.execute(&req, b.node, false, receivedAt)
+	out := message.Message{Type: wire.Ack, Code: codes.Content, MessageID: msg.MessageID, Token: msg.Token}
 	switch {
-	case a.died:
+	case res.died:
 		return nil
-	case a.status == fasthttp.StatusOK:
+	case res.status == fasthttp.StatusOK:
 		out.Payload = []byte("id=" + attemptID(&req) + "&server=" + b.server.name() + bodyTail)
-	case a.status == fasthttp.StatusServiceUnavailable:
+	case res.status == fasthttp.StatusServiceUnavailable:
 		out.Code = codes.ServiceUnavailable
-	case a.status == fasthttp.StatusNotFound:
+	case res.status == fasthttp.StatusNotFound:
 		out.Code = codes.NotFound
 	default:
 		out.Code = codes.InternalServerError
@@ -187,7 +189,7 @@
 	}
 	data, err := wire.Encode(out)
 	if err != nil {
-		return []byte(strconv.Itoa(a.status)) // never a CoAP message: the lab's own fault shows as a lost answer
+		return []byte(strconv.Itoa(res.status)) // not a valid CoAP message: an encoding error of the lab appears as a lost response
 	}
 	return data
 }
--- a/lab/backend/discovery.go
+++ b/lab/backend/discovery.go
@@ -14,8 +14,8 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// DiscoveryServer is one node's discovery. It knows the changes that have reached it, answers with them at once, and is
-// silent while discovery is down.
+// DiscoveryServer simulates the discovery service of one node. It responds immediately with the changes that have
+// reached it, and does not respond while a discovery-down fault is active.
 type DiscoveryServer struct {
 	fleet    *Fleet
 	node     int
@@ -25,26 +25,26 @@
 	mu         sync.Mutex
 	revision   int64
 	list       []Member
-	changes    []change           // since the start, for watches from an older revision
+	changes    []change           // all since the start; a watch from an older revision gets the later ones
 	changed    chan struct{}      // closed and replaced at each change
-	down       bool               // polls are not answered
-	invalid    bool               // polls are answered with broken JSON
-	extraDelay time.Duration      // of changes, while discovery is stale
-	updates    []audit.ListUpdate // sent to the node
-	pending    []Member           // changes that have not reached the discovery yet
-	lastDue    time.Time          // when the last of them will
+	down       bool               // polls get no response
+	invalid    bool               // polls are answered with invalid JSON
+	extraDelay time.Duration      // added to the delay of changes while discovery is stale
+	updates    []audit.ListUpdate // list entries that were sent to the node
+	pending    []Member           // changes that have not reached this discovery server yet
+	lastDue    time.Time          // when the last pending change is due
 }
 
-// change is a changed entry with the revision that it made.
+// change is a changed list entry and the revision that it created.
 type change struct {
 	revision int64
 	member   Member
 }
 
-// maxHold is the longest time for which a watch may be held, by the protocol.
-const maxHold = 60 * time.Second
+// maxWatchTime is the longest time for which the protocol allows a watch to wait for a change.
+const maxWatchTime = 60 * time.Second
 
-// newDiscoveryServer starts a node's discovery with the list as it is now.
+// newDiscoveryServer starts the discovery server of a node with the current server list.
 func newDiscoveryServer(f *Fleet, node int) (*DiscoveryServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,21 +53,21 @@
 	up, down := Impairments(f.scenario.Links.Discovery)
 	d := &DiscoveryServer{fleet: f, node: node, listener: l, revision: 1, list: f.members(node), changed: make(chan struct{})}
 	if !up.Clean() || !down.Clean() {
-		d.listener = linked{l, netfault.NewLink(down, up, f.scenario.Seed+uint64(node))}
+		d.listener = linkedListener{l, netfault.NewLink(down, up, f.scenario.Seed+uint64(node))}
 	}
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: time.Minute}
 	go func() { _ = d.server.Serve(d.listener) }()
 	return d, nil
 }
 
-// linked is a listener whose connections pass a link.
-type linked struct {
+// linkedListener is a listener whose connections pass through a simulated link.
+type linkedListener struct {
 	net.Listener
 	link *netfault.Link
 }
 
-// Accept waits for a connection and wraps it.
-func (l linked) Accept() (net.Conn, error) {
+// Accept waits for a connection and puts it on the link.
+func (l linkedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	return l.link.Wrap(c), nil
 }
 
-// Listen makes a node's discovery reachable at a further address as well.
+// Listen makes the discovery server of a node reachable at an additional address.
 func (f *Fleet) Listen(node int, address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -85,10 +85,11 @@
 	return nil
 }
 
-// Addr is where the discovery listens.
+// Addr returns the address that the discovery server listens on.
 func (d *DiscoveryServer) Addr() string { return d.listener.Addr().String() }
 
-// enqueue lets a changed entry reach the discovery after the list's delay. None overtakes one before it.
+// enqueue schedules a changed entry to reach the discovery server after the scenario's discovery delay. Changes keep
+// their order even if the delay shrinks in between.
 func (d *DiscoveryServer) enqueue(m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,8 +102,8 @@
 	time.AfterFunc(time.Until(due), d.applyNext)
 }
 
-// applyNext takes the change that has waited longest. Timers that fire at one moment may do so in any order, so a timer
-// does not carry its own change.
+// applyNext applies the oldest pending change. Timers that are due at the same time may fire in any order, so a timer is
+// not bound to a particular change.
 func (d *DiscoveryServer) applyNext() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,23 +111,23 @@
 	d.pending = d.pending[1:]
 	d.revision++
 	d.changes = append(d.changes, change{d.revision, m})
-	at := -1
+	index := -1
 	for i := range d.list {
 		sameAddress := m.HostPort != "" && d.list[i].HostPort == m.HostPort
 		if d.list[i].ID == m.ID || sameAddress {
-			at = i
+			index = i
 		}
 	}
 	switch {
-	case m.Phase == phaseGone && at >= 0:
-		d.list = append(d.list[:at:at], d.list[at+1:]...)
+	case m.Phase == phaseGone && index >= 0:
+		d.list = append(d.list[:index:index], d.list[index+1:]...)
 	case m.Phase == phaseGone:
-	case at >= 0:
-		if old := d.list[at]; old.ID != m.ID { // another process at the same address: the old one is gone
-			old.Phase = phaseGone
-			d.changes = append(d.changes, change{d.revision, old})
+	case index >= 0:
+		if replaced := d.list[index]; replaced.ID != m.ID { // another process took over the address, so the old one no longer exists
+			replaced.Phase = phaseGone
+			d.changes = append(d.changes, change{d.revision, replaced})
 		}
-		d.list[at] = m
+		d.list[index] = m
 	default:
 		d.list = append(d.list, m)
 	}
@@ -134,7 +135,7 @@
 	d.changed = make(chan struct{})
 }
 
-// apply begins or ends a fault of discovery.
+// apply starts or ends a fault of the discovery server.
 func (d *DiscoveryServer) apply(e scenario.Event) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,14 +155,15 @@
 	return nil
 }
 
-// ServeHTTP answers polls and watches in the discovery's protocol.
+// ServeHTTP answers polls and watches of the discovery protocol. A watch waits for a change for at most hold_ms
+// milliseconds.
 func (d *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	watch := err == nil
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	end := time.NewTimer(min(time.Duration(hold)*time.Millisecond, maxHold))
-	defer end.Stop()
-	for over := false; ; {
+	holdMillis, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	holdTimer := time.NewTimer(min(time.Duration(holdMillis)*time.Millisecond, maxWatchTime))
+	defer holdTimer.Stop()
+	for expired := false; ; {
 		d.mu.Lock()
 		changed := d.changed
 		if d.invalid {
@@ -169,10 +171,10 @@
 			_, _ = w.Write([]byte(`{"revision":3,"complete":true,"members":[{"id":"","host_port":`))
 			return
 		}
-		if !d.down && (!watch || from != d.revision || over) {
-			out, announced := d.response(from, watch)
+		if !d.down && (!watch || from != d.revision || expired) {
+			body, announced := d.response(from, watch)
 			d.mu.Unlock()
-			if _, err := w.Write(out); err != nil {
+			if _, err := w.Write(body); err != nil {
 				return
 			}
 			if f, ok := w.(http.Flusher); ok {
@@ -184,15 +186,16 @@
 		d.mu.Unlock()
 		select {
 		case <-changed:
-		case <-end.C:
-			over = true
+		case <-holdTimer.C:
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// response is the body for a poll from a revision, and the entries that it announces. The caller holds the lock.
+// response returns the response body for a poll or watch, and the entries that the node is notified of by it. A watch
+// gets the changes since revision from if that revision is known. The caller holds d.mu.
 func (d *DiscoveryServer) response(from int64, watch bool) ([]byte, []Member) {
 	out := struct {
 		Revision int64    `json:"revision"`
@@ -202,30 +205,30 @@
 	if out.Complete {
 		out.Members = append(out.Members, d.list...)
 	} else {
-		last := map[string]int{} // one entry for a server: the latest
+		indexByID := map[string]int{} // index in out.Members by server ID; only the latest entry of a server is sent
 		for _, c := range d.changes {
 			if c.revision <= from {
 				continue
 			}
-			if i, ok := last[c.member.ID]; ok {
+			if i, ok := indexByID[c.member.ID]; ok {
 				out.Members[i] = c.member
 				continue
 			}
-			last[c.member.ID] = len(out.Members)
+			indexByID[c.member.ID] = len(out.Members)
 			out.Members = append(out.Members, c.member)
 		}
 	}
-	raw, err := json.Marshal(out)
+	body, err := json.Marshal(out)
 	if err != nil {
-		return []byte("{}"), nil // numbers and strings always encode
+		return []byte("{}"), nil // unreachable: numbers and strings always encode
 	}
-	if out.Complete { // a complete list announces what it leaves out as removed
-		return raw, append(out.Members, d.removed()...)
+	if out.Complete { // a server that is missing from a complete list counts as removed
+		return body, append(out.Members, d.removed()...)
 	}
-	return raw, out.Members
+	return body, out.Members
 }
 
-// removed are the servers that were listed once and are no more. The caller holds the lock.
+// removed returns the servers that were once listed and no longer are. The caller holds d.mu.
 func (d *DiscoveryServer) removed() []Member {
 	var out []Member
 	for _, c := range d.changes {
@@ -238,7 +241,7 @@
 	return out
 }
 
-// recordSent records when the node was sent which entries.
+// recordSent records that the given entries have just been sent to the node.
 func (d *DiscoveryServer) recordSent(announced []Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -247,12 +250,12 @@
 			Node:      d.node,
 			Server:    m.ID,
 			Withdrawn: m.Phase != phaseServing,
-			At:        d.fleet.at(time.Now()),
+			At:        d.fleet.offsetOf(time.Now()),
 		})
 	}
 }
 
-// sentUpdates are all entries that the node was sent.
+// sentUpdates returns all entries that were sent to the node.
 func (d *DiscoveryServer) sentUpdates() []audit.ListUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -261,14 +264,14 @@
 
 func (d *DiscoveryServer) close() { _ = d.server.Close() }
 
-// The phases of a list entry.
+// Phases of a list entry.
 const (
 	phaseServing  = "SERVING"
 	phaseDraining = "DRAINING"
 	phaseGone     = "DELETED"
 )
 
-// Member is one entry of discovery's list, in its JSON form.
+// Member is one entry of the discovery list as encoded in JSON.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
--- a/lab/backend/drain_test.go
+++ b/lab/backend/drain_test.go
@@ -11,7 +11,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// askServer sends one request to a server's first address.
+// askServer sends one request to a server address and returns the response.
 func askServer(t *testing.T, address, id string) *http.Response {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, 10*time.Second)
@@ -31,8 +31,8 @@
 	return response
 }
 
-// A stand-in server that drains rejects new work as one that has not run, as docs/lab.md says and a real one does; one that served on would
-// hide a node that sends to it too late. Back after the drain it serves again.
+// A draining simulated server must reject new requests as not executed, as docs/lab.md specifies and real servers do. If it
+// still served them, nodes that send to a draining server too late would go unnoticed. It serves again after the drain.
 func TestDrainingServerRejectsNewWork(t *testing.T) {
 	s, err := scenario.Load("../scenarios/small.toml")
 	if err != nil {
@@ -52,18 +52,18 @@
 	end.Ends = true
 	drained := f.servers[0]
 	if got := askServer(t, drained.addrs[0], AttemptID(1, 0)); got.StatusCode != http.StatusOK {
-		t.Fatalf("before the drain: %d", got.StatusCode)
+		t.Fatalf("status before the drain = %d, want 200", got.StatusCode)
 	}
 	if err := drained.apply(drain); err != nil {
 		t.Fatal(err)
 	}
 	if got := askServer(t, drained.addrs[0], AttemptID(2, 0)); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("X-Not-Run") != "1" {
-		t.Errorf("draining: %d, X-Not-Run %q", got.StatusCode, got.Header.Get("X-Not-Run"))
+		t.Errorf("status while draining = %d, X-Not-Run = %q, want 503 and \"1\"", got.StatusCode, got.Header.Get("X-Not-Run"))
 	}
 	if err := drained.apply(end); err != nil {
 		t.Fatal(err)
 	}
 	if got := askServer(t, drained.addrs[0], AttemptID(3, 0)); got.StatusCode != http.StatusOK {
-		t.Errorf("after the drain: %d", got.StatusCode)
+		t.Errorf("status after the drain = %d, want 200", got.StatusCode)
 	}
 }
--- a/lab/backend/faults.go
+++ b/lab/backend/faults.go
@@ -8,7 +8,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// apply begins or ends a fault of this server.
+// apply starts or ends a fault of this server.
 func (s *Server) apply(e scenario.Event) error {
 	switch e.Kind {
 	case scenario.FaultCrash:
@@ -27,7 +27,7 @@
 		s.drain()
 	case scenario.FaultServersStall:
 		s.fleet.recordStall(s.name(), e.Ends)
-		for _, l := range s.fleet.links[s.index] { // the server's end is the wrapped one: up is what it reads
+		for _, l := range s.fleet.links[s.index] { // the link wraps the server's end, so the server reads what is sent up
 			ApplyStall(l, e, netfault.In, netfault.Out)
 		}
 	case scenario.FaultServersReset:
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// reset breaks all connections; the process goes on.
+// reset resets all connections; the process keeps running.
 func (s *Server) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// ApplyStall begins or ends a stall on a link, in the directions that the fault names. up and down are the link's
-// directions to and from the node or server.
+// ApplyStall starts or ends a stall of a link in the directions that the fault specifies. up is the link direction towards
+// the node or server, down the one away from it.
 func ApplyStall(l *netfault.Link, e scenario.Event, up, down netfault.Direction) {
 	if e.Fault.Direction != "down" {
 		l.StallDirection(up, !e.Ends)
@@ -61,7 +61,7 @@
 	}
 }
 
-// degrade begins or ends a fault after which the process goes on.
+// degrade starts or ends a fault that leaves the process running.
 func (s *Server) degrade(e scenario.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,23 +72,23 @@
 		s.unresponsive = e.Kind == scenario.FaultVanish && !e.Ends
 		s.model.SetSuspended(s.fleet.now(), !e.Ends)
 	case scenario.FaultSlow:
-		times := e.Fault.Factor
+		factor := e.Fault.Factor
 		if e.Ends {
-			times = 1
+			factor = 1
 		}
-		s.model.SetSlowdown(times)
+		s.model.SetSlowdown(factor)
 	case scenario.FaultErrors:
-		s.errorShare = e.Fault.Share
+		s.errorFraction = e.Fault.Share
 		if e.Ends {
-			s.errorShare = 0
+			s.errorFraction = 0
 		}
 	case scenario.FaultReportsOff:
 		s.hidesReports = !e.Ends
 	}
-	s.wakeWorker()
+	s.wakeModelLoop()
 }
 
-// crash ends the process. Discovery announces it after its delay.
+// crash ends the process. The discovery servers list it as gone after the discovery delay.
 func (s *Server) crash() {
 	s.mu.Lock()
 	s.pod.mu.Lock()
@@ -100,8 +100,8 @@
 	s.fleet.announce(s)
 }
 
-// restart starts a new, cold process, under the old id or a new one. Where two faults overlap it may be running
-// already; then it does nothing.
+// restart starts a new process that begins its slow start, with the old ID or a new one. It does nothing if a process is
+// already running, which happens if two faults overlap.
 func (s *Server) restart(newID bool) error {
 	s.mu.Lock()
 	if len(s.listeners) > 0 {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// drain lists the server as draining. From then on it rejects what comes, and completes what it has.
+// drain lists the server as draining. From then on it rejects new requests and completes the ones in flight.
 func (s *Server) drain() {
 	s.mu.Lock()
 	s.phase = phaseDraining
--- a/lab/backend/fleet.go
+++ b/lab/backend/fleet.go
@@ -1,6 +1,6 @@
-// Package backend is the servers and the discovery that the nodes use, as stand-ins on loopback sockets: hundreds of
-// servers in one process, each a model.Server behind real sockets. A server has a listener for each node, so it knows
-// which node sends, and each node's link to it can have a delay of its own.
+// Package backend simulates the servers and the discovery service that the nodes use. Hundreds of servers run in one
+// process, each a model.Server behind real loopback sockets. A server has one listener per node, which identifies the
+// sending node and allows a separate delay for each node's link to the server.
 package backend
 
 import (
@@ -16,12 +16,12 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// Fleet is all servers and each node's discovery.
+// Fleet contains all simulated servers and one discovery server per node.
 type Fleet struct {
 	scenario    *scenario.Scenario
-	start       time.Time // of the run's time
+	start       time.Time // of the run
 	effects     map[string]audit.Effect
-	links       [][]*netfault.Link // by server and node; nil: nothing is done to it
+	links       [][]*netfault.Link // by server and node; nil if the link is unimpaired
 	pods        []*pod
 	servers     []*Server
 	discoveries []*DiscoveryServer
@@ -32,22 +32,23 @@
 	collapses  []audit.Collapse
 	stalls     []audit.Stall
 
-	workStarted atomic.Int64 // microseconds of work
+	workStarted atomic.Int64 // work started on all servers, in microseconds
 }
 
-// pod guards the model of one pod: its servers share a limit and remember the same idempotency keys.
+// pod is the model of one pod and the lock that guards it. The servers of a pod share a request limit and the set of
+// idempotency keys.
 type pod struct {
 	mu    sync.Mutex
 	model *model.Pod
 }
 
-// New starts all servers and one discovery for each node. start is the zero of the run's time.
+// New starts all servers and one discovery server per node. start is the start time of the run.
 func New(s *scenario.Scenario, speeds []float64, start time.Time) (*Fleet, error) {
 	f := &Fleet{scenario: s, start: start, effects: map[string]audit.Effect{}}
 	for _, c := range s.Classes {
 		f.effects[c.Name] = audit.EffectOf(c.Effect)
 	}
-	window := time.Duration(0) // the longest in which a keyed request's duplicates are dropped
+	window := time.Duration(0) // the longest dedup window of all classes
 	for _, c := range s.Classes {
 		window = max(window, c.Window)
 	}
@@ -78,8 +79,8 @@
 	return f, nil
 }
 
-// newLink is the link from a node to a server: the delay between their zones and the scenario's impairment. It is nil
-// where nothing is done to it.
+// newLink returns the link from a node to a server, with the delay between their zones and the scenario's impairment. It
+// returns nil if the link has neither and is never stalled.
 func (f *Fleet) newLink(server, node int) *netfault.Link {
 	up, down := Impairments(f.scenario.Links.Servers)
 	if f.scenario.ZoneOf(server) != f.scenario.NodeZone(node) {
@@ -89,36 +90,39 @@
 	if up.Clean() && down.Clean() && !f.scenario.HasFault(scenario.FaultServersStall) {
 		return nil
 	}
-	return netfault.NewLink(down, up, f.scenario.Seed<<20+uint64(server)<<8+uint64(node)) // the wrapped side writes what goes down
+	// The wrapped side is the server, which writes in direction down.
+	return netfault.NewLink(down, up, f.scenario.Seed<<20+uint64(server)<<8+uint64(node))
 }
 
-// Impairments are the two directions of a link as a scenario states it; up is to the node or server.
-func Impairments(i scenario.Impairment) (up, down netfault.Impairment) {
-	p := netfault.Impairment{Loss: i.Loss, RTO: i.RTO, Delay: i.Delay, Jitter: i.Jitter, Bandwidth: i.Bandwidth}
-	if i.Direction != "down" {
-		up = p
+// Impairments returns the impairment of each direction of a link as a scenario specifies it; up is towards the node or
+// server.
+func Impairments(configured scenario.Impairment) (up, down netfault.Impairment) {
+	impairment := netfault.Impairment{Loss: configured.Loss, RTO: configured.RTO, Delay: configured.Delay, Jitter: configured.Jitter,
+		Bandwidth: configured.Bandwidth}
+	if configured.Direction != "down" {
+		up = impairment
 	}
-	if i.Direction != "up" {
-		down = p
+	if configured.Direction != "up" {
+		down = impairment
 	}
 	return up, down
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// at is the run's time of a moment.
-func (f *Fleet) at(t time.Time) audit.Offset { return t.Sub(f.start) }
+// offsetOf returns the time from the start of the run to t.
+func (f *Fleet) offsetOf(t time.Time) audit.Offset { return t.Sub(f.start) }
 
-// now is the run's time in the model's unit.
+// now returns the time since the start of the run in the model's unit.
 func (f *Fleet) now() model.Millis { return millis(time.Since(f.start)) }
 
-// Discovery is the address of a node's discovery.
+// Discovery returns the address of a node's discovery server.
 func (f *Fleet) Discovery(node int) string { return f.discoveries[node].Addr() }
 
-// Known is the list that a node's configuration holds at its start.
-func (f *Fleet) Known(node int) []Member { return f.members(node) }
+// InitialMembers returns the server list that is written to a node's configuration before the node starts.
+func (f *Fleet) InitialMembers(node int) []Member { return f.members(node) }
 
-// members is the current list for one node.
+// members returns the current server list for one node.
 func (f *Fleet) members(node int) []Member {
 	out := make([]Member, 0, len(f.servers))
 	for _, srv := range f.servers {
@@ -129,14 +133,14 @@
 	return out
 }
 
-// announce sends a server's changed entry to every discovery.
+// announce passes a server's changed entry to every discovery server.
 func (f *Fleet) announce(srv *Server) {
 	for node, d := range f.discoveries {
 		d.enqueue(srv.member(node))
 	}
 }
 
-// ApplyFault begins or ends one fault of a server or a discovery. The kinds are described in docs/lab.md.
+// ApplyFault starts or ends one fault of a server or a discovery server. The kinds are described in docs/lab.md.
 func (f *Fleet) ApplyFault(e scenario.Event) error {
 	if e.Server >= 0 {
 		return f.servers[e.Server].apply(e)
@@ -144,10 +148,10 @@
 	if e.Node >= 0 {
 		return f.discoveries[e.Node].apply(e)
 	}
-	return fmt.Errorf("%s has no target", e.Kind)
+	return fmt.Errorf("fault %s names neither a server nor a node", e.Kind)
 }
 
-// Record is what servers and discoveries saw.
+// Record returns what the servers and discovery servers have recorded for the auditor.
 func (f *Fleet) Record() audit.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,17 +162,17 @@
 	return r
 }
 
-// ServerLoad is one server's state at a moment.
+// ServerLoad is the state of one server at one time.
 type ServerLoad struct {
 	ID           string  `json:"id"`
 	InFlight     int     `json:"in_hand"`
 	WarmupFactor float64 `json:"warmth"`
 	Slow         bool    `json:"slow"`
 	Serving      bool    `json:"serving"`
-	Started      int64   `json:"begun"` // requests whose work has started, since the run's start
+	Started      int64   `json:"begun"` // requests whose execution has started since the start of the run
 }
 
-// Loads are the states of all servers.
+// Loads returns the states of all servers.
 func (f *Fleet) Loads() []ServerLoad {
 	out := make([]ServerLoad, len(f.servers))
 	for i, srv := range f.servers {
@@ -177,12 +181,12 @@
 	return out
 }
 
-// WorkStarted is all work that servers have started; a request that is executed twice counts twice.
+// WorkStarted returns the total work that the servers have started. A request that is executed twice counts twice.
 func (f *Fleet) WorkStarted() time.Duration {
 	return time.Duration(f.workStarted.Load()) * time.Microsecond
 }
 
-// Close ends all servers and discoveries.
+// Close stops all servers and discovery servers.
 func (f *Fleet) Close() {
 	for _, srv := range f.servers {
 		srv.close()
@@ -198,28 +202,28 @@
 	f.receipts = append(f.receipts, r)
 }
 
-// recordStall records the begin or the end of a stall on a server's links.
+// recordStall records the start or the end of a stall of a server's links.
 func (f *Fleet) recordStall(server string, ends bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.at(time.Now())
+	now := f.offsetOf(time.Now())
 	if !ends {
-		f.stalls = append(f.stalls, audit.Stall{Server: server, From: now, To: stallOpen})
+		f.stalls = append(f.stalls, audit.Stall{Server: server, From: now, To: ongoingStall})
 		return
 	}
 	for i := range f.stalls {
-		if s := &f.stalls[i]; s.Server == server && s.To == stallOpen {
-			s.To = now + stallRest
+		if s := &f.stalls[i]; s.Server == server && s.To == ongoingStall {
+			s.To = now + stallFlushTime
 		}
 	}
 }
 
 const (
-	// stallOpen is the end of a stall that has not ended yet.
-	stallOpen = audit.Offset(1<<63 - 1)
+	// ongoingStall is the recorded end time of a stall that has not ended yet.
+	ongoingStall = audit.Offset(1<<63 - 1)
 
-	// stallRest is how long after a stall's end what it held back may still be coming.
-	stallRest = 50 * time.Millisecond
+	// stallFlushTime is added to the end of a stall, because the data that it delayed arrives over some time afterwards.
+	stallFlushTime = 50 * time.Millisecond
 )
 
 func (f *Fleet) recordExecution(r audit.Execution) {
--- a/lab/backend/http.go
+++ b/lab/backend/http.go
@@ -28,36 +28,36 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	fresh := true
+	firstOnConn := true
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		first := time.Now()
+		firstByteAt := time.Now()
 		if req.ReadLimitBody(r, 64<<10) != nil {
 			return
 		}
 		s.waitResponsive()
 		resp.Reset()
 		resp.Header.DisableNormalizing()
-		if !s.answer(req, resp, node, fresh, first) {
+		if !s.answer(req, resp, node, firstOnConn, firstByteAt) {
 			_ = raw.SetLinger(0)
 			return
 		}
-		fresh = false
+		firstOnConn = false
 		if resp.Write(w) != nil || w.Flush() != nil {
 			return
 		}
 	}
 }
 
-// waitResponsive blocks while the server's machine has vanished: nothing is read, and no connection breaks.
+// waitResponsive blocks while a vanish fault makes the server unresponsive: nothing is read, and connections stay open.
 func (s *Server) waitResponsive() {
 	for {
 		s.mu.Lock()
-		gone := s.unresponsive
+		blocked := s.unresponsive
 		s.mu.Unlock()
-		if !gone {
+		if !blocked {
 			return
 		}
 		select {
@@ -68,8 +68,9 @@
 	}
 }
 
-// answer handles one request; false says that the connection is to be reset instead.
-func (s *Server) answer(req *fasthttp.Request, resp *fasthttp.Response, node int, fresh bool, first time.Time) bool {
+// answer handles one request and fills in the response. It returns false if the connection must be reset instead.
+// firstOnConn says that the request is the first one on its connection.
+func (s *Server) answer(req *fasthttp.Request, resp *fasthttp.Response, node int, firstOnConn bool, firstByteAt time.Time) bool {
 	switch path := string(req.URI().Path()); {
 	case s.fleet.scenario.Fleet.Probes && (path == "/ping" || path == "/_load"):
 		resp.SetBodyString(s.report())
@@ -78,28 +79,28 @@
 		resp.SetStatusCode(fasthttp.StatusNotFound)
 		return true
 	}
-	a := s.execute(req, node, fresh, first)
-	if a.died {
+	res := s.execute(req, node, firstOnConn, firstByteAt)
+	if res.died {
 		return false
 	}
-	resp.SetStatusCode(a.status)
-	if a.notExecuted {
+	resp.SetStatusCode(res.status)
+	if res.notExecuted {
 		resp.Header.Set("X-Not-Run", "1")
 	}
 	if report := s.report(); report != "" {
 		resp.Header.Set("X-Load", report)
 	}
-	if a.status == fasthttp.StatusOK {
+	if res.status == fasthttp.StatusOK {
 		resp.SetBodyString("id=" + attemptID(req) + "&server=" + s.name() + bodyTail)
 	}
 	return true
 }
 
-// bodyTail fills up a response's body, so that a short read is seen.
+// bodyTail ends each response body, so that clients detect a truncated body.
 const bodyTail = "&stills=0123456789abcdef0123456789abcdef"
 
-// attemptID is the lab's own id of an attempt. Over CoAP the node makes the request's id, so the lab's goes in the
-// query.
+// attemptID returns the lab's ID of an attempt. Over CoAP the node creates the request ID, so the lab's ID is a query
+// parameter there.
 func attemptID(req *fasthttp.Request) string {
 	if id := req.URI().QueryArgs().Peek("try"); len(id) > 0 {
 		return string(id)
@@ -107,7 +108,7 @@
 	return string(req.Header.Peek("X-Request-Id"))
 }
 
-// OperationOf is the operation in an attempt's id; false where the id is not the lab's.
+// OperationOf returns the operation number in an attempt ID, and false if the ID does not have the lab's format.
 func OperationOf(id string) (int, bool) {
 	if len(id) < 13 {
 		return 0, false
@@ -116,5 +117,5 @@
 	return int(n), err == nil
 }
 
-// AttemptID is the id of an operation's attempt: the operation in 12 hexadecimal digits, the attempt in 4.
-func AttemptID(op, try int) string { return fmt.Sprintf("%012x%04x", op, try) }
+// AttemptID returns the ID of an attempt of an operation: 12 hexadecimal digits for the operation and 4 for the attempt.
+func AttemptID(operation, attempt int) string { return fmt.Sprintf("%012x%04x", operation, attempt) }
--- a/lab/backend/inventory.go
+++ b/lab/backend/inventory.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// readDelay is how long after a good file is in place a node counts as notified: its settle time and its poll.
-	readDelay = 400 * time.Millisecond
+	// nodeReadDelay is the time after a valid file was written from which a node counts as notified. It covers the node's
+	// poll interval and settle time.
+	nodeReadDelay = 400 * time.Millisecond
 
-	// chunk and chunkPause are the pace of a tool that writes a file in place.
-	chunk      = 4096
+	// chunkBytes and chunkPause set the rate at which a file is written in place: one chunk, then one pause.
+	chunkBytes = 4096
 	chunkPause = time.Millisecond
 )
 
-// InventoryWriter keeps each node's inventory file as a configuration tool would, well and badly.
+// InventoryWriter rewrites each node's inventory file as a configuration tool would, with valid and invalid contents.
 type InventoryWriter struct {
 	fleet *Fleet
 	dir   string
@@ -32,12 +33,12 @@
 
 	mu        sync.Mutex
 	updates   []audit.ListUpdate
-	withdrawn []map[string]bool // by node: what the last good file took away or drains
-	GoodFiles int               // files put in place whole
+	withdrawn []map[string]bool // by node: servers that the last valid file leaves out or lists as draining
+	GoodFiles int               // valid files written
 	BadFiles  int
 }
 
-// NewInventoryWriter writes the first, good files and an operator file for each node.
+// NewInventoryWriter writes a valid inventory file and an operator file for each node.
 func NewInventoryWriter(f *Fleet, dir string) (*InventoryWriter, error) {
 	w := &InventoryWriter{fleet: f, dir: dir, rng: rand.New(rand.NewPCG(f.scenario.Seed, 77))}
 	for node := range f.scenario.Nodes.Count {
@@ -45,16 +46,16 @@
 		if err := os.WriteFile(w.path(node), w.content(node), 0o600); err != nil {
 			return nil, err
 		}
-		edge := fmt.Sprintf("[inventory]\ndiscovery = false\npoll = \"200ms\"\nsettle = \"100ms\"\nremove_share = 0.5\n\n"+
+		operatorFile := fmt.Sprintf("[inventory]\ndiscovery = false\npoll = \"200ms\"\nsettle = \"100ms\"\nremove_share = 0.5\n\n"+
 			"[[inventory.file]]\npath = %q\nname = \"tools\"\ntrailer = true\n", w.path(node))
-		if err := os.WriteFile(OperatorFilePath(dir, node), []byte(edge), 0o600); err != nil {
+		if err := os.WriteFile(OperatorFilePath(dir, node), []byte(operatorFile), 0o600); err != nil {
 			return nil, err
 		}
 	}
 	return w, nil
 }
 
-// OperatorFilePath is where a node's operator file lies in a folder.
+// OperatorFilePath returns the path of a node's operator file in a directory.
 func OperatorFilePath(dir string, node int) string {
 	return filepath.Join(dir, fmt.Sprintf("edge%d.toml", node))
 }
@@ -63,20 +64,20 @@
 	return filepath.Join(w.dir, fmt.Sprintf("servers%d.%s", node, w.fleet.scenario.Inventory.Form))
 }
 
-// content is a node's file for the current list. A column that changes with each rewrite makes every file a new
-// revision.
+// content returns the contents of a node's inventory file for the current server list. An extra column with a random value
+// makes every rewrite a new revision.
 func (w *InventoryWriter) content(node int) []byte {
 	var out []inventory.Server
 	for _, m := range w.fleet.members(node) {
 		if w.fleet.coapAt(m.HostPort, node) {
 			m.HostPort = inventory.SchemeCoAP + m.HostPort
 		}
-		s := inventory.Server{ID: m.ID, Address: m.HostPort, Zone: m.Locality, Pod: fmt.Sprintf("pod-%03d", m.Cell), Size: m.Size,
+		entry := inventory.Server{ID: m.ID, Address: m.HostPort, Zone: m.Locality, Pod: fmt.Sprintf("pod-%03d", m.Cell), Size: m.Size,
 			Phase: inventory.Serving, Extra: map[string]string{"rewrite": fmt.Sprint(w.rng.IntN(1 << 30))}}
 		if m.Phase != phaseServing {
-			s.Phase = inventory.Draining
+			entry.Phase = inventory.Draining
 		}
-		out = append(out, s)
+		out = append(out, entry)
 	}
 	if w.fleet.scenario.Inventory.Form == "yaml" {
 		return inventory.WriteYAML(out)
@@ -84,17 +85,17 @@
 	return inventory.WriteCSV(out)
 }
 
-// coapAt reports whether the server at an address speaks CoAP.
+// coapAt reports whether the server at an address uses CoAP.
 func (f *Fleet) coapAt(hostPort string, node int) bool {
 	for i, srv := range f.servers {
-		if f.speaksCoap(i) && srv.member(node).HostPort == hostPort {
+		if f.usesCoap(i) && srv.member(node).HostPort == hostPort {
 			return true
 		}
 	}
 	return false
 }
 
-// Run rewrites the files until the context ends.
+// Run rewrites all files at the scenario's interval until the context is cancelled.
 func (w *InventoryWriter) Run(ctx context.Context) error {
 	tick := time.NewTicker(w.fleet.scenario.Inventory.Every)
 	defer tick.Stop()
@@ -112,21 +113,22 @@
 	}
 }
 
-// rewrite puts one file in place: whole by a rename, whole but slowly in place, or corrupted.
+// rewrite replaces the file of one node: with valid contents by a rename, with valid contents written slowly in place, or
+// with corrupted contents.
 func (w *InventoryWriter) rewrite(node int) error {
-	good := w.content(node)
+	valid := w.content(node)
 	listed := w.fleet.members(node)
-	x := w.rng.Float64()
-	switch i := w.fleet.scenario.Inventory; {
-	case x < i.Bad:
+	draw := w.rng.Float64()
+	switch cfg := w.fleet.scenario.Inventory; {
+	case draw < cfg.Bad:
 		w.BadFiles++
-		return replace(w.path(node), w.corrupt(good))
-	case x < i.Bad+i.InPlace:
-		if err := inPlace(w.path(node), good); err != nil {
+		return replaceFile(w.path(node), w.corrupt(valid))
+	case draw < cfg.Bad+cfg.InPlace:
+		if err := writeInPlace(w.path(node), valid); err != nil {
 			return err
 		}
 	default:
-		if err := replace(w.path(node), good); err != nil {
+		if err := replaceFile(w.path(node), valid); err != nil {
 			return err
 		}
 	}
@@ -135,77 +137,78 @@
 	return nil
 }
 
-// corrupt makes a bad file of a good one: cut off, empty, with a contradiction, or not a list at all.
-func (w *InventoryWriter) corrupt(good []byte) []byte {
+// corrupt turns valid contents into invalid ones: truncated, empty, contradictory, or not a server list at all.
+func (w *InventoryWriter) corrupt(valid []byte) []byte {
 	switch w.rng.IntN(4) {
 	case 0:
-		return good[:w.rng.IntN(len(good))]
+		return valid[:w.rng.IntN(len(valid))]
 	case 1:
 		return nil
 	case 2:
-		text := string(good)
+		text := string(valid)
 		lines := strings.Split(text, "\n")
-		contradiction := strings.Replace(lines[1], "pod-", "pod-9", 1) // the first server once more, in another pod
+		contradiction := strings.Replace(lines[1], "pod-", "pod-9", 1) // repeats the first server in another pod
 		return []byte(strings.Join(slices.Insert(lines, 2, contradiction), "\n"))
 	}
 	return []byte("\x00\xff<html>502 Bad Gateway</html>\n")
 }
 
-func replace(path string, data []byte) error {
+func replaceFile(path string, data []byte) error {
 	if err := os.WriteFile(path+".tmp", data, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".tmp", path)
 }
 
-func inPlace(path string, data []byte) error {
+func writeInPlace(path string, data []byte) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	for len(data) > 0 && err == nil {
-		n := min(chunk, len(data))
+		n := min(chunkBytes, len(data))
 		_, err = f.Write(data[:n])
 		data = data[n:]
 		time.Sleep(chunkPause)
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-// recordUpdates records which servers a good file withdraws or puts back in service.
+// recordUpdates records which servers a valid file withdraws or puts back in service. A withdrawal counts once the node has
+// had time to read the file, a return to service at once.
 func (w *InventoryWriter) recordUpdates(node int, listed []Member) {
-	at := w.fleet.at(time.Now()) + readDelay
-	now := map[string]bool{}
+	notifiedAt := w.fleet.offsetOf(time.Now()) + nodeReadDelay
+	current := map[string]bool{}
 	for _, m := range listed {
 		if m.Phase != phaseServing {
-			now[m.ID] = true
+			current[m.ID] = true
 		}
 	}
 	for _, srv := range w.fleet.servers {
 		m := srv.member(node)
 		if m.Phase == phaseGone {
-			now[m.ID] = true
+			current[m.ID] = true
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id := range now {
+	for id := range current {
 		if !w.withdrawn[node][id] {
-			w.updates = append(w.updates, audit.ListUpdate{Node: node, Server: id, Withdrawn: true, At: at})
+			w.updates = append(w.updates, audit.ListUpdate{Node: node, Server: id, Withdrawn: true, At: notifiedAt})
 		}
 	}
 	for id := range w.withdrawn[node] {
-		if !now[id] {
-			w.updates = append(w.updates, audit.ListUpdate{Node: node, Server: id, At: at - readDelay})
+		if !current[id] {
+			w.updates = append(w.updates, audit.ListUpdate{Node: node, Server: id, At: notifiedAt - nodeReadDelay})
 		}
 	}
-	w.withdrawn[node] = now
+	w.withdrawn[node] = current
 }
 
-// ListUpdates are what the good files said of withdrawn servers.
+// ListUpdates returns the withdrawals and returns to service in the valid files.
 func (w *InventoryWriter) ListUpdates() []audit.ListUpdate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/backend/server.go
+++ b/lab/backend/server.go
@@ -13,52 +13,51 @@
 	"tackhub.example/tackhub/lab/model"
 )
 
-// Server is one stand-in server over all its incarnations: a crash ends a process, and the next one has the same
-// address.
+// Server is one simulated server across all its incarnations. A crash ends a process; the next one has the same address.
 type Server struct {
 	fleet *Fleet
 	index int
 	speed float64
 	pod   *pod
-	wake  chan struct{} // the model's next completion may be due at another time
-
-	mu           sync.Mutex // locked before the pod's
-	incarnation  int        // 0 for the first process, one more with each restart
-	id           string
-	phase        string
-	upSince      int64 // Unix milliseconds; 0: long ago
-	model        *model.Server
-	listeners    []*net.TCPListener
-	packets      []net.PacketConn // CoAP
-	addrs        []string         // by node; kept over restarts
-	conns        map[net.Conn]struct{}
-	openConns    int
-	pending      map[uint64]*pending
-	lastID       uint64
-	errorShare   float64 // share of requests that end with an error
-	hidesReports bool    // responses carry no load report
-	unresponsive bool    // nothing is read and nothing answered
-	started      int64   // requests whose work has started
-	host         string
-	rng          *rand.Rand
-	closed       chan struct{}
+	wake  chan struct{} // signals that the model's next completion time may have changed
+
+	mu            sync.Mutex // locked before pod.mu
+	incarnation   int        // 0 for the first process, incremented by each restart
+	id            string
+	phase         string
+	upSince       int64 // Unix milliseconds; 0 if the process was already warm at the start of the run
+	model         *model.Server
+	listeners     []*net.TCPListener
+	packets       []net.PacketConn // CoAP
+	addrs         []string         // by node; kept across restarts
+	conns         map[net.Conn]struct{}
+	openConns     int
+	pending       map[uint64]*pendingRequest
+	lastID        uint64
+	errorFraction float64 // fraction of requests that end with an error
+	hidesReports  bool    // responses contain no load report
+	unresponsive  bool    // requests are neither read nor answered
+	started       int64   // requests whose execution has started
+	host          string
+	rng           *rand.Rand
+	closed        chan struct{}
 }
 
-// pending is a request that is queued or worked on, with what its response needs.
-type pending struct {
-	done      chan result
-	execution audit.Execution
-	fails     bool
+// pendingRequest is a request that is queued or being executed, with the data needed for its response.
+type pendingRequest struct {
+	done             chan result
+	execution        audit.Execution
+	respondWithError bool
 }
 
-// result is what became of a request.
+// result is the outcome of a request.
 type result struct {
 	status      int
 	notExecuted bool
-	died        bool // the process ended before it could answer
+	died        bool // the process ended before it could respond
 }
 
-// newServer makes a server that has no process yet.
+// newServer creates a server without a process; open starts one.
 func newServer(f *Fleet, index int, speed float64) *Server {
 	s := &Server{
 		fleet:   f,
@@ -68,16 +67,16 @@
 		wake:    make(chan struct{}, 1),
 		addrs:   make([]string, f.scenario.Nodes.Count),
 		conns:   map[net.Conn]struct{}{},
-		pending: map[uint64]*pending{},
+		pending: map[uint64]*pendingRequest{},
 		host:    loopback.NextHost(),
 		rng:     rand.New(rand.NewPCG(f.scenario.Seed, uint64(1000+index))),
 		closed:  make(chan struct{}),
 	}
-	go s.work()
+	go s.runModel()
 	return s
 }
 
-// open starts a process of the server. started is math.Inf(-1) for a warm one, else the run's time.
+// open starts a process of the server. started is its start time; math.Inf(-1) skips the slow start.
 func (s *Server) open(started model.Millis) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +85,7 @@
 	s.pod.mu.Unlock()
 	s.phase = phaseServing
 	s.unresponsive = false
-	s.errorShare = 0
+	s.errorFraction = 0
 	s.upSince = 0
 	if !math.IsInf(started, -1) {
 		s.upSince = time.Now().UnixMilli()
@@ -102,26 +101,25 @@
 	return nil
 }
 
-// params are the model's parameters, from the scenario.
+// params returns the model's parameters from the scenario.
 func (s *Server) params() model.Params {
-	f := s.fleet.scenario.Fleet
+	cfg := s.fleet.scenario.Fleet
 	return model.Params{
-		Cores:            f.Cores,
+		Cores:            cfg.Cores,
 		Speed:            s.speed,
-		QueueMax:         f.QueueMax,
-		CrowdDepth:       f.CrowdDepth,
-		CrowdFor:         millis(f.CrowdFor),
-		SlowFactor:       f.SlowFactor,
-		RestFor:          millis(f.RestFor),
-		ColdSpeed:        f.ColdSpeed,
-		ColdFor:          millis(f.ColdFor),
-		CollapseMultiple: f.CollapseMultiple,
-		CollapseWindow:   millis(f.CollapseWindow),
+		QueueMax:         cfg.QueueMax,
+		CrowdDepth:       cfg.CrowdDepth,
+		CrowdFor:         millis(cfg.CrowdFor),
+		SlowFactor:       cfg.SlowFactor,
+		RestFor:          millis(cfg.RestFor),
+		ColdSpeed:        cfg.ColdSpeed,
+		ColdFor:          millis(cfg.ColdFor),
+		CollapseMultiple: cfg.CollapseMultiple,
+		CollapseWindow:   millis(cfg.CollapseWindow),
 	}
 }
 
-// listen opens the listener for one node, at the address of the process before where there was one. The caller holds
-// the lock.
+// listen opens the listener for one node, on the address of the previous process if there was one. The caller holds s.mu.
 func (s *Server) listen(node int) error {
 	address := s.addrs[node]
 	if address == "" {
@@ -138,7 +136,7 @@
 	return s.listenCoap(node)
 }
 
-// accept takes connections until the listener is closed. Beyond the limit of connections new ones are reset.
+// accept accepts connections until the listener is closed. It resets new connections while the connection limit is reached.
 func (s *Server) accept(l *net.TCPListener, node int) {
 	for {
 		c, err := l.AcceptTCP()
@@ -165,20 +163,20 @@
 	return s.id
 }
 
-// member is the server's entry in one node's list.
+// member returns the server's entry in one node's server list.
 func (s *Server) member(node int) Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.entry(node)
+	return s.memberLocked(node)
 }
 
-// entry is member for a caller that holds the lock.
-func (s *Server) entry(node int) Member {
+// memberLocked is like member, but the caller holds s.mu.
+func (s *Server) memberLocked(node int) Member {
 	return Member{ID: s.id, HostPort: s.addrs[node], Locality: s.fleet.scenario.ZoneOf(s.index), Flavor: "lab",
 		Cell: s.fleet.scenario.PodOf(s.index), Phase: s.phase, Size: 1, UpSince: s.upSince}
 }
 
-// load is the server's state for reports.
+// load returns the server's state for progress reports.
 func (s *Server) load() ServerLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +186,7 @@
 		Serving: len(s.listeners) > 0 && s.phase == phaseServing, Started: s.started}
 }
 
-// dropProcess loses the process: its connections are reset and new ones refused. The caller holds the lock.
+// dropProcess ends the process: its connections are reset, and new ones are refused. The caller holds s.mu.
 func (s *Server) dropProcess() {
 	for _, l := range s.listeners {
 		_ = l.Close()
--- a/lab/backend/work.go
+++ b/lab/backend/work.go
@@ -11,7 +11,7 @@
 	"tackhub.example/tackhub/lab/model"
 )
 
-// report is the load report of now; empty where servers give none.
+// report returns the current load report, or "" if the server sends none.
 func (s *Server) report() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,9 +26,9 @@
 	return fmt.Sprintf("TEXT inflight=%d, queue=%d, util=%.2f", inFlight, queued, util)
 }
 
-// execute offers a request to the model and waits for its result. fresh says that it is the first one on its
-// connection, first is when its first byte came.
-func (s *Server) execute(req *fasthttp.Request, node int, fresh bool, first time.Time) result {
+// execute offers a request to the model and waits for its result. firstOnConn says that it is the first request on its
+// connection, firstByteAt when its first byte arrived.
+func (s *Server) execute(req *fasthttp.Request, node int, firstOnConn bool, firstByteAt time.Time) result {
 	id := attemptID(req)
 	op, ok := OperationOf(id)
 	if !ok {
@@ -39,19 +39,19 @@
 		ID:       id,
 		Node:     node,
 		Server:   s.id,
-		At:       s.fleet.at(first),
+		At:       s.fleet.offsetOf(firstByteAt),
 		Deadline: time.Duration(headerInt(req, "X-Deadline-Ms")) * time.Millisecond,
 	})
 	s.lastID++
-	r := model.Request{ID: s.lastID, Work: s.workOf(req, fresh), Key: string(req.Header.Peek("Idempotency-Key"))}
-	p := s.newPending(req, id, op)
-	s.pending[r.ID] = p
-	v := s.offer(r)
-	if v != model.Accepted {
-		delete(s.pending, r.ID)
+	modelReq := model.Request{ID: s.lastID, Work: s.requestWork(req, firstOnConn), Key: string(req.Header.Peek("Idempotency-Key"))}
+	entry := s.newPending(req, id, op)
+	s.pending[modelReq.ID] = entry
+	verdict := s.offer(modelReq)
+	if verdict != model.Accepted {
+		delete(s.pending, modelReq.ID)
 	}
 	s.mu.Unlock()
-	switch v {
+	switch verdict {
 	case model.Accepted:
 	case model.Duplicate:
 		return result{status: fasthttp.StatusOK}
@@ -60,15 +60,15 @@
 	default:
 		return result{status: fasthttp.StatusServiceUnavailable, notExecuted: true}
 	}
-	s.wakeWorker()
-	return <-p.done
+	s.wakeModelLoop()
+	return <-entry.done
 }
 
-// newPending prepares a request's record. The caller holds the lock.
-func (s *Server) newPending(req *fasthttp.Request, id string, op int) *pending {
-	return &pending{
-		done:  make(chan result, 1),
-		fails: s.rng.Float64() < s.errorShare,
+// newPending returns the entry of a request that is about to be offered. The caller holds s.mu.
+func (s *Server) newPending(req *fasthttp.Request, id string, op int) *pendingRequest {
+	return &pendingRequest{
+		done:             make(chan result, 1),
+		respondWithError: s.rng.Float64() < s.errorFraction,
 		execution: audit.Execution{
 			ID:        id,
 			Operation: op,
@@ -79,79 +79,80 @@
 	}
 }
 
-// workOf is the work that a request asks for, in milliseconds on one core of speed 1.
-func (s *Server) workOf(req *fasthttp.Request, fresh bool) model.Millis {
+// requestWork returns the work that a request takes, in milliseconds on one core of speed 1. The first request of a
+// connection also takes the connection cost.
+func (s *Server) requestWork(req *fasthttp.Request, firstOnConn bool) model.Millis {
 	micros, _ := strconv.Atoi(string(req.URI().QueryArgs().Peek("w")))
 	work := float64(micros) / 1000
-	if fresh {
+	if firstOnConn {
 		work += millis(s.fleet.scenario.Fleet.ConnCost)
 	}
 	return work
 }
 
-// headerInt is a header field's number; 0 where it is missing or none.
+// headerInt returns the value of an integer header field, or 0 if it is missing or invalid.
 func headerInt(req *fasthttp.Request, name string) int {
 	n, _ := strconv.Atoi(string(req.Header.Peek(name)))
 	return n
 }
 
-// offer puts a request before the model and returns the model's verdict. A cold server that collapses under it loses
-// its process. The caller holds the lock.
-func (s *Server) offer(r model.Request) model.Verdict {
+// offer passes a request to the model and returns the model's verdict. If the request makes a server in slow start
+// collapse, its process ends. The caller holds s.mu.
+func (s *Server) offer(request model.Request) model.Verdict {
 	s.pod.mu.Lock()
 	now := s.fleet.now()
 	completed := s.model.Advance(now)
-	wasDown := s.model.Collapsed()
-	v := s.model.Arrive(now, r)
+	collapsedBefore := s.model.Collapsed()
+	verdict := s.model.Arrive(now, request)
 	started := s.model.TakeStarted()
-	collapses := s.model.Collapsed() && !wasDown
+	collapsedNow := s.model.Collapsed() && !collapsedBefore
 	s.pod.mu.Unlock()
-	s.settle(completed, started)
-	if collapses {
-		s.fleet.recordCollapse(audit.Collapse{Server: s.id, At: s.fleet.at(time.Now())})
+	s.handleProgress(completed, started)
+	if collapsedNow {
+		s.fleet.recordCollapse(audit.Collapse{Server: s.id, At: s.fleet.offsetOf(time.Now())})
 		s.dropProcess()
 		s.phase = phaseGone
 		go s.fleet.announce(s)
 	}
-	return v
+	return verdict
 }
 
-// settle answers completed requests and records started ones. The caller holds the lock.
-func (s *Server) settle(completed []model.Completion, started []model.Request) {
-	for _, r := range started {
-		p := s.pending[r.ID]
-		if p == nil {
+// handleProgress records started requests and answers completed ones. The caller holds s.mu.
+func (s *Server) handleProgress(completed []model.Completion, started []model.Request) {
+	for _, request := range started {
+		entry := s.pending[request.ID]
+		if entry == nil {
 			continue
 		}
-		p.execution.At = s.fleet.at(time.Now())
+		entry.execution.At = s.fleet.offsetOf(time.Now())
 		s.started++
-		s.fleet.workStarted.Add(int64(r.Work * 1000))
-		s.fleet.recordExecution(p.execution)
+		s.fleet.workStarted.Add(int64(request.Work * 1000))
+		s.fleet.recordExecution(entry.execution)
 	}
-	for _, d := range completed {
-		p := s.pending[d.Request.ID]
-		if p == nil {
+	for _, completion := range completed {
+		entry := s.pending[completion.Request.ID]
+		if entry == nil {
 			continue
 		}
-		delete(s.pending, d.Request.ID)
+		delete(s.pending, completion.Request.ID)
 		res := result{status: fasthttp.StatusOK}
-		if p.fails {
+		if entry.respondWithError {
 			res.status = fasthttp.StatusInternalServerError
 		}
-		p.done <- res
+		entry.done <- res
 	}
 }
 
-// wakeWorker has the worker ask the model again when its next completion is due.
-func (s *Server) wakeWorker() {
+// wakeModelLoop makes runModel recompute when the model's next completion is due.
+func (s *Server) wakeModelLoop() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// work advances the model whenever a completion is due, until the server is closed.
-func (s *Server) work() {
+// runModel advances the model whenever a completion is due. It returns when the server is closed.
+func (s *Server) runModel() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
@@ -161,11 +162,11 @@
 			s.pod.mu.Lock()
 			completed := s.model.Advance(s.fleet.now())
 			started := s.model.TakeStarted()
-			at, ok := s.model.NextCompletion()
+			next, hasNext := s.model.NextCompletion()
 			s.pod.mu.Unlock()
-			s.settle(completed, started)
-			if ok {
-				wait = max(0, time.Duration((at-s.fleet.now())*float64(time.Millisecond)))
+			s.handleProgress(completed, started)
+			if hasNext {
+				wait = max(0, time.Duration((next-s.fleet.now())*float64(time.Millisecond)))
 			}
 		}
 		s.mu.Unlock()
--- a/lab/nodeproc/faults.go
+++ b/lab/nodeproc/faults.go
@@ -10,7 +10,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// ApplyFault begins or ends a fault of a node. A planned restart or replacement returns once the next process is
+// ApplyFault starts or ends a fault of a node. For a planned restart or replacement it returns when the next process is
 // healthy.
 func (g *Group) ApplyFault(e scenario.Event) error {
 	n := g.nodes[e.Node]
@@ -31,7 +31,7 @@
 		return n.replace(e.Fault.FollowUpSignals)
 	case scenario.FaultNodePause:
 		return n.pause(e.Fault.For)
-	case scenario.FaultNodeRestart: // planned: nothing may be lost, so it is no outage
+	case scenario.FaultNodeRestart: // not an outage: a planned restart must not lose requests
 		if err := n.stop(); err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// endFault ends a fault that lasts for a time. The other kinds have no end of their own.
+// endFault ends a fault that has a duration. Other kinds of faults need no action at their end.
 func (n *Node) endFault(kind scenario.FaultKind) error {
 	switch kind {
 	case scenario.FaultNodeKill, scenario.FaultDiskLost:
@@ -59,25 +59,25 @@
 	return nil
 }
 
-// recordDowntime records the begin or the end of a time in which the node has no running process: none at all, or one
-// that is suspended. A begin within a downtime changes nothing, nor does an end outside of one.
+// recordDowntime records the start or the end of a downtime, in which the node has no process or a suspended one. It has no
+// effect if the node is already in that state.
 func (n *Node) recordDowntime(begins, suspended bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	last := len(n.downtimes) - 1
-	switch open := last >= 0 && n.downtimes[last].To == stillOpen; {
-	case begins && !open:
-		n.downtimes = append(n.downtimes, audit.Downtime{Node: n.index, From: n.group.now(), To: stillOpen, Suspended: suspended})
-	case !begins && open:
+	switch inDowntime := last >= 0 && n.downtimes[last].To == ongoing; {
+	case begins && !inDowntime:
+		n.downtimes = append(n.downtimes, audit.Downtime{Node: n.index, From: n.group.now(), To: ongoing, Suspended: suspended})
+	case !begins && inDowntime:
 		n.downtimes[last].To = n.group.now()
 	}
 }
 
-// stillOpen is the end of a downtime that has not ended yet.
-const stillOpen = time.Duration(1<<63 - 1)
+// ongoing is the recorded end time of a downtime that has not ended yet.
+const ongoing = time.Duration(1<<63 - 1)
 
-// recordOutage records the begin or the end of a time in which a node cannot act. After its end the auditor leaves the
-// node another half second to catch up.
+// recordOutage records the start or the end of an outage, in which a node cannot act. The recorded end is 500 ms after the
+// actual one, so that the auditor gives the node time to recover.
 func (n *Node) recordOutage(begins bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,10 +92,10 @@
 	}
 }
 
-// signalInterval is the time between the signals that follow SIGTERM in a planned stop.
+// signalInterval is the interval between the follow-up signals after SIGTERM in a planned stop.
 const signalInterval = 120 * time.Millisecond
 
-// signals are those that may follow SIGTERM, by their names in a scenario.
+// signals maps the names of follow-up signals in a scenario to the signals.
 var signals = map[string]syscall.Signal{
 	"TERM": syscall.SIGTERM,
 	"INT":  syscall.SIGINT,
@@ -103,23 +103,23 @@
 	"USR1": syscall.SIGUSR1,
 }
 
-// replace ends a process as planned and starts the next. The given signals follow SIGTERM one by one; SIGKILL comes
-// once the scenario's time for a planned stop is over.
+// replace performs a planned stop of the process and starts the next one. After SIGTERM it sends the follow-up signals one by
+// one. It sends SIGKILL if the process is still running after Scenario.KillAfter.
 func (n *Node) replace(followUps []string) error {
 	if err := n.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	at := time.Now()
+	sigtermAt := time.Now()
 	n.stoppingSince.Store(int64(n.group.now()))
 	defer n.stoppingSince.Store(0)
 	if n.group.options.OnStop != nil {
-		n.group.options.OnStop(n.index, n.addr, at)
+		n.group.options.OnStop(n.index, n.addr, sigtermAt)
 	}
 	done := n.exited()
-	kill := time.NewTimer(time.Until(at.Add(n.group.options.Scenario.KillAfter())))
+	kill := time.NewTimer(time.Until(sigtermAt.Add(n.group.options.Scenario.KillAfter())))
 	defer kill.Stop()
-	followUp := time.NewTicker(signalInterval)
-	defer followUp.Stop()
+	followUpTicker := time.NewTicker(signalInterval)
+	defer followUpTicker.Stop()
 	for {
 		select {
 		case <-done:
@@ -129,34 +129,34 @@
 			n.killedStops++
 			n.mu.Unlock()
 			return errors.Join(n.kill(), n.start())
-		case <-followUp.C:
+		case <-followUpTicker.C:
 			if len(followUps) > 0 {
-				_ = n.signal(signals[followUps[0]]) // it may have ended meanwhile
+				_ = n.signal(signals[followUps[0]]) // ignore the error: the process may have exited in the meantime
 				followUps = followUps[1:]
 			}
 		}
 	}
 }
 
-// pause suspends a process for a moment. Unlike an outage it leaves the rules in force: the auditor only lets responses
-// be later by as much.
+// pause suspends a process for the given time. Unlike an outage, it does not exempt the node from the auditor's rules: the
+// auditor only allows responses to be late by the length of the pause.
 func (n *Node) pause(d time.Duration) error {
 	n.mu.Lock()
 	process := n.cmd.Process
 	n.mu.Unlock()
 	from := n.group.now()
 	if process.Signal(syscall.SIGSTOP) != nil {
-		return nil // it has ended
+		return nil // the process has exited
 	}
 	time.Sleep(d)
-	_ = process.Signal(syscall.SIGCONT) // it may have been killed meanwhile
+	_ = process.Signal(syscall.SIGCONT) // ignore the error: the process may have been killed in the meantime
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.pauses = append(n.pauses, audit.Pause{Node: n.index, From: from, To: n.group.now()})
 	return nil
 }
 
-// StoppingFor is how long a node's planned stop has been going on; 0 where none is.
+// StoppingFor returns the time since a node's planned stop began, or 0 if none is in progress.
 func (g *Group) StoppingFor(node int) time.Duration {
 	since := g.nodes[node].stoppingSince.Load()
 	if since == 0 {
--- a/lab/nodeproc/group.go
+++ b/lab/nodeproc/group.go
@@ -1,5 +1,5 @@
-// Package nodeproc runs the nodes of an experiment as processes of their own, injects process faults and measures each
-// process from outside.
+// Package nodeproc runs the nodes of an experiment as separate processes, injects process faults and measures each
+// process's resource usage from outside.
 package nodeproc
 
 import (
@@ -19,32 +19,32 @@
 )
 
 const (
-	// startTimeout bounds the time from the start of a process until its health check succeeds.
+	// startTimeout limits the time from the start of a process until its health check succeeds.
 	startTimeout = 15 * time.Second
 
-	// stopTimeout bounds the time from SIGTERM to the exit: the longest deadline, and as much again.
+	// stopTimeout limits the time from SIGTERM to the exit. It is twice the longest deadline.
 	stopTimeout = 6 * time.Second
 )
 
-// Options say which nodes a run has and how they are started.
+// Options specify the nodes of a run and how they are started.
 type Options struct {
 	Scenario *scenario.Scenario
 	Command  []string // the program and its arguments
-	Env      []string // added to the lab's own environment
+	Env      []string // added to the environment of the lab's process
 	Backends *backend.Fleet
-	RunStart time.Time // zero of all times that the group reports
+	RunStart time.Time // start of the run; all reported times are relative to it
 
-	// OperatorFile is the path of a node's operator file; nil: as the environment says.
+	// OperatorFile returns the path of a node's operator file. If it is nil, the environment determines the path.
 	OperatorFile func(node int) string
 
-	// OnStop is called at each planned stop, right after SIGTERM; it must not wait. May be nil.
+	// OnStop is called at each planned stop, immediately after SIGTERM. It must not block. It may be nil.
 	OnStop func(node int, address string, at time.Time)
 
-	// Dir is the folder for configurations and logs; empty: one that Close removes.
+	// Dir is the directory for configurations and logs. If it is empty, a temporary directory is used, which Close removes.
 	Dir string
 }
 
-// Group is all nodes of a run.
+// Group contains all nodes of a run.
 type Group struct {
 	options Options
 	dir     string
@@ -52,7 +52,7 @@
 	nodes   []*Node
 }
 
-// Start starts all nodes and returns once each one's health check succeeds. After an error no process is left.
+// Start starts all nodes and returns when the health check of each one succeeds. After an error no process is left running.
 func Start(o Options) (*Group, error) {
 	g := &Group{options: o, dir: o.Dir}
 	if g.dir == "" {
@@ -96,7 +96,7 @@
 	if g.options.OperatorFile != nil {
 		n.env = append(n.env, "TACKHUB_EDGE="+g.options.OperatorFile(i))
 	}
-	if g.options.Scenario.Mesh != nil { // a folder of its own, as on a machine of its own
+	if g.options.Scenario.Mesh != nil { // a separate directory, as if each node ran on its own machine
 		n.dataDir = g.DataDir(i)
 		if err := os.MkdirAll(n.dataDir, 0o700); err != nil {
 			return nil, err
@@ -107,7 +107,7 @@
 	return n, nil
 }
 
-// Addresses are where the nodes listen for requests, by node.
+// Addresses returns the addresses that the nodes listen on for requests, by node.
 func (g *Group) Addresses() []string {
 	out := make([]string, len(g.nodes))
 	for i, n := range g.nodes {
@@ -116,17 +116,17 @@
 	return out
 }
 
-// Alive reports whether a node's process runs, as far as the lab knows.
+// Alive reports whether a node's process is running and has passed its health check, according to the lab's records.
 func (g *Group) Alive(node int) bool { return g.nodes[node].healthy.Load() }
 
-// now is the time since the run's start.
+// now returns the time since the start of the run.
 func (g *Group) now() time.Duration { return time.Since(g.options.RunStart) }
 
-// DataDir is a node's own folder for temporary files, where the scenario has a mesh. It stands for the disk of a
-// machine.
+// DataDir returns a node's directory for temporary files, which simulates the disk of its machine. It exists only if the
+// scenario has a mesh.
 func (g *Group) DataDir(node int) string { return filepath.Join(g.dir, "t"+strconv.Itoa(node)) }
 
-// Log is what a node has written to its log, up to maxLogBytes.
+// Log returns the log output of a node, up to about maxLogBytes.
 func (g *Group) Log(node int) string {
 	n := g.nodes[node]
 	n.mu.Lock()
@@ -134,7 +134,8 @@
 	return n.log.String()
 }
 
-// Close ends all nodes at once, first by SIGTERM, then by SIGKILL, and removes the folder that Start made.
+// Close stops all nodes concurrently, by SIGTERM and then by SIGKILL if necessary. It removes the temporary directory that
+// Start created. If Options.Dir was set, it writes the nodes' logs there instead.
 func (g *Group) Close() {
 	var all sync.WaitGroup
 	for _, n := range g.nodes {
@@ -161,22 +162,22 @@
 	}
 }
 
-// Downtimes are the times in which nodes had no process, or a suspended one. Planned stops are among them.
+// Downtimes returns the periods in which nodes had no process or a suspended one. They include planned stops.
 func (g *Group) Downtimes() []audit.Downtime {
 	return collect(g, func(n *Node) []audit.Downtime { return n.downtimes })
 }
 
-// Outages are the times in which nodes could not act.
+// Outages returns the periods in which nodes could not act.
 func (g *Group) Outages() []audit.Outage {
 	return collect(g, func(n *Node) []audit.Outage { return n.outages })
 }
 
-// Pauses are the times for which nodes were suspended with the rules in force.
+// Pauses returns the periods in which nodes were suspended without being exempt from the auditor's rules.
 func (g *Group) Pauses() []audit.Pause {
 	return collect(g, func(n *Node) []audit.Pause { return n.pauses })
 }
 
-// KilledStops is the number of planned stops that SIGKILL had to end.
+// KilledStops returns the number of planned stops that needed SIGKILL.
 func (g *Group) KilledStops() int {
 	sum := 0
 	for _, n := range g.nodes {
@@ -187,7 +188,7 @@
 	return sum
 }
 
-// collect joins a list of each node, read under the node's lock.
+// collect concatenates the lists of all nodes. It reads each list while holding the node's lock.
 func collect[T any](g *Group, list func(*Node) []T) []T {
 	var all []T
 	for _, n := range g.nodes {
--- a/lab/nodeproc/nodelog.go
+++ b/lab/nodeproc/nodelog.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// maxLogBytes bounds what is kept of each node's log.
+// maxLogBytes limits the size of the log that is kept for each node.
 const maxLogBytes = 4 << 20
 
-// unknownAge says that no log line had a time.
+// unknownAge is the value of Node.minLogAge until a log line with a time was read.
 const unknownAge time.Duration = -1
 
-// Log messages that tell which servers a node has ejected as outliers.
+// Patterns of the log messages by which a node reports ejected and readmitted servers.
 var (
 	ejectedPattern    = regexp.MustCompile(`"msg":"ejected ([^:"]+):`)
 	readmittedPattern = regexp.MustCompile(`"msg":"readmitted ([^ "]+) after`)
 )
 
-// readLogLine keeps a line of the log and learns from it which servers are ejected.
+// readLogLine stores a line of the log and updates the set of ejected servers from it.
 func (n *Node) readLogLine(line []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,37 +34,37 @@
 	}
 }
 
-// compareClocks compares the node's clock with the lab's. A line cannot be read before it was written, and the freshest
-// one is read within a millisecond or so, so the smallest age of a line bounds the difference.
+// compareClocks compares the node's clock with the lab's. A line cannot be read before it was written, and at least one line
+// is read within about a millisecond, so the smallest age of a line limits the difference between the clocks.
 func (n *Node) compareClocks(line []byte) {
-	var head struct {
+	var entry struct {
 		Time time.Time `json:"time"`
 	}
-	if json.Unmarshal(line, &head) != nil || head.Time.IsZero() {
+	if json.Unmarshal(line, &entry) != nil || entry.Time.IsZero() {
 		return
 	}
-	if age := time.Since(head.Time); n.minLogAge == unknownAge || age < n.minLogAge {
+	if age := time.Since(entry.Time); n.minLogAge == unknownAge || age < n.minLogAge {
 		n.minLogAge = age
 	}
 }
 
-// ClockSkew is how far the clocks of lab and nodes may differ, in milliseconds; 0 where no log line had a time. A
-// negative figure says that a node's clock is ahead.
+// ClockSkew returns the largest possible difference between the lab's clock and a node's, in milliseconds, or 0 if no log
+// line had a time. A negative value means that a node's clock is ahead.
 func (g *Group) ClockSkew() float64 {
-	most := 0.0
+	maxSkew := 0.0
 	for _, n := range g.nodes {
 		n.mu.Lock()
 		if n.minLogAge != unknownAge {
-			if ms := float64(n.minLogAge) / float64(time.Millisecond); ms < 0 || ms > most {
-				most = ms
+			if skew := float64(n.minLogAge) / float64(time.Millisecond); skew < 0 || skew > maxSkew {
+				maxSkew = skew
 			}
 		}
 		n.mu.Unlock()
 	}
-	return most
+	return maxSkew
 }
 
-// Ejected are the servers that at least one node has ejected now, by the nodes' own logs.
+// Ejected returns the servers that are currently ejected by at least one node, according to the nodes' logs.
 func (g *Group) Ejected() []string {
 	seen := map[string]bool{}
 	for _, n := range g.nodes {
@@ -81,8 +81,8 @@
 	return out
 }
 
-// ForgetServer removes a server from the ejected ones. Its process was replaced, and nodes treat the new one as unknown
-// without a log line.
+// ForgetServer removes a server from the ejected ones. It is called when the server's process was replaced: nodes then
+// treat the server as new without logging a readmission.
 func (g *Group) ForgetServer(server string) {
 	for _, n := range g.nodes {
 		n.mu.Lock()
--- a/lab/nodeproc/process.go
+++ b/lab/nodeproc/process.go
@@ -17,45 +17,45 @@
 	"tackhub.example/tackhub/lab/audit"
 )
 
-// Node is one node over all its processes: a planned stop or a kill ends one process, and the next one has the same
-// name and address.
+// Node is one node across all its processes. A planned stop or a kill ends one process; the next one has the same name and
+// address.
 type Node struct {
 	group   *Group
 	index   int
 	addr    string
 	env     []string
-	dataDir string // its own folder for temporary files; empty without a mesh
+	dataDir string // directory for temporary files; empty without a mesh
 
 	healthy       atomic.Bool
-	stoppingSince atomic.Int64 // when its planned stop began, in nanoseconds of the run; 0: none is going on
+	stoppingSince atomic.Int64 // start of the planned stop in ns since the start of the run; 0: none in progress
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	cmd          *exec.Cmd
-	done         chan struct{} // closed when the process has ended
-	exitExpected bool          // the end of the process is not a crash
+	done         chan struct{} // closed when the process has exited
+	exitExpected bool          // the exit of the process does not count as a crash
 	crashes      int
-	killedStops  int // planned stops that SIGKILL had to end
+	killedStops  int // planned stops that needed SIGKILL
 	outages      []audit.Outage
 	downtimes    []audit.Downtime
 	pauses       []audit.Pause
 	samples      []Sample
-	earlierCPU   float64 // seconds that earlier processes used
-	ejected      map[string]bool
+	earlierCPU   float64         // CPU seconds used by earlier processes
+	ejected      map[string]bool // servers that the node has ejected, from its log
 	log          bytes.Buffer
-	minLogAge    time.Duration // the smallest age of a log line when it was read; unknownAge: no line had a time
+	minLogAge    time.Duration // smallest age of a log line when it was read, or unknownAge
 }
 
 // start starts a process and waits until its health check succeeds.
 func (n *Node) start() error {
 	cmd := exec.Command(n.group.options.Command[0], n.group.options.Command[1:]...)
 	cmd.Env = n.env
-	// The kernel kills the node when the lab ends, however it ends: an interrupted run leaves no process behind.
+	// The kernel kills the node when the lab's process ends for any reason, so that an interrupted run leaves no processes.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
-	if err := startOnLastingThread(cmd); err != nil {
+	if err := startOnPersistentThread(cmd); err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
 	}
 	done := make(chan struct{})
@@ -71,7 +71,7 @@
 	return err
 }
 
-// waitForExit reads the process's log until its end, then records the exit and closes done.
+// waitForExit reads the process's log until the process exits, then records the exit and closes done.
 func (n *Node) waitForExit(cmd *exec.Cmd, stderr io.Reader, done chan struct{}) {
 	lines := bufio.NewScanner(stderr)
 	lines.Buffer(nil, 1<<20)
@@ -84,21 +84,22 @@
 	if !n.exitExpected {
 		n.crashes++
 	}
-	if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-		n.earlierCPU += time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
+	if usage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
+		n.earlierCPU += time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 	}
 	n.healthy.Store(false)
 	n.mu.Unlock()
 	close(done)
 }
 
-// waitHealthy waits until the health check answers 200, at most startTimeout.
+// waitHealthy waits until the health check responds with status 200. It returns an error after startTimeout or if the
+// process exits.
 func (n *Node) waitHealthy(done chan struct{}) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-done:
-			return fmt.Errorf("node %d ended at its start: %s", n.index, n.lastLine())
+			return fmt.Errorf("node %d exited before its health check succeeded; last log line: %s", n.index, n.lastLine())
 		default:
 		}
 		resp, err := client.Get("http://" + n.addr + "/_health")
@@ -111,10 +112,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("node %d is not healthy %v after its start: %s", n.index, startTimeout, n.lastLine())
+	return fmt.Errorf("node %d was not healthy within %v of its start; last log line: %s", n.index, startTimeout, n.lastLine())
 }
 
-// lastLine is the last line of the log, which tells why a start failed.
+// lastLine returns the last line of the log, which usually contains the reason of a failed start.
 func (n *Node) lastLine() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,7 +123,7 @@
 	return lines[len(lines)-1]
 }
 
-// signal sends a signal to the process and records what the lab knows of its effect.
+// signal sends a signal to the process and records its expected effect: the start or end of a downtime, or an expected exit.
 func (n *Node) signal(sig syscall.Signal) error {
 	switch sig {
 	case syscall.SIGKILL, syscall.SIGTERM:
@@ -138,7 +139,7 @@
 	return n.cmd.Process.Signal(sig)
 }
 
-// kill ends the process by SIGKILL and waits for its exit.
+// kill sends SIGKILL to the process and waits for its exit.
 func (n *Node) kill() error {
 	if err := n.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -147,14 +148,14 @@
 	return nil
 }
 
-// exited is closed when the process has ended; nil before the first start.
+// exited returns a channel that is closed when the process has exited, or nil before the first start.
 func (n *Node) exited() chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.done
 }
 
-// stop ends a process by SIGTERM, and by SIGKILL where it takes longer than stopTimeout, which is an error.
+// stop sends SIGTERM to the process and waits for its exit. After stopTimeout it sends SIGKILL and returns an error.
 func (n *Node) stop() error {
 	if err := n.signal(syscall.SIGTERM); err != nil {
 		return err
@@ -164,30 +165,30 @@
 		return nil
 	case <-time.After(stopTimeout):
 		_ = n.kill()
-		return fmt.Errorf("node %d did not end within %v of SIGTERM", n.index, stopTimeout)
+		return fmt.Errorf("node %d did not exit within %v of SIGTERM", n.index, stopTimeout)
 	}
 }
 
-// Every process is started from one OS thread that never ends. The kernel sends a child its parent-death signal when
-// the thread that started it ends, not the process, and the Go runtime does end threads: a node would be killed in the
-// middle of a run.
-var starts = make(chan func())
+// startRequests passes functions to runLauncher, which starts every process from one OS thread that never ends. The kernel
+// sends a child its parent-death signal when the thread that started it ends, not when the process ends. The Go runtime can
+// end threads, which would kill a node in the middle of a run.
+var startRequests = make(chan func())
 
-// startOnce starts the goroutine that holds the thread.
-var startOnce = sync.OnceFunc(func() { go runStarts() })
+// startLauncher starts the goroutine that owns the thread. Only the first call has an effect.
+var startLauncher = sync.OnceFunc(func() { go runLauncher() })
 
-// startOnLastingThread starts a command from the thread that never ends.
-func startOnLastingThread(cmd *exec.Cmd) error {
-	startOnce()
+// startOnPersistentThread starts a command from the thread of runLauncher.
+func startOnPersistentThread(cmd *exec.Cmd) error {
+	startLauncher()
 	out := make(chan error, 1)
-	starts <- func() { out <- cmd.Start() }
+	startRequests <- func() { out <- cmd.Start() }
 	return <-out
 }
 
-// runStarts holds its OS thread and starts commands from it.
-func runStarts() {
+// runLauncher locks its goroutine to an OS thread and starts commands from it. It never returns.
+func runLauncher() {
 	runtime.LockOSThread()
-	for start := range starts {
+	for start := range startRequests {
 		start()
 	}
 }
--- a/lab/nodeproc/sample.go
+++ b/lab/nodeproc/sample.go
@@ -1,22 +1,22 @@
 package nodeproc
 
 import (
-	"errors"
+	"fmt"
 	"os"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Sample is what a node's process uses at a moment.
+// Sample is the resource usage of a node's process at one time.
 type Sample struct {
 	At      time.Duration `json:"at_ns"`
 	RSS     int64         `json:"rss_bytes"`
 	Sockets int           `json:"descriptors"`
-	CPU     float64       `json:"cpu_s"` // since the start, of all its processes
+	CPU     float64       `json:"cpu_s"` // total of all processes of the node since the start of the run
 }
 
-// Sample measures every node whose process runs.
+// Sample measures the resource usage of every node whose process is running.
 func (g *Group) Sample() {
 	for _, n := range g.nodes {
 		n.mu.Lock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// measure reads from the kernel what a process uses.
+// measure reads the resource usage of a process from /proc.
 func measure(pid int) (Sample, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	raw, err := os.ReadFile(dir + "/statm")
@@ -38,7 +38,7 @@
 	}
 	pages := strings.Fields(string(raw))
 	if len(pages) < 2 {
-		return Sample{}, errors.New("statm is short")
+		return Sample{}, fmt.Errorf("%s/statm has %d fields, want at least 2", dir, len(pages))
 	}
 	rss, _ := strconv.ParseInt(pages[1], 10, 64)
 	fds, err := os.ReadDir(dir + "/fd")
@@ -49,10 +49,10 @@
 	if err != nil {
 		return Sample{}, err
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ") // the name before it may hold anything
-	fields := strings.Fields(rest)
+	_, afterName, _ := strings.Cut(string(stat), ") ") // skips the process name, which may contain spaces
+	fields := strings.Fields(afterName)
 	if len(fields) < 13 {
-		return Sample{}, errors.New("stat is short")
+		return Sample{}, fmt.Errorf("%s/stat has %d fields after the process name, want at least 13", dir, len(fields))
 	}
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
@@ -60,13 +60,13 @@
 	return Sample{RSS: rss * int64(os.Getpagesize()), Sockets: len(fds), CPU: (user + system) / ticks}, nil
 }
 
-// Report is what was measured of one node.
+// Report contains the measurements of one node.
 type Report struct {
 	Samples []Sample `json:"samples"`
 	Crashes int      `json:"crashes"`
 }
 
-// Reports are all nodes' measurements.
+// Reports returns the measurements of all nodes.
 func (g *Group) Reports() []Report {
 	out := make([]Report, len(g.nodes))
 	for i, n := range g.nodes {
--- a/lab/nodeproc/settings.go
+++ b/lab/nodeproc/settings.go
@@ -8,7 +8,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// configuration is the content of a node's configuration file.
+// configuration returns the content of a node's configuration file.
 func (g *Group) configuration(node int, addr string) map[string]any {
 	s := g.options.Scenario
 	return map[string]any{
@@ -17,12 +17,12 @@
 		"discovery": g.options.Backends.Discovery(node),
 		"seed":      fmt.Sprintf("%016x", s.Seed<<8+uint64(node)+1),
 		"limits":    map[string]any{"cores": s.Nodes.Cores, "memory_mb": s.Nodes.MemoryMB, "sockets": s.Nodes.Sockets},
-		"known":     map[string]any{"revision": 0, "complete": true, "members": g.options.Backends.Known(node)},
+		"known":     map[string]any{"revision": 0, "complete": true, "members": g.options.Backends.InitialMembers(node)},
 		"settings":  Settings(s, node),
 	}
 }
 
-// Settings is the settings object of a scenario for one node, in the form that the node's configuration file has.
+// Settings returns the settings that a scenario specifies for one node, as an object of the node's configuration file.
 func Settings(s *scenario.Scenario, node int) map[string]any {
 	reportForm := "none"
 	if s.Fleet.Reports {
@@ -64,7 +64,7 @@
 	}
 }
 
-// effectSetting maps a class's effect in a scenario to the settings' word for it.
+// effectSetting maps the effect of a class in a scenario to its name in the settings.
 var effectSetting = map[string]string{scenario.EffectSafe: "free", scenario.EffectKeyed: "guarded", scenario.EffectUnsafe: "single_shot"}
 
 func classSettings(s *scenario.Scenario) []map[string]any {
@@ -89,17 +89,17 @@
 	return classes
 }
 
-// tenantSettings are the tenants' quotas; empty where the scenario has none.
+// tenantSettings returns the tenants' quotas and fractions. It is empty if the scenario has no quota.
 func tenantSettings(s *scenario.Scenario) []map[string]any {
 	tenants := []map[string]any{}
 	if s.Clients.Quota <= 0 {
 		return tenants
 	}
-	for i, share := range s.TenantShares() {
+	for i, fraction := range s.TenantShares() {
 		tenants = append(tenants, map[string]any{
 			"name":        fmt.Sprintf("t%03d", i),
-			"quota_per_s": share * s.Clients.Quota,
-			"share":       share,
+			"quota_per_s": fraction * s.Clients.Quota,
+			"share":       fraction,
 		})
 	}
 	return tenants
