--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -16,17 +16,17 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// ackTimeout is how soon a device sends a message again. The standard's 2 s is beyond the deadlines of interactive
-// requests; RFC 7252, 4.8.1 lets an application set its own where it knows its network.
+// ackTimeout is the time after which a device first retransmits an unacknowledged message. The default of 2 s in RFC 7252
+// exceeds the deadlines of interactive requests; section 4.8.1 allows an application that knows its network to change it.
 const ackTimeout = 120 * time.Millisecond
 
-// device is one socket with a client on it, used by one operation at a time.
+// device is a CoAP client with its own UDP socket. Only one operation uses it at a time.
 type device struct {
-	conn net.PacketConn
-	c    *coap.Client
+	conn   net.PacketConn
+	client *coap.Client
 }
 
-// openDevices opens the devices' sockets. One that cannot be opened is missing; the others carry its load.
+// openDevices opens the devices' sockets. If one cannot be opened, the node gets fewer devices, which share the load.
 func (g *Generator) openDevices() {
 	s := g.options.Scenario
 	if s.Clients.Coap == 0 || len(g.options.CoapAddresses) == 0 {
@@ -35,16 +35,16 @@
 	up, down := backend.Impairments(s.Links.Clients)
 	for node, addr := range g.options.CoapAddresses {
 		free := make(chan *device, s.Clients.Devices)
-		to, err := net.ResolveUDPAddr("udp", addr)
+		target, err := net.ResolveUDPAddr("udp", addr)
 		for i := 0; i < s.Clients.Devices && err == nil; i++ {
-			conn, e := net.ListenPacket("udp", "127.0.0.1:0")
-			if e != nil {
+			conn, listenErr := net.ListenPacket("udp", "127.0.0.1:0")
+			if listenErr != nil {
 				break
 			}
 			if !up.Clean() || !down.Clean() {
 				conn = netfault.NewLink(up, down, s.Seed<<16+uint64(node)<<10+uint64(i)).WrapPacket(conn)
 			}
-			free <- &device{conn, coap.New(conn, to, coap.Options{AckTimeout: ackTimeout, MaxRetransmit: 6, Duplicates: s.Clients.Duplicates})}
+			free <- &device{conn, coap.New(conn, target, coap.Options{AckTimeout: ackTimeout, MaxRetransmit: 6, Duplicates: s.Clients.Duplicates})}
 		}
 		g.freeDevices = append(g.freeDevices, free)
 	}
@@ -59,70 +59,72 @@
 	}
 }
 
-// usesCoap reports whether an operation is requested over CoAP. That depends on its own random number, so it is the same
-// in each run.
-func (g *Generator) usesCoap(a scenario.Arrival) bool {
-	return len(g.freeDevices) > 0 && float64(a.Random>>40)/float64(1<<24) < g.options.Scenario.Clients.Coap
+// usesCoap reports whether an operation is requested over CoAP. This depends only on the random number in its schedule
+// entry, so it is the same in each run.
+func (g *Generator) usesCoap(arrival scenario.Arrival) bool {
+	return len(g.freeDevices) > 0 && float64(arrival.Random>>40)/float64(1<<24) < g.options.Scenario.Clients.Coap
 }
 
-// attemptCoap sends one request from a free device of some node.
-func (g *Generator) attemptCoap(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) response {
-	node := int((a.Random>>8 + uint64(n)) % uint64(len(g.freeDevices)))
-	c := g.options.Scenario.Classes[a.Class]
-	var d *device
+// attemptCoap sends one request from a free device of a randomly chosen node and waits for its response.
+func (g *Generator) attemptCoap(ctx context.Context, op, attemptIndex int, arrival scenario.Arrival, remaining time.Duration) response {
+	node := int((arrival.Random>>8 + uint64(attemptIndex)) % uint64(len(g.freeDevices)))
+	class := g.options.Scenario.Classes[arrival.Class]
+	var dev *device
 	select {
-	case d = <-g.freeDevices[node]:
-	case <-time.After(left):
+	case dev = <-g.freeDevices[node]:
+	case <-time.After(remaining):
 		return response{outcome: audit.NotConnected}
 	}
-	defer func() { g.freeDevices[node] <- d }()
-	id := backend.AttemptID(op, n)
-	t := audit.Attempt{
+	defer func() { g.freeDevices[node] <- dev }()
+	id := backend.AttemptID(op, attemptIndex)
+	attempt := audit.Attempt{
 		ID:        id,
 		Operation: op,
 		Node:      node,
 		Sent:      g.now(),
-		Deadline:  g.now() + left,
-		Effect:    audit.EffectOf(c.Effect),
+		Deadline:  g.now() + remaining,
+		Effect:    audit.EffectOf(class.Effect),
 	}
-	req := g.coapRequest(id, op, n, a, left)
-	until, cancel := context.WithDeadline(ctx, time.Now().Add(left+lateWindow))
+	req := g.coapRequest(id, op, attemptIndex, arrival, remaining)
+	waitCtx, cancel := context.WithDeadline(ctx, time.Now().Add(remaining+lateResponseWindow))
 	defer cancel()
-	got, err := d.c.Do(until, req)
-	r := g.coapResponse(got, err)
-	if g.options.Scenario.Links.Clients.Loss > 0 && g.now() > t.Deadline { // lost, and the stored response came for a repeat
-		r.outcome = audit.InTransit
+	got, err := dev.client.Do(waitCtx, req)
+	result := g.coapResponse(got, err)
+	// A response after the deadline may be the stored one, sent in reply to a retransmission after a datagram was lost.
+	if g.options.Scenario.Links.Clients.Loss > 0 && g.now() > attempt.Deadline {
+		result.outcome = audit.InTransit
 	}
-	t.Ended = g.now()
-	r.status = int(got.Code)
-	g.record(t, r)
-	return r
+	attempt.Ended = g.now()
+	result.status = int(got.Code)
+	g.record(attempt, result)
+	return result
 }
 
-// coapRequest is one attempt over CoAP. Its id, work and tenant go in the query.
-func (g *Generator) coapRequest(id string, op, n int, a scenario.Arrival, left time.Duration) coap.Request {
-	c := g.options.Scenario.Classes[a.Class]
-	req := coap.Request{Code: codes.GET, Path: c.Name, Query: []string{
+// coapRequest returns the CoAP request of one attempt. The attempt's ID, work, tenant and remaining time are query
+// parameters.
+func (g *Generator) coapRequest(id string, op, attemptIndex int, arrival scenario.Arrival, remaining time.Duration) coap.Request {
+	class := g.options.Scenario.Classes[arrival.Class]
+	req := coap.Request{Code: codes.GET, Path: class.Name, Query: []string{
 		"try=" + id,
-		fmt.Sprintf("w=%d", a.Work.Microseconds()),
-		fmt.Sprintf("tenant=t%03d", a.Tenant),
-		fmt.Sprintf("wait=%d", max(1, left.Milliseconds())),
+		fmt.Sprintf("w=%d", arrival.Work.Microseconds()),
+		fmt.Sprintf("tenant=t%03d", arrival.Tenant),
+		fmt.Sprintf("wait=%d", max(1, remaining.Milliseconds())),
 	}}
-	if c.Effect != scenario.EffectSafe {
+	if class.Effect != scenario.EffectSafe {
 		req.Code = codes.POST
-		req.Body = make([]byte, c.Body)
+		req.Body = make([]byte, class.Body)
 	}
-	if c.Effect == scenario.EffectKeyed {
+	if class.Effect == scenario.EffectKeyed {
 		req.Query = append(req.Query, fmt.Sprintf("key=k%012x", op))
 	}
-	if n > 0 && g.options.Scenario.Clients.MarksRetry {
+	if attemptIndex > 0 && g.options.Scenario.Clients.MarksRetry {
 		req.Query = append(req.Query, "retry=1")
 	}
 	return req
 }
 
-// coapResponse reads a response. Where the link loses datagrams a missing one may be the link's doing: then nobody can
-// tell whether the node answered, and the auditor looks at executions alone.
+// coapResponse classifies a response. If the link loses datagrams, it may have lost a missing response, so it is unknown
+// whether the node responded. The auditor then checks only the executions.
 func (g *Generator) coapResponse(got coap.Response, err error) response {
 	impaired := g.options.Scenario.Links.Clients.Loss > 0
 	switch {
--- a/lab/load/connpool.go
+++ b/lab/load/connpool.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// excludeFor is how long the pool keeps clients away from a node whose connections were refused.
+	// excludeFor is how long the pool does not use a node after a connection attempt to it has failed.
 	excludeFor = 500 * time.Millisecond
 
-	// maxIdle is how long a client keeps an idle connection: shorter than the node does, so that a close seldom races
-	// with a request.
+	// maxIdle is how long a client keeps an idle connection. It is shorter than the node's idle timeout, so that a request
+	// rarely races with the node closing the connection.
 	maxIdle = 2 * time.Second
 
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout limits the time to open a connection.
 	dialTimeout = time.Second
 
-	// sendWhileStopping is how long connections to a stopping node are still dealt out: 0.4 s at most by the platform.
-	sendWhileStopping = 400 * time.Millisecond
+	// useWhileStopping is how long the pool still returns connections to a stopping node. The platform stops sending to it
+	// after at most 0.4 s.
+	useWhileStopping = 400 * time.Millisecond
 )
 
-// connPool distributes the clients' connections over the nodes, as a balancer in front of them would.
+// connPool distributes the clients' connections over the nodes, as a load balancer in front of them would.
 type connPool struct {
 	nodes       []string
-	links       []*netfault.Link             // by node; nil: nothing is done to it
-	stoppingFor func(node int) time.Duration // how long a node's planned stop has been going on; nil: not known
+	links       []*netfault.Link             // by node; nil if the link is unimpaired
+	stoppingFor func(node int) time.Duration // time since a node's planned stop began; nil if unknown
 
 	mu            sync.Mutex
 	excludedUntil []time.Time // by node
@@ -41,21 +42,21 @@
 // conn is one client's connection.
 type conn struct {
 	net.Conn
-	r         *bufio.Reader
-	node      int
-	used      bool
-	idleSince time.Time
-	reset     bool // the lab itself broke it
+	r          *bufio.Reader
+	node       int
+	used       bool
+	idleSince  time.Time
+	resetByLab bool // a fault injected by the lab broke the connection
 }
 
-// resetDelay begins a new measurement of the link's delay, where the connection is on a link.
+// resetDelay starts a new measurement of the link's delay if the connection is on a simulated link.
 func (c *conn) resetDelay() {
 	if l, ok := c.Conn.(*netfault.Conn); ok {
 		l.ResetMaxDelay()
 	}
 }
 
-// linkDelay is what the link has added since resetDelay.
+// linkDelay returns the delay that the link has added since resetDelay.
 func (c *conn) linkDelay() time.Duration {
 	if l, ok := c.Conn.(*netfault.Conn); ok {
 		return l.MaxDelay()
@@ -63,45 +64,46 @@
 	return 0
 }
 
-// inTransit reports whether the link still holds bytes.
+// inTransit reports whether the simulated link still has bytes in flight.
 func (c *conn) inTransit() bool {
 	l, ok := c.Conn.(*netfault.Conn)
 	return ok && l.InFlight()
 }
 
-// errNoNode says that no node accepts connections.
-var errNoNode = errors.New("no node takes connections")
+// errNoNodeAccepts is returned if no node accepts connections.
+var errNoNodeAccepts = errors.New("no node accepts connections")
 
-// newConnPool makes a pool without connections.
+// newConnPool creates a pool without connections.
 func newConnPool(nodes []string, links []*netfault.Link) *connPool {
 	return &connPool{nodes: nodes, links: links, excludedUntil: make([]time.Time, len(nodes)), idle: make([][]*conn, len(nodes)),
 		open: map[*conn]struct{}{}}
 }
 
-// choose is the first node from a random place on that is not left out.
-func (p *connPool) choose(pick uint64, not map[int]bool) (int, bool) {
+// choose returns the first usable node, starting at the random index pick and wrapping around. It skips nodes in excluded,
+// nodes that recently refused connections, and nodes that are stopping.
+func (p *connPool) choose(pick uint64, excluded map[int]bool) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	n := uint64(len(p.nodes))
 	for i := range n {
 		node := int((pick + i) % n)
-		if !not[node] && now.After(p.excludedUntil[node]) && (p.stoppingFor == nil || p.stoppingFor(node) < sendWhileStopping) {
+		if !excluded[node] && now.After(p.excludedUntil[node]) && (p.stoppingFor == nil || p.stoppingFor(node) < useWhileStopping) {
 			return node, true
 		}
 	}
 	return 0, false
 }
 
-// get returns a connection to some node: an idle one unless a fresh one is wanted. The error is errNoNode.
+// get returns a connection to some node. It reuses an idle one unless fresh is set. The only error is errNoNodeAccepts.
 func (p *connPool) get(pick uint64, fresh bool) (*conn, error) {
 	tried := map[int]bool{}
 	for {
 		node, ok := p.choose(pick, tried)
 		if !ok {
-			return nil, errNoNode
+			return nil, errNoNodeAccepts
 		}
-		if c := p.take(node); c != nil && !fresh {
+		if c := p.takeIdle(node); c != nil && !fresh {
 			return c, nil
 		} else if c != nil {
 			p.drop(c)
@@ -131,20 +133,21 @@
 	defer p.mu.Unlock()
 	if p.closed {
 		_ = nc.Close()
-		return nil, errNoNode
+		return nil, errNoNodeAccepts
 	}
 	p.open[c] = struct{}{}
 	return c, nil
 }
 
-// take is an idle connection to a node; nil where there is none.
-func (p *connPool) take(node int) *conn {
+// takeIdle removes an idle connection to a node from the pool and returns it, or nil if there is none. It closes idle
+// connections that are too old or were reset.
+func (p *connPool) takeIdle(node int) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for n := len(p.idle[node]); n > 0; n = len(p.idle[node]) {
 		c := p.idle[node][n-1]
 		p.idle[node] = p.idle[node][:n-1]
-		if time.Since(c.idleSince) < maxIdle && !c.reset {
+		if time.Since(c.idleSince) < maxIdle && !c.resetByLab {
 			return c
 		}
 		delete(p.open, c)
@@ -153,11 +156,11 @@
 	return nil
 }
 
-// put makes a connection idle.
+// put returns a connection to the pool as idle, or closes it if it can't be reused.
 func (p *connPool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.reset || p.closed {
+	if c.resetByLab || p.closed {
 		delete(p.open, c)
 		_ = c.Close()
 		return
@@ -166,7 +169,7 @@
 	p.idle[c.node] = append(p.idle[c.node], c)
 }
 
-// drop closes a connection.
+// drop closes a connection and removes it from the pool.
 func (p *connPool) drop(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
@@ -174,25 +177,25 @@
 	delete(p.open, c)
 }
 
-// wasReset reports whether the lab itself broke the connection.
+// wasReset reports whether a fault injected by the lab broke the connection.
 func (p *connPool) wasReset(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.reset
+	return c.resetByLab
 }
 
-// reset breaks all connections to a node, as a link does that comes back with another address.
+// reset resets all connections to a node, as happens if a network link comes back with another address.
 func (p *connPool) reset(node int) {
 	p.mu.Lock()
-	var hit []*conn
+	var affected []*conn
 	for c := range p.open {
 		if c.node == node {
-			c.reset = true
-			hit = append(hit, c)
+			c.resetByLab = true
+			affected = append(affected, c)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range hit {
+	for _, c := range affected {
 		if t, ok := c.Conn.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
@@ -203,8 +206,8 @@
 	}
 }
 
-// halfClose half-closes all connections to a node; what is still to be answered on them can be. A request that is sent
-// on one later finds that it cannot, as one that races with a close does.
+// halfClose half-closes all connections to a node. Responses to requests in flight still arrive. Sending another request on
+// such a connection fails, as if it had raced with a close.
 func (p *connPool) halfClose(node int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,7 +218,7 @@
 	}
 }
 
-// close closes all connections; none can be opened afterwards.
+// close closes all connections. No connection can be opened afterwards.
 func (p *connPool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -1,11 +1,11 @@
-// Package load is the clients: an open loop that sends each request when the schedule says, whatever has become of the
-// ones before it, so that a slow response never thins the load (no coordinated omission). Every latency counts from the
-// scheduled send.
+// Package load simulates the clients as an open-loop load generator. It sends each request at its scheduled time, whatever
+// the state of earlier requests, so that slow responses do not reduce the load (no coordinated omission). Every latency is
+// measured from the scheduled time.
 package load
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"sync"
@@ -19,41 +19,42 @@
 )
 
 const (
-	// lateWindow is how long a client listens beyond its wait, to tell a late response from none. The rule counts from
-	// the wait; what comes in this time is late.
-	lateWindow = 300 * time.Millisecond
+	// lateResponseWindow is how long a client listens after its deadline, to distinguish a late response from a missing one.
+	// A response that arrives in this window counts as late.
+	lateResponseWindow = 300 * time.Millisecond
 
-	// maxInFlight bounds the operations in flight. Beyond it the system is far past its capacity and the run is void.
+	// maxInFlight limits the operations in flight. With more, the system is far above its capacity and the run is aborted as
+	// meaningless.
 	maxInFlight = 50_000
 )
 
-// Operation is one operation as its client saw it, over all its attempts.
+// Operation is the outcome of one operation as its client observed it, across all its attempts.
 type Operation struct {
 	Class, Tenant int
-	ScheduledAt   time.Duration // when it was to be sent
-	SendDelay     time.Duration // by how much the lab was behind
+	ScheduledAt   time.Duration // send time in the schedule
+	SendDelay     time.Duration // how late the lab started it
 	Ended         time.Duration
 	Outcome       audit.Outcome
 	Attempts      int
 }
 
-// Options are what the clients work with.
+// Options configure a Generator.
 type Options struct {
 	Scenario      *scenario.Scenario
 	Schedule      *scenario.Schedule
 	Nodes         []string
 	Start         time.Time
-	Alive         func(node int) bool          // whether a node's process runs
-	StoppingFor   func(node int) time.Duration // how long a node's planned stop has been going on; nil: not known
-	CoapAddresses []string                     // the nodes' CoAP addresses; empty: all operations use HTTP
+	Alive         func(node int) bool          // reports whether a node's process is running
+	StoppingFor   func(node int) time.Duration // time since a node's planned stop began; nil if unknown
+	CoapAddresses []string                     // by node; empty if all operations use HTTP
 }
 
-// Generator is the clients of one run.
+// Generator simulates the clients of one run.
 type Generator struct {
 	options     Options
 	pool        *connPool
 	links       []*netfault.Link
-	freeDevices []chan *device // CoAP devices by node: the free ones
+	freeDevices []chan *device // by node: CoAP devices that are not in use
 
 	inFlight atomic.Int64
 	pending  sync.WaitGroup
@@ -63,7 +64,7 @@
 	operations []Operation
 }
 
-// New makes the clients; nothing is sent before Run.
+// New creates a generator. It sends nothing before Run.
 func New(o Options) *Generator {
 	g := &Generator{options: o, links: make([]*netfault.Link, len(o.Nodes))}
 	up, down := backend.Impairments(o.Scenario.Links.Clients)
@@ -79,18 +80,19 @@
 	return g
 }
 
-// ErrOverloaded says that more operations are in flight than the lab can hold.
-var ErrOverloaded = errors.New("the rig holds too many open requests")
+// ErrOverloaded is returned by Run if more than maxInFlight operations are in flight.
+var ErrOverloaded = fmt.Errorf("more than %d operations are in flight", maxInFlight)
 
-// Run sends every arrival at its time and waits for the last outcome. The error is the context's, or ErrOverloaded.
+// Run starts every operation at its scheduled time and waits until all have ended. It returns the context's error or
+// ErrOverloaded.
 func (g *Generator) Run(ctx context.Context) error {
 	defer g.pool.close()
 	defer g.closeDevices()
 	defer g.pending.Wait()
-	for i, a := range g.options.Schedule.Arrivals {
-		due := g.options.Start.Add(a.At)
-		if d := time.Until(due); d > 0 {
-			time.Sleep(d)
+	for i, arrival := range g.options.Schedule.Arrivals {
+		due := g.options.Start.Add(arrival.At)
+		if wait := time.Until(due); wait > 0 {
+			time.Sleep(wait)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -101,13 +103,13 @@
 		g.inFlight.Add(1)
 		g.pending.Go(func() {
 			defer g.inFlight.Add(-1)
-			g.runOperation(ctx, i, a)
+			g.runOperation(ctx, i, arrival)
 		})
 	}
 	return nil
 }
 
-// Apply begins or ends a fault of the clients' links.
+// Apply starts or ends a fault of the clients' links.
 func (g *Generator) Apply(e scenario.Event) {
 	switch e.Kind {
 	case scenario.FaultClientsStall:
@@ -123,53 +125,53 @@
 	}
 }
 
-// Results are all attempts and operations that have ended.
+// Results returns all attempts and operations that have ended.
 func (g *Generator) Results() ([]audit.Attempt, []Operation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.attempts, g.operations
 }
 
-// CompletedSince returns the operations that ended after the first n.
+// CompletedSince returns the operations that have ended, without the first n.
 func (g *Generator) CompletedSince(n int) []Operation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Operation(nil), g.operations[n:]...)
 }
 
-// now is the time since the schedule's start.
+// now returns the time since the start of the schedule.
 func (g *Generator) now() time.Duration { return time.Since(g.options.Start) }
 
-// response is what came for one attempt.
+// response is the outcome of one attempt, with the response if there was one.
 type response struct {
 	outcome       audit.Outcome
 	status        int
 	body          string
-	count         int
-	closesConn    bool // the node ends the connection with it
+	count         int  // responses received
+	closesConn    bool // the node closes the connection after it
 	retryAfter    time.Duration
 	hasRetryAfter bool
 }
 
-// runOperation plays one operation with its attempts.
-func (g *Generator) runOperation(ctx context.Context, op int, a scenario.Arrival) {
-	c := g.options.Scenario.Classes[a.Class]
-	out := Operation{Class: a.Class, Tenant: a.Tenant, ScheduledAt: a.At, SendDelay: g.now() - a.At}
-	rng := rand.New(rand.NewPCG(a.Random, g.options.Scenario.Seed))
-	deadline := a.At + c.Deadline
-	for try := 0; ; try++ {
-		left := deadline - g.now()
-		if left <= time.Millisecond {
+// runOperation performs one operation with all its attempts and records its outcome.
+func (g *Generator) runOperation(ctx context.Context, op int, arrival scenario.Arrival) {
+	class := g.options.Scenario.Classes[arrival.Class]
+	out := Operation{Class: arrival.Class, Tenant: arrival.Tenant, ScheduledAt: arrival.At, SendDelay: g.now() - arrival.At}
+	rng := rand.New(rand.NewPCG(arrival.Random, g.options.Scenario.Seed))
+	deadline := arrival.At + class.Deadline
+	for attemptIndex := 0; ; attemptIndex++ {
+		remaining := deadline - g.now()
+		if remaining <= time.Millisecond {
 			break
 		}
-		var r response
-		if g.usesCoap(a) {
-			r = g.attemptCoap(ctx, op, try, a, left)
+		var result response
+		if g.usesCoap(arrival) {
+			result = g.attemptCoap(ctx, op, attemptIndex, arrival, remaining)
 		} else {
-			r = g.attempt(ctx, op, try, a, left)
+			result = g.attempt(ctx, op, attemptIndex, arrival, remaining)
 		}
-		out.Outcome, out.Attempts = r.outcome, try+1
-		wait, retries := g.retryDelay(c, r, try, rng)
+		out.Outcome, out.Attempts = result.outcome, attemptIndex+1
+		wait, retries := g.retryDelay(class, result, attemptIndex, rng)
 		if !retries || g.now()+wait >= deadline {
 			break
 		}
@@ -181,29 +183,29 @@
 	g.operations = append(g.operations, out)
 }
 
-// retryDelay reports whether this client retries, and after what delay. What failed and may have been executed is retried
-// only where the class is safe to repeat: that is the client's part of the rules.
-func (g *Generator) retryDelay(c scenario.Class, r response, try int, rng *rand.Rand) (time.Duration, bool) {
-	h := g.options.Scenario.Clients
-	if try >= h.Retries || h.Retry == "none" {
+// retryDelay reports whether the client retries after a response, and after which delay. If the failed request may have been
+// executed, the client retries it only if its class is safe to repeat, as the rules require of clients.
+func (g *Generator) retryDelay(class scenario.Class, result response, attemptIndex int, rng *rand.Rand) (time.Duration, bool) {
+	clients := g.options.Scenario.Clients
+	if attemptIndex >= clients.Retries || clients.Retry == "none" {
 		return 0, false
 	}
-	switch r.outcome {
+	switch result.outcome {
 	case audit.Rejected, audit.NotConnected:
 	case audit.Failed, audit.Lost, audit.LinkReset, audit.InTransit:
-		if c.Effect != scenario.EffectSafe {
+		if class.Effect != scenario.EffectSafe {
 			return 0, false
 		}
 	default:
 		return 0, false
 	}
-	backoff := time.Duration(float64(h.Backoff) * math.Pow(2, float64(try)) * (0.5 + rng.Float64()))
-	switch h.Retry {
+	backoff := time.Duration(float64(clients.Backoff) * math.Pow(2, float64(attemptIndex)) * (0.5 + rng.Float64()))
+	switch clients.Retry {
 	case "now", "ignore":
 		return 0, true
 	case "follow":
-		if r.hasRetryAfter {
-			return r.retryAfter, true
+		if result.hasRetryAfter {
+			return result.retryAfter, true
 		}
 	}
 	return backoff, true
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -19,44 +19,45 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// attempt sends one request and waits for its response. By the protocol, a request whose idle connection turns out to
-// be closed before any byte of a response is sent once more on a new one.
-func (g *Generator) attempt(ctx context.Context, op, n int, a scenario.Arrival, left time.Duration) response {
+// attempt sends one request and waits for its response. As the protocol allows, it sends the request again on a new
+// connection if a reused connection ends before the first byte of a response.
+func (g *Generator) attempt(ctx context.Context, op, attemptIndex int, arrival scenario.Arrival, remaining time.Duration) response {
 	if ctx.Err() != nil {
 		return response{outcome: audit.Cancelled}
 	}
-	c := g.options.Scenario.Classes[a.Class]
-	t := audit.Attempt{ID: backend.AttemptID(op, n), Operation: op, Effect: audit.EffectOf(c.Effect), Deadline: g.now() + left}
+	class := g.options.Scenario.Classes[arrival.Class]
+	record := audit.Attempt{ID: backend.AttemptID(op, attemptIndex), Operation: op, Effect: audit.EffectOf(class.Effect),
+		Deadline: g.now() + remaining}
 	for fresh := false; ; fresh = true {
-		conn, err := g.pool.get(a.Random>>8+uint64(n), fresh)
+		conn, err := g.pool.get(arrival.Random>>8+uint64(attemptIndex), fresh)
 		if err != nil {
 			return response{outcome: audit.NotConnected}
 		}
-		t.Node = conn.node
+		record.Node = conn.node
 		reused := conn.used
 		conn.resetDelay()
-		_, err = conn.Write(g.request(t.ID, op, n, a, t.Deadline-g.now()))
-		t.Sent = g.now()
-		var r response
-		crossed := err != nil
+		_, err = conn.Write(g.httpRequest(record.ID, op, attemptIndex, arrival, record.Deadline-g.now()))
+		record.Sent = g.now()
+		var result response
+		endedEarly := err != nil
 		if err == nil {
-			r, crossed = g.readResponse(conn, a, t)
+			result, endedEarly = g.readResponse(conn, arrival, record)
 		}
-		if crossed && reused && g.mayResend(conn, c, t.Deadline) {
+		if endedEarly && reused && g.mayResend(conn, class, record.Deadline) {
 			g.pool.drop(conn)
 			continue
 		}
-		if crossed {
-			r.outcome = audit.Lost
+		if endedEarly {
+			result.outcome = audit.Lost
 		}
-		g.finish(conn, &r, t)
-		return r
+		g.finish(conn, &result, record)
+		return result
 	}
 }
 
-// mayResend reports whether a request whose connection ended without a response may be sent on another one. Where the node was
-// killed the request did not race with the close of an idle connection: it may have been executed, and a client that sent it
-// again would break a rule by itself.
+// mayResend reports whether a request whose connection ended without a response may be sent on another connection. If the
+// node runs, it closed an idle connection without reading the request. If the node was killed, it may have executed the
+// request, so resending it would be a fault of the client unless its class is safe to repeat.
 func (g *Generator) mayResend(c *conn, class scenario.Class, deadline time.Duration) bool {
 	if g.pool.wasReset(c) || g.now() >= deadline {
 		return false
@@ -64,102 +65,104 @@
 	return class.Effect == scenario.EffectSafe || g.options.Alive(c.node)
 }
 
-// finish records an attempt, and keeps or closes its connection. A missing response is put down to the lab's own link where
-// that reset the connection or still holds bytes of it.
-func (g *Generator) finish(c *conn, r *response, t audit.Attempt) {
-	if r.outcome == audit.Lost && g.pool.wasReset(c) {
-		r.outcome = audit.LinkReset
-	}
-	if r.outcome == audit.Lost && c.inTransit() {
-		r.outcome = audit.InTransit
-	}
-	t.LinkDelay = c.linkDelay()
-	t.Ended = g.now()
-	if r.count != 1 || r.closesConn {
+// finish records an attempt and keeps or closes its connection. A missing response is attributed to the lab's link if the
+// link reset the connection or still has bytes of it in flight.
+func (g *Generator) finish(c *conn, result *response, attempt audit.Attempt) {
+	if result.outcome == audit.Lost && g.pool.wasReset(c) {
+		result.outcome = audit.LinkReset
+	}
+	if result.outcome == audit.Lost && c.inTransit() {
+		result.outcome = audit.InTransit
+	}
+	attempt.LinkDelay = c.linkDelay()
+	attempt.Ended = g.now()
+	if result.count != 1 || result.closesConn {
 		g.pool.drop(c)
 	} else {
 		g.pool.put(c)
 	}
-	g.record(t, *r)
+	g.record(attempt, *result)
 }
 
-// record adds an attempt with what came for it.
-func (g *Generator) record(t audit.Attempt, r response) {
-	t.Outcome = r.outcome
-	t.Responses = r.count
-	t.BodyID = r.body
-	t.Status = r.status
+// record adds an attempt with its response to the results.
+func (g *Generator) record(attempt audit.Attempt, result response) {
+	attempt.Outcome = result.outcome
+	attempt.Responses = result.count
+	attempt.BodyID = result.body
+	attempt.Status = result.status
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.attempts = append(g.attempts, t)
+	g.attempts = append(g.attempts, attempt)
 }
 
-// request is one attempt in the protocol's form. Its work goes in the query, which reaches the server unchanged.
-func (g *Generator) request(id string, op, n int, a scenario.Arrival, left time.Duration) []byte {
-	c := g.options.Scenario.Classes[a.Class]
+// httpRequest returns the encoded HTTP request of one attempt. Its work is a query parameter, because nodes forward the
+// query unchanged.
+func (g *Generator) httpRequest(id string, op, attemptIndex int, arrival scenario.Arrival, remaining time.Duration) []byte {
+	class := g.options.Scenario.Classes[arrival.Class]
 	method := "GET"
-	if c.Effect != scenario.EffectSafe {
+	if class.Effect != scenario.EffectSafe {
 		method = "POST"
 	}
-	b := make([]byte, 0, 320+c.Body)
-	b = fmt.Appendf(b, "%s /%s?w=%d HTTP/1.1\r\nHost: lab\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t%03d\r\nX-Deadline-Ms: %d\r\n",
-		method, c.Name, a.Work.Microseconds(), id, c.Name, a.Tenant, max(1, left.Milliseconds()))
-	if c.Effect == scenario.EffectKeyed {
-		b = fmt.Appendf(b, "Idempotency-Key: k%012x\r\n", op)
+	raw := make([]byte, 0, 320+class.Body)
+	raw = fmt.Appendf(raw, "%s /%s?w=%d HTTP/1.1\r\nHost: lab\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t%03d\r\nX-Deadline-Ms: %d\r\n",
+		method, class.Name, arrival.Work.Microseconds(), id, class.Name, arrival.Tenant, max(1, remaining.Milliseconds()))
+	if class.Effect == scenario.EffectKeyed {
+		raw = fmt.Appendf(raw, "Idempotency-Key: k%012x\r\n", op)
 	}
-	if n > 0 && g.options.Scenario.Clients.MarksRetry {
-		b = append(b, "X-Retry: 1\r\n"...)
+	if attemptIndex > 0 && g.options.Scenario.Clients.MarksRetry {
+		raw = append(raw, "X-Retry: 1\r\n"...)
 	}
 	if method == "POST" {
-		b = fmt.Appendf(b, "Content-Length: %d\r\n", c.Body)
+		raw = fmt.Appendf(raw, "Content-Length: %d\r\n", class.Body)
 	}
-	b = append(b, "\r\n"...)
+	raw = append(raw, "\r\n"...)
 	if method == "POST" {
-		b = append(b, bytes.Repeat([]byte("x"), c.Body)...)
+		raw = append(raw, bytes.Repeat([]byte("x"), class.Body)...)
 	}
-	return b
+	return raw
 }
 
-// readResponse reads the response. crossed says that the connection ended before any byte of one.
-func (g *Generator) readResponse(c *conn, a scenario.Arrival, t audit.Attempt) (r response, crossed bool) {
-	until := g.options.Start.Add(t.Deadline + lateWindow)
-	if a.CancelAfter > 0 {
-		until = g.options.Start.Add(min(t.Sent+a.CancelAfter, t.Deadline))
+// readResponse reads the response. endedEarly says that the connection ended before the first byte of a response.
+func (g *Generator) readResponse(c *conn, arrival scenario.Arrival, attempt audit.Attempt) (result response, endedEarly bool) {
+	firstByteDeadline := g.options.Start.Add(attempt.Deadline + lateResponseWindow)
+	if arrival.CancelAfter > 0 {
+		firstByteDeadline = g.options.Start.Add(min(attempt.Sent+arrival.CancelAfter, attempt.Deadline))
 	}
-	_ = c.SetReadDeadline(until)
+	_ = c.SetReadDeadline(firstByteDeadline)
 	_, err := c.r.Peek(1)
 	if err != nil {
-		var ne net.Error
-		timeout := errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &ne) && ne.Timeout()
-		if timeout && a.CancelAfter > 0 {
+		var netErr net.Error
+		timeout := errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
+		if timeout && arrival.CancelAfter > 0 {
 			return response{outcome: audit.Cancelled}, false
 		}
 		return response{outcome: audit.Lost}, !timeout
 	}
-	_ = c.SetReadDeadline(g.options.Start.Add(t.Deadline + lateWindow))
+	_ = c.SetReadDeadline(g.options.Start.Add(attempt.Deadline + lateResponseWindow))
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	if err := resp.ReadLimitBody(c.r, 64<<10); err != nil {
 		return response{outcome: audit.Lost}, false
 	}
-	r = response{status: resp.StatusCode(), count: 1, body: bodyID(resp.Body())}
+	result = response{status: resp.StatusCode(), count: 1, body: bodyID(resp.Body())}
 	switch {
-	case r.status == fasthttp.StatusOK:
-		r.outcome = audit.Served
-	case r.status == fasthttp.StatusServiceUnavailable || r.status == fasthttp.StatusTooManyRequests:
-		r.outcome = audit.Rejected
-		if s, err := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64); err == nil {
-			r.retryAfter, r.hasRetryAfter = time.Duration(s*float64(time.Second)), true
+	case result.status == fasthttp.StatusOK:
+		result.outcome = audit.Served
+	case result.status == fasthttp.StatusServiceUnavailable || result.status == fasthttp.StatusTooManyRequests:
+		result.outcome = audit.Rejected
+		if seconds, err := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64); err == nil {
+			result.retryAfter, result.hasRetryAfter = time.Duration(seconds*float64(time.Second)), true
 		}
 	default:
-		r.outcome = audit.Failed
+		result.outcome = audit.Failed
 	}
-	r.count += extraResponses(c.r)
-	r.closesConn = resp.ConnectionClose()
-	return r, false
+	result.count += extraResponses(c.r)
+	result.closesConn = resp.ConnectionClose()
+	return result, false
 }
 
-// extraResponses counts further responses in the connection's buffer: bytes that nobody asked for.
+// extraResponses returns the number of unrequested responses in the connection's buffer. Unrequested bytes of any other kind
+// count as one.
 func extraResponses(r *bufio.Reader) int {
 	if r.Buffered() == 0 {
 		return 0
@@ -171,7 +174,7 @@
 	return max(1, bytes.Count(b, []byte("HTTP/1.1 ")))
 }
 
-// bodyID is the request's id that a stand-in server wrote into its response; empty where the body is not whole.
+// bodyID returns the request ID that a simulated server wrote into its response body, or "" if the body is incomplete.
 func bodyID(body []byte) string {
 	rest, ok := bytes.CutPrefix(body, []byte("id="))
 	if !ok {
