--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// maxMessageBytes limits the size of a message. The state of a node with ten thousand servers takes some megabytes.
+// maxMessageBytes limits the encoded size of a message. The state of a node with ten thousand servers takes a few megabytes.
 const maxMessageBytes = 16 << 20
 
 var errMessageTooLong = errors.New("message is longer than 16 MiB")
 
-// messageConn reads and writes messages on the connection between the two processes.
+// messageConn reads and writes messages on the connection between a predecessor and its successor.
 type messageConn struct {
 	conn   *net.UnixConn
 	reader *bufio.Reader
@@ -44,7 +44,8 @@
 	return m, json.Unmarshal(line, &m)
 }
 
-// readLine reads a line. Its length may exceed maxMessageBytes by up to the size of the reader's buffer.
+// readLine reads a line. The limit is checked only when the reader's buffer is full, so a line may be longer than maxMessageBytes
+// by up to the size of that buffer.
 func (c *messageConn) readLine() ([]byte, error) {
 	var line []byte
 	for {
@@ -71,8 +72,8 @@
 	return err
 }
 
-// withShortPath calls f with a short path to the same file, which goes through a descriptor of the file's directory. The address of
-// a Unix socket is limited to about a hundred bytes, and $TMPDIR may be longer.
+// withShortPath calls f with a short alias of a path: the file's name below /proc/self/fd/N, where N is an open descriptor of the
+// file's directory. The address of a Unix socket is limited to about a hundred bytes, and $TMPDIR may be longer.
 func withShortPath(path string, f func(string) error) error {
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -241,7 +241,7 @@
 	if err := c.write(Message{Ready: true}); err != nil {
 		return err
 	}
-	p.log.Info("the successor serves beside this process", "code", "handover")
+	p.log.Info("the successor serves alongside this process", "code", "handover")
 	p.node.SuccessorReady()
 	return nil
 }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -36,10 +36,11 @@
 	// node has few descriptors.
 	minConnsPerServer = 4
 
-	// descriptorsPerBodyFile is the number of descriptors per temporary file of a large request.
-	// Large requests are rare, and a request that finds no free file waits.
+	// descriptorsPerBodyFile is the number of configured descriptors for each temporary file that the
+	// node may open. These files store large requests, which are rare and wait if no file is free.
 	descriptorsPerBodyFile = 32
-	// minBodyFiles is the least number of temporary files, even if the node has few descriptors.
+	// minBodyFiles is the minimum limit of temporary files and of buffers for large bodies, even if
+	// the node has few descriptors or little memory.
 	minBodyFiles = 4
 
 	// bodyMemoryFraction is the fraction of the memory limit that may be used as buffers for large
@@ -65,7 +66,8 @@
 	largeFleetIdleConns = 1
 
 	// probeTimeout is the timeout of a load probe. By then the request that caused the probe has
-	// been sent to another server, and a server that is slower cannot respond in time.
+	// been sent to another server, and a server that needs longer for a probe cannot answer the
+	// request in time.
 	probeTimeout = 50 * time.Millisecond
 )
 
@@ -73,7 +75,7 @@
 type descriptorBudget struct {
 	bodyFiles int // temporary files of large requests
 	reserved  int // descriptors for the node itself, including bodyFiles
-	perSide   int // limit of the connections to clients, and of those to servers
+	perSide   int // limit of the connections to clients; the same limit applies to those to servers
 }
 
 // divideDescriptors reserves the descriptors of the node itself, and divides the rest evenly between
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// gcMemoryFraction is the fraction of the memory limit that is set as the runtime's memory limit,
-	// near which garbage is collected more often. The rest is for stacks, the program's code and
-	// memory that the kernel accounts to the process.
+	// gcMemoryFraction is the fraction of the node's memory limit that is set as the soft memory limit
+	// of the Go runtime. The runtime collects garbage more often when its memory use is near that
+	// limit. The rest is for stacks, the program's code and memory that the kernel accounts to the
+	// process.
 	gcMemoryFraction = 0.6
 
 	// gcPercent lets garbage grow to four times the live heap before it is collected. The live heap
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -18,16 +18,16 @@
 )
 
 // acquiredListener is the clients' listener and, after a handover, the connection to the predecessor
-// and its state.
+// and the predecessor's state.
 type acquiredListener struct {
 	listener  *net.TCPListener
 	successor *handover.Successor // nil without a predecessor
 	state     *handoverState      // nil if the predecessor sent no readable state
 }
 
-// acquireListener returns the clients' listener. It takes over the listener of the running process
-// if there is one, and opens a new one otherwise. The endpoint list of the predecessor replaces the
-// one in the configuration.
+// acquireListener returns the clients' listener. It takes over the listener of a running process of
+// this node if there is one, and opens a new listener otherwise. The endpoint list of the
+// predecessor replaces the one in the configuration.
 func acquireListener(c *config.Config, log *slog.Logger) (acquiredListener, error) {
 	id := identity(c)
 	successor, err := takeOverFromPredecessor(c.Listen, id)
@@ -35,7 +35,7 @@
 	case err == nil:
 		deferAccept(successor.Listener, log)
 		return acquiredListener{successor.Listener, successor, requestState(c, successor, id, log)}, nil
-	case errors.Is(err, handover.ErrOtherNode): // two nodes must not share an address either
+	case errors.Is(err, handover.ErrOtherNode): // two nodes must not share an address
 		return acquiredListener{}, fmt.Errorf("ROUTER_LISTEN: %s: %w", c.Listen, err)
 	}
 	noPredecessor := errors.Is(err, handover.ErrNoPredecessor)
@@ -47,8 +47,8 @@
 	return acquiredListener{listener: listener}, err
 }
 
-// requestState asks the predecessor for its state. Without a readable response it returns nil and this
-// process starts anyway, since clients need only the listener.
+// requestState requests the state of the predecessor. If the response is missing or unreadable, it
+// returns nil, and this process starts without the state, since clients need only the listener.
 func requestState(c *config.Config, successor *handover.Successor, id handover.Identity, log *slog.Logger) *handoverState {
 	state := &handoverState{}
 	raw, err := successor.RequestState()
@@ -78,11 +78,12 @@
 		err = ingress.DeferAccept("tcp", l.Addr().String(), raw)
 	}
 	if err != nil {
-		log.Warn("cannot defer accepting of connections without data", "code", "defer_accept", "error", err)
+		log.Warn("cannot turn on deferred accept", "code", "defer_accept", "error", err)
 	}
 }
 
-// takeOverFromPredecessor takes over from the running process, whose socket is in $TMPDIR.
+// takeOverFromPredecessor takes over the listener of a running process of this node, whose handover
+// socket is in $TMPDIR.
 func takeOverFromPredecessor(address string, id handover.Identity) (*handover.Successor, error) {
 	dir := os.Getenv("TMPDIR")
 	if dir == "" {
@@ -91,9 +92,9 @@
 	return handover.TakeOver(dir, address, id)
 }
 
-// listen opens a listener at the clients' address. With shareAddress, the process may listen beside
-// a running process of this node that cannot hand over. Otherwise an address in use belongs to
-// another program, and the result is an error.
+// listen opens a listener at the clients' address. If shareAddress is true, a running process of this
+// node that cannot hand over its listener may be listening at the address too. Otherwise, an address
+// in use belongs to another program, and listen returns an error.
 func listen(address string, shareAddress bool) (*net.TCPListener, error) {
 	if !shareAddress {
 		free, err := freeAddress(address)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -16,11 +16,11 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// Serve runs one node until a signal stops it. The configuration comes from the environment; the path
-// of the operator file is empty if there is none. Serve returns an error if the node cannot start,
-// in one line, or if its listener fails.
+// Serve runs one node until a signal stops it. The configuration comes from the environment.
+// operatorFile is the path of the operator file, or empty if there is none. Serve returns an error if
+// the node cannot start, with a text of one line, or if its listener fails.
 func Serve(operatorFile string) error {
-	signals := notifySignals() // first of all, since a stop signal may arrive at once
+	signals := notifySignals() // before anything else, since a stop signal may arrive immediately
 	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 	<-n.inFlight.Empty() // requests of all protocols: no received request is aborted
 	cancel()
 	n.waitBackground()
-	n.logEnd(sink.Waiting().Logger(c.Name)) // waits for a place in the queue, so that the last lines are not dropped
+	n.logEnd(sink.Waiting().Logger(c.Name)) // waits for space in the log queue, so that the last lines are not dropped
 	return err
 }
 
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -135,7 +135,7 @@
 		u.SetSibling(false)
 		return
 	}
-	u.log.Info("serving beside the predecessor", "code", "handover")
+	u.log.Info("serving alongside the predecessor", "code", "handover")
 	u.node.handler.PublishRequestIDs(u.sendRequestID)
 	u.node.background.Go(func() { u.receiveFromPredecessor(ctx) })
 }
