--- a/internal/coap/back/request.go
+++ b/internal/coap/back/request.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The options for the header fields of the HTTP protocol. They are elective (even) and in the range for experiments
-// (RFC 7252, 12.2), so a server that does not know them can still serve the request.
+// The CoAP options that correspond to HTTP header fields. Their numbers are even, which makes the options elective, and
+// in the range for experiments (RFC 7252, 12.2), so a server that does not support them can still serve the request.
 const (
 	OptRequestID      message.OptionID = 65002 // X-Request-Id
 	OptDeadline       message.OptionID = 65004 // X-Deadline-Ms, in milliseconds
@@ -19,14 +19,15 @@
 	OptLoad           message.OptionID = 65012 // load report of a response, in the format of X-Load
 )
 
-// maxBody bounds the bodies of requests and responses, in bytes.
+// maxBody is the largest size of a request or response body, in bytes.
 const maxBody = 64 << 10
 
 // readerMargin is the number of bytes by which the reader's buffer is larger than the request, so that the parser can
-// peek past its end.
+// peek past the end of the request.
 const readerMargin = 16
 
-// convertRequest converts the bytes of an HTTP request to a CoAP message without type, id and token, and a body.
+// convertRequest converts the bytes of an HTTP request to a CoAP message, and returns the body separately. It does not
+// set the message's type, id and token.
 func convertRequest(raw []byte) (message.Message, []byte, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/coap/blocks/block.go
+++ b/internal/coap/blocks/block.go
@@ -1,6 +1,6 @@
 // Package blocks stores the state of block-wise transfers (RFC 7959) between their messages: the bodies that devices
-// upload with Block1 options, and those that they download with Block2 options. It is pure; the stores are bounded by
-// count, bytes and time.
+// upload with Block1 options, and those that they download with Block2 options. It is pure: the caller passes the
+// times. The number, size and idle time of the transfers in a store are limited.
 package blocks
 
 import "errors"
@@ -28,7 +28,7 @@
 	SZX  uint8  // size exponent: a block has 2^(SZX+4) bytes
 }
 
-// Parse decodes the value of an option. The error is ErrReserved.
+// Parse decodes the value of an option. Its only possible error is ErrReserved.
 func Parse(value uint32) (Block, error) {
 	b := Block{Num: value >> numberShift, More: value&moreBit != 0, SZX: uint8(value & szxMask)}
 	if b.SZX > MaxSZX {
@@ -49,11 +49,12 @@
 // Size returns the size of the block in bytes.
 func (b Block) Size() int { return smallestBlock << b.SZX }
 
-// offset returns where the block starts in a body, in bytes.
+// offset returns the offset in bytes at which the block starts in a body.
 func (b Block) offset() int { return int(b.Num) * b.Size() }
 
-// Slice returns the part of a body that belongs to the block, and the block with More set for this body; false if the
-// body ends before the block. An empty body has one empty block.
+// Slice returns the part of a body that belongs to the block, and a copy of the block in which More reports whether
+// the body continues after it. ok is false if the body ends before the block starts. An empty body has one empty
+// block.
 func (b Block) Slice(body []byte) (part []byte, block Block, ok bool) {
 	start := b.offset()
 	if start > len(body) || start == len(body) && start > 0 {
--- a/internal/coap/dedup/table.go
+++ b/internal/coap/dedup/table.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// maxScan bounds how many evictable responses are searched for one of a given endpoint. The search runs for every
-// message of an endpoint at its limit, which may be an attacker.
+// maxScan limits the number of evictable exchanges that are examined to find one of a given endpoint. The search runs
+// for every message of an endpoint at its limit, which may be an attacker.
 const maxScan = 256
 
 // Limits bounds a table.
 type Limits struct {
-	MaxEntries     int // all exchanges
+	MaxEntries     int // exchanges of all endpoints
 	MaxBytes       int // stored responses, plus EntryCost per exchange
 	MaxPerEndpoint int // exchanges of one endpoint
 }
@@ -26,8 +26,8 @@
 	limits      Limits
 	entries     map[Key]*entry
 	perEndpoint map[string]int
-	evictable   *list.List                // of *entry, completed and evictable, oldest first
-	expiryLists [lifetimeCount]*list.List // by lifetime, of *entry, first to expire first
+	evictable   *list.List                // completed exchanges that may be evicted, as *entry, earliest completed first
+	expiryLists [lifetimeCount]*list.List // exchanges by kind of lifetime, as *entry, earliest expiry first
 	bytes       int
 	stats       Stats
 }
@@ -67,7 +67,7 @@
 			return Replay, e.response, false
 		}
 	}
-	if verdict := t.makeRoom(m.Endpoint); verdict != Fresh {
+	if verdict := t.ensureCapacity(m.Endpoint); verdict != Fresh {
 		return verdict, nil, false
 	}
 	t.insert(now, m)
@@ -75,9 +75,9 @@
 	return Fresh, nil, false
 }
 
-// makeRoom evicts responses until an exchange of an endpoint fits and returns Fresh, or returns the verdict for the
-// limit that was reached.
-func (t *Table) makeRoom(endpoint string) Verdict {
+// ensureCapacity evicts exchanges until a new exchange of an endpoint is within all limits, and returns Fresh. If that
+// is not possible, it returns the verdict for the limit that was reached.
+func (t *Table) ensureCapacity(endpoint string) Verdict {
 	if t.perEndpoint[endpoint] >= t.limits.MaxPerEndpoint && !t.evictFromEndpoint(endpoint) {
 		t.stats.EndpointFull++
 		return EndpointFull
@@ -102,7 +102,7 @@
 // Complete stores the response of an exchange in progress. mayEvict means that running the request again does no harm,
 // for example because it was rejected, so that the response may be evicted. If there is no space for the response even
 // after evicting everything that may be evicted, the exchange is stored without it: a retransmission then gets no
-// response, but is still not run.
+// response, but its request is still not run again.
 func (t *Table) Complete(key Key, response []byte, mayEvict bool) {
 	e := t.entries[key]
 	if e == nil || !e.inProgress {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Remove removes an exchange in progress that certainly had no effect, such as a rejected one. The next message with
-// its id runs.
+// Remove removes an exchange in progress whose request certainly had no effect, for example because it was rejected.
+// The request of the next message with the same id is then run.
 func (t *Table) Remove(key Key) {
 	if e := t.entries[key]; e != nil && e.inProgress {
 		t.remove(e)
@@ -133,7 +133,7 @@
 // Len returns the number of exchanges.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Bytes returns the size that the exchanges count for: EntryCost each, plus the stored responses.
+// Bytes returns the size of all exchanges in bytes: EntryCost for each exchange, plus the stored responses.
 func (t *Table) Bytes() int { return t.bytes }
 
 // Stats returns the counts since the table was created.
@@ -150,8 +150,8 @@
 	return true
 }
 
-// evictFromEndpoint removes the oldest evictable exchange of an endpoint; false if there is none among the first
-// maxScan.
+// evictFromEndpoint removes the oldest evictable exchange of an endpoint; false if there is none among the maxScan
+// oldest evictable exchanges.
 func (t *Table) evictFromEndpoint(endpoint string) bool {
 	scanned := 0
 	for element := t.evictable.Front(); element != nil && scanned < maxScan; element = element.Next() {
--- a/internal/coap/front/datagram.go
+++ b/internal/coap/front/datagram.go
@@ -11,7 +11,7 @@
 )
 
 // handleDatagram handles one received datagram without waiting for the request's handler. A panic is logged and
-// counted, and ends only this datagram.
+// counted, and ends only the handling of this datagram.
 func (s *Server) handleDatagram(datagram []byte, from net.Addr) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -50,7 +50,8 @@
 	}
 }
 
-// rejectMessage drops a message that is not a request. A confirmable message is answered with a reset (RFC 7252, 4.2).
+// rejectMessage drops a message that is not a valid request. A confirmable message is answered with a reset (RFC 7252,
+// 4.2).
 func (s *Server) rejectMessage(header wire.Header, from net.Addr, reason string) {
 	s.options.Count.Drops.Inc(reason)
 	if header.Type == wire.Con {
--- a/internal/coap/front/server.go
+++ b/internal/coap/front/server.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	// maxBody bounds the bodies of requests and responses, in bytes.
+	// maxBody is the largest size of a request or response body, in bytes.
 	maxBody = 64 << 10
 
 	// readBufferSize is the size of the largest datagram, in bytes.
