--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -34,8 +34,8 @@
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // MonotonicZero returns this clock's time, in milliseconds, at which the machine's monotonic clock was 0. The difference between
-// the values of two processes on one machine is the offset between their clocks: it is not 0 if the wall clock was stepped between
-// their starts. The error is the one of clock_gettime.
+// the results in two processes on one machine is the offset between their clocks: it is not 0 if the wall clock was stepped between
+// their starts. The error is that of clock_gettime.
 func (c Clock) MonotonicZero() (float64, error) {
 	var monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,7 +1,7 @@
 // Package counters holds the counters of a node. Every received request has exactly one outcome: Taken is the sum of Served,
-// Refused, Failed, Rejected, Left and Open.
+// Refused, Failed, Rejected, ClientDisconnected and Open.
 //
-// Operators' tools read the JSON at /_counters, so that its keys must not change. If a field is renamed, its tag keeps the former
+// Operators' tools read the JSON at /_counters, so its keys must not change. If a field is renamed, its tag keeps the former
 // name.
 package counters
 
@@ -31,11 +31,11 @@
 type Operation struct {
 	Fulfilled Count `json:"fulfilled"` // answered 200
 	Throttled Count `json:"throttled"` // answered 503 or 429 by this node; such responses of servers are not forwarded
-	Faulted   Count `json:"faulted"`   // every other outcome
+	Faulted   Count `json:"faulted"`   // every other outcome; malformed requests are not counted
 	Relayed   Count `json:"relayed"`   // attempts written completely to a server
 }
 
-// Operations holds the counters by class. The classes are set before the node serves and do not change, so that no lock is needed.
+// Operations holds the counters by class. The classes are set before the node serves and do not change, so no lock is needed.
 type Operations map[string]*Operation
 
 // For returns the counters of a class. For a class that is not in the settings it returns counters that are not reported.
@@ -65,7 +65,7 @@
 
 // Handover counts messages between two processes of a node. All are 0 without a handover.
 type Handover struct {
-	Dropped Count `json:"dropped"` // messages to the sibling process, and request ids received from it, beyond the limit
+	Dropped Count `json:"dropped"` // messages to the sibling process, and request ids received from it, that exceeded a limit
 }
 
 // Admin counts calls of the administrators' listener. All are 0 if it is off.
@@ -82,7 +82,7 @@
 	Open               Count `json:"open"`     // in flight now
 	Written            Count `json:"written"`  // written completely to a server
 	Late               Count `json:"late"`     // completed by the server after the node had cancelled them
-	ClientDisconnected Count `json:"unwanted"` // not written, since the client had disconnected just before
+	ClientDisconnected Count `json:"unwanted"` // not written, since the client had already disconnected
 }
 
 // Probes counts load probes.
@@ -101,9 +101,9 @@
 type ClientConnections struct {
 	Opened             Count `json:"opened"`
 	Open               Count `json:"open"`              // open now
-	DeferAcceptUnknown Count `json:"held_back_unknown"` // times the kernel did not report whether it defers accepting connections without data
+	DeferAcceptUnknown Count `json:"held_back_unknown"` // failed queries for connections whose accept the kernel defers
 	Paused             Count `json:"paused"`            // times accepting paused: at the connection limit, or after a failed accept
-	ReservedUsed       Count `json:"short"`             // times a connection took one of the reserved descriptors
+	ReservedUsed       Count `json:"short"`             // times a reserved descriptor was used, or accept lacked descriptors or memory
 }
 
 // ServerConnections counts the connections to servers.
@@ -118,8 +118,8 @@
 	Full         Count `json:"full"`             // complete lists
 	Delta        Count `json:"delta"`            // lists of changes
 	Failed       Count `json:"failed"`           // calls that failed or had an invalid response
-	Stale        Count `json:"late"`             // times the list became stale: no response for longer than a change may take to arrive
-	LastResponse Count `json:"informed_unix_ms"` // time of the last response, in Unix milliseconds; 0: none yet
+	Stale        Count `json:"late"`             // times the list became stale: no response within the time limit for receiving a change
+	LastResponse Count `json:"informed_unix_ms"` // time of the last response, in Unix milliseconds; 0 before the first one
 }
 
 // Inventory counts the work of the inventory subsystem. All are 0 if it is off.
@@ -148,7 +148,7 @@
 	Taken         Count  `json:"taken"` // valid messages of this cluster
 	TakenBytes    Count  `json:"taken_bytes"`
 	Drops         ByCode `json:"drops"`   // messages not sent or not accepted, by reason
-	Streams       Count  `json:"streams"` // full states sent in requests for another member's full state
+	Streams       Count  `json:"streams"` // full states sent to a member to request its full state
 	StreamsFailed Count  `json:"streams_failed"`
 	Views         Count  `json:"views"`     // changes of the membership view
 	Members       Count  `json:"members"`   // members in the view now
@@ -167,7 +167,7 @@
 type CoapServers struct {
 	Outcomes    ByCode `json:"outcomes"`
 	Retransmits Count  `json:"retransmits"`
-	Late        Count  `json:"late"` // responses after the end of their exchange
+	Late        Count  `json:"late"` // responses that arrived after the end of their exchange
 	Invalid     Count  `json:"junk"` // datagrams that are not responses
 }
 
@@ -191,7 +191,7 @@
 type Engine struct {
 	Events        Count `json:"events"`
 	Panics        Count `json:"panics"`
-	MaxTimerDelay Count `json:"timer_late_max_us"` // the longest delay of a timer, in microseconds
+	MaxTimerDelay Count `json:"timer_late_max_us"` // the longest time from the due time of a timer to its firing, in microseconds
 	MaxStep       Count `json:"step_max_us"`       // the longest step of the balancer, in microseconds
 	MaxQueue      Count `json:"mailbox_max"`       // the largest number of queued events
 }
@@ -206,7 +206,7 @@
 	Requests      Requests          `json:"requests"`
 	Stop          Shutdown          `json:"stop"`
 	Operations    Operations        `json:"operations"`
-	Rejections    ByCode            `json:"rejections"` // responses without the balancer, by code; not all are in Requests.Taken
+	Rejections    ByCode            `json:"rejections"` // responses without the balancer, by code; some requests are not in Requests.Taken
 	Endpoints     EndpointCounts    `json:"registry"`
 	Bodies        Bodies            `json:"large_bodies"`
 	Handover      Handover          `json:"handover"`
--- a/internal/resourceusage/reading.go
+++ b/internal/resourceusage/reading.go
@@ -15,7 +15,7 @@
 	Descriptors   int // open file descriptors of all kinds
 }
 
-// Measure reads the resource usage of this process. Its cost grows with the number of open descriptors, which it lists.
+// Measure reads the resource usage of this process. Its cost grows with the number of open descriptors, because it lists them.
 func Measure() Reading {
 	samples := []metrics.Sample{
 		{Name: "/memory/classes/heap/objects:bytes"},
--- a/internal/resourceusage/subsystem.go
+++ b/internal/resourceusage/subsystem.go
@@ -21,7 +21,7 @@
 	DescriptorWarnFraction float64           `toml:"descriptors_warn"` // fraction of the descriptor limit; default 0.9, 0 disables it
 }
 
-// Limits of the interval. Each reading writes some kilobytes of log and lists all descriptors. More than one reading per second
+// Limits of the interval. Each reading writes a few kilobytes of log and lists all descriptors. More than one reading per second
 // would take a noticeable part of the fraction of a core that a node has; one in several hours does not show the current state.
 const (
 	minInterval = operator.Duration(time.Second)
--- a/internal/simadapter/encode.go
+++ b/internal/simadapter/encode.go
@@ -6,8 +6,9 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Encode translates an action to a message of the wire format. Actions about uploads, write deadlines, fleet limits or upgrades have
-// no message, because the simulator does not simulate them; they give an internal error.
+// Encode translates an action to a message of the wire format. The wire format has no messages for actions about uploads, write
+// deadlines, fleet limits or upgrades, because the simulator does not simulate these. For such an action, Encode returns an
+// internal_error message.
 func Encode(a balancer.Action) any {
 	switch a := a.(type) {
 	case balancer.StartAttempt:
@@ -32,5 +33,5 @@
 	return textMessage{"internal_error", fmt.Sprintf("no wire form for %T", a)}
 }
 
-// InternalError returns the message of an instance that cannot make decisions.
+// InternalError returns the internal_error message that is sent for an instance that cannot make decisions.
 func InternalError(text string) any { return textMessage{"internal_error", text} }
--- a/internal/subsystem/subsystem.go
+++ b/internal/subsystem/subsystem.go
@@ -37,9 +37,9 @@
 type Definition struct {
 	// Section is the section of the operator file, with the defaults and checks of the options.
 	Section operator.Section
-	// Build returns an instance with the given options, a pointer of the type that Section.New returns. old is the running
-	// instance, or nil if the subsystem is off. The new instance may take over resources from it that both can use, such as a
-	// listener. It has no visible effect before Start.
+	// Build returns an instance with the given options. options is a pointer of the type that Section.New returns. old is the
+	// running instance, or nil if the subsystem is off. The new instance may take over resources of old that both can use, such
+	// as a listener. The new instance has no visible effect before Start.
 	Build func(host Host, options any, old Instance) (Instance, error)
 }
 
