--- a/internal/endpointmerge/source.go
+++ b/internal/endpointmerge/source.go
@@ -6,12 +6,12 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// source holds the last report of one source.
+// source holds the latest list of servers from one source.
 type source struct {
 	reported bool
 	revision string
 	servers  map[string]inventory.Server
-	lastSeen map[string]Millis // by server id: time of the last report with the server
+	lastSeen map[string]Millis // by server id: time of the latest snapshot or delta that listed the server
 }
 
 func newSource() *source {
@@ -44,14 +44,14 @@
 // applySnapshot replaces the source's list with a complete list.
 func (v *View) applySnapshot(e Snapshot, changed idSet) {
 	s := v.sources[e.Source]
-	before := s.servers
+	previousServers := s.servers
 	s.servers = make(map[string]inventory.Server, len(e.Servers))
 	for _, server := range e.Servers {
 		s.update(server, v.now)
 		v.tombstones.remove(e.Source, server.ID)
 		changed[server.ID] = true
 	}
-	for id := range before {
+	for id := range previousServers {
 		if !s.lists(id) {
 			v.recordRemoval(e.Source, id)
 			changed[id] = true
@@ -61,11 +61,11 @@
 	s.reported = true
 	s.revision = e.Revision
 	if firstReport && slices.Contains(v.settings.RequiredSources, e.Source) {
-		for id := range v.members { // from now on, servers that the required source omits are removed
+		for id := range v.members { // members that the required source does not list are removed now
 			changed[id] = true
 		}
 	}
-	for id := range v.tombstones { // this report may override an expired removal
+	for id := range v.tombstones { // this list may override an expired tombstone
 		changed[id] = true
 	}
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// withdraw deletes a source's list, held list and removals.
+// withdraw deletes a source's list, held list and tombstones.
 func (v *View) withdraw(name string, changed idSet) {
 	s := v.sources[name]
 	if s == nil {
--- a/internal/endpoints/fake_test.go
+++ b/internal/endpoints/fake_test.go
@@ -18,7 +18,7 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// fakeNode is a node without discovery. It queues the balancer's updates in a channel.
+// fakeNode is a node without discovery. It queues the updates for the balancer in a channel.
 type fakeNode struct {
 	directory *Directory
 	count     *counters.Counters
@@ -51,19 +51,19 @@
 func (n *fakeNode) LongestDedupWindow() time.Duration         { return 50 * time.Millisecond }
 func (n *fakeNode) Counters() *counters.Counters              { return n.count }
 
-// nextUpdate waits for the balancer's next update.
+// nextUpdate waits up to 10 s for the next update for the balancer.
 func (n *fakeNode) nextUpdate(t testing.TB) balancer.EndpointUpdate {
 	t.Helper()
 	select {
 	case u := <-n.updates:
 		return u
 	case <-time.After(10 * time.Second):
-		t.Fatal("the balancer got no update within 10 s")
+		t.Fatal("no update for the balancer within 10 s")
 	}
 	panic("unreachable")
 }
 
-// start builds and starts the subsystem with the options in the text of an operator file.
+// start builds and starts the subsystem. text is the content of an operator file with the options.
 func (n *fakeNode) start(t testing.TB, text string) subsystem.Instance {
 	t.Helper()
 	f, err := operator.Parse("edge.toml", text, []operator.Section{Subsystem().Section})
--- a/internal/endpoints/inventory_test.go
+++ b/internal/endpoints/inventory_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// BenchmarkRenameToUpdate measures the time from the rename of a list file to the balancer's update, by list size and format.
+// BenchmarkRenameToUpdate measures the time from the rename of a list file to the update for the balancer, by list size and format.
 func BenchmarkRenameToUpdate(b *testing.B) {
 	for _, n := range []int{500, 10_000} {
 		for _, format := range []string{"csv", "yaml"} {
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -15,26 +15,28 @@
 
 const (
 	// overloadRatio is the fraction of rejected requests above which a decision counts as overloaded. At lower fractions each node's
-	// own priority order works as well, and shedding by the fleet would only lose requests.
+	// own admission by priority works equally well, and shedding by the fleet would only reject more requests.
 	overloadRatio = 0.08
 
-	// overloadDecisions is the number of overloaded decisions in a row that starts an overload.
+	// overloadDecisions is the number of consecutive overloaded decisions after which an overload starts.
 	overloadDecisions = 2
 
-	// recoveryDecisions is the number of decisions in a row with capacity for all requests that ends an overload.
+	// recoveryDecisions is the number of consecutive decisions, each with a limit that covers all requests, after which an overload
+	// ends.
 	recoveryDecisions = 8
 
-	// The limit is the accepted rate times a growth factor, which depends on the fraction of the admitted requests that is accepted,
-	// relative to the fraction before the overload. Up to saturatedAcceptedRatio the factor is saturatedGrowth, which keeps a short
-	// queue at the servers. From unsaturatedAcceptedRatio on it is unsaturatedGrowth, which doubles the limit in about three rate
-	// windows. In between it is interpolated linearly.
+	// The limit in requests per second is the accepted rate times a growth factor. The factor depends on the accepted ratio: accepted
+	// requests divided by admitted requests, relative to the same ratio before the overload. Up to saturatedAcceptedRatio the factor
+	// is saturatedGrowth, which keeps a short queue at the servers. From unsaturatedAcceptedRatio on it is unsaturatedGrowth, which
+	// doubles the limit in about three rate windows. In between it is interpolated linearly.
 	saturatedGrowth          = 1.04
 	unsaturatedGrowth        = 1.35
 	saturatedAcceptedRatio   = 0.94
 	unsaturatedAcceptedRatio = 0.99
 
 	// admissionSmoothing is the weight of the latest decision in the exponentially smoothed admission. The rates of one window have
-	// a few percent of noise that differs between nodes, and the fraction of the class at the limit varies by several times that.
+	// a few percent of noise that differs between nodes, and the fraction of the class that is partly admitted varies by several
+	// times that.
 	admissionSmoothing = 0.5
 
 	// minAdmitted is the least fraction of all requests that is admitted, so that badly wrong rates cannot make a fleet reject
@@ -49,8 +51,8 @@
 	noReductionFailureRatio   = 0.2
 	fullReductionFailureRatio = 0.5
 
-	// retryRecoveryPerDecision is how much of the retry budget is restored per decision, about three seconds for all of it, since
-	// servers that have just recovered could not handle a burst of retries.
+	// retryRecoveryPerDecision is the fraction of the retry budget that is restored per decision. The whole budget takes about three
+	// seconds, since servers that have just recovered could not handle a burst of retries.
 	retryRecoveryPerDecision = 0.08
 
 	// minAttemptRate is the rate in attempts per second below which the failure ratio is ignored.
@@ -74,14 +76,14 @@
 	Classes    []Class
 }
 
-// Admission is the decision which requests and retries a node admits.
+// Admission determines which fractions of the requests and retries a node admits.
 type Admission struct {
 	Active               bool
 	Fractions            []float64 // admitted fraction of each class, from 0 to 1
 	RetryBudgetReduction float64   // fraction of the retry budget that is withheld
 }
 
-// Controller is the state of one process. It is not safe for concurrent use.
+// Controller detects an overload of the fleet and computes the admission of one process. It is not safe for concurrent use.
 type Controller struct {
 	options    Options
 	sources    map[string]*source
@@ -89,11 +91,11 @@
 	reporters  []string
 
 	active                bool
-	consecutiveOverloaded int     // decisions in a row with a rejected fraction above overloadRatio
-	consecutiveRecovered  int     // decisions in a row with capacity for everything
-	admittedFraction      float64 // smoothed fraction of all requests; 0: none computed yet in this overload
-	baselineAcceptedRatio float64 // fraction of all requests that were accepted before the overload
-	fractions             []float64
+	consecutiveOverloaded int       // decisions in a row with a rejected fraction above overloadRatio
+	consecutiveRecovered  int       // decisions in a row whose limit covers all requests
+	admittedFraction      float64   // smoothed fraction of all requests; 0: none computed yet in this overload
+	baselineAcceptedRatio float64   // fraction of all requests that were accepted before the overload
+	fractions             []float64 // admitted fraction of each class
 	retryBudgetReduction  float64
 	rates                 FleetRates
 }
@@ -181,8 +183,8 @@
 	const epsilon = 1e-9 // avoids a division by zero
 	admittedRate := max(epsilon, requested-rates.Shed)
 	acceptedRatio := min(1, accepted/admittedRate/c.baselineAcceptedRatio)
-	spare := min(1, max(0, acceptedRatio-saturatedAcceptedRatio)/(unsaturatedAcceptedRatio-saturatedAcceptedRatio))
-	growth := saturatedGrowth + (unsaturatedGrowth-saturatedGrowth)*spare
+	growthWeight := min(1, max(0, acceptedRatio-saturatedAcceptedRatio)/(unsaturatedAcceptedRatio-saturatedAcceptedRatio))
+	growth := saturatedGrowth + (unsaturatedGrowth-saturatedGrowth)*growthWeight
 	next := max(minAdmitted, growth*accepted/c.baselineAcceptedRatio/requested)
 	if c.admittedFraction == 0 {
 		c.admittedFraction = next
--- a/internal/overload/summary.go
+++ b/internal/overload/summary.go
@@ -11,7 +11,7 @@
 	// servers that recover within seconds.
 	rateWindow = 1200 * time.Millisecond
 
-	// maxSummaryAge is the age from which on a summary is ignored.
+	// maxSummaryAge is the age at which a summary is no longer used.
 	maxSummaryAge = 3 * time.Second
 
 	// sourceRetention is how long a source is kept after its latest summary.
