--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -4,8 +4,8 @@
 // about the same time leave the view in one change (after Rapid: Suresh and others, 2018).
 //
 // The package does no I/O: the caller passes in times and messages, and takes out messages and events. Randomness comes from a
-// seed. Times are durations on one monotonic clock since any moment before the first call. docs/members.md describes what other
-// subsystems may rely on a view for.
+// seed. Times are durations since a fixed moment before the first call, measured by a monotonic clock. docs/members.md describes the
+// guarantees of a view for other subsystems.
 package membership
 
 import (
@@ -15,12 +15,11 @@
 )
 
 const (
-	// minPauseIntervals is the gap between two calls, in probe intervals, from which this process counts as having been paused
-	// or starved of CPU. Tick is called five times per probe interval.
+	// minPauseIntervals is the shortest gap between two calls, in probe intervals, that is treated as a pause: this process was
+	// stopped or starved of CPU. Tick is called five times per probe interval.
 	minPauseIntervals = 1.5
 
-	// maxLocalHealth bounds the local health score. Each point lengthens probe timeouts by a half and suspicion timeouts by an
-	// eighth.
+	// maxLocalHealth bounds the local health score. Each point lengthens probe timeouts by 50% and suspicion timeouts by 12.5%.
 	maxLocalHealth = 4
 
 	// joinTimeoutIntervals is how many probe intervals a joining process waits for an answer. After that it becomes alive without
@@ -64,7 +63,7 @@
 const (
 	EventView         EventCode = "view"       // the view has changed
 	EventConnectivity EventCode = "condition"  // this process's connectivity has changed
-	EventLinkBroken   EventCode = "link"       // a member does not answer this process although others hear from it
+	EventLinkBroken   EventCode = "link"       // a member does not answer this process, but some member still receives its messages
 	EventLinkRestored EventCode = "link_whole" // that member answers again
 	EventPause        EventCode = "standstill" // this process was paused
 	EventReplaced     EventCode = "replaced"   // another process uses a member's name
@@ -99,8 +98,8 @@
 	incarnation  uint32
 	connectivity Connectivity
 	localHealth  int           // Lifeguard's score: 0 is healthy; a higher score makes this process slower to suspect others
-	lastReceived time.Duration // when the latest message from any member arrived, plus later pauses of this process
-	lastAcked    time.Duration // when any member last confirmed a message of this process, plus later pauses of this process
+	lastReceived time.Duration // when the latest message from any member arrived, moved forward by later pauses of this process
+	lastAcked    time.Duration // when any member last answered a ping or SyncRequest of this process, moved forward by later pauses
 	lastRefuted  time.Duration
 	everReceived bool // whether any member's message has arrived
 
@@ -112,7 +111,7 @@
 
 	view              View
 	highestViewNumber uint64        // highest view number that this process has used or received
-	viewChangedAt     time.Duration // since when a change has been waiting to be published; -1 if none
+	viewChangedAt     time.Duration // time of the oldest change that is not published yet; -1 if none
 
 	outgoing []OutgoingMessage
 	events   []Event
@@ -142,7 +141,8 @@
 	return c
 }
 
-// randomDelay returns a random duration of at most d, so that members started at the same time do not act in step.
+// randomDelay returns a random duration of at most d, so that members started at the same time do not probe and sync at the
+// same moments.
 func (c *Core) randomDelay(d time.Duration) time.Duration {
 	return time.Duration(c.rand.Int64N(int64(d) + 1))
 }
@@ -183,9 +183,9 @@
 
 // advance sets the current time and detects a pause of this process.
 //
-// After a pause (SIGSTOP, or a machine short of CPU) all probes of this process are unanswered, so it would take every member out
-// of its view at once. To ignore the time of the pause, advance drops the probes in flight, and extends suspicions and the
-// timeouts of the connectivity check by the length of the pause.
+// After a pause (SIGSTOP or a lack of CPU) all probes of this process are unanswered, so it would remove every member from its
+// view at once. advance therefore drops the probes in flight, and extends suspicions and the timeouts of the connectivity check by
+// the length of the pause.
 func (c *Core) advance(now time.Duration) {
 	gap := now - c.now
 	if gap <= 0 {
@@ -207,7 +207,8 @@
 	c.emit(EventPause, "this process was paused: probes in flight are dropped and suspicion timeouts extended", "for_ms", gap.Milliseconds())
 }
 
-// adjustLocalHealth changes the local health score within its bounds. A higher score means less trust in this process's own probes.
+// adjustLocalHealth changes the local health score within its bounds. At a higher score this process waits longer for
+// answers before it suspects a member.
 func (c *Core) adjustLocalHealth(delta int) {
 	c.localHealth = min(maxLocalHealth, max(0, c.localHealth+delta))
 }
@@ -237,7 +238,7 @@
 
 // updateConnectivity checks whether this process receives messages from others and whether others confirm its own.
 func (c *Core) updateConnectivity() {
-	// About ten pings are sent within this time, so random packet loss does not explain that none is answered.
+	// About ten pings are sent within this time, so if none is answered, random packet loss is an unlikely cause.
 	timeout := c.options.SuspicionTimeout
 	next := Connected
 	switch {
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// A process that was paused for half a minute has received no messages in that time. It must not take the others out of its view
+// A process that was paused for half a minute has received no messages in that time. It must not remove the others from its view
 // because of that, and must be slower to suspect them afterwards.
 func TestPausedProcessKeepsMembersInView(t *testing.T) {
 	c := newCore("a1", 5)
--- a/internal/membership/decisions_test.go
+++ b/internal/membership/decisions_test.go
@@ -17,7 +17,7 @@
 	simSteps   = 1600
 	simStep    = 50 * time.Millisecond
 
-	// simFaultSteps is the number of steps between faults.
+	// simFaultSteps is the number of steps after which two faults are injected.
 	simFaultSteps = 80
 
 	// simPauseSteps is the number of steps for which a member is paused.
@@ -34,15 +34,15 @@
 	generation uint64
 	cores      [simMembers]*Core
 	down       [simMembers]bool
-	pausedFor  [simMembers]int // remaining steps
-	cut        [simMembers][simMembers]bool
+	pausedFor  [simMembers]int              // remaining steps
+	cut        [simMembers][simMembers]bool // by sender and receiver: whether all messages are lost
 	network    []delivery
 	digest     hash.Hash
 }
 
 // delivery is a message in transit.
 type delivery struct {
-	at      time.Duration
+	dueAt   time.Duration
 	to      int
 	message Message
 }
@@ -85,11 +85,11 @@
 
 // run returns the checksum of all messages, events and views.
 func (s *simulation) run() string {
-	for n := range simSteps {
-		s.now = time.Duration(n) * simStep
+	for step := range simSteps {
+		s.now = time.Duration(step) * simStep
 		s.deliver()
 		s.tick()
-		if n%simFaultSteps == simFaultSteps-1 {
+		if step%simFaultSteps == simFaultSteps-1 {
 			s.fault()
 			s.fault()
 		}
@@ -102,7 +102,7 @@
 	s.network = nil
 	for _, d := range due {
 		switch {
-		case d.at > s.now:
+		case d.dueAt > s.now:
 			s.network = append(s.network, d)
 		case !s.down[d.to] && s.pausedFor[d.to] == 0:
 			s.cores[d.to].Receive(s.now, &d.message)
@@ -158,7 +158,7 @@
 	}
 }
 
-// fault injects one random fault, or ends faults, at a member or a link.
+// fault injects one random fault at a member or a link, or ends earlier faults.
 func (s *simulation) fault() {
 	faultKind, member, other := s.rng.IntN(6), s.rng.IntN(simMembers), s.rng.IntN(simMembers)
 	switch faultKind {
@@ -181,8 +181,8 @@
 	}
 }
 
-// The file contains checksums of seeded simulations with a released version. A change of names or structure must not change any
-// message, its order or its time.
+// testdata/decisions.sha256 contains checksums of seeded simulations that were run with a released version. A change of names or
+// structure must not change any message, its order or its time.
 func TestSimulatedDecisionsMatchRecording(t *testing.T) {
 	raw, err := os.ReadFile("testdata/decisions.sha256")
 	if err != nil {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -16,24 +16,24 @@
 	SyncReply                      // answers a SyncRequest with the receiver's full state
 	RenewLease                     // asks a lessor to renew the sender's lease (internal/quota)
 	GrantLease                     // grants the renewal of a lease
-	LivenessStream                 // opens a stream without further messages; its end proves that the sender's process has ended
+	LivenessStream                 // opens a stream without further messages; EOF proves that the sender's process has ended
 	Broadcast                      // contains a message from one node's balancer to the others
 	LoadReports                    // contains load counters of several processes (internal/overload)
 )
 
-// State is the state of a member, or the content of an update about one. Its values are part of the wire format.
+// State is the state of a member, or HeardFrom in an update about a member. Its values are part of the wire format.
 type State uint8
 
 // The states. None of them is "dead": a member that cannot be reached may still be serving its clients.
 const (
-	Joining     State = iota + 1 // its process has started and has not received an answer from the others yet
+	Joining     State = iota + 1 // its process has started and has not received an answer from another member yet
 	Alive                        // in the view
 	Suspect                      // in the view; at least one member has not received its answers
 	Unreachable                  // not in the view; pinged periodically
 	Left                         // it announced that it was leaving; final for that process
 	Replaced                     // another process uses its name; final for that process
 
-	// HeardFrom occurs only in updates (heard-from reports): Reporter received a message from the member itself, Age ago.
+	// HeardFrom occurs only in updates (heard-from reports): Reporter received a message from the member Age milliseconds ago.
 	HeardFrom
 )
 
@@ -82,7 +82,7 @@
 	Generation  uint64 `msg:"s"`
 	Incarnation uint32 `msg:"i,omitempty"`
 	State       State  `msg:"t"`
-	Reporter    string `msg:"b,omitempty"` // member that reports the state; empty if the subject itself does
+	Reporter    string `msg:"b,omitempty"` // member that reports the state; empty if the member Name reports it itself
 	Age         uint32 `msg:"a,omitempty"` // milliseconds since the state was observed, by the sender's clock
 	Address     string `msg:"h,omitempty"`
 }
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -22,7 +22,7 @@
 
 	lastReceived time.Duration            // when its latest message arrived at this process
 	lastAcked    time.Duration            // when it last answered this process
-	lastSeen     time.Duration            // latest time at which any member is known to have heard from it
+	lastSeen     time.Duration            // latest time at which any member is known to have received a message from it
 	heardBy      map[string]time.Duration // latest heard-from report of each member
 
 	suspectedAt   time.Duration            // when the first missing answer was due
@@ -31,15 +31,15 @@
 
 	lastProbed   time.Duration
 	missedProbes int           // consecutive probes by this process that the member itself did not answer
-	contradicted bool          // others heard from it while its answers to this process were missing, and it has not answered since
-	linkBrokenAt time.Duration // since when it does not answer this process although others hear from it; -1 if it answers
+	contradicted bool          // some member received its messages while this process missed its answers; reset by its next answer
+	linkBrokenAt time.Duration // when linkBroken became true; -1 if it is false
 
 	losses      int           // times it became unreachable, each within flapWindow of the previous one
 	lastLost    time.Duration // when it last became unreachable
-	dampedUntil time.Duration // it is kept out of the view until then because it became unreachable too often
+	dampedUntil time.Duration // end of the time in which it is kept out of the view, because it became unreachable too often
 }
 
-// linkBroken reports whether the member does not answer this process although others hear from it.
+// linkBroken reports whether the member does not answer this process, but some member still receives its messages.
 func (p *peer) linkBroken() bool { return p.linkBrokenAt >= 0 }
 
 // confirmations returns how many members suspect it in addition to the first one.
@@ -150,12 +150,13 @@
 		suspectedBy:  map[string]time.Duration{},
 	}
 	c.peers.put(p)
-	// The position is random (SWIM, 4.3): in the order of a full state all members would probe the same one at once.
+	// The position is random (SWIM, 4.3). If new members were probed in the order of a full state, all members would probe the same
+	// one at the same time.
 	c.probing.order = slices.Insert(c.probing.order, c.rand.IntN(len(c.probing.order)+1), p)
 	if u.State == Suspect || u.State == Unreachable {
 		p.suspectedAt = observedAt
 	}
-	if u.State != Suspect { // the suspicion is another member's; this process has none of its own to gossip
+	if u.State != Suspect { // do not gossip another member's suspicion: this process has none of its own
 		c.enqueue(u, observedAt)
 	}
 	c.markViewChanged()
@@ -198,7 +199,7 @@
 	}
 	c.rejected++
 	if c.rejected == 1 {
-		c.emit(EventTableFull, "the member table is full, further members are rejected", "most", c.options.MaxMembers)
+		c.emit(EventTableFull, "the member table is full; further members are rejected", "most", c.options.MaxMembers)
 	}
 	return false
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -18,12 +18,12 @@
 	// extraProbes is the number of additional members that are probed in each interval while any member is suspected.
 	extraProbes = 2
 
-	// recheckMisses is the number of consecutive probes without an answer from which a member that others hear from may be probed in
-	// every interval.
+	// recheckMisses is the number of consecutive unanswered probes after which a member may be probed in every interval if some
+	// member still receives its messages.
 	recheckMisses = 2
 
-	// brokenLinkMisses is the number of consecutive probes without an answer from which the link to a member that others hear from
-	// counts as broken. At a packet loss of 30% one probe in two has no answer, and five in a row one time in thirty.
+	// brokenLinkMisses is the number of consecutive unanswered probes after which the link to a member counts as broken if some
+	// member still receives its messages. At a packet loss of 30% one probe in two has no answer, and five in a row one time in thirty.
 	brokenLinkMisses = 5
 
 	// retryIntervals is the number of probe intervals between two pings of unreachable members.
@@ -68,7 +68,7 @@
 	p.relays = nil
 }
 
-// scaleByLocalHealth lengthens a timeout by a half for each point of the local health score.
+// scaleByLocalHealth lengthens a timeout by 50% for each point of the local health score.
 func (c *Core) scaleByLocalHealth(d time.Duration) time.Duration {
 	return d + d*time.Duration(c.localHealth)/2
 }
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// leastRecentlySeen returns the members that no member has heard from for longest, or nil if none is suspected. Members are seldom
-// lost one at a time, and losses that are detected together make one change of the view.
+// leastRecentlySeen returns the members whose latest message to any member is oldest, or nil if no member is suspected. Members
+// are seldom lost one at a time, and losses that are detected together make one change of the view.
 func (c *Core) leastRecentlySeen() []*peer {
 	var out []*peer
 	anySuspect := false
@@ -193,7 +193,7 @@
 		c.markLinkBroken(p)
 	}
 	acceptSeenSince := pr.sentAt
-	if p.contradicted { // others have heard from it after this process missed its answers
+	if p.contradicted { // some member received its messages after this process missed its answers
 		acceptSeenSince = c.now - maxContradictedTimeouts*c.suspicionTimeout(0)
 	}
 	if p.lastSeen > acceptSeenSince {
@@ -284,13 +284,13 @@
 	return true
 }
 
-// markLinkBroken records that a member does not answer this process although others hear from it.
+// markLinkBroken records that a member does not answer this process, but some member still receives its messages.
 func (c *Core) markLinkBroken(p *peer) {
 	if p.linkBroken() {
 		return
 	}
 	p.linkBrokenAt = c.now
-	c.emit(EventLinkBroken, "a member does not answer this process although others hear from it", "member", p.name,
+	c.emit(EventLinkBroken, "a member does not answer this process, but some member still receives its messages", "member", p.name,
 		"heard_ms_ago", clampMillis(c.now-p.lastReceived))
 }
 
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -93,7 +93,7 @@
 
 // handleUpdate handles one update. In SWIM a higher incarnation overrides a lower one, and at the same incarnation the worse state
 // overrides the better one. Here another member's report of a worse state only starts or confirms a suspicion, and this process
-// takes the subject out of its view when that suspicion expires. A single mistaken member therefore cannot remove a live member
+// removes the member from its view when that suspicion expires. A single mistaken member therefore cannot remove a live member
 // from the views of the others.
 func (c *Core) handleUpdate(u Update, from *peer) {
 	if u.Name == c.options.Name {
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -39,7 +39,7 @@
 	StateAge           int64            `json:"for_ms"`
 	SinceReceived      int64            `json:"heard_ms"`   // since its latest message arrived at this process
 	SinceAcked         int64            `json:"reached_ms"` // since it last answered this process
-	SinceSeen          int64            `json:"seen_ms"`    // since any member is known to have heard from it
+	SinceSeen          int64            `json:"seen_ms"`    // since any member is known to have received a message from it
 	Link               LinkState        `json:"link"`
 	OwnConnectivity    Connectivity     `json:"own_condition"` // as reported by the member itself
 	SuspectedBy        map[string]int64 `json:"missed_by,omitempty"`
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -19,7 +19,7 @@
 	suspicionBaseMembers = 32
 
 	// maxContradictedTimeouts is for how many suspicion timeouts the latest heard-from report about a member that does not answer this
-	// process prevents a suspicion. After that, another member must hear from it again.
+	// process prevents a suspicion. After that, another member must receive a message from it.
 	maxContradictedTimeouts = 4
 
 	// maxUndampedLosses is how many times a member may become unreachable, each time within flapWindow of the previous one, and still
@@ -108,7 +108,7 @@
 	return c.connectivity == Connected && silent
 }
 
-// markUnreachable takes a member out of the view and gossips this unless this process is isolated.
+// markUnreachable removes a member from the view and gossips this unless this process is isolated.
 func (c *Core) markUnreachable(p *peer) {
 	p.setState(Unreachable, c.now)
 	if c.now-p.lastLost > flapWindow {
@@ -124,7 +124,7 @@
 
 // sendSuspicions sends suspicions to the suspects themselves and to some random members before the timeout. A member with newer
 // evidence answers at once. With gossip alone, a few live members would become unreachable if many links are cut, since the
-// suspicion would not reach the members that hear from them in time.
+// suspicion would not reach the members that receive their messages in time.
 func (c *Core) sendSuspicions(suspects []*peer) {
 	var suspicions []Update
 	for _, p := range suspects {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// viewDelayIntervals is how many probe intervals a change is delayed, so that changes with the same cause make one view.
+	// viewDelayIntervals is how many probe intervals a change is delayed, so that changes with the same cause are published in one
+	// view.
 	viewDelayIntervals = 1
 
-	// maxViewDelayIntervals is how many probe intervals a change is delayed at most while further suspicions are about to expire.
+	// maxViewDelayIntervals is the maximum delay, in probe intervals, while further suspicions are about to expire.
 	maxViewDelayIntervals = 4
 )
 
-// View is the set of members of the cluster, including this process. Views with the same Hash have the same members. The numbers of
-// different processes may differ for the same members; the numbers of one process only grow.
+// View is the set of members of the cluster, including this process. Views with the same Hash have the same members. Each
+// process increases Number with each new view, so views of different processes with the same members may differ in Number.
 type View struct {
 	Number  uint64   `json:"number"`
 	Hash    uint64   `json:"-"`
@@ -42,7 +43,7 @@
 }
 
 // publishView publishes a new view after the delay that collects changes with the same cause. The suspicions of members that are
-// lost at the same time expire one after another; without the delay each of them would make a separate view.
+// lost at the same time expire one after another; without the delay each expiry would lead to a separate view.
 func (c *Core) publishView() {
 	if c.viewChangedAt < 0 || c.now-c.viewChangedAt < viewDelayIntervals*c.options.ProbeInterval {
 		return
@@ -95,7 +96,7 @@
 	return names, damped
 }
 
-// missingFrom returns those of the names that are not in the list.
+// missingFrom returns the elements of names that are not in list.
 func missingFrom(list, names []string) []string {
 	var out []string
 	for _, name := range names {
