--- a/internal/cluster/datagram.go
+++ b/internal/cluster/datagram.go
@@ -11,7 +11,7 @@
 	"tackhub.example/tackhub/internal/membership"
 )
 
-// readErrorDelay is the delay after a read error, so that a persistent error such as a lack of buffers does not use a whole CPU.
+// readErrorDelay is the delay after a read error. Without it, a persistent error such as a lack of buffers would use a whole CPU.
 const readErrorDelay = time.Millisecond
 
 // dropReason is the reason why a message was not sent or not accepted. The values are keys of a counter.
@@ -39,7 +39,7 @@
 	dropWrite              dropReason = "write"
 )
 
-// drop counts a message that is not sent or not accepted, and logs the first message of each reason.
+// drop counts a message that is not sent or not accepted, and logs the first drop for each reason.
 func (l *link) drop(reason dropReason) {
 	l.counters.Drops.Inc(string(reason))
 	if _, logged := l.loggedDrops.LoadOrStore(reason, true); !logged {
@@ -82,7 +82,7 @@
 func (l *link) readDatagrams(ctx context.Context) {
 	buffer := make([]byte, membership.MaxDatagramBytes+1) // one extra byte to detect longer datagrams
 	secondStart := l.now()
-	accepted := 0 // datagrams in the current second
+	received := 0 // datagrams in the current second
 	for {
 		n, from, err := l.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -95,10 +95,10 @@
 		}
 		if now := l.now(); now-secondStart >= time.Second {
 			secondStart = now
-			accepted = 0
+			received = 0
 		}
-		accepted++
-		if accepted > l.options.MaxMessageRate {
+		received++
+		if received > l.options.MaxMessageRate {
 			l.drop(dropRate)
 			continue
 		}
@@ -125,8 +125,8 @@
 	}
 }
 
-// enqueue queues a message for the core and reports whether it did. If the queue is full, it drops the message, or blocks if wait is
-// set. Messages of streams may block, since the number of streams is limited.
+// enqueue queues a message for the core and reports whether it did. If the queue is full, enqueue blocks if wait is true, and
+// otherwise drops the message. Messages from streams may wait, since the number of streams is limited.
 func (l *link) enqueue(ctx context.Context, in inbound, wait bool) bool {
 	if wait {
 		select {
--- a/internal/cluster/liveness.go
+++ b/internal/cluster/liveness.go
@@ -11,16 +11,16 @@
 	"tackhub.example/tackhub/internal/membership"
 )
 
-// A liveness stream is a connection on which nothing is sent after its first message, and which the process that opened it keeps open
-// as long as it uses its quota. If the other side reads EOF, the kernel has closed the connection, so the process has ended. Because
-// this is a proof and not a timeout, the lessor can use the units at once instead of waiting for the lease to expire.
+// A liveness stream is a connection that a process keeps open as long as it uses its quota. After the first message nothing is sent
+// on it. If the other side reads EOF, the kernel has closed the connection, so the process has ended. Because this is a proof and not
+// a timeout, the lessor can use the process's quota units at once instead of waiting for the lease to expire.
 //
 // A process also closes its streams when the subsystem is turned off or the node stops, but only after the balancer has given up the
 // quota (quotaAgent.stop).
 
 const (
-	// maxLivenessStreams limits the open liveness streams of one member. There can be more than one: if a machine hangs or was cut
-	// off, the connection of an earlier process stays open until its end is known.
+	// maxLivenessStreams limits the open liveness streams of one member. There can be more than one: if a machine hangs or is
+	// disconnected, the connection of an earlier process stays open until this side detects the failure.
 	maxLivenessStreams = 3
 
 	// livenessRetryDelay is the delay between the end of a stream, or a failed attempt, and the next attempt.
@@ -97,7 +97,7 @@
 // stream was not accepted, or notDropped if it was.
 //
 // Only EOF proves that the process has ended: its kernel sends a FIN when the process ends. A reset, a timeout or silence can come from
-// the network while the process still runs and uses its units. If they counted as its end, two members would use the same units.
+// the network while the process still runs and uses its units. If these were treated as its end, two members would use the same units.
 //
 // A nil agent accepts no streams. While quotas are rolled out node by node, members with a quota open streams to members without one.
 func (q *quotaAgent) watchProcess(ctx context.Context, conn net.Conn, m *membership.Message) dropReason {
--- a/internal/cluster/loop.go
+++ b/internal/cluster/loop.go
@@ -18,7 +18,7 @@
 	leaveRepeatDelay = 50 * time.Millisecond
 )
 
-// run executes everything that uses the core, until the context ends.
+// run is the event loop that makes all calls to the core, until the context ends.
 func (l *link) run(ctx context.Context) {
 	defer func() { _ = l.udp.Close() }()
 	l.node.SetBroadcaster(l)
@@ -57,7 +57,7 @@
 	}
 }
 
-// receive passes one message to the core and the agents. The reply to a SyncRequest is only sent back on the stream of the request.
+// receive passes one message to the core and the agents. A SyncReply is sent only on the stream of its SyncRequest.
 func (l *link) receive(in inbound) {
 	m := in.message
 	l.core.Receive(l.now(), m)
@@ -78,7 +78,7 @@
 		}
 		select {
 		case in.reply <- out.Message:
-		default: // the channel already has the one reply to this message
+		default: // the channel already contains a reply; only one is sent per request
 		}
 	}
 }
@@ -102,8 +102,11 @@
 	l.writeDatagram(out)
 }
 
-// warnings are the events that are logged as warnings. Changes of the connectivity are warnings only if this process is now isolated.
-var warnings = []membership.EventCode{membership.EventConnectivity, membership.EventPause, membership.EventSuperseded, membership.EventTableFull}
+// warningEvents are the events that are logged as warnings. A change of the connectivity is a warning only if this process is now
+// isolated.
+var warningEvents = []membership.EventCode{
+	membership.EventConnectivity, membership.EventPause, membership.EventSuperseded, membership.EventTableFull,
+}
 
 // logEvents logs the core's events, and updates the counters when the view has changed.
 func (l *link) logEvents(events []membership.Event) {
@@ -114,7 +117,7 @@
 		}
 		args := append([]any{"code", "cluster_" + string(e.Code)}, e.Args...)
 		recovered := e.Code == membership.EventConnectivity && !l.core.Connectivity().Isolated()
-		if slices.Contains(warnings, e.Code) && !recovered {
+		if slices.Contains(warningEvents, e.Code) && !recovered {
 			l.log.Warn(e.Text, args...)
 			continue
 		}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -21,8 +21,8 @@
 	Allocations []AllocationRecord `json:"told"` // the latest applied allocations, oldest first
 }
 
-// AllocationRecord is an allocation that was passed to the balancer. It applies from At on: Fraction until ValidUntil, and
-// FractionAfter from then on. Times are Unix nanoseconds of the wall clock.
+// AllocationRecord is an allocation that was passed to the balancer. Fraction applies from EffectiveFrom until ValidUntil,
+// and FractionAfter from then on. Times are Unix nanoseconds of the wall clock.
 type AllocationRecord struct {
 	EffectiveFrom int64   `json:"at_ns"`
 	Fraction      float64 `json:"value"`
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -76,7 +76,7 @@
 	ownAddress := options.Nodes[options.Node]
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(ownAddress))
 	if err != nil {
-		return nil, fmt.Errorf("listen for messages from the other nodes: %w", err)
+		return nil, fmt.Errorf("peers: listen for messages from the other nodes: %w", err)
 	}
 	t := &Transport{options: options, conn: conn, outgoing: make(chan []byte, sendQueueLen), numberByAddress: map[netip.AddrPort]int{}}
 	for number, address := range options.Nodes {
