--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -1,6 +1,7 @@
-// Package audit judges a run by the four rules, from what clients, servers and discovery saw and nothing that a node
-// says of itself. It is pure: records come in, in any order, and Judge returns every breach. Membership views are
-// judged in the same way against the faults that were injected.
+// Package audit checks a run against the fleet's four rules; the Rule constants name each kind of breach. It uses only
+// observations of clients, servers and discovery, and nothing that a node reports about itself. The package is pure: it
+// takes records in any order, and Judge returns every breach. Membership views are the exception: the nodes report them,
+// and they are compared with the injected faults.
 package audit
 
 import (
@@ -10,41 +11,41 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// Offset is a moment of the run: the time since its start.
+// Offset is a time since the start of the run.
 type Offset = time.Duration
 
-// Outcome is what a client saw of one attempt.
+// Outcome is the result of one attempt as the client observed it.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
 	Served       Outcome = iota // 200
-	Rejected                    // 429 or 503: a retry is harmless
+	Rejected                    // 429 or 503: safe to retry
 	Failed                      // any other response
-	Lost                        // the connection or the client's wait ended without a whole response
-	Cancelled                   // the client went away first
-	NotConnected                // no node accepted a connection
-	LinkReset                   // the lab's own link fault broke the connection
-	RacedClose                  // the connection ended right after the request was written: lost only if a server got it
-	InTransit                   // the lab's own link still held the request or its response when the client gave up
+	Lost                        // the connection broke or the client timed out before the response was complete
+	Cancelled                   // the client cancelled before the response
+	NotConnected                // no node accepted the connection
+	LinkReset                   // a link fault injected by the lab reset the connection
+	RacedClose                  // the connection ended right after the request was written; counts as lost only if a server received it
+	InTransit                   // the lab's simulated link still delayed the request or its response when the client timed out
 )
 
 var outcomeNames = [...]string{"served", "refused", "failed", "lost", "left", "unplaced", "cut", "crossed", "on-way"}
 
-// String is the outcome as time lines show it.
-func (e Outcome) String() string { return outcomeNames[e] }
+// String returns the outcome as time lines show it.
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// Effect says what a second execution of a request would do.
+// Effect classifies requests by what a second execution would do.
 type Effect int
 
 // The effects of a class.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Safe   Effect = iota // a second execution is harmless
+	Keyed                // the request has an idempotency key, by which servers drop repeats
+	Unsafe               // a second execution repeats the effect
 )
 
-// EffectOf is the effect that a scenario names: safe, keyed or unsafe. An unknown name counts as safe.
+// EffectOf returns the effect for its name in a scenario: safe, keyed or unsafe. An unknown name counts as safe.
 func EffectOf(name string) Effect {
 	switch name {
 	case scenario.EffectKeyed:
@@ -58,20 +59,20 @@
 // Attempt is one request that a client sent to a node. A retry is another attempt of the same operation.
 type Attempt struct {
 	ID        string // X-Request-Id
-	Operation int    // the operation it belongs to
+	Operation int    // the same for all attempts of one operation
 	Effect    Effect
 	Node      int
 	Sent      Offset // when its last byte was written
-	Deadline  Offset // when the client's wait ends
+	Deadline  Offset // when the client times out
 	Ended     Offset
 	Outcome   Outcome
-	Responses int    // whole ones
-	BodyID    string // the id in the response's body; empty where no server wrote the body
+	Responses int    // complete responses received
+	BodyID    string // the id in the response's body; empty if no server wrote the body
 	Status    int
-	LinkDelay time.Duration // what the lab's link added, both ways
+	LinkDelay time.Duration // delay that the lab's simulated link added, in both directions together
 }
 
-// Execution is one start of work at a server.
+// Execution is one request whose work a server started.
 type Execution struct {
 	ID        string
 	Operation int
@@ -81,56 +82,56 @@
 	At        Offset
 }
 
-// Receipt is one request that a server read whole.
+// Receipt is one request that a server read completely.
 type Receipt struct {
 	ID       string
 	Node     int
 	Server   string
-	At       Offset        // of its first byte, where known
-	Deadline time.Duration // that the node passed on; 0: none
+	At       Offset        // when its first byte arrived, if known
+	Deadline time.Duration // time limit that the node passed on; 0: none
 }
 
-// Pause is a time for which a node was suspended with all rules in force. Responses may be later by as much.
+// Pause is a time span in which a node was suspended while all rules still applied. Responses may be late by its length.
 type Pause struct {
 	Node     int
 	From, To Offset
 }
 
-// ListUpdate is a change of the server list, as a node was notified of it.
+// ListUpdate is a change of the server list that a node was notified of.
 type ListUpdate struct {
 	Node      int
 	Server    string
-	Withdrawn bool // it drains or is gone; false: it is in service
+	Withdrawn bool // the server is draining or gone; false: it is in service
 	At        Offset
 }
 
-// Collapse is a cold server that was overloaded until it fell over.
+// Collapse is the crash of a server that was overloaded while it was still warming up.
 type Collapse struct {
 	Server string
 	At     Offset
 }
 
-// Stall is a time for which the lab's own link held back what was in transit to a server.
+// Stall is a time span in which the lab's simulated link delayed all data in transit to a server.
 type Stall struct {
 	Server   string
 	From, To Offset
 }
 
-// Outage is a time in which a node could not act, because the lab had killed or suspended it. Requests that it had in
-// flight then are the client's to retry.
+// Outage is a time span in which a node could not act, because the lab had killed or suspended it. Clients have to retry
+// the requests that it had in flight then, so these are not breaches.
 type Outage struct {
 	Node     int
 	From, To Offset
 }
 
-// Limits are the figures of the rules.
+// Limits are the time limits that the rules use.
 type Limits struct {
-	DrainGrace    time.Duration // from the notice of a drain to the last send
-	ResponseSlack time.Duration // how long after the client's wait a response may come: the rule's slack and 50 ms for sockets
-	LinkDelay     time.Duration // what the lab's own links between nodes and servers may add, one way
+	DrainGrace    time.Duration // from the notification of a drain to the last request sent
+	ResponseSlack time.Duration // how long after the client's timeout a response may arrive: the rule's slack plus 50 ms for sockets
+	LinkDelay     time.Duration // maximum one-way delay that the lab's simulated links add between nodes and servers
 }
 
-// Record is everything that was seen.
+// Record holds all observations of a run.
 type Record struct {
 	Attempts    []Attempt
 	Executions  []Execution
@@ -142,7 +143,7 @@
 	Stalls      []Stall
 }
 
-// Breach is one breach of a rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule string `json:"rule"`
 	At   Offset `json:"at_ns"`
@@ -152,27 +153,27 @@
 // The rules, as breaches name them.
 const (
 	RuleUnanswered             = "lost"               // accepted and never answered
-	RuleLate                   = "late"               // answered after the client's wait
+	RuleLate                   = "late"               // answered after the client's timeout
 	RuleDuplicateResponse      = "answers"            // more than one final response
-	RuleWrongResponse          = "swapped"            // another request's response, or one that no server made
-	RuleSentAfterResponse      = "sent-after-answer"  // a server got it after its final response
-	RuleDuplicateExecution     = "twice"              // an effect happened twice
-	RuleRejectedThoughExecuted = "refused-though-run" // a rejection promised that a retry is harmless, and it is not
-	RuleDrain                  = "drain"              // a send later than the grace after the notice of a drain
-	RuleColdCollapse           = "cold"               // a cold server was overloaded until it collapsed
-	RuleSentAfterCancel        = "sent-for-one-gone"  // an attempt began after its client had cancelled
-	RuleDeadline               = "deadline"           // a server was given more time than its client has left
+	RuleWrongResponse          = "swapped"            // the response of another request, or one that no server wrote
+	RuleSentAfterResponse      = "sent-after-answer"  // a server received the request after its final response
+	RuleDuplicateExecution     = "twice"              // a keyed or unsafe operation was executed twice
+	RuleRejectedThoughExecuted = "refused-though-run" // rejected as safe to retry, although a server had started it
+	RuleDrain                  = "drain"              // sent to a server later than the drain grace after the notification of its drain
+	RuleColdCollapse           = "cold"               // a server that was warming up was overloaded until it crashed
+	RuleSentAfterCancel        = "sent-for-one-gone"  // sent to a server after the client had cancelled
+	RuleDeadline               = "deadline"           // a server was given more time than the client had left
 )
 
 const (
-	// cancelSlack is how long after a client has cancelled an attempt for it may begin.
+	// cancelSlack is how long after its client has cancelled a request may still reach a server.
 	cancelSlack = 100 * time.Millisecond
 
-	// deadlineSlack is by how much the time that a server is given may exceed what its client has left.
+	// deadlineSlack is by how much the time limit passed to a server may exceed the time that its client has left.
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// Judge returns all breaches, by time.
+// Judge returns all breaches, ordered by time.
 func (r *Record) Judge(l Limits) []Breach {
 	a := &auditor{record: r, limits: l}
 	a.checkResponses()
@@ -181,8 +182,8 @@
 	a.checkSentAfterCancel()
 	a.checkDeadlines()
 	a.checkDrains()
-	for _, f := range r.Collapses {
-		a.breach(RuleColdCollapse, f.At, "%s was pushed over while cold", f.Server)
+	for _, collapse := range r.Collapses {
+		a.breach(RuleColdCollapse, collapse.At, "%s was overloaded until it crashed while it was warming up", collapse.Server)
 	}
 	sort.SliceStable(a.breaches, func(i, j int) bool { return a.breaches[i].At < a.breaches[j].At })
 	return a.breaches
--- a/lab/audit/groundtruth.go
+++ b/lab/audit/groundtruth.go
@@ -5,150 +5,153 @@
 	"time"
 )
 
-// rejoinTime is how long a node that was really gone for others has, once it is there again, before its absence counts:
-// it has to be heard, and the news of it has to be passed on by gossip.
+// rejoinTime is how long after its return a node that was down or unreachable may still be missing from views. The other
+// members have to receive its messages first, and gossip has to spread the change.
 const rejoinTime = 5 * time.Second
 
-// groundTruth is what was really so between two moments at which something changed.
+// groundTruth is the actual state of nodes and links between two consecutive changes.
 type groundTruth struct {
 	record    MembershipRecord
-	cuts      [][2]int
+	cuts      [][2]int // directed links that are cut: from, to
 	at        Offset
 	up        []bool   // by node: its process runs and is not suspended
-	upSince   []Offset // since when; 0: from the start
-	downSince []Offset // since when it has not been up; -1: it is
+	upSince   []Offset // by node: end of its last downtime; 0: none
+	downSince []Offset // by node: start of the current downtime; -1: it is up
 }
 
-// truth works out who could hear whom from a moment on.
-func (m MembershipRecord) truth(at Offset) *groundTruth {
-	t := &groundTruth{record: m, at: at, up: make([]bool, m.Nodes), downSince: make([]Offset, m.Nodes), upSince: make([]Offset, m.Nodes)}
-	for i := range t.up {
-		t.up[i], t.downSince[i] = true, -1
+// groundTruthAt computes which nodes run and which links are cut from a change on.
+func (m MembershipRecord) groundTruthAt(at Offset) *groundTruth {
+	truth := &groundTruth{record: m, at: at, up: make([]bool, m.Nodes), downSince: make([]Offset, m.Nodes), upSince: make([]Offset, m.Nodes)}
+	for i := range truth.up {
+		truth.up[i], truth.downSince[i] = true, -1
 	}
-	for _, d := range m.Downtimes {
+	for _, downtime := range m.Downtimes {
 		switch {
-		case d.From <= at && at < d.To:
-			t.up[d.Node] = false
-			t.downSince[d.Node] = d.From
-		case d.To <= at:
-			t.upSince[d.Node] = max(t.upSince[d.Node], d.To)
+		case downtime.From <= at && at < downtime.To:
+			truth.up[downtime.Node] = false
+			truth.downSince[downtime.Node] = downtime.From
+		case downtime.To <= at:
+			truth.upSince[downtime.Node] = max(truth.upSince[downtime.Node], downtime.To)
 		}
 	}
 	cut := map[[2]int]bool{}
-	for _, l := range m.Links {
-		if l.At > at {
+	for _, event := range m.Links {
+		if event.At > at {
 			break
 		}
-		cut[[2]int{l.From, l.To}] = l.Cut
+		cut[[2]int{event.From, event.To}] = event.Cut
 	}
-	for p, on := range cut {
-		if on {
-			t.cuts = append(t.cuts, p)
+	for link, isCut := range cut {
+		if isCut {
+			truth.cuts = append(truth.cuts, link)
 		}
 	}
-	return t
+	return truth
 }
 
-// hears reports whether one node can hear another directly.
-func (t *groundTruth) hears(to, from int) bool { return !slices.Contains(t.cuts, [2]int{from, to}) }
+// receivesFrom reports whether messages from one node reach another over their direct link.
+func (t *groundTruth) receivesFrom(to, from int) bool {
+	return !slices.Contains(t.cuts, [2]int{from, to})
+}
 
-// heardByMajority reports whether most of the other running nodes hear a node.
-func (t *groundTruth) heardByMajority(node int) bool {
-	hear, of := 0, 0
-	for k := range t.record.Nodes {
-		if k == node || !t.up[k] {
+// receivedByMajority reports whether more than half of the other running nodes receive messages directly from a node.
+func (t *groundTruth) receivedByMajority(node int) bool {
+	receivers, others := 0, 0
+	for other := range t.record.Nodes {
+		if other == node || !t.up[other] {
 			continue
 		}
-		of++
-		if t.hears(k, node) {
-			hear++
+		others++
+		if t.receivesFrom(other, node) {
+			receivers++
 		}
 	}
-	return 2*hear > of
+	return 2*receivers > others
 }
 
-// reaches reports whether anything from one node can come to another, through others that run.
+// reaches reports whether messages of one node can reach another, directly or relayed by other running nodes.
 func (t *groundTruth) reaches(from, to int) bool {
-	seen, next := map[int]bool{from: true}, []int{from}
-	for len(next) > 0 {
-		i := next[0]
-		next = next[1:]
+	seen, queue := map[int]bool{from: true}, []int{from}
+	for len(queue) > 0 {
+		i := queue[0]
+		queue = queue[1:]
 		if i == to {
 			return true
 		}
 		for j := range t.record.Nodes {
-			if !seen[j] && t.up[j] && t.hears(j, i) {
+			if !seen[j] && t.up[j] && t.receivesFrom(j, i) {
 				seen[j] = true
-				next = append(next, j)
+				queue = append(queue, j)
 			}
 		}
 	}
 	return false
 }
 
-// changeTimes are the moments at which the truth changes.
+// changeTimes returns the sorted times at which the ground truth changes.
 func (m MembershipRecord) changeTimes() []Offset {
-	out := []Offset{0}
-	for _, d := range m.Downtimes {
-		out = append(out, d.From, d.To)
+	times := []Offset{0}
+	for _, downtime := range m.Downtimes {
+		times = append(times, downtime.From, downtime.To)
 	}
-	for _, l := range m.Links {
-		out = append(out, l.At)
+	for _, event := range m.Links {
+		times = append(times, event.At)
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	slices.Sort(times)
+	return slices.Compact(times)
 }
 
-// absentFor reports whether a node has had no process, or has not been able to reach the sample's, and for how long
-// without a break.
-func (a *memberAuditor) absentFor(k int, s MemberSample, node int) (time.Duration, bool) {
+// absentFor reports whether a node is down or cannot reach the node of a sample, and for how long this has been so without
+// interruption. truthIndex is the index of the ground truth at the time of the sample.
+func (a *memberAuditor) absentFor(truthIndex int, sample MemberSample, node int) (time.Duration, bool) {
 	since := Offset(-1)
-	for ; k >= 0; k-- {
-		t := a.truths[k]
-		// The sample's own process has to have been there: one that has just started or been resumed has its time too.
-		runs := t.up[node] || a.record.suspended(node, t.at) && !a.record.suspendedTooLong(node, t.at)
-		observerNew := t.upSince[s.Node] > a.changes[k] || !t.up[s.Node]
-		if observerNew || runs && t.reaches(node, s.Node) {
+	for ; truthIndex >= 0; truthIndex-- {
+		truth := a.truths[truthIndex]
+		// The absence counts only while the sample's own process ran: after a start or resume it needs time for detection too.
+		runs := truth.up[node] || a.record.suspended(node, truth.at) && !a.record.suspendedTooLong(node, truth.at)
+		observerNew := truth.upSince[sample.Node] > a.changes[truthIndex] || !truth.up[sample.Node]
+		if observerNew || runs && truth.reaches(node, sample.Node) {
 			break
 		}
-		since = a.changes[k]
+		since = a.changes[truthIndex]
 	}
 	if since < 0 {
 		return 0, false
 	}
 	since = max(since, a.record.From)
-	return s.At - since, true
+	return sample.At - since, true
 }
 
-// present reports whether a node has been there, heard by most and able to reach the sample's, for as long as it takes to
-// rejoin. A short suspension does not count as absence.
-func (a *memberAuditor) present(k int, s MemberSample, node int) bool {
-	for ; k >= 0; k-- {
-		t := a.truths[k]
-		dead := t.downSince[node] >= 0 && !a.record.suspended(node, t.at)
-		heard := t.heardByMajority(node) && t.reaches(node, s.Node)
-		if dead || !heard || !t.up[s.Node] || a.record.suspendedTooLong(node, t.at) {
+// presentLongEnough reports whether, for at least rejoinTime, a node has run, the majority has received its messages and it
+// could reach the node of the sample. A short suspension does not count as absence. truthIndex is the index of the ground
+// truth at the time of the sample.
+func (a *memberAuditor) presentLongEnough(truthIndex int, sample MemberSample, node int) bool {
+	for ; truthIndex >= 0; truthIndex-- {
+		truth := a.truths[truthIndex]
+		killed := truth.downSince[node] >= 0 && !a.record.suspended(node, truth.at)
+		reachable := truth.receivedByMajority(node) && truth.reaches(node, sample.Node)
+		if killed || !reachable || !truth.up[sample.Node] || a.record.suspendedTooLong(node, truth.at) {
 			return false
 		}
-		if s.At-a.changes[k] > rejoinTime {
+		if sample.At-a.changes[truthIndex] > rejoinTime {
 			return true
 		}
 	}
 	return true
 }
 
-// suspended reports whether a node is suspended at a moment.
+// suspended reports whether a node is suspended at a time.
 func (m MembershipRecord) suspended(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool { return d.Node == node && d.Suspended && d.From <= at && at < d.To })
 }
 
-// suspendedTooLong reports whether a node is suspended at a moment for longer than a suspicion lasts.
+// suspendedTooLong reports whether a node is suspended at a time, and the suspension lasts longer than maxUnnoticedSuspension.
 func (m MembershipRecord) suspendedTooLong(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool {
 		return d.Node == node && d.Suspended && d.From <= at && at < d.To && d.To-d.From > maxUnnoticedSuspension
 	})
 }
 
-// maxUnnoticedSuspension is the longest suspension that must leave no trace in views: the shortest suspicion timeout
-// less a probe's round trip.
+// maxUnnoticedSuspension is the longest suspension after which a node must not have been removed from any view: the
+// shortest suspicion timeout minus the round trip of a probe.
 const maxUnnoticedSuspension = 2100 * time.Millisecond
--- a/lab/audit/membership.go
+++ b/lab/audit/membership.go
@@ -7,70 +7,70 @@
 	"time"
 )
 
-// MemberSample is what one process said of itself at a moment.
+// MemberSample is the view that one process reported at a time.
 type MemberSample struct {
 	At          Offset
 	Node        int
-	Start       uint64 // of its process
-	View        uint64
-	Members     []int // nodes in its view
-	HasMajority bool  // it does not consider itself cut off or alone
+	Start       uint64 // generation of the process
+	View        uint64 // number of its view
+	Members     []int  // nodes in its view
+	HasMajority bool   // the process does not consider itself isolated or without peers
 }
 
-// LinkEvent is a directed link that was cut, or whose cut ended.
+// LinkEvent is the start or the end of the cut of a directed link.
 type LinkEvent struct {
 	At       Offset
 	From, To int
 	Cut      bool
 }
 
-// Downtime is a time in which a node had no process, or a suspended one.
+// Downtime is a time span in which a node had no process, or its process was suspended.
 type Downtime struct {
 	Node      int
 	From, To  Offset
-	Suspended bool // the process kept what it knew
+	Suspended bool // the process kept its state
 }
 
-// MembershipRecord is what really happened, and what the processes said.
+// MembershipRecord holds the injected faults of a run and the views and quotas that the processes reported.
 type MembershipRecord struct {
 	Nodes          int
-	From           Offset // when all had started; nothing before is judged
-	Until          Offset
+	From           Offset // when all nodes had started; earlier samples are not checked
+	Until          Offset // end of the run
 	Samples        []MemberSample
 	Links          []LinkEvent
 	Downtimes      []Downtime
 	Quotas         []QuotaGrant
-	OtherFaultEnds []Offset // when further faults of links ended, such as loss
+	OtherFaultEnds []Offset // when link faults other than cuts ended, such as loss
 }
 
-// QuotaGrant is the share of the whole that a process may use from a moment on. From Until on it is After.
+// QuotaGrant is the fraction of the fleet-wide quota that a process may use: Value from At to Until, and After from then on.
 type QuotaGrant struct {
 	Node  int
-	Start uint64
+	Start uint64 // generation of the process
 	At    Offset
 	Value float64
 	Until Offset
 	After float64
 }
 
-// Forever is the end of what has none.
+// Forever is the Until of a grant that does not expire.
 const Forever = Offset(1<<63 - 1)
 
-// MemberLimits are how views are judged.
+// MemberLimits are the limits that views have to keep.
 type MemberLimits struct {
-	DetectWithin   time.Duration // a node that is gone or unreachable is out of every view within it
-	ConvergeWithin time.Duration // after the last fault all hold the same view within it
-	IgnorePartial  bool          // nothing is expected of members that only some can hear
+	DetectWithin   time.Duration // within it a node that is down or unreachable is removed from every view
+	ConvergeWithin time.Duration // within it after the last fault all views are the same
+	IgnorePartial  bool          // live members may be missing from views
 }
 
-// MemberFigures are what the views came to.
+// MemberFigures are the measurements of the views and quotas of a run.
 type MemberFigures struct {
 	Samples     int     `json:"samples"`
-	Detection   float64 `json:"noticed_max_s"` // the longest time for which a view held a node that was gone
-	Convergence float64 `json:"healed_s"`      // from the last fault until all held the same view; -1: not seen
-	ViewChanges uint64  `json:"views_max"`     // changes of view at any process
-	QuotaMax    float64 `json:"shares_max"`    // the most that all had together at any instant
-	QuotaMean   float64 `json:"shares_mean"`   // what they had on average while it was judged
+	Detection   float64 `json:"noticed_max_s"` // the longest time that a view still contained a node that was down or unreachable
+	Convergence float64 `json:"healed_s"`      // from the last fault until all views were the same; -1: unknown
+	ViewChanges uint64  `json:"views_max"`     // maximum over the processes of the number of view changes
+	QuotaMax    float64 `json:"shares_max"`    // maximum of the sum of all quotas at one time
+	QuotaMean   float64 `json:"shares_mean"`   // mean of that sum from MembershipRecord.From on
 }
 
 // process is one process of a node.
@@ -79,24 +79,27 @@
 	start uint64
 }
 
-// viewRange is the first and the latest number of a process's view.
+// viewRange holds the first and the latest view number of a process.
 type viewRange struct{ first, latest uint64 }
 
-// memberAuditor compares the samples of one record with the truth.
+// memberAuditor compares the samples of one record with the ground truth.
 type memberAuditor struct {
 	record   MembershipRecord
 	limits   MemberLimits
-	changes  []Offset       // when the truth changes
-	truths   []*groundTruth // from each change on
+	changes  []Offset       // when the ground truth changes
+	truths   []*groundTruth // truths[i] applies from changes[i] on
 	views    map[process]viewRange
 	reported map[string]bool
 	breaches []Breach
 	figures  MemberFigures
 }
 
-// Judge compares the samples with the truth. The rules: no live node that most can hear is out of the view of a process
-// that has a majority; a node that is gone or unreachable is out of the views in time; a view's number never goes back;
-// all agree in time once no fault is left; quotas together never exceed the whole.
+// Judge compares the samples with the ground truth. It checks these rules:
+//   - A live node whose messages the majority receives is in the view of every process that has a majority.
+//   - A node that is down or unreachable is removed from the views within MemberLimits.DetectWithin.
+//   - The view number of a process never decreases.
+//   - All views are the same within MemberLimits.ConvergeWithin after the last fault.
+//   - The quotas of all processes never add up to more than the fleet-wide quota.
 func (m MembershipRecord) Judge(l MemberLimits) ([]Breach, MemberFigures) {
 	sort.SliceStable(m.Links, func(i, j int) bool { return m.Links[i].At < m.Links[j].At })
 	sort.SliceStable(m.Samples, func(i, j int) bool { return m.Samples[i].At < m.Samples[j].At })
@@ -109,7 +112,7 @@
 		figures:  MemberFigures{Samples: len(m.Samples)},
 	}
 	for _, at := range a.changes {
-		a.truths = append(a.truths, m.truth(at))
+		a.truths = append(a.truths, m.groundTruthAt(at))
 	}
 	for _, s := range m.Samples {
 		a.checkSample(s)
@@ -119,7 +122,7 @@
 	return a.breaches, a.figures
 }
 
-// breach records a breach once for each rule and key: the same one shows in many samples.
+// breach records only the first breach for each rule and key, because the same fault shows in many samples.
 func (a *memberAuditor) breach(at Offset, rule, key, format string, args ...any) {
 	if a.reported[rule+key] {
 		return
@@ -128,98 +131,100 @@
 	a.breaches = append(a.breaches, Breach{At: at, Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkSample checks one sample's view number, and its members against the truth at that moment.
-func (a *memberAuditor) checkSample(s MemberSample) {
-	a.checkViewNumber(s)
-	k := sort.Search(len(a.changes), func(i int) bool { return a.changes[i] > s.At }) - 1
-	if s.At < a.record.From || k < 0 || !a.truths[k].up[s.Node] {
+// checkSample checks the view number of one sample, and its members against the ground truth at that time.
+func (a *memberAuditor) checkSample(sample MemberSample) {
+	a.checkViewNumber(sample)
+	truthIndex := sort.Search(len(a.changes), func(i int) bool { return a.changes[i] > sample.At }) - 1
+	if sample.At < a.record.From || truthIndex < 0 || !a.truths[truthIndex].up[sample.Node] {
 		return
 	}
 	for other := range a.record.Nodes {
-		if other != s.Node {
-			a.checkMember(s, k, other)
+		if other != sample.Node {
+			a.checkMember(sample, truthIndex, other)
 		}
 	}
 }
 
-// checkViewNumber checks that a process's view number does not go back.
-func (a *memberAuditor) checkViewNumber(s MemberSample) {
-	p := process{s.Node, s.Start}
-	v, known := a.views[p]
-	if known && s.View < v.latest {
-		a.breach(s.At, "members-view", fmt.Sprint(p), "n%d's view went from %d back to %d", s.Node, v.latest, s.View)
+// checkViewNumber checks that the view number of a process does not decrease.
+func (a *memberAuditor) checkViewNumber(sample MemberSample) {
+	owner := process{sample.Node, sample.Start}
+	view, known := a.views[owner]
+	if known && sample.View < view.latest {
+		a.breach(sample.At, "members-view", fmt.Sprint(owner), "the view number of n%d went from %d back to %d", sample.Node, view.latest,
+			sample.View)
 	}
 	if !known {
-		v.first = s.View
+		view.first = sample.View
 	}
-	v.latest = s.View
-	a.views[p] = v
-	if s.At >= a.record.From {
-		a.figures.ViewChanges = max(a.figures.ViewChanges, s.View-v.first)
+	view.latest = sample.View
+	a.views[owner] = view
+	if sample.At >= a.record.From {
+		a.figures.ViewChanges = max(a.figures.ViewChanges, sample.View-view.first)
 	}
 }
 
-// checkMember checks whether another node is rightly in a sample's view, or rightly not. k is the truth's index.
-func (a *memberAuditor) checkMember(s MemberSample, k, other int) {
-	in := slices.Contains(s.Members, other)
-	span, gone := a.absentFor(k, s, other)
+// checkMember checks whether another node is correctly in the view of a sample or missing from it. truthIndex is the index
+// of the ground truth at the time of the sample.
+func (a *memberAuditor) checkMember(sample MemberSample, truthIndex, other int) {
+	included := slices.Contains(sample.Members, other)
+	absence, absent := a.absentFor(truthIndex, sample, other)
 	switch {
-	case gone && !in:
-	case gone && span > a.limits.DetectWithin && s.HasMajority: // a process that knows it is cut off claims nothing
-		a.breach(s.At, "members-noticed", fmt.Sprint(s.Node, other), "n%d holds n%d in its view, which has not been there for %v",
-			s.Node, other, span.Round(time.Millisecond))
-	case gone:
-		a.figures.Detection = max(a.figures.Detection, span.Seconds())
-	case !in && s.HasMajority && !a.limits.IgnorePartial && a.present(k, s, other):
-		a.breach(s.At, "members-taken-out", fmt.Sprint(s.Node, other), "n%d is out of n%d's view, though it lives and most can hear it",
-			other, s.Node)
+	case absent && !included:
+	case absent && absence > a.limits.DetectWithin && sample.HasMajority: // the view of an isolated process is not checked
+		a.breach(sample.At, "members-noticed", fmt.Sprint(sample.Node, other),
+			"the view of n%d still contains n%d, which has been down or unreachable for %v", sample.Node, other, absence.Round(time.Millisecond))
+	case absent:
+		a.figures.Detection = max(a.figures.Detection, absence.Seconds())
+	case !included && sample.HasMajority && !a.limits.IgnorePartial && a.presentLongEnough(truthIndex, sample, other):
+		a.breach(sample.At, "members-taken-out", fmt.Sprint(sample.Node, other),
+			"n%d is missing from the view of n%d, although it runs and the majority receives its messages", other, sample.Node)
 	}
 }
 
-// convergence is how long after the last fault all held the same view, in seconds; -1 where that cannot be told. Where
-// it was too long that is a breach.
+// convergence returns how long after the last fault, in seconds, all views were the same, or -1 if that is unknown. It
+// records a breach for each node that took longer than MemberLimits.ConvergeWithin.
 func (a *memberAuditor) convergence() float64 {
 	m := a.record
-	last := m.From
+	lastFault := m.From
 	for _, at := range append(slices.Clone(a.changes), m.OtherFaultEnds...) {
 		if at < m.Until {
-			last = max(last, at)
+			lastFault = max(lastFault, at)
 		}
 	}
-	t := a.truths[len(a.truths)-1]
-	var want []int
+	finalTruth := a.truths[len(a.truths)-1]
+	var running []int
 	for i := range m.Nodes {
-		if t.up[i] {
-			want = append(want, i)
+		if finalTruth.up[i] {
+			running = append(running, i)
 		}
 	}
-	tooSoon := m.Until-last < a.limits.ConvergeWithin
-	if len(t.cuts) > 0 || len(m.Samples) == 0 || tooSoon {
+	tooSoon := m.Until-lastFault < a.limits.ConvergeWithin
+	if len(finalTruth.cuts) > 0 || len(m.Samples) == 0 || tooSoon {
 		return -1
 	}
-	agreed := Offset(0)
-	for _, s := range m.Samples {
-		if s.At <= last || !t.up[s.Node] || slices.Equal(s.Members, want) {
+	lastDisagreement := Offset(0)
+	for _, sample := range m.Samples {
+		if sample.At <= lastFault || !finalTruth.up[sample.Node] || slices.Equal(sample.Members, running) {
 			continue
 		}
-		agreed = s.At - last
-		if agreed > a.limits.ConvergeWithin {
-			a.breach(s.At, "members-healed", fmt.Sprint(s.Node), "%v after the last fault n%d holds %v, not %v",
-				agreed.Round(time.Millisecond), s.Node, s.Members, want)
+		lastDisagreement = sample.At - lastFault
+		if lastDisagreement > a.limits.ConvergeWithin {
+			a.breach(sample.At, "members-healed", fmt.Sprint(sample.Node), "%v after the last fault the view of n%d is %v, want %v",
+				lastDisagreement.Round(time.Millisecond), sample.Node, sample.Members, running)
 		}
 	}
-	return agreed.Seconds()
+	return lastDisagreement.Seconds()
 }
 
-// quotaTolerance is what rounding may add to quotas that make up the whole.
+// quotaTolerance allows for rounding errors when quotas are added up.
 const quotaTolerance = 1e-9
 
-// checkQuotas checks that quotas together never exceed the whole.
+// checkQuotas checks that the quotas of all processes never add up to more than the fleet-wide quota.
 func (a *memberAuditor) checkQuotas() {
-	most, at, mean := a.record.combinedQuota()
-	a.figures.QuotaMax = most
+	maximum, at, mean := a.record.combinedQuota()
+	a.figures.QuotaMax = maximum
 	a.figures.QuotaMean = mean
-	if most > 1+quotaTolerance {
-		a.breach(at, "shares", "", "all together had %.4f of the whole", most)
+	if maximum > 1+quotaTolerance {
+		a.breach(at, "shares", "", "the quotas of all nodes add up to %.4f of the fleet-wide quota, want at most 1", maximum)
 	}
 }
--- a/lab/audit/quotas.go
+++ b/lab/audit/quotas.go
@@ -5,26 +5,26 @@
 	"sort"
 )
 
-// quotaHistory is what one process was granted, in order, and when it was last asked.
+// quotaHistory holds the quotas granted to one process, ordered by time, and the time of its last sample.
 type quotaHistory struct {
 	grants     []QuotaGrant
 	lastSample Offset
 }
 
-// at is the quota that the process may use at a moment; false where that is not known.
-func (h *quotaHistory) at(t Offset) (float64, bool) {
-	n := sort.Search(len(h.grants), func(i int) bool { return h.grants[i].At > t })
-	if n == 0 || t > h.lastSample {
+// quotaAt returns the quota that the process may use at a time. It returns false if the quota is unknown then.
+func (h *quotaHistory) quotaAt(t Offset) (float64, bool) {
+	later := sort.Search(len(h.grants), func(i int) bool { return h.grants[i].At > t })
+	if later == 0 || t > h.lastSample {
 		return 0, false
 	}
-	g := h.grants[n-1]
-	if t < g.Until {
-		return g.Value, true
+	grant := h.grants[later-1]
+	if t < grant.Until {
+		return grant.Value, true
 	}
-	return g.After, true
+	return grant.After, true
 }
 
-// quotaHistories are the grants by process, and the moments at which some quota changes.
+// quotaHistories returns the grants by process, and the sorted times at which any quota changes.
 func (m MembershipRecord) quotaHistories() (map[process]*quotaHistory, []Offset) {
 	histories := map[process]*quotaHistory{}
 	var changes []Offset
@@ -51,16 +51,17 @@
 	return histories, slices.Compact(changes)
 }
 
-// combinedQuota is the most that all processes might use at one instant, when that was, and the mean. A suspended
-// process uses nothing. What a killed process did after its last sample is not known and is left out.
+// combinedQuota adds up the quotas that all processes may use at the same time. It returns the maximum of the sum, when the
+// maximum was reached, and the mean from MembershipRecord.From on. A suspended process uses nothing. After its last sample
+// the quota of a killed process is unknown and is left out.
 func (m MembershipRecord) combinedQuota() (most float64, when Offset, mean float64) {
 	histories, changes := m.quotaHistories()
-	integral := 0.0 // of the sum over the judged seconds
+	integral := 0.0 // of the sum over time from m.From on, in quota seconds
 	until := Offset(0)
 	for i, at := range changes {
 		sum := 0.0
-		for p, h := range histories {
-			if quota, known := h.at(at); known && !m.suspended(p.node, at) {
+		for owner, history := range histories {
+			if quota, known := history.quotaAt(at); known && !m.suspended(owner.node, at) {
 				sum += quota
 			}
 		}
--- a/lab/audit/rules.go
+++ b/lab/audit/rules.go
@@ -17,200 +17,206 @@
 	a.breaches = append(a.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// hadOutage reports whether a node could not act at some time between two moments.
+// hadOutage reports whether an outage of a node overlaps a time span.
 func (a *auditor) hadOutage(node int, from, to Offset) bool {
-	for _, o := range a.record.Outages {
-		if o.Node == node && o.From <= to && o.To >= from {
+	for _, outage := range a.record.Outages {
+		if outage.Node == node && outage.From <= to && outage.To >= from {
 			return true
 		}
 	}
 	return false
 }
 
-// overlap is the length of what two spans share.
+// overlap returns the length of the intersection of two time spans.
 func overlap(from1, to1, from2, to2 Offset) time.Duration {
 	return max(0, min(to1, to2)-max(from1, from2))
 }
 
-// pausedFor is how long a node was suspended between two moments.
+// pausedFor returns how long a node was suspended within a time span.
 func (a *auditor) pausedFor(node int, from, to Offset) time.Duration {
 	sum := time.Duration(0)
-	for _, p := range a.record.Pauses {
-		if p.Node == node {
-			sum += overlap(p.From, p.To, from, to)
+	for _, pause := range a.record.Pauses {
+		if pause.Node == node {
+			sum += overlap(pause.From, pause.To, from, to)
 		}
 	}
 	return sum
 }
 
-// stalledFor is how long the lab held back what was in transit to a server between two moments.
+// stalledFor returns how long, within a time span, the lab delayed the data in transit to a server.
 func (a *auditor) stalledFor(server string, from, to Offset) time.Duration {
 	sum := time.Duration(0)
-	for _, s := range a.record.Stalls {
-		if s.Server == server {
-			sum += overlap(s.From, s.To, from, to)
+	for _, stall := range a.record.Stalls {
+		if stall.Server == server {
+			sum += overlap(stall.From, stall.To, from, to)
 		}
 	}
 	return sum
 }
 
-// checkSentAfterCancel checks that no attempt begins once its client has gone.
+// checkSentAfterCancel checks that no request reaches a server after its client has cancelled it.
 func (a *auditor) checkSentAfterCancel() {
-	left := map[string]*Attempt{}
+	cancelled := map[string]*Attempt{}
 	for i := range a.record.Attempts {
-		if t := &a.record.Attempts[i]; t.Outcome == Cancelled {
-			left[t.ID] = t
+		if attempt := &a.record.Attempts[i]; attempt.Outcome == Cancelled {
+			cancelled[attempt.ID] = attempt
 		}
 	}
-	for _, c := range a.record.Receipts {
-		t := left[c.ID]
-		if t == nil {
+	for _, receipt := range a.record.Receipts {
+		attempt := cancelled[receipt.ID]
+		if attempt == nil {
 			continue
 		}
-		over := c.At - t.Ended
-		allowed := cancelSlack + a.limits.LinkDelay + t.LinkDelay
-		allowed += a.pausedFor(c.Node, t.Ended, c.At) + a.stalledFor(c.Server, t.Ended, c.At)
-		if over > allowed && !a.hadOutage(c.Node, t.Sent, c.At) {
-			a.breach(RuleSentAfterCancel, c.At, "%s came to %s from node %d %v after its client had left", c.ID, c.Server, c.Node, over)
+		delay := receipt.At - attempt.Ended
+		allowed := cancelSlack + a.limits.LinkDelay + attempt.LinkDelay
+		allowed += a.pausedFor(receipt.Node, attempt.Ended, receipt.At) + a.stalledFor(receipt.Server, attempt.Ended, receipt.At)
+		if delay > allowed && !a.hadOutage(receipt.Node, attempt.Sent, receipt.At) {
+			a.breach(RuleSentAfterCancel, receipt.At, "%s reached %s from node %d %v after its client had cancelled", receipt.ID, receipt.Server,
+				receipt.Node, delay)
 		}
 	}
 }
 
-// checkDeadlines checks that no server is given more time than its client has left.
+// checkDeadlines checks that no server is given more time than the client has left.
 func (a *auditor) checkDeadlines() {
-	tries := make(map[string]*Attempt, len(a.record.Attempts))
+	attempts := make(map[string]*Attempt, len(a.record.Attempts))
 	for i := range a.record.Attempts {
-		tries[a.record.Attempts[i].ID] = &a.record.Attempts[i]
+		attempts[a.record.Attempts[i].ID] = &a.record.Attempts[i]
 	}
-	for _, c := range a.record.Receipts {
-		t := tries[c.ID]
-		if t == nil || c.Deadline <= 0 {
+	for _, receipt := range a.record.Receipts {
+		attempt := attempts[receipt.ID]
+		if attempt == nil || receipt.Deadline <= 0 {
 			continue
 		}
-		allowed := deadlineSlack + a.limits.LinkDelay + t.LinkDelay + a.stalledFor(c.Server, t.Sent, c.At)
-		if over := c.At + c.Deadline - t.Deadline; over > allowed && !a.hadOutage(c.Node, t.Sent, c.At) {
-			a.breach(RuleDeadline, c.At, "%s told %s to work %v beyond its client's wait", c.ID, c.Server, over)
+		allowed := deadlineSlack + a.limits.LinkDelay + attempt.LinkDelay + a.stalledFor(receipt.Server, attempt.Sent, receipt.At)
+		if excess := receipt.At + receipt.Deadline - attempt.Deadline; excess > allowed && !a.hadOutage(receipt.Node, attempt.Sent, receipt.At) {
+			a.breach(RuleDeadline, receipt.At, "%s reached %s with a time limit that ends %v after its client's timeout", receipt.ID,
+				receipt.Server, excess)
 		}
 	}
 }
 
-// checkResponses checks that every attempt has one whole response of its own, in time.
+// checkResponses checks that every attempt gets exactly one complete response, its own, in time.
 func (a *auditor) checkResponses() {
 	for i := range a.record.Attempts {
-		t := &a.record.Attempts[i]
-		if t.Responses > 1 {
-			a.breach(RuleDuplicateResponse, t.Ended, "%s got %d answers from node %d", t.ID, t.Responses, t.Node)
+		attempt := &a.record.Attempts[i]
+		if attempt.Responses > 1 {
+			a.breach(RuleDuplicateResponse, attempt.Ended, "%s got %d responses from node %d, want 1", attempt.ID, attempt.Responses, attempt.Node)
 		}
-		switch t.Outcome {
+		switch attempt.Outcome {
 		case Lost:
-			if !a.hadOutage(t.Node, t.Sent, t.Ended) {
-				a.breach(RuleUnanswered, t.Ended, "%s was sent to node %d at %v and never answered", t.ID, t.Node, t.Sent)
+			if !a.hadOutage(attempt.Node, attempt.Sent, attempt.Ended) {
+				a.breach(RuleUnanswered, attempt.Ended, "%s was sent to node %d at %v and never answered", attempt.ID, attempt.Node, attempt.Sent)
 			}
 		case Served, Rejected, Failed:
-			latest := t.Deadline + a.limits.ResponseSlack + t.LinkDelay + a.pausedFor(t.Node, t.Sent, t.Ended)
-			if t.Ended > latest && !a.hadOutage(t.Node, t.Sent, t.Ended) {
-				a.breach(RuleLate, t.Ended, "%s was answered %v after the client's wait", t.ID, t.Ended-t.Deadline)
+			latest := attempt.Deadline + a.limits.ResponseSlack + attempt.LinkDelay + a.pausedFor(attempt.Node, attempt.Sent, attempt.Ended)
+			if attempt.Ended > latest && !a.hadOutage(attempt.Node, attempt.Sent, attempt.Ended) {
+				a.breach(RuleLate, attempt.Ended, "%s was answered %v after the client's timeout", attempt.ID, attempt.Ended-attempt.Deadline)
 			}
 		}
-		if t.Outcome == Served && t.BodyID != t.ID {
-			a.breach(RuleWrongResponse, t.Ended, "%s was served the answer of %q", t.ID, t.BodyID)
+		if attempt.Outcome == Served && attempt.BodyID != attempt.ID {
+			a.breach(RuleWrongResponse, attempt.Ended, "%s got the response of request %q", attempt.ID, attempt.BodyID)
 		}
 	}
 }
 
-// checkExecutions checks that nothing was executed twice that must not be, and that what was rejected had not been
-// executed.
+// checkExecutions checks that no keyed or unsafe operation was executed twice, and that no server had started an unsafe
+// request that was rejected.
 func (a *auditor) checkExecutions() {
-	first := map[int]*Execution{}
-	byID := map[string]*Execution{}
+	firstByOperation := map[int]*Execution{}
+	executionByID := map[string]*Execution{}
 	for i := range a.record.Executions {
-		run := &a.record.Executions[i]
-		byID[run.ID] = run
-		if run.Effect == Safe {
+		execution := &a.record.Executions[i]
+		executionByID[execution.ID] = execution
+		if execution.Effect == Safe {
 			continue
 		}
-		if was := first[run.Operation]; was != nil {
-			a.breach(RuleDuplicateExecution, run.At, "operation %d ran as %s at %s, and before as %s at %s", run.Operation, run.ID, run.Server,
-				was.ID, was.Server)
+		if earlier := firstByOperation[execution.Operation]; earlier != nil {
+			a.breach(RuleDuplicateExecution, execution.At, "operation %d was executed as %s at %s, and earlier as %s at %s", execution.Operation,
+				execution.ID, execution.Server, earlier.ID, earlier.Server)
 			continue
 		}
-		first[run.Operation] = run
+		firstByOperation[execution.Operation] = execution
 	}
 	for i := range a.record.Attempts {
-		t := &a.record.Attempts[i]
-		if t.Outcome == Rejected && t.Effect == Unsafe && byID[t.ID] != nil {
-			a.breach(RuleRejectedThoughExecuted, t.Ended, "%s was refused after it had begun at %s", t.ID, byID[t.ID].Server)
+		attempt := &a.record.Attempts[i]
+		if attempt.Outcome == Rejected && attempt.Effect == Unsafe && executionByID[attempt.ID] != nil {
+			a.breach(RuleRejectedThoughExecuted, attempt.Ended, "%s was rejected after %s had started it", attempt.ID,
+				executionByID[attempt.ID].Server)
 		}
 	}
 }
 
-// hasResponse reports whether an attempt ended with a response. NotConnected counts as one: nothing may be sent for it. For the
-// others it is not known when the node learned that its client is gone.
-func (e Outcome) hasResponse() bool {
-	switch e {
+// hasResponse reports whether an attempt ended with a final response, after which no server may receive it. NotConnected
+// counts as one, because no node accepted the request. For the other outcomes it is unknown when the node detected that the
+// client was gone.
+func (o Outcome) hasResponse() bool {
+	switch o {
 	case Cancelled, RacedClose, LinkReset, Lost, InTransit:
 		return false
 	}
 	return true
 }
 
-// checkSentAfterResponse checks that nothing is sent for a request that has its final response.
+// checkSentAfterResponse checks that no server receives a request after its final response. It also reports a request as
+// unanswered if its connection closed right after it was written and the node forwarded it.
 func (a *auditor) checkSentAfterResponse() {
-	ended := make(map[string]*Attempt, len(a.record.Attempts))
+	attempts := make(map[string]*Attempt, len(a.record.Attempts))
 	forwarded := map[string]bool{}
-	for _, c := range a.record.Receipts {
-		forwarded[c.ID] = true
+	for _, receipt := range a.record.Receipts {
+		forwarded[receipt.ID] = true
 	}
 	for i := range a.record.Attempts {
-		t := &a.record.Attempts[i]
-		ended[t.ID] = t
-		if t.Outcome == RacedClose && forwarded[t.ID] && !a.hadOutage(t.Node, t.Sent, t.Ended) {
-			a.breach(RuleUnanswered, t.Ended, "%s was read by node %d, sent on, and never answered", t.ID, t.Node)
+		attempt := &a.record.Attempts[i]
+		attempts[attempt.ID] = attempt
+		if attempt.Outcome == RacedClose && forwarded[attempt.ID] && !a.hadOutage(attempt.Node, attempt.Sent, attempt.Ended) {
+			a.breach(RuleUnanswered, attempt.Ended, "%s was read by node %d, forwarded and never answered", attempt.ID, attempt.Node)
 		}
 	}
-	for _, c := range a.record.Receipts {
-		t := ended[c.ID]
-		if t == nil || !t.Outcome.hasResponse() {
+	for _, receipt := range a.record.Receipts {
+		attempt := attempts[receipt.ID]
+		if attempt == nil || !attempt.Outcome.hasResponse() {
 			continue
 		}
-		latest := t.Ended + a.limits.ResponseSlack + a.limits.LinkDelay
-		latest += a.pausedFor(c.Node, t.Sent, c.At) + a.stalledFor(c.Server, t.Ended, c.At)
-		if c.At > latest && !a.hadOutage(c.Node, t.Sent, c.At) {
-			a.breach(RuleSentAfterResponse, c.At, "%s came to %s %v after its final answer", c.ID, c.Server, c.At-t.Ended)
+		latest := attempt.Ended + a.limits.ResponseSlack + a.limits.LinkDelay
+		latest += a.pausedFor(receipt.Node, attempt.Sent, receipt.At) + a.stalledFor(receipt.Server, attempt.Ended, receipt.At)
+		if receipt.At > latest && !a.hadOutage(receipt.Node, attempt.Sent, receipt.At) {
+			a.breach(RuleSentAfterResponse, receipt.At, "%s reached %s %v after its final response", receipt.ID, receipt.Server,
+				receipt.At-attempt.Ended)
 		}
 	}
 }
 
-// checkDrains checks that no server got anything new later than the grace after a node was notified that it drains or
-// is gone.
+// checkDrains checks that a node sends a server no request later than the drain grace after the node was notified that the
+// server is draining or gone.
 func (a *auditor) checkDrains() {
 	type key struct {
 		node   int
 		server string
 	}
 	updates := map[key][]ListUpdate{}
-	for _, u := range a.record.ListUpdates {
-		k := key{u.Node, u.Server}
-		updates[k] = append(updates[k], u)
+	for _, update := range a.record.ListUpdates {
+		k := key{update.Node, update.Server}
+		updates[k] = append(updates[k], update)
 	}
 	for _, list := range updates {
 		sort.SliceStable(list, func(a, b int) bool { return list[a].At < list[b].At })
 	}
-	for _, c := range a.record.Receipts {
-		var last *ListUpdate
-		for i, u := range updates[key{c.Node, c.Server}] {
-			if u.At <= c.At {
-				last = &updates[key{c.Node, c.Server}][i]
+	for _, receipt := range a.record.Receipts {
+		var lastUpdate *ListUpdate
+		for i, update := range updates[key{receipt.Node, receipt.Server}] {
+			if update.At <= receipt.At {
+				lastUpdate = &updates[key{receipt.Node, receipt.Server}][i]
 			}
 		}
-		if last == nil || !last.Withdrawn {
+		if lastUpdate == nil || !lastUpdate.Withdrawn {
 			continue
 		}
-		latest := last.At + a.limits.DrainGrace + a.limits.ResponseSlack + a.limits.LinkDelay
-		latest += a.pausedFor(c.Node, last.At, c.At) + a.stalledFor(c.Server, last.At, c.At)
-		if c.At > latest && !a.hadOutage(c.Node, last.At, c.At) {
-			a.breach(RuleDrain, c.At, "%s came to %s from node %d %v after its drain was told", c.ID, c.Server, c.Node,
-				c.At-last.At)
+		latest := lastUpdate.At + a.limits.DrainGrace + a.limits.ResponseSlack + a.limits.LinkDelay
+		latest += a.pausedFor(receipt.Node, lastUpdate.At, receipt.At) + a.stalledFor(receipt.Server, lastUpdate.At, receipt.At)
+		if receipt.At > latest && !a.hadOutage(receipt.Node, lastUpdate.At, receipt.At) {
+			a.breach(RuleDrain, receipt.At, "%s reached %s from node %d %v after the notification of its drain", receipt.ID, receipt.Server,
+				receipt.Node, receipt.At-lastUpdate.At)
 		}
 	}
 }
