--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -19,39 +19,40 @@
 )
 
 const (
-	// firstOperation numbers the operations of these clients, far above those of the load.
+	// firstOperation precedes the operation numbers of these clients. It is far above the numbers that the load generator uses.
 	firstOperation = 1 << 40
 
-	// keptPerNode is how many connections to each node are kept in use all the time.
-	keptPerNode = 6
+	// reusedConnsPerNode is how many connections to each node send requests during the whole run.
+	reusedConnsPerNode = 6
 
-	// openWindow is how long after SIGTERM new connections are opened.
-	openWindow = 400 * time.Millisecond
+	// newConnWindow is how long after SIGTERM clients open new connections.
+	newConnWindow = 400 * time.Millisecond
 
-	// raceWindow is how long before a connection's end a request may have been written and still count as one that raced
-	// with it unread. It allows for a suspension of the node and a delay of the lab.
-	raceWindow = 250 * time.Millisecond
+	// closeRaceWindow is how long before the end of its connection a request may have been written and still count as unread,
+	// because the node closed the connection at the same time. It allows for a suspension of the node and a delay of the lab.
+	closeRaceWindow = 250 * time.Millisecond
 
-	// lateWindow is how much longer than its wait a client listens for a response.
-	lateWindow = 300 * time.Millisecond
+	// lateResponseWindow is how much longer than the request's deadline a client waits for a response.
+	lateResponseWindow = 300 * time.Millisecond
 
-	// The clients of each kind at one stop.
-	lateClients    = 16
-	partialClients = 4
-	silentClients  = 4
+	// The number of clients of each kind at one planned stop.
+	lateRequestClients    = 16
+	partialRequestClients = 4
+	silentClients         = 4
 
-	// crowdSize replaces silentClients in some runs.
-	crowdSize = 150
+	// manySilentClients replaces silentClients in the runs whose seed is divisible by 3.
+	manySilentClients = 150
 
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout = time.Second
 )
 
-// Clients use what a stopping node leaves open: kept connections until they are closed, connections that were opened
-// late and send a request later still, partial requests, silent connections, crowds.
+// Clients use every kind of connection that a stopping node has to handle: reused connections until the node closes them,
+// connections that are opened after SIGTERM and send requests later, requests sent in two parts, and few or many connections
+// that send nothing.
 type Clients struct {
-	scenario *scenario.Scenario
-	hasCrowd bool
+	scenario      *scenario.Scenario
+	hasManySilent bool
 
 	start         time.Time
 	done          chan struct{}
@@ -64,22 +65,22 @@
 	racedCloses int
 }
 
-// ObservedStop is a planned stop as the clients saw it.
+// ObservedStop is a planned stop that the clients were notified of.
 type ObservedStop struct {
 	Node int
 	At   time.Duration
 }
 
-// NewClients makes the clients of a run.
+// NewClients returns the clients of a run.
 func NewClients(s *scenario.Scenario) *Clients {
-	return &Clients{scenario: s, hasCrowd: s.Seed%3 == 0, done: make(chan struct{})}
+	return &Clients{scenario: s, hasManySilent: s.Seed%3 == 0, done: make(chan struct{})}
 }
 
-// Begin keeps connections to each node in use.
+// Begin starts the clients that reuse connections to each node.
 func (c *Clients) Begin(start time.Time, nodes []string) {
 	c.start = start
 	for node, address := range nodes {
-		for i := range keptPerNode {
+		for i := range reusedConnsPerNode {
 			rng := rand.New(rand.NewPCG(c.scenario.Seed, uint64(node)<<16+uint64(i)))
 			c.running.Go(func() { c.reuseConnections(rng, node, address) })
 		}
@@ -96,35 +97,37 @@
 	default:
 	}
 	defer c.mu.Unlock()
-	number := uint64(len(c.stops))
+	stopNumber := uint64(len(c.stops))
 	c.stops = append(c.stops, ObservedStop{Node: node, At: at.Sub(c.start)})
-	rng := rand.New(rand.NewPCG(c.scenario.Seed, 1<<32+number))
+	rng := rand.New(rand.NewPCG(c.scenario.Seed, 1<<32+stopNumber))
 	until := at.Add(c.scenario.KillAfter())
-	for range lateClients {
-		opens, asks := at.Add(randomSpan(rng, openWindow)), at.Add(openWindow+randomSpan(rng, c.scenario.KillAfter()-openWindow))
-		own := rand.New(rand.NewPCG(rng.Uint64(), 1))
-		c.running.Go(func() { c.requestLate(own, node, address, opens, asks) })
+	for range lateRequestClients {
+		connectAt, requestAt := at.Add(randomDuration(rng, newConnWindow)),
+			at.Add(newConnWindow+randomDuration(rng, c.scenario.KillAfter()-newConnWindow))
+		clientRand := rand.New(rand.NewPCG(rng.Uint64(), 1))
+		c.running.Go(func() { c.requestLate(clientRand, node, address, connectAt, requestAt) })
 	}
-	for range partialClients {
-		opens, rest := at.Add(randomSpan(rng, openWindow)), at.Add(randomSpan(rng, c.scenario.KillAfter()))
-		own := rand.New(rand.NewPCG(rng.Uint64(), 2))
-		c.running.Go(func() { c.sendInParts(own, node, address, opens, rest) })
+	for range partialRequestClients {
+		connectAt, restAt := at.Add(randomDuration(rng, newConnWindow)), at.Add(randomDuration(rng, c.scenario.KillAfter()))
+		clientRand := rand.New(rand.NewPCG(rng.Uint64(), 2))
+		c.running.Go(func() { c.sendInParts(clientRand, node, address, connectAt, restAt) })
 	}
-	quiet := silentClients
-	if c.hasCrowd {
-		quiet = crowdSize
+	silentCount := silentClients
+	if c.hasManySilent {
+		silentCount = manySilentClients
 	}
-	for range quiet {
-		opens := at.Add(randomSpan(rng, openWindow))
-		c.running.Go(func() { c.holdSilent(address, opens, until) })
+	for range silentCount {
+		connectAt := at.Add(randomDuration(rng, newConnWindow))
+		c.running.Go(func() { c.holdSilentConnection(address, connectAt, until) })
 	}
 }
 
-func randomSpan(rng *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(rng.Int64N(int64(max(1, most))))
+// randomDuration returns a random duration below a limit.
+func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(max(1, limit))))
 }
 
-// Attempts ends what is going on and returns what was seen.
+// Attempts stops all clients and returns the attempts that they observed.
 func (c *Clients) Attempts() []audit.Attempt {
 	c.mu.Lock()
 	select {
@@ -137,28 +140,29 @@
 	return c.attempts
 }
 
-// ObservedStops are the planned stops that were seen. Call it after Attempts.
+// ObservedStops returns the observed planned stops. Call it after Attempts.
 func (c *Clients) ObservedStops() []ObservedStop { return c.stops }
 
-// RacedCloses is how many requests were sent while their connection was being closed, unread. Call it after Attempts.
+// RacedCloses returns the number of requests whose connection ended within closeRaceWindow after they were written. Call it
+// after Attempts.
 func (c *Clients) RacedCloses() int { return c.racedCloses }
 
-// endedBefore waits until a time, and tells whether the run ended before.
-func (c *Clients) endedBefore(until time.Time) bool {
-	t := time.NewTimer(time.Until(until))
-	defer t.Stop()
+// runEndsBefore waits until a time or the end of the run, and reports whether the run ended first.
+func (c *Clients) runEndsBefore(until time.Time) bool {
+	timer := time.NewTimer(time.Until(until))
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return false
 	case <-c.done:
 		return true
 	}
 }
 
-// reuseConnections sends a request now and then on one connection for as long as it stays open, and then on the next.
+// reuseConnections sends requests on one connection, up to 120 ms apart, until it is closed, and then opens the next one.
 func (c *Clients) reuseConnections(rng *rand.Rand, node int, address string) {
 	var conn *connection
-	for !c.endedBefore(time.Now().Add(randomSpan(rng, 120*time.Millisecond))) {
+	for !c.runEndsBefore(time.Now().Add(randomDuration(rng, 120*time.Millisecond))) {
 		if conn == nil {
 			var err error
 			if conn, err = dial(address); err != nil {
@@ -176,52 +180,52 @@
 	}
 }
 
-// requestLate opens a connection early in a stop and sends requests on it late.
-func (c *Clients) requestLate(rng *rand.Rand, node int, address string, opens, asks time.Time) {
-	conn := c.openAt(address, opens)
+// requestLate opens a connection early in a planned stop and sends requests on it later in the stop.
+func (c *Clients) requestLate(rng *rand.Rand, node int, address string, connectAt, requestAt time.Time) {
+	conn := c.dialAt(address, connectAt)
 	if conn == nil {
 		return
 	}
 	defer conn.close()
-	if !c.endedBefore(asks) {
-		for c.roundTrip(rng, conn, node) && !c.endedBefore(time.Now().Add(randomSpan(rng, 30*time.Millisecond))) {
+	if !c.runEndsBefore(requestAt) {
+		for c.roundTrip(rng, conn, node) && !c.runEndsBefore(time.Now().Add(randomDuration(rng, 30*time.Millisecond))) {
 			continue
 		}
 	}
 }
 
-// sendInParts sends a part of a request, and the rest later.
-func (c *Clients) sendInParts(rng *rand.Rand, node int, address string, opens, rest time.Time) {
-	conn := c.openAt(address, opens)
+// sendInParts sends the beginning of a request, and the rest later in the planned stop.
+func (c *Clients) sendInParts(rng *rand.Rand, node int, address string, connectAt, restAt time.Time) {
+	conn := c.dialAt(address, connectAt)
 	if conn == nil {
 		return
 	}
 	defer conn.close()
-	op := firstOperation + int(c.lastOperation.Add(1))
-	_, raw := c.newRequest(rng, op)
-	cut := 1 + rng.IntN(len(raw)-1)
-	if _, err := io.WriteString(conn, raw[:cut]); err != nil || c.endedBefore(rest) {
+	operation := firstOperation + int(c.lastOperation.Add(1))
+	_, raw := c.newRequest(rng, operation)
+	split := 1 + rng.IntN(len(raw)-1)
+	if _, err := io.WriteString(conn, raw[:split]); err != nil || c.runEndsBefore(restAt) {
 		return
 	}
-	if hasInput(conn) { // rejected before it was whole, or closed
+	if hasPendingInput(conn) { // the node rejected the incomplete request or closed the connection
 		return
 	}
-	c.complete(conn, node, op, raw[cut:])
+	c.finishRequest(conn, node, operation, raw[split:])
 }
 
-// holdSilent holds a silent connection.
-func (c *Clients) holdSilent(address string, opens, until time.Time) {
-	conn := c.openAt(address, opens)
+// holdSilentConnection opens a connection at a time and keeps it open until another without sending anything.
+func (c *Clients) holdSilentConnection(address string, connectAt, until time.Time) {
+	conn := c.dialAt(address, connectAt)
 	if conn == nil {
 		return
 	}
 	defer conn.close()
-	_ = c.endedBefore(until)
+	_ = c.runEndsBefore(until)
 }
 
-// openAt opens a connection at a time; nil where the run ended before, or no node accepts it.
-func (c *Clients) openAt(address string, opens time.Time) *connection {
-	if c.endedBefore(opens) {
+// dialAt opens a connection at a time. It returns nil if the run ends first or the connection is not accepted.
+func (c *Clients) dialAt(address string, connectAt time.Time) *connection {
+	if c.runEndsBefore(connectAt) {
 		return nil
 	}
 	conn, err := dial(address)
@@ -231,10 +235,10 @@
 	return conn
 }
 
-// connection is one client's connection.
+// connection is a client connection with a buffered reader.
 type connection struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dial(address string) (*connection, error) {
@@ -247,83 +251,84 @@
 
 func (c *connection) close() { _ = c.Close() }
 
-// hasInput reports whether something has come on a connection on which nothing was requested, or its end.
-func hasInput(c *connection) bool {
+// hasPendingInput reports whether the node has sent data on a connection without a request in flight, or has closed it. It
+// waits up to 1 ms.
+func hasPendingInput(c *connection) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
-	_, err := c.r.Peek(1)
+	_, err := c.reader.Peek(1)
 	_ = c.SetReadDeadline(time.Time{})
 	timeout, ok := err.(net.Error)
 	return !ok || !timeout.Timeout()
 }
 
-// roundTrip sends one request and reads its response. It tells whether the connection can be used again.
+// roundTrip sends one request and reads its response. It reports whether the connection can be reused.
 func (c *Clients) roundTrip(rng *rand.Rand, conn *connection, node int) bool {
-	if hasInput(conn) {
+	if hasPendingInput(conn) {
 		return false
 	}
-	op := firstOperation + int(c.lastOperation.Add(1))
-	_, raw := c.newRequest(rng, op)
-	return c.complete(conn, node, op, raw)
+	operation := firstOperation + int(c.lastOperation.Add(1))
+	_, raw := c.newRequest(rng, operation)
+	return c.finishRequest(conn, node, operation, raw)
 }
 
-// newRequest is one in the protocol's form, of a random class.
-func (c *Clients) newRequest(rng *rand.Rand, op int) (class scenario.Class, raw string) {
+// newRequest returns an HTTP/1.1 request of a random class.
+func (c *Clients) newRequest(rng *rand.Rand, operation int) (class scenario.Class, raw string) {
 	class = c.scenario.Classes[rng.IntN(len(c.scenario.Classes))]
-	method, more, body := "GET", "", ""
+	method, headers, body := "GET", "", ""
 	if class.Effect != scenario.EffectSafe {
 		method, body = "POST", strings.Repeat("x", class.Body)
-		more = fmt.Sprintf("Content-Length: %d\r\n", len(body))
+		headers = fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
 	if class.Effect == scenario.EffectKeyed {
-		more += fmt.Sprintf("Idempotency-Key: k%012x\r\n", op)
+		headers += fmt.Sprintf("Idempotency-Key: k%012x\r\n", operation)
 	}
 	raw = fmt.Sprintf("%s /%s?w=%d HTTP/1.1\r\nHost: lab\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t000\r\nX-Deadline-Ms: %d\r\n%s\r\n%s",
-		method, class.Name, class.Work.Microseconds(), backend.AttemptID(op, 0), class.Name, class.Deadline.Milliseconds(), more, body)
+		method, class.Name, class.Work.Microseconds(), backend.AttemptID(operation, 0), class.Name, class.Deadline.Milliseconds(), headers, body)
 	return class, raw
 }
 
-// complete writes the end of a request and reads its response. It listens equally long for every class: all have one
-// deadline.
-func (c *Clients) complete(conn *connection, node, op int, raw string) bool {
-	t := audit.Attempt{ID: backend.AttemptID(op, 0), Operation: op, Node: node, Effect: audit.Safe}
+// finishRequest writes the rest of a request and reads its response. It reports whether the connection can be reused. It
+// uses the deadline of the first class, because all classes have the same deadline, and waits lateResponseWindow longer.
+func (c *Clients) finishRequest(conn *connection, node, operation int, rest string) bool {
+	attempt := audit.Attempt{ID: backend.AttemptID(operation, 0), Operation: operation, Node: node, Effect: audit.Safe}
 	_ = conn.SetWriteDeadline(time.Now().Add(dialTimeout))
-	if _, err := io.WriteString(conn, raw); err != nil {
-		return false // the connection ended before the request was whole
+	if _, err := io.WriteString(conn, rest); err != nil {
+		return false // the connection ended before the request was complete
 	}
-	wait := c.scenario.Classes[0].Deadline
-	t.Sent = time.Since(c.start)
-	t.Deadline = t.Sent + wait
-	_ = conn.SetReadDeadline(time.Now().Add(wait + lateWindow))
+	deadline := c.scenario.Classes[0].Deadline
+	attempt.Sent = time.Since(c.start)
+	attempt.Deadline = attempt.Sent + deadline
+	_ = conn.SetReadDeadline(time.Now().Add(deadline + lateResponseWindow))
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	err := resp.ReadLimitBody(conn.r, 64<<10)
-	t.Ended = time.Since(c.start)
-	c.record(t, resp, err)
+	err := resp.ReadLimitBody(conn.reader, 64<<10)
+	attempt.Ended = time.Since(c.start)
+	c.record(attempt, resp, err)
 	return err == nil && !resp.ConnectionClose()
 }
 
-// record records an attempt. One whose connection ended shortly after it was written may have raced with the close: the
-// servers' records tell whether the node had read it.
-func (c *Clients) record(t audit.Attempt, resp *fasthttp.Response, err error) {
+// record records an attempt. If the connection ended shortly after the request was written, the node may have closed it
+// before it read the request. The audit then uses the servers' records to decide whether the node had read the request.
+func (c *Clients) record(attempt audit.Attempt, resp *fasthttp.Response, err error) {
 	switch status := resp.StatusCode(); {
-	case err != nil && t.Ended-t.Sent < raceWindow:
-		t.Outcome = audit.RacedClose
+	case err != nil && attempt.Ended-attempt.Sent < closeRaceWindow:
+		attempt.Outcome = audit.RacedClose
 	case err != nil:
-		t.Outcome = audit.Lost
+		attempt.Outcome = audit.Lost
 	case status == fasthttp.StatusOK:
-		t.Outcome, t.Responses = audit.Served, 1
+		attempt.Outcome, attempt.Responses = audit.Served, 1
 		id, _, _ := strings.Cut(strings.TrimPrefix(string(resp.Body()), "id="), "&")
-		t.BodyID = id
+		attempt.BodyID = id
 	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
-		t.Outcome, t.Responses = audit.Rejected, 1
+		attempt.Outcome, attempt.Responses = audit.Rejected, 1
 	default:
-		t.Outcome, t.Responses = audit.Failed, 1
+		attempt.Outcome, attempt.Responses = audit.Failed, 1
 	}
-	t.Status = resp.StatusCode()
+	attempt.Status = resp.StatusCode()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.Outcome == audit.RacedClose {
+	if attempt.Outcome == audit.RacedClose {
 		c.racedCloses++
 	}
-	c.attempts = append(c.attempts, t)
+	c.attempts = append(c.attempts, attempt)
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak plays seeded runs of built nodes under faults, with the weight on planned stops, and audits them. A run
-// is a scenario that is worked out from its seed alone, so that it can be printed, replayed and shrunk, and clients
-// beside it that use what a stopping node leaves open.
+// Package soak runs built nodes under seeded faults, mainly planned stops, and audits the runs. A run consists of a scenario
+// and additional clients that keep using the connections of a stopping node. The scenario is computed from the seed alone, so
+// that it can be printed, replayed and shrunk.
 package soak
 
 import (
@@ -12,29 +12,29 @@
 )
 
 const (
-	// warmup lets the nodes learn their servers before the first fault.
+	// warmup is how long the nodes have to discover their servers before the first fault.
 	warmup = time.Second
 
 	// stopInterval is the time between two planned stops.
 	stopInterval = 2200 * time.Millisecond
 
-	// minPause and maxPause bound how long a node is suspended. maxPause plus the lab's own delay stays below scenario.MaxPause.
+	// minPause and maxPause bound how long a node is suspended. maxPause plus the delay of the lab itself is below scenario.MaxPause.
 	minPause, maxPause = 20 * time.Millisecond, 130 * time.Millisecond
 
-	// quietEnd is how long before the end of a run the last fault begins.
-	quietEnd = 1500 * time.Millisecond
+	// faultFreeTail is the time at the end of a run in which no fault begins.
+	faultFreeTail = 1500 * time.Millisecond
 )
 
-// Options choose the kind of a run. What they leave open is drawn from the seed.
+// Options configure a run. Everything that they do not set is drawn from the seed.
 type Options struct {
 	Seed     uint64
-	Nodes    int           // 0: drawn
-	Duration time.Duration // at least ten seconds; a shorter one is raised to that
+	Nodes    int           // 0: drawn from the seed
+	Duration time.Duration // raised to 10 s if shorter
 	Quiet    bool          // no faults and no planned stops
-	Kind     string        // of the nodes, as in a scenario; empty: tackhub
+	Kind     string        // kind of the nodes, as in a scenario; empty: tackhub
 }
 
-// classes are the classes of a run: one of each effect.
+// classes are the request classes of a run, one for each effect.
 var classes = []struct {
 	name, effect, group string
 	share, worth        float64
@@ -45,10 +45,10 @@
 	{"charge", scenario.EffectUnsafe, "", 0.2, 6, 0},
 }
 
-// Plan works out a run.
+// Plan computes the scenario of a run.
 func Plan(o Options) *scenario.Scenario {
 	rng := rand.New(rand.NewPCG(o.Seed, 0x50a4))
-	pick := func(of ...time.Duration) time.Duration { return of[rng.IntN(len(of))] }
+	pickOne := func(of ...time.Duration) time.Duration { return of[rng.IntN(len(of))] }
 	s := &scenario.Scenario{
 		Name: fmt.Sprintf("soak-%d", o.Seed), About: "planned stops under faults", Seed: o.Seed,
 		Warmup: warmup, Duration: max(o.Duration, 10*time.Second), RigLate: time.Second,
@@ -56,8 +56,8 @@
 			QueueMax: 32, SlowFactor: 1, ColdSpeed: 0.3, ColdFor: 4 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
 			MaxConns: 256, Reports: rng.IntN(2) == 0, Probes: rng.IntN(2) == 0},
 		Nodes: scenario.Nodes{Count: []int{2, 2, 3, 5, 12}[rng.IntN(5)], Kind: "tackhub", Cores: []float64{0.25, 1}[rng.IntN(2)],
-			MemoryMB: 128, Sockets: 512, DrainGrace: pick(500*time.Millisecond, 1500*time.Millisecond), Attempts: 4,
-			DiscoveryDelay: pick(50*time.Millisecond, 300*time.Millisecond)},
+			MemoryMB: 128, Sockets: 512, DrainGrace: pickOne(500*time.Millisecond, 1500*time.Millisecond), Attempts: 4,
+			DiscoveryDelay: pickOne(50*time.Millisecond, 300*time.Millisecond)},
 		Clients: scenario.Clients{Tenants: 4, Zipf: 1, Retry: []string{"none", "now", "backoff"}[rng.IntN(3)], Retries: 3,
 			Backoff: 30 * time.Millisecond, MarksRetry: rng.IntN(2) == 0, CancelShare: 0.02, Devices: 8},
 		Load:   []scenario.Step{{Times: 0.3 + 0.3*rng.Float64()}},
@@ -69,106 +69,110 @@
 	if o.Kind != "" {
 		s.Nodes.Kind = o.Kind
 	}
-	deadline := pick(250*time.Millisecond, 390*time.Millisecond, 390*time.Millisecond, 800*time.Millisecond, 1500*time.Millisecond)
-	for _, e := range classes {
-		s.Classes = append(s.Classes, scenario.Class{Name: e.name, Effect: e.effect, Group: e.group, Window: e.window, Share: e.share,
-			Worth: e.worth, Aim: deadline / 2, Deadline: deadline, Work: 12 * time.Millisecond, Dist: "exponential", Body: 200})
+	deadline := pickOne(250*time.Millisecond, 390*time.Millisecond, 390*time.Millisecond, 800*time.Millisecond, 1500*time.Millisecond)
+	for _, class := range classes {
+		s.Classes = append(s.Classes, scenario.Class{Name: class.name, Effect: class.effect, Group: class.group, Window: class.window,
+			Share: class.share, Worth: class.worth, Aim: deadline / 2, Deadline: deadline, Work: 12 * time.Millisecond, Dist: "exponential", Body: 200})
 	}
 	if !o.Quiet {
-		s.Faults = drawFaults(s, rng)
+		s.Faults = randomFaults(s, rng)
 	}
 	return s
 }
 
-// drawFaults draws the faults of a run: a planned stop every stopInterval, with faults of servers and discovery around it.
-func drawFaults(s *scenario.Scenario, rng *rand.Rand) []scenario.Fault {
-	d := &faultDrawer{scenario: s, rng: rng, end: s.Warmup + s.Duration - quietEnd}
+// randomFaults draws the faults of a run: a planned stop every stopInterval, and faults of servers and discovery around it.
+func randomFaults(s *scenario.Scenario, rng *rand.Rand) []scenario.Fault {
+	generator := &faultGenerator{scenario: s, rng: rng, end: s.Warmup + s.Duration - faultFreeTail}
 	node := 0
-	for at := s.Warmup + 300*time.Millisecond; at < d.end-s.KillAfter(); at += stopInterval {
-		d.addStop(at, node)
+	for at := s.Warmup + 300*time.Millisecond; at < generator.end-s.KillAfter(); at += stopInterval {
+		generator.addStop(at, node)
 		node++
 	}
-	return d.faults
+	return generator.faults
 }
 
-// faultDrawer collects the faults of a run. The order of its draws is part of a seed's meaning.
-type faultDrawer struct {
+// faultGenerator draws and collects the faults of a run. The order of its random draws must not change: a seed would then give
+// a different plan.
+type faultGenerator struct {
 	scenario *scenario.Scenario
 	rng      *rand.Rand
-	end      time.Duration // no fault begins later
+	end      time.Duration // no fault begins at or after it
 	faults   []scenario.Fault
 }
 
-func (d *faultDrawer) add(f scenario.Fault) {
+func (d *faultGenerator) add(f scenario.Fault) {
 	if f.At < d.end {
 		d.faults = append(d.faults, f)
 	}
 }
 
-// within is a random time below a span.
-func (d *faultDrawer) within(span time.Duration) time.Duration {
-	return time.Duration(d.rng.Int64N(int64(span)))
+// randomBelow returns a random duration below a limit.
+func (d *faultGenerator) randomBelow(limit time.Duration) time.Duration {
+	return time.Duration(d.rng.Int64N(int64(limit)))
 }
 
-// pauseLength is for how long a node is suspended.
-func (d *faultDrawer) pauseLength() time.Duration { return minPause + d.within(maxPause-minPause) }
+// pauseLength draws how long a node is suspended.
+func (d *faultGenerator) pauseLength() time.Duration {
+	return minPause + d.randomBelow(maxPause-minPause)
+}
 
-// addStop adds a planned stop with the faults around it.
-func (d *faultDrawer) addStop(at time.Duration, node int) {
+// addStop adds a planned stop of a node at a time, and the faults around it.
+func (d *faultGenerator) addStop(at time.Duration, node int) {
 	target := fmt.Sprintf("node:%d", node%d.scenario.Nodes.Count)
-	d.add(scenario.Fault{At: at, Kind: scenario.FaultNodeReplace, Target: target, FollowUpSignals: drawSignals(d.rng)})
+	d.add(scenario.Fault{At: at, Kind: scenario.FaultNodeReplace, Target: target, FollowUpSignals: randomSignals(d.rng)})
 	for range d.rng.IntN(3) {
-		pauseAt := at + d.within(d.scenario.KillAfter())
+		pauseAt := at + d.randomBelow(d.scenario.KillAfter())
 		d.add(scenario.Fault{At: pauseAt, Kind: scenario.FaultNodePause, Target: target, For: d.pauseLength()})
 	}
-	share := fmt.Sprintf("%d%%", 25+d.rng.IntN(40))
-	from := at - d.within(400*time.Millisecond)
-	lasts := 400*time.Millisecond + d.within(1200*time.Millisecond)
-	d.addServerFault(at, from, lasts, share)
+	percentage := fmt.Sprintf("%d%%", 25+d.rng.IntN(40))
+	faultStart := at - d.randomBelow(400*time.Millisecond)
+	faultDuration := 400*time.Millisecond + d.randomBelow(1200*time.Millisecond)
+	d.addServerFault(at, faultStart, faultDuration, percentage)
 	switch d.rng.IntN(4) {
 	case 0:
-		d.add(scenario.Fault{At: from, For: lasts, Kind: scenario.FaultDiscoveryDown, Target: "all"})
+		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: scenario.FaultDiscoveryDown, Target: "all"})
 	case 1:
-		d.add(scenario.Fault{At: from, For: lasts, Kind: scenario.FaultDiscoveryStale, Target: "all", Delay: 400 * time.Millisecond})
+		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: scenario.FaultDiscoveryStale, Target: "all",
+			Delay: 400 * time.Millisecond})
 	case 2:
-		other := fmt.Sprintf("node:%d", (node+1)%d.scenario.Nodes.Count)
-		pauseAt := at + d.within(stopInterval/2)
-		d.add(scenario.Fault{At: pauseAt, For: d.pauseLength(), Kind: scenario.FaultNodePause, Target: other})
+		otherTarget := fmt.Sprintf("node:%d", (node+1)%d.scenario.Nodes.Count)
+		pauseAt := at + d.randomBelow(stopInterval/2)
+		d.add(scenario.Fault{At: pauseAt, For: d.pauseLength(), Kind: scenario.FaultNodePause, Target: otherTarget})
 	}
 }
 
-// serverFaults are the faults of servers around a stop; one that stands twice is drawn twice as often.
+// serverFaults are the kinds of server faults around a stop. A kind that is listed twice is drawn twice as often.
 var serverFaults = []scenario.FaultKind{
 	scenario.FaultHang, scenario.FaultHang, scenario.FaultVanish, scenario.FaultServersReset, scenario.FaultErrors,
 	scenario.FaultColdReturn, scenario.FaultDrain, scenario.FaultServersStall, scenario.FaultSlow,
 }
 
-// addServerFault adds a fault of a share of the servers around a stop.
-func (d *faultDrawer) addServerFault(at, from, lasts time.Duration, share string) {
+// addServerFault adds a fault of a percentage of the servers around the stop at a time.
+func (d *faultGenerator) addServerFault(stopAt, faultStart, faultDuration time.Duration, percentage string) {
 	switch kind := serverFaults[d.rng.IntN(len(serverFaults))]; kind {
 	case scenario.FaultErrors:
-		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Share: 0.2 + 0.6*d.rng.Float64()})
+		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: kind, Target: percentage, Share: 0.2 + 0.6*d.rng.Float64()})
 	case scenario.FaultSlow:
-		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share, Factor: 2 + 4*d.rng.Float64()})
+		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: kind, Target: percentage, Factor: 2 + 4*d.rng.Float64()})
 	case scenario.FaultServersReset:
 		for range 3 {
-			d.add(scenario.Fault{At: at + d.within(d.scenario.KillAfter()), Kind: kind, Target: share})
+			d.add(scenario.Fault{At: stopAt + d.randomBelow(d.scenario.KillAfter()), Kind: kind, Target: percentage})
 		}
 	case scenario.FaultColdReturn:
-		d.add(scenario.Fault{At: from, Kind: kind, Target: "1", NewID: d.rng.IntN(2) == 0})
+		d.add(scenario.Fault{At: faultStart, Kind: kind, Target: "1", NewID: d.rng.IntN(2) == 0})
 	default:
-		d.add(scenario.Fault{At: from, For: lasts, Kind: kind, Target: share})
+		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: kind, Target: percentage})
 	}
 }
 
-// drawSignals draws the signals that follow SIGTERM in a planned stop; none in half of the stops.
-func drawSignals(rng *rand.Rand) []string {
+// randomSignals draws the signals that follow SIGTERM in a planned stop. In half of the stops it returns none.
+func randomSignals(rng *rand.Rand) []string {
 	if rng.IntN(2) == 0 {
 		return nil
 	}
-	out := make([]string, 1+rng.IntN(4))
-	for i := range out {
-		out[i] = []string{"TERM", "TERM", "INT", "HUP", "USR1"}[rng.IntN(5)]
+	signals := make([]string, 1+rng.IntN(4))
+	for i := range signals {
+		signals[i] = []string{"TERM", "TERM", "INT", "HUP", "USR1"}[rng.IntN(5)]
 	}
-	return out
+	return signals
 }
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -13,13 +13,13 @@
 	"tackhub.example/tackhub/lab/experiment"
 )
 
-// timelineWindow is how far around a breach the time line reaches.
+// timelineWindow is how long before and after a breach events belong to its time line.
 const timelineWindow = 1500 * time.Millisecond
 
-// maxLogLines bounds the node's log lines in one time line.
+// maxLogLines limits the log lines of the node in one time line.
 const maxLogLines = 40
 
-// ShutdownReport is a node's own log line at the end of a planned stop.
+// ShutdownReport is the log line that a node writes at the end of a planned stop.
 type ShutdownReport struct {
 	Code             string `json:"code"`
 	TookMS           int    `json:"took_ms"`
@@ -31,13 +31,13 @@
 	LatestMS         int    `json:"latest_answer_ms"`
 }
 
-// Figures sum up one run, or several.
+// Figures are the totals of one or more runs.
 type Figures struct {
 	Runs             int
 	Stops            int
-	KilledStops      int // stops that SIGKILL ended
-	InFlightAtSignal int // requests in flight at the signals
-	ReadAfterSignal  int // requests read after them
+	KilledStops      int // stops that ended with SIGKILL
+	InFlightAtSignal int // requests in flight when SIGTERM arrived
+	ReadAfterSignal  int // requests read after SIGTERM
 	Answered         int
 	Rejected         int
 	Unanswered       int
@@ -45,80 +45,81 @@
 	RacedCloses      int
 	Crashes          int
 	Breaches         map[string]int
-	KillMargins      []int // milliseconds between a stop's latest answer and the earliest kill, sorted
+	KillMargins      []int // milliseconds from the last answer of each stop to the earliest SIGKILL, sorted
 }
 
-// shutdownReports reads the nodes' log lines of their planned stops.
+// shutdownReports parses the reports of planned stops from the nodes' logs.
 func shutdownReports(logs []string) []ShutdownReport {
-	var out []ShutdownReport
+	var reports []ShutdownReport
 	for _, log := range logs {
 		for line := range strings.Lines(log) {
 			if !strings.Contains(line, `"code":"drain_end"`) {
 				continue
 			}
-			var d ShutdownReport
-			if json.Unmarshal([]byte(line), &d) == nil {
-				out = append(out, d)
+			var report ShutdownReport
+			if json.Unmarshal([]byte(line), &report) == nil {
+				reports = append(reports, report)
 			}
 		}
 	}
-	return out
+	return reports
 }
 
-// Summarize works out the figures of one run. kill is the earliest time of SIGKILL after SIGTERM.
+// Summarize computes the figures of one run. kill is the earliest time after SIGTERM at which SIGKILL may come.
 func Summarize(r *experiment.Result, clients *Clients, kill time.Duration) Figures {
-	f := Figures{Runs: 1, Stops: len(clients.ObservedStops()), KilledStops: r.KilledStops, RacedCloses: clients.RacedCloses(), Attempts: len(r.Record.Attempts),
-		Crashes: r.Figures.Crashes, Breaches: r.BreachesByRule}
-	for _, d := range shutdownReports(r.Logs) {
-		f.InFlightAtSignal += d.InFlightAtSignal
-		f.ReadAfterSignal += d.ReadAfterSignal
-		f.Answered += d.Answered
-		f.Rejected += d.Rejected
-		f.Unanswered += d.Unanswered
-		f.KillMargins = append(f.KillMargins, int(kill.Milliseconds())-d.LatestMS)
+	f := Figures{Runs: 1, Stops: len(clients.ObservedStops()), KilledStops: r.KilledStops, RacedCloses: clients.RacedCloses(),
+		Attempts: len(r.Record.Attempts), Crashes: r.Figures.Crashes, Breaches: r.BreachesByRule}
+	for _, report := range shutdownReports(r.Logs) {
+		f.InFlightAtSignal += report.InFlightAtSignal
+		f.ReadAfterSignal += report.ReadAfterSignal
+		f.Answered += report.Answered
+		f.Rejected += report.Rejected
+		f.Unanswered += report.Unanswered
+		f.KillMargins = append(f.KillMargins, int(kill.Milliseconds())-report.LatestMS)
 	}
 	sort.Ints(f.KillMargins)
 	return f
 }
 
-// Add adds another run's figures.
-func (f *Figures) Add(g Figures) {
+// Add adds the totals of other runs.
+func (f *Figures) Add(other Figures) {
 	if f.Breaches == nil {
 		f.Breaches = map[string]int{}
 	}
-	f.Runs += g.Runs
-	f.Stops += g.Stops
-	f.KilledStops += g.KilledStops
-	f.InFlightAtSignal += g.InFlightAtSignal
-	f.ReadAfterSignal += g.ReadAfterSignal
-	f.Answered += g.Answered
-	f.Rejected += g.Rejected
-	f.Unanswered += g.Unanswered
-	f.Attempts += g.Attempts
-	f.RacedCloses += g.RacedCloses
-	f.Crashes += g.Crashes
-	for rule, n := range g.Breaches {
+	f.Runs += other.Runs
+	f.Stops += other.Stops
+	f.KilledStops += other.KilledStops
+	f.InFlightAtSignal += other.InFlightAtSignal
+	f.ReadAfterSignal += other.ReadAfterSignal
+	f.Answered += other.Answered
+	f.Rejected += other.Rejected
+	f.Unanswered += other.Unanswered
+	f.Attempts += other.Attempts
+	f.RacedCloses += other.RacedCloses
+	f.Crashes += other.Crashes
+	for rule, n := range other.Breaches {
 		f.Breaches[rule] += n
 	}
-	f.KillMargins = append(f.KillMargins, g.KillMargins...)
+	f.KillMargins = append(f.KillMargins, other.KillMargins...)
 	sort.Ints(f.KillMargins)
 }
 
-// String is the figures in one line.
+// String returns the figures in one line.
 func (f Figures) String() string {
-	least, p1 := "none", "none"
+	minMargin, p1Margin := "none", "none"
 	if n := len(f.KillMargins); n > 0 {
-		least, p1 = fmt.Sprintf("%d ms", f.KillMargins[0]), fmt.Sprintf("%d ms", f.KillMargins[n/100])
+		minMargin, p1Margin = fmt.Sprintf("%d ms", f.KillMargins[0]), fmt.Sprintf("%d ms", f.KillMargins[n/100])
 	}
-	share := 0.0
-	if all := f.Answered + f.Rejected; all > 0 {
-		share = float64(f.Rejected) / float64(all)
+	rejectedFraction := 0.0
+	if completed := f.Answered + f.Rejected; completed > 0 {
+		rejectedFraction = float64(f.Rejected) / float64(completed)
 	}
 	return fmt.Sprintf("runs %d stops %d killed %d in-flight %d read-after %d refused-share %.3f unanswered %d latest-answer-before-kill min %s p1 %s tries %d crossed %d crashes %d breaks %v",
-		f.Runs, f.Stops, f.KilledStops, f.InFlightAtSignal, f.ReadAfterSignal, share, f.Unanswered, least, p1, f.Attempts, f.RacedCloses, f.Crashes, f.Breaches)
+		f.Runs, f.Stops, f.KilledStops, f.InFlightAtSignal, f.ReadAfterSignal, rejectedFraction, f.Unanswered, minMargin, p1Margin, f.Attempts,
+		f.RacedCloses, f.Crashes, f.Breaches)
 }
 
-// WriteTimeline writes what clients, servers and the node recorded around a breach.
+// WriteTimeline writes the events around a breach that clients, servers and the node recorded.
 func WriteTimeline(w io.Writer, r *experiment.Result, b audit.Breach) {
 	id, _, _ := strings.Cut(b.Text, " ")
 	type entry struct {
@@ -130,42 +131,43 @@
 		lines = append(lines, entry{at, fmt.Sprintf(format, args...)})
 	}
 	node := -1
-	for _, t := range r.Record.Attempts {
-		if t.ID == id {
-			node = t.Node
-			add(t.Sent, "client: %s written to node %d, waits until %.3f", t.ID, t.Node, t.Deadline.Seconds())
-			add(t.Ended, "client: %s ended: %v, status %d", t.ID, t.Outcome, t.Status)
+	for _, attempt := range r.Record.Attempts {
+		if attempt.ID == id {
+			node = attempt.Node
+			add(attempt.Sent, "client: %s sent to node %d, times out at %.3f", attempt.ID, attempt.Node, attempt.Deadline.Seconds())
+			add(attempt.Ended, "client: %s ended: %v, status %d", attempt.ID, attempt.Outcome, attempt.Status)
 		}
 	}
-	for _, c := range r.Record.Receipts {
-		if c.ID == id {
-			add(c.At, "server %s: got %s from node %d, told to work for %v", c.Server, c.ID, c.Node, c.Deadline)
+	for _, receipt := range r.Record.Receipts {
+		if receipt.ID == id {
+			add(receipt.At, "server %s: received %s from node %d with a time limit of %v", receipt.Server, receipt.ID, receipt.Node,
+				receipt.Deadline)
 		}
 	}
-	for _, run := range r.Record.Executions {
-		if run.ID == id {
-			add(run.At, "server %s: began %s", run.Server, run.ID)
+	for _, execution := range r.Record.Executions {
+		if execution.ID == id {
+			add(execution.At, "server %s: started %s", execution.Server, execution.ID)
 		}
 	}
-	for _, p := range r.Record.Pauses {
-		if p.Node == node && p.From <= b.At && p.To >= b.At-timelineWindow {
-			add(p.From, "node %d: held up until %.3f", p.Node, p.To.Seconds())
+	for _, pause := range r.Record.Pauses {
+		if pause.Node == node && pause.From <= b.At && pause.To >= b.At-timelineWindow {
+			add(pause.From, "node %d: suspended until %.3f", pause.Node, pause.To.Seconds())
 		}
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at < lines[j].at })
-	for _, l := range lines {
-		_, _ = fmt.Fprintf(w, "  %9.3f %s\n", l.at.Seconds(), l.text)
+	for _, line := range lines {
+		_, _ = fmt.Fprintf(w, "  %9.3f %s\n", line.at.Seconds(), line.text)
 	}
 	if node >= 0 && node < len(r.Logs) {
 		writeLog(w, r, node, id, b.At)
 	}
 }
 
-// writeLog writes the node's log lines around a breach that name the request or a stop.
+// writeLog writes the node's log lines that contain the request id, and those about starts and stops near a breach.
 func writeLog(w io.Writer, r *experiment.Result, node int, id string, at time.Duration) {
 	began := r.Began
-	left := maxLogLines
-	for scan := bufio.NewScanner(strings.NewReader(r.Logs[node])); scan.Scan() && left > 0; {
+	linesLeft := maxLogLines
+	for scan := bufio.NewScanner(strings.NewReader(r.Logs[node])); scan.Scan() && linesLeft > 0; {
 		line := scan.Text()
 		var head struct {
 			Time time.Time `json:"time"`
@@ -175,11 +177,11 @@
 			continue
 		}
 		when := head.Time.Sub(began)
-		named := strings.Contains(line, id)
-		stop := strings.HasPrefix(head.Code, "drain_") || head.Code == "drain" || head.Code == "end" || head.Code == "start"
-		if named || stop && when > at-timelineWindow && when < at+timelineWindow {
+		namesRequest := strings.Contains(line, id)
+		aboutStop := strings.HasPrefix(head.Code, "drain_") || head.Code == "drain" || head.Code == "end" || head.Code == "start"
+		if namesRequest || aboutStop && when > at-timelineWindow && when < at+timelineWindow {
 			_, _ = fmt.Fprintf(w, "  %9.3f node %d's log: %s\n", when.Seconds(), node, line)
-			left--
+			linesLeft--
 		}
 	}
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -14,21 +14,21 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// replay reads a plan back from its printed form.
-func replay(t *testing.T, s *scenario.Scenario) *scenario.Scenario {
+// parsePrinted prints a plan and parses the text.
+func parsePrinted(t *testing.T, s *scenario.Scenario) *scenario.Scenario {
 	t.Helper()
 	text, err := Text(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := scenario.Parse(text)
+	parsed, err := scenario.Parse(text)
 	if err != nil {
 		t.Fatalf("%v in\n%s", err, text)
 	}
-	return again
+	return parsed
 }
 
-func hash(t *testing.T, s *scenario.Scenario) string {
+func scheduleHash(t *testing.T, s *scenario.Scenario) string {
 	t.Helper()
 	schedule, err := s.Schedule()
 	if err != nil {
@@ -37,20 +37,20 @@
 	return schedule.Hash()
 }
 
-// One seed gives one plan, and what is printed of it replays the same schedule. A plan has planned stops, and a quiet one has
-// no faults.
-func TestPlansReplay(t *testing.T) {
+// A seed must always give the same plan, and its printed form must replay the same schedule. Otherwise a failing run could not
+// be reproduced. Each plan has planned stops, and a quiet plan has no faults.
+func TestPrintedPlanReplaysSameSchedule(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(60) {
 		s := Plan(Options{Seed: seed})
-		first := hash(t, replay(t, s))
-		if again := hash(t, replay(t, Plan(Options{Seed: seed}))); again != first {
-			t.Errorf("seed %d: two plans differ", seed)
+		schedule := scheduleHash(t, parsePrinted(t, s))
+		if secondSchedule := scheduleHash(t, parsePrinted(t, Plan(Options{Seed: seed}))); secondSchedule != schedule {
+			t.Errorf("seed %d: two plans have different schedules", seed)
 		}
-		if seen[first] {
-			t.Errorf("seed %d: the same as another seed's", seed)
+		if seen[schedule] {
+			t.Errorf("seed %d: same schedule as another seed", seed)
 		}
-		seen[first] = true
+		seen[schedule] = true
 		stops := 0
 		for _, f := range s.Faults {
 			if f.Kind == "node-replace" {
@@ -58,44 +58,45 @@
 			}
 		}
 		if stops == 0 {
-			t.Errorf("seed %d: no planned stop", seed)
+			t.Errorf("seed %d: planned stops = 0, want at least 1", seed)
 		}
 	}
-	if quiet := Plan(Options{Seed: 1, Quiet: true}); len(quiet.Faults) > 0 {
-		t.Errorf("a quiet plan has faults: %v", quiet.Faults)
+	if quietPlan := Plan(Options{Seed: 1, Quiet: true}); len(quietPlan.Faults) > 0 {
+		t.Errorf("quiet plan: faults = %v, want none", quietPlan.Faults)
 	}
 }
 
-// Shrinking removes every fault but the one that breaks a rule.
-func TestShrinkKeepsTheBreakingFault(t *testing.T) {
+// Shrink must remove every fault except the one that breaches a rule.
+func TestShrinkKeepsOnlyBreakingFault(t *testing.T) {
 	s := Plan(Options{Seed: 3})
 	want := s.Faults[len(s.Faults)/2]
 	isWanted := func(f scenario.Fault) bool { return f.At == want.At && f.Kind == want.Kind && f.Target == want.Target }
-	small, err := Shrink(s, func(less *scenario.Scenario) (bool, error) { return slices.ContainsFunc(less.Faults, isWanted), nil })
-	if err != nil || len(small.Faults) != 1 || !isWanted(small.Faults[0]) {
-		t.Errorf("%v, left %v, want %v alone", err, small.Faults, want)
+	smallest, err := Shrink(s, func(smaller *scenario.Scenario) (bool, error) {
+		return slices.ContainsFunc(smaller.Faults, isWanted), nil
+	})
+	if err != nil || len(smallest.Faults) != 1 || !isWanted(smallest.Faults[0]) {
+		t.Errorf("Shrink: error %v, faults = %v, want only %v", err, smallest.Faults, want)
 	}
 }
 
-// started is the code of the program that a test builds and starts. Reading it keeps that code in the test binary: without it
-// the binary would be the same after a change of the code, and `go test` would print the cached result of an older program.
-var started = baseline.Run
+// baselineCode refers to the code of the program that a test builds and starts. The reference makes that code part of the test
+// binary: otherwise the binary would not change with the code, and `go test` would print the cached result of an older program.
+var baselineCode = baseline.Run
 
-// The lab's baseline exits soon after SIGTERM whatever it has in flight. The soak must report the requests that it
-// drops.
-func TestSoakSeesDroppedRequests(t *testing.T) {
-	runtime.KeepAlive(started)
+// The lab's baseline exits soon after SIGTERM and drops its requests in flight. The soak must report these as unanswered.
+func TestSoakReportsDroppedRequests(t *testing.T) {
+	runtime.KeepAlive(baselineCode)
 	lab := filepath.Join(t.TempDir(), "tacklab")
 	if out, err := exec.Command("go", "build", "-o", lab, "tackhub.example/tackhub/cmd/tacklab").CombinedOutput(); err != nil {
-		t.Fatalf("building: %v\n%s", err, out)
+		t.Fatalf("go build: %v\n%s", err, out)
 	}
-	s := replay(t, Plan(Options{Seed: 4, Kind: "least"}))
-	s.RigLate = time.Minute // a busy machine does not hide it
-	o, err := Play(context.Background(), s, []string{lab, "baseline", "--policy", "least"}, nil, "", "test")
+	s := parsePrinted(t, Plan(Options{Seed: 4, Kind: "least"}))
+	s.RigLate = time.Minute // a busy machine must not make the run invalid
+	outcome, err := Play(context.Background(), s, []string{lab, "baseline", "--policy", "least"}, nil, "", "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Result.BreachesByRule[audit.RuleUnanswered] == 0 || !o.Broke() || o.Figures.Stops == 0 {
-		t.Errorf("a node that drops its requests is not caught: %s", o.Figures)
+	if outcome.Result.BreachesByRule[audit.RuleUnanswered] == 0 || !outcome.Broke() || outcome.Figures.Stops == 0 {
+		t.Errorf("no breach of rule lost reported for a node that drops its requests: %s", outcome.Figures)
 	}
 }
