--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -1,7 +1,7 @@
-// Package membersim plays many cores of internal/membership on one virtual clock, over a network that cuts directed
-// links, loses, delays, duplicates and reorders messages, and suspends, kills and restarts members. All random numbers
-// come from one seed. It stands beside the tests with real processes, for numbers of members and of schedules that no
-// machine runs.
+// Package membersim simulates clusters of internal/membership cores on a virtual clock. The simulated network cuts directed
+// links, and loses, delays, duplicates and reorders messages; members are suspended, killed and restarted. All random numbers
+// come from one seed. The simulation complements the tests with real processes: it covers more members and more fault
+// schedules than one machine could run as processes.
 package membersim
 
 import (
@@ -14,18 +14,18 @@
 	"tackhub.example/tackhub/internal/membership"
 )
 
-// Options describe one cluster.
+// Options configure a simulated cluster.
 type Options struct {
-	Members    int
-	Seed       uint64
-	Period     time.Duration
-	Timeout    time.Duration
-	Suspicion  time.Duration
-	Loss       float64
-	Delay      time.Duration // one way
-	Jitter     time.Duration // added evenly between 0 and it
-	Duplicate  float64       // share of the datagrams that come twice
-	Introduced bool          // every member knows every other at the start
+	Members   int
+	Seed      uint64
+	Period    time.Duration
+	Timeout   time.Duration
+	Suspicion time.Duration
+	Loss      float64
+	Delay     time.Duration // one way
+	Jitter    time.Duration // a uniformly distributed delay below it is added
+	Duplicate float64       // fraction of the datagrams that are delivered twice
+	AllJoined bool          // every member knows every other member at the start
 }
 
 // Sim is a simulated cluster.
@@ -36,27 +36,27 @@
 	events        events
 	seq           int
 	nodes         []*Node
-	cut           map[[2]int]bool
+	cuts          map[[2]int]bool
 	countsTraffic bool
 
-	Sent, Bytes int64 // datagrams and streams since ResetTraffic
-	Largest     int   // datagram
+	Sent, SentBytes int64 // messages and their bytes, in datagrams and streams, since ResetTraffic
+	LargestDatagram int   // bytes of the largest datagram since ResetTraffic
 }
 
-// Node is one member over all its processes.
+// Node is a member of the cluster. It persists when its process is restarted.
 type Node struct {
-	Core        *membership.Core
-	up          bool
-	stopped     bool
-	incarnation int // number of the process; what an earlier one left in flight is void
-	start       uint64
-	held        []func()      // what came while it was suspended
-	clockOffset time.Duration // each clock has a zero of its own
-	Events      []membership.Event
+	Core          *membership.Core
+	up            bool
+	suspended     bool
+	processNumber int // number of the current process; actions scheduled for an earlier process are dropped
+	generation    uint64
+	pending       []func()      // actions to run when the process is resumed
+	clockOffset   time.Duration // added to the virtual time, because each node's clock starts at a different time
+	Events        []membership.Event
 }
 
-// maxHeld is what a stopped process's socket holds.
-const maxHeld = 400
+// maxPending is how many actions a suspended process queues, like the receive buffer of its socket.
+const maxPending = 400
 
 type event struct {
 	at     time.Duration
@@ -74,10 +74,10 @@
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is container/heap's.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop is container/heap's.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
@@ -85,156 +85,160 @@
 	return x
 }
 
-// New starts a cluster; the first two members are the seeds.
+// New starts a cluster. The first two members are the seeds.
 func New(o Options) *Sim {
-	s := &Sim{options: o, rng: rand.New(rand.NewPCG(o.Seed, 77)), cut: map[[2]int]bool{}}
+	s := &Sim{options: o, rng: rand.New(rand.NewPCG(o.Seed, 77)), cuts: map[[2]int]bool{}}
 	for range o.Members {
 		s.nodes = append(s.nodes, &Node{clockOffset: time.Duration(s.rng.Int64N(int64(time.Hour)))})
 	}
 	for i := range s.nodes {
 		s.Restart(i)
 	}
-	if o.Introduced {
-		s.introduce()
+	if o.AllJoined {
+		s.joinAll()
 	}
 	return s
 }
 
-func name(i int) string { return fmt.Sprintf("n%03d", i) }
+func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250) }
+func memberAddress(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250) }
 
-func index(address string) int {
-	var a, b int
-	if _, err := fmt.Sscanf(address, "10.0.%d.%d:7946", &a, &b); err != nil {
+func memberIndex(address string) int {
+	var block, offset int
+	if _, err := fmt.Sscanf(address, "10.0.%d.%d:7946", &block, &offset); err != nil {
 		return -1
 	}
-	return a*250 + b
+	return block*250 + offset
 }
 
-// introduce has every member know every other, as after a full exchange.
-func (s *Sim) introduce() {
-	var news []membership.Update
+// joinAll makes every member known to every other, as after a full anti-entropy exchange.
+func (s *Sim) joinAll() {
+	var updates []membership.Update
 	for i, n := range s.nodes {
-		news = append(news, membership.Update{Name: name(i), Generation: n.start, State: membership.Alive, Address: address(i)})
+		updates = append(updates, membership.Update{Name: memberName(i), Generation: n.generation, State: membership.Alive,
+			Address: memberAddress(i)})
 	}
 	for i, n := range s.nodes {
-		from := (i + 1) % len(s.nodes)
-		n.Core.Receive(s.local(i), &membership.Message{Kind: membership.SyncReply, Version: membership.WireVersion, ClusterHash: 1, From: name(from),
-			Generation: s.nodes[from].start, Address: address(from), Updates: news})
+		sender := (i + 1) % len(s.nodes)
+		n.Core.Receive(s.localTime(i), &membership.Message{Kind: membership.SyncReply, Version: membership.WireVersion, ClusterHash: 1,
+			From: memberName(sender), Generation: s.nodes[sender].generation, Address: memberAddress(sender), Updates: updates})
 	}
 }
 
-func (s *Sim) local(i int) time.Duration { return s.now + s.nodes[i].clockOffset }
+func (s *Sim) localTime(i int) time.Duration { return s.now + s.nodes[i].clockOffset }
 
 // Node returns a member.
 func (s *Sim) Node(i int) *Node { return s.nodes[i] }
 
 // Running reports whether a member's process runs and is not suspended.
-func (s *Sim) Running(i int) bool { return s.nodes[i].up && !s.nodes[i].stopped }
+func (s *Sim) Running(i int) bool { return s.nodes[i].up && !s.nodes[i].suspended }
 
-// Now is the time since the start.
+// Now returns the virtual time since the start.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// Restart starts a member's process, in place of one that may run.
+// Restart starts a new process of a member. It replaces the current process, if any.
 func (s *Sim) Restart(i int) {
 	n := s.nodes[i]
-	n.incarnation++
-	n.start++
-	n.up, n.stopped, n.held = true, false, nil
-	n.Core = membership.New(membership.Options{Name: name(i), Address: address(i), ClusterHash: 1, Generation: n.start, RandSeed: s.options.Seed<<16 + uint64(i),
+	n.processNumber++
+	n.generation++
+	n.up, n.suspended, n.pending = true, false, nil
+	n.Core = membership.New(membership.Options{Name: memberName(i), Address: memberAddress(i), ClusterHash: 1, Generation: n.generation,
+		RandSeed:      s.options.Seed<<16 + uint64(i),
 		ProbeInterval: s.options.Period, ProbeTimeout: s.options.Timeout, SuspicionTimeout: s.options.Suspicion, MaxMembers: 1024,
-		SeedAddresses: []string{address(0), address(1 % s.options.Members)}}, s.local(i))
-	s.tick(i, n.incarnation, time.Duration(s.rng.Int64N(int64(s.options.Period/5))))
+		SeedAddresses: []string{memberAddress(0), memberAddress(1 % s.options.Members)}}, s.localTime(i))
+	s.tick(i, n.processNumber, time.Duration(s.rng.Int64N(int64(s.options.Period/5))))
 }
 
-func (s *Sim) tick(i, process int, in time.Duration) {
-	s.schedule(in, func() {
+func (s *Sim) tick(i, process int, delay time.Duration) {
+	s.schedule(delay, func() {
 		n := s.nodes[i]
-		if !n.up || n.incarnation != process {
+		if !n.up || n.processNumber != process {
 			return
 		}
-		s.runOrHold(i, func() { n.Core.Tick(s.local(i)) })
+		s.runOrQueue(i, func() { n.Core.Tick(s.localTime(i)) })
 		s.tick(i, process, s.options.Period/5)
 	})
 }
 
-// runOrHold has a process do something now, or when it is resumed.
-func (s *Sim) runOrHold(i int, do func()) {
+// runOrQueue runs an action of a process now, or after it is resumed if it is suspended.
+func (s *Sim) runOrQueue(i int, action func()) {
 	n := s.nodes[i]
-	if n.stopped {
-		if len(n.held) < maxHeld {
-			n.held = append(n.held, do)
+	if n.suspended {
+		if len(n.pending) < maxPending {
+			n.pending = append(n.pending, action)
 		}
 		return
 	}
-	do()
+	action()
 	s.sendOutput(i)
 }
 
-// Kill ends a process without a message.
-func (s *Sim) Kill(i int) { s.nodes[i].up, s.nodes[i].stopped, s.nodes[i].held = false, false, nil }
+// Kill ends a process without notifying other members.
+func (s *Sim) Kill(i int) {
+	s.nodes[i].up, s.nodes[i].suspended, s.nodes[i].pending = false, false, nil
+}
 
-// Leave ends a process as planned; one that is suspended cannot.
+// Leave ends a process after it has notified other members. It does nothing if the process does not run or is suspended.
 func (s *Sim) Leave(i int) {
 	if !s.Running(i) {
 		return
 	}
-	s.nodes[i].Core.Leave(s.local(i))
+	s.nodes[i].Core.Leave(s.localTime(i))
 	s.sendOutput(i)
 	s.nodes[i].up = false
 }
 
 // Suspend suspends a process, as SIGSTOP does.
-func (s *Sim) Suspend(i int) { s.nodes[i].stopped = true }
+func (s *Sim) Suspend(i int) { s.nodes[i].suspended = true }
 
-// Resume resumes a process, as SIGCONT does. What came meanwhile is received then.
+// Resume resumes a process, as SIGCONT does. The process then receives the messages that arrived while it was suspended.
 func (s *Sim) Resume(i int) {
 	n := s.nodes[i]
-	if !n.stopped {
+	if !n.suspended {
 		return
 	}
-	n.stopped = false
-	held := n.held
-	n.held = nil
-	for _, do := range held {
-		s.runOrHold(i, do)
+	n.suspended = false
+	pending := n.pending
+	n.pending = nil
+	for _, action := range pending {
+		s.runOrQueue(i, action)
 	}
 }
 
-// Cut begins or ends a cut of the link from one member to another.
+// Cut starts or ends the cut of the directed link from one member to another.
 func (s *Sim) Cut(from, to int, on bool) {
 	if on {
-		s.cut[[2]int{from, to}] = true
+		s.cuts[[2]int{from, to}] = true
 	} else {
-		delete(s.cut, [2]int{from, to})
+		delete(s.cuts, [2]int{from, to})
 	}
 }
 
-// Heal ends all cuts, and takes loss, duplication and jitter away.
+// Heal ends all cuts, loss, duplication and jitter.
 func (s *Sim) Heal() {
-	clear(s.cut)
+	clear(s.cuts)
 	s.options.Loss, s.options.Duplicate, s.options.Jitter = 0, 0, 0
 }
 
-// IsCut reports whether a link is cut.
-func (s *Sim) IsCut(from, to int) bool { return s.cut[[2]int{from, to}] }
+// IsCut reports whether a directed link is cut.
+func (s *Sim) IsCut(from, to int) bool { return s.cuts[[2]int{from, to}] }
 
-// Impair sets what every link does.
-func (s *Sim) Impair(loss float64, jitter time.Duration, double float64) {
-	s.options.Loss, s.options.Jitter, s.options.Duplicate = loss, jitter, double
+// Impair sets the loss, jitter and duplication of all links.
+func (s *Sim) Impair(loss float64, jitter time.Duration, duplicate float64) {
+	s.options.Loss, s.options.Jitter, s.options.Duplicate = loss, jitter, duplicate
 }
 
-// ResetTraffic begins a new measurement of traffic.
-func (s *Sim) ResetTraffic() { s.Sent, s.Bytes, s.Largest, s.countsTraffic = 0, 0, 0, true }
+// ResetTraffic starts a new measurement of traffic.
+func (s *Sim) ResetTraffic() { s.Sent, s.SentBytes, s.LargestDatagram, s.countsTraffic = 0, 0, 0, true }
 
-// schedule does something after a span.
-func (s *Sim) schedule(in time.Duration, do func()) {
+// schedule runs an action after a delay.
+func (s *Sim) schedule(delay time.Duration, action func()) {
 	s.seq++
-	heap.Push(&s.events, event{s.now + in, s.seq, do})
+	heap.Push(&s.events, event{s.now + delay, s.seq, action})
 }
 
-// Run plays on for a span.
+// Run advances the simulation by a time span.
 func (s *Sim) Run(span time.Duration) {
 	end := s.now + span
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -245,39 +249,39 @@
 	s.now = end
 }
 
-// sendOutput sends what a core wants sent.
+// sendOutput sends the messages that the core of a member has queued.
 func (s *Sim) sendOutput(i int) {
 	n := s.nodes[i]
-	out, notes := n.Core.TakeOutput()
-	n.Events = append(n.Events, notes...)
-	for _, send := range out {
-		to := index(send.Address)
+	messages, coreEvents := n.Core.TakeOutput()
+	n.Events = append(n.Events, coreEvents...)
+	for _, outgoing := range messages {
+		to := memberIndex(outgoing.Address)
 		if to < 0 || to >= len(s.nodes) {
 			continue
 		}
-		m := send.Message
+		message := outgoing.Message
 		if s.countsTraffic {
-			raw, err := m.MarshalMsg(nil)
+			raw, err := message.MarshalMsg(nil)
 			if err != nil {
-				panic(err) // the core built the message, so it encodes
+				panic(err) // a message built by the core always encodes
 			}
-			s.Sent, s.Bytes = s.Sent+1, s.Bytes+int64(len(raw))
-			if !send.Stream {
-				s.Largest = max(s.Largest, len(raw))
+			s.Sent, s.SentBytes = s.Sent+1, s.SentBytes+int64(len(raw))
+			if !outgoing.Stream {
+				s.LargestDatagram = max(s.LargestDatagram, len(raw))
 			}
 		}
-		if send.Stream { // a connection needs both ways, and loses nothing
-			if m.Kind == membership.SyncRequest && !s.IsCut(i, to) && !s.IsCut(to, i) || m.Kind == membership.SyncReply {
-				s.deliver(to, m, 3*s.options.Delay+s.jitter())
+		if outgoing.Stream { // a stream needs both directions of the link and has no loss
+			if message.Kind == membership.SyncRequest && !s.IsCut(i, to) && !s.IsCut(to, i) || message.Kind == membership.SyncReply {
+				s.deliver(to, message, 3*s.options.Delay+s.jitter())
 			}
 			continue
 		}
 		if s.IsCut(i, to) || s.rng.Float64() < s.options.Loss {
 			continue
 		}
-		s.deliver(to, m, s.options.Delay+s.jitter())
+		s.deliver(to, message, s.options.Delay+s.jitter())
 		if s.rng.Float64() < s.options.Duplicate {
-			s.deliver(to, m, s.options.Delay+s.jitter())
+			s.deliver(to, message, s.options.Delay+s.jitter())
 		}
 	}
 }
@@ -289,38 +293,38 @@
 	return time.Duration(s.rng.Int64N(int64(s.options.Jitter)))
 }
 
-func (s *Sim) deliver(to int, m membership.Message, in time.Duration) {
-	m.Updates = slices.Clone(m.Updates)
-	s.schedule(in, func() {
+func (s *Sim) deliver(to int, message membership.Message, delay time.Duration) {
+	message.Updates = slices.Clone(message.Updates)
+	s.schedule(delay, func() {
 		n := s.nodes[to]
 		if n.up {
-			process := n.incarnation
-			s.runOrHold(to, func() {
-				if n.incarnation == process {
-					n.Core.Receive(s.local(to), &m)
+			process := n.processNumber
+			s.runOrQueue(to, func() {
+				if n.processNumber == process {
+					n.Core.Receive(s.localTime(to), &message)
 				}
 			})
 		}
 	})
 }
 
-// Views are the views of the members that run.
+// Views returns the views of all running members.
 func (s *Sim) Views() map[int]membership.View {
-	out := map[int]membership.View{}
+	views := map[int]membership.View{}
 	for i, n := range s.nodes {
 		if s.Running(i) {
-			out[i] = n.Core.View()
+			views[i] = n.Core.View()
 		}
 	}
-	return out
+	return views
 }
 
-// Converged reports whether all that run have exactly those that run in their views.
+// Converged reports whether every running member has exactly the running members in its view.
 func (s *Sim) Converged() bool {
 	var want []string
 	for i := range s.nodes {
 		if s.Running(i) {
-			want = append(want, name(i))
+			want = append(want, memberName(i))
 		}
 	}
 	for _, v := range s.Views() {
@@ -331,7 +335,7 @@
 	return true
 }
 
-// HasMember reports whether a member's view has another.
+// HasMember reports whether the view of member i contains member j.
 func (s *Sim) HasMember(i, j int) bool {
-	return slices.Contains(s.nodes[i].Core.View().Members, name(j))
+	return slices.Contains(s.nodes[i].Core.View().Members, memberName(j))
 }
--- a/lab/membersim/schedules_test.go
+++ b/lab/membersim/schedules_test.go
@@ -11,22 +11,23 @@
 	"tackhub.example/tackhub/internal/membership"
 )
 
-// schedule plays one random mixture of all faults, heals everything, and tells what did not hold.
-func schedule(n int, seed uint64) error {
-	s := New(options(n, seed))
+// playRandomSchedule runs a random sequence of all faults, ends them, and returns an error if the views do not converge or a
+// view number decreases.
+func playRandomSchedule(n int, seed uint64) error {
+	s := New(testOptions(n, seed))
 	rng := rand.New(rand.NewPCG(seed, 3))
 	s.Run(5 * time.Second)
 	if rng.IntN(2) == 0 {
 		s.Impair(rng.Float64()*0.3, time.Duration(rng.IntN(100))*time.Millisecond+1, 0.1)
 	}
-	numbers, cores := make([]uint64, n), make([]*membership.Core, n)
-	backward := func() error {
+	viewNumbers, cores := make([]uint64, n), make([]*membership.Core, n)
+	checkViewNumbers := func() error {
 		for i := range n {
 			c, v := s.Node(i).Core, s.Node(i).Core.View().Number
-			if c == cores[i] && v < numbers[i] {
-				return fmt.Errorf("member %d's view went from %d back to %d", i, numbers[i], v)
+			if c == cores[i] && v < viewNumbers[i] {
+				return fmt.Errorf("view number of member %d went from %d back to %d", i, viewNumbers[i], v)
 			}
-			cores[i], numbers[i] = c, v
+			cores[i], viewNumbers[i] = c, v
 		}
 		return nil
 	}
@@ -43,13 +44,13 @@
 			s.Suspend(i)
 		case 6:
 			s.Resume(i)
-		case 7: // one-sided, a fifth of all
+		case 7: // one-way cuts of a fifth of the links
 			for k := range n {
 				for l := range n {
 					s.Cut(k, l, k != l && rng.IntN(5) == 0)
 				}
 			}
-		case 8: // two parts
+		case 8: // split into two parts
 			for k := range n {
 				for l := range n {
 					s.Cut(k, l, (k < j) != (l < j))
@@ -58,7 +59,7 @@
 		}
 		for range 4 {
 			s.Run(time.Duration(rng.IntN(700)) * time.Millisecond)
-			if err := backward(); err != nil {
+			if err := checkViewNumbers(); err != nil {
 				return err
 			}
 		}
@@ -67,43 +68,43 @@
 	for i := range n {
 		s.Resume(i)
 	}
-	if !s.Running(0) && !s.Running(1) { // without a seed a new process has no way in
+	if !s.Running(0) && !s.Running(1) { // a new process can join only through a running seed
 		s.Restart(0)
 	}
-	// Those that were lost three times within a minute stay out for 30 s after their return.
+	// A member that was removed three times within a minute is readmitted only 30 s after its return.
 	for end := s.Now() + 50*time.Second; !s.Converged(); s.Run(200 * time.Millisecond) {
 		if s.Now() > end {
-			return fmt.Errorf("no agreement 50 s after all was healed")
+			return fmt.Errorf("views did not converge within 50 s after all faults had ended")
 		}
-		if err := backward(); err != nil {
+		if err := checkViewNumbers(); err != nil {
 			return err
 		}
 	}
 	s.Run(8 * time.Second)
 	for i := range n {
 		if c := s.Node(i).Core.Connectivity(); s.Running(i) && c != membership.Connected && len(s.Node(i).Core.View().Members) > 1 {
-			return fmt.Errorf("member %d holds itself for %v once all is whole", i, c)
+			return fmt.Errorf("connectivity of member %d after all faults had ended = %v, want %v", i, c, membership.Connected)
 		}
 	}
 	if !s.Converged() {
-		return fmt.Errorf("agreement did not last")
+		return fmt.Errorf("views diverged again within 8 s after they had converged")
 	}
 	return nil
 }
 
-// Thousands of schedules mix all faults. Once the links are whole there must be no lasting disagreement, every live
-// member must be in, and a view's number may never go back.
-func TestRandomFaultSchedules(t *testing.T) {
+// Thousands of random schedules mix all faults. After all faults have ended, every view must contain exactly the live members,
+// and a view number must never decrease.
+func TestClusterConvergesAfterRandomFaults(t *testing.T) {
 	for n, count := range map[int]int{5: 2000, 50: 16} {
 		if testing.Short() || raceEnabled {
 			count = count/40 + 1
 		}
 		seeds := make(chan uint64)
-		var all sync.WaitGroup
+		var workers sync.WaitGroup
 		for range runtime.GOMAXPROCS(0) {
-			all.Go(func() {
+			workers.Go(func() {
 				for seed := range seeds {
-					if err := schedule(n, seed); err != nil {
+					if err := playRandomSchedule(n, seed); err != nil {
 						t.Errorf("%d members, seed %d: %v", n, seed, err)
 					}
 				}
@@ -116,36 +117,37 @@
 			seeds <- seed
 		}
 		close(seeds)
-		all.Wait()
+		workers.Wait()
 	}
 }
 
-// lost counts the samples in which some whole member's view lacked a live one that most can hear.
-func (s *Sim) lost() int {
-	n, out := len(s.nodes), 0
+// countWronglyRemoved counts the pairs in which the view of a running, not isolated member lacks a live member whose messages
+// the majority receives.
+func (s *Sim) countWronglyRemoved() int {
+	n, count := len(s.nodes), 0
 	for i := range n {
 		for j := range n {
-			hears := 0
+			receivers := 0
 			for k := range n {
 				if k != j && !s.IsCut(j, k) {
-					hears++
+					receivers++
 				}
 			}
-			if 2*hears > n && s.Running(i) && s.nodes[j].up && !s.HasMember(i, j) && !s.nodes[i].Core.Connectivity().Isolated() {
-				out++
+			if 2*receivers > n && s.Running(i) && s.nodes[j].up && !s.HasMember(i, j) && !s.nodes[i].Core.Connectivity().Isolated() {
+				count++
 			}
 		}
 	}
-	return out
+	return count
 }
 
-// Members are suspended for 2 s, messages are lost, and links are cut one way. No live member that most can hear may be
-// removed from any view.
+// Members are suspended for 2 s or starved of CPU, messages are lost, and links are cut in one direction. No live member whose
+// messages the majority receives may be removed from any view.
 func TestNoLiveMemberIsRemoved(t *testing.T) {
 	faults := map[string]func(*Sim, *rand.Rand){
 		"loss": func(s *Sim, _ *rand.Rand) { s.Impair(0.2, 50*time.Millisecond, 0.05) },
 		"much": func(s *Sim, _ *rand.Rand) { s.Impair(0.3, 100*time.Millisecond, 0.05) },
-		"ring": func(s *Sim, _ *rand.Rand) { // each hears all but the one before it
+		"ring": func(s *Sim, _ *rand.Rand) { // each member receives from all except its predecessor
 			for i := range s.nodes {
 				s.Cut(i, (i+1)%len(s.nodes), true)
 			}
@@ -158,20 +160,20 @@
 			}
 		},
 		"pauses":  nil,
-		"starved": nil, // a fifth of the members run for a tenth of a second now and then
+		"starved": nil, // a fifth of the members run in only a third of the 50 ms steps
 	}
-	for what, fault := range faults {
+	for faultName, fault := range faults {
 		for _, n := range []int{5, 16} {
 			for seed := range uint64(3) {
-				s, rng := New(options(n, seed)), rand.New(rand.NewPCG(seed, 5))
+				s, rng := New(testOptions(n, seed)), rand.New(rand.NewPCG(seed, 5))
 				s.Run(10 * time.Second)
 				if fault != nil {
 					fault(s, rng)
 				}
-				until := make([]time.Duration, n)
+				resumeAt := make([]time.Duration, n)
 				for s.Now() < 50*time.Second {
 					for i := range n {
-						if what == "starved" {
+						if faultName == "starved" {
 							if s.Resume(i); i < max(1, n/5) && rng.IntN(3) > 0 {
 								s.Suspend(i)
 							}
@@ -179,14 +181,14 @@
 						}
 						if fault == nil && s.Running(i) && rng.IntN(160) == 0 {
 							s.Suspend(i)
-							until[i] = s.Now() + 2*time.Second
-						} else if !s.Running(i) && s.Now() >= until[i] {
+							resumeAt[i] = s.Now() + 2*time.Second
+						} else if !s.Running(i) && s.Now() >= resumeAt[i] {
 							s.Resume(i)
 						}
 					}
 					s.Run(50 * time.Millisecond)
-					if s.lost() > 0 {
-						t.Fatalf("%s, %d members, seed %d: at %v somebody alive was taken out", what, n, seed, s.Now())
+					if s.countWronglyRemoved() > 0 {
+						t.Fatalf("%s, %d members, seed %d: a live member was removed from a view at %v", faultName, n, seed, s.Now())
 					}
 				}
 			}
@@ -194,53 +196,53 @@
 	}
 }
 
-// A member is suspended for longer than the suspicion timeout. All must remove it after that time and not before, and
-// it must be back within a second of resuming, without removing anyone itself.
-func TestLongSuspension(t *testing.T) {
+// Members are suspended for up to 20 s. The others must not remove them before the suspicion timeout and must remove them
+// after it. After they resume, the views must converge within 4 s, and the resumed members must not remove each other.
+func TestSuspendedMemberIsRemovedAndReturns(t *testing.T) {
 	const n = 9
-	for _, stopped := range []int{1, 3, n - 1} {
+	for _, suspendedCount := range []int{1, 3, n - 1} {
 		for _, span := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
-			s := New(options(n, uint64(span)))
+			s := New(testOptions(n, uint64(span)))
 			s.Run(10 * time.Second)
-			for i := range stopped {
+			for i := range suspendedCount {
 				s.Suspend(i)
 			}
 			s.Run(min(span, 2400*time.Millisecond))
-			for i := range stopped {
+			for i := range suspendedCount {
 				if !s.HasMember(n-1, i) {
-					t.Fatalf("%d stopped for %v: %d is out after 2.4 s", stopped, span, i)
+					t.Fatalf("%d members suspended for %v: member %d was removed within 2.4 s", suspendedCount, span, i)
 				}
 			}
 			s.Run(span - min(span, 2400*time.Millisecond))
 			switch {
 			case span < 5*time.Second:
-			case stopped == n-1: // the one that is left cannot tell: it holds itself for cut off
+			case suspendedCount == n-1: // the remaining member cannot detect the suspensions: it considers itself isolated
 				if c := s.Node(n - 1).Core.Connectivity(); c != membership.InboundLost {
-					t.Errorf("the only one that goes on holds itself for %v", c)
+					t.Errorf("connectivity of the only running member = %v, want %v", c, membership.InboundLost)
 				}
 			case s.HasMember(n-1, 0):
-				t.Errorf("%d stopped for %v: still in the view", stopped, span)
+				t.Errorf("%d members suspended for %v: member 0 was not removed", suspendedCount, span)
 			}
-			for i := range stopped {
+			for i := range suspendedCount {
 				s.Resume(i)
 				if i > 0 && !s.HasMember(0, i) {
-					t.Errorf("%d stopped for %v: one woken took another out", stopped, span)
+					t.Errorf("%d members suspended for %v: a resumed member removed another", suspendedCount, span)
 				}
 			}
-			s.agree(t, fmt.Sprintf("%d woken after %v", stopped, span), 4*time.Second)
+			s.waitConverged(t, fmt.Sprintf("%d members resumed after %v", suspendedCount, span), 4*time.Second)
 		}
 	}
 }
 
-// One member hears nobody, and another is heard by nobody. Each must find that out and report it; the first stays in
-// the views, since all hear it.
-func TestOneWayIsolation(t *testing.T) {
+// All links from the other members to member 0, or all links from member 0 to the others, are cut. Member 0 must detect this
+// and report it as its connectivity. In the first case it stays in the views, because the others receive its messages.
+func TestIsolatedMemberDetectsOneWayCut(t *testing.T) {
 	const n = 7
-	for _, deaf := range []bool{true, false} {
-		s := New(options(n, 4))
+	for _, inboundCut := range []bool{true, false} {
+		s := New(testOptions(n, 4))
 		s.Run(10 * time.Second)
 		for i := 1; i < n; i++ {
-			if deaf {
+			if inboundCut {
 				s.Cut(i, 0, true)
 			} else {
 				s.Cut(0, i, true)
@@ -248,34 +250,36 @@
 		}
 		s.Run(8 * time.Second)
 		want := membership.OutboundLost
-		if deaf {
+		if inboundCut {
 			want = membership.InboundLost
 		}
 		if c := s.Node(0).Core.Connectivity(); c != want {
-			t.Errorf("deaf %v: it holds itself for %v", deaf, c)
+			t.Errorf("inbound cut %v: connectivity = %v, want %v", inboundCut, c, want)
 		}
 		for i := 1; i < n; i++ {
-			if s.HasMember(i, 0) != deaf {
-				t.Errorf("deaf %v: member %d holds %v", deaf, i, s.Node(i).Core.View().Members)
+			if s.HasMember(i, 0) != inboundCut {
+				t.Errorf("inbound cut %v: view of member %d = %v, member 0 must be in it only if its inbound links are cut", inboundCut, i,
+					s.Node(i).Core.View().Members)
 			}
 			for j := 1; j < n; j++ {
 				if !s.HasMember(i, j) {
-					t.Errorf("deaf %v: member %d lost %d, which is whole", deaf, i, j)
+					t.Errorf("inbound cut %v: member %d removed member %d, whose links are not cut", inboundCut, i, j)
 				}
 			}
 		}
 		s.Heal()
-		s.agree(t, "healed", 3*time.Second)
+		s.waitConverged(t, "healed", 3*time.Second)
 	}
 }
 
-// Traffic for each member does not grow with their number, and a datagram fits into a packet.
-func TestCosts(t *testing.T) {
+// The traffic per member must not grow with the cluster size: a member sends at most 1000 bytes per second without failures. A
+// datagram must fit into a packet, and the failure of 60 % of the members must be detected.
+func TestTrafficPerMemberStaysBounded(t *testing.T) {
 	for _, n := range []int{5, 16, 64, 300} {
-		c := Costs(options(n, 2))
-		t.Logf("%+v", c)
-		if c.SteadyBytes > 1000 || c.Largest > 1200 || c.DetectedAfter == 0 {
-			t.Errorf("%+v", c)
+		cost := Costs(testOptions(n, 2))
+		t.Logf("%+v", cost)
+		if cost.SteadyBytes > 1000 || cost.LargestDatagram > 1200 || cost.DetectedAfter == 0 {
+			t.Errorf("costs = %+v, want at most 1000 bytes/s, datagrams of at most 1200 bytes, and the failure detected", cost)
 		}
 	}
 }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -1,55 +1,56 @@
-// Package model is the lab's server as a calculation: a queue before some cores, warming up, slow mode under a crowd, a
-// pod that drops duplicates. It is pure: time and requests come in, completions go out; package backend puts sockets
-// around it. docs/lab.md describes what it does, so that small cases can be worked out on paper.
+// Package model computes the behaviour of the lab's simulated servers: a queue in front of the cores, a warm-up after the
+// start, a slow mode after a long queue, and pods that drop repeated requests. The package is pure: it takes times and
+// requests and returns completions. Package backend adds the sockets. docs/lab.md describes the model in enough detail to
+// compute small cases by hand.
 package model
 
 import "math"
 
-// Millis is a time or a span in milliseconds.
+// Millis is a time or a duration in milliseconds.
 type Millis = float64
 
-// Params are the figures of one server.
+// Params configure one server.
 type Params struct {
-	Cores    int     // requests worked on at once
-	Speed    float64 // work in ms that one core does per ms; 1 is the speed that Request.Work refers to
-	QueueMax int     // queued requests beyond which new ones are rejected; 0: no limit
+	Cores    int     // requests executed at the same time
+	Speed    float64 // ms of Request.Work that one core does per ms
+	QueueMax int     // queue length at which new requests are rejected; 0: no limit
 
-	// Slow mode: once more than CrowdDepth requests per core have been queued for CrowdFor, every core runs SlowFactor times
-	// slower, until nothing has been queued for RestFor.
-	CrowdDepth float64 // 0: never
+	// Slow mode: after more than CrowdDepth requests per core have been queued for CrowdFor, every request that starts takes
+	// SlowFactor times as long, until the queue has been empty for RestFor.
+	CrowdDepth float64 // 0: no slow mode
 	CrowdFor   Millis
 	SlowFactor float64
 	RestFor    Millis
 
-	// A cold server begins at ColdSpeed, a share of its speed, and reaches full speed linearly after ColdFor. It collapses if
-	// the work offered within CollapseWindow exceeds CollapseMultiple times what it can do in that window.
+	// Warm-up: a server starts at ColdSpeed, a fraction of its speed, which increases linearly to full speed over ColdFor. It
+	// crashes if the work that arrives within CollapseWindow exceeds CollapseMultiple times what it can do in that window.
 	ColdSpeed        float64
 	ColdFor          Millis
 	CollapseMultiple float64
 	CollapseWindow   Millis
 
-	Window Millis // how long the pod remembers a key
+	Window Millis // how long the pod remembers an idempotency key
 }
 
-// Request is what arrives at a server.
+// Request is a request that arrives at a server.
 type Request struct {
-	ID     uint64 // the lab's own number of this copy
-	Work   Millis // time on one core at speed 1
-	Key    string // not empty for a request whose repeats are dropped
-	Broken bool   // it runs and ends with an error
+	ID     uint64 // identifies this attempt; assigned by the lab
+	Work   Millis // execution time on one core at speed 1
+	Key    string // idempotency key; empty if repeats are executed
+	Broken bool   // it is executed and ends with an error
 }
 
-// Verdict says what a server does with an arrival.
+// Verdict is what a server does with an arriving request.
 type Verdict int
 
 // The verdicts.
 const (
-	Accepted   Verdict = iota // it will be done
-	Duplicate                 // the pod has seen its key: answered at once, nothing runs
+	Accepted   Verdict = iota // it is queued or started
+	Duplicate                 // the pod remembers its key: it is answered at once and not executed
 	QueueFull                 // rejected: the queue is full
-	PodLimited                // rejected: the pod is at its shared limit
-	Draining                  // rejected: the server drains
-	NotRunning                // its process does not run
+	PodLimited                // rejected: the limit of the pod is reached
+	Draining                  // rejected: the server is draining
+	NotRunning                // the process of the server does not run
 )
 
 // Completion is a request that was executed.
@@ -57,32 +58,32 @@
 	Request Request
 	Arrived Millis
 	Started Millis
-	At      Millis
+	At      Millis // when it was completed
 }
 
-// Pod is a group of servers that drop duplicates together and may share a limit.
+// Pod is a group of servers that drop repeated requests together and may share a limit of requests in flight.
 type Pod struct {
-	Limit  int // requests in flight in all its servers; 0: none
-	Window Millis
+	Limit  int    // requests in flight in all its servers; 0: no limit
+	Window Millis // how long an idempotency key is remembered
 
 	inFlight  int
-	keyExpiry map[string]Millis // key: when it is forgotten
-	order     []string          // keys by age: they are forgotten in order
+	keyExpiry map[string]Millis // by key: when it expires
+	order     []string          // keys, oldest first; they expire in this order
 }
 
-// NewPod makes a pod. limit bounds the requests in flight in all its servers, 0 for none; window is how long a key is
-// remembered.
+// NewPod returns a pod. limit bounds the requests in flight in all its servers; 0 means no limit. window is how long an
+// idempotency key is remembered.
 func NewPod(limit int, window Millis) *Pod {
 	return &Pod{Limit: limit, Window: window, keyExpiry: map[string]Millis{}}
 }
 
-// isDuplicate remembers a key and tells whether it was known.
-func (p *Pod) isDuplicate(now Millis, key string) bool {
+// checkAndRecordKey reports whether a key is still remembered, and records it if it is not.
+func (p *Pod) checkAndRecordKey(now Millis, key string) bool {
 	for len(p.order) > 0 && p.keyExpiry[p.order[0]] <= now {
 		delete(p.keyExpiry, p.order[0])
 		p.order = p.order[1:]
 	}
-	if _, ok := p.keyExpiry[key]; ok {
+	if _, known := p.keyExpiry[key]; known {
 		return true
 	}
 	p.keyExpiry[key] = now + p.Window
@@ -90,28 +91,28 @@
 	return false
 }
 
-// Server is one server's state.
+// Server is the state of one server.
 type Server struct {
 	params    Params
 	pod       *Pod
-	started   Millis // -Inf: long ago
+	started   Millis // -Inf: long ago, so that it is fully warmed up
 	slowdown  float64
-	suspended bool // it holds what it has and does nothing
+	suspended bool // it keeps its requests and executes nothing
 	draining  bool
 	down      bool
 
-	queue        []job
-	running      []job
-	slow         bool
-	crowdedSince Millis // since when too many wait; NaN: they do not
-	idleSince    Millis // since when nothing waits; NaN: something does
+	queue           []job
+	running         []job
+	slow            bool   // it is in slow mode
+	overDepthSince  Millis // since when the queue has been longer than CrowdDepth per core; NaN: it is not
+	queueEmptySince Millis // since when the queue has been empty; NaN: it is not
 
-	justStarted []Request // whose work has started since the last TakeStarted
+	justStarted []Request // requests that started since the last TakeStarted
 
-	offered   meter // work that came while it was cold
-	possible  meter // work that it could have done
-	meteredAt Millis
-	collapsed bool
+	offeredWork   slidingSum // work that arrived during the warm-up, in CollapseWindow
+	possibleWork  slidingSum // work that it could have done in the same window
+	lastMeteredAt Millis
+	collapsed     bool
 }
 
 // job is an accepted request.
@@ -122,14 +123,14 @@
 	ends    Millis
 }
 
-// NewServer makes a server that started at a time; math.Inf(-1) for one that is warm.
+// NewServer returns a server that started at a time; math.Inf(-1) means that it is fully warmed up.
 func NewServer(p Params, pod *Pod, started Millis) *Server {
-	s := &Server{params: p, pod: pod, started: started, slowdown: 1, crowdedSince: math.NaN(), idleSince: 0, meteredAt: started}
-	s.offered.span, s.possible.span = p.CollapseWindow, p.CollapseWindow
+	s := &Server{params: p, pod: pod, started: started, slowdown: 1, overDepthSince: math.NaN(), queueEmptySince: 0, lastMeteredAt: started}
+	s.offeredWork.span, s.possibleWork.span = p.CollapseWindow, p.CollapseWindow
 	return s
 }
 
-// WarmupFactor is the share of its speed that the server has at a time.
+// WarmupFactor returns the fraction of its full speed that the server has at a time.
 func (s *Server) WarmupFactor(now Millis) float64 {
 	age := now - s.started
 	if math.IsInf(s.started, -1) || age >= s.params.ColdFor || s.params.ColdFor <= 0 {
@@ -138,7 +139,7 @@
 	return s.params.ColdSpeed + (1-s.params.ColdSpeed)*max(0, age)/s.params.ColdFor
 }
 
-// capacity is the work that all cores together do in a millisecond.
+// capacity returns the work that all cores together do per millisecond.
 func (s *Server) capacity(now Millis) float64 {
 	v := float64(s.params.Cores) * s.params.Speed * s.WarmupFactor(now) / s.slowdown
 	if s.slow {
@@ -147,19 +148,19 @@
 	return v
 }
 
-// InFlight is the number of requests that the server holds, queued or executed.
+// InFlight returns the number of requests that are queued or being executed.
 func (s *Server) InFlight() int { return len(s.queue) + len(s.running) }
 
-// Queued is the number of requests that no core has started.
+// Queued returns the number of requests that no core has started.
 func (s *Server) Queued() int { return len(s.queue) }
 
-// Slow reports whether a crowd has made the server slow.
+// Slow reports whether the server is in slow mode.
 func (s *Server) Slow() bool { return s.slow }
 
-// Collapsed reports whether the server was overloaded while it was cold until it fell over.
+// Collapsed reports whether the server crashed because it was overloaded during its warm-up.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
-// Arrive offers a request. Advance must have been called for the time before.
+// Arrive offers a request to the server. The caller must have advanced the server to now with Advance.
 func (s *Server) Arrive(now Millis, r Request) Verdict {
 	if s.down {
 		return NotRunning
@@ -174,7 +175,7 @@
 		return QueueFull
 	case s.pod.Limit > 0 && s.pod.inFlight >= s.pod.Limit:
 		return PodLimited
-	case r.Key != "" && s.pod.isDuplicate(now, r.Key):
+	case r.Key != "" && s.pod.checkAndRecordKey(now, r.Key):
 		return Duplicate
 	}
 	s.pod.inFlight++
@@ -184,68 +185,68 @@
 	return Accepted
 }
 
-// recordOffered measures the work offered to a cold server. It collapses where that was too much for too long.
+// recordOffered measures the work that arrives during the warm-up, and crashes the server if that exceeds the limit.
 func (s *Server) recordOffered(now Millis, work Millis) {
 	if s.params.CollapseMultiple <= 0 || s.WarmupFactor(now) >= 1 {
 		return
 	}
-	gap := min(now-s.meteredAt, s.params.CollapseWindow) // what it could have done before the window does not count
-	s.possible.add(now, gap*float64(s.params.Cores)*s.params.Speed*(s.WarmupFactor(s.meteredAt)+s.WarmupFactor(now))/2)
-	s.meteredAt = now
-	s.offered.add(now, work)
-	if now-s.started >= s.params.CollapseWindow && s.offered.sum > s.params.CollapseMultiple*s.possible.sum {
+	elapsed := min(now-s.lastMeteredAt, s.params.CollapseWindow) // capacity before the window does not count
+	s.possibleWork.add(now, elapsed*float64(s.params.Cores)*s.params.Speed*(s.WarmupFactor(s.lastMeteredAt)+s.WarmupFactor(now))/2)
+	s.lastMeteredAt = now
+	s.offeredWork.add(now, work)
+	if now-s.started >= s.params.CollapseWindow && s.offeredWork.sum > s.params.CollapseMultiple*s.possibleWork.sum {
 		s.collapsed, s.down = true, true
 		s.pod.inFlight -= s.InFlight()
 		s.queue, s.running = nil, nil
 	}
 }
 
-// startQueued lets idle cores take queued requests. A request's speed is that of the moment at which its work starts.
+// startQueued starts queued requests on idle cores. A request is executed at the speed that the server has when it starts.
 func (s *Server) startQueued(now Millis) {
 	for !s.suspended && !s.down && len(s.queue) > 0 && len(s.running) < s.params.Cores {
-		j := s.queue[0]
+		next := s.queue[0]
 		s.queue = s.queue[1:]
-		j.started = now
-		j.ends = now + j.request.Work*float64(s.params.Cores)/s.capacity(now)
-		s.running = append(s.running, j)
-		s.justStarted = append(s.justStarted, j.request)
+		next.started = now
+		next.ends = now + next.request.Work*float64(s.params.Cores)/s.capacity(now)
+		s.running = append(s.running, next)
+		s.justStarted = append(s.justStarted, next.request)
 	}
 }
 
-// TakeStarted returns the requests whose work has started since the last call: from then on they may have had an
-// effect.
+// TakeStarted returns the requests that have started since the last call. A started request may have had an effect.
 func (s *Server) TakeStarted() []Request {
-	out := s.justStarted
+	started := s.justStarted
 	s.justStarted = nil
-	return out
+	return started
 }
 
-// updateSlowMode begins slow mode after a long crowd and ends it after a long rest.
+// updateSlowMode starts slow mode after the queue has been too long for CrowdFor, and ends it after the queue has been empty
+// for RestFor.
 func (s *Server) updateSlowMode(now Millis) {
 	if s.params.CrowdDepth <= 0 {
 		return
 	}
 	if float64(len(s.queue)) > s.params.CrowdDepth*float64(s.params.Cores) {
-		if math.IsNaN(s.crowdedSince) {
-			s.crowdedSince = now
+		if math.IsNaN(s.overDepthSince) {
+			s.overDepthSince = now
 		}
-		if now-s.crowdedSince >= s.params.CrowdFor {
+		if now-s.overDepthSince >= s.params.CrowdFor {
 			s.slow = true
 		}
 	} else {
-		s.crowdedSince = math.NaN()
+		s.overDepthSince = math.NaN()
 	}
 	switch {
 	case len(s.queue) > 0:
-		s.idleSince = math.NaN()
-	case math.IsNaN(s.idleSince):
-		s.idleSince = now
-	case s.slow && now-s.idleSince >= s.params.RestFor:
+		s.queueEmptySince = math.NaN()
+	case math.IsNaN(s.queueEmptySince):
+		s.queueEmptySince = now
+	case s.slow && now-s.queueEmptySince >= s.params.RestFor:
 		s.slow = false
 	}
 }
 
-// NextCompletion is when the next request will be completed; false where none is being executed.
+// NextCompletion returns when the next request will be completed. It returns false if none is being executed.
 func (s *Server) NextCompletion() (Millis, bool) {
 	if s.suspended || len(s.running) == 0 {
 		return 0, false
@@ -257,19 +258,19 @@
 	return at, true
 }
 
-// Advance executes until a time and returns what was completed, in order.
+// Advance executes requests until a time and returns the completed ones in order of completion.
 func (s *Server) Advance(now Millis) []Completion {
-	var out []Completion
+	var completions []Completion
 	for {
-		at, ok := s.NextCompletion()
-		if !ok || at > now {
+		at, executing := s.NextCompletion()
+		if !executing || at > now {
 			s.updateSlowMode(now)
-			return out
+			return completions
 		}
 		for i, j := range s.running {
 			if j.ends == at {
 				s.running = append(s.running[:i], s.running[i+1:]...)
-				out = append(out, Completion{Request: j.request, Arrived: j.arrived, Started: j.started, At: at})
+				completions = append(completions, Completion{Request: j.request, Arrived: j.arrived, Started: j.started, At: at})
 				s.pod.inFlight--
 				break
 			}
@@ -279,19 +280,19 @@
 	}
 }
 
-// SetDraining has the server reject what comes from now on; what is in flight is completed.
+// SetDraining makes the server reject new requests, or accept them again. Requests in flight are completed.
 func (s *Server) SetDraining(on bool) { s.draining = on }
 
-// SetSlowdown makes what starts from now on take so many times as long.
-func (s *Server) SetSlowdown(times float64) { s.slowdown = max(times, 1e-3) }
+// SetSlowdown multiplies the execution time of the requests that start from now on.
+func (s *Server) SetSlowdown(factor float64) { s.slowdown = max(factor, 1e-3) }
 
-// SetSuspended stops all execution at a time, and lets it continue later where it stopped.
+// SetSuspended suspends all execution at a time, or resumes it where it was suspended.
 func (s *Server) SetSuspended(now Millis, on bool) {
 	if s.suspended == on {
 		return
 	}
 	s.suspended = on
-	for i := range s.running { // while the server is suspended, ends holds the time that a job has left
+	for i := range s.running { // while the server is suspended, ends holds the remaining time of a job
 		if on {
 			s.running[i].ends -= now
 		} else {
@@ -303,27 +304,27 @@
 	}
 }
 
-// Crash loses what is in flight, and returns how much it was.
+// Crash drops all requests in flight and returns their number.
 func (s *Server) Crash() int {
-	n := s.InFlight()
+	dropped := s.InFlight()
 	s.down = true
-	s.pod.inFlight -= n
+	s.pod.inFlight -= dropped
 	s.queue, s.running = nil, nil
-	return n
+	return dropped
 }
 
-// meter sums what came within a span.
-type meter struct {
-	span Millis
-	sum  float64
-	at   []Millis
-	n    []float64
+// slidingSum is the sum of the amounts that were added within the last span.
+type slidingSum struct {
+	span    Millis
+	sum     float64
+	times   []Millis
+	amounts []float64
 }
 
-func (m *meter) add(now Millis, n float64) {
-	for len(m.at) > 0 && m.at[0] <= now-m.span {
-		m.sum -= m.n[0]
-		m.at, m.n = m.at[1:], m.n[1:]
+func (m *slidingSum) add(now Millis, amount float64) {
+	for len(m.times) > 0 && m.times[0] <= now-m.span {
+		m.sum -= m.amounts[0]
+		m.times, m.amounts = m.times[1:], m.amounts[1:]
 	}
-	m.at, m.n, m.sum = append(m.at, now), append(m.n, n), m.sum+n
+	m.times, m.amounts, m.sum = append(m.times, now), append(m.amounts, amount), m.sum+amount
 }
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// meanWait plays a queue with Poisson arrivals and gives the mean wait before the work begins.
+// meanWait simulates a queue with Poisson arrivals and returns the mean time between arrival and start.
 func meanWait(t *testing.T, rho float64, work func(*rand.Rand) float64) float64 {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(7, 11))
@@ -19,15 +19,15 @@
 			n++
 		}
 		if v := s.Arrive(now, Request{ID: uint64(i), Work: work(rng)}); v != Accepted {
-			t.Fatalf("verdict %v", v)
+			t.Fatalf("verdict = %v, want %v", v, Accepted)
 		}
 	}
 	return sum / float64(n)
 }
 
-// The Pollaczek-Khinchine formula gives the mean wait of M/M/1 as rho/(1-rho) and of M/D/1 as half of it, in units of
-// the mean work.
-func TestMeanWaitsMatchTheory(t *testing.T) {
+// The mean wait must match the Pollaczek-Khinchine formula: rho/(1-rho) for M/M/1 and half of it for M/D/1, in units of the mean
+// work.
+func TestMeanWaitMatchesPollaczekKhinchine(t *testing.T) {
 	for _, rho := range []float64{0.3, 0.7} {
 		mm1 := rho / (1 - rho)
 		for _, c := range []struct {
@@ -40,54 +40,55 @@
 		} {
 			got := meanWait(t, rho, c.work)
 			if math.Abs(got-c.want)/c.want > 0.03 {
-				t.Errorf("%s at %.1f: mean wait %.4f, theory says %.4f", c.name, rho, got, c.want)
+				t.Errorf("%s at rho = %.1f: mean wait = %.4f, want %.4f", c.name, rho, got, c.want)
 			}
 		}
 	}
 }
 
-// A cold server starts at a part of its speed and warms up linearly.
-func TestColdServer(t *testing.T) {
+// A server starts at a fraction of its speed, which must increase linearly to full speed during the warm-up.
+func TestServerSpeedIncreasesDuringWarmup(t *testing.T) {
 	p := Params{Cores: 1, Speed: 1, ColdSpeed: 0.25, ColdFor: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 	s := NewServer(p, NewPod(0, 0), 1000)
 	for at, want := range map[float64]float64{1000: 0.25, 3000: 0.625, 5000: 1, 9000: 1} {
 		if got := s.WarmupFactor(at); math.Abs(got-want) > 1e-9 {
-			t.Errorf("warmth at %v is %v, want %v", at, got, want)
+			t.Errorf("warm-up factor at %v = %v, want %v", at, got, want)
 		}
 	}
 	s.Arrive(1000, Request{Work: 10})
 	if d := s.Advance(1040); len(d) != 1 || d[0].At != 1040 {
-		t.Errorf("ten units at a quarter of the speed: %+v, want done at 1040", d)
+		t.Errorf("10 ms of work at a quarter of the speed: completions = %+v, want one at 1040", d)
 	}
 }
 
-// A cold server bears just under the multiple of its capacity for ever, and collapses within the stated time above it.
-func TestColdServerCollapsesOnlyUnderOverload(t *testing.T) {
+// During its warm-up a server must not crash while the arriving work stays below CollapseMultiple times its capacity, and must
+// crash soon after CollapseWindow if the work exceeds that.
+func TestServerCollapsesOnlyUnderOverloadDuringWarmup(t *testing.T) {
 	for _, c := range []struct {
-		times float64
-		falls bool
+		times     float64
+		collapses bool
 	}{{2.7, false}, {3.6, true}} {
 		p := Params{Cores: 1, Speed: 1, ColdSpeed: 0.25, ColdFor: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 		s := NewServer(p, NewPod(0, 0), 0)
-		fell := math.NaN()
+		collapsedAt := math.NaN()
 		for now := 0.0; now < 3900; now += 10 {
 			s.Advance(now)
 			if s.Arrive(now, Request{Work: 10 * c.times * s.WarmupFactor(now)}) == NotRunning {
-				fell = now
+				collapsedAt = now
 				break
 			}
 		}
-		if s.Collapsed() != c.falls {
-			t.Errorf("offered %v times its capacity: fell %v at %v", c.times, s.Collapsed(), fell)
+		if s.Collapsed() != c.collapses {
+			t.Errorf("offered %v times its capacity: collapsed = %v at %v", c.times, s.Collapsed(), collapsedAt)
 		}
-		if c.falls && (fell < 1000 || fell > 1200) {
-			t.Errorf("fell at %v, want soon after the stated second", fell)
+		if c.collapses && (collapsedAt < 1000 || collapsedAt > 1200) {
+			t.Errorf("collapsed at %v, want between 1000 and 1200", collapsedAt)
 		}
 	}
 }
 
-// A long crowd makes a server slow, and a long rest ends that.
-func TestSlowModeAfterCrowd(t *testing.T) {
+// A long queue must start slow mode after CrowdFor, and an empty queue must end it after RestFor.
+func TestSlowModeStartsWithLongQueueAndEndsWithEmptyQueue(t *testing.T) {
 	p := Params{Cores: 1, Speed: 1, CrowdDepth: 2, CrowdFor: 100, SlowFactor: 3, RestFor: 50}
 	s := NewServer(p, NewPod(0, 0), math.Inf(-1))
 	for i := range 6 {
@@ -95,24 +96,24 @@
 	}
 	s.Advance(99)
 	if s.Slow() {
-		t.Error("slow before the crowd had stood its time")
+		t.Error("slow mode started before the queue had been long for 100 ms")
 	}
-	s.Advance(121) // at 120 four still wait: the crowd has stood since 0
+	s.Advance(121) // at 120 ms four requests are queued: the queue has been too long since 0
 	if !s.Slow() {
-		t.Fatal("not slow after the crowd")
+		t.Fatal("slow mode did not start after 120 ms of a long queue")
 	}
 	if at, _ := s.NextCompletion(); at != 180 && at != 300 {
-		t.Errorf("next end at %v", at)
+		t.Errorf("next completion at %v, want 180 or 300", at)
 	}
-	s.Advance(5000) // all done long ago, nothing waited since
+	s.Advance(5000) // all requests were completed long before, and the queue has been empty since
 	s.Advance(5100)
 	if s.Slow() {
-		t.Error("still slow after its rest")
+		t.Error("slow mode did not end after the queue was empty for 50 ms")
 	}
 }
 
-// A pod drops a duplicate key at each of its servers until its window is over.
-func TestPodDropsDuplicatesWithinWindow(t *testing.T) {
+// Every server of a pod must drop a request with a remembered key until the window of the key has passed.
+func TestPodDropsRepeatedKeyWithinWindow(t *testing.T) {
 	pod := NewPod(0, 500)
 	a := NewServer(Params{Cores: 1, Speed: 1}, pod, math.Inf(-1))
 	b := NewServer(Params{Cores: 1, Speed: 1}, pod, math.Inf(-1))
@@ -124,14 +125,14 @@
 	}{{0, a, Accepted}, {400, b, Duplicate}, {450, other, Accepted}, {600, b, Accepted}, {650, a, Duplicate}} {
 		c.s.Advance(c.at)
 		if v := c.s.Arrive(c.at, Request{Work: 1, Key: "k"}); v != c.want {
-			t.Errorf("at %v: %v, want %v", c.at, v, c.want)
+			t.Errorf("verdict at %v = %v, want %v", c.at, v, c.want)
 		}
 	}
 }
 
-// The queue and the pod have limits; a suspension keeps what is in flight, and a crash loses it. A crashed or draining server
-// accepts nothing.
-func TestLimitsSuspensionAndCrash(t *testing.T) {
+// Requests beyond the limit of the queue or the pod must be rejected. A suspension must keep the requests in flight, and a crash
+// must drop them. A crashed or draining server must accept nothing.
+func TestServerLimitsSuspensionAndCrash(t *testing.T) {
 	pod := NewPod(3, 0)
 	a := NewServer(Params{Cores: 1, Speed: 1, QueueMax: 1}, pod, math.Inf(-1))
 	b := NewServer(Params{Cores: 1, Speed: 1}, pod, math.Inf(-1))
@@ -139,29 +140,29 @@
 		b.Arrive(0, Request{Work: 10}), b.Arrive(0, Request{Work: 10})}
 	for i, want := range []Verdict{Accepted, Accepted, QueueFull, Accepted, PodLimited} {
 		if verdicts[i] != want {
-			t.Errorf("arrival %d: %v, want %v", i, verdicts[i], want)
+			t.Errorf("arrival %d: verdict = %v, want %v", i, verdicts[i], want)
 		}
 	}
 	a.SetSuspended(4, true)
 	if d := a.Advance(100); len(d) != 0 {
-		t.Errorf("a suspended server completed %v", d)
+		t.Errorf("suspended server: completions = %v, want none", d)
 	}
 	a.SetSuspended(100, false)
 	if d := a.Advance(106); len(d) != 1 || d[0].At != 106 {
-		t.Errorf("after the suspension: %+v, want one done at 106", d)
+		t.Errorf("after the suspension: completions = %+v, want one at 106", d)
 	}
 	if n := a.Crash(); n != 1 {
-		t.Errorf("the crash lost %d, want 1", n)
+		t.Errorf("requests dropped by the crash = %d, want 1", n)
 	}
 	if a.Arrive(200, Request{}) != NotRunning {
-		t.Error("a crashed server accepted a request")
+		t.Error("crashed server: verdict is not NotRunning")
 	}
 	b.SetDraining(true)
 	if b.Arrive(200, Request{}) != Draining {
-		t.Error("a draining server accepted a request")
+		t.Error("draining server: verdict is not Draining")
 	}
 	b.Advance(200)
 	if pod.inFlight != 0 {
-		t.Errorf("the pod still counts %d in flight", pod.inFlight)
+		t.Errorf("requests in flight in the pod = %d, want 0", pod.inFlight)
 	}
 }
