--- a/lab/knownred/entry.go
+++ b/lab/knownred/entry.go
@@ -1,5 +1,5 @@
-// Package knownred reads KNOWN-RED.txt, the list of tests and seeded runs that fail for a real fault which is still open, and runs
-// everything in such a way that exactly these may fail.
+// Package knownred reads KNOWN-RED.txt, the list of tests and seeded runs that are known to fail because of an open fault. It
+// runs CI's tests and seeded runs so that exactly the listed ones may fail.
 package knownred
 
 import (
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// An Entry is one line of the list: name, command with its seed, what was seen, issue. Only the third part may hold commas.
+// An Entry is one line of the list: name, command with its seed, what was seen, issue. Only the third part may contain commas.
 type Entry struct {
-	Name    string // of a Go test, TestX or TestX/case, or of a seeded run: soak seed N
-	Command string // that shows the failure, with its seed or "(no seed)"
-	Seen    string
-	Issue   string // issue N
+	Name     string // a Go test, TestX or TestX/case, or a seeded run, soak seed N
+	Command  string // reproduces the failure; contains its seed or "(no seed)"
+	Observed string
+	Issue    string // in the form: issue N
 
-	Package string // of a Go test, as its command names it; empty for a seeded run
-	Seed    string // of a seeded run
+	Package string // package argument in the command of a Go test; empty for a seeded run
+	Seed    string // seed of a seeded run; empty for a Go test
 }
 
 var (
@@ -27,10 +27,10 @@
 	issueName   = regexp.MustCompile(`^issue [0-9]+$`)
 )
 
-// entryParts is how many parts an entry has.
-const entryParts = 4
+// minEntryParts is the minimum number of parts of an entry, which are separated by ", ".
+const minEntryParts = 4
 
-// Parse reads a list. Its errors name the line, which is malformed or names something twice.
+// Parse parses a list. It returns an error with the line number for a malformed entry or one that repeats an earlier one.
 func Parse(text string) ([]Entry, error) {
 	var entries []Entry
 	seen := map[string]int{}
@@ -43,8 +43,8 @@
 			return nil, fmt.Errorf("line %d: %w", i+1, err)
 		}
 		key := entry.Package + " " + entry.Name
-		if first, again := seen[key]; again {
-			return nil, fmt.Errorf("line %d: %s is named in line %d already", i+1, entry.Name, first)
+		if firstLine, listed := seen[key]; listed {
+			return nil, fmt.Errorf("line %d: %s is already listed in line %d", i+1, entry.Name, firstLine)
 		}
 		seen[key] = i + 1
 		entries = append(entries, entry)
@@ -54,53 +54,53 @@
 
 func parseEntry(line string) (Entry, error) {
 	parts := strings.Split(line, ", ")
-	if len(parts) < entryParts {
-		return Entry{}, fmt.Errorf("it is not: name, command and seed, what was seen, issue N")
+	if len(parts) < minEntryParts {
+		return Entry{}, fmt.Errorf("malformed entry, want: NAME, COMMAND WITH SEED, WHAT WAS SEEN, issue N")
 	}
 	last := len(parts) - 1
 	e := Entry{
-		Name:    parts[0],
-		Command: parts[1],
-		Seen:    strings.TrimSpace(strings.Join(parts[2:last], ", ")),
-		Issue:   strings.TrimSpace(parts[last]),
+		Name:     parts[0],
+		Command:  parts[1],
+		Observed: strings.TrimSpace(strings.Join(parts[2:last], ", ")),
+		Issue:    strings.TrimSpace(parts[last]),
 	}
 	switch {
-	case e.Seen == "":
-		return Entry{}, fmt.Errorf("%s: it does not say what was seen", e.Name)
+	case e.Observed == "":
+		return Entry{}, fmt.Errorf("%s: the part that says what was seen is empty", e.Name)
 	case !issueName.MatchString(e.Issue):
-		return Entry{}, fmt.Errorf("%s: it does not end with: issue N", e.Name)
+		return Entry{}, fmt.Errorf("%s: the last part is %q, want: issue N", e.Name, e.Issue)
 	case testName.MatchString(e.Name):
 		return e.withPackage()
 	case runName.MatchString(e.Name):
 		return e.withSeed()
 	}
-	return Entry{}, fmt.Errorf("%q is neither a test, TestX or TestX/case, nor a run, soak seed N", e.Name)
+	return Entry{}, fmt.Errorf("%q is neither a test (TestX or TestX/case) nor a run (soak seed N)", e.Name)
 }
 
-// withPackage takes the package of a test from its command.
+// withPackage returns the entry of a test with the package that its command names.
 func (e Entry) withPackage() (Entry, error) {
-	found := testCommand.FindStringSubmatch(e.Command)
-	if found == nil {
-		return Entry{}, fmt.Errorf("%s: its command does not begin with: go test ./package", e.Name)
+	match := testCommand.FindStringSubmatch(e.Command)
+	if match == nil {
+		return Entry{}, fmt.Errorf("%s: command %q does not start with: go test ./PACKAGE", e.Name, e.Command)
 	}
 	if !strings.Contains(e.Command, "seed") {
-		return Entry{}, fmt.Errorf("%s: its command names no seed, nor says (no seed)", e.Name)
+		return Entry{}, fmt.Errorf("%s: command %q contains neither a seed nor (no seed)", e.Name, e.Command)
 	}
-	e.Package = found[1]
+	e.Package = match[1]
 	return e, nil
 }
 
-// withSeed checks that the name and the command of a run have one seed.
+// withSeed returns the entry of a run with its seed. The name and the command must have the same seed.
 func (e Entry) withSeed() (Entry, error) {
 	e.Seed = runName.FindStringSubmatch(e.Name)[1]
-	found := runCommand.FindStringSubmatch(e.Command)
-	if found == nil || found[2] != e.Seed {
-		return Entry{}, fmt.Errorf("%s: its command is not: bin/tacklab soak ... --seed %s", e.Name, e.Seed)
+	match := runCommand.FindStringSubmatch(e.Command)
+	if match == nil || match[2] != e.Seed {
+		return Entry{}, fmt.Errorf("%s: command is %q, want: bin/tacklab soak ... --seed %s", e.Name, e.Command, e.Seed)
 	}
 	return e, nil
 }
 
-// pattern selects exactly this test, as go test's -run and -skip read it.
+// pattern returns the regular expression that selects exactly this test in go test's -run and -skip flags.
 func (e Entry) pattern() string {
 	levels := strings.Split(e.Name, "/")
 	for i, level := range levels {
--- a/lab/knownred/run.go
+++ b/lab/knownred/run.go
@@ -11,44 +11,45 @@
 	"strings"
 )
 
-// A Runner runs what the list is about. Its output is that of the commands, and a line on each entry.
+// A Runner runs tests and seeded runs, of which the listed ones may fail. It writes the output of the commands and one line with
+// the result of each entry.
 type Runner struct {
 	Entries []Entry
-	Dir     string // the module's root
+	Dir     string // root directory of the module
 	Out     io.Writer
 }
 
-// errFailed says that something failed that is not listed; the output says what.
-var errFailed = errors.New("a test or run that is not listed failed")
+// errUnlistedFailure is returned if a test or run failed that is not listed. The output contains the details.
+var errUnlistedFailure = errors.New("a test or run that is not listed as a known failure has failed")
 
-// Check reports listed tests that the tree has not.
+// Check returns an error if a listed test does not exist. It does not check the cases of a test.
 func (r *Runner) Check() error {
 	for _, e := range r.Entries {
 		if e.Package == "" {
 			continue
 		}
-		top, _, _ := strings.Cut(e.Name, "/")
-		out, err := r.command("go", "test", "-list", "^"+top+"$", e.Package).Output()
+		topLevelTest, _, _ := strings.Cut(e.Name, "/")
+		out, err := r.command("go", "test", "-list", "^"+topLevelTest+"$", e.Package).Output()
 		if err != nil {
-			return fmt.Errorf("%s: %s cannot be asked for its tests: %w", e.Name, e.Package, err)
+			return fmt.Errorf("%s: cannot list the tests of %s: %w", e.Name, e.Package, err)
 		}
-		if !slices.Contains(strings.Split(string(out), "\n"), top) {
-			return fmt.Errorf("%s: there is no such test in %s", e.Name, e.Package)
+		if !slices.Contains(strings.Split(string(out), "\n"), topLevelTest) {
+			return fmt.Errorf("%s: the test does not exist in %s", e.Name, e.Package)
 		}
 	}
 	return nil
 }
 
-// Test runs all tests. Those that are listed run by themselves after the others, and their results are told; all others have to pass.
+// Test runs all tests. The listed tests run separately after the others, and their results are reported; all others must pass.
 func (r *Runner) Test() error {
-	listed := r.packagesWithEntries()
-	others, err := r.otherPackages(listed)
+	packages := r.packagesWithEntries()
+	unlisted, err := r.otherPackages(packages)
 	if err != nil {
 		return err
 	}
-	failed := r.stream("go", append([]string{"test"}, others...)...) != nil
-	for _, name := range listed {
-		if r.stream("go", "test", "-skip", r.skipPattern(name), name) != nil {
+	failed := r.runStreaming("go", append([]string{"test"}, unlisted...)...) != nil
+	for _, name := range packages {
+		if r.runStreaming("go", "test", "-skip", r.skipPattern(name), name) != nil {
 			failed = true
 		}
 	}
@@ -61,12 +62,12 @@
 		}
 	}
 	if failed {
-		return errFailed
+		return errUnlistedFailure
 	}
 	return nil
 }
 
-// packagesWithEntries returns the packages that have listed tests, each once.
+// packagesWithEntries returns the packages that have listed tests, without repeats.
 func (r *Runner) packagesWithEntries() []string {
 	var listed []string
 	for _, e := range r.Entries {
@@ -77,7 +78,7 @@
 	return listed
 }
 
-// otherPackages returns the import paths of all packages but the ones listed.
+// otherPackages returns the import paths of all packages except the listed ones.
 func (r *Runner) otherPackages(listed []string) ([]string, error) {
 	all, err := r.listPackages("./...")
 	if err != nil || len(listed) == 0 {
@@ -90,7 +91,7 @@
 	return slices.DeleteFunc(all, func(path string) bool { return slices.Contains(excluded, path) }), nil
 }
 
-// listPackages returns the import paths of packages.
+// listPackages returns the import paths of the packages that match the patterns.
 func (r *Runner) listPackages(patterns ...string) ([]string, error) {
 	out, err := r.command("go", append([]string{"list"}, patterns...)...).Output()
 	if err != nil {
@@ -99,7 +100,7 @@
 	return strings.Fields(string(out)), nil
 }
 
-// skipPattern selects the listed tests of a package.
+// skipPattern returns the -skip pattern for the listed tests of a package.
 func (r *Runner) skipPattern(name string) string {
 	var patterns []string
 	for _, e := range r.Entries {
@@ -110,7 +111,7 @@
 	return strings.Join(patterns, "|")
 }
 
-// testEntry runs one listed test and tells its result. A case that the test has not is an error.
+// testEntry runs one listed test and reports its result. It returns an error if the listed case of the test does not exist.
 func (r *Runner) testEntry(e Entry) error {
 	var out bytes.Buffer
 	cmd := r.command("go", "test", "-v", "-run", e.pattern(), e.Package)
@@ -119,55 +120,55 @@
 	failed := cmd.Run() != nil
 	ran := regexp.MustCompile(`(?m)^=== RUN\s+` + regexp.QuoteMeta(e.Name) + `$`).Match(out.Bytes())
 	if !ran && !failed {
-		return fmt.Errorf("%s: there is no such test in %s", e.Name, e.Package)
+		return fmt.Errorf("%s: the test does not exist in %s", e.Name, e.Package)
 	}
 	if failed {
 		_, _ = r.Out.Write(out.Bytes())
 	}
-	r.tell(e, failed)
+	r.reportResult(e, failed)
 	return nil
 }
 
-// PlayListed plays the listed runs, and tells their results.
+// PlayListed runs the listed seeded runs and reports their results.
 func (r *Runner) PlayListed() {
 	for _, e := range r.Entries {
 		if e.Seed == "" {
 			continue
 		}
 		argv := strings.Fields(e.Command)
-		r.tell(e, r.stream(argv[0], argv[1:]...) != nil)
+		r.reportResult(e, r.runStreaming(argv[0], argv[1:]...) != nil)
 	}
 }
 
-// Run runs a command. It has to pass, unless it is a listed run.
+// Run runs a command. It returns an error if the command fails, unless the command is a listed run.
 func (r *Runner) Run(argv []string) error {
-	failed := r.stream(argv[0], argv[1:]...) != nil
+	failed := r.runStreaming(argv[0], argv[1:]...) != nil
 	if i := slices.IndexFunc(r.Entries, func(e Entry) bool { return e.isRun(argv) }); i >= 0 {
-		r.tell(r.Entries[i], failed)
+		r.reportResult(r.Entries[i], failed)
 		return nil
 	}
 	if failed {
-		return errFailed
+		return errUnlistedFailure
 	}
 	return nil
 }
 
-// isRun reports whether a command is the run of an entry: the same program with the same arguments.
+// isRun reports whether a command is the run of an entry, with the same program and the same arguments.
 func (e Entry) isRun(argv []string) bool {
 	return e.Seed != "" && slices.Equal(strings.Fields(e.Command), argv)
 }
 
-// tell writes the result of an entry.
-func (r *Runner) tell(e Entry, failed bool) {
+// reportResult writes whether the test or run of an entry passed or failed.
+func (r *Runner) reportResult(e Entry, failed bool) {
 	result := "passed"
 	if failed {
 		result = "failed"
 	}
-	_, _ = fmt.Fprintf(r.Out, "known red, %s in this run: %s (%s; %s)\n", result, e.Name, e.Seen, e.Issue)
+	_, _ = fmt.Fprintf(r.Out, "known red, %s in this run: %s (%s; %s)\n", result, e.Name, e.Observed, e.Issue)
 }
 
-// stream runs a command with its output passed on.
-func (r *Runner) stream(name string, args ...string) error {
+// runStreaming runs a command and copies its output to Out.
+func (r *Runner) runStreaming(name string, args ...string) error {
 	cmd := r.command(name, args...)
 	cmd.Stdout = r.Out
 	cmd.Stderr = r.Out
