--- a/conventions_test.go
+++ b/conventions_test.go
@@ -1,4 +1,4 @@
-// Package tackhub_test checks the conventions that hold for the source of the whole module.
+// Package tackhub_test checks the source conventions of the whole module.
 package tackhub_test
 
 import (
@@ -12,18 +12,18 @@
 	"testing"
 )
 
-// A reader who meets an exported name in an editor or in go doc sees its doc comment and nothing else. staticcheck looks at
-// the form of doc comments that are there; that one is missing it does not report, so this test does.
+// Every exported item needs a doc comment, because editors and go doc show nothing else about it. staticcheck checks only the
+// form of existing doc comments, so this test reports the missing ones.
 func TestExportedItemsHaveDocComments(t *testing.T) {
-	for _, file := range productFiles(t) {
+	for _, file := range nonTestFiles(t) {
 		for _, name := range undocumented(file.syntax) {
 			t.Errorf("%s: exported %s has no doc comment", file.set.Position(name.Pos()), name.Name)
 		}
 	}
 }
 
-// The check itself is tried on a file in which every kind of item stands once with and once without a doc comment: a check
-// that passes over a kind of item would let the whole tree pass.
+// undocumented must report every kind of exported item without a doc comment. If it ignored one kind, the test of the module
+// would pass without checking it. The sample file has each kind with and without a doc comment.
 func TestUndocumentedItemsAreFound(t *testing.T) {
 	const source = `package sample
 
@@ -80,18 +80,18 @@
 	}
 	const want = "[Type Pointer OfGeneric Bare Alone Nothing]"
 	if got := fmt.Sprint(found); got != want {
-		t.Errorf("undocumented are %s, want %s", got, want)
+		t.Errorf("undocumented items = %s, want %s", got, want)
 	}
 }
 
-// sourceFile is a parsed file with the set that tells its positions.
+// sourceFile is a parsed file with the file set that resolves its positions.
 type sourceFile struct {
 	set    *token.FileSet
 	syntax *ast.File
 }
 
-// productFiles parses all Go files of the module but tests and generated code.
-func productFiles(t *testing.T) []sourceFile {
+// nonTestFiles parses all Go files of the module except tests and generated code.
+func nonTestFiles(t *testing.T) []sourceFile {
 	t.Helper()
 	var files []sourceFile
 	set := token.NewFileSet()
@@ -99,7 +99,7 @@
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && path != "." && skippedDirectory(entry.Name()):
+		case entry.IsDir() && path != "." && isSkippedDirectory(entry.Name()):
 			return filepath.SkipDir
 		case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
@@ -117,18 +117,18 @@
 		t.Fatal(err)
 	}
 	if len(files) == 0 {
-		t.Fatal("no source files found: the test must run at the module's root")
+		t.Fatal("no source files found, run the test in the root directory of the module")
 	}
 	return files
 }
 
-// skippedDirectory tells the directories that the go command passes over.
-func skippedDirectory(name string) bool {
+// isSkippedDirectory reports whether the go command ignores a directory.
+func isSkippedDirectory(name string) bool {
 	return name == "testdata" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_")
 }
 
-// undocumented gives the exported items of a file without a doc comment, in the order of the file. The comment of a group of
-// constants, variables or types stands for all in it; so does a comment at the end of an item's own line.
+// undocumented returns the exported items of a file that have no doc comment, in the order of the file. The comment of a group
+// of constants, variables or types documents all items of the group. A comment at the end of an item's line counts as well.
 func undocumented(file *ast.File) []*ast.Ident {
 	var names []*ast.Ident
 	for _, declaration := range file.Decls {
@@ -146,7 +146,7 @@
 	return names
 }
 
-// undocumentedSpecs gives the exported names of a declaration whose own lines have no comment.
+// undocumentedSpecs returns the exported names of a declaration that have no comment of their own.
 func undocumentedSpecs(declaration *ast.GenDecl) []*ast.Ident {
 	var names []*ast.Ident
 	for _, spec := range declaration.Specs {
@@ -169,7 +169,7 @@
 	return names
 }
 
-// receiverIsExported reports whether a function is none of an unexported type's methods.
+// receiverIsExported reports whether a function has no receiver or a receiver of an exported type.
 func receiverIsExported(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return true
--- a/lab/audit/membership.go
+++ b/lab/audit/membership.go
@@ -75,8 +75,8 @@
 
 // process is one process of a node.
 type process struct {
-	node  int
-	start uint64
+	node       int
+	generation uint64
 }
 
 // viewRange holds the first and the latest view number of a process.
--- a/lab/audit/membership_test.go
+++ b/lab/audit/membership_test.go
@@ -86,7 +86,7 @@
 		m := sampleMembershipRecord()
 		addBreach(&m)
 		if out, _ := m.Judge(limits); !slices.Equal(brokenRules(out), []string{rule}) {
-			t.Errorf("breaches = %v, want only rule %s", out, rule)
+			t.Errorf("want only a breach of rule %s, breaches = %v", rule, out)
 		}
 	}
 }
--- a/lab/audit/rules.go
+++ b/lab/audit/rules.go
@@ -13,6 +13,7 @@
 	breaches []Breach
 }
 
+// breach records a breach of a rule.
 func (a *auditor) breach(rule string, at Offset, format string, args ...any) {
 	a.breaches = append(a.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 }
--- a/lab/knownred/entry.go
+++ b/lab/knownred/entry.go
@@ -52,6 +52,7 @@
 	return entries, nil
 }
 
+// parseEntry parses one line of the list.
 func parseEntry(line string) (Entry, error) {
 	parts := strings.Split(line, ", ")
 	if len(parts) < minEntryParts {
--- a/lab/knownred/run.go
+++ b/lab/knownred/run.go
@@ -175,6 +175,7 @@
 	return cmd.Run()
 }
 
+// command returns a command that runs in Dir.
 func (r *Runner) command(name string, args ...string) *exec.Cmd {
 	cmd := exec.Command(name, args...)
 	cmd.Dir = r.Dir
--- a/lab/membersim/membersim.go
+++ b/lab/membersim/membersim.go
@@ -58,12 +58,14 @@
 // maxPending is how many actions a suspended process queues, like the receive buffer of its socket.
 const maxPending = 400
 
+// event is an action at a virtual time. seq orders events of the same time by when they were scheduled.
 type event struct {
 	at     time.Duration
 	seq    int
 	action func()
 }
 
+// events is a heap of events, ordered by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -100,10 +102,13 @@
 	return s
 }
 
+// memberName returns the name of member i.
 func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
+// memberAddress returns the address of member i.
 func memberAddress(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250) }
 
+// memberIndex returns the index of the member with an address, or -1 if the address is malformed.
 func memberIndex(address string) int {
 	var block, offset int
 	if _, err := fmt.Sscanf(address, "10.0.%d.%d:7946", &block, &offset); err != nil {
@@ -126,6 +131,7 @@
 	}
 }
 
+// localTime returns the current time on the clock of node i.
 func (s *Sim) localTime(i int) time.Duration { return s.now + s.nodes[i].clockOffset }
 
 // Node returns a member.
@@ -150,6 +156,7 @@
 	s.tick(i, n.processNumber, time.Duration(s.rng.Int64N(int64(s.options.Period/5))))
 }
 
+// tick calls Tick of a core after a delay, and then five times per period until the process ends.
 func (s *Sim) tick(i, process int, delay time.Duration) {
 	s.schedule(delay, func() {
 		n := s.nodes[i]
@@ -286,6 +293,7 @@
 	}
 }
 
+// jitter returns a random delay below Options.Jitter.
 func (s *Sim) jitter() time.Duration {
 	if s.options.Jitter == 0 {
 		return 0
@@ -293,6 +301,7 @@
 	return time.Duration(s.rng.Int64N(int64(s.options.Jitter)))
 }
 
+// deliver passes a message to a member after a delay.
 func (s *Sim) deliver(to int, message membership.Message, delay time.Duration) {
 	message.Updates = slices.Clone(message.Updates)
 	s.schedule(delay, func() {
--- a/lab/membersim/membersim_test.go
+++ b/lab/membersim/membersim_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// testOptions returns the options of a cluster without network faults.
 func testOptions(n int, seed uint64) Options {
 	return Options{Members: n, Seed: seed, Period: 250 * time.Millisecond, Timeout: 150 * time.Millisecond, Suspicion: 2500 * time.Millisecond,
 		Delay: time.Millisecond}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -321,6 +321,7 @@
 	amounts []float64
 }
 
+// add adds an amount and drops the amounts that are older than the span.
 func (m *slidingSum) add(now Millis, amount float64) {
 	for len(m.times) > 0 && m.times[0] <= now-m.span {
 		m.sum -= m.amounts[0]
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -79,7 +79,7 @@
 			}
 		}
 		if s.Collapsed() != c.collapses {
-			t.Errorf("offered %v times its capacity: collapsed = %v at %v", c.times, s.Collapsed(), collapsedAt)
+			t.Errorf("offered %v times its capacity: collapsed = %v at %v, want collapsed = %v", c.times, s.Collapsed(), collapsedAt, c.collapses)
 		}
 		if c.collapses && (collapsedAt < 1000 || collapsedAt > 1200) {
 			t.Errorf("collapsed at %v, want between 1000 and 1200", collapsedAt)
@@ -155,11 +155,11 @@
 		t.Errorf("requests dropped by the crash = %d, want 1", n)
 	}
 	if a.Arrive(200, Request{}) != NotRunning {
-		t.Error("crashed server: verdict is not NotRunning")
+		t.Error("crashed server: verdict of a request is not NotRunning")
 	}
 	b.SetDraining(true)
 	if b.Arrive(200, Request{}) != Draining {
-		t.Error("draining server: verdict is not Draining")
+		t.Error("draining server: verdict of a request is not Draining")
 	}
 	b.Advance(200)
 	if pod.inFlight != 0 {
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -241,6 +241,7 @@
 	reader *bufio.Reader
 }
 
+// dial opens a connection to a node.
 func dial(address string) (*connection, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -72,7 +72,8 @@
 	deadline := pickOne(250*time.Millisecond, 390*time.Millisecond, 390*time.Millisecond, 800*time.Millisecond, 1500*time.Millisecond)
 	for _, class := range classes {
 		s.Classes = append(s.Classes, scenario.Class{Name: class.name, Effect: class.effect, Group: class.group, Window: class.window,
-			Share: class.share, Worth: class.worth, Aim: deadline / 2, Deadline: deadline, Work: 12 * time.Millisecond, Dist: "exponential", Body: 200})
+			Share: class.share, Worth: class.worth, Aim: deadline / 2, Deadline: deadline, Work: 12 * time.Millisecond,
+			Dist: "exponential", Body: 200})
 	}
 	if !o.Quiet {
 		s.Faults = randomFaults(s, rng)
@@ -100,6 +101,7 @@
 	faults   []scenario.Fault
 }
 
+// add adds a fault unless it would begin too late.
 func (d *faultGenerator) add(f scenario.Fault) {
 	if f.At < d.end {
 		d.faults = append(d.faults, f)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -28,6 +28,7 @@
 	return parsed
 }
 
+// scheduleHash returns the hash of the schedule of a scenario.
 func scheduleHash(t *testing.T, s *scenario.Scenario) string {
 	t.Helper()
 	schedule, err := s.Schedule()
--- a/pages_test.go
+++ b/pages_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// Pages name files, packages, identifiers and tests. A rename that leaves them behind sends a reader to what is no longer
-// there, and nothing else in the build notices: so each such name on a page that describes the present must exist.
+// Pages name files, packages, identifiers and tests. If a rename does not update a page, its readers look for something that no
+// longer exists, and nothing else in the build reports it. Each such name on a page about the current code must exist.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := declaredNames(t)
 	for _, page := range currentPages(t) {
@@ -30,9 +30,9 @@
 	}
 }
 
-// The check itself is tried on a line with each kind of name, present and missing.
+// missingNames must report each kind of name that does not exist, and no name that exists.
 func TestMissingNamesAreFound(t *testing.T) {
-	declared := names{
+	declared := nameIndex{
 		members: map[string]map[string]bool{"sample": {"Known": true, "Type": true, "camelKnown": true}},
 		tests:   map[string]bool{"TestKnown": true},
 	}
@@ -40,14 +40,14 @@
 		"`internal/...`, `TestKnown`, `TestGone`, `sample.TestGone`, `Type.Known`, `Type.Gone`, `camelKnown`, `camelGone`, `plain`, plain docs/gone.md"
 	want := []string{"sample.Gone", "docs/gone.md", "TestGone", "sample.TestGone", "Type.Gone", "camelGone"}
 	if got := missingNames(line, declared); !slices.Equal(got, want) {
-		t.Errorf("missing are %q, want %q", got, want)
+		t.Errorf("missing names = %q, want %q", got, want)
 	}
 }
 
-// historicalPages tell of the past with the names of their time, or of plans.
-var historicalPages = []string{"docs/incidents", "docs/standing.md", "docs/ROADMAP.md"}
+// uncheckedPages describe the past with the names of that time, or plans.
+var uncheckedPages = []string{"docs/incidents", "docs/standing.md", "docs/ROADMAP.md"}
 
-// currentPages gives the pages that describe the present.
+// currentPages returns the pages that describe the current code.
 func currentPages(t *testing.T) []string {
 	t.Helper()
 	pages := []string{"README.md"}
@@ -55,7 +55,7 @@
 		switch {
 		case err != nil:
 			return err
-		case slices.Contains(historicalPages, path):
+		case slices.Contains(uncheckedPages, path):
 			if entry.IsDir() {
 				return filepath.SkipDir
 			}
@@ -70,46 +70,46 @@
 	return pages
 }
 
-// names are the declared names of the module.
-type names struct {
-	members map[string]map[string]bool // by package name: what is declared in it, members of its types as well
+// nameIndex holds the names that the module declares.
+type nameIndex struct {
+	members map[string]map[string]bool // by package name: declared names, including fields and methods of types
 	tests   map[string]bool            // tests, benchmarks and fuzz targets
 }
 
 var (
-	// quoted is text in backquotes.
-	quoted = regexp.MustCompile("`([^`]+)`")
+	// backquoted matches text in backquotes.
+	backquoted = regexp.MustCompile("`([^`]+)`")
 
-	// pathName is a path from the module's root.
+	// pathName matches a path relative to the root directory of the module.
 	pathName = regexp.MustCompile(`^(?:internal|cmd|lab|balancer|docs|deploy)/[\w./-]+$`)
 
-	// memberName is a package and a name in it with a capital, perhaps with a member of its own behind it. A name without a
-	// capital may as well be a key of the settings or a counter's.
+	// memberName matches a package name and a name in it that contains a capital letter, with or without a member after it. A
+	// name without a capital letter could also be a settings key or a counter, so it is not checked.
 	memberName = regexp.MustCompile(`^([a-z]+)\.([a-z]*[A-Z]\w*)`)
 
-	// typeMember is a type and a member of it.
+	// typeMember matches a type and a member of it.
 	typeMember = regexp.MustCompile(`^([A-Z]+[a-z]\w*)\.([A-Za-z]\w*)$`)
 
-	// mixedCaps is an identifier that cannot be a plain word.
+	// mixedCaps matches an identifier that cannot be an ordinary word.
 	mixedCaps = regexp.MustCompile(`^(?:[a-z]+|[A-Z][a-z]+)[A-Z]\w*$`)
 
-	// testName is a test, a benchmark or a fuzz target.
+	// testName matches the name of a test, a benchmark or a fuzz target.
 	testName = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*$`)
 )
 
-// missingNames gives the names in a line's backquotes that do not exist.
-func missingNames(line string, declared names) []string {
+// missingNames returns the names in backquotes in a line that do not exist.
+func missingNames(line string, declared nameIndex) []string {
 	var missing []string
-	for _, match := range quoted.FindAllStringSubmatch(line, -1) {
-		if text := match[1]; !exists(text, declared) {
+	for _, match := range backquoted.FindAllStringSubmatch(line, -1) {
+		if text := match[1]; !nameExists(text, declared) {
 			missing = append(missing, text)
 		}
 	}
 	return missing
 }
 
-// exists reports whether what a text names exists; a text that names nothing of the module does.
-func exists(text string, declared names) bool {
+// nameExists reports whether the item that a text names exists. It is true for a text that does not name an item of the module.
+func nameExists(text string, declared nameIndex) bool {
 	if pathName.MatchString(text) {
 		path := strings.TrimSuffix(text, "/...")
 		_, err := os.Stat(path)
@@ -123,20 +123,20 @@
 		return !isPackage || members[match[2]]
 	}
 	if match := typeMember.FindStringSubmatch(text); match != nil {
-		return declared.anywhere(match[1], match[2])
+		return declared.declaresAll(match[1], match[2])
 	}
-	return !mixedCaps.MatchString(text) || declared.anywhere(text)
+	return !mixedCaps.MatchString(text) || declared.declaresAll(text)
 }
 
-// declaredNames parses the module and gives its names.
-func declaredNames(t *testing.T) names {
+// declaredNames parses the Go files of the module and returns the names that they declare.
+func declaredNames(t *testing.T) nameIndex {
 	t.Helper()
-	declared := names{members: map[string]map[string]bool{}, tests: map[string]bool{}}
+	declared := nameIndex{members: map[string]map[string]bool{}, tests: map[string]bool{}}
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && path != "." && skippedDirectory(entry.Name()):
+		case entry.IsDir() && path != "." && isSkippedDirectory(entry.Name()):
 			return filepath.SkipDir
 		case !strings.HasSuffix(path, ".go"):
 			return nil
@@ -154,8 +154,8 @@
 	return declared
 }
 
-// anywhere reports whether one package declares all of some names.
-func (n names) anywhere(wanted ...string) bool {
+// declaresAll reports whether a single package declares all wanted names.
+func (n nameIndex) declaresAll(wanted ...string) bool {
 	for _, members := range n.members {
 		if !slices.ContainsFunc(wanted, func(name string) bool { return !members[name] }) {
 			return true
@@ -164,8 +164,8 @@
 	return false
 }
 
-// add adds the names of a file.
-func (n names) add(file *ast.File) {
+// add adds the names that a file declares.
+func (n nameIndex) add(file *ast.File) {
 	pkg := file.Name.Name
 	if n.members[pkg] == nil {
 		n.members[pkg] = map[string]bool{}
@@ -189,8 +189,8 @@
 	})
 }
 
-// addAll adds names to a package.
-func (n names) addAll(pkg string, identifiers []*ast.Ident) {
+// addAll adds identifiers to the names of a package.
+func (n nameIndex) addAll(pkg string, identifiers []*ast.Ident) {
 	for _, identifier := range identifiers {
 		n.members[pkg][identifier.Name] = true
 	}
--- a/shape_test.go
+++ b/shape_test.go
@@ -10,28 +10,29 @@
 	"testing"
 )
 
-// The limits of what a reader has to hold at once. Code that needs more has more than one job.
+// Size limits that keep code readable. Code beyond them usually has more than one job.
 const (
 	maxFileLines     = 400
-	maxFunctionLines = 60 // some 50 are meant; the rest is for tables of literals
+	maxFunctionLines = 60 // about 50 lines are intended; the rest allows for tables of literals
 	maxStructFields  = 30
 )
 
-// fixedForms are structs whose fields are a form that other processes have, by name: they cannot be cut into parts.
-var fixedForms = []string{
-	"digestedBalancer", // the settings as both processes of an upgrade digest them (internal/settings)
+// exemptStructs have no limit of fields. Other processes depend on their fields by name, so they cannot be split.
+var exemptStructs = []string{
+	"digestedBalancer", // the settings whose digest both processes of an upgrade compare (internal/settings)
 }
 
-// Files, functions and structs grow by a line at a time, and no single change looks like the one that made them too large.
+// Files, functions and structs grow in small steps, so a review of a single change does not show that they became too large.
+// This test reports each one beyond its limit.
 func TestCodeStaysWithinLimits(t *testing.T) {
-	for _, file := range productFiles(t) {
-		for _, excess := range exceeded(file) {
+	for _, file := range nonTestFiles(t) {
+		for _, excess := range limitViolations(file) {
 			t.Error(excess)
 		}
 	}
 }
 
-// The check itself is tried on a file that is beyond each limit once, and at each limit once.
+// limitViolations must report each limit that a file exceeds, and nothing that is exactly at a limit.
 func TestExceededLimitsAreFound(t *testing.T) {
 	source := "package sample\n" +
 		"func atLimit() {\n" + strings.Repeat("\n", maxFunctionLines-2) + "}\n" +
@@ -44,28 +45,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := exceeded(sourceFile{set: set, syntax: syntax})
+	got := limitViolations(sourceFile{set: set, syntax: syntax})
 	want := []string{"beyondLimit", "beyondLimitToo", "sample.go"}
 	if len(got) != len(want) {
-		t.Fatalf("found %q, want one for each of %q", got, want)
+		t.Fatalf("violations = %q, want one for each of %q", got, want)
 	}
 	for _, name := range want {
 		if !slices.ContainsFunc(got, func(text string) bool { return strings.Contains(text, name+" has ") }) {
-			t.Errorf("%s is not among %q", name, got)
+			t.Errorf("violation of %s is not among %q", name, got)
 		}
 	}
 }
 
-// exceeded describes what of a file is beyond the limits.
-func exceeded(file sourceFile) []string {
-	var found []string
+// limitViolations describes each limit that a file, or a function or struct in it, exceeds.
+func limitViolations(file sourceFile) []string {
+	var violations []string
 	report := func(node ast.Node, name string, size, limit int, unit string) {
 		if size > limit {
-			found = append(found, fmt.Sprintf("%s: %s has %d %s, at most %d are allowed", file.set.Position(node.Pos()), name, size, unit, limit))
+			violations = append(violations, fmt.Sprintf("%s: %s has %d %s, at most %d are allowed", file.set.Position(node.Pos()), name,
+				size, unit, limit))
 		}
 	}
-	whole := file.set.File(file.syntax.Pos())
-	report(file.syntax, whole.Name(), whole.LineCount(), maxFileLines, "lines")
+	tokenFile := file.set.File(file.syntax.Pos())
+	report(file.syntax, tokenFile.Name(), tokenFile.LineCount(), maxFileLines, "lines")
 	ast.Inspect(file.syntax, func(node ast.Node) bool {
 		switch n := node.(type) {
 		case *ast.FuncDecl:
@@ -73,11 +75,11 @@
 			report(n, n.Name.Name, lines, maxFunctionLines, "lines")
 		case *ast.TypeSpec:
 			structure, ok := n.Type.(*ast.StructType)
-			if ok && !slices.Contains(fixedForms, n.Name.Name) {
+			if ok && !slices.Contains(exemptStructs, n.Name.Name) {
 				report(n, n.Name.Name, structure.Fields.NumFields(), maxStructFields, "fields")
 			}
 		}
 		return true
 	})
-	return found
+	return violations
 }
