--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,9 +1,9 @@
-// Package baseline is a plain balancer to compare with: random choice, or the server with the fewest of its own
-// requests in flight. It speaks the node's protocol and keeps what any careful proxy keeps (nothing unsafe is retried
-// after it may have been executed, a draining server gets nothing new). It knows neither scores, ejection, budgets for
-// cold servers nor tenants, and no decision of the product is here.
+// Package baseline implements simple balancers to compare the node with. They choose a random server, or the server with
+// the fewest of this balancer's requests in flight. A baseline uses the node's protocol and keeps the rules of any careful
+// proxy: it does not retry an unsafe request that may have been executed, and sends no new request to a draining server.
+// It has no scores, ejection, slow start or tenants, and shares no decision code with the node.
 //
-// A baseline can be given a defect on purpose, one rule at a time, so that the auditor can be tried.
+// A baseline can be given an intentional defect that breaks one rule, to test the auditor.
 package baseline
 
 import (
@@ -29,22 +29,22 @@
 	"tackhub.example/tackhub/internal/discovery"
 )
 
-// Options say what kind of balancer it is.
+// Options selects the policy and the defect of a baseline.
 type Options struct {
 	Policy string // random or least
 	Defect string // one of scenario.Defects; empty: none
 }
 
 const (
-	// responseMargin is the part of a request's time that is left for the response to reach the client.
+	// responseMargin is the part of a request's total timeout that is reserved for sending the response to the client.
 	responseMargin = 5 * time.Millisecond
 
-	watchHold      = 5 * time.Second
+	watchTimeout   = 5 * time.Second
 	connectTimeout = 150 * time.Millisecond
-	drainDelay     = 600 * time.Millisecond // from SIGTERM on connections go on coming
+	drainDelay     = 600 * time.Millisecond // after SIGTERM, new connections are still accepted for this time
 )
 
-// server is one server of the list.
+// server is a server of the endpoint list.
 type server struct {
 	member   discovery.Member
 	client   *fasthttp.HostClient
@@ -52,7 +52,7 @@
 	draining bool
 }
 
-// node is a running baseline.
+// node is the state of a running baseline.
 type node struct {
 	options     Options
 	classes     map[string]balancer.Class
@@ -61,11 +61,11 @@
 
 	mu           sync.Mutex
 	servers      map[string]*server
-	previousBody []byte // of the response before, for the defect that swaps responses
+	previousBody []byte // body of the previous response, for the defect swapped-answer
 	requestCount int
 }
 
-// Run serves until SIGTERM, by the node's own environment and configuration.
+// Run serves until SIGTERM. It reads the same environment variables and configuration as the node.
 func Run(o Options) error {
 	c, err := config.Load(os.Getenv)
 	if err != nil {
@@ -80,7 +80,7 @@
 	for _, class := range c.Settings.Balancer.Classes {
 		n.classes[class.Name] = class
 	}
-	n.update(c.Known)
+	n.applyList(c.Known)
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
@@ -94,40 +94,40 @@
 	signal.Ignore(syscall.SIGPIPE)
 	go func() {
 		<-stop
-		n.draining.Store(true) // responses close their connections from now on
+		n.draining.Store(true) // from now on, responses close their connections
 		time.Sleep(drainDelay)
 		_ = srv.ShutdownWithContext(ctx)
 	}()
 	return srv.Serve(l)
 }
 
-// discardLogger drops fasthttp's own log.
+// discardLogger discards the log messages of fasthttp.
 type discardLogger struct{}
 
-// Printf drops fasthttp's own log.
+// Printf discards the message.
 func (discardLogger) Printf(string, ...any) {}
 
-// watch follows discovery's list.
+// watch long-polls discovery and applies each list, until ctx is done.
 func (n *node) watch(ctx context.Context, address string) {
-	client := &http.Client{Timeout: watchHold + 5*time.Second}
-	from := int64(-1)
+	client := &http.Client{Timeout: watchTimeout + 5*time.Second}
+	revision := int64(-1)
 	for ctx.Err() == nil {
 		url := "http://" + address + "/catalog/members"
-		if from >= 0 {
-			url += fmt.Sprintf("?from=%d&hold_ms=%d", from, watchHold.Milliseconds())
+		if revision >= 0 {
+			url += fmt.Sprintf("?from=%d&hold_ms=%d", revision, watchTimeout.Milliseconds())
 		}
 		list, err := fetch(client, url)
 		if err != nil {
-			from = -1
+			revision = -1
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
-		from = list.Revision
-		n.update(list)
+		revision = list.Revision
+		n.applyList(list)
 	}
 }
 
-// fetch makes one call for the list.
+// fetch gets the list of members with one request.
 func fetch(client *http.Client, url string) (discovery.List, error) {
 	resp, err := client.Get(url)
 	if err != nil {
@@ -141,13 +141,13 @@
 	return discovery.ParseList(raw)
 }
 
-// update takes over a list.
-func (n *node) update(list discovery.List) {
+// applyList updates the servers from a list.
+func (n *node) applyList(list discovery.List) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range list.Members {
-		named[m.ID] = true
+		listed[m.ID] = true
 		s := n.servers[m.ID]
 		if m.Phase == "DELETED" {
 			n.remove(m.ID)
@@ -160,13 +160,13 @@
 		s.member, s.draining = m, m.Phase != "SERVING"
 	}
 	for id := range n.servers {
-		if list.Complete && !named[id] {
+		if list.Complete && !listed[id] {
 			n.remove(id)
 		}
 	}
 }
 
-// newClient makes a client for one server that never retries by itself.
+// newClient returns a client for one server that never retries a request.
 func newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -180,17 +180,17 @@
 	}
 }
 
-// remove removes a server. The defect of late drains keeps it.
+// remove removes a server, unless the baseline has the defect late-drain.
 func (n *node) remove(id string) {
 	if n.options.Defect != "late-drain" {
 		delete(n.servers, id)
 	}
 }
 
-// errNotConnected says that no connection was established, so that nothing can have been executed.
-var errNotConnected = errors.New("no connection")
+// errNotConnected means that no connection was established, so the request was certainly not executed.
+var errNotConnected = errors.New("cannot connect to the server")
 
-// dial connects to a server. The error is errNotConnected.
+// dial connects to a server. It returns errNotConnected for every failure.
 func dial(addr string) (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
@@ -199,37 +199,37 @@
 	return c, nil
 }
 
-// pick picks a server that the policy prefers, of those not tried.
-func (n *node) pick(not map[string]bool) *server {
+// pick returns one of the servers that the policy prefers, or nil if all are draining or excluded.
+func (n *node) pick(exclude map[string]bool) *server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var best []*server
-	least := int64(1 << 62)
+	var candidates []*server
+	minLoad := int64(1 << 62)
 	for id, s := range n.servers {
-		if not[id] || s.draining && n.options.Defect != "late-drain" {
+		if exclude[id] || s.draining && n.options.Defect != "late-drain" {
 			continue
 		}
-		if n.options.Defect == "cold-push" && s.member.UpSince > 0 { // every request goes to the server that has just started
+		if n.options.Defect == "cold-push" && s.member.UpSince > 0 { // sends every request to a server that has just started
 			return s
 		}
-		open := int64(0)
+		load := int64(0)
 		if n.options.Policy == "least" {
-			open = s.inFlight.Load()
+			load = s.inFlight.Load()
 		}
 		switch {
-		case open < least:
-			best, least = append(best[:0], s), open
-		case open == least:
-			best = append(best, s)
+		case load < minLoad:
+			candidates, minLoad = append(candidates[:0], s), load
+		case load == minLoad:
+			candidates = append(candidates, s)
 		}
 	}
-	if len(best) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return best[rand.IntN(len(best))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// handle handles one request.
+// handle answers the health and counters endpoints and forwards all other requests.
 func (n *node) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == "/_health" {
 		ctx.SetStatusCode(fasthttp.StatusOK)
@@ -248,32 +248,33 @@
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
-	wait := time.Duration(ms) * time.Millisecond
-	if n.injectDefect(ctx, class, wait) {
+	timeout := time.Duration(ms) * time.Millisecond
+	if n.injectDefect(ctx, class, timeout) {
 		return
 	}
-	n.forward(ctx, class, ctx.Time().Add(wait-min(responseMargin, wait/10)))
+	n.forward(ctx, class, ctx.Time().Add(timeout-min(responseMargin, timeout/10)))
 	if n.options.Defect == "swapped-answer" {
 		n.swapResponse(ctx)
 	}
 }
 
-// forward tries servers until one has served, or the attempts or the time are used up.
-func (n *node) forward(ctx *fasthttp.RequestCtx, class balancer.Class, until time.Time) {
+// forward tries servers until one serves the request, no attempt is left, or the deadline has passed. A request that is not
+// idempotent is not retried after it may have been executed.
+func (n *node) forward(ctx *fasthttp.RequestCtx, class balancer.Class, deadline time.Time) {
 	tried := map[string]bool{}
-	mayRun := false
+	mayHaveExecuted := false
 	for range n.maxAttempts {
 		s := n.pick(tried)
-		if s == nil || time.Now().After(until) {
+		if s == nil || time.Now().After(deadline) {
 			break
 		}
 		tried[s.member.ID] = true
-		status, ran := n.attempt(ctx, s, until)
+		status, maybeExecuted := n.attempt(ctx, s, deadline)
 		if status == fasthttp.StatusOK {
 			return
 		}
-		mayRun = mayRun || ran
-		if mayRun && class.Idempotency != balancer.Idempotent {
+		mayHaveExecuted = mayHaveExecuted || maybeExecuted
+		if mayHaveExecuted && class.Idempotency != balancer.Idempotent {
 			break
 		}
 	}
@@ -282,25 +283,26 @@
 		ctx.SetConnectionClose()
 	}
 	switch {
-	case !time.Now().Before(until):
+	case !time.Now().Before(deadline):
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
-	case mayRun && class.Idempotency != balancer.Idempotent:
+	case mayHaveExecuted && class.Idempotency != balancer.Idempotent:
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// attempt sends the request to one server. It tells whether the request may have been executed.
-func (n *node) attempt(ctx *fasthttp.RequestCtx, s *server, until time.Time) (status int, mayRun bool) {
+// attempt sends the request to one server. It returns the status, or 0 without a response, and whether the request may have
+// been executed.
+func (n *node) attempt(ctx *fasthttp.RequestCtx, s *server, deadline time.Time) (status int, mayHaveExecuted bool) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	ctx.Request.CopyTo(req)
 	req.SetHost(s.member.HostPort)
-	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, time.Until(until).Milliseconds()), 10))
+	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	s.inFlight.Add(1)
-	err := s.client.DoDeadline(req, resp, until)
+	err := s.client.DoDeadline(req, resp, deadline)
 	s.inFlight.Add(-1)
 	switch {
 	case errors.Is(err, errNotConnected):
@@ -316,30 +318,30 @@
 	return status, len(resp.Header.Peek("X-Not-Run")) == 0
 }
 
-// injectDefect plays the defects that replace forwarding. Every seventh request has one, so that the rest shows a
-// normal run.
-func (n *node) injectDefect(ctx *fasthttp.RequestCtx, class balancer.Class, wait time.Duration) bool {
+// injectDefect applies the defects that replace forwarding and reports whether it did. Only every seventh request is
+// affected, so that the other requests show a normal run.
+func (n *node) injectDefect(ctx *fasthttp.RequestCtx, class balancer.Class, timeout time.Duration) bool {
 	n.mu.Lock()
 	n.requestCount++
-	hit := n.requestCount%7 == 0
+	inject := n.requestCount%7 == 0
 	n.mu.Unlock()
-	if !hit {
+	if !inject {
 		return false
 	}
-	until := time.Now().Add(wait - responseMargin)
+	deadline := time.Now().Add(timeout - responseMargin)
 	switch n.options.Defect {
-	case "double-send": // a second copy of an unsafe request is sent beside the first
+	case "double-send": // executes a non-repeatable request twice
 		if class.Idempotency == balancer.Idempotent {
 			return false
 		}
 		for range 2 {
 			if s := n.pick(nil); s != nil {
-				_, _ = n.attempt(ctx, s, until)
+				_, _ = n.attempt(ctx, s, deadline)
 			}
 		}
-	case "refuse-run": // the request was executed, and its rejection says that a retry is harmless
+	case "refuse-run": // executes the request, but rejects it as not executed, so that the client may retry it
 		if s := n.pick(nil); s != nil {
-			_, _ = n.attempt(ctx, s, until)
+			_, _ = n.attempt(ctx, s, deadline)
 		}
 		ctx.Response.Reset()
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -347,7 +349,7 @@
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(c net.Conn) { _ = c.Close() })
 	case "late-answer":
-		time.Sleep(wait + 150*time.Millisecond)
+		time.Sleep(timeout + 150*time.Millisecond)
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	default:
 		return false
@@ -355,16 +357,16 @@
 	return true
 }
 
-// swapResponse gives each client the response of the request before.
+// swapResponse replaces the response body by that of the previous request.
 func (n *node) swapResponse(ctx *fasthttp.RequestCtx) {
 	if ctx.Response.StatusCode() != fasthttp.StatusOK {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	own := append([]byte(nil), ctx.Response.Body()...)
+	body := append([]byte(nil), ctx.Response.Body()...)
 	if n.previousBody != nil {
 		ctx.SetBody(n.previousBody)
 	}
-	n.previousBody = own
+	n.previousBody = body
 }
--- a/lab/stats/stats_test.go
+++ b/lab/stats/stats_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-// The interval at 95% contains the true mean in about 95 of 100 cases.
-func TestIntervalContainsTheMean(t *testing.T) {
+// The 95% interval must contain the true difference in about 95 of 100 cases.
+func TestPairedIntervalContainsTrueDifference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	held := 0
+	contained := 0
 	const tries = 4000
 	for range tries {
 		a, b := make([]float64, 5), make([]float64, 5)
 		for i := range a {
-			common := rng.NormFloat64() * 10 // what a pair shares must not widen the interval
+			common := rng.NormFloat64() * 10 // the common part of a pair must not widen the interval
 			a[i], b[i] = common, common+0.3+rng.NormFloat64()
 		}
 		if got := Paired(a, b, 0.95); got.Low <= 0.3 && 0.3 <= got.High {
-			held++
+			contained++
 		}
 	}
-	if share := float64(held) / tries; math.Abs(share-0.95) > 0.015 {
-		t.Errorf("the interval held the mean in %v of the cases", share)
+	if coverage := float64(contained) / tries; math.Abs(coverage-0.95) > 0.015 {
+		t.Errorf("fraction of intervals with the true difference = %v, want 0.95 within 0.015", coverage)
 	}
 }
 
-// A single figure gives an interval without bounds, which proves nothing.
-func TestTooFewFiguresGiveNoInterval(t *testing.T) {
+// With a single pair the interval must be unbounded, so that it does not exclude zero.
+func TestSinglePairGivesUnboundedInterval(t *testing.T) {
 	if got := Paired([]float64{1}, []float64{5}, 0.95); got.ExcludesZero() || got.Mean != 4 {
-		t.Errorf("one pair gave %+v", got)
+		t.Errorf("interval of one pair = %+v, want mean 4 and no exclusion of zero", got)
 	}
 	if got := Paired([]float64{1, 2, 3}, []float64{5, 6.1, 6.9}, 0.95); !got.ExcludesZero() {
-		t.Errorf("a plain difference is not clear: %+v", got)
+		t.Errorf("interval of three pairs = %+v, want one that excludes zero", got)
 	}
 }
