--- a/cmd/tacklab/compare.go
+++ b/cmd/tacklab/compare.go
@@ -20,14 +20,14 @@
 	name string
 	of   func(experiment.Figures) float64
 }{
-	{"worth", func(f experiment.Figures) float64 { return f.Worth }},
+	{"worth", func(f experiment.Figures) float64 { return f.Goodput }},
 	{"worst window", func(f experiment.Figures) float64 { return f.WorstWindow }},
 	{"worst tenant", func(f experiment.Figures) float64 { return f.WorstTenant }},
 	{"p50 ms", func(f experiment.Figures) float64 { return f.P50 }},
 	{"p99 ms", func(f experiment.Figures) float64 { return f.P99 }},
 	{"refused", func(f experiment.Figures) float64 { return f.Rejected }},
 	{"failed", func(f experiment.Figures) float64 { return f.Failed + f.Lost + f.NotConnected }},
-	{"work times", func(f experiment.Figures) float64 { return f.WorkTimes }},
+	{"work times", func(f experiment.Figures) float64 { return f.WorkRatio }},
 	{"memory MB", func(f experiment.Figures) float64 { return f.MemoryMB }},
 	{"cpu cores", func(f experiment.Figures) float64 { return f.CPU }},
 }
@@ -59,7 +59,7 @@
 			order = []int{1, 0}
 		}
 		for _, side := range order {
-			r, err := c.playOne(ctx, side, c.Seed+uint64(i))
+			r, err := c.runOne(ctx, side, c.Seed+uint64(i))
 			if err != nil {
 				return err
 			}
@@ -84,8 +84,8 @@
 	return os.WriteFile(c.JSON, append(raw, '\n'), 0o644)
 }
 
-// playOne plays one run of one arm. A void run ends the comparison, since its pair is incomplete.
-func (c *compareCmd) playOne(ctx context.Context, side int, seed uint64) (*experiment.Result, error) {
+// runOne plays one run of one arm. A void run ends the comparison, since its pair is incomplete.
+func (c *compareCmd) runOne(ctx context.Context, side int, seed uint64) (*experiment.Result, error) {
 	file, set, program := c.A, c.SetA, c.ProgramA
 	if side == 1 {
 		file, set, program = c.B, c.SetB, c.ProgramB
@@ -94,11 +94,11 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := play(ctx, s, arm{Program: program}, nil, nil)
+	r, err := runScenario(ctx, s, commonFlags{Program: program}, nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	if r.Verdict == experiment.VerdictVoid {
+	if r.Verdict == experiment.VerdictInvalid {
 		return nil, fmt.Errorf("run %s of seed %d is void: %s", string("AB"[side]), seed, r.VoidReason)
 	}
 	return r, nil
@@ -109,7 +109,7 @@
 	out := map[string]stats.Interval{}
 	fmt.Printf("%-13s %10s %10s %12s  %s\n", "", "A", "B", "B - A", "95% interval of the difference")
 	for _, m := range metrics {
-		a, b := values(got[0], m.of), values(got[1], m.of)
+		a, b := metricValues(got[0], m.of), metricValues(got[1], m.of)
 		d := stats.Paired(a, b, confidence)
 		out[m.name] = d
 		mark := ""
@@ -122,8 +122,8 @@
 	return out
 }
 
-// values are one metric of all runs.
-func values(f []experiment.Figures, of func(experiment.Figures) float64) []float64 {
+// metricValues are one metric of all runs.
+func metricValues(f []experiment.Figures, of func(experiment.Figures) float64) []float64 {
 	out := make([]float64, len(f))
 	for i := range f {
 		out[i] = of(f[i])
@@ -148,7 +148,7 @@
 	Scenario string   `arg:"" type:"existingfile"`
 	Key      string   `arg:"" help:"The key, such as clients.retries."`
 	Values   []string `arg:"" help:"Its values."`
-	arm
+	commonFlags
 	Runs int `default:"1" help:"Runs for each value, each with a seed of its own."`
 }
 
@@ -162,15 +162,15 @@
 				return err
 			}
 			s.Seed += uint64(i)
-			r, err := play(ctx, s, c.arm, nil, nil)
+			r, err := runScenario(ctx, s, c.commonFlags, nil, nil)
 			if err != nil {
 				return err
 			}
-			if r.Verdict == experiment.VerdictVoid {
+			if r.Verdict == experiment.VerdictInvalid {
 				return fmt.Errorf("%s=%s is void: %s", c.Key, v, r.VoidReason)
 			}
 			fmt.Printf("%s=%s %s\n", c.Key, v, summaryLine(r))
-			worth, p99 = append(worth, r.Figures.Worth), append(p99, r.Figures.P99)
+			worth, p99 = append(worth, r.Figures.Goodput), append(p99, r.Figures.P99)
 		}
 		w, l := stats.Mean(worth, confidence), stats.Mean(p99, confidence)
 		fmt.Printf("%s=%s mean worth %.4f (sd %.4f), mean p99 %.1f ms (sd %.1f), %d runs\n", c.Key, v, w.Mean, w.SD, l.Mean, l.SD, w.N)
--- a/cmd/tacklab/main.go
+++ b/cmd/tacklab/main.go
@@ -21,26 +21,26 @@
 // The exit codes.
 const (
 	exitOK = iota
-	exitUnmet
-	exitVoid
+	exitFailed
+	exitInvalid
 )
 
 var cli struct {
-	Demo     demoCmd     `cmd:"" help:"Start servers, discovery and two nodes, play half a minute with one server dying, and tell how it went."`
-	Run      runCmd      `cmd:"" help:"Play one scenario and judge it."`
-	Compare  compareCmd  `cmd:"" help:"Play two arms in turn and give their paired differences with confidence intervals."`
-	Sweep    sweepCmd    `cmd:"" help:"Play one scenario for each value of a key."`
-	Soak     soakCmd     `cmd:"" help:"Play seeded runs of planned stops under faults and audit them; prints a time line of each break."`
-	Members  membersCmd  `cmd:"" help:"Measure failure detection among simulated members, on a virtual clock."`
-	KnownRed knownRedCmd `cmd:"" help:"Run CI's tests and runs; those that KNOWN-RED.txt lists may fail."`
-	List     listCmd     `cmd:"" help:"Name the scenarios of a folder."`
-	Schedule scheduleCmd `cmd:"" help:"Print what a scenario will do, and the hash of its schedule."`
-	Stands   standsCmd   `cmd:"" help:"Start stand-in servers and a discovery for a node that you start by hand."`
-	Baseline baselineCmd `cmd:"" hidden:"" help:"Serve as a plain balancer; started by tacklab itself."`
+	Demo     demoCmd             `cmd:"" help:"Start servers, discovery and two nodes, play half a minute with one server dying, and tell how it went."`
+	Run      runCmd              `cmd:"" help:"Play one scenario and judge it."`
+	Compare  compareCmd          `cmd:"" help:"Play two arms in turn and give their paired differences with confidence intervals."`
+	Sweep    sweepCmd            `cmd:"" help:"Play one scenario for each value of a key."`
+	Soak     soakCmd             `cmd:"" help:"Play seeded runs of planned stops under faults and audit them; prints a time line of each break."`
+	Members  membersCmd          `cmd:"" help:"Measure failure detection among simulated members, on a virtual clock."`
+	KnownRed knownRedCmd         `cmd:"" help:"Run CI's tests and runs; those that KNOWN-RED.txt lists may fail."`
+	List     listCmd             `cmd:"" help:"Name the scenarios of a folder."`
+	Schedule scheduleCmd         `cmd:"" help:"Print what a scenario will do, and the hash of its schedule."`
+	Stands   simulatedServersCmd `cmd:"" help:"Start stand-in servers and a discovery for a node that you start by hand."`
+	Baseline baselineCmd         `cmd:"" hidden:"" help:"Serve as a plain balancer; started by tacklab itself."`
 }
 
-// errUnmet says that a run broke a rule or missed an expectation; the lines printed before say which.
-var errUnmet = errors.New("short")
+// errRunFailed says that a run broke a rule or missed an expectation; the lines printed before say which.
+var errRunFailed = errors.New("short")
 
 // baselineCmd is the process that tacklab starts as a node of a baseline.
 type baselineCmd struct {
@@ -65,20 +65,20 @@
 		kong.UsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "tacklab:", err)
-		return exitVoid
+		return exitInvalid
 	}
 	parsed, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "tacklab:", err)
-		return exitVoid
+		return exitInvalid
 	}
 	switch err := parsed.Run(); {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errUnmet):
-		return exitUnmet
+	case errors.Is(err, errRunFailed):
+		return exitFailed
 	default:
 		fmt.Fprintln(os.Stderr, "tacklab:", err)
-		return exitVoid
+		return exitInvalid
 	}
 }
--- a/cmd/tacklab/run.go
+++ b/cmd/tacklab/run.go
@@ -15,15 +15,15 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// arm is what the commands have in common.
-type arm struct {
+// commonFlags is what the commands have in common.
+type commonFlags struct {
 	Set     []string `help:"Set a key of the scenario, such as fleet.servers=30. May be given again." placeholder:"KEY=VALUE" sep:"none"`
 	Program string   `help:"The tackhub to run. Without it: the one beside tacklab, or a fresh build." type:"path"`
 	Seed    *uint64  `help:"Seed instead of the scenario's."`
 	Logs    string   `help:"Keep the nodes' configurations and logs in this folder." type:"path"`
 }
 
-func (a arm) overrides() []string {
+func (a commonFlags) overrides() []string {
 	out := append([]string(nil), a.Set...)
 	if a.Seed != nil {
 		out = append(out, fmt.Sprintf("seed=%d", *a.Seed))
@@ -34,7 +34,7 @@
 // runCmd plays one scenario.
 type runCmd struct {
 	Scenario string `arg:"" help:"The scenario's file." type:"existingfile"`
-	arm
+	commonFlags
 	JSON   string `help:"Write the whole result to this file." type:"path"`
 	Report string `help:"Write report.html and result.json into this folder." type:"path"`
 	Quiet  bool   `help:"Only the closing line."`
@@ -50,14 +50,14 @@
 	if !c.Quiet {
 		progress = progressPrinter(s)
 	}
-	r, err := play(ctx, s, c.arm, progress, nil)
+	r, err := runScenario(ctx, s, c.commonFlags, progress, nil)
 	if err != nil {
 		return err
 	}
 	if err := c.write(r); err != nil {
 		return err
 	}
-	return conclude(r)
+	return printOutcome(r)
 }
 
 // write writes the result's files that were asked for.
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// play plays a scenario with the program of an arm.
-func play(ctx context.Context, s *scenario.Scenario, a arm, progress func(experiment.Progress), started func([]string)) (*experiment.Result, error) {
+// runScenario plays a scenario with the program of an arm.
+func runScenario(ctx context.Context, s *scenario.Scenario, a commonFlags, progress func(experiment.Progress), started func([]string)) (*experiment.Result, error) {
 	argv, build, clean, err := nodeCommand(s, a.Program, "")
 	if err != nil {
 		return nil, err
@@ -117,13 +117,13 @@
 		if p.At < s.Warmup {
 			warm = "(warm-up) "
 		}
-		fmt.Printf("%6.1f %7d %6.3f %8.1f %8.1f %8d %7d  %s%s\n", p.At.Seconds(), p.Asked, p.Worth, p.P50, p.P99, p.Rejected,
+		fmt.Printf("%6.1f %7d %6.3f %8.1f %8.1f %8d %7d  %s%s\n", p.At.Seconds(), p.Requests, p.Goodput, p.P50, p.P99, p.Rejected,
 			p.Failed, warm, strings.Join(notes, " "))
 	}
 }
 
-// conclude prints what is wrong and the closing line.
-func conclude(r *experiment.Result) error {
+// printOutcome prints what is wrong and the closing line.
+func printOutcome(r *experiment.Result) error {
 	for i, b := range r.Breaches {
 		if i == 5 {
 			fmt.Printf("and %d more breaches\n", len(r.Breaches)-i)
@@ -141,8 +141,8 @@
 	switch r.Verdict {
 	case experiment.VerdictOK:
 		return nil
-	case experiment.VerdictShort:
-		return errUnmet
+	case experiment.VerdictFailed:
+		return errRunFailed
 	}
 	return fmt.Errorf("%s is void: %s", r.Scenario, r.VoidReason)
 }
@@ -151,10 +151,10 @@
 func summaryLine(r *experiment.Result) string {
 	f := r.Figures
 	out := fmt.Sprintf("verdict: %s, %s seed %d: worth %.4f worst-window %.4f worst-tenant %.4f p50 %.1fms p99 %.1fms refused %.4f failed %.4f tries %.2f rate %.0f/s breaches %d node %.1fMB %d fds %.2f cores rig-late %.2fms",
-		r.Verdict, r.Scenario, r.Seed, f.Worth, f.WorstWindow, f.WorstTenant, f.P50, f.P99, f.Rejected, f.Failed+f.Lost+f.NotConnected,
-		f.Attempts, f.Rate, len(r.Breaches), f.MemoryMB, f.Sockets, f.CPU, f.RigLate)
-	if f.Recovered != nil {
-		out += fmt.Sprintf(" recovered-after %.1fs", *f.Recovered)
+		r.Verdict, r.Scenario, r.Seed, f.Goodput, f.WorstWindow, f.WorstTenant, f.P50, f.P99, f.Rejected, f.Failed+f.Lost+f.NotConnected,
+		f.Attempts, f.Rate, len(r.Breaches), f.MemoryMB, f.Sockets, f.CPU, f.SendDelayP99)
+	if f.RecoverySeconds != nil {
+		out += fmt.Sprintf(" recovered-after %.1fs", *f.RecoverySeconds)
 	}
 	if m := r.Members; m != nil {
 		out += fmt.Sprintf(" members: %d samples, noticed within %.1fs, healed in %.1fs, %d views, shares %.3f at most, %.3f in the mean, mesh %.0f B/s, %.3f cores at most",
@@ -190,7 +190,7 @@
 // scheduleCmd prints a schedule.
 type scheduleCmd struct {
 	Scenario string `arg:"" type:"existingfile"`
-	arm
+	commonFlags
 	Out string `help:"Write the schedule's bytes to this file, to compare two." type:"path"`
 }
 
--- a/cmd/tacklab/soak.go
+++ b/cmd/tacklab/soak.go
@@ -47,7 +47,7 @@
 	var all soak.Figures
 	broke := false
 	for _, s := range plans {
-		o, err := c.play(ctx, s, argv, build)
+		o, err := c.runPlan(ctx, s, argv, build)
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 	}
 	fmt.Printf("all: %s\n", all)
 	if broke {
-		return errUnmet
+		return errRunFailed
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (c *soakCmd) play(ctx context.Context, s *scenario.Scenario, argv []string, build string) (*soak.Outcome, error) {
+func (c *soakCmd) runPlan(ctx context.Context, s *scenario.Scenario, argv []string, build string) (*soak.Outcome, error) {
 	dir := c.Logs
 	if dir != "" {
 		dir = fmt.Sprintf("%s/seed-%d", dir, s.Seed)
@@ -144,7 +144,7 @@
 // shrink prints the smallest plan found that still breaks a rule.
 func (c *soakCmd) shrink(ctx context.Context, s *scenario.Scenario, argv []string, build string) {
 	small, err := soak.Shrink(s, func(less *scenario.Scenario) (bool, error) {
-		o, err := c.play(ctx, less, argv, build)
+		o, err := c.runPlan(ctx, less, argv, build)
 		return err == nil && o.Broke(), err
 	})
 	if err != nil {
--- a/cmd/tacklab/stands.go
+++ b/cmd/tacklab/stands.go
@@ -9,15 +9,15 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// standsCmd starts stand-in servers and a discovery for a node that is started by hand.
-type standsCmd struct {
+// simulatedServersCmd starts stand-in servers and a discovery for a node that is started by hand.
+type simulatedServersCmd struct {
 	Discovery string   `default:"127.0.0.1:8500" help:"Where the discovery is to listen."`
 	Servers   int      `default:"6" help:"How many servers."`
 	Set       []string `help:"Set a key of the scenario, such as fleet.cores=2." placeholder:"KEY=VALUE" sep:"none"`
 }
 
 // Run serves until it is interrupted.
-func (c *standsCmd) Run(ctx context.Context) error {
+func (c *simulatedServersCmd) Run(ctx context.Context) error {
 	over := append([]string{"nodes.count=1", fmt.Sprintf("fleet.servers=%d", c.Servers), "fault=[]"}, c.Set...)
 	s, err := scenario.Parse(demoScenario, over...)
 	if err != nil {
--- a/lab/experiment/faults.go
+++ b/lab/experiment/faults.go
@@ -11,21 +11,22 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// faults injects the scheduled faults. One event does not delay the next: a planned restart takes seconds.
-func (r *run) faults(ctx context.Context) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// injectFaults injects the scheduled faults. Each event has its own goroutine, so that a planned restart, which takes
+// seconds, does not delay later events.
+func (r *run) injectFaults(ctx context.Context) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	for _, e := range r.sched.Events {
-		wait := time.NewTimer(time.Until(r.start.Add(r.scheduleStart + e.At)))
+		timer := time.NewTimer(time.Until(r.start.Add(r.scheduleStart + e.At)))
 		select {
-		case <-wait.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return
 		}
-		r.mark(e)
-		open.Go(func() {
-			if err := r.apply(e); err != nil {
+		r.addMark(e)
+		pending.Go(func() {
+			if err := r.applyFault(e); err != nil {
 				r.mu.Lock()
 				r.faultErr = errors.Join(r.faultErr, fmt.Errorf("%s: %w", e.Kind, err))
 				r.mu.Unlock()
@@ -34,15 +35,15 @@
 	}
 }
 
-// apply hands an event to whoever it concerns.
-func (r *run) apply(e scenario.Event) error {
+// applyFault applies an event to the links, nodes, clients or servers that it affects.
+func (r *run) applyFault(e scenario.Event) error {
 	switch {
-	case e.Kind.OfLink():
-		r.mesh.apply(e, time.Since(r.start))
+	case e.Kind.AffectsLink():
+		r.mesh.applyFault(e, time.Since(r.start))
 		return nil
-	case e.Kind.OfProcess():
+	case e.Kind.AffectsProcess():
 		return r.nodes.ApplyFault(e)
-	case e.Kind.OfClients():
+	case e.Kind.AffectsClients():
 		r.load.Apply(e)
 		return nil
 	}
@@ -55,9 +56,9 @@
 	return nil
 }
 
-// mark records an event. Several of one kind within half a second share a mark.
-func (r *run) mark(e scenario.Event) {
-	what, target := string(e.Kind), fmt.Sprintf("s%03d", e.Server)
+// addMark records an event for the report. Events of the same kind within half a second are combined into one mark.
+func (r *run) addMark(e scenario.Event) {
+	event, target := string(e.Kind), fmt.Sprintf("s%03d", e.Server)
 	if e.Server < 0 {
 		target = fmt.Sprintf("n%d", e.Node)
 	}
@@ -65,15 +66,15 @@
 		target += fmt.Sprintf(">n%d", e.Peer)
 	}
 	if e.Ends {
-		what += " ends"
+		event += " ends"
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recentEvents = append(r.recentEvents, what+" "+target)
-	at := e.At.Seconds()
-	if n := len(r.marks); n > 0 && at-r.marks[n-1].At < 0.5 && strings.HasPrefix(r.marks[n-1].Text, what+" ") {
+	r.recentEvents = append(r.recentEvents, event+" "+target)
+	seconds := e.At.Seconds()
+	if n := len(r.marks); n > 0 && seconds-r.marks[n-1].At < 0.5 && strings.HasPrefix(r.marks[n-1].Text, event+" ") {
 		r.marks[n-1].Text += ", " + target
 		return
 	}
-	r.marks = append(r.marks, Mark{at, what + " " + target})
+	r.marks = append(r.marks, Mark{seconds, event + " " + target})
 }
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -12,197 +12,202 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// Figures are what a run came to. Shares are of the operations, or of their worth, in the time that counts.
+// Figures holds the measurements of a run. Fractions are of the operations in the measured part of the run, or of their
+// priority weight.
 type Figures struct {
-	Asked        int                `json:"asked"`
-	Rate         float64            `json:"rate_per_s"`
-	Worth        float64            `json:"worth"`        // share served within its aim
-	WorstWindow  float64            `json:"worst_window"` // the same in the worst window
-	ByClass      map[string]float64 `json:"worth_by_class"`
-	WorstTenant  float64            `json:"worst_tenant"` // the same of the worst-served tenant with enough requests
-	Served       float64            `json:"served"`
-	Rejected     float64            `json:"refused"`
-	Failed       float64            `json:"failed"`
-	Lost         float64            `json:"lost"`
-	NotConnected float64            `json:"unplaced"`
-	Cancelled    float64            `json:"left"`
-	Attempts     float64            `json:"tries"`       // for each operation
-	WorkTimes    float64            `json:"work_times"`  // work begun by servers, over the work asked for
-	P50          float64            `json:"p50_ms"`      // of what was served, from the intended send
-	P90          float64            `json:"p90_ms"`      //
-	P99          float64            `json:"p99_ms"`      //
-	P999         float64            `json:"p999_ms"`     //
-	RigLate      float64            `json:"rig_p99_ms"`  // by how much the lab itself was late, p99
-	RigMax       float64            `json:"rig_max_ms"`  //
-	MemoryMB     float64            `json:"memory_mb"`   // the most of any node
-	Sockets      int                `json:"descriptors"` // the most of any node
-	CPU          float64            `json:"cpu_cores"`   // the mean over all nodes
-	Crashes      int                `json:"crashes"`     // of nodes, beside injected faults and planned stops
-	Recovered    *float64           `json:"recovered_after_s,omitempty"`
-	Skew         float64            `json:"clock_skew_ms"`
-	MeshBytes    float64            `json:"mesh_bytes_per_s,omitempty"` // sent to other nodes, the most of any
-	MaxCPU       float64            `json:"cpu_cores_max,omitempty"`    // of any node, with a mesh
+	Requests        int                `json:"asked"`
+	Rate            float64            `json:"rate_per_s"`
+	Goodput         float64            `json:"worth"`        // fraction of the weight served within its latency objective
+	WorstWindow     float64            `json:"worst_window"` // goodput of the worst window
+	GoodputByClass  map[string]float64 `json:"worth_by_class"`
+	WorstTenant     float64            `json:"worst_tenant"` // lowest goodput of a tenant with at least minTenantRequests
+	Served          float64            `json:"served"`
+	Rejected        float64            `json:"refused"`
+	Failed          float64            `json:"failed"`
+	Lost            float64            `json:"lost"`
+	NotConnected    float64            `json:"unplaced"`
+	Cancelled       float64            `json:"left"`
+	Attempts        float64            `json:"tries"`      // mean per operation
+	WorkRatio       float64            `json:"work_times"` // work started by servers divided by the work of the scheduled requests
+	P50             float64            `json:"p50_ms"`     // P50 to P999: latency of served operations from the scheduled send time
+	P90             float64            `json:"p90_ms"`
+	P99             float64            `json:"p99_ms"`
+	P999            float64            `json:"p999_ms"`
+	SendDelayP99    float64            `json:"rig_p99_ms"` // delay of the lab's sends after their scheduled times
+	SendDelayMax    float64            `json:"rig_max_ms"`
+	MemoryMB        float64            `json:"memory_mb"`   // highest value of any node
+	Sockets         int                `json:"descriptors"` // highest value of any node
+	CPU             float64            `json:"cpu_cores"`   // mean over all nodes
+	Crashes         int                `json:"crashes"`     // of nodes, excluding injected faults and planned stops
+	RecoverySeconds *float64           `json:"recovered_after_s,omitempty"`
+	ClockSkew       float64            `json:"clock_skew_ms"`
+	MeshBytes       float64            `json:"mesh_bytes_per_s,omitempty"` // highest traffic of any node to other nodes
+	MaxCPU          float64            `json:"cpu_cores_max,omitempty"`    // highest value of any node, only with a mesh
 }
 
-// Second is one second of a run.
+// Second holds the measurements of one second of a run.
 type Second struct {
-	At       int     `json:"at_s"` // since the run's start, the warm-up included
-	Asked    int     `json:"asked"`
-	Worth    float64 `json:"worth"`
+	At       int     `json:"at_s"` // since the start of the schedule, including the warm-up
+	Requests int     `json:"asked"`
+	Goodput  float64 `json:"worth"`
 	Rejected int     `json:"refused"`
 	Failed   int     `json:"failed"`
 	P50      float64 `json:"p50_ms"`
 	P99      float64 `json:"p99_ms"`
 }
 
-// minTenantRequests is how many requests a tenant needs for its share to be more than chance.
+// minTenantRequests is the number of requests a tenant needs for its goodput to be more than random variation.
 const minTenantRequests = 30
 
-// newHistogram holds latencies in microseconds up to a minute, within 0.1%.
+// newHistogram returns a histogram of latencies in microseconds, up to one minute and with an error of 0.1%.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-// tally sums worth.
-type tally struct{ asked, served float64 }
+// weightTally sums the priority weights of operations: of all, and of those served within their latency objective.
+type weightTally struct{ requested, served float64 }
 
-func (t tally) share() float64 {
-	if t.asked == 0 {
+func (t weightTally) goodput() float64 {
+	if t.requested == 0 {
 		return 1
 	}
-	return t.served / t.asked
+	return t.served / t.requested
 }
 
-// worth is what an operation was worth and what of it was earned. One whose client cancelled it, or whose connection
-// the lab reset, counts for nothing.
-func worth(s *scenario.Scenario, o load.Operation) (asked, earned float64) {
-	c := s.Classes[o.Class]
-	if o.Outcome == audit.Cancelled || o.Outcome == audit.LinkReset {
+// weights returns the priority weight of an operation, and the part of it that counts as served: all if the operation was
+// served within its latency objective, else 0. An operation that its client cancelled, or whose connection the lab reset,
+// has no weight.
+func weights(s *scenario.Scenario, operation load.Operation) (requested, served float64) {
+	class := s.Classes[operation.Class]
+	if operation.Outcome == audit.Cancelled || operation.Outcome == audit.LinkReset {
 		return 0, 0
 	}
-	if o.Outcome == audit.Served && o.Ended-o.ScheduledAt <= c.Aim {
-		return c.Worth, c.Worth
+	if operation.Outcome == audit.Served && operation.Ended-operation.ScheduledAt <= class.Aim {
+		return class.Worth, class.Worth
 	}
-	return c.Worth, 0
+	return class.Worth, 0
 }
 
-// figures sums up the operations that count.
-func figures(s *scenario.Scenario, ops []load.Operation) Figures {
-	f := Figures{ByClass: map[string]float64{}, WorstTenant: 1}
-	all, classes, tenants := tally{}, make([]tally, len(s.Classes)), make([]tally, s.Clients.Tenants)
-	asked := make([]int, s.Clients.Tenants)
-	ends := map[audit.Outcome]float64{}
-	latency, late := newHistogram(), newHistogram()
-	tries := 0
+// computeFigures computes the figures of the operations in the measured part of the run.
+func computeFigures(s *scenario.Scenario, ops []load.Operation) Figures {
+	f := Figures{GoodputByClass: map[string]float64{}, WorstTenant: 1}
+	total, classes, tenants := weightTally{}, make([]weightTally, len(s.Classes)), make([]weightTally, s.Clients.Tenants)
+	requestsByTenant := make([]int, s.Clients.Tenants)
+	outcomes := map[audit.Outcome]float64{}
+	latency, sendDelay := newHistogram(), newHistogram()
+	attempts := 0
 	for _, o := range ops {
 		if o.ScheduledAt < s.Warmup {
 			continue
 		}
-		f.Asked++
-		ends[o.Outcome]++
-		tries += o.Attempts
-		a, e := worth(s, o)
-		for _, t := range []*tally{&all, &classes[o.Class], &tenants[o.Tenant]} {
-			t.asked += a
-			t.served += e
+		f.Requests++
+		outcomes[o.Outcome]++
+		attempts += o.Attempts
+		requestedWeight, servedWeight := weights(s, o)
+		for _, t := range []*weightTally{&total, &classes[o.Class], &tenants[o.Tenant]} {
+			t.requested += requestedWeight
+			t.served += servedWeight
 		}
-		asked[o.Tenant]++
+		requestsByTenant[o.Tenant]++
 		if o.Outcome == audit.Served {
-			_ = latency.RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds())) // above a minute: no deadline is
+			_ = latency.RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds())) // drops values above 1 minute; no deadline is that long
 		}
-		_ = late.RecordValue(max(1, o.SendDelay.Microseconds()))
+		_ = sendDelay.RecordValue(max(1, o.SendDelay.Microseconds()))
 	}
-	n := math.Max(1, float64(f.Asked))
-	f.Rate, f.Worth, f.Attempts = float64(f.Asked)/s.Duration.Seconds(), all.share(), float64(tries)/n
-	f.Served, f.Rejected, f.Failed = ends[audit.Served]/n, ends[audit.Rejected]/n, ends[audit.Failed]/n
-	f.Lost, f.NotConnected, f.Cancelled = (ends[audit.Lost]+ends[audit.InTransit])/n, ends[audit.NotConnected]/n, ends[audit.Cancelled]/n
+	n := math.Max(1, float64(f.Requests))
+	f.Rate, f.Goodput, f.Attempts = float64(f.Requests)/s.Duration.Seconds(), total.goodput(), float64(attempts)/n
+	f.Served, f.Rejected, f.Failed = outcomes[audit.Served]/n, outcomes[audit.Rejected]/n, outcomes[audit.Failed]/n
+	f.Lost, f.NotConnected, f.Cancelled = (outcomes[audit.Lost]+outcomes[audit.InTransit])/n, outcomes[audit.NotConnected]/n,
+		outcomes[audit.Cancelled]/n
 	for i, c := range s.Classes {
-		f.ByClass[c.Name] = classes[i].share()
+		f.GoodputByClass[c.Name] = classes[i].goodput()
 	}
 	for i, t := range tenants {
-		if asked[i] >= minTenantRequests {
-			f.WorstTenant = min(f.WorstTenant, t.share())
+		if requestsByTenant[i] >= minTenantRequests {
+			f.WorstTenant = min(f.WorstTenant, t.goodput())
 		}
 	}
-	for q, to := range map[float64]*float64{50: &f.P50, 90: &f.P90, 99: &f.P99, 99.9: &f.P999} {
-		*to = float64(latency.ValueAtQuantile(q)) / 1000
+	for quantile, figure := range map[float64]*float64{50: &f.P50, 90: &f.P90, 99: &f.P99, 99.9: &f.P999} {
+		*figure = float64(latency.ValueAtQuantile(quantile)) / 1000
 	}
-	f.RigLate, f.RigMax = float64(late.ValueAtQuantile(99))/1000, float64(late.Max())/1000
+	f.SendDelayP99, f.SendDelayMax = float64(sendDelay.ValueAtQuantile(99))/1000, float64(sendDelay.Max())/1000
 	f.WorstWindow = worstWindow(s, ops)
 	return f
 }
 
-// worstWindow is the smallest share of worth in any window of the stated length, in steps of a fifth of it.
+// worstWindow returns the lowest goodput of any window of the configured length. Windows start at multiples of a fifth of
+// the length.
 func worstWindow(s *scenario.Scenario, ops []load.Operation) float64 {
 	step := s.Expect.Window / 5
-	cells := make([]tally, int((s.Warmup+s.Duration)/step)+1)
+	buckets := make([]weightTally, int((s.Warmup+s.Duration)/step)+1)
 	for _, o := range ops {
 		if o.ScheduledAt >= s.Warmup {
-			a, e := worth(s, o)
-			cells[o.ScheduledAt/step].asked += a
-			cells[o.ScheduledAt/step].served += e
+			requestedWeight, servedWeight := weights(s, o)
+			buckets[o.ScheduledAt/step].requested += requestedWeight
+			buckets[o.ScheduledAt/step].served += servedWeight
 		}
 	}
 	worst := 1.0
-	for i := int(s.Warmup / step); i+5 <= len(cells); i++ {
-		t := tally{}
-		for _, c := range cells[i : i+5] {
-			t.asked += c.asked
-			t.served += c.served
+	for i := int(s.Warmup / step); i+5 <= len(buckets); i++ {
+		window := weightTally{}
+		for _, bucket := range buckets[i : i+5] {
+			window.requested += bucket.requested
+			window.served += bucket.served
 		}
-		worst = min(worst, t.share())
+		worst = min(worst, window.goodput())
 	}
 	return worst
 }
 
-// recovered is how long after a moment the share of worth is back, over a whole window; false if it never is.
-func recovered(s *scenario.Scenario, ops []load.Operation, r scenario.Recover) (time.Duration, bool) {
+// recoveryTime returns the time from r.From to the start of the first window whose goodput reaches the expected level, or
+// false if there is no such window.
+func recoveryTime(s *scenario.Scenario, ops []load.Operation, r scenario.Recover) (time.Duration, bool) {
 	step := s.Expect.Window / 5
 	sorted := append([]load.Operation(nil), ops...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].ScheduledAt < sorted[j].ScheduledAt })
 	for from := r.From; from+s.Expect.Window <= s.Warmup+s.Duration; from += step {
-		t := tally{}
-		at := sort.Search(len(sorted), func(i int) bool { return sorted[i].ScheduledAt >= from })
-		for _, o := range sorted[at:] {
+		window := weightTally{}
+		first := sort.Search(len(sorted), func(i int) bool { return sorted[i].ScheduledAt >= from })
+		for _, o := range sorted[first:] {
 			if o.ScheduledAt >= from+s.Expect.Window {
 				break
 			}
-			a, e := worth(s, o)
-			t.asked += a
-			t.served += e
+			requestedWeight, servedWeight := weights(s, o)
+			window.requested += requestedWeight
+			window.served += servedWeight
 		}
-		if t.asked > 0 && t.share() >= r.To {
+		if window.requested > 0 && window.goodput() >= r.Goodput {
 			return from - r.From, true
 		}
 	}
 	return 0, false
 }
 
-// seconds is the course of a run.
-func seconds(s *scenario.Scenario, ops []load.Operation) []Second {
+// computeSeconds returns the measurements of each second of a run.
+func computeSeconds(s *scenario.Scenario, ops []load.Operation) []Second {
 	n := int(math.Ceil((s.Warmup + s.Duration).Seconds()))
-	out, cells, hist := make([]Second, n), make([]tally, n), make([]*hdrhistogram.Histogram, n)
+	out, weightsBySecond, latencies := make([]Second, n), make([]weightTally, n), make([]*hdrhistogram.Histogram, n)
 	for _, o := range ops {
 		i := min(n-1, int(o.ScheduledAt.Seconds()))
-		a, e := worth(s, o)
-		cells[i].asked += a
-		cells[i].served += e
-		out[i].Asked++
+		requestedWeight, servedWeight := weights(s, o)
+		weightsBySecond[i].requested += requestedWeight
+		weightsBySecond[i].served += servedWeight
+		out[i].Requests++
 		switch o.Outcome {
 		case audit.Rejected, audit.NotConnected:
 			out[i].Rejected++
 		case audit.Failed, audit.Lost, audit.InTransit:
 			out[i].Failed++
 		case audit.Served:
-			if hist[i] == nil {
-				hist[i] = newHistogram()
+			if latencies[i] == nil {
+				latencies[i] = newHistogram()
 			}
-			_ = hist[i].RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds()))
+			_ = latencies[i].RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds()))
 		}
 	}
 	for i := range out {
-		out[i].At, out[i].Worth = i, cells[i].share()
-		if hist[i] != nil {
-			out[i].P50 = float64(hist[i].ValueAtQuantile(50)) / 1000
-			out[i].P99 = float64(hist[i].ValueAtQuantile(99)) / 1000
+		out[i].At, out[i].Goodput = i, weightsBySecond[i].goodput()
+		if latencies[i] != nil {
+			out[i].P50 = float64(latencies[i].ValueAtQuantile(50)) / 1000
+			out[i].P99 = float64(latencies[i].ValueAtQuantile(99)) / 1000
 		}
 	}
 	return out
--- a/lab/experiment/figures_test.go
+++ b/lab/experiment/figures_test.go
@@ -8,8 +8,9 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// opsOf are a hundred operations a second, served where a function says so.
-func opsOf(s *scenario.Scenario, served func(time.Duration) bool) []load.Operation {
+// fixedRateOperations returns 100 operations per second of a scenario. An operation is served if served returns true for
+// its scheduled time, else it has failed.
+func fixedRateOperations(s *scenario.Scenario, served func(time.Duration) bool) []load.Operation {
 	var out []load.Operation
 	for at := time.Duration(0); at < s.Warmup+s.Duration; at += 10 * time.Millisecond {
 		o := load.Operation{ScheduledAt: at, Ended: at + 20*time.Millisecond, Outcome: audit.Failed, Attempts: 1}
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	// viewInterval is the time between two questions to a process for its view.
+	// viewInterval is the time between two status queries to a process.
 	viewInterval = 50 * time.Millisecond
 
-	// maxViewAge is how long an answer may take to count: one that a process gave after it was suspended belongs to another
-	// moment.
-	maxViewAge = 200 * time.Millisecond
+	// maxQueryTime is the longest duration of a status query whose result is used. A process that was suspended during the
+	// query may have returned a view of a much earlier or later time than the sample's.
+	maxQueryTime = 200 * time.Millisecond
 )
 
-// meshRun is the part of a run that concerns the nodes among themselves.
-type meshRun struct {
+// meshState holds the links between the nodes and the data recorded about the cluster.
+type meshState struct {
 	links *netfault.Mesh
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	samples        []audit.MemberSample
 	linkEvents     []audit.LinkEvent
 	otherFaultEnds []audit.Offset
-	grants         []audit.QuotaGrant
-	lastGrant      map[[2]uint64]int64 // when the last recorded quota of each process was granted
-	starts         []trafficMark       // by node, at the start of what counts
-	bytes          []float64           // a second, by node
+	quotaGrants    []audit.QuotaGrant
+	lastGrant      map[[2]uint64]int64 // start of the last recorded quota, by node and generation
+	trafficStarts  []trafficCount      // by node, at the start of the load
+	bytesPerSecond []float64           // by node
 }
 
-// trafficMark is what a node's counters say it has sent up to a moment.
-type trafficMark struct {
+// trafficCount is a node's counter of bytes sent to other nodes at a time.
+type trafficCount struct {
 	at    time.Time
 	bytes float64
 }
 
-// openMesh opens a link for each directed pair of nodes and writes the nodes' [cluster] sections.
+// openMesh opens a link for each directed pair of nodes and writes the [cluster] sections of the operator files.
 func (r *run) openMesh(dir string) error {
 	s := r.options.Scenario
 	if s.Mesh == nil {
@@ -65,11 +65,11 @@
 	if err != nil {
 		return err
 	}
-	r.mesh = &meshRun{
-		links:     links,
-		lastGrant: map[[2]uint64]int64{},
-		starts:    make([]trafficMark, s.Nodes.Count),
-		bytes:     make([]float64, s.Nodes.Count),
+	r.mesh = &meshState{
+		links:          links,
+		lastGrant:      map[[2]uint64]int64{},
+		trafficStarts:  make([]trafficCount, s.Nodes.Count),
+		bytesPerSecond: make([]float64, s.Nodes.Count),
 	}
 	for i := range s.Nodes.Count {
 		if err := appendOperatorFile(dir, i, r.clusterSection(i, listens)); err != nil {
@@ -79,16 +79,16 @@
 	return nil
 }
 
-// maxSeeds is how many other nodes a node is configured to contact first.
+// maxSeeds is the number of other nodes that a node contacts to join the cluster.
 const maxSeeds = 2
 
-// clusterSection is the [cluster] section of a node's operator file. It reaches each other node by the address of the link
-// to it.
+// clusterSection returns the [cluster] section of a node's operator file. The address of each other node is that of the
+// link to it.
 func (r *run) clusterSection(node int, listens []string) string {
 	s := r.options.Scenario
-	var seeds, addresses, all []string
+	var seeds, addresses, listenAddresses []string
 	for j, listen := range listens {
-		all = append(all, fmt.Sprintf("n%d = %q", j, listen))
+		listenAddresses = append(listenAddresses, fmt.Sprintf("n%d = %q", j, listen))
 		if node == j {
 			continue
 		}
@@ -104,7 +104,7 @@
 		text += "overload = true\n"
 	}
 	if s.Mesh.Quotas {
-		text += fmt.Sprintf("shares = { %s }\n", strings.Join(all, ", "))
+		text += fmt.Sprintf("shares = { %s }\n", strings.Join(listenAddresses, ", "))
 	}
 	for key, d := range map[string]time.Duration{"period": s.Mesh.Period, "timeout": s.Mesh.Timeout, "suspicion": s.Mesh.Suspicion} {
 		if d > 0 {
@@ -114,23 +114,23 @@
 	return text
 }
 
-// apply begins or ends a fault of a link.
-func (m *meshRun) apply(e scenario.Event, at time.Duration) {
+// applyFault starts or ends a fault of a link.
+func (m *meshState) applyFault(e scenario.Event, at time.Duration) {
 	on := !e.Ends
-	m.links.SetFaults(e.Node, e.Peer, func(w *netfault.PacketFaults) {
+	m.links.SetFaults(e.Node, e.Peer, func(faults *netfault.PacketFaults) {
 		switch f := e.Fault; e.Kind {
 		case scenario.FaultCut:
-			w.Cut = on
+			faults.Cut = on
 		case scenario.FaultLoss:
-			w.Loss = f.Share * factor(on)
+			faults.Loss = f.Share * faultScale(on)
 		case scenario.FaultDelay:
-			w.Delay = f.Delay * time.Duration(factor(on))
-			w.Jitter = f.Jitter * time.Duration(factor(on))
+			faults.Delay = f.Delay * time.Duration(faultScale(on))
+			faults.Jitter = f.Jitter * time.Duration(faultScale(on))
 		case scenario.FaultDuplicate:
-			w.Duplicate = f.Share * factor(on)
+			faults.Duplicate = f.Share * faultScale(on)
 		case scenario.FaultReorder:
-			w.Reorder = f.Share * factor(on)
-			w.ReorderDelay = f.Delay
+			faults.Reorder = f.Share * faultScale(on)
+			faults.ReorderDelay = f.Delay
 		}
 	})
 	m.mu.Lock()
@@ -142,19 +142,19 @@
 	}
 }
 
-// factor is 1 where a fault begins and 0 where it ends.
-func factor(on bool) float64 {
+// faultScale returns 1 if a fault starts and 0 if it ends.
+func faultScale(on bool) float64 {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// watchMembers asks every process for its view until the run is done.
-func (r *run) watchMembers(done <-chan struct{}) {
-	var all sync.WaitGroup
+// pollViews queries the view and the quotas of every node until done is closed.
+func (r *run) pollViews(done <-chan struct{}) {
+	var pollers sync.WaitGroup
 	for i := range r.options.Scenario.Nodes.Count {
-		all.Go(func() {
+		pollers.Go(func() {
 			tick := time.NewTicker(viewInterval)
 			defer tick.Stop()
 			path := cluster.SocketPath(r.nodes.DataDir(i), "n"+strconv.Itoa(i))
@@ -165,72 +165,75 @@
 					return
 				}
 				began := time.Now()
-				st, _, err := cluster.QueryStatus(path)
-				if err == nil && time.Since(began) < maxViewAge {
-					r.mesh.sample(i, st, r.start)
+				status, _, err := cluster.QueryStatus(path)
+				if err == nil && time.Since(began) < maxQueryTime {
+					r.mesh.addSample(i, status, r.start)
 				}
 			}
 		})
 	}
-	all.Wait()
+	pollers.Wait()
 }
 
-// sample records what a node's process says of its view and its quotas.
-func (m *meshRun) sample(node int, st cluster.Status, start time.Time) {
+// addSample records the view and the quotas that a node's process returned.
+func (m *meshState) addSample(node int, status cluster.Status, start time.Time) {
 	at := time.Since(start)
-	s := audit.MemberSample{At: at, Node: node, Start: st.Generation, View: st.View.Number, HasMajority: st.Connectivity == membership.Connected}
+	sample := audit.MemberSample{At: at, Node: node, Start: status.Generation, View: status.View.Number,
+		HasMajority: status.Connectivity == membership.Connected}
 	for i := range 64 {
-		for _, name := range st.View.Members {
+		for _, name := range status.View.Members {
 			if name == "n"+strconv.Itoa(i) {
-				s.Members = append(s.Members, i)
+				sample.Members = append(sample.Members, i)
 			}
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.samples = append(m.samples, s)
-	if st.Quota == nil {
+	m.samples = append(m.samples, sample)
+	if status.Quota == nil {
 		return
 	}
-	key := [2]uint64{uint64(node), st.Generation}
-	for _, h := range st.Quota.Allocations {
-		if h.EffectiveFrom <= m.lastGrant[key] {
+	key := [2]uint64{uint64(node), status.Generation}
+	for _, allocation := range status.Quota.Allocations {
+		if allocation.EffectiveFrom <= m.lastGrant[key] {
 			continue
 		}
-		m.lastGrant[key] = h.EffectiveFrom
+		m.lastGrant[key] = allocation.EffectiveFrom
 		until := audit.Forever
-		if h.ValidUntil != math.MaxInt64 {
-			until = time.Duration(h.ValidUntil - start.UnixNano())
+		if allocation.ValidUntil != math.MaxInt64 {
+			until = time.Duration(allocation.ValidUntil - start.UnixNano())
 		}
-		m.grants = append(m.grants, audit.QuotaGrant{Node: node, Start: st.Generation, At: time.Duration(h.EffectiveFrom - start.UnixNano()), Value: h.Fraction,
-			Until: until, After: h.FractionAfter})
+		m.quotaGrants = append(m.quotaGrants, audit.QuotaGrant{Node: node, Start: status.Generation,
+			At: time.Duration(allocation.EffectiveFrom - start.UnixNano()), Value: allocation.Fraction,
+			Until: until, After: allocation.FractionAfter})
 	}
 }
 
-// countTraffic marks what each node has sent to the others; with end it works out the rate since the mark before.
+// countTraffic reads each node's counter of bytes sent to other nodes. At the end it also computes the rate since the last
+// call.
 func (r *run) countTraffic(end bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for i, addr := range r.nodes.Addresses() {
 		resp, err := client.Get("http://" + addr + "/_counters")
 		if err != nil {
-			continue // it is down or suspended at the moment
+			continue // the node is down or suspended
 		}
-		var got struct {
+		var counters struct {
 			Cluster struct {
 				Sent float64 `json:"sent_bytes"`
 			} `json:"cluster"`
 		}
-		err = json.NewDecoder(resp.Body).Decode(&got)
+		err = json.NewDecoder(resp.Body).Decode(&counters)
 		_ = resp.Body.Close()
-		now := trafficMark{time.Now(), got.Cluster.Sent}
-		if was := r.mesh.starts[i]; err == nil && end && !was.at.IsZero() && now.bytes >= was.bytes {
-			r.mesh.bytes[i] = (now.bytes - was.bytes) / now.at.Sub(was.at).Seconds()
+		current := trafficCount{time.Now(), counters.Cluster.Sent}
+		if previous := r.mesh.trafficStarts[i]; err == nil && end && !previous.at.IsZero() && current.bytes >= previous.bytes {
+			r.mesh.bytesPerSecond[i] = (current.bytes - previous.bytes) / current.at.Sub(previous.at).Seconds()
 		}
-		r.mesh.starts[i] = now
+		r.mesh.trafficStarts[i] = current
 	}
 }
 
-// judgeMembers compares the nodes' views with what really happened.
+// judgeMembers lets the auditor compare the nodes' views with the faults and downtimes of the run.
 func (r *run) judgeMembers(out *Result) {
 	s := r.options.Scenario
 	limits := audit.MemberLimits{DetectWithin: time.Hour, ConvergeWithin: time.Hour}
@@ -240,11 +243,11 @@
 	record := audit.MembershipRecord{
 		Nodes:          s.Nodes.Count,
 		From:           r.scheduleStart + s.Warmup,
-		Until:          r.ended,
+		Until:          r.loadEnd,
 		Samples:        r.mesh.samples,
 		Links:          r.mesh.linkEvents,
 		OtherFaultEnds: r.mesh.otherFaultEnds,
-		Quotas:         r.mesh.grants,
+		Quotas:         r.mesh.quotaGrants,
 		Downtimes:      r.nodes.Downtimes(),
 	}
 	breaches, figures := record.Judge(limits)
@@ -254,9 +257,9 @@
 		out.BreachesByRule[b.Rule]++
 	}
 	for i, n := range out.Nodes {
-		out.Figures.MeshBytes = max(out.Figures.MeshBytes, r.mesh.bytes[i])
-		if k := len(n.Samples); k > 1 {
-			first, last := n.Samples[0], n.Samples[k-1]
+		out.Figures.MeshBytes = max(out.Figures.MeshBytes, r.mesh.bytesPerSecond[i])
+		if samples := len(n.Samples); samples > 1 {
+			first, last := n.Samples[0], n.Samples[samples-1]
 			out.Figures.MaxCPU = max(out.Figures.MaxCPU, (last.CPU-first.CPU)/(last.At-first.At).Seconds())
 		}
 	}
--- a/lab/experiment/operatorfiles.go
+++ b/lab/experiment/operatorfiles.go
@@ -9,8 +9,9 @@
 	"tackhub.example/tackhub/lab/loopback"
 )
 
-// writeOperatorFiles writes the nodes' operator files where the scenario turns subsystems on, and opens the links
-// between the nodes. file is nil where there are none; clean removes all of it.
+// writeOperatorFiles writes the nodes' operator files if the scenario enables subsystems, and opens the links between the
+// nodes. file returns the path of a node's operator file; it is nil if there are no operator files. clean removes the
+// files and closes the links.
 func (r *run) writeOperatorFiles() (file func(int) string, clean func(), err error) {
 	s := r.options.Scenario
 	if s.Inventory == nil && s.Clients.Coap == 0 && s.Mesh == nil {
@@ -33,10 +34,10 @@
 	return func(node int) string { return backend.OperatorFilePath(dir, node) }, clean, nil
 }
 
-// writeInventoryAndCoap writes the sections for inventory files and for CoAP.
+// writeInventoryAndCoap creates the inventory files and writes the operator files' sections for them and for CoAP.
 func (r *run) writeInventoryAndCoap(dir string) (err error) {
 	if r.options.Scenario.Inventory != nil {
-		if r.writer, err = backend.NewInventoryWriter(r.fleet, dir); err != nil {
+		if r.inventoryWriter, err = backend.NewInventoryWriter(r.fleet, dir); err != nil {
 			return err
 		}
 	}
@@ -44,11 +45,11 @@
 		return nil
 	}
 	for node := range r.options.Scenario.Nodes.Count {
-		addr, err := loopback.FreeAddress() // a TCP port that is free on a host of its own: UDP's is too
+		addr, err := loopback.FreeAddress() // a free TCP port of an unused loopback address, so the UDP port is free too
 		if err != nil {
 			return err
 		}
-		r.coap = append(r.coap, addr)
+		r.coapAddresses = append(r.coapAddresses, addr)
 		section := fmt.Sprintf("\n[coap]\nlisten = %q\nper_endpoint = 20000\nremembered = 100000\nmemory = \"96MiB\"\nrate = 0.0\n", addr)
 		if err := appendOperatorFile(dir, node, section); err != nil {
 			return err
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// appendOperatorFile adds a section to a node's operator file, which is created where it is missing.
+// appendOperatorFile appends a section to a node's operator file. It creates the file if it does not exist.
 func appendOperatorFile(dir string, node int, section string) error {
 	f, err := os.OpenFile(backend.OperatorFilePath(dir, node), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/lab/experiment/progress.go
+++ b/lab/experiment/progress.go
@@ -7,11 +7,12 @@
 	"tackhub.example/tackhub/lab/load"
 )
 
-// measure samples nodes and servers, and reports each second of the run.
+// measure samples the nodes every sampleEvery and the servers half as often, and reports the progress once per second, until
+// done is closed.
 func (r *run) measure(done <-chan struct{}) {
 	tick := time.NewTicker(sampleEvery)
 	defer tick.Stop()
-	seen, ticks := 0, 0
+	reported, ticks := 0, 0
 	for {
 		select {
 		case <-tick.C:
@@ -21,36 +22,37 @@
 		ticks++
 		r.nodes.Sample()
 		if ticks%2 == 0 {
-			r.servers = append(r.servers, r.fleet.Loads())
+			r.serverLoads = append(r.serverLoads, r.fleet.Loads())
 		}
 		if ticks%4 == 0 && r.options.Progress != nil {
-			ops := r.load.CompletedSince(seen)
-			seen += len(ops)
+			ops := r.load.CompletedSince(reported)
+			reported += len(ops)
 			r.reportProgress(ops)
 		}
 	}
 }
 
-// reportProgress reports the operations that completed in the last second.
+// reportProgress reports the operations that completed since the last report.
 func (r *run) reportProgress(ops []load.Operation) {
-	p := Progress{At: time.Since(r.start) - r.scheduleStart, Asked: len(ops), Ejected: r.nodes.Ejected(), Loads: r.fleet.Loads()}
-	t, hist := tally{}, newHistogram()
+	progress := Progress{At: time.Since(r.start) - r.scheduleStart, Requests: len(ops), Ejected: r.nodes.Ejected(), Loads: r.fleet.Loads()}
+	total, latency := weightTally{}, newHistogram()
 	for _, o := range ops {
-		a, e := worth(r.options.Scenario, o)
-		t.asked += a
-		t.served += e
+		requestedWeight, servedWeight := weights(r.options.Scenario, o)
+		total.requested += requestedWeight
+		total.served += servedWeight
 		switch o.Outcome {
 		case audit.Rejected, audit.NotConnected:
-			p.Rejected++
+			progress.Rejected++
 		case audit.Failed, audit.Lost, audit.InTransit:
-			p.Failed++
+			progress.Failed++
 		case audit.Served:
-			_ = hist.RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds()))
+			_ = latency.RecordValue(max(1, (o.Ended - o.ScheduledAt).Microseconds()))
 		}
 	}
-	p.Worth, p.P50, p.P99 = t.share(), float64(hist.ValueAtQuantile(50))/1000, float64(hist.ValueAtQuantile(99))/1000
+	progress.Goodput, progress.P50, progress.P99 = total.goodput(), float64(latency.ValueAtQuantile(50))/1000,
+		float64(latency.ValueAtQuantile(99))/1000
 	r.mu.Lock()
-	p.Events, r.recentEvents = r.recentEvents, nil
+	progress.Events, r.recentEvents = r.recentEvents, nil
 	r.mu.Unlock()
-	r.options.Progress(p)
+	r.options.Progress(progress)
 }
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -15,21 +15,21 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// Verdict is what a run proves.
+// Verdict is the overall result of a run.
 type Verdict string
 
-// The verdicts.
+// The verdicts of a run.
 const (
-	VerdictOK    Verdict = "ok"    // no rule was broken and every expectation is met
-	VerdictShort Verdict = "short" // a rule was broken, or an expectation is not met
-	VerdictVoid  Verdict = "void"  // nothing: the run was interrupted, or the lab itself was late
+	VerdictOK      Verdict = "ok"    // no rule was broken and every expectation was met
+	VerdictFailed  Verdict = "short" // a rule was broken or an expectation was not met
+	VerdictInvalid Verdict = "void"  // the run shows nothing about the nodes: it was interrupted, or the lab itself was too slow
 )
 
-// Progress is what happened in one second of a run, reported while it plays.
+// Progress holds the measurements since the last progress report, about one second of a run.
 type Progress struct {
 	At       time.Duration
-	Asked    int
-	Worth    float64
+	Requests int
+	Goodput  float64
 	P50, P99 float64
 	Rejected int
 	Failed   int
@@ -38,13 +38,13 @@
 	Loads    []backend.ServerLoad
 }
 
-// Mark is a fault as it was injected.
+// Mark is an injected fault, or the end of one, with its time since the start of the schedule.
 type Mark struct {
 	At   float64 `json:"at_s"`
 	Text string  `json:"text"`
 }
 
-// Result is what a whole run came to.
+// Result holds the verdict, the measurements and the records of a run.
 type Result struct {
 	Scenario       string                 `json:"scenario"`
 	About          string                 `json:"about"`
@@ -57,26 +57,26 @@
 	Seconds        []Second               `json:"seconds"`
 	Marks          []Mark                 `json:"marks"`
 	Nodes          []nodeproc.Report      `json:"nodes"`
-	Servers        [][]backend.ServerLoad `json:"servers"` // by half second
+	Servers        [][]backend.ServerLoad `json:"servers"` // every 500 ms
 	Members        *audit.MemberFigures   `json:"members,omitempty"`
-	Files          map[string]int         `json:"inventory_files,omitempty"` // rewritten well and badly, over all nodes
+	Files          map[string]int         `json:"inventory_files,omitempty"` // rewrites by validity (good, bad), over all nodes
 	Seed           uint64                 `json:"seed"`
-	Schedule       string                 `json:"schedule"` // its hash
+	Schedule       string                 `json:"schedule"` // hash of the schedule
 	Build          string                 `json:"build"`
 	Machine        string                 `json:"machine"`
 	When           time.Time              `json:"when"`
 	Took           float64                `json:"took_s"`
-	KilledStops    int                    `json:"killed"` // planned stops that SIGKILL ended
+	KilledStops    int                    `json:"killed"` // planned stops that were ended by SIGKILL
 	Record         audit.Record           `json:"-"`
-	Began          time.Time              `json:"-"` // the zero of the record's times
+	Began          time.Time              `json:"-"` // times in the record count from it
 	Logs           []string               `json:"-"`
 }
 
-// summarize works out the result.
+// summarize computes the figures, the breaches and the verdict of a run that ended with err.
 func (r *run) summarize(out *Result, err error) {
 	s := r.options.Scenario
 	attempts, ops := r.load.Results()
-	record := r.record(attempts)
+	record := r.buildRecord(attempts)
 	if r.options.Companion != nil {
 		record.Attempts = append(record.Attempts, r.options.Companion.Attempts()...)
 	}
@@ -87,45 +87,45 @@
 	for _, b := range out.Breaches {
 		out.BreachesByRule[b.Rule]++
 	}
-	out.Figures = figures(s, ops)
-	out.Seconds = seconds(s, ops)
+	out.Figures = computeFigures(s, ops)
+	out.Seconds = computeSeconds(s, ops)
 	out.Marks = r.marks
-	out.Servers = r.servers
+	out.Servers = r.serverLoads
 	out.Nodes = r.nodes.Reports()
-	r.sumNodeCosts(&out.Figures, out.Nodes)
+	r.addNodeUsage(&out.Figures, out.Nodes)
 	if r.mesh != nil {
 		r.judgeMembers(out)
 	}
 	if e := s.Expect.Recover; e != nil {
-		if d, ok := recovered(s, ops, *e); ok {
-			sec := d.Seconds()
-			out.Figures.Recovered = &sec
+		if recoveredAfter, ok := recoveryTime(s, ops, *e); ok {
+			recoverySeconds := recoveredAfter.Seconds()
+			out.Figures.RecoverySeconds = &recoverySeconds
 		}
 	}
-	out.Figures.WorkTimes = r.fleet.WorkStarted().Seconds() / math.Max(1e-9, r.workAsked().Seconds())
+	out.Figures.WorkRatio = r.fleet.WorkStarted().Seconds() / math.Max(1e-9, r.workAsked().Seconds())
 	for i := range out.Nodes {
 		out.Logs = append(out.Logs, r.nodes.Log(i))
 	}
-	if r.writer != nil {
-		out.Files = map[string]int{"good": r.writer.GoodFiles, "bad": r.writer.BadFiles}
+	if r.inventoryWriter != nil {
+		out.Files = map[string]int{"good": r.inventoryWriter.GoodFiles, "bad": r.inventoryWriter.BadFiles}
 	}
 	out.Unmet = unmetExpectations(s, out.Figures)
-	out.VoidReason = r.voidReason(out.Figures, err)
+	out.VoidReason = r.invalidReason(out.Figures, err)
 	out.Verdict = out.verdict()
 }
 
-// verdict is the verdict that follows from the rest of the result.
+// verdict returns the verdict that follows from the rest of the result.
 func (r *Result) verdict() Verdict {
 	switch {
 	case r.VoidReason != "":
-		return VerdictVoid
+		return VerdictInvalid
 	case len(r.Breaches) > 0 || len(r.Unmet) > 0:
-		return VerdictShort
+		return VerdictFailed
 	}
 	return VerdictOK
 }
 
-// workAsked is the work of all scheduled requests, retries not counted.
+// workAsked returns the total work of all scheduled requests, without retries.
 func (r *run) workAsked() time.Duration {
 	sum := time.Duration(0)
 	for _, a := range r.sched.Arrivals {
@@ -134,78 +134,80 @@
 	return sum
 }
 
-// maxClockSkew is how far the clocks of lab and node may differ. What is measured includes a log line's way through a pipe,
-// which takes milliseconds on a busy machine; a clock that is really wrong differs by more.
+// maxClockSkew is the largest measured difference between the clocks of the lab and the nodes. The measurement includes the
+// time that a log line takes through a pipe, which is milliseconds on a busy machine; a wrong clock differs by more.
 const maxClockSkew = 50 * time.Millisecond
 
-// voidReason says why a run proves nothing; empty where it does.
-func (r *run) voidReason(f Figures, err error) string {
-	late := float64(r.options.Scenario.RigLate) / float64(time.Millisecond)
-	skew := float64(maxClockSkew) / float64(time.Millisecond)
+// invalidReason returns why a run is invalid, or an empty string if it is valid.
+func (r *run) invalidReason(f Figures, err error) string {
+	maxDelay := float64(r.options.Scenario.RigLate) / float64(time.Millisecond)
+	maxSkew := float64(maxClockSkew) / float64(time.Millisecond)
 	switch {
 	case errors.Is(err, context.Canceled):
-		return "cut off"
+		return "the run was interrupted"
 	case err != nil:
 		return err.Error()
-	case f.RigLate > late:
-		return fmt.Sprintf("the rig was late: p99 %.1f ms, at most %.1f allowed", f.RigLate, late)
-	case math.Abs(f.Skew) > skew:
-		return fmt.Sprintf("clocks of rig and nodes lie %.1f ms apart", f.Skew)
-	case f.Asked == 0:
-		return "nothing was asked"
+	case f.SendDelayP99 > maxDelay:
+		return fmt.Sprintf("the lab sent requests late: p99 delay %.1f ms, limit %.1f ms", f.SendDelayP99, maxDelay)
+	case math.Abs(f.ClockSkew) > maxSkew:
+		return fmt.Sprintf("the clocks of lab and nodes differ by %.1f ms, limit %.1f ms", f.ClockSkew, maxSkew)
+	case f.Requests == 0:
+		return "no request was sent in the measured part of the run"
 	}
 	return ""
 }
 
-// record joins what all parties saw. Clients' times count from the schedule's start, the servers' from the run's.
-func (r *run) record(attempts []audit.Attempt) audit.Record {
+// buildRecord combines the records of clients, servers and nodes for the auditor. It converts the times of the clients'
+// attempts, which count from the start of the schedule, to times since the start of the run, as in the other records.
+func (r *run) buildRecord(attempts []audit.Attempt) audit.Record {
 	record := r.fleet.Record()
 	record.Outages, record.Pauses = r.nodes.Outages(), r.nodes.Pauses()
-	if r.writer != nil { // the nodes listen to their files alone
-		record.ListUpdates = r.writer.ListUpdates()
+	if r.inventoryWriter != nil { // the nodes read their endpoint lists only from the inventory files
+		record.ListUpdates = r.inventoryWriter.ListUpdates()
 	}
-	for _, t := range attempts {
-		t.Sent, t.Deadline, t.Ended = t.Sent+r.scheduleStart, t.Deadline+r.scheduleStart, t.Ended+r.scheduleStart
-		record.Attempts = append(record.Attempts, t)
+	for _, attempt := range attempts {
+		attempt.Sent, attempt.Deadline, attempt.Ended = attempt.Sent+r.scheduleStart, attempt.Deadline+r.scheduleStart, attempt.Ended+r.scheduleStart
+		record.Attempts = append(record.Attempts, attempt)
 	}
 	return record
 }
 
-// maxLinkDelay is the most that the lab's links usually delay one message between node and server. The four RTOs cover two
-// losses of one segment in a row (1+2 RTO); three or more are one in a thousand at a loss of a tenth.
+// maxLinkDelay returns the longest usual delay of a message between node and server on the lab's links. The four RTOs cover
+// two consecutive losses of a segment (1 + 2 RTO). With a loss of 10%, three or more consecutive losses happen to one
+// segment in a thousand.
 func maxLinkDelay(s *scenario.Scenario) time.Duration {
-	most := func(l scenario.Impairment) time.Duration {
-		d := l.Delay + l.Jitter
-		if l.Loss > 0 {
-			d += 4 * max(l.RTO, 200*time.Millisecond)
+	linkDelay := func(link scenario.Impairment) time.Duration {
+		delay := link.Delay + link.Jitter
+		if link.Loss > 0 {
+			delay += 4 * max(link.RTO, 200*time.Millisecond)
 		}
-		return d
+		return delay
 	}
-	return most(s.Links.Servers) + s.Fleet.ZoneDelay
+	return linkDelay(s.Links.Servers) + s.Fleet.ZoneDelay
 }
 
-// sumNodeCosts adds the nodes' measurements to the figures.
-func (r *run) sumNodeCosts(f *Figures, nodes []nodeproc.Report) {
-	for _, n := range nodes {
-		f.Crashes += n.Crashes
-		for _, s := range n.Samples {
-			f.MemoryMB = max(f.MemoryMB, float64(s.RSS)/(1<<20))
-			f.Sockets = max(f.Sockets, s.Sockets)
+// addNodeUsage adds the nodes' crashes, resource usage and clock skew to the figures.
+func (r *run) addNodeUsage(f *Figures, nodes []nodeproc.Report) {
+	for _, node := range nodes {
+		f.Crashes += node.Crashes
+		for _, sample := range node.Samples {
+			f.MemoryMB = max(f.MemoryMB, float64(sample.RSS)/(1<<20))
+			f.Sockets = max(f.Sockets, sample.Sockets)
 		}
-		if k := len(n.Samples); k > 1 {
-			first, last := n.Samples[0], n.Samples[k-1]
+		if samples := len(node.Samples); samples > 1 {
+			first, last := node.Samples[0], node.Samples[samples-1]
 			f.CPU += (last.CPU - first.CPU) / (last.At - first.At).Seconds() / float64(len(nodes))
 		}
 	}
-	f.Skew = r.nodes.ClockSkew()
+	f.ClockSkew = r.nodes.ClockSkew()
 }
 
-// machine describes where the run was played.
-func machine() string {
-	var u syscall.Utsname
+// describeMachine returns the cores, platform, kernel and Go version of the machine.
+func describeMachine() string {
+	var names syscall.Utsname
 	release := ""
-	if syscall.Uname(&u) == nil {
-		for _, c := range u.Release {
+	if syscall.Uname(&names) == nil {
+		for _, c := range names.Release {
 			if c == 0 {
 				break
 			}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -1,5 +1,5 @@
-// Package experiment plays a scenario: it starts servers, discovery and nodes, sends the load, injects the faults, and
-// lets the auditor judge what was seen.
+// Package experiment runs a scenario: it starts simulated servers, discovery and the nodes, sends the load, injects the
+// faults, and lets the auditor check the records of the run.
 package experiment
 
 import (
@@ -16,40 +16,41 @@
 )
 
 const (
-	// sampleEvery is the time between two measurements of nodes and servers.
+	// sampleEvery is the time between two samples of the nodes.
 	sampleEvery = 250 * time.Millisecond
 
-	// responseSlack is how late a response may be: 5 ms after the client's wait by the rule, and 50 ms for the sockets.
+	// responseSlack is how long after the client's deadline a response may arrive: the rule allows 5 ms, and 50 ms are added
+	// for the sockets.
 	responseSlack = 55 * time.Millisecond
 
-	// settle lets starting nodes get their list and open their first connections before the first request.
-	settle = 300 * time.Millisecond
+	// settleTime gives new nodes the time to get the endpoint list and to open connections before the first request.
+	settleTime = 300 * time.Millisecond
 )
 
-// Options say how a scenario is played.
+// Options configures a run.
 type Options struct {
 	Scenario  *scenario.Scenario
-	Command   []string // starts a node: the program and its arguments
+	Command   []string // program and arguments that start a node
 	Env       []string // added to the nodes' environment
-	Dir       string   // for the nodes' configurations and logs; empty: a folder that is removed at the end
-	Build     string   // what is played, for the report
+	Dir       string   // directory of the nodes' configurations and logs; empty: a temporary directory, removed at the end
+	Build     string   // description of the nodes' build, for the report
 	Progress  func(Progress)
-	Started   func(nodes []string) // called once the nodes are healthy, with their addresses
-	Companion Companion            // a further party to the run; nil: none
+	Started   func(nodes []string) // called with the nodes' addresses when all nodes are healthy
+	Companion Companion            // sends additional requests; nil: none
 }
 
-// Companion sends requests of its own beside the load.
+// Companion sends requests in addition to the scenario's load.
 type Companion interface {
-	// Begin is called once the nodes are up. Times of attempts count from start.
+	// Begin is called when the nodes are healthy. The times of the attempts count from start.
 	Begin(start time.Time, nodes []string)
-	// StopBegan is called right after SIGTERM of a planned stop. It must not wait.
+	// StopBegan is called directly after SIGTERM was sent for a planned stop. It must not block.
 	StopBegan(node int, address string, at time.Time)
-	// Attempts ends what is still going on and returns what was seen.
+	// Attempts ends the requests in flight and returns the attempts of the run.
 	Attempts() []audit.Attempt
 }
 
-// Run plays a scenario and judges it. An error says that the run could not begin; a run that began and proves nothing
-// has the verdict VerdictVoid.
+// Run runs a scenario and judges it. It returns an error if the run could not start. A run that started but is unusable has
+// the verdict VerdictInvalid.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	sched, err := o.Scenario.Schedule()
 	if err != nil {
@@ -64,7 +65,7 @@
 		Seed:     o.Scenario.Seed,
 		Schedule: sched.Hash(),
 		Build:    o.Build,
-		Machine:  machine(),
+		Machine:  describeMachine(),
 		When:     began.UTC().Truncate(time.Second),
 	}
 	if r.fleet, err = backend.New(o.Scenario, sched.Speeds, began); err != nil {
@@ -80,7 +81,7 @@
 		return nil, err
 	}
 	defer r.nodes.Close()
-	r.scheduleStart = time.Since(began) + settle
+	r.scheduleStart = time.Since(began) + settleTime
 	r.load = load.New(load.Options{
 		Scenario:      o.Scenario,
 		Schedule:      sched,
@@ -88,16 +89,16 @@
 		Start:         began.Add(r.scheduleStart),
 		Alive:         r.nodes.Alive,
 		StoppingFor:   r.nodes.StoppingFor,
-		CoapAddresses: r.coap,
+		CoapAddresses: r.coapAddresses,
 	})
-	err = r.play(ctx)
-	time.Sleep(responseSlack) // an attempt that begins after its response would reach a server now
+	err = r.runLoad(ctx)
+	time.Sleep(responseSlack) // lets servers receive attempts that a node wrongly sends after the client's response
 	r.summarize(out, err)
 	out.Took = time.Since(began).Seconds()
 	return out, nil
 }
 
-// startNodes starts the nodes and tells whoever waits for them.
+// startNodes starts the nodes, then calls Options.Started and Companion.Begin.
 func (r *run) startNodes(operatorFile func(int) string) error {
 	o := r.options
 	var onStop func(int, string, time.Time)
@@ -127,50 +128,50 @@
 	return nil
 }
 
-// run is a run that is being played.
+// run is the state of a run in progress.
 type run struct {
 	options       Options
 	sched         *scenario.Schedule
 	start         time.Time
-	scheduleStart time.Duration // when the schedule begins, in the run's time
+	scheduleStart time.Duration // start of the schedule, relative to start
 	fleet         *backend.Fleet
 	nodes         *nodeproc.Group
 	load          *load.Generator
 
-	coap   []string                 // the nodes' CoAP addresses
-	writer *backend.InventoryWriter // nil: discovery alone lists the servers
-	mesh   *meshRun                 // nil: the nodes do not know one another
-	ended  time.Duration            // the last moment that is judged
+	coapAddresses   []string                 // the nodes' CoAP addresses
+	inventoryWriter *backend.InventoryWriter // nil: only discovery lists the servers
+	mesh            *meshState               // nil: the nodes are not connected to each other
+	loadEnd         time.Duration            // end of the load, relative to start
 
-	servers [][]backend.ServerLoad // by half second
+	serverLoads [][]backend.ServerLoad // every 500 ms
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	marks        []Mark
 	recentEvents []string // since the last progress report
-	faultErr     error    // faults that could not be injected
+	faultErr     error    // errors of faults that could not be injected
 }
 
-// play sends the load while faults are injected and nodes are measured.
-func (r *run) play(ctx context.Context) error {
+// runLoad sends the load and meanwhile injects the faults and samples the nodes.
+func (r *run) runLoad(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var background sync.WaitGroup
-	background.Go(func() { r.faults(ctx) })
+	background.Go(func() { r.injectFaults(ctx) })
 	done := make(chan struct{})
 	background.Go(func() { r.measure(done) })
 	if r.mesh != nil {
-		background.Go(func() { r.watchMembers(done) })
+		background.Go(func() { r.pollViews(done) })
 		r.countTraffic(false)
 	}
 	var writerErr error
-	if r.writer != nil {
-		background.Go(func() { writerErr = r.writer.Run(ctx) })
+	if r.inventoryWriter != nil {
+		background.Go(func() { writerErr = r.inventoryWriter.Run(ctx) })
 	}
 	err := r.load.Run(ctx)
 	if r.mesh != nil {
 		r.countTraffic(true)
 	}
-	r.ended = time.Since(r.start)
+	r.loadEnd = time.Since(r.start)
 	close(done)
 	cancel()
 	background.Wait()
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes a run as one self-contained page: figures, plots with the faults marked, and what the auditor
-// found. The JSON beside it holds the same and more.
+// Package report writes the result of a run as a self-contained HTML page, with figures, plots that mark the faults, and the
+// breaches that the auditor found, and as a JSON file with all details.
 package report
 
 import (
@@ -26,23 +26,23 @@
 	width  = 23 * vg.Centimeter
 	height = 6 * vg.Centimeter
 
-	// maxBreaches are shown one by one; the rest is only counted.
+	// maxBreaches is the number of breaches that the page lists; further breaches are only counted.
 	maxBreaches = 50
 )
 
-var palette = []color.Color{
+var lineColors = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff}, color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 0xff},
 	color.RGBA{R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff}, color.RGBA{R: 0x94, G: 0x67, B: 0xbd, A: 0xff},
 	color.RGBA{R: 0x8c, G: 0x56, B: 0x4b, A: 0xff}, color.RGBA{R: 0x7f, G: 0x7f, B: 0x7f, A: 0xff},
 }
 
-// line is one curve.
+// line is one line of a plot.
 type line struct {
 	name   string
 	points plotter.XYs
 }
 
-// Write writes report.html and result.json into a folder, which is made where it is missing.
+// Write writes report.html and result.json to a directory. It creates the directory if it does not exist.
 func Write(dir string, r *experiment.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -61,23 +61,23 @@
 	return os.WriteFile(filepath.Join(dir, "report.html"), page, 0o644)
 }
 
-// Page is the HTML.
+// Page returns the HTML page of a run.
 func Page(r *experiment.Result) ([]byte, error) {
 	var plots []template.HTML
 	for _, p := range []struct {
 		title, unit string
 		lines       []line
-		most        float64
+		maxY        float64
 	}{
-		{"Worth served", "share of the worth asked for", worth(r), 1.05},
-		{"Latency of what was served", "ms from the intended send", latency(r), 0},
-		{"Refused and failed", "operations a second", endings(r), 0},
-		{"Load by server", "requests in hand", servers(r), 0},
-		{"Memory of the nodes", "MB resident", nodes(r, func(s sample) float64 { return s.memory }), 0},
-		{"Descriptors of the nodes", "open", nodes(r, func(s sample) float64 { return s.sockets }), 0},
-		{"CPU of the nodes", "cores", nodes(r, func(s sample) float64 { return s.cpu }), 0},
+		{"Worth served", "share of the worth asked for", goodputLines(r), 1.05},
+		{"Latency of what was served", "ms from the intended send", latencyLines(r), 0},
+		{"Refused and failed", "operations a second", outcomeLines(r), 0},
+		{"Load by server", "requests in hand", serverLoadLines(r), 0},
+		{"Memory of the nodes", "MB resident", nodeLines(r, func(s sample) float64 { return s.memory }), 0},
+		{"Descriptors of the nodes", "open", nodeLines(r, func(s sample) float64 { return s.sockets }), 0},
+		{"CPU of the nodes", "cores", nodeLines(r, func(s sample) float64 { return s.cpu }), 0},
 	} {
-		svg, err := chart(p.title, p.unit, p.lines, p.most, r.Marks)
+		svg, err := chart(p.title, p.unit, p.lines, p.maxY, r.Marks)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", p.title, err)
 		}
@@ -89,22 +89,22 @@
 	}
 	breaches := r.Breaches[:min(len(r.Breaches), maxBreaches)]
 	var out bytes.Buffer
-	err = page.Execute(&out, map[string]any{"R": r, "Plots": plots, "Figures": string(figures), "Breaches": breaches,
+	err = pageTemplate.Execute(&out, map[string]any{"R": r, "Plots": plots, "Figures": string(figures), "Breaches": breaches,
 		"More": len(r.Breaches) - len(breaches)})
 	return out.Bytes(), err
 }
 
-func worth(r *experiment.Result) []line {
+func goodputLines(r *experiment.Result) []line {
 	pts := plotter.XYs{}
 	for _, s := range r.Seconds {
-		if s.Asked > 0 {
-			pts = append(pts, plotter.XY{X: float64(s.At), Y: s.Worth})
+		if s.Requests > 0 {
+			pts = append(pts, plotter.XY{X: float64(s.At), Y: s.Goodput})
 		}
 	}
 	return []line{{"worth", pts}}
 }
 
-func latency(r *experiment.Result) []line {
+func latencyLines(r *experiment.Result) []line {
 	p50, p99 := plotter.XYs{}, plotter.XYs{}
 	for _, s := range r.Seconds {
 		if s.P99 > 0 {
@@ -115,59 +115,61 @@
 	return []line{{"p50", p50}, {"p99", p99}}
 }
 
-func endings(r *experiment.Result) []line {
-	asked, refused, failed := plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
+func outcomeLines(r *experiment.Result) []line {
+	requested, rejected, failed := plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	for _, s := range r.Seconds {
-		asked = append(asked, plotter.XY{X: float64(s.At), Y: float64(s.Asked)})
-		refused = append(refused, plotter.XY{X: float64(s.At), Y: float64(s.Rejected)})
+		requested = append(requested, plotter.XY{X: float64(s.At), Y: float64(s.Requests)})
+		rejected = append(rejected, plotter.XY{X: float64(s.At), Y: float64(s.Rejected)})
 		failed = append(failed, plotter.XY{X: float64(s.At), Y: float64(s.Failed)})
 	}
-	return []line{{"asked", asked}, {"refused", refused}, {"failed", failed}}
+	return []line{{"asked", requested}, {"refused", rejected}, {"failed", failed}}
 }
 
-// servers are the median of the servers' load, the highest one, and the cold ones'.
-func servers(r *experiment.Result) []line {
-	median, most, cold := plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
+// serverLoadLines returns the lines of the median and the highest number of requests in flight of a server, and of the
+// highest number of a server in slow start.
+func serverLoadLines(r *experiment.Result) []line {
+	median, highest, slowStart := plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	for i, loads := range r.Servers {
 		at := float64(i) / 2
-		in := make([]float64, 0, len(loads))
-		young, seen := 0.0, false
+		inFlight := make([]float64, 0, len(loads))
+		slowStartMax, inSlowStart := 0.0, false
 		for _, l := range loads {
-			in = append(in, float64(l.InFlight))
+			inFlight = append(inFlight, float64(l.InFlight))
 			if l.WarmupFactor < 1 {
-				young, seen = max(young, float64(l.InFlight)), true
+				slowStartMax, inSlowStart = max(slowStartMax, float64(l.InFlight)), true
 			}
 		}
-		sort.Float64s(in)
-		median = append(median, plotter.XY{X: at, Y: in[len(in)/2]})
-		most = append(most, plotter.XY{X: at, Y: in[len(in)-1]})
-		if seen {
-			cold = append(cold, plotter.XY{X: at, Y: young})
+		sort.Float64s(inFlight)
+		median = append(median, plotter.XY{X: at, Y: inFlight[len(inFlight)/2]})
+		highest = append(highest, plotter.XY{X: at, Y: inFlight[len(inFlight)-1]})
+		if inSlowStart {
+			slowStart = append(slowStart, plotter.XY{X: at, Y: slowStartMax})
 		}
 	}
-	return []line{{"median server", median}, {"fullest server", most}, {"fullest cold server", cold}}
+	return []line{{"median server", median}, {"fullest server", highest}, {"fullest cold server", slowStart}}
 }
 
-// sample is what a plot shows of a node at a moment.
+// sample holds the values of a node at a time: memory in MB, open sockets and CPU cores used.
 type sample struct{ memory, sockets, cpu float64 }
 
-func nodes(r *experiment.Result, value func(sample) float64) []line {
+func nodeLines(r *experiment.Result, value func(sample) float64) []line {
 	var out []line
 	for i, n := range r.Nodes {
 		pts := plotter.XYs{}
-		for k := 1; k < len(n.Samples); k++ {
-			s, was := n.Samples[k], n.Samples[k-1]
-			span := (s.At - was.At).Seconds()
-			pts = append(pts, plotter.XY{X: s.At.Seconds(), Y: value(sample{memory: float64(s.RSS) / (1 << 20),
-				sockets: float64(s.Sockets), cpu: max(0, s.CPU-was.CPU) / math.Max(span, 1e-3)})})
+		for j := 1; j < len(n.Samples); j++ {
+			current, previous := n.Samples[j], n.Samples[j-1]
+			elapsed := (current.At - previous.At).Seconds()
+			pts = append(pts, plotter.XY{X: current.At.Seconds(), Y: value(sample{memory: float64(current.RSS) / (1 << 20),
+				sockets: float64(current.Sockets), cpu: max(0, current.CPU-previous.CPU) / math.Max(elapsed, 1e-3)})})
 		}
 		out = append(out, line{fmt.Sprintf("n%d", i), pts})
 	}
 	return out
 }
 
-// chart draws curves over the run's seconds, with a mark for each fault.
-func chart(title, unit string, lines []line, most float64, marks []experiment.Mark) (template.HTML, error) {
+// chart returns an SVG plot of lines over the seconds of the run, with a mark for each fault. If maxY is 0, the Y axis is
+// scaled to the data.
+func chart(title, unit string, lines []line, maxY float64, marks []experiment.Mark) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.Y.Min, p.Legend.Top = 0, true
@@ -180,18 +182,18 @@
 		if err != nil {
 			return "", err
 		}
-		curve.Color, curve.Width = palette[i%len(palette)], vg.Points(1.2)
+		curve.Color, curve.Width = lineColors[i%len(lineColors)], vg.Points(1.2)
 		p.Add(curve)
-		if i < len(palette) {
+		if i < len(lineColors) {
 			p.Legend.Add(l.name, curve)
 		}
 	}
-	if most > 0 {
-		p.Y.Max = most
+	if maxY > 0 {
+		p.Y.Max = maxY
 	}
 	p.Y.Min = 0
 	p.Y.Max = max(p.Y.Max, 1e-6)
-	p.Add(faults{marks})
+	p.Add(faultMarkers{marks})
 	c := vgsvg.New(width, height)
 	p.Draw(draw.New(c))
 	var out bytes.Buffer
@@ -199,17 +201,17 @@
 		return "", err
 	}
 	svg := out.Bytes()
-	if i := bytes.Index(svg, []byte("<svg")); i > 0 { // the XML declaration before it must not stand within a page
+	if i := bytes.Index(svg, []byte("<svg")); i > 0 { // an HTML page must not contain the XML declaration
 		svg = svg[i:]
 	}
 	return template.HTML(svg), nil
 }
 
-// faults draws a line for each fault.
-type faults struct{ marks []experiment.Mark }
+// faultMarkers draws a vertical line for each fault.
+type faultMarkers struct{ marks []experiment.Mark }
 
-// Plot draws the lines within the plot's area.
-func (f faults) Plot(c draw.Canvas, p *plot.Plot) {
+// Plot draws the lines into the plot area.
+func (f faultMarkers) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
 	style := draw.LineStyle{Color: color.RGBA{R: 0xff, G: 0x7f, B: 0x0e, A: 0xff}, Width: vg.Points(0.8),
 		Dashes: []vg.Length{vg.Points(3), vg.Points(2)}}
@@ -220,7 +222,7 @@
 	}
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.R.Scenario}}: {{.R.Verdict}}</title>
 <style>body{font:15px/1.5 system-ui,sans-serif;max-width:60rem;margin:2rem auto;padding:0 1rem;color:#222}
 table{border-collapse:collapse}td,th{padding:.2rem .8rem;border-bottom:1px solid #ddd;text-align:left;vertical-align:top}
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// check names the first thing in the scenario that cannot be.
+// check returns an error that names the first invalid key of the scenario, or nil.
 func (s *Scenario) check() error {
-	f, n := s.Fleet, s.Nodes
-	for _, c := range []struct {
-		bad bool
-		key string
-		why string
+	fleet, nodes := s.Fleet, s.Nodes
+	for _, rule := range []struct {
+		invalid     bool
+		key         string
+		requirement string
 	}{
 		{s.Name == "", "name", "is missing"},
 		{s.Duration <= 0, "duration", "must be above 0"},
 		{s.Warmup < 0, "warmup", "must not be negative"},
-		{f.Servers < 1 || f.Servers > 2000, "fleet.servers", "must be 1 to 2000"},
-		{len(f.Zones) == 0, "fleet.zones", "needs at least one zone"},
-		{f.PodSize < 1, "fleet.pod_size", "must be at least 1"},
-		{f.Cores < 1, "fleet.cores", "must be at least 1"},
-		{f.Speed <= 0, "fleet.speed", "must be above 0"},
-		{f.SpeedSpread < 0 || f.SpeedSpread >= 1, "fleet.speed_spread", "must be 0 to 1"},
-		{f.ColdSpeed <= 0 || f.ColdSpeed > 1, "fleet.cold_from", "must be above 0 and at most 1"},
-		{f.SlowFactor < 1, "fleet.slow_times", "must be at least 1"},
-		{n.Count < 1 || n.Count > 64, "nodes.count", "must be 1 to 64"},
-		{!slices.Contains(nodeKinds, n.Kind), "nodes.kind", "must be one of " + strings.Join(nodeKinds, ", ")},
-		{!slices.Contains(Defects, n.Defect), "nodes.break", "must be one of " + strings.Join(Defects[1:], ", ")},
-		{n.Defect != "" && n.Kind == "tackhub", "nodes.break", "goes with a baseline only"},
+		{fleet.Servers < 1 || fleet.Servers > 2000, "fleet.servers", "must be 1 to 2000"},
+		{len(fleet.Zones) == 0, "fleet.zones", "needs at least one zone"},
+		{fleet.PodSize < 1, "fleet.pod_size", "must be at least 1"},
+		{fleet.Cores < 1, "fleet.cores", "must be at least 1"},
+		{fleet.Speed <= 0, "fleet.speed", "must be above 0"},
+		{fleet.SpeedSpread < 0 || fleet.SpeedSpread >= 1, "fleet.speed_spread", "must be 0 to 1"},
+		{fleet.ColdSpeed <= 0 || fleet.ColdSpeed > 1, "fleet.cold_from", "must be above 0 and at most 1"},
+		{fleet.SlowFactor < 1, "fleet.slow_times", "must be at least 1"},
+		{nodes.Count < 1 || nodes.Count > 64, "nodes.count", "must be 1 to 64"},
+		{!slices.Contains(nodeKinds, nodes.Kind), "nodes.kind", "must be one of " + strings.Join(nodeKinds, ", ")},
+		{!slices.Contains(Defects, nodes.Defect), "nodes.break", "must be one of " + strings.Join(Defects[1:], ", ")},
+		{nodes.Defect != "" && nodes.Kind == "tackhub", "nodes.break", "is supported only if nodes.kind is a baseline (random or least)"},
 		{len(s.Classes) == 0, "class", "needs at least one class"},
 		{len(s.Load) == 0, "load", "needs at least one step"},
 		{s.Clients.Tenants < 1, "clients.tenants", "must be at least 1"},
-		{!slices.Contains(retries, s.Clients.Retry), "clients.retry", "must be one of " + strings.Join(retries, ", ")},
+		{!slices.Contains(retryPolicies, s.Clients.Retry), "clients.retry", "must be one of " + strings.Join(retryPolicies, ", ")},
 		{s.Clients.Coap < 0 || s.Clients.Coap > 1, "clients.coap", "must be 0 to 1"},
 		{s.Clients.Devices < 1 || s.Clients.Devices > 1000, "clients.devices", "must be 1 to 1000"},
 		{s.Clients.Duplicates < 0 || s.Clients.Duplicates > 8, "clients.dup", "must be 0 to 8"},
-		{f.Coap < 0 || f.Coap > 1, "fleet.coap", "must be 0 to 1"},
-		{f.Coap > 0 && s.Inventory == nil, "fleet.coap", "needs an [inventory]: discovery lists HTTP servers alone"},
+		{fleet.Coap < 0 || fleet.Coap > 1, "fleet.coap", "must be 0 to 1"},
+		{fleet.Coap > 0 && s.Inventory == nil, "fleet.coap", "needs an [inventory], because discovery lists only HTTP servers"},
 		{s.Clients.CancelShare < 0 || s.Clients.CancelShare > 1, "clients.leave", "must be 0 to 1"},
 		{s.Expect.Window <= 0, "expect.window", "must be above 0"},
 	} {
-		if c.bad {
-			return fmt.Errorf("%s %s", c.key, c.why)
+		if rule.invalid {
+			return fmt.Errorf("%s %s", rule.key, rule.requirement)
 		}
 	}
 	if s.Inventory != nil && !s.Inventory.valid() {
-		return fmt.Errorf("inventory: a form of csv or yaml, a time between rewrites, and shares from 0 to 1 are needed")
+		return fmt.Errorf("inventory: form must be csv or yaml, every must be above 0, and bad and saving must not be negative and must add up to at most 1")
 	}
-	for name, l := range map[string]Impairment{"clients": s.Links.Clients, "servers": s.Links.Servers, "discovery": s.Links.Discovery} {
-		if l.Loss < 0 || l.Loss >= 1 || l.Delay < 0 || l.Jitter < 0 || l.Bandwidth < 0 || !slices.Contains(directions, l.Direction) {
-			return fmt.Errorf("link.%s: a loss of 0 to 1, no negative figure, and a direction of both, up or down are needed", name)
+	for name, link := range map[string]Impairment{"clients": s.Links.Clients, "servers": s.Links.Servers, "discovery": s.Links.Discovery} {
+		if link.Loss < 0 || link.Loss >= 1 || link.Delay < 0 || link.Jitter < 0 || link.Bandwidth < 0 || !slices.Contains(directions, link.Direction) {
+			return fmt.Errorf("link.%s: loss must be at least 0 and below 1, no value may be negative, and direction must be both, up or down", name)
 		}
 	}
 	if err := s.checkMesh(); err != nil {
@@ -60,78 +60,80 @@
 	if err := s.checkClasses(); err != nil {
 		return err
 	}
-	return s.checkTimes()
+	return s.checkLoadAndFaults()
 }
 
-// valid reports whether the form is known, the time between rewrites is above 0, and the shares are not negative and add up
-// to at most 1.
+// valid reports whether the format is known, the interval between rewrites is above 0, and the fractions are not negative
+// and add up to at most 1.
 func (i *Inventory) valid() bool {
 	knownForm := i.Form == "csv" || i.Form == "yaml"
 	validShares := i.Bad >= 0 && i.InPlace >= 0 && i.Bad+i.InPlace <= 1
 	return knownForm && validShares && i.Every > 0
 }
 
-// checkClasses names the first class that cannot be.
+// checkClasses returns an error that names the first invalid class, or nil.
 func (s *Scenario) checkClasses() error {
 	seen := map[string]bool{}
-	for i, c := range s.Classes {
-		at := fmt.Sprintf("class[%d]", i)
+	for i, class := range s.Classes {
+		key := fmt.Sprintf("class[%d]", i)
 		switch {
-		case c.Name == "" || strings.ContainsAny(c.Name, "/ ?#"):
-			return fmt.Errorf("%s.name %q cannot be the first part of a path", at, c.Name)
-		case seen[c.Name]:
-			return fmt.Errorf("%s.name %q comes twice", at, c.Name)
-		case !slices.Contains(effectNames, c.Effect):
-			return fmt.Errorf("%s.effect must be one of %s", at, strings.Join(effectNames, ", "))
-		case !slices.Contains(groupNames, c.Group):
-			return fmt.Errorf("%s.group must be all, zone or cell", at)
-		case !slices.Contains(distributions, c.Dist):
-			return fmt.Errorf("%s.dist must be one of %s", at, strings.Join(distributions[1:], ", "))
-		case c.Share <= 0 || c.Worth < 0 || c.Work <= 0:
-			return fmt.Errorf("%s needs a share and work above 0 and no negative worth", at)
-		case c.Aim <= 0 || c.Deadline < c.Aim:
-			return fmt.Errorf("%s needs an aim above 0 and a deadline no shorter", at)
-		case c.Body < 0 || c.Body > 64<<10:
-			return fmt.Errorf("%s.body must be 0 to 65536", at)
-		case c.Effect == EffectKeyed && c.Window <= 0:
-			return fmt.Errorf("%s.window must be above 0 for a keyed class", at)
+		case class.Name == "" || strings.ContainsAny(class.Name, "/ ?#"):
+			return fmt.Errorf("%s.name %q is the first segment of request paths: it must not be empty or contain /, ?, # or a space",
+				key, class.Name)
+		case seen[class.Name]:
+			return fmt.Errorf("%s.name %q is already used by another class", key, class.Name)
+		case !slices.Contains(effectNames, class.Effect):
+			return fmt.Errorf("%s.effect %q must be one of %s", key, class.Effect, strings.Join(effectNames, ", "))
+		case !slices.Contains(groupNames, class.Group):
+			return fmt.Errorf("%s.group %q must be all, zone or cell", key, class.Group)
+		case !slices.Contains(distributions, class.Dist):
+			return fmt.Errorf("%s.dist %q must be one of %s", key, class.Dist, strings.Join(distributions[1:], ", "))
+		case class.Share <= 0 || class.Worth < 0 || class.Work <= 0:
+			return fmt.Errorf("%s: share %v and work %v must be above 0, and worth %v must not be negative",
+				key, class.Share, class.Work, class.Worth)
+		case class.Aim <= 0 || class.Deadline < class.Aim:
+			return fmt.Errorf("%s: aim %v must be above 0 and at most the deadline %v", key, class.Aim, class.Deadline)
+		case class.Body < 0 || class.Body > 64<<10:
+			return fmt.Errorf("%s.body %d must be 0 to 65536", key, class.Body)
+		case class.Effect == EffectKeyed && class.Window <= 0:
+			return fmt.Errorf("%s.window %v must be above 0 for a keyed class", key, class.Window)
 		}
-		seen[c.Name] = true
+		seen[class.Name] = true
 	}
 	return nil
 }
 
-// checkTimes names the first step or fault that cannot be.
-func (s *Scenario) checkTimes() error {
+// checkLoadAndFaults returns an error that names the first invalid load step or fault, or nil.
+func (s *Scenario) checkLoadAndFaults() error {
 	end := s.Warmup + s.Duration
-	last := time.Duration(-1)
-	for i, l := range s.Load {
-		if l.At <= last && i > 0 || l.At < 0 {
-			return fmt.Errorf("load[%d].at must come after the step before", i)
+	previousAt := time.Duration(-1)
+	for i, step := range s.Load {
+		if step.At <= previousAt && i > 0 || step.At < 0 {
+			return fmt.Errorf("load[%d].at %v must not be negative and must be later than the previous step", i, step.At)
 		}
-		if l.Rate < 0 || l.Times < 0 || l.Burst < 0 || l.Rate > 0 && l.Times > 0 {
-			return fmt.Errorf("load[%d] needs a rate or times, not both, and nothing negative", i)
+		if step.Rate < 0 || step.Times < 0 || step.Burst < 0 || step.Rate > 0 && step.Times > 0 {
+			return fmt.Errorf("load[%d]: set either rate or times, not both; rate, times and burst must not be negative", i)
 		}
-		last = l.At
+		previousAt = step.At
 	}
-	for i, f := range s.Faults {
+	for i, fault := range s.Faults {
 		switch {
-		case !slices.Contains(FaultKinds, f.Kind):
-			return fmt.Errorf("fault[%d].kind %q is not one of %s", i, f.Kind, joinKinds(FaultKinds))
-		case f.At < 0 || f.At >= end:
-			return fmt.Errorf("fault[%d].at lies outside the run of %v", i, end)
-		case f.Kind == FaultSlow && f.Factor <= 0:
-			return fmt.Errorf("fault[%d].times must be above 0", i)
-		case f.Kind == FaultNodePause && (f.For <= 0 || f.For > MaxPause):
-			return fmt.Errorf("fault[%d].for must be above 0 and at most %v", i, MaxPause)
-		case slices.ContainsFunc(f.FollowUpSignals, func(name string) bool { return !slices.Contains(signals, name) }):
-			return fmt.Errorf("fault[%d].again may name %s", i, strings.Join(signals, ", "))
-		case !slices.Contains(directions, f.Direction):
-			return fmt.Errorf("fault[%d].way must be both, up or down", i)
-		case f.Kind == FaultErrors && (f.Share <= 0 || f.Share > 1):
-			return fmt.Errorf("fault[%d].share must be above 0 and at most 1", i)
+		case !slices.Contains(FaultKinds, fault.Kind):
+			return fmt.Errorf("fault[%d].kind %q is not one of %s", i, fault.Kind, joinKinds(FaultKinds))
+		case fault.At < 0 || fault.At >= end:
+			return fmt.Errorf("fault[%d].at %v must not be negative and must be before the end of the run at %v", i, fault.At, end)
+		case fault.Kind == FaultSlow && fault.Factor <= 0:
+			return fmt.Errorf("fault[%d].times %v must be above 0", i, fault.Factor)
+		case fault.Kind == FaultNodePause && (fault.For <= 0 || fault.For > MaxPause):
+			return fmt.Errorf("fault[%d].for %v must be above 0 and at most %v", i, fault.For, MaxPause)
+		case slices.ContainsFunc(fault.FollowUpSignals, func(name string) bool { return !slices.Contains(followUpSignals, name) }):
+			return fmt.Errorf("fault[%d].again %q may contain only %s", i, fault.FollowUpSignals, strings.Join(followUpSignals, ", "))
+		case !slices.Contains(directions, fault.Direction):
+			return fmt.Errorf("fault[%d].way %q must be both, up or down", i, fault.Direction)
+		case fault.Kind == FaultErrors && (fault.Share <= 0 || fault.Share > 1):
+			return fmt.Errorf("fault[%d].share %v must be above 0 and at most 1", i, fault.Share)
 		}
-		if _, err := s.targets(f, nil); err != nil {
+		if _, err := s.faultEvents(fault, nil); err != nil {
 			return fmt.Errorf("fault[%d].target: %w", i, err)
 		}
 	}
@@ -139,14 +141,14 @@
 }
 
 var (
-	effectNames   = []string{EffectSafe, EffectKeyed, EffectUnsafe}
-	groupNames    = []string{"", "all", "zone", "cell"}
-	distributions = []string{"", "fixed", "exponential", "lognormal"}
-	retries       = []string{"none", "now", "backoff", "follow", "ignore"}
-	nodeKinds     = []string{"tackhub", "random", "least"}
-	directions    = []string{"", "both", "up", "down"}
-	signals       = []string{"TERM", "INT", "HUP", "USR1"}
+	effectNames     = []string{EffectSafe, EffectKeyed, EffectUnsafe}
+	groupNames      = []string{"", "all", "zone", "cell"}
+	distributions   = []string{"", "fixed", "exponential", "lognormal"}
+	retryPolicies   = []string{"none", "now", "backoff", "follow", "ignore"}
+	nodeKinds       = []string{"tackhub", "random", "least"}
+	directions      = []string{"", "both", "up", "down"}
+	followUpSignals = []string{"TERM", "INT", "HUP", "USR1"}
 
-	// Defects are what a baseline can be broken by, to try the auditor.
+	// Defects are the defects that a baseline can be given to test the auditor; empty means none.
 	Defects = []string{"", "double-send", "lost-answer", "late-drain", "swapped-answer", "late-answer", "cold-push", "refuse-run"}
 )
--- a/lab/scenario/faultkind.go
+++ b/lab/scenario/faultkind.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// FaultKind is a kind of fault, as a scenario names it. docs/lab.md describes what each does.
+// FaultKind is a kind of fault, as written in a scenario. docs/lab.md describes each kind.
 type FaultKind string
 
-// The faults of servers.
+// The faults of servers and of their links.
 const (
 	FaultCrash        FaultKind = "crash"
 	FaultVanish       FaultKind = "vanish"
@@ -19,27 +19,27 @@
 	FaultReportsOff   FaultKind = "reports-off"
 )
 
-// Kinds with these prefixes concern one node each.
+// Prefixes of the fault kinds that affect a single node.
 const (
-	prefixOfNode      = "node-"      // its process
-	prefixOfDiscovery = "discovery-" // its discovery
-	prefixOfClients   = "clients-"   // its clients' links
+	nodePrefix      = "node-"      // the node's process
+	discoveryPrefix = "discovery-" // the discovery service that the node uses
+	clientsPrefix   = "clients-"   // the links between the node and its clients
 )
 
-// The faults of nodes, and of what belongs to one node.
+// The faults of nodes, of their disks and discovery services, and of their links to clients.
 const (
-	FaultNodeKill         FaultKind = prefixOfNode + "kill"
-	FaultNodeStop         FaultKind = prefixOfNode + "stop"
-	FaultNodeRestart      FaultKind = prefixOfNode + "restart"
-	FaultNodeReplace      FaultKind = prefixOfNode + "replace"
-	FaultNodePause        FaultKind = prefixOfNode + "pause"
+	FaultNodeKill         FaultKind = nodePrefix + "kill"
+	FaultNodeStop         FaultKind = nodePrefix + "stop"
+	FaultNodeRestart      FaultKind = nodePrefix + "restart"
+	FaultNodeReplace      FaultKind = nodePrefix + "replace"
+	FaultNodePause        FaultKind = nodePrefix + "pause"
 	FaultDiskLost         FaultKind = "disk-lost"
-	FaultDiscoveryDown    FaultKind = prefixOfDiscovery + "down"
-	FaultDiscoveryStale   FaultKind = prefixOfDiscovery + "stale"
-	FaultDiscoveryWrong   FaultKind = prefixOfDiscovery + "wrong"
-	FaultClientsStall     FaultKind = prefixOfClients + "stall"
-	FaultClientsReset     FaultKind = prefixOfClients + "reset"
-	FaultClientsHalfClose FaultKind = prefixOfClients + "half-close"
+	FaultDiscoveryDown    FaultKind = discoveryPrefix + "down"
+	FaultDiscoveryStale   FaultKind = discoveryPrefix + "stale"
+	FaultDiscoveryWrong   FaultKind = discoveryPrefix + "wrong"
+	FaultClientsStall     FaultKind = clientsPrefix + "stall"
+	FaultClientsReset     FaultKind = clientsPrefix + "reset"
+	FaultClientsHalfClose FaultKind = clientsPrefix + "half-close"
 )
 
 // The faults of links between nodes.
@@ -51,7 +51,7 @@
 	FaultReorder   FaultKind = "reorder"
 )
 
-// FaultKinds are the faults that a scenario can name.
+// FaultKinds are all kinds that a scenario can use.
 var FaultKinds = []FaultKind{
 	FaultCrash, FaultVanish, FaultHang, FaultSlow, FaultErrors, FaultDrain, FaultColdReturn, FaultNodeKill, FaultNodeStop,
 	FaultNodeRestart, FaultDiscoveryDown, FaultDiscoveryStale, FaultDiscoveryWrong, FaultClientsStall, FaultClientsReset,
@@ -59,8 +59,8 @@
 	FaultDiskLost, FaultCut, FaultLoss, FaultDelay, FaultDuplicate, FaultReorder,
 }
 
-// OfLink reports whether the fault concerns the links between nodes.
-func (k FaultKind) OfLink() bool {
+// AffectsLink reports whether the fault affects links between nodes.
+func (k FaultKind) AffectsLink() bool {
 	switch k {
 	case FaultCut, FaultLoss, FaultDelay, FaultDuplicate, FaultReorder:
 		return true
@@ -68,20 +68,21 @@
 	return false
 }
 
-// OfProcess reports whether the fault concerns a node's process or its disk.
-func (k FaultKind) OfProcess() bool {
-	return k == FaultDiskLost || strings.HasPrefix(string(k), prefixOfNode)
+// AffectsProcess reports whether the fault affects a node's process or its disk.
+func (k FaultKind) AffectsProcess() bool {
+	return k == FaultDiskLost || strings.HasPrefix(string(k), nodePrefix)
 }
 
-// OfClients reports whether the fault concerns the clients' links to a node.
-func (k FaultKind) OfClients() bool { return strings.HasPrefix(string(k), prefixOfClients) }
+// AffectsClients reports whether the fault affects the clients' links to a node.
+func (k FaultKind) AffectsClients() bool { return strings.HasPrefix(string(k), clientsPrefix) }
 
-// ofNode reports whether a target names nodes: the fault concerns their processes, or what belongs to one node.
-func (k FaultKind) ofNode() bool {
-	return k.OfProcess() || k.OfClients() || strings.HasPrefix(string(k), prefixOfDiscovery)
+// targetsNodes reports whether the fault's target selects nodes: the fault affects a process, a disk, a discovery service
+// or client links.
+func (k FaultKind) targetsNodes() bool {
+	return k.AffectsProcess() || k.AffectsClients() || strings.HasPrefix(string(k), discoveryPrefix)
 }
 
-// joinKinds lists kinds for a message.
+// joinKinds returns the kinds separated by commas, for error messages.
 func joinKinds(kinds []FaultKind) string {
 	names := make([]string, len(kinds))
 	for i, k := range kinds {
--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// Mesh makes the nodes a cluster, with a link of its own for each directed pair. Spans of 0 are the program's defaults.
+// Mesh connects the nodes to a cluster, with a separate link for each directed pair of nodes. For durations of 0, the
+// nodes use their defaults.
 type Mesh struct {
 	Period    time.Duration `toml:"period"`
 	Timeout   time.Duration `toml:"timeout"`
 	Suspicion time.Duration `toml:"suspicion"`
-	Quotas    bool          `toml:"shares"`   // quotas of what the whole fleet may use together
-	Overload  bool          `toml:"overload"` // the fleet sheds load together
+	Quotas    bool          `toml:"shares"`   // nodes get quotas of the fleet-wide limits
+	Overload  bool          `toml:"overload"` // nodes coordinate load shedding
 }
 
-// MeshExpect is what the nodes' views must show.
+// MeshExpect holds the requirements on the nodes' membership views and on the cost of the mesh. 0 means no limit.
 type MeshExpect struct {
-	DetectWithin   time.Duration `toml:"notice"`      // a node that is gone or unreachable is out of every view within it
-	ConvergeWithin time.Duration `toml:"heal"`        // after the last fault all hold the same view within it
-	Bytes          float64       `toml:"bytes_max"`   // a second, sent by any node on the mesh
-	Cores          float64       `toml:"cpu_max"`     // of any node
-	IgnorePartial  bool          `toml:"uneven_only"` // nothing is expected of members that only some can hear
+	DetectWithin   time.Duration `toml:"notice"`      // until a failed or unreachable node is removed from every view
+	ConvergeWithin time.Duration `toml:"heal"`        // after the last fault, until all nodes have the same view
+	Bytes          float64       `toml:"bytes_max"`   // bytes per second that a node may send to other nodes
+	Cores          float64       `toml:"cpu_max"`     // CPU cores that a node may use
+	IgnorePartial  bool          `toml:"uneven_only"` // members that only some nodes can reach are not judged
 }
 
-// checkMesh names the first thing about the mesh that cannot be.
+// checkMesh returns an error that names the first invalid setting of the mesh or of its faults, or nil.
 func (s *Scenario) checkMesh() error {
 	if s.Mesh == nil && s.Expect.Mesh != nil {
 		return fmt.Errorf("expect.mesh needs a [mesh]")
@@ -35,41 +36,41 @@
 	if m := s.Mesh; m != nil {
 		switch {
 		case s.Nodes.Kind != "tackhub" || s.Nodes.OperatorFile != "":
-			return fmt.Errorf("mesh: it needs nodes of kind tackhub, and writes their operator files itself")
+			return fmt.Errorf("mesh: nodes.kind must be tackhub and nodes.edge must be empty, because the lab writes the operator files")
 		case s.Nodes.Count < 2:
-			return fmt.Errorf("mesh: one node has nobody to talk to")
+			return fmt.Errorf("mesh: nodes.count must be at least 2")
 		case m.Period < 0 || m.Timeout < 0 || m.Suspicion < 0:
-			return fmt.Errorf("mesh: spans must not be negative")
+			return fmt.Errorf("mesh: period, timeout and suspicion must not be negative")
 		}
 	}
-	for i, f := range s.Faults {
-		of := f.Kind.OfLink()
+	for i, fault := range s.Faults {
+		affectsLink := fault.Kind.AffectsLink()
 		switch {
-		case !of && f.Kind != FaultDiskLost:
+		case !affectsLink && fault.Kind != FaultDiskLost:
 		case s.Mesh == nil:
-			return fmt.Errorf("fault[%d].kind %s needs a [mesh]", i, f.Kind)
-		case (f.Kind == FaultLoss || f.Kind == FaultDuplicate || f.Kind == FaultReorder) && (f.Share <= 0 || f.Share > 1):
-			return fmt.Errorf("fault[%d].share must be above 0 and at most 1", i)
-		case (f.Kind == FaultDelay || f.Kind == FaultReorder) && f.Delay <= 0 && f.Jitter <= 0:
-			return fmt.Errorf("fault[%d] needs a delay or a jitter", i)
+			return fmt.Errorf("fault[%d].kind %s needs a [mesh]", i, fault.Kind)
+		case (fault.Kind == FaultLoss || fault.Kind == FaultDuplicate || fault.Kind == FaultReorder) && (fault.Share <= 0 || fault.Share > 1):
+			return fmt.Errorf("fault[%d].share %v must be above 0 and at most 1", i, fault.Share)
+		case (fault.Kind == FaultDelay || fault.Kind == FaultReorder) && fault.Delay <= 0 && fault.Jitter <= 0:
+			return fmt.Errorf("fault[%d]: a fault of kind %s needs a delay or a jitter above 0", i, fault.Kind)
 		}
 	}
 	return nil
 }
 
-// links are the directed pairs of nodes that a target names: all, a share of all ("25%"), half (the first half of the
-// nodes and the second do not hear each other), ring (each node to the next), or sets of nodes, "node:0->node:3",
-// "zone:a<->zone:b", "node:2->rest".
-func (s *Scenario) links(target string, rng *rand.Rand) ([][2]int, error) {
+// targetLinks returns the directed pairs of nodes that a target selects: all, a fraction of all links ("25%"), half (all
+// links between the first and the second half of the nodes), ring (from each node to the next), or the links between sets
+// of nodes, such as "node:0->node:3", "zone:a<->zone:b" or "node:2->rest".
+func (s *Scenario) targetLinks(target string, rng *rand.Rand) ([][2]int, error) {
 	n := s.Nodes.Count
-	every := s.allLinks()
+	links := s.allLinks()
 	switch {
 	case target == "" || target == "all":
-		return every, nil
+		return links, nil
 	case target == "half":
-		return filterLinks(every, func(from, to int) bool { return (from < n/2) != (to < n/2) }), nil
+		return filterLinks(links, func(from, to int) bool { return (from < n/2) != (to < n/2) }), nil
 	case target == "ring":
-		return filterLinks(every, func(from, to int) bool { return to == (from+1)%n }), nil
+		return filterLinks(links, func(from, to int) bool { return to == (from+1)%n }), nil
 	}
 	if from, to, ok := strings.Cut(target, "<->"); ok {
 		return s.linksBetween(target, from, to, true)
@@ -77,17 +78,17 @@
 	if from, to, ok := strings.Cut(target, "->"); ok {
 		return s.linksBetween(target, from, to, false)
 	}
-	k, err := parseCount(target, len(every))
+	k, err := parseCount(target, len(links))
 	if err != nil {
-		return nil, fmt.Errorf("%q is no link: all, half, ring, a share, or sets of nodes such as node:0->node:3", target)
+		return nil, fmt.Errorf("%q selects no links: expected all, half, ring, a percentage, or sets of nodes such as node:0->node:3", target)
 	}
 	if rng != nil {
-		rng.Shuffle(len(every), func(i, j int) { every[i], every[j] = every[j], every[i] })
+		rng.Shuffle(len(links), func(i, j int) { links[i], links[j] = links[j], links[i] })
 	}
-	return every[:k], nil
+	return links[:k], nil
 }
 
-// allLinks are all directed pairs of nodes.
+// allLinks returns all directed pairs of nodes.
 func (s *Scenario) allLinks() [][2]int {
 	var all [][2]int
 	for i := range s.Nodes.Count {
@@ -100,47 +101,48 @@
 	return all
 }
 
-// filterLinks are the links that fit.
-func filterLinks(links [][2]int, fits func(from, to int) bool) [][2]int {
-	return slices.DeleteFunc(slices.Clone(links), func(p [2]int) bool { return !fits(p[0], p[1]) })
+// filterLinks returns the links for which keep returns true.
+func filterLinks(links [][2]int, keep func(from, to int) bool) [][2]int {
+	return slices.DeleteFunc(slices.Clone(links), func(p [2]int) bool { return !keep(p[0], p[1]) })
 }
 
-// linksBetween are the links from one set of nodes to another, and back where both directions are named.
+// linksBetween returns the links from one set of nodes to another, and the reverse links if both is set.
 func (s *Scenario) linksBetween(target, fromText, toText string, both bool) ([][2]int, error) {
-	a, err := s.nodeSet(fromText)
+	fromNodes, err := s.nodeSet(fromText)
 	if err != nil {
 		return nil, err
 	}
-	b, err := s.nodeSet(toText)
+	toNodes, err := s.nodeSet(toText)
 	if err != nil {
 		return nil, err
 	}
 	if toText == "rest" {
-		b = s.nodesBeside(a)
+		toNodes = s.otherNodes(fromNodes)
 	}
 	if fromText == "rest" {
-		a = s.nodesBeside(b)
+		fromNodes = s.otherNodes(toNodes)
 	}
 	links := filterLinks(s.allLinks(), func(from, to int) bool {
-		forth := slices.Contains(a, from) && slices.Contains(b, to)
-		back := slices.Contains(a, to) && slices.Contains(b, from)
-		return forth || both && back
+		forward := slices.Contains(fromNodes, from) && slices.Contains(toNodes, to)
+		backward := slices.Contains(fromNodes, to) && slices.Contains(toNodes, from)
+		return forward || both && backward
 	})
 	if len(links) == 0 {
-		return nil, fmt.Errorf("%q names no link", target)
+		return nil, fmt.Errorf("%q selects no links", target)
 	}
 	return links, nil
 }
 
-// nodesBeside are the nodes that are not in a set.
-func (s *Scenario) nodesBeside(set []int) []int {
+// otherNodes returns the nodes that are not in the set.
+func (s *Scenario) otherNodes(set []int) []int {
 	return slices.DeleteFunc(indexes(s.Nodes.Count), func(i int) bool { return slices.Contains(set, i) })
 }
 
-// nodeSet are the nodes on one side of a link; rest is worked out by the caller, who knows the other side.
+// nodeSet returns the nodes on one side of a link target. For "rest" it returns nil: the caller, which has the other side,
+// replaces it by all nodes outside that side.
 func (s *Scenario) nodeSet(text string) ([]int, error) {
-	what, name, _ := strings.Cut(text, ":")
-	switch what {
+	kind, name, _ := strings.Cut(text, ":")
+	switch kind {
 	case "rest":
 		return nil, nil
 	case "all":
@@ -148,19 +150,19 @@
 	case "node":
 		i, err := strconv.Atoi(name)
 		if err != nil || i < 0 || i >= s.Nodes.Count {
-			return nil, fmt.Errorf("%q is no node of %d", text, s.Nodes.Count)
+			return nil, fmt.Errorf("%q is not one of the %d nodes", text, s.Nodes.Count)
 		}
 		return []int{i}, nil
 	case "zone":
-		var out []int
+		var nodes []int
 		for i := range s.Nodes.Count {
 			if s.NodeZone(i) == name {
-				out = append(out, i)
+				nodes = append(nodes, i)
 			}
 		}
-		if len(out) > 0 {
-			return out, nil
+		if len(nodes) > 0 {
+			return nodes, nil
 		}
 	}
-	return nil, fmt.Errorf("%q is no set of nodes: node:N, zone:Z, all or rest", text)
+	return nil, fmt.Errorf("%q selects no nodes: expected node:N, zone:Z, all or rest", text)
 }
--- a/lab/scenario/parse.go
+++ b/lab/scenario/parse.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Load reads and checks a scenario file. An override is key=value, as in Parse.
+// Load reads and validates a scenario file. Overrides have the form key=value, as in Parse.
 func Load(path string, overrides ...string) (*Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -23,12 +23,13 @@
 	return s, nil
 }
 
-// Parse reads and checks a scenario. An override is key=value with the key in dotted form, and wins over the text.
+// Parse reads and validates a scenario. An override has the form key=value with a dotted key, and replaces the value of
+// the text.
 func Parse(text string, overrides ...string) (*Scenario, error) {
 	s := defaults()
 	for _, o := range overrides {
 		if key, _, ok := strings.Cut(o, "="); !ok || strings.TrimSpace(key) == "" {
-			return nil, fmt.Errorf("override %q is not key=value", o)
+			return nil, fmt.Errorf("override %q does not have the form key=value", o)
 		}
 	}
 	if err := decode(text, s); err != nil {
@@ -42,22 +43,22 @@
 	return s, s.check()
 }
 
-// decode reads TOML into a scenario; a key that a scenario does not have is an error.
+// decode reads TOML into a scenario and rejects unknown keys.
 func decode(text string, s *Scenario) error {
-	md, err := toml.Decode(text, s)
+	metadata, err := toml.Decode(text, s)
 	if err != nil {
 		return err
 	}
-	if rest := md.Undecoded(); len(rest) > 0 {
-		return fmt.Errorf("%s is no key of a scenario", rest[0])
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		return fmt.Errorf("unknown key %s", unknown[0])
 	}
 	return nil
 }
 
-// override sets one key. A value that TOML does not accept as it stands is taken for a string.
-func override(o string, s *Scenario) error {
-	key, value, _ := strings.Cut(o, "=")
-	switch strings.TrimSpace(key) { // a list is replaced whole: the decoder would fill the new one into the old entries
+// override sets one key. If the value is not valid TOML, it is used as a string.
+func override(assignment string, s *Scenario) error {
+	key, value, _ := strings.Cut(assignment, "=")
+	switch strings.TrimSpace(key) { // lists are cleared first, because the decoder would merge the new entries into the old ones
 	case "fault":
 		s.Faults = nil
 	case "load":
@@ -72,7 +73,7 @@
 	return decode(key+" = "+strconv.Quote(value), s)
 }
 
-// defaults are the values of keys that a scenario leaves out.
+// defaults returns a scenario with the default values of all optional keys.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, Warmup: 2 * time.Second, Duration: 10 * time.Second, RigLate: 5 * time.Millisecond,
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,19 +1,20 @@
-// Package scenario reads an experiment from a TOML file, and works out every arrival and every fault of it beforehand
-// from the seed alone. Two runs with one seed have the same schedule, byte for byte.
+// Package scenario reads an experiment from a TOML file and computes the schedule of all its requests and faults before
+// the run. The schedule depends only on the scenario and its seed: two runs with the same seed have the same schedule,
+// byte for byte.
 package scenario
 
 import (
 	"time"
 )
 
-// Scenario is one experiment.
+// Scenario describes one experiment.
 type Scenario struct {
 	Name     string        `toml:"name"`
 	About    string        `toml:"about"`
 	Seed     uint64        `toml:"seed"`
-	Warmup   time.Duration `toml:"warmup"`   // before what counts
-	Duration time.Duration `toml:"duration"` // of what counts
-	RigLate  time.Duration `toml:"rig_late"` // a run whose own p99 delay in sending is above it is void
+	Warmup   time.Duration `toml:"warmup"`   // precedes the measured part of the run
+	Duration time.Duration `toml:"duration"` // of the measured part
+	RigLate  time.Duration `toml:"rig_late"` // maximum p99 delay of the lab's own sends; above it the run is invalid
 	Fleet    Fleet         `toml:"fleet"`
 	Nodes    Nodes         `toml:"nodes"`
 	Classes  []Class       `toml:"class"`
@@ -23,167 +24,167 @@
 	Links    Links         `toml:"link"`
 	Expect   Expectations  `toml:"expect"`
 
-	Inventory *Inventory `toml:"inventory"` // nil: discovery alone lists the servers
-	Mesh      *Mesh      `toml:"mesh"`      // nil: the nodes do not know of one another
+	Inventory *Inventory `toml:"inventory"` // nil: only discovery lists the servers
+	Mesh      *Mesh      `toml:"mesh"`      // nil: the nodes are not connected to each other
 }
 
-// Inventory lists the servers in a file for each node, which a tool rewrites well and badly. Discovery is not used
-// then.
+// Inventory lists the servers in a file for each node instead of in discovery. The lab keeps rewriting the files, some of
+// them with invalid contents.
 type Inventory struct {
 	Form    string        `toml:"form"` // csv or yaml
 	Every   time.Duration `toml:"every"`
-	Bad     float64       `toml:"bad"`    // share of the rewrites that no node may accept
-	InPlace float64       `toml:"saving"` // share that is written slowly, in place
+	Bad     float64       `toml:"bad"`    // fraction of the rewrites that are invalid: no node may accept them
+	InPlace float64       `toml:"saving"` // fraction of the rewrites that are written slowly, in place
 }
 
-// Fleet is the servers.
+// Fleet describes the simulated servers.
 type Fleet struct {
 	Servers          int           `toml:"servers"`
 	Zones            []string      `toml:"zones"`
 	ZoneDelay        time.Duration `toml:"zone_delay"` // one way, between two zones
 	PodSize          int           `toml:"pod_size"`
-	PodLimit         int           `toml:"pod_limit"` // requests in flight in all servers of a pod; 0: none
+	PodLimit         int           `toml:"pod_limit"` // maximum requests in flight on all servers of a pod; 0: no limit
 	Cores            int           `toml:"cores"`
 	Speed            float64       `toml:"speed"`
-	SpeedSpread      float64       `toml:"speed_spread"` // speeds lie evenly within this share around Speed
+	SpeedSpread      float64       `toml:"speed_spread"` // speeds are uniform within this fraction below and above Speed
 	QueueMax         int           `toml:"queue_max"`
-	CrowdDepth       float64       `toml:"crowd_depth"`     // queued requests for each core beyond which a server becomes slow; 0: never
-	CrowdFor         time.Duration `toml:"crowd_for"`       // how long they must be queued
-	SlowFactor       float64       `toml:"slow_times"`      // how much slower it then is
-	RestFor          time.Duration `toml:"rest_for"`        // how long nothing must be queued until it recovers
-	ColdSpeed        float64       `toml:"cold_from"`       // share of its speed that a cold server starts with
-	ColdFor          time.Duration `toml:"cold_for"`        // until it is warm
-	CollapseMultiple float64       `toml:"fall_multiple"`   // a cold server that is offered more than this times its capacity collapses
-	CollapseWindow   time.Duration `toml:"fall_for"`        // the span over which that is measured
-	ConnCost         time.Duration `toml:"connection_cost"` // on the first request of a connection
+	CrowdDepth       float64       `toml:"crowd_depth"`     // queued requests per core above which a server becomes slow; 0: never
+	CrowdFor         time.Duration `toml:"crowd_for"`       // how long the queue must be that deep
+	SlowFactor       float64       `toml:"slow_times"`      // divides the speed of a slow server
+	RestFor          time.Duration `toml:"rest_for"`        // how long the queue must be empty until the server is fast again
+	ColdSpeed        float64       `toml:"cold_from"`       // fraction of its full speed that a restarted server starts with
+	ColdFor          time.Duration `toml:"cold_for"`        // until a restarted server has its full speed
+	CollapseMultiple float64       `toml:"fall_multiple"`   // load above this multiple of its capacity makes a server in slow start collapse
+	CollapseWindow   time.Duration `toml:"fall_for"`        // the window over which the offered load is measured
+	ConnCost         time.Duration `toml:"connection_cost"` // extra time for the first request of a connection
 	MaxConns         int           `toml:"connections_max"`
 	Reports          bool          `toml:"reports"`
 	Probes           bool          `toml:"probes"`
-	Coap             float64       `toml:"coap"` // share of the servers that speak CoAP, in tenths; needs an inventory
+	Coap             float64       `toml:"coap"` // fraction of the servers that speak CoAP, in steps of 0.1; needs an inventory
 }
 
-// Nodes are the balancers under test.
+// Nodes describes the balancer nodes under test.
 type Nodes struct {
 	Count          int           `toml:"count"`
-	Kind           string        `toml:"kind"`  // tackhub, random or least; empty: tackhub
-	Defect         string        `toml:"break"` // a defect put into a baseline on purpose
+	Kind           string        `toml:"kind"`  // tackhub (default), random or least
+	Defect         string        `toml:"break"` // intentional defect of a baseline, one of Defects
 	Program        string        `toml:"program"`
-	OperatorFile   string        `toml:"edge"` // operator file
+	OperatorFile   string        `toml:"edge"` // path, passed to the nodes as TACKHUB_EDGE; empty: none
 	Cores          float64       `toml:"cores"`
 	MemoryMB       float64       `toml:"memory_mb"`
 	Sockets        int           `toml:"sockets"`
 	DrainGrace     time.Duration `toml:"drain_grace"`
 	Attempts       int           `toml:"attempts"`
-	DiscoveryDelay time.Duration `toml:"discovery_delay"` // from a change until discovery announces it
+	DiscoveryDelay time.Duration `toml:"discovery_delay"` // from a change of the servers until discovery reports it
 }
 
-// The effects of a class: what a second execution of a request would do.
+// The effects that a repeated execution of a request of a class has.
 const (
-	EffectSafe   = "safe"   // nothing
-	EffectKeyed  = "keyed"  // nothing within the window, since its idempotency key is remembered
-	EffectUnsafe = "unsafe" // harm
+	EffectSafe   = "safe"   // none
+	EffectKeyed  = "keyed"  // none within the window, because the servers store the idempotency key
+	EffectUnsafe = "unsafe" // harmful: the request must not be repeated
 )
 
-// Class is one class of requests.
+// Class describes one class of requests.
 type Class struct {
 	Name     string        `toml:"name"`
 	Effect   string        `toml:"effect"` // safe, keyed or unsafe
-	Group    string        `toml:"group"`  // of a keyed class: all, zone or cell
+	Group    string        `toml:"group"`  // idempotency scope of a keyed class: all, zone or cell
 	Window   time.Duration `toml:"window"`
-	Share    float64       `toml:"share"`
-	Worth    float64       `toml:"worth"`
-	Aim      time.Duration `toml:"aim"`
+	Share    float64       `toml:"share"` // of the requests, relative to the sum over all classes
+	Worth    float64       `toml:"worth"` // priority weight
+	Aim      time.Duration `toml:"aim"`   // latency objective
 	Deadline time.Duration `toml:"deadline"`
-	Work     time.Duration `toml:"work"` // mean
+	Work     time.Duration `toml:"work"` // mean per request
 	Dist     string        `toml:"dist"` // fixed, exponential or lognormal
 	Sigma    float64       `toml:"sigma"`
-	Body     int           `toml:"body"` // bytes sent with it
+	Body     int           `toml:"body"` // request body in bytes
 }
 
-// Clients say how clients behave.
+// Clients describes the behavior of the clients.
 type Clients struct {
 	Tenants     int           `toml:"tenants"`
-	Zipf        float64       `toml:"zipf"`  // tenants' shares fall with this power of their rank
+	Zipf        float64       `toml:"zipf"`  // the tenant of rank r sends requests in proportion to r^-Zipf
 	Retry       string        `toml:"retry"` // none, now, backoff, follow or ignore
 	Retries     int           `toml:"retries"`
 	Backoff     time.Duration `toml:"backoff"`
 	MarksRetry  bool          `toml:"marks_retry"`
-	CancelShare float64       `toml:"leave"`   // share of the clients that cancel before the deadline
-	Coap        float64       `toml:"coap"`    // share of the operations requested over CoAP instead of HTTP
+	CancelShare float64       `toml:"leave"`   // fraction of the requests that the client cancels before the deadline
+	Coap        float64       `toml:"coap"`    // fraction of the operations sent over CoAP instead of HTTP
 	Devices     int           `toml:"devices"` // CoAP sockets to each node; each has one request in flight at a time
-	Duplicates  int           `toml:"dup"`     // every CoAP message is sent so many times more
-	Quota       float64       `toml:"quota"`   // over all tenants, requests a second; 0: none
+	Duplicates  int           `toml:"dup"`     // additional copies of every CoAP message
+	Quota       float64       `toml:"quota"`   // requests per second of all tenants together; 0: none
 }
 
-// Step is the rate from a moment on; with a ramp it is reached linearly over that span. A burst adds so many requests
-// at once.
+// Step sets the request rate from At on. With a ramp the rate changes linearly over that duration. A burst adds that many
+// requests at once.
 type Step struct {
 	At    time.Duration `toml:"at"`
-	Rate  float64       `toml:"rate"`
-	Times float64       `toml:"times"` // instead of rate: multiple of what the fleet can do
+	Rate  float64       `toml:"rate"`  // requests per second
+	Times float64       `toml:"times"` // rate as a multiple of the fleet's capacity, instead of Rate
 	Ramp  time.Duration `toml:"ramp"`
 	Burst int           `toml:"burst"`
 }
 
-// Fault is one thing that goes wrong, or is set right.
+// Fault is one scheduled fault, or a planned change such as a drain or a restart.
 type Fault struct {
 	At              time.Duration `toml:"at"`
-	For             time.Duration `toml:"for"` // when it ends; 0: it stays
+	For             time.Duration `toml:"for"` // duration; 0: until the end of the run
 	Kind            FaultKind     `toml:"kind"`
 	Target          string        `toml:"target"` // "25%", "3" servers, "zone:b", "server:s004", "node:0", "all"
-	Spread          time.Duration `toml:"over"`   // the targets are hit one after the other over this span
-	Factor          float64       `toml:"times"`  // slow
-	Share           float64       `toml:"share"`  // errors; loss, duplicate and reorder on a link
-	NewID           bool          `toml:"new_id"` // what comes back has another id
-	Delay           time.Duration `toml:"delay"`  // discovery; delay and reorder on a link
-	Jitter          time.Duration `toml:"jitter"` // delay on a link: added evenly between 0 and it
-	FollowUpSignals []string      `toml:"again"`  // of a node-replace: the signals that follow SIGTERM, TERM, INT, HUP or USR1
+	Spread          time.Duration `toml:"over"`   // the targets are hit one after the other over this duration
+	Factor          float64       `toml:"times"`  // of slow: divides the speed
+	Share           float64       `toml:"share"`  // of errors, loss, duplicate and reorder: affected fraction of the requests or packets
+	NewID           bool          `toml:"new_id"` // a server that returns has a new ID
+	Delay           time.Duration `toml:"delay"`  // of discovery faults, and of delay and reorder on a link
+	Jitter          time.Duration `toml:"jitter"` // of delay on a link: a uniform delay between 0 and Jitter is added
+	FollowUpSignals []string      `toml:"again"`  // of node-replace: signals sent after SIGTERM: TERM, INT, HUP or USR1
 	Direction       string        `toml:"way"`    // of a stall: both, up (to the node or server) or down; empty: both
 }
 
-// Impairment is what a link does to what passes it.
+// Impairment describes the packet loss, delay and bandwidth limit of a link.
 type Impairment struct {
-	Loss      float64       `toml:"loss"` // share of segments that have to be sent again, or datagrams lost
-	RTO       time.Duration `toml:"rto"`  // the first retransmission time-out
+	Loss      float64       `toml:"loss"` // fraction of TCP segments that are retransmitted, or of datagrams that are lost
+	RTO       time.Duration `toml:"rto"`  // the first retransmission timeout
 	Delay     time.Duration `toml:"delay"`
 	Jitter    time.Duration `toml:"jitter"`
-	Bandwidth float64       `toml:"bandwidth"` // bytes a second; 0: no limit
+	Bandwidth float64       `toml:"bandwidth"` // bytes per second; 0: no limit
 	Direction string        `toml:"direction"` // both, up (to the node or server) or down
 }
 
-// Links are the impairments between the parties.
+// Links holds the impairments of the nodes' links to clients, servers and discovery.
 type Links struct {
 	Clients   Impairment `toml:"clients"`
 	Servers   Impairment `toml:"servers"`
 	Discovery Impairment `toml:"discovery"`
 }
 
-// Expectations are what a run must show besides keeping the rules. What is not stated is not expected.
+// Expectations holds the requirements that a run must meet in addition to the rules. An unset field is not checked.
 type Expectations struct {
-	Worth      *float64       `toml:"worth_min"`        // share of the worth requested
-	WorstShare *float64       `toml:"worst_window_min"` // the same in the worst window of Window
-	Window     time.Duration  `toml:"window"`
-	P99        *time.Duration `toml:"p99_max"` // of what was served, from the intended send
-	Rejected   *float64       `toml:"refused_max"`
-	Failed     *float64       `toml:"failed_max"`
-	MemoryMB   *float64       `toml:"memory_mb_max"` // of any node
-	Sockets    *int           `toml:"sockets_max"`
-	Recover    *Recover       `toml:"recover"`
-	Mesh       *MeshExpect    `toml:"mesh"`
+	Goodput     *float64       `toml:"worth_min"`        // minimum fraction of the priority weight served within the latency objective
+	WorstWindow *float64       `toml:"worst_window_min"` // the same in the worst interval of length Window
+	Window      time.Duration  `toml:"window"`
+	P99         *time.Duration `toml:"p99_max"` // latency of served requests, from the scheduled send time
+	Rejected    *float64       `toml:"refused_max"`
+	Failed      *float64       `toml:"failed_max"`
+	MemoryMB    *float64       `toml:"memory_mb_max"` // limit for each node
+	Sockets     *int           `toml:"sockets_max"`
+	Recover     *Recover       `toml:"recover"`
+	Mesh        *MeshExpect    `toml:"mesh"`
 }
 
-// Recover expects that worth is back at a share within a time after a moment, and stays there for a window.
+// Recover requires that the goodput reaches a level within a time after From and holds it for one window.
 type Recover struct {
-	From   time.Duration `toml:"from"`
-	Within time.Duration `toml:"within"`
-	To     float64       `toml:"to"`
+	From    time.Duration `toml:"from"`
+	Within  time.Duration `toml:"within"`
+	Goodput float64       `toml:"to"`
 }
 
-// MaxPause is the longest that a node may be suspended with all rules still in force.
+// MaxPause is the longest suspension of a node during which all rules still apply.
 const MaxPause = 150 * time.Millisecond
 
-// KillAfter is the earliest time after SIGTERM at which SIGKILL may come: the longest deadline, at most 3 s of it, and
-// 0.7 s.
+// KillAfter returns the earliest time after SIGTERM at which SIGKILL may be sent: the longest deadline of a class, but at
+// most 3 s, plus 0.7 s.
 func (s *Scenario) KillAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
@@ -192,7 +193,8 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-// HasFault reports whether a fault of a kind is scheduled: then the links that it acts on must be there from the start.
+// HasFault reports whether a fault of a kind is scheduled. The links that such a fault acts on must exist from the start
+// of the run.
 func (s *Scenario) HasFault(kind FaultKind) bool {
 	for _, f := range s.Faults {
 		if f.Kind == kind {
@@ -202,7 +204,7 @@
 	return false
 }
 
-// Capacity is how many requests a second the warm fleet can serve at most.
+// Capacity returns the maximum number of requests per second that the fleet can serve when no server is in slow start.
 func (s *Scenario) Capacity() float64 {
 	mean, shares := 0.0, 0.0
 	for _, c := range s.Classes {
--- a/lab/scenario/schedule.go
+++ b/lab/scenario/schedule.go
@@ -20,51 +20,51 @@
 	Class       int
 	Tenant      int
 	Work        time.Duration
-	CancelAfter time.Duration // after the send; 0: the client stays
-	Random      uint64        // chance for what is not scheduled: which node, which back-off
+	CancelAfter time.Duration // after the send; 0: the client does not cancel
+	Random      uint64        // seeds the client's choices during the run: node and backoff
 }
 
-// Event is one fault at one target, or its end.
+// Event is the start or the end of a fault at one target.
 type Event struct {
 	At     time.Duration
 	Kind   FaultKind
 	Ends   bool
-	Server int // -1: not a server
-	Node   int // -1: not a node
-	Peer   int // of a link from Node to it; -1: not a link
+	Server int // -1: the target is not a server
+	Node   int // -1: the target is not a node
+	Peer   int // the end of a link that starts at Node; -1: the target is not a link
 	Fault  Fault
 }
 
-// Schedule is all that will happen to the system, fixed before the run.
+// Schedule holds all requests and faults of a run, computed before it starts.
 type Schedule struct {
 	Arrivals []Arrival
 	Events   []Event
-	Speeds   []float64 // of the servers
+	Speeds   []float64 // by server
 }
 
-// ErrTooManyArrivals says that a schedule would not fit into memory.
+// ErrTooManyArrivals means that the schedule would need too much memory.
 var ErrTooManyArrivals = errors.New("more than 20 million arrivals")
 
 const maxArrivals = 20_000_000
 
-// Streams of random numbers: each use has its own, so that a further fault does not move the arrivals.
+// Random number streams. Each purpose has its own stream, so that an additional fault does not change the arrivals.
 const (
 	streamArrivals = iota + 1
 	streamFaults
 	streamSpeeds
 )
 
-// Schedule works out the schedule from the scenario and its seed. The error is ErrTooManyArrivals, or says which target
-// names nothing.
+// Schedule computes the schedule from the scenario and its seed. It returns ErrTooManyArrivals, or an error that names the
+// invalid target of a fault.
 func (s *Scenario) Schedule() (*Schedule, error) {
-	out := &Schedule{Speeds: s.speeds()}
+	out := &Schedule{Speeds: s.drawSpeeds()}
 	var err error
-	if out.Arrivals, err = s.arrivals(); err != nil {
+	if out.Arrivals, err = s.drawArrivals(); err != nil {
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(s.Seed, streamFaults))
 	for _, f := range s.Faults {
-		events, err := s.targets(f, rng)
+		events, err := s.faultEvents(f, rng)
 		if err != nil {
 			return nil, err
 		}
@@ -74,8 +74,8 @@
 	return out, nil
 }
 
-// speeds are the servers' speeds.
-func (s *Scenario) speeds() []float64 {
+// drawSpeeds draws the speed of each server.
+func (s *Scenario) drawSpeeds() []float64 {
 	rng := rand.New(rand.NewPCG(s.Seed, streamSpeeds))
 	out := make([]float64, s.Fleet.Servers)
 	for i := range out {
@@ -84,150 +84,151 @@
 	return out
 }
 
-// Rate is the intended rate at a moment, in requests a second.
+// Rate returns the scheduled rate at a time since the start of the run, in requests per second.
 func (s *Scenario) Rate(at time.Duration) float64 {
 	rate := 0.0
 	for _, step := range s.Load {
 		if at < step.At {
 			break
 		}
-		to := step.Rate
+		target := step.Rate
 		if step.Times > 0 {
-			to = step.Times * s.Capacity()
+			target = step.Times * s.Capacity()
 		}
-		if step.Burst > 0 && to == 0 {
-			continue // a burst by itself leaves the rate as it is
+		if step.Burst > 0 && target == 0 {
+			continue // a step with only a burst does not change the rate
 		}
-		if done := at - step.At; done < step.Ramp {
-			rate += (to - rate) * float64(done) / float64(step.Ramp)
+		if elapsed := at - step.At; elapsed < step.Ramp {
+			rate += (target - rate) * float64(elapsed) / float64(step.Ramp)
 		} else {
-			rate = to
+			rate = target
 		}
 	}
 	return rate
 }
 
-// arrivals are a Poisson process whose rate follows the steps, by thinning, and the bursts.
-func (s *Scenario) arrivals() ([]Arrival, error) {
+// drawArrivals draws the arrivals of a Poisson process whose rate follows the load steps, by thinning a process of the
+// maximum rate, and adds the bursts.
+func (s *Scenario) drawArrivals() ([]Arrival, error) {
 	rng := rand.New(rand.NewPCG(s.Seed, streamArrivals))
-	end, top := s.Warmup+s.Duration, 0.0
+	end, maxRate := s.Warmup+s.Duration, 0.0
 	for _, step := range s.Load {
-		top = max(top, step.Rate, step.Times*s.Capacity())
+		maxRate = max(maxRate, step.Rate, step.Times*s.Capacity())
 	}
-	if top*end.Seconds() > maxArrivals {
+	if maxRate*end.Seconds() > maxArrivals {
 		return nil, ErrTooManyArrivals
 	}
-	pick := newArrivalSource(s)
+	source := newArrivalSource(s)
 	var out []Arrival
-	for at := 0.0; top > 0; {
-		at += rng.ExpFloat64() / top
-		when := time.Duration(at * float64(time.Second))
+	for seconds := 0.0; maxRate > 0; {
+		seconds += rng.ExpFloat64() / maxRate
+		when := time.Duration(seconds * float64(time.Second))
 		if when >= end {
 			break
 		}
-		if rng.Float64()*top < s.Rate(when) {
-			out = append(out, pick.arrival(rng, when))
+		if rng.Float64()*maxRate < s.Rate(when) {
+			out = append(out, source.draw(rng, when))
 		}
 	}
 	for _, step := range s.Load {
 		for range step.Burst {
-			out = append(out, pick.arrival(rng, step.At))
+			out = append(out, source.draw(rng, step.At))
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
 	return out, nil
 }
 
-// arrivalSource draws what one request is.
+// arrivalSource draws the properties of requests.
 type arrivalSource struct {
-	s       *Scenario
-	classes []float64 // cumulated shares
-	tenants []float64
+	scenario     *Scenario
+	classShares  []float64 // cumulative
+	tenantShares []float64
 }
 
-// newArrivalSource works out the shares that requests are drawn by.
+// newArrivalSource computes the cumulative shares of the classes and tenants.
 func newArrivalSource(s *Scenario) *arrivalSource {
-	p := &arrivalSource{s: s}
+	source := &arrivalSource{scenario: s}
 	sum := 0.0
 	for _, c := range s.Classes {
 		sum += c.Share
-		p.classes = append(p.classes, sum)
+		source.classShares = append(source.classShares, sum)
 	}
 	sum = 0
 	for i := range s.Clients.Tenants {
 		sum += math.Pow(float64(i+1), -s.Clients.Zipf)
-		p.tenants = append(p.tenants, sum)
+		source.tenantShares = append(source.tenantShares, sum)
 	}
-	return p
+	return source
 }
 
-// drawIndex draws an index by cumulated shares.
-func drawIndex(rng *rand.Rand, cumulated []float64) int {
-	x := rng.Float64() * cumulated[len(cumulated)-1]
-	return min(sort.SearchFloat64s(cumulated, x), len(cumulated)-1)
+// drawIndex draws an index with the probabilities given by cumulative shares.
+func drawIndex(rng *rand.Rand, cumulative []float64) int {
+	x := rng.Float64() * cumulative[len(cumulative)-1]
+	return min(sort.SearchFloat64s(cumulative, x), len(cumulative)-1)
 }
 
-// arrival draws one request.
-func (p *arrivalSource) arrival(rng *rand.Rand, at time.Duration) Arrival {
-	a := Arrival{At: at, Class: drawIndex(rng, p.classes), Tenant: drawIndex(rng, p.tenants), Random: rng.Uint64()}
-	c := p.s.Classes[a.Class]
-	a.Work = time.Duration(float64(c.Work) * workFactor(rng, c))
-	if rng.Float64() < p.s.Clients.CancelShare {
-		a.CancelAfter = max(1, time.Duration(rng.Float64()*float64(c.Deadline)))
+// draw draws the request that arrives at the given time.
+func (p *arrivalSource) draw(rng *rand.Rand, at time.Duration) Arrival {
+	arrival := Arrival{At: at, Class: drawIndex(rng, p.classShares), Tenant: drawIndex(rng, p.tenantShares), Random: rng.Uint64()}
+	class := p.scenario.Classes[arrival.Class]
+	arrival.Work = time.Duration(float64(class.Work) * workFactor(rng, class))
+	if rng.Float64() < p.scenario.Clients.CancelShare {
+		arrival.CancelAfter = max(1, time.Duration(rng.Float64()*float64(class.Deadline)))
 	}
-	return a
+	return arrival
 }
 
-// workFactor is a request's work as a multiple of its class's mean.
+// workFactor draws a request's work as a multiple of the mean work of its class.
 func workFactor(rng *rand.Rand, c Class) float64 {
 	switch c.Dist {
 	case "exponential":
 		return rng.ExpFloat64()
-	case "lognormal": // its mean is 1 whatever sigma is
+	case "lognormal": // the mean is 1 for every sigma
 		return math.Exp(c.Sigma*rng.NormFloat64() - c.Sigma*c.Sigma/2)
 	}
 	return 1
 }
 
-// targets are the events of one fault. With a nil rng it only checks the target.
-func (s *Scenario) targets(f Fault, rng *rand.Rand) ([]Event, error) {
+// faultEvents returns the events of one fault. With a nil rng it only validates the target.
+func (s *Scenario) faultEvents(fault Fault, rng *rand.Rand) ([]Event, error) {
 	var out []Event
-	hit := func(i, of, server, node, peer int) {
-		at := f.At
-		if of > 1 {
-			at += f.Spread * time.Duration(i) / time.Duration(of)
+	addEvents := func(i, targets, server, node, peer int) {
+		at := fault.At
+		if targets > 1 {
+			at += fault.Spread * time.Duration(i) / time.Duration(targets)
 		}
-		out = append(out, Event{At: at, Kind: f.Kind, Server: server, Node: node, Peer: peer, Fault: f})
-		if f.For > 0 {
-			out = append(out, Event{At: at + f.For, Kind: f.Kind, Ends: true, Server: server, Node: node, Peer: peer, Fault: f})
+		out = append(out, Event{At: at, Kind: fault.Kind, Server: server, Node: node, Peer: peer, Fault: fault})
+		if fault.For > 0 {
+			out = append(out, Event{At: at + fault.For, Kind: fault.Kind, Ends: true, Server: server, Node: node, Peer: peer, Fault: fault})
 		}
 	}
-	if f.Kind.OfLink() {
-		links, err := s.links(f.Target, rng)
+	if fault.Kind.AffectsLink() {
+		links, err := s.targetLinks(fault.Target, rng)
 		if err != nil {
 			return nil, err
 		}
-		for i, l := range links {
-			hit(i, len(links), -1, l[0], l[1])
+		for i, link := range links {
+			addEvents(i, len(links), -1, link[0], link[1])
 		}
 		return out, nil
 	}
-	servers, nodes, err := s.targetsOf(f, rng)
+	servers, nodes, err := s.targetServersAndNodes(fault, rng)
 	if err != nil {
 		return nil, err
 	}
 	for i, server := range servers {
-		hit(i, len(servers), server, -1, -1)
+		addEvents(i, len(servers), server, -1, -1)
 	}
 	for i, node := range nodes {
-		hit(i, len(nodes), -1, node, -1)
+		addEvents(i, len(nodes), -1, node, -1)
 	}
 	return out, nil
 }
 
-// targetsOf are the servers and nodes that a target names.
-func (s *Scenario) targetsOf(f Fault, rng *rand.Rand) (servers, nodes []int, err error) {
-	if f.Kind.ofNode() {
+// targetServersAndNodes returns the servers or the nodes that a fault's target selects.
+func (s *Scenario) targetServersAndNodes(f Fault, rng *rand.Rand) (servers, nodes []int, err error) {
+	if f.Kind.targetsNodes() {
 		nodes, err = s.targetNodes(f, rng)
 		return nil, nodes, err
 	}
@@ -235,22 +236,22 @@
 	return servers, nil, err
 }
 
-// targetNodes are the nodes that a target names.
+// targetNodes returns the nodes that a fault's target selects.
 func (s *Scenario) targetNodes(f Fault, rng *rand.Rand) ([]int, error) {
-	what, name, _ := strings.Cut(f.Target, ":")
+	kind, name, _ := strings.Cut(f.Target, ":")
 	switch {
 	case f.Target == "" || f.Target == "all":
 		return indexes(s.Nodes.Count), nil
-	case what == "node":
+	case kind == "node":
 		n, err := strconv.Atoi(name)
 		if err != nil || n < 0 || n >= s.Nodes.Count {
-			return nil, fmt.Errorf("%q is no node of %d", name, s.Nodes.Count)
+			return nil, fmt.Errorf("%q is not one of the %d nodes", name, s.Nodes.Count)
 		}
 		return []int{n}, nil
 	}
 	n, err := parseCount(f.Target, s.Nodes.Count)
 	if err != nil {
-		return nil, fmt.Errorf("%q: a fault of kind %s needs node:N, all, or a number or share of the nodes", f.Target, f.Kind)
+		return nil, fmt.Errorf("%q: a fault of kind %s needs node:N, all, or a number or percentage of the nodes", f.Target, f.Kind)
 	}
 	nodes := indexes(s.Nodes.Count)
 	if rng != nil {
@@ -259,20 +260,21 @@
 	return nodes[:n], nil
 }
 
-// targetServers are the servers that a target names. Without an rng a number or a share names none: it is only checked.
+// targetServers returns the servers that a fault's target selects. With a nil rng, a number or percentage is only validated
+// and selects none.
 func (s *Scenario) targetServers(f Fault, rng *rand.Rand) ([]int, error) {
-	what, name, _ := strings.Cut(f.Target, ":")
+	kind, name, _ := strings.Cut(f.Target, ":")
 	all := indexes(s.Fleet.Servers)
 	switch {
 	case f.Target == "all":
 		return all, nil
-	case what == "server":
+	case kind == "server":
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "s"))
 		if err != nil || n < 0 || n >= len(all) {
-			return nil, fmt.Errorf("%q is no server of %d", name, len(all))
+			return nil, fmt.Errorf("%q is not one of the %d servers", name, len(all))
 		}
 		return []int{n}, nil
-	case what == "zone":
+	case kind == "zone":
 		var servers []int
 		for i := range all {
 			if s.ZoneOf(i) == name {
@@ -292,23 +294,23 @@
 	return all[:n], nil
 }
 
-// parseCount is a number of things, given as it stands or as a share ("25%").
-func parseCount(text string, of int) (int, error) {
-	if share, ok := strings.CutSuffix(text, "%"); ok {
-		x, err := strconv.ParseFloat(share, 64)
+// parseCount parses a number of targets, given as a number or as a percentage of total ("25%").
+func parseCount(text string, total int) (int, error) {
+	if percent, ok := strings.CutSuffix(text, "%"); ok {
+		x, err := strconv.ParseFloat(percent, 64)
 		if err != nil || !(x > 0) || x > 100 {
-			return 0, fmt.Errorf("%q is no share", text)
+			return 0, fmt.Errorf("%q must be above 0%% and at most 100%%", text)
 		}
-		return max(1, int(math.Round(x/100*float64(of)))), nil
+		return max(1, int(math.Round(x/100*float64(total)))), nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 1 || n > of {
-		return 0, fmt.Errorf("%q is neither a share nor 1 to %d servers, nor server:N, zone:Z or all", text, of)
+	if err != nil || n < 1 || n > total {
+		return 0, fmt.Errorf("%q selects no servers: expected a percentage, a number from 1 to %d, server:N, zone:Z or all", text, total)
 	}
 	return n, nil
 }
 
-// indexes are 0 to n-1.
+// indexes returns the integers from 0 to n-1.
 func indexes(n int) []int {
 	out := make([]int, n)
 	for i := range out {
@@ -317,18 +319,18 @@
 	return out
 }
 
-// PodOf is the pod of a server: pods lie within a zone, and zones take turns pod by pod.
+// PodOf returns the pod of a server. A pod has consecutive servers of one zone; consecutive pods rotate through the zones.
 func (s *Scenario) PodOf(server int) int { return server / s.Fleet.PodSize }
 
-// ZoneOf is the zone of a server.
+// ZoneOf returns the zone of a server.
 func (s *Scenario) ZoneOf(server int) string {
 	return s.Fleet.Zones[s.PodOf(server)%len(s.Fleet.Zones)]
 }
 
-// NodeZone is the zone of a node.
+// NodeZone returns the zone of a node.
 func (s *Scenario) NodeZone(node int) string { return s.Fleet.Zones[node%len(s.Fleet.Zones)] }
 
-// Bytes is the schedule in a form in which two can be compared.
+// Bytes returns an encoding of the schedule for comparing two schedules.
 func (s *Schedule) Bytes() []byte {
 	out := make([]byte, 0, 48*len(s.Arrivals)+64*len(s.Events))
 	for _, a := range s.Arrivals {
@@ -345,17 +347,17 @@
 	return out
 }
 
-// faultText is a fault in the schedule's form. Its words are part of every schedule's hash, by which runs of different
-// versions are compared, so they stay when a Go field is renamed.
+// faultText encodes a fault for Bytes. Its field names are part of the schedule's hash, by which runs of different versions
+// are compared, so they do not follow renames of Go fields.
 func faultText(f Fault) string {
 	return fmt.Sprintf("{At:%v For:%v Kind:%s Target:%s Over:%v Times:%v Share:%v NewID:%v Delay:%v Jitter:%v Again:%v Way:%s}",
 		f.At, f.For, f.Kind, f.Target, f.Spread, f.Factor, f.Share, f.NewID, f.Delay, f.Jitter, f.FollowUpSignals, f.Direction)
 }
 
-// Hash is a short name of the schedule.
+// Hash returns a 64-bit hash of Bytes in hexadecimal.
 func (s *Schedule) Hash() string { return fmt.Sprintf("%016x", xxhash.Sum64(s.Bytes())) }
 
-// TenantShares are the tenants' shares of the requests; they add up to 1.
+// TenantShares returns the fraction of the requests that each tenant sends; the fractions add up to 1.
 func (s *Scenario) TenantShares() []float64 {
 	out, sum := make([]float64, s.Clients.Tenants), 0.0
 	for i := range out {
