--- a/cmd/tacklab/compare.go
+++ b/cmd/tacklab/compare.go
@@ -12,13 +12,13 @@
 	"tackhub.example/tackhub/lab/stats"
 )
 
-// confidence is the level of all intervals.
+// confidence is the confidence level of all intervals.
 const confidence = 0.95
 
-// metrics are what two arms are compared by.
+// metrics are the figures by which two arms are compared.
 var metrics = []struct {
-	name string
-	of   func(experiment.Figures) float64
+	name  string
+	value func(experiment.Figures) float64
 }{
 	{"worth", func(f experiment.Figures) float64 { return f.Goodput }},
 	{"worst window", func(f experiment.Figures) float64 { return f.WorstWindow }},
@@ -32,7 +32,7 @@
 	{"cpu cores", func(f experiment.Figures) float64 { return f.CPU }},
 }
 
-// compareCmd plays two arms in turn.
+// compareCmd runs two arms alternately and compares them.
 type compareCmd struct {
 	A        string   `arg:"" help:"The first arm's scenario." type:"existingfile"`
 	B        string   `arg:"" help:"The second arm's scenario; may be the same file." type:"existingfile"`
@@ -45,12 +45,12 @@
 	JSON     string   `help:"Write all figures to this file." type:"path"`
 }
 
-// Run interleaves the arms, A B, B A, A B and so on, so that what drifts affects both alike.
+// Run interleaves the arms, A B, B A, A B and so on, so that gradual changes of the machine affect both arms equally.
 func (c *compareCmd) Run(ctx context.Context) error {
 	if c.Runs < 2 {
-		return fmt.Errorf("--runs %d: at least two pairs are needed for an interval", c.Runs)
+		return fmt.Errorf("--runs %d: a confidence interval needs at least 2 pairs of runs", c.Runs)
 	}
-	var got [2][]experiment.Figures
+	var figures [2][]experiment.Figures
 	var breaches [2]map[string]int
 	breaches[0], breaches[1] = map[string]int{}, map[string]int{}
 	for i := range c.Runs {
@@ -63,34 +63,34 @@
 			if err != nil {
 				return err
 			}
-			got[side] = append(got[side], r.Figures)
+			figures[side] = append(figures[side], r.Figures)
 			for rule, n := range r.BreachesByRule {
 				breaches[side][rule] += n
 			}
 			fmt.Printf("%s %s\n", string("AB"[side]), summaryLine(r))
 		}
 	}
-	out := c.printTable(got)
-	for side, b := range breaches {
-		fmt.Printf("%s: rules broken: %s\n", string("AB"[side]), formatRules(b))
+	differences := c.printTable(figures)
+	for side, rules := range breaches {
+		fmt.Printf("%s: rules broken: %s\n", string("AB"[side]), formatRules(rules))
 	}
 	if c.JSON == "" {
 		return nil
 	}
-	raw, err := json.MarshalIndent(map[string]any{"a": got[0], "b": got[1], "differences": out}, "", " ")
+	raw, err := json.MarshalIndent(map[string]any{"a": figures[0], "b": figures[1], "differences": differences}, "", " ")
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(c.JSON, append(raw, '\n'), 0o644)
 }
 
-// runOne plays one run of one arm. A void run ends the comparison, since its pair is incomplete.
+// runOne runs one arm once. An invalid run is an error that ends the comparison, because its pair is incomplete.
 func (c *compareCmd) runOne(ctx context.Context, side int, seed uint64) (*experiment.Result, error) {
-	file, set, program := c.A, c.SetA, c.ProgramA
+	file, overrides, program := c.A, c.SetA, c.ProgramA
 	if side == 1 {
-		file, set, program = c.B, c.SetB, c.ProgramB
+		file, overrides, program = c.B, c.SetB, c.ProgramB
 	}
-	s, err := scenario.Load(file, append(append([]string(nil), set...), fmt.Sprintf("seed=%d", seed))...)
+	s, err := scenario.Load(file, append(append([]string(nil), overrides...), fmt.Sprintf("seed=%d", seed))...)
 	if err != nil {
 		return nil, err
 	}
@@ -99,51 +99,51 @@
 		return nil, err
 	}
 	if r.Verdict == experiment.VerdictInvalid {
-		return nil, fmt.Errorf("run %s of seed %d is void: %s", string("AB"[side]), seed, r.VoidReason)
+		return nil, fmt.Errorf("the run of arm %s with seed %d is invalid: %s", string("AB"[side]), seed, r.VoidReason)
 	}
 	return r, nil
 }
 
-// printTable prints and returns the paired differences.
-func (c *compareCmd) printTable(got [2][]experiment.Figures) map[string]stats.Interval {
-	out := map[string]stats.Interval{}
+// printTable prints a table of the metrics of both arms, and returns the paired differences by metric.
+func (c *compareCmd) printTable(figures [2][]experiment.Figures) map[string]stats.Interval {
+	differences := map[string]stats.Interval{}
 	fmt.Printf("%-13s %10s %10s %12s  %s\n", "", "A", "B", "B - A", "95% interval of the difference")
-	for _, m := range metrics {
-		a, b := metricValues(got[0], m.of), metricValues(got[1], m.of)
-		d := stats.Paired(a, b, confidence)
-		out[m.name] = d
+	for _, metric := range metrics {
+		a, b := metricValues(figures[0], metric.value), metricValues(figures[1], metric.value)
+		difference := stats.Paired(a, b, confidence)
+		differences[metric.name] = difference
 		mark := ""
-		if d.ExcludesZero() {
+		if difference.ExcludesZero() {
 			mark = "  clear"
 		}
-		fmt.Printf("%-13s %10.4f %10.4f %+12.4f  [%+.4f, %+.4f]%s\n", m.name, stats.Mean(a, confidence).Mean, stats.Mean(b, confidence).Mean,
-			d.Mean, d.Low, d.High, mark)
+		fmt.Printf("%-13s %10.4f %10.4f %+12.4f  [%+.4f, %+.4f]%s\n", metric.name,
+			stats.Mean(a, confidence).Mean, stats.Mean(b, confidence).Mean, difference.Mean, difference.Low, difference.High, mark)
 	}
-	return out
+	return differences
 }
 
-// metricValues are one metric of all runs.
-func metricValues(f []experiment.Figures, of func(experiment.Figures) float64) []float64 {
+// metricValues returns the values of one metric in all runs.
+func metricValues(f []experiment.Figures, value func(experiment.Figures) float64) []float64 {
 	out := make([]float64, len(f))
 	for i := range f {
-		out[i] = of(f[i])
+		out[i] = value(f[i])
 	}
 	return out
 }
 
-// formatRules names broken rules and how often each was broken.
-func formatRules(b map[string]int) string {
-	if len(b) == 0 {
+// formatRules returns the broken rules with the number of breaches of each.
+func formatRules(breachesByRule map[string]int) string {
+	if len(breachesByRule) == 0 {
 		return "none"
 	}
 	var out []string
-	for rule, n := range b {
+	for rule, n := range breachesByRule {
 		out = append(out, fmt.Sprintf("%s %d", rule, n))
 	}
 	return strings.Join(out, ", ")
 }
 
-// sweepCmd varies one key.
+// sweepCmd runs a scenario with several values of one key.
 type sweepCmd struct {
 	Scenario string   `arg:"" type:"existingfile"`
 	Key      string   `arg:"" help:"The key, such as clients.retries."`
@@ -152,12 +152,12 @@
 	Runs int `default:"1" help:"Runs for each value, each with a seed of its own."`
 }
 
-// Run prints a line for each run and the mean for each value.
+// Run prints a line for each run and the means for each value.
 func (c *sweepCmd) Run(ctx context.Context) error {
-	for _, v := range c.Values {
+	for _, value := range c.Values {
 		var worth, p99 []float64
 		for i := range max(1, c.Runs) {
-			s, err := scenario.Load(c.Scenario, append(c.overrides(), c.Key+"="+v)...)
+			s, err := scenario.Load(c.Scenario, append(c.overrides(), c.Key+"="+value)...)
 			if err != nil {
 				return err
 			}
@@ -167,13 +167,14 @@
 				return err
 			}
 			if r.Verdict == experiment.VerdictInvalid {
-				return fmt.Errorf("%s=%s is void: %s", c.Key, v, r.VoidReason)
+				return fmt.Errorf("the run with %s=%s is invalid: %s", c.Key, value, r.VoidReason)
 			}
-			fmt.Printf("%s=%s %s\n", c.Key, v, summaryLine(r))
+			fmt.Printf("%s=%s %s\n", c.Key, value, summaryLine(r))
 			worth, p99 = append(worth, r.Figures.Goodput), append(p99, r.Figures.P99)
 		}
-		w, l := stats.Mean(worth, confidence), stats.Mean(p99, confidence)
-		fmt.Printf("%s=%s mean worth %.4f (sd %.4f), mean p99 %.1f ms (sd %.1f), %d runs\n", c.Key, v, w.Mean, w.SD, l.Mean, l.SD, w.N)
+		meanWorth, meanP99 := stats.Mean(worth, confidence), stats.Mean(p99, confidence)
+		fmt.Printf("%s=%s mean worth %.4f (sd %.4f), mean p99 %.1f ms (sd %.1f), %d runs\n", c.Key, value, meanWorth.Mean, meanWorth.SD,
+			meanP99.Mean, meanP99.SD, meanWorth.N)
 	}
 	return nil
 }
--- a/cmd/tacklab/knownred.go
+++ b/cmd/tacklab/knownred.go
@@ -9,7 +9,7 @@
 	"tackhub.example/tackhub/lab/knownred"
 )
 
-// knownRedCmd runs CI's tests and runs so that exactly those may fail that a list names.
+// knownRedCmd runs the tests and soak runs of CI. Only those that the list of known failures contains may fail.
 type knownRedCmd struct {
 	List string `default:"KNOWN-RED.txt" help:"The list; without the file nothing may fail."`
 
@@ -29,7 +29,7 @@
 	Command []string `arg:"" passthrough:"" help:"The command with its arguments."`
 }
 
-// runner reads the list.
+// runner returns a runner with the entries of the list. A missing list is empty.
 func (c *knownRedCmd) runner() (*knownred.Runner, error) {
 	text, err := os.ReadFile(c.List)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -42,7 +42,7 @@
 	return &knownred.Runner{Entries: entries, Out: os.Stdout}, nil
 }
 
-// Run checks the list.
+// Run checks that the list is valid and that its tests exist.
 func (c *knownRedCheckCmd) Run() error {
 	r, err := cli.KnownRed.runner()
 	if err != nil {
@@ -51,7 +51,7 @@
 	return r.Check()
 }
 
-// Run runs all tests.
+// Run runs all tests; listed tests run separately and may fail.
 func (c *knownRedTestCmd) Run() error {
 	r, err := cli.KnownRed.runner()
 	if err != nil {
@@ -60,7 +60,7 @@
 	return r.Test()
 }
 
-// Run plays the listed runs.
+// Run runs the listed soak runs, which may fail.
 func (c *knownRedRunsCmd) Run() error {
 	r, err := cli.KnownRed.runner()
 	if err != nil {
@@ -70,17 +70,17 @@
 	return nil
 }
 
-// Run runs the command.
+// Run runs the command, which may fail if it is a listed run.
 func (c *knownRedRunCmd) Run() error {
 	r, err := cli.KnownRed.runner()
 	if err != nil {
 		return err
 	}
-	if c.Command[0] == "--" { // the parser leaves it in
+	if c.Command[0] == "--" { // kong passes the separator through
 		c.Command = c.Command[1:]
 	}
 	if len(c.Command) == 0 {
-		return errors.New("known-red run: no command")
+		return errors.New("known-red run: a command is required")
 	}
 	return r.Run(c.Command)
 }
--- a/cmd/tacklab/main.go
+++ b/cmd/tacklab/main.go
@@ -1,8 +1,8 @@
-// Command tacklab plays experiments on loopback: stand-in servers and discovery, nodes as processes, clients in an open
-// loop, faults, and an auditor that judges the run by the four rules.
+// Command tacklab runs experiments on loopback: it simulates servers and discovery, starts nodes as processes, sends
+// requests in an open loop and injects faults. An auditor then checks the run against the four rules.
 //
-// Exit codes: 0 where no rule was broken and each expectation is met, 1 where a run falls short of that, 2 where it
-// could not be played or proves nothing.
+// Exit codes: 0 if no rule was broken and every expectation was met, 1 if a rule was broken or an expectation was not met,
+// 2 if the run could not be performed or is invalid.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"tackhub.example/tackhub/lab/baseline"
 )
 
-// The exit codes.
+// The exit codes of the command.
 const (
 	exitOK = iota
 	exitFailed
@@ -39,16 +39,16 @@
 	Baseline baselineCmd         `cmd:"" hidden:"" help:"Serve as a plain balancer; started by tacklab itself."`
 }
 
-// errRunFailed says that a run broke a rule or missed an expectation; the lines printed before say which.
+// errRunFailed means that a run broke a rule or did not meet an expectation. The command has already printed which.
 var errRunFailed = errors.New("short")
 
-// baselineCmd is the process that tacklab starts as a node of a baseline.
+// baselineCmd serves as a baseline balancer. tacklab starts it as a process for each node of a baseline.
 type baselineCmd struct {
 	Policy string `enum:"random,least" default:"random"`
 	Break  string
 }
 
-// Run serves.
+// Run serves until SIGTERM.
 func (c *baselineCmd) Run() error {
 	return baseline.Run(baseline.Options{Policy: c.Policy, Defect: c.Break})
 }
@@ -61,7 +61,7 @@
 
 func run(ctx context.Context) int {
 	parser, err := kong.New(&cli, kong.Name("tacklab"),
-		kong.Description("Experiments with tackhub on loopback. Exit codes: 0 ok, 1 short, 2 could not run or void."),
+		kong.Description("Experiments with tackhub on loopback. Exit codes: 0 ok, 1 rule broken or expectation not met, 2 run impossible or invalid."),
 		kong.UsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "tacklab:", err)
--- a/cmd/tacklab/program.go
+++ b/cmd/tacklab/program.go
@@ -12,12 +12,12 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// nodePackage is what is built where no program is named.
+// nodePackage is the package that is built if no program is given.
 const nodePackage = "tackhub.example/tackhub/cmd/tackhub"
 
-// nodeCommand is how a scenario's nodes are started, and which build that is. With build tags the program is built with
-// them unless one is named. clean removes what was built.
-func nodeCommand(s *scenario.Scenario, program, tags string) (argv []string, about string, clean func(), err error) {
+// nodeCommand returns the command that starts a scenario's nodes and a description of its build. If no program is given, it
+// builds one with the given build tags, or without tags uses findProgram. clean removes a program that was built.
+func nodeCommand(s *scenario.Scenario, program, tags string) (argv []string, build string, clean func(), err error) {
 	clean = func() {}
 	if s.Nodes.Kind != "tackhub" {
 		self, err := os.Executable()
@@ -25,12 +25,12 @@
 			return nil, "", clean, err
 		}
 		argv = []string{self, "baseline", "--policy", s.Nodes.Kind}
-		about = "baseline " + s.Nodes.Kind
+		build = "baseline " + s.Nodes.Kind
 		if s.Nodes.Defect != "" {
 			argv = append(argv, "--break", s.Nodes.Defect)
-			about += " broken by " + s.Nodes.Defect
+			build += " broken by " + s.Nodes.Defect
 		}
-		return argv, about, clean, nil
+		return argv, build, clean, nil
 	}
 	if program == "" {
 		program = s.Nodes.Program
@@ -48,22 +48,22 @@
 	if program, err = filepath.Abs(program); err != nil {
 		return nil, "", clean, err
 	}
-	about, err = describeBuild(program)
-	return []string{program}, about, clean, err
+	build, err = describeBuild(program)
+	return []string{program}, build, clean, err
 }
 
-// findProgram is the tackhub beside this program, or else a fresh build.
+// findProgram returns the tackhub program in the directory of this program, or a new build if there is none.
 func findProgram() (string, func(), error) {
 	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), "tackhub")
-		if _, err := os.Stat(beside); err == nil {
-			return beside, func() {}, nil
+		sibling := filepath.Join(filepath.Dir(self), "tackhub")
+		if _, err := os.Stat(sibling); err == nil {
+			return sibling, func() {}, nil
 		}
 	}
 	return buildProgram("")
 }
 
-// buildProgram builds tackhub with the given build tags.
+// buildProgram builds tackhub with the given build tags in a temporary directory. The returned function removes it.
 func buildProgram(tags string) (string, func(), error) {
 	dir, err := os.MkdirTemp("", "tacklab-build")
 	if err != nil {
@@ -73,27 +73,27 @@
 	path := filepath.Join(dir, "tackhub")
 	if out, err := exec.Command("go", "build", "-tags", tags, "-o", path, nodePackage).CombinedOutput(); err != nil {
 		clean()
-		return "", func() {}, fmt.Errorf("tackhub cannot be built: %w\n%s", err, out)
+		return "", func() {}, fmt.Errorf("building tackhub: %w\n%s", err, out)
 	}
 	return path, clean, nil
 }
 
-// describeBuild names a build so that two reports can be told apart: revision, whether it has changes, and a hash.
+// describeBuild identifies a program in reports: its revision, whether there were uncommitted changes, its size and a hash.
 func describeBuild(program string) (string, error) {
 	raw, err := os.ReadFile(program)
 	if err != nil {
 		return "", err
 	}
-	revision, changed := "no revision", ""
+	revision, modified := "no revision", ""
 	if info, err := buildinfo.ReadFile(program); err == nil {
-		for _, s := range info.Settings {
+		for _, setting := range info.Settings {
 			switch {
-			case s.Key == "vcs.revision":
-				revision = s.Value[:min(12, len(s.Value))]
-			case s.Key == "vcs.modified" && s.Value == "true":
-				changed = " with changes"
+			case setting.Key == "vcs.revision":
+				revision = setting.Value[:min(12, len(setting.Value))]
+			case setting.Key == "vcs.modified" && setting.Value == "true":
+				modified = " with changes"
 			}
 		}
 	}
-	return fmt.Sprintf("tackhub %s%s, %d bytes, %016x", revision, changed, len(raw), xxhash.Sum64(raw)), nil
+	return fmt.Sprintf("tackhub %s%s, %d bytes, %016x", revision, modified, len(raw), xxhash.Sum64(raw)), nil
 }
--- a/cmd/tacklab/run.go
+++ b/cmd/tacklab/run.go
@@ -15,7 +15,7 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// commonFlags is what the commands have in common.
+// commonFlags are the flags that several commands share.
 type commonFlags struct {
 	Set     []string `help:"Set a key of the scenario, such as fleet.servers=30. May be given again." placeholder:"KEY=VALUE" sep:"none"`
 	Program string   `help:"The tackhub to run. Without it: the one beside tacklab, or a fresh build." type:"path"`
@@ -31,7 +31,7 @@
 	return out
 }
 
-// runCmd plays one scenario.
+// runCmd runs one scenario.
 type runCmd struct {
 	Scenario string `arg:"" help:"The scenario's file." type:"existingfile"`
 	commonFlags
@@ -40,7 +40,7 @@
 	Quiet  bool   `help:"Only the closing line."`
 }
 
-// Run plays and judges.
+// Run runs the scenario, writes the requested files and prints the result.
 func (c *runCmd) Run(ctx context.Context) error {
 	s, err := scenario.Load(c.Scenario, c.overrides()...)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return printOutcome(r)
 }
 
-// write writes the result's files that were asked for.
+// write writes the requested result files.
 func (c *runCmd) write(r *experiment.Result) error {
 	if c.JSON != "" {
 		raw, err := json.MarshalIndent(r, "", " ")
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// runScenario plays a scenario with the program of an arm.
-func runScenario(ctx context.Context, s *scenario.Scenario, a commonFlags, progress func(experiment.Progress), started func([]string)) (*experiment.Result, error) {
-	argv, build, clean, err := nodeCommand(s, a.Program, "")
+// runScenario runs a scenario with the program and the log directory of the flags.
+func runScenario(ctx context.Context, s *scenario.Scenario, flags commonFlags, progress func(experiment.Progress), started func([]string)) (*experiment.Result, error) {
+	argv, build, clean, err := nodeCommand(s, flags.Program, "")
 	if err != nil {
 		return nil, err
 	}
@@ -88,22 +88,22 @@
 	if s.Nodes.OperatorFile != "" {
 		env = append(env, "TACKHUB_EDGE="+s.Nodes.OperatorFile)
 	}
-	if a.Logs != "" {
-		if err := os.MkdirAll(a.Logs, 0o755); err != nil {
+	if flags.Logs != "" {
+		if err := os.MkdirAll(flags.Logs, 0o755); err != nil {
 			return nil, err
 		}
 	}
-	return experiment.Run(ctx, experiment.Options{Scenario: s, Command: argv, Env: env, Dir: a.Logs, Build: build,
+	return experiment.Run(ctx, experiment.Options{Scenario: s, Command: argv, Env: env, Dir: flags.Logs, Build: build,
 		Progress: progress, Started: started})
 }
 
-// progressPrinter prints a line for each second.
+// progressPrinter returns a function that prints a line for each progress report, after a header line.
 func progressPrinter(s *scenario.Scenario) func(experiment.Progress) {
-	head := false
+	headerPrinted := false
 	return func(p experiment.Progress) {
-		if !head {
+		if !headerPrinted {
 			fmt.Printf("%6s %7s %6s %8s %8s %8s %7s  %s\n", "s", "asked", "worth", "p50 ms", "p99 ms", "refused", "failed", "excluded, events")
-			head = true
+			headerPrinted = true
 		}
 		sort.Strings(p.Ejected)
 		notes := append([]string(nil), p.Ejected...)
@@ -113,16 +113,17 @@
 		if len(p.Events) > 0 {
 			notes = append(notes, "["+strings.Join(p.Events, ", ")+"]")
 		}
-		warm := ""
+		warmup := ""
 		if p.At < s.Warmup {
-			warm = "(warm-up) "
+			warmup = "(warm-up) "
 		}
 		fmt.Printf("%6.1f %7d %6.3f %8.1f %8.1f %8d %7d  %s%s\n", p.At.Seconds(), p.Requests, p.Goodput, p.P50, p.P99, p.Rejected,
-			p.Failed, warm, strings.Join(notes, " "))
+			p.Failed, warmup, strings.Join(notes, " "))
 	}
 }
 
-// printOutcome prints what is wrong and the closing line.
+// printOutcome prints breaches, unmet expectations and the summary line. It returns nil if the verdict is ok, errRunFailed
+// if the run failed, and another error if it is invalid.
 func printOutcome(r *experiment.Result) error {
 	for i, b := range r.Breaches {
 		if i == 5 {
@@ -131,8 +132,8 @@
 		}
 		fmt.Printf("rule %s broken at %.3fs: %s\n", b.Rule, b.At.Seconds(), b.Text)
 	}
-	for _, s := range r.Unmet {
-		fmt.Printf("short: %s\n", s)
+	for _, expectation := range r.Unmet {
+		fmt.Printf("short: %s\n", expectation)
 	}
 	if r.VoidReason != "" {
 		fmt.Printf("void: %s\n", r.VoidReason)
@@ -144,10 +145,10 @@
 	case experiment.VerdictFailed:
 		return errRunFailed
 	}
-	return fmt.Errorf("%s is void: %s", r.Scenario, r.VoidReason)
+	return fmt.Errorf("the run of scenario %q is invalid: %s", r.Scenario, r.VoidReason)
 }
 
-// summaryLine is the closing line of a run.
+// summaryLine returns the summary of a run in one line.
 func summaryLine(r *experiment.Result) string {
 	f := r.Figures
 	out := fmt.Sprintf("verdict: %s, %s seed %d: worth %.4f worst-window %.4f worst-tenant %.4f p50 %.1fms p99 %.1fms refused %.4f failed %.4f tries %.2f rate %.0f/s breaches %d node %.1fMB %d fds %.2f cores rig-late %.2fms",
@@ -163,19 +164,19 @@
 	return out
 }
 
-// listCmd names scenarios.
+// listCmd lists the scenarios of a directory.
 type listCmd struct {
 	Dir string `arg:"" optional:"" default:"lab/scenarios" help:"The folder." type:"path"`
 }
 
-// Run prints a line for each.
+// Run prints a line for each scenario.
 func (c *listCmd) Run() error {
 	files, err := filepath.Glob(filepath.Join(c.Dir, "*.toml"))
 	if err != nil {
 		return err
 	}
 	if len(files) == 0 {
-		return fmt.Errorf("no scenario in %s", c.Dir)
+		return fmt.Errorf("no scenario files (*.toml) in %s", c.Dir)
 	}
 	for _, f := range files {
 		s, err := scenario.Load(f)
@@ -187,14 +188,14 @@
 	return nil
 }
 
-// scheduleCmd prints a schedule.
+// scheduleCmd prints the schedule of a scenario.
 type scheduleCmd struct {
 	Scenario string `arg:"" type:"existingfile"`
 	commonFlags
 	Out string `help:"Write the schedule's bytes to this file, to compare two." type:"path"`
 }
 
-// Run prints the events and the hash.
+// Run prints the fault events and the hash of the schedule.
 func (c *scheduleCmd) Run() error {
 	s, err := scenario.Load(c.Scenario, c.overrides()...)
 	if err != nil {
@@ -205,11 +206,11 @@
 		return err
 	}
 	for _, e := range sched.Events {
-		what := e.Kind
+		event := e.Kind
 		if e.Ends {
-			what += " ends"
+			event += " ends"
 		}
-		fmt.Printf("%8.3fs %-20s server %d node %d\n", e.At.Seconds(), what, e.Server, e.Node)
+		fmt.Printf("%8.3fs %-20s server %d node %d\n", e.At.Seconds(), event, e.Server, e.Node)
 	}
 	total := s.Warmup + s.Duration
 	fmt.Printf("%s: %d arrivals in %v, capacity %.0f/s, schedule %s\n", s.Name, len(sched.Arrivals), total, s.Capacity(), sched.Hash())
@@ -219,7 +220,7 @@
 	return nil
 }
 
-// expectedDuration is about how long a scenario plays.
+// expectedDuration returns the approximate duration of a scenario's run.
 func expectedDuration(s *scenario.Scenario) time.Duration {
 	return s.Warmup + s.Duration + 2*time.Second
 }
--- a/cmd/tacklab/soak.go
+++ b/cmd/tacklab/soak.go
@@ -11,10 +11,10 @@
 	"tackhub.example/tackhub/lab/soak"
 )
 
-// maxBreachesShown bounds the time lines that are printed for one run.
+// maxBreachesShown is the maximum number of breaches printed with their time lines for one run.
 const maxBreachesShown = 5
 
-// soakCmd plays seeded runs of planned stops under faults.
+// soakCmd runs plans generated from seeds, with planned stops of nodes and with faults.
 type soakCmd struct {
 	Seed     uint64        `default:"1" help:"Seed of the first run."`
 	Runs     int           `default:"1" help:"Runs, each with the next seed."`
@@ -30,7 +30,7 @@
 	Logs     string        `help:"Keep the nodes' configurations and logs in this folder." type:"path"`
 }
 
-// Run plays all runs and prints what each came to.
+// Run runs all plans and prints the figures of each and of all together.
 func (c *soakCmd) Run(ctx context.Context) error {
 	plans, err := c.plans()
 	if err != nil {
@@ -44,32 +44,32 @@
 		return err
 	}
 	defer clean()
-	var all soak.Figures
-	broke := false
+	var total soak.Figures
+	failed := false
 	for _, s := range plans {
-		o, err := c.runPlan(ctx, s, argv, build)
+		outcome, err := c.runPlan(ctx, s, argv, build)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("seed %d, %d nodes: %s\n", s.Seed, s.Nodes.Count, o.Figures)
-		all.Add(o.Figures)
-		if !o.Broke() {
+		fmt.Printf("seed %d, %d nodes: %s\n", s.Seed, s.Nodes.Count, outcome.Figures)
+		total.Add(outcome.Figures)
+		if !outcome.Broke() {
 			continue
 		}
-		printBreaches(o)
-		if c.Shrink && !broke {
+		printBreaches(outcome)
+		if c.Shrink && !failed {
 			c.shrink(ctx, s, argv, build)
 		}
-		broke = true
+		failed = true
 	}
-	fmt.Printf("all: %s\n", all)
-	if broke {
+	fmt.Printf("all: %s\n", total)
+	if failed {
 		return errRunFailed
 	}
 	return nil
 }
 
-// faultTag is the build tag of nodes whose system calls fail at times.
+// faultTag is the build tag for nodes that inject system call errors.
 const faultTag = "faultinject"
 
 func (c *soakCmd) tags() string {
@@ -79,7 +79,8 @@
 	return ""
 }
 
-// plans are the runs to play, each read back from its printed form: what is printed is what is played.
+// plans returns the plans to run. Each generated plan is parsed from its printed form, so that the printed plan is exactly
+// the one that runs.
 func (c *soakCmd) plans() ([]*scenario.Scenario, error) {
 	if c.Plan != "" {
 		s, err := scenario.Load(c.Plan)
@@ -88,7 +89,7 @@
 		}
 		return []*scenario.Scenario{s}, nil
 	}
-	var out []*scenario.Scenario
+	var scenarios []*scenario.Scenario
 	for i := range max(1, c.Runs) {
 		text, err := soak.Text(soak.Plan(soak.Options{Seed: c.Seed + uint64(i), Nodes: c.Nodes, Duration: c.Duration, Quiet: c.Quiet, Kind: c.Kind}))
 		if err != nil {
@@ -98,9 +99,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("seed %d: %w", c.Seed+uint64(i), err)
 		}
-		out = append(out, s)
+		scenarios = append(scenarios, s)
 	}
-	return out, nil
+	return scenarios, nil
 }
 
 func printPlans(plans []*scenario.Scenario) error {
@@ -129,26 +130,26 @@
 	return soak.Play(ctx, s, argv, env, dir, build)
 }
 
-// printBreaches prints the breaches of a run with their time lines.
-func printBreaches(o *soak.Outcome) {
-	for i, b := range o.Result.Breaches {
+// printBreaches prints the first breaches of a run with their time lines.
+func printBreaches(outcome *soak.Outcome) {
+	for i, b := range outcome.Result.Breaches {
 		if i == maxBreachesShown {
-			fmt.Printf("and %d more\n", len(o.Result.Breaches)-i)
+			fmt.Printf("and %d more\n", len(outcome.Result.Breaches)-i)
 			break
 		}
 		fmt.Printf("rule %s broken at %.3f: %s\n", b.Rule, b.At.Seconds(), b.Text)
-		soak.WriteTimeline(os.Stdout, o.Result, b)
+		soak.WriteTimeline(os.Stdout, outcome.Result, b)
 	}
 }
 
 // shrink prints the smallest plan found that still breaks a rule.
 func (c *soakCmd) shrink(ctx context.Context, s *scenario.Scenario, argv []string, build string) {
-	small, err := soak.Shrink(s, func(less *scenario.Scenario) (bool, error) {
-		o, err := c.runPlan(ctx, less, argv, build)
-		return err == nil && o.Broke(), err
+	smallest, err := soak.Shrink(s, func(candidate *scenario.Scenario) (bool, error) {
+		outcome, err := c.runPlan(ctx, candidate, argv, build)
+		return err == nil && outcome.Broke(), err
 	})
 	if err != nil {
-		fmt.Println("shrinking ended:", err)
+		fmt.Println("shrinking stopped:", err)
 	}
-	_ = printPlans([]*scenario.Scenario{small}) // it was printed once already
+	_ = printPlans([]*scenario.Scenario{smallest}) // encoding already succeeded for the original plan
 }
