--- a/cmd/tacklab/compare.go
+++ b/cmd/tacklab/compare.go
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	if r.Verdict == experiment.VerdictInvalid {
-		return nil, fmt.Errorf("the run of arm %s with seed %d is invalid: %s", string("AB"[side]), seed, r.VoidReason)
+		return nil, fmt.Errorf("the run of arm %s with seed %d is invalid: %s", string("AB"[side]), seed, r.InvalidReason)
 	}
 	return r, nil
 }
@@ -167,7 +167,7 @@
 				return err
 			}
 			if r.Verdict == experiment.VerdictInvalid {
-				return fmt.Errorf("the run with %s=%s is invalid: %s", c.Key, value, r.VoidReason)
+				return fmt.Errorf("the run with %s=%s is invalid: %s", c.Key, value, r.InvalidReason)
 			}
 			fmt.Printf("%s=%s %s\n", c.Key, value, summaryLine(r))
 			worth, p99 = append(worth, r.Figures.Goodput), append(p99, r.Figures.P99)
--- a/cmd/tacklab/demo.go
+++ b/cmd/tacklab/demo.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	fmt.Printf("%d servers in %d zones, %d nodes, %.0f requests a second; a server crashes at 8s and restarts in slow start at 12s. About %v.\n",
-		s.Fleet.Servers, len(s.Fleet.Zones), s.Nodes.Count, s.Load[0].Times*s.Capacity(), expectedDuration(s))
+		s.Fleet.Servers, len(s.Fleet.Zones), s.Nodes.Count, s.Load[0].CapacityMultiple*s.Capacity(), expectedDuration(s))
 	fmt.Println("worth: fraction of the requests' priority weight served within the latency objective; excluded: servers ejected by a node")
 	r, err := runScenario(ctx, s, commonFlags{Program: c.Program}, progressPrinter(s), func(nodes []string) {
 		fmt.Printf("\nTry it yourself while it runs, from another terminal:\n  curl -i -H 'X-Request-Id: %s' -H 'X-Class: still' -H 'X-Tenant: t000' -H 'X-Deadline-Ms: 400' 'http://%s/still?w=20000'\n"+
--- a/cmd/tacklab/run.go
+++ b/cmd/tacklab/run.go
@@ -135,8 +135,8 @@
 	for _, expectation := range r.Unmet {
 		fmt.Printf("short: %s\n", expectation)
 	}
-	if r.VoidReason != "" {
-		fmt.Printf("void: %s\n", r.VoidReason)
+	if r.InvalidReason != "" {
+		fmt.Printf("void: %s\n", r.InvalidReason)
 	}
 	fmt.Println(summaryLine(r))
 	switch r.Verdict {
@@ -145,7 +145,7 @@
 	case experiment.VerdictFailed:
 		return errRunFailed
 	}
-	return fmt.Errorf("the run of scenario %q is invalid: %s", r.Scenario, r.VoidReason)
+	return fmt.Errorf("the run of scenario %q is invalid: %s", r.Scenario, r.InvalidReason)
 }
 
 // summaryLine returns the summary of a run in one line.
--- a/cmd/tacklab/soak.go
+++ b/cmd/tacklab/soak.go
@@ -53,7 +53,7 @@
 		}
 		fmt.Printf("seed %d, %d nodes: %s\n", s.Seed, s.Nodes.Count, outcome.Figures)
 		total.Add(outcome.Figures)
-		if !outcome.Broke() {
+		if !outcome.Failed() {
 			continue
 		}
 		printBreaches(outcome)
@@ -91,7 +91,7 @@
 	}
 	var scenarios []*scenario.Scenario
 	for i := range max(1, c.Runs) {
-		text, err := soak.Text(soak.Plan(soak.Options{Seed: c.Seed + uint64(i), Nodes: c.Nodes, Duration: c.Duration, Quiet: c.Quiet, Kind: c.Kind}))
+		text, err := soak.PlanText(soak.Plan(soak.Options{Seed: c.Seed + uint64(i), Nodes: c.Nodes, Duration: c.Duration, Quiet: c.Quiet, Kind: c.Kind}))
 		if err != nil {
 			return nil, err
 		}
@@ -106,7 +106,7 @@
 
 func printPlans(plans []*scenario.Scenario) error {
 	for _, s := range plans {
-		text, err := soak.Text(s)
+		text, err := soak.PlanText(s)
 		if err != nil {
 			return err
 		}
@@ -146,7 +146,7 @@
 func (c *soakCmd) shrink(ctx context.Context, s *scenario.Scenario, argv []string, build string) {
 	smallest, err := soak.Shrink(s, func(candidate *scenario.Scenario) (bool, error) {
 		outcome, err := c.runPlan(ctx, candidate, argv, build)
-		return err == nil && outcome.Broke(), err
+		return err == nil && outcome.Failed(), err
 	})
 	if err != nil {
 		fmt.Println("shrinking stopped:", err)
--- a/lab/audit/audit_test.go
+++ b/lab/audit/audit_test.go
@@ -66,7 +66,7 @@
 			r.Attempts[3].Outcome, r.Attempts[3].Ended = Cancelled, 75*ms-101*ms
 		}},
 		{"time limit beyond the client's deadline", RuleDeadline, func(r *Record) { r.Receipts[0].Deadline = 300*ms - 5*ms + 151*ms }},
-		{"server overloaded during warm-up", RuleColdCollapse, func(r *Record) { r.Collapses = []Collapse{{"s4", 70 * ms}} }},
+		{"server overloaded during warm-up", RuleSlowStartCollapse, func(r *Record) { r.Collapses = []Collapse{{"s4", 70 * ms}} }},
 	} {
 		r := cleanRecord()
 		c.addDefect(r)
--- a/lab/audit/membership.go
+++ b/lab/audit/membership.go
@@ -11,7 +11,7 @@
 type MemberSample struct {
 	At          Offset
 	Node        int
-	Start       uint64 // generation of the process
+	Generation  uint64 // generation of the process
 	View        uint64 // number of its view
 	Members     []int  // nodes in its view
 	HasMajority bool   // the process does not consider itself isolated or without peers
@@ -45,12 +45,12 @@
 
 // QuotaGrant is the fraction of the fleet-wide quota that a process may use: Value from At to Until, and After from then on.
 type QuotaGrant struct {
-	Node  int
-	Start uint64 // generation of the process
-	At    Offset
-	Value float64
-	Until Offset
-	After float64
+	Node       int
+	Generation uint64 // generation of the process
+	At         Offset
+	Value      float64
+	Until      Offset
+	After      float64
 }
 
 // Forever is the Until of a grant that does not expire.
@@ -147,7 +147,7 @@
 
 // checkViewNumber checks that the view number of a process does not decrease.
 func (a *memberAuditor) checkViewNumber(sample MemberSample) {
-	owner := process{sample.Node, sample.Start}
+	owner := process{sample.Node, sample.Generation}
 	view, known := a.views[owner]
 	if known && sample.View < view.latest {
 		a.breach(sample.At, "members-view", fmt.Sprint(owner), "the view number of n%d went from %d back to %d", sample.Node, view.latest,
--- a/lab/audit/membership_test.go
+++ b/lab/audit/membership_test.go
@@ -12,15 +12,15 @@
 // missing from the views from 8 to 13 s.
 func sampleMembershipRecord() MembershipRecord {
 	m := MembershipRecord{Nodes: 3, From: sec, Until: 20 * sec, Downtimes: []Downtime{{Node: 2, From: 5 * sec, To: 12 * sec}}}
-	m.Quotas = []QuotaGrant{{Node: 0, Start: 1, At: 0, Value: 0.5, Until: Forever, After: 0.5},
-		{Node: 0, Start: 1, At: 4 * sec, Value: 0.6, Until: 9 * sec, After: 0.1},
-		{Node: 1, Start: 1, At: 0, Value: 0.4, Until: Forever, After: 0.4}, {Node: 1, Start: 1, At: 9 * sec, Value: 0.9, Until: Forever, After: 0.9}}
+	m.Quotas = []QuotaGrant{{Node: 0, Generation: 1, At: 0, Value: 0.5, Until: Forever, After: 0.5},
+		{Node: 0, Generation: 1, At: 4 * sec, Value: 0.6, Until: 9 * sec, After: 0.1},
+		{Node: 1, Generation: 1, At: 0, Value: 0.4, Until: Forever, After: 0.4}, {Node: 1, Generation: 1, At: 9 * sec, Value: 0.9, Until: Forever, After: 0.9}}
 	for at := Offset(0); at < 20*sec; at += 100 * time.Millisecond {
 		for i := range 3 {
 			if i == 2 && at >= 5*sec && at < 12*sec {
 				continue
 			}
-			sample := MemberSample{At: at, Node: i, Start: 1, View: 1, Members: []int{0, 1, 2}, HasMajority: true}
+			sample := MemberSample{At: at, Node: i, Generation: 1, View: 1, Members: []int{0, 1, 2}, HasMajority: true}
 			if at >= 8*sec && at < 13*sec && i != 2 {
 				sample.Members, sample.View = []int{0, 1}, 2
 			}
--- a/lab/audit/quotas.go
+++ b/lab/audit/quotas.go
@@ -29,7 +29,7 @@
 	histories := map[process]*quotaHistory{}
 	var changes []Offset
 	for _, g := range m.Quotas {
-		p := process{g.Node, g.Start}
+		p := process{g.Node, g.Generation}
 		if histories[p] == nil {
 			histories[p] = &quotaHistory{}
 		}
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, s := range m.Samples {
-		if h := histories[process{s.Node, s.Start}]; h != nil {
+		if h := histories[process{s.Node, s.Generation}]; h != nil {
 			h.lastSample = max(h.lastSample, s.At)
 		}
 	}
--- a/lab/backend/faults.go
+++ b/lab/backend/faults.go
@@ -78,7 +78,7 @@
 		}
 		s.model.SetSlowdown(factor)
 	case scenario.FaultErrors:
-		s.errorFraction = e.Fault.Share
+		s.errorFraction = e.Fault.Fraction
 		if e.Ends {
 			s.errorFraction = 0
 		}
--- a/lab/backend/inventory.go
+++ b/lab/backend/inventory.go
@@ -31,11 +31,11 @@
 	dir   string
 	rng   *rand.Rand
 
-	mu        sync.Mutex
-	updates   []audit.ListUpdate
-	withdrawn []map[string]bool // by node: servers that the last valid file leaves out or lists as draining
-	GoodFiles int               // valid files written
-	BadFiles  int
+	mu           sync.Mutex
+	updates      []audit.ListUpdate
+	withdrawn    []map[string]bool // by node: servers that the last valid file leaves out or lists as draining
+	ValidFiles   int               // valid files written
+	InvalidFiles int
 }
 
 // NewInventoryWriter writes a valid inventory file and an operator file for each node.
@@ -61,7 +61,7 @@
 }
 
 func (w *InventoryWriter) path(node int) string {
-	return filepath.Join(w.dir, fmt.Sprintf("servers%d.%s", node, w.fleet.scenario.Inventory.Form))
+	return filepath.Join(w.dir, fmt.Sprintf("servers%d.%s", node, w.fleet.scenario.Inventory.Format))
 }
 
 // content returns the contents of a node's inventory file for the current server list. An extra column with a random value
@@ -79,7 +79,7 @@
 		}
 		out = append(out, entry)
 	}
-	if w.fleet.scenario.Inventory.Form == "yaml" {
+	if w.fleet.scenario.Inventory.Format == "yaml" {
 		return inventory.WriteYAML(out)
 	}
 	return inventory.WriteCSV(out)
@@ -97,7 +97,7 @@
 
 // Run rewrites all files at the scenario's interval until the context is cancelled.
 func (w *InventoryWriter) Run(ctx context.Context) error {
-	tick := time.NewTicker(w.fleet.scenario.Inventory.Every)
+	tick := time.NewTicker(w.fleet.scenario.Inventory.RewriteInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -120,10 +120,10 @@
 	listed := w.fleet.members(node)
 	draw := w.rng.Float64()
 	switch cfg := w.fleet.scenario.Inventory; {
-	case draw < cfg.Bad:
-		w.BadFiles++
+	case draw < cfg.InvalidFraction:
+		w.InvalidFiles++
 		return replaceFile(w.path(node), w.corrupt(valid))
-	case draw < cfg.Bad+cfg.InPlace:
+	case draw < cfg.InvalidFraction+cfg.InPlaceFraction:
 		if err := writeInPlace(w.path(node), valid); err != nil {
 			return err
 		}
@@ -132,7 +132,7 @@
 			return err
 		}
 	}
-	w.GoodFiles++
+	w.ValidFiles++
 	w.recordUpdates(node, listed)
 	return nil
 }
--- a/lab/backend/server.go
+++ b/lab/backend/server.go
@@ -105,17 +105,17 @@
 func (s *Server) params() model.Params {
 	cfg := s.fleet.scenario.Fleet
 	return model.Params{
-		Cores:            cfg.Cores,
-		Speed:            s.speed,
-		QueueMax:         cfg.QueueMax,
-		CrowdDepth:       cfg.CrowdDepth,
-		CrowdFor:         millis(cfg.CrowdFor),
-		SlowFactor:       cfg.SlowFactor,
-		RestFor:          millis(cfg.RestFor),
-		ColdSpeed:        cfg.ColdSpeed,
-		ColdFor:          millis(cfg.ColdFor),
-		CollapseMultiple: cfg.CollapseMultiple,
-		CollapseWindow:   millis(cfg.CollapseWindow),
+		Cores:              cfg.Cores,
+		Speed:              s.speed,
+		QueueMax:           cfg.QueueMax,
+		SlowdownQueueDepth: cfg.SlowdownQueueDepth,
+		SlowdownDelay:      millis(cfg.SlowdownDelay),
+		SlowdownFactor:     cfg.SlowdownFactor,
+		SlowdownRecovery:   millis(cfg.SlowdownRecovery),
+		InitialSpeed:       cfg.InitialSpeed,
+		SlowStartDuration:  millis(cfg.SlowStartDuration),
+		CollapseMultiple:   cfg.CollapseMultiple,
+		CollapseWindow:     millis(cfg.CollapseWindow),
 	}
 }
 
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -72,7 +72,7 @@
 func TestNodeBreaksNoRuleDuringCrashAndDrain(t *testing.T) {
 	r := runScenario(t, loadSmall(t))
 	if r.Verdict != VerdictOK {
-		t.Errorf("verdict = %s, want ok: unmet %v, invalid %q, breaches %v\nfigures %+v", r.Verdict, r.Unmet, r.VoidReason, r.Breaches, r.Figures)
+		t.Errorf("verdict = %s, want ok: unmet %v, invalid %q, breaches %v\nfigures %+v", r.Verdict, r.Unmet, r.InvalidReason, r.Breaches, r.Figures)
 	}
 	if r.Figures.Requests < 400 || r.Figures.Crashes != 0 || r.Figures.MemoryMB == 0 || r.Figures.Sockets == 0 {
 		t.Errorf("figures = %+v, want at least 400 requests, no crash, and memory and sockets above 0", r.Figures)
@@ -91,7 +91,7 @@
 		"late-answer":    audit.RuleLate,
 		"refuse-run":     audit.RuleRejectedThoughExecuted,
 		"late-drain":     audit.RuleDrain,
-		"cold-push":      audit.RuleColdCollapse,
+		"cold-push":      audit.RuleSlowStartCollapse,
 	} {
 		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
@@ -106,7 +106,7 @@
 			}
 			r := runScenario(t, loadSmall(t, overrides...))
 			if r.BreachesByRule[rule] == 0 || r.Verdict != VerdictFailed {
-				t.Errorf("verdict = %s, breaches = %v, invalid %q, want verdict short and a breach of %s", r.Verdict, r.BreachesByRule, r.VoidReason, rule)
+				t.Errorf("verdict = %s, breaches = %v, invalid %q, want verdict short and a breach of %s", r.Verdict, r.BreachesByRule, r.InvalidReason, rule)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 	addresses := make(chan string, 1)
 	r, err := Run(ctx, Options{Scenario: s, Command: []string{filepath.Join(programDir, "tackhub")},
 		Started: func(nodes []string) { addresses <- nodes[0]; time.AfterFunc(200*time.Millisecond, cancel) }})
-	if err != nil || r.Verdict != VerdictInvalid || r.VoidReason != "the run was interrupted" {
+	if err != nil || r.Verdict != VerdictInvalid || r.InvalidReason != "the run was interrupted" {
 		t.Fatalf("interrupted run: error = %v, result = %v, want verdict void with the reason that the run was interrupted", err, r)
 	}
 	cancel()
--- a/lab/experiment/faults.go
+++ b/lab/experiment/faults.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	if e.Server >= 0 && (e.Ends || e.Kind == scenario.FaultColdReturn) {
-		r.nodes.ForgetServer(r.fleet.Loads()[e.Server].ID)
+		r.nodes.ClearEjected(r.fleet.Loads()[e.Server].ID)
 	}
 	return nil
 }
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -80,10 +80,10 @@
 	if operation.Outcome == audit.Cancelled || operation.Outcome == audit.LinkReset {
 		return 0, 0
 	}
-	if operation.Outcome == audit.Served && operation.Ended-operation.ScheduledAt <= class.Aim {
-		return class.Worth, class.Worth
+	if operation.Outcome == audit.Served && operation.Ended-operation.ScheduledAt <= class.LatencyObjective {
+		return class.PriorityWeight, class.PriorityWeight
 	}
-	return class.Worth, 0
+	return class.PriorityWeight, 0
 }
 
 // computeFigures computes the figures of the operations in the measured part of the run.
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -122,14 +122,14 @@
 		case scenario.FaultCut:
 			faults.Cut = on
 		case scenario.FaultLoss:
-			faults.Loss = f.Share * faultScale(on)
+			faults.Loss = f.Fraction * faultScale(on)
 		case scenario.FaultDelay:
 			faults.Delay = f.Delay * time.Duration(faultScale(on))
 			faults.Jitter = f.Jitter * time.Duration(faultScale(on))
 		case scenario.FaultDuplicate:
-			faults.Duplicate = f.Share * faultScale(on)
+			faults.Duplicate = f.Fraction * faultScale(on)
 		case scenario.FaultReorder:
-			faults.Reorder = f.Share * faultScale(on)
+			faults.Reorder = f.Fraction * faultScale(on)
 			faults.ReorderDelay = f.Delay
 		}
 	})
@@ -178,7 +178,7 @@
 // addSample records the view and the quotas that a node's process returned.
 func (m *meshState) addSample(node int, status cluster.Status, start time.Time) {
 	at := time.Since(start)
-	sample := audit.MemberSample{At: at, Node: node, Start: status.Generation, View: status.View.Number,
+	sample := audit.MemberSample{At: at, Node: node, Generation: status.Generation, View: status.View.Number,
 		HasMajority: status.Connectivity == membership.Connected}
 	for i := range 64 {
 		for _, name := range status.View.Members {
@@ -203,7 +203,7 @@
 		if allocation.ValidUntil != math.MaxInt64 {
 			until = time.Duration(allocation.ValidUntil - start.UnixNano())
 		}
-		m.quotaGrants = append(m.quotaGrants, audit.QuotaGrant{Node: node, Start: status.Generation,
+		m.quotaGrants = append(m.quotaGrants, audit.QuotaGrant{Node: node, Generation: status.Generation,
 			At: time.Duration(allocation.EffectiveFrom - start.UnixNano()), Value: allocation.Fraction,
 			Until: until, After: allocation.FractionAfter})
 	}
--- a/lab/experiment/mesh_test.go
+++ b/lab/experiment/mesh_test.go
@@ -21,12 +21,12 @@
 	t.Parallel()
 	// The limits are longer than in the scenario file because other tests run on the machine's cores at the same time.
 	r := runScenario(t, loadMembersCI(t, "expect.mesh.notice=8s", "expect.mesh.heal=6s"))
-	if r.VoidReason == "" && (len(r.Breaches) > 0 || r.Members.Samples < 1000 || r.Members.ViewChanges < 3 || r.Members.QuotaMean < 0.8) {
+	if r.InvalidReason == "" && (len(r.Breaches) > 0 || r.Members.Samples < 1000 || r.Members.ViewChanges < 3 || r.Members.QuotaMean < 0.8) {
 		t.Errorf("breaches = %v, members = %+v, want no breach, at least 1000 samples and 3 view changes, and a mean quota sum of at least 0.8",
 			r.Breaches, r.Members)
 	}
-	if r.VoidReason != "" {
-		t.Skipf("the run is invalid, usually because the machine is too busy: %s", r.VoidReason)
+	if r.InvalidReason != "" {
+		t.Skipf("the run is invalid, usually because the machine is too busy: %s", r.InvalidReason)
 	}
 }
 
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -50,7 +50,7 @@
 	About          string                 `json:"about"`
 	Verdict        Verdict                `json:"verdict"`
 	Unmet          []string               `json:"short,omitempty"`
-	VoidReason     string                 `json:"void,omitempty"`
+	InvalidReason  string                 `json:"void,omitempty"`
 	Breaches       []audit.Breach         `json:"breaches,omitempty"`
 	BreachesByRule map[string]int         `json:"breaches_by_rule,omitempty"`
 	Figures        Figures                `json:"figures"`
@@ -107,17 +107,17 @@
 		out.Logs = append(out.Logs, r.nodes.Log(i))
 	}
 	if r.inventoryWriter != nil {
-		out.Files = map[string]int{"good": r.inventoryWriter.GoodFiles, "bad": r.inventoryWriter.BadFiles}
+		out.Files = map[string]int{"good": r.inventoryWriter.ValidFiles, "bad": r.inventoryWriter.InvalidFiles}
 	}
 	out.Unmet = unmetExpectations(s, out.Figures)
-	out.VoidReason = r.invalidReason(out.Figures, err)
+	out.InvalidReason = r.invalidReason(out.Figures, err)
 	out.Verdict = out.verdict()
 }
 
 // verdict returns the verdict that follows from the rest of the result.
 func (r *Result) verdict() Verdict {
 	switch {
-	case r.VoidReason != "":
+	case r.InvalidReason != "":
 		return VerdictInvalid
 	case len(r.Breaches) > 0 || len(r.Unmet) > 0:
 		return VerdictFailed
@@ -140,7 +140,7 @@
 
 // invalidReason returns why a run is invalid, or an empty string if it is valid.
 func (r *run) invalidReason(f Figures, err error) string {
-	maxDelay := float64(r.options.Scenario.RigLate) / float64(time.Millisecond)
+	maxDelay := float64(r.options.Scenario.MaxSendDelay) / float64(time.Millisecond)
 	maxSkew := float64(maxClockSkew) / float64(time.Millisecond)
 	switch {
 	case errors.Is(err, context.Canceled):
@@ -192,7 +192,7 @@
 		f.Crashes += node.Crashes
 		for _, sample := range node.Samples {
 			f.MemoryMB = max(f.MemoryMB, float64(sample.RSS)/(1<<20))
-			f.Sockets = max(f.Sockets, sample.Sockets)
+			f.Sockets = max(f.Sockets, sample.Descriptors)
 		}
 		if samples := len(node.Samples); samples > 1 {
 			first, last := node.Samples[0], node.Samples[samples-1]
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -15,19 +15,19 @@
 	Speed    float64 // ms of Request.Work that one core does per ms
 	QueueMax int     // queue length at which new requests are rejected; 0: no limit
 
-	// Slow mode: after more than CrowdDepth requests per core have been queued for CrowdFor, every request that starts takes
+	// Slow mode: after more than SlowdownQueueDepth requests per core have been queued for CrowdFor, every request that starts takes
 	// SlowFactor times as long, until the queue has been empty for RestFor.
-	CrowdDepth float64 // 0: no slow mode
-	CrowdFor   Millis
-	SlowFactor float64
-	RestFor    Millis
+	SlowdownQueueDepth float64 // 0: no slow mode
+	SlowdownDelay      Millis
+	SlowdownFactor     float64
+	SlowdownRecovery   Millis
 
-	// Warm-up: a server starts at ColdSpeed, a fraction of its speed, which increases linearly to full speed over ColdFor. It
+	// Warm-up: a server starts at InitialSpeed, a fraction of its speed, which increases linearly to full speed over ColdFor. It
 	// crashes if the work that arrives within CollapseWindow exceeds CollapseMultiple times what it can do in that window.
-	ColdSpeed        float64
-	ColdFor          Millis
-	CollapseMultiple float64
-	CollapseWindow   Millis
+	InitialSpeed      float64
+	SlowStartDuration Millis
+	CollapseMultiple  float64
+	CollapseWindow    Millis
 
 	Window Millis // how long the pod remembers an idempotency key
 }
@@ -133,17 +133,17 @@
 // WarmupFactor returns the fraction of its full speed that the server has at a time.
 func (s *Server) WarmupFactor(now Millis) float64 {
 	age := now - s.started
-	if math.IsInf(s.started, -1) || age >= s.params.ColdFor || s.params.ColdFor <= 0 {
+	if math.IsInf(s.started, -1) || age >= s.params.SlowStartDuration || s.params.SlowStartDuration <= 0 {
 		return 1
 	}
-	return s.params.ColdSpeed + (1-s.params.ColdSpeed)*max(0, age)/s.params.ColdFor
+	return s.params.InitialSpeed + (1-s.params.InitialSpeed)*max(0, age)/s.params.SlowStartDuration
 }
 
 // capacity returns the work that all cores together do per millisecond.
 func (s *Server) capacity(now Millis) float64 {
 	v := float64(s.params.Cores) * s.params.Speed * s.WarmupFactor(now) / s.slowdown
 	if s.slow {
-		v /= s.params.SlowFactor
+		v /= s.params.SlowdownFactor
 	}
 	return v
 }
@@ -223,14 +223,14 @@
 // updateSlowMode starts slow mode after the queue has been too long for CrowdFor, and ends it after the queue has been empty
 // for RestFor.
 func (s *Server) updateSlowMode(now Millis) {
-	if s.params.CrowdDepth <= 0 {
+	if s.params.SlowdownQueueDepth <= 0 {
 		return
 	}
-	if float64(len(s.queue)) > s.params.CrowdDepth*float64(s.params.Cores) {
+	if float64(len(s.queue)) > s.params.SlowdownQueueDepth*float64(s.params.Cores) {
 		if math.IsNaN(s.overDepthSince) {
 			s.overDepthSince = now
 		}
-		if now-s.overDepthSince >= s.params.CrowdFor {
+		if now-s.overDepthSince >= s.params.SlowdownDelay {
 			s.slow = true
 		}
 	} else {
@@ -241,7 +241,7 @@
 		s.queueEmptySince = math.NaN()
 	case math.IsNaN(s.queueEmptySince):
 		s.queueEmptySince = now
-	case s.slow && now-s.queueEmptySince >= s.params.RestFor:
+	case s.slow && now-s.queueEmptySince >= s.params.SlowdownRecovery:
 		s.slow = false
 	}
 }
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -48,7 +48,7 @@
 
 // A server starts at a fraction of its speed, which must increase linearly to full speed during the warm-up.
 func TestServerSpeedIncreasesDuringWarmup(t *testing.T) {
-	p := Params{Cores: 1, Speed: 1, ColdSpeed: 0.25, ColdFor: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
+	p := Params{Cores: 1, Speed: 1, InitialSpeed: 0.25, SlowStartDuration: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 	s := NewServer(p, NewPod(0, 0), 1000)
 	for at, want := range map[float64]float64{1000: 0.25, 3000: 0.625, 5000: 1, 9000: 1} {
 		if got := s.WarmupFactor(at); math.Abs(got-want) > 1e-9 {
@@ -68,7 +68,7 @@
 		times     float64
 		collapses bool
 	}{{2.7, false}, {3.6, true}} {
-		p := Params{Cores: 1, Speed: 1, ColdSpeed: 0.25, ColdFor: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
+		p := Params{Cores: 1, Speed: 1, InitialSpeed: 0.25, SlowStartDuration: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 		s := NewServer(p, NewPod(0, 0), 0)
 		collapsedAt := math.NaN()
 		for now := 0.0; now < 3900; now += 10 {
@@ -89,7 +89,7 @@
 
 // A long queue must start slow mode after CrowdFor, and an empty queue must end it after RestFor.
 func TestSlowModeStartsWithLongQueueAndEndsWithEmptyQueue(t *testing.T) {
-	p := Params{Cores: 1, Speed: 1, CrowdDepth: 2, CrowdFor: 100, SlowFactor: 3, RestFor: 50}
+	p := Params{Cores: 1, Speed: 1, SlowdownQueueDepth: 2, SlowdownDelay: 100, SlowdownFactor: 3, SlowdownRecovery: 50}
 	s := NewServer(p, NewPod(0, 0), math.Inf(-1))
 	for i := range 6 {
 		s.Arrive(0, Request{ID: uint64(i), Work: 60})
--- a/lab/nodeproc/nodelog.go
+++ b/lab/nodeproc/nodelog.go
@@ -81,9 +81,9 @@
 	return out
 }
 
-// ForgetServer removes a server from the ejected ones. It is called when the server's process was replaced: nodes then
+// ClearEjected removes a server from the ejected ones. It is called when the server's process was replaced: nodes then
 // treat the server as new without logging a readmission.
-func (g *Group) ForgetServer(server string) {
+func (g *Group) ClearEjected(server string) {
 	for _, n := range g.nodes {
 		n.mu.Lock()
 		delete(n.ejected, server)
--- a/lab/nodeproc/sample.go
+++ b/lab/nodeproc/sample.go
@@ -10,10 +10,10 @@
 
 // Sample is the resource usage of a node's process at one time.
 type Sample struct {
-	At      time.Duration `json:"at_ns"`
-	RSS     int64         `json:"rss_bytes"`
-	Sockets int           `json:"descriptors"`
-	CPU     float64       `json:"cpu_s"` // total of all processes of the node since the start of the run
+	At          time.Duration `json:"at_ns"`
+	RSS         int64         `json:"rss_bytes"`
+	Descriptors int           `json:"descriptors"`
+	CPU         float64       `json:"cpu_s"` // total of all processes of the node since the start of the run
 }
 
 // Sample measures the resource usage of every node whose process is running.
@@ -57,7 +57,7 @@
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
 	const ticks = 100 // USER_HZ, fixed on Linux
-	return Sample{RSS: rss * int64(os.Getpagesize()), Sockets: len(fds), CPU: (user + system) / ticks}, nil
+	return Sample{RSS: rss * int64(os.Getpagesize()), Descriptors: len(fds), CPU: (user + system) / ticks}, nil
 }
 
 // Report contains the measurements of one node.
--- a/lab/nodeproc/settings.go
+++ b/lab/nodeproc/settings.go
@@ -38,8 +38,8 @@
 		"goal":          map[string]any{"whole": 0.6, "worst_window": 0.4},
 		"obligations": map[string]any{
 			"answer_slack_ms":        5,
-			"cold_from":              s.Fleet.ColdSpeed,
-			"cold_ms":                millis(s.Fleet.ColdFor),
+			"cold_from":              s.Fleet.InitialSpeed,
+			"cold_ms":                millis(s.Fleet.SlowStartDuration),
 			"fall_ms":                millis(s.Fleet.CollapseWindow),
 			"fall_multiple":          s.Fleet.CollapseMultiple,
 			"stop_sending_within_ms": millis(s.Nodes.DrainGrace),
@@ -76,14 +76,14 @@
 		}
 		classes = append(classes, map[string]any{
 			"name":            c.Name,
-			"aim_ms":          millis(c.Aim),
+			"aim_ms":          millis(c.LatencyObjective),
 			"hard_limit_ms":   millis(c.Deadline),
 			"dedup_window_ms": millis(c.Window),
 			"effect":          effectSetting[c.Effect],
 			"group":           group,
 			"late_share":      0,
 			"streamed":        false,
-			"worth":           c.Worth,
+			"worth":           c.PriorityWeight,
 		})
 	}
 	return classes
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -160,7 +160,7 @@
 			current, previous := n.Samples[j], n.Samples[j-1]
 			elapsed := (current.At - previous.At).Seconds()
 			pts = append(pts, plotter.XY{X: current.At.Seconds(), Y: value(sample{memory: float64(current.RSS) / (1 << 20),
-				sockets: float64(current.Sockets), cpu: max(0, current.CPU-previous.CPU) / math.Max(elapsed, 1e-3)})})
+				sockets: float64(current.Descriptors), cpu: max(0, current.CPU-previous.CPU) / math.Max(elapsed, 1e-3)})})
 		}
 		out = append(out, line{fmt.Sprintf("n%d", i), pts})
 	}
@@ -230,7 +230,7 @@
 </head><body>
 <h1>{{.R.Scenario}}: <span class="{{.R.Verdict}}">{{.R.Verdict}}</span></h1>
 <p>{{.R.About}}</p>
-{{with .R.VoidReason}}<p class="void">Void: {{.}}</p>{{end}}
+{{with .R.InvalidReason}}<p class="void">Void: {{.}}</p>{{end}}
 {{range .R.Unmet}}<p class="short">Short: {{.}}</p>{{end}}
 <table>
 <tr><th>build</th><td>{{.R.Build}}</td></tr>
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -24,8 +24,8 @@
 		{fleet.Cores < 1, "fleet.cores", "must be at least 1"},
 		{fleet.Speed <= 0, "fleet.speed", "must be above 0"},
 		{fleet.SpeedSpread < 0 || fleet.SpeedSpread >= 1, "fleet.speed_spread", "must be 0 to 1"},
-		{fleet.ColdSpeed <= 0 || fleet.ColdSpeed > 1, "fleet.cold_from", "must be above 0 and at most 1"},
-		{fleet.SlowFactor < 1, "fleet.slow_times", "must be at least 1"},
+		{fleet.InitialSpeed <= 0 || fleet.InitialSpeed > 1, "fleet.cold_from", "must be above 0 and at most 1"},
+		{fleet.SlowdownFactor < 1, "fleet.slow_times", "must be at least 1"},
 		{nodes.Count < 1 || nodes.Count > 64, "nodes.count", "must be 1 to 64"},
 		{!slices.Contains(nodeKinds, nodes.Kind), "nodes.kind", "must be one of " + strings.Join(nodeKinds, ", ")},
 		{!slices.Contains(Defects, nodes.Defect), "nodes.break", "must be one of " + strings.Join(Defects[1:], ", ")},
@@ -39,7 +39,7 @@
 		{s.Clients.Duplicates < 0 || s.Clients.Duplicates > 8, "clients.dup", "must be 0 to 8"},
 		{fleet.Coap < 0 || fleet.Coap > 1, "fleet.coap", "must be 0 to 1"},
 		{fleet.Coap > 0 && s.Inventory == nil, "fleet.coap", "needs an [inventory], because discovery lists only HTTP servers"},
-		{s.Clients.CancelShare < 0 || s.Clients.CancelShare > 1, "clients.leave", "must be 0 to 1"},
+		{s.Clients.CancelFraction < 0 || s.Clients.CancelFraction > 1, "clients.leave", "must be 0 to 1"},
 		{s.Expect.Window <= 0, "expect.window", "must be above 0"},
 	} {
 		if rule.invalid {
@@ -66,9 +66,9 @@
 // valid reports whether the format is known, the interval between rewrites is above 0, and the fractions are not negative
 // and add up to at most 1.
 func (i *Inventory) valid() bool {
-	knownForm := i.Form == "csv" || i.Form == "yaml"
-	validShares := i.Bad >= 0 && i.InPlace >= 0 && i.Bad+i.InPlace <= 1
-	return knownForm && validShares && i.Every > 0
+	knownForm := i.Format == "csv" || i.Format == "yaml"
+	validShares := i.InvalidFraction >= 0 && i.InPlaceFraction >= 0 && i.InvalidFraction+i.InPlaceFraction <= 1
+	return knownForm && validShares && i.RewriteInterval > 0
 }
 
 // checkClasses returns an error that names the first invalid class, or nil.
@@ -88,11 +88,11 @@
 			return fmt.Errorf("%s.group %q must be all, zone or cell", key, class.Group)
 		case !slices.Contains(distributions, class.Dist):
 			return fmt.Errorf("%s.dist %q must be one of %s", key, class.Dist, strings.Join(distributions[1:], ", "))
-		case class.Share <= 0 || class.Worth < 0 || class.Work <= 0:
+		case class.Share <= 0 || class.PriorityWeight < 0 || class.Work <= 0:
 			return fmt.Errorf("%s: share %v and work %v must be above 0, and worth %v must not be negative",
-				key, class.Share, class.Work, class.Worth)
-		case class.Aim <= 0 || class.Deadline < class.Aim:
-			return fmt.Errorf("%s: aim %v must be above 0 and at most the deadline %v", key, class.Aim, class.Deadline)
+				key, class.Share, class.Work, class.PriorityWeight)
+		case class.LatencyObjective <= 0 || class.Deadline < class.LatencyObjective:
+			return fmt.Errorf("%s: aim %v must be above 0 and at most the deadline %v", key, class.LatencyObjective, class.Deadline)
 		case class.Body < 0 || class.Body > 64<<10:
 			return fmt.Errorf("%s.body %d must be 0 to 65536", key, class.Body)
 		case class.Effect == EffectKeyed && class.Window <= 0:
@@ -111,7 +111,7 @@
 		if step.At <= previousAt && i > 0 || step.At < 0 {
 			return fmt.Errorf("load[%d].at %v must not be negative and must be later than the previous step", i, step.At)
 		}
-		if step.Rate < 0 || step.Times < 0 || step.Burst < 0 || step.Rate > 0 && step.Times > 0 {
+		if step.Rate < 0 || step.CapacityMultiple < 0 || step.Burst < 0 || step.Rate > 0 && step.CapacityMultiple > 0 {
 			return fmt.Errorf("load[%d]: set either rate or times, not both; rate, times and burst must not be negative", i)
 		}
 		previousAt = step.At
@@ -130,8 +130,8 @@
 			return fmt.Errorf("fault[%d].again %q may contain only %s", i, fault.FollowUpSignals, strings.Join(followUpSignals, ", "))
 		case !slices.Contains(directions, fault.Direction):
 			return fmt.Errorf("fault[%d].way %q must be both, up or down", i, fault.Direction)
-		case fault.Kind == FaultErrors && (fault.Share <= 0 || fault.Share > 1):
-			return fmt.Errorf("fault[%d].share %v must be above 0 and at most 1", i, fault.Share)
+		case fault.Kind == FaultErrors && (fault.Fraction <= 0 || fault.Fraction > 1):
+			return fmt.Errorf("fault[%d].share %v must be above 0 and at most 1", i, fault.Fraction)
 		}
 		if _, err := s.faultEvents(fault, nil); err != nil {
 			return fmt.Errorf("fault[%d].target: %w", i, err)
--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -49,8 +49,8 @@
 		case !affectsLink && fault.Kind != FaultDiskLost:
 		case s.Mesh == nil:
 			return fmt.Errorf("fault[%d].kind %s needs a [mesh]", i, fault.Kind)
-		case (fault.Kind == FaultLoss || fault.Kind == FaultDuplicate || fault.Kind == FaultReorder) && (fault.Share <= 0 || fault.Share > 1):
-			return fmt.Errorf("fault[%d].share %v must be above 0 and at most 1", i, fault.Share)
+		case (fault.Kind == FaultLoss || fault.Kind == FaultDuplicate || fault.Kind == FaultReorder) && (fault.Fraction <= 0 || fault.Fraction > 1):
+			return fmt.Errorf("fault[%d].share %v must be above 0 and at most 1", i, fault.Fraction)
 		case (fault.Kind == FaultDelay || fault.Kind == FaultReorder) && fault.Delay <= 0 && fault.Jitter <= 0:
 			return fmt.Errorf("fault[%d]: a fault of kind %s needs a delay or a jitter above 0", i, fault.Kind)
 		}
--- a/lab/scenario/parse.go
+++ b/lab/scenario/parse.go
@@ -76,9 +76,9 @@
 // defaults returns a scenario with the default values of all optional keys.
 func defaults() *Scenario {
 	return &Scenario{
-		Seed: 1, Warmup: 2 * time.Second, Duration: 10 * time.Second, RigLate: 5 * time.Millisecond,
-		Fleet: Fleet{Servers: 12, Zones: []string{"a", "b"}, PodSize: 3, Cores: 1, Speed: 1, QueueMax: 64, SlowFactor: 1,
-			ColdSpeed: 0.3, ColdFor: 6 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second, MaxConns: 256, Reports: true},
+		Seed: 1, Warmup: 2 * time.Second, Duration: 10 * time.Second, MaxSendDelay: 5 * time.Millisecond,
+		Fleet: Fleet{Servers: 12, Zones: []string{"a", "b"}, PodSize: 3, Cores: 1, Speed: 1, QueueMax: 64, SlowdownFactor: 1,
+			InitialSpeed: 0.3, SlowStartDuration: 6 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second, MaxConns: 256, Reports: true},
 		Nodes: Nodes{Count: 2, Kind: "tackhub", Cores: 1, MemoryMB: 192, Sockets: 1024, DrainGrace: 1500 * time.Millisecond,
 			Attempts: 4, DiscoveryDelay: 200 * time.Millisecond},
 		Clients: Clients{Tenants: 8, Zipf: 1, Retry: "none", Backoff: 50 * time.Millisecond, MarksRetry: true, Devices: 64},
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -9,20 +9,20 @@
 
 // Scenario describes one experiment.
 type Scenario struct {
-	Name     string        `toml:"name"`
-	About    string        `toml:"about"`
-	Seed     uint64        `toml:"seed"`
-	Warmup   time.Duration `toml:"warmup"`   // precedes the measured part of the run
-	Duration time.Duration `toml:"duration"` // of the measured part
-	RigLate  time.Duration `toml:"rig_late"` // maximum p99 delay of the lab's own sends; above it the run is invalid
-	Fleet    Fleet         `toml:"fleet"`
-	Nodes    Nodes         `toml:"nodes"`
-	Classes  []Class       `toml:"class"`
-	Clients  Clients       `toml:"clients"`
-	Load     []Step        `toml:"load"`
-	Faults   []Fault       `toml:"fault"`
-	Links    Links         `toml:"link"`
-	Expect   Expectations  `toml:"expect"`
+	Name         string        `toml:"name"`
+	About        string        `toml:"about"`
+	Seed         uint64        `toml:"seed"`
+	Warmup       time.Duration `toml:"warmup"`   // precedes the measured part of the run
+	Duration     time.Duration `toml:"duration"` // of the measured part
+	MaxSendDelay time.Duration `toml:"rig_late"` // maximum p99 delay of the lab's own sends; above it the run is invalid
+	Fleet        Fleet         `toml:"fleet"`
+	Nodes        Nodes         `toml:"nodes"`
+	Classes      []Class       `toml:"class"`
+	Clients      Clients       `toml:"clients"`
+	Load         []Step        `toml:"load"`
+	Faults       []Fault       `toml:"fault"`
+	Links        Links         `toml:"link"`
+	Expect       Expectations  `toml:"expect"`
 
 	Inventory *Inventory `toml:"inventory"` // nil: only discovery lists the servers
 	Mesh      *Mesh      `toml:"mesh"`      // nil: the nodes are not connected to each other
@@ -31,36 +31,36 @@
 // Inventory lists the servers in a file for each node instead of in discovery. The lab keeps rewriting the files, some of
 // them with invalid contents.
 type Inventory struct {
-	Form    string        `toml:"form"` // csv or yaml
-	Every   time.Duration `toml:"every"`
-	Bad     float64       `toml:"bad"`    // fraction of the rewrites that are invalid: no node may accept them
-	InPlace float64       `toml:"saving"` // fraction of the rewrites that are written slowly, in place
+	Format          string        `toml:"form"` // csv or yaml
+	RewriteInterval time.Duration `toml:"every"`
+	InvalidFraction float64       `toml:"bad"`    // fraction of the rewrites that are invalid: no node may accept them
+	InPlaceFraction float64       `toml:"saving"` // fraction of the rewrites that are written slowly, in place
 }
 
 // Fleet describes the simulated servers.
 type Fleet struct {
-	Servers          int           `toml:"servers"`
-	Zones            []string      `toml:"zones"`
-	ZoneDelay        time.Duration `toml:"zone_delay"` // one way, between two zones
-	PodSize          int           `toml:"pod_size"`
-	PodLimit         int           `toml:"pod_limit"` // maximum requests in flight on all servers of a pod; 0: no limit
-	Cores            int           `toml:"cores"`
-	Speed            float64       `toml:"speed"`
-	SpeedSpread      float64       `toml:"speed_spread"` // speeds are uniform within this fraction below and above Speed
-	QueueMax         int           `toml:"queue_max"`
-	CrowdDepth       float64       `toml:"crowd_depth"`     // queued requests per core above which a server becomes slow; 0: never
-	CrowdFor         time.Duration `toml:"crowd_for"`       // how long the queue must be that deep
-	SlowFactor       float64       `toml:"slow_times"`      // divides the speed of a slow server
-	RestFor          time.Duration `toml:"rest_for"`        // how long the queue must be empty until the server is fast again
-	ColdSpeed        float64       `toml:"cold_from"`       // fraction of its full speed that a restarted server starts with
-	ColdFor          time.Duration `toml:"cold_for"`        // until a restarted server has its full speed
-	CollapseMultiple float64       `toml:"fall_multiple"`   // load above this multiple of its capacity makes a server in slow start collapse
-	CollapseWindow   time.Duration `toml:"fall_for"`        // the window over which the offered load is measured
-	ConnCost         time.Duration `toml:"connection_cost"` // extra time for the first request of a connection
-	MaxConns         int           `toml:"connections_max"`
-	Reports          bool          `toml:"reports"`
-	Probes           bool          `toml:"probes"`
-	Coap             float64       `toml:"coap"` // fraction of the servers that speak CoAP, in steps of 0.1; needs an inventory
+	Servers            int           `toml:"servers"`
+	Zones              []string      `toml:"zones"`
+	ZoneDelay          time.Duration `toml:"zone_delay"` // one way, between two zones
+	PodSize            int           `toml:"pod_size"`
+	PodLimit           int           `toml:"pod_limit"` // maximum requests in flight on all servers of a pod; 0: no limit
+	Cores              int           `toml:"cores"`
+	Speed              float64       `toml:"speed"`
+	SpeedSpread        float64       `toml:"speed_spread"` // speeds are uniform within this fraction below and above Speed
+	QueueMax           int           `toml:"queue_max"`
+	SlowdownQueueDepth float64       `toml:"crowd_depth"`     // queued requests per core above which a server becomes slow; 0: never
+	SlowdownDelay      time.Duration `toml:"crowd_for"`       // how long the queue must be that deep
+	SlowdownFactor     float64       `toml:"slow_times"`      // divides the speed of a slow server
+	SlowdownRecovery   time.Duration `toml:"rest_for"`        // how long the queue must be empty until the server is fast again
+	InitialSpeed       float64       `toml:"cold_from"`       // fraction of its full speed that a restarted server starts with
+	SlowStartDuration  time.Duration `toml:"cold_for"`        // until a restarted server has its full speed
+	CollapseMultiple   float64       `toml:"fall_multiple"`   // load above this multiple of its capacity makes a server in slow start collapse
+	CollapseWindow     time.Duration `toml:"fall_for"`        // the window over which the offered load is measured
+	ConnCost           time.Duration `toml:"connection_cost"` // extra time for the first request of a connection
+	MaxConns           int           `toml:"connections_max"`
+	Reports            bool          `toml:"reports"`
+	Probes             bool          `toml:"probes"`
+	Coap               float64       `toml:"coap"` // fraction of the servers that speak CoAP, in steps of 0.1; needs an inventory
 }
 
 // Nodes describes the balancer nodes under test.
@@ -87,43 +87,43 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name     string        `toml:"name"`
-	Effect   string        `toml:"effect"` // safe, keyed or unsafe
-	Group    string        `toml:"group"`  // idempotency scope of a keyed class: all, zone or cell
-	Window   time.Duration `toml:"window"`
-	Share    float64       `toml:"share"` // of the requests, relative to the sum over all classes
-	Worth    float64       `toml:"worth"` // priority weight
-	Aim      time.Duration `toml:"aim"`   // latency objective
-	Deadline time.Duration `toml:"deadline"`
-	Work     time.Duration `toml:"work"` // mean per request
-	Dist     string        `toml:"dist"` // fixed, exponential or lognormal
-	Sigma    float64       `toml:"sigma"`
-	Body     int           `toml:"body"` // request body in bytes
+	Name             string        `toml:"name"`
+	Effect           string        `toml:"effect"` // safe, keyed or unsafe
+	Group            string        `toml:"group"`  // idempotency scope of a keyed class: all, zone or cell
+	Window           time.Duration `toml:"window"`
+	Share            float64       `toml:"share"` // of the requests, relative to the sum over all classes
+	PriorityWeight   float64       `toml:"worth"` // priority weight
+	LatencyObjective time.Duration `toml:"aim"`   // latency objective
+	Deadline         time.Duration `toml:"deadline"`
+	Work             time.Duration `toml:"work"` // mean per request
+	Dist             string        `toml:"dist"` // fixed, exponential or lognormal
+	Sigma            float64       `toml:"sigma"`
+	Body             int           `toml:"body"` // request body in bytes
 }
 
 // Clients describes the behavior of the clients.
 type Clients struct {
-	Tenants     int           `toml:"tenants"`
-	Zipf        float64       `toml:"zipf"`  // the tenant of rank r sends requests in proportion to r^-Zipf
-	Retry       string        `toml:"retry"` // none, now, backoff, follow or ignore
-	Retries     int           `toml:"retries"`
-	Backoff     time.Duration `toml:"backoff"`
-	MarksRetry  bool          `toml:"marks_retry"`
-	CancelShare float64       `toml:"leave"`   // fraction of the requests that the client cancels before the deadline
-	Coap        float64       `toml:"coap"`    // fraction of the operations sent over CoAP instead of HTTP
-	Devices     int           `toml:"devices"` // CoAP sockets to each node; each has one request in flight at a time
-	Duplicates  int           `toml:"dup"`     // additional copies of every CoAP message
-	Quota       float64       `toml:"quota"`   // requests per second of all tenants together; 0: none
+	Tenants        int           `toml:"tenants"`
+	Zipf           float64       `toml:"zipf"`  // the tenant of rank r sends requests in proportion to r^-Zipf
+	Retry          string        `toml:"retry"` // none, now, backoff, follow or ignore
+	Retries        int           `toml:"retries"`
+	Backoff        time.Duration `toml:"backoff"`
+	MarksRetry     bool          `toml:"marks_retry"`
+	CancelFraction float64       `toml:"leave"`   // fraction of the requests that the client cancels before the deadline
+	Coap           float64       `toml:"coap"`    // fraction of the operations sent over CoAP instead of HTTP
+	Devices        int           `toml:"devices"` // CoAP sockets to each node; each has one request in flight at a time
+	Duplicates     int           `toml:"dup"`     // additional copies of every CoAP message
+	Quota          float64       `toml:"quota"`   // requests per second of all tenants together; 0: none
 }
 
 // Step sets the request rate from At on. With a ramp the rate changes linearly over that duration. A burst adds that many
 // requests at once.
 type Step struct {
-	At    time.Duration `toml:"at"`
-	Rate  float64       `toml:"rate"`  // requests per second
-	Times float64       `toml:"times"` // rate as a multiple of the fleet's capacity, instead of Rate
-	Ramp  time.Duration `toml:"ramp"`
-	Burst int           `toml:"burst"`
+	At               time.Duration `toml:"at"`
+	Rate             float64       `toml:"rate"`  // requests per second
+	CapacityMultiple float64       `toml:"times"` // rate as a multiple of the fleet's capacity, instead of Rate
+	Ramp             time.Duration `toml:"ramp"`
+	Burst            int           `toml:"burst"`
 }
 
 // Fault is one scheduled fault, or a planned change such as a drain or a restart.
@@ -134,7 +134,7 @@
 	Target          string        `toml:"target"` // "25%", "3" servers, "zone:b", "server:s004", "node:0", "all"
 	Spread          time.Duration `toml:"over"`   // the targets are hit one after the other over this duration
 	Factor          float64       `toml:"times"`  // of slow: divides the speed
-	Share           float64       `toml:"share"`  // of errors, loss, duplicate and reorder: affected fraction of the requests or packets
+	Fraction        float64       `toml:"share"`  // of errors, loss, duplicate and reorder: affected fraction of the requests or packets
 	NewID           bool          `toml:"new_id"` // a server that returns has a new ID
 	Delay           time.Duration `toml:"delay"`  // of discovery faults, and of delay and reorder on a link
 	Jitter          time.Duration `toml:"jitter"` // of delay on a link: a uniform delay between 0 and Jitter is added
--- a/lab/scenario/schedule.go
+++ b/lab/scenario/schedule.go
@@ -92,8 +92,8 @@
 			break
 		}
 		target := step.Rate
-		if step.Times > 0 {
-			target = step.Times * s.Capacity()
+		if step.CapacityMultiple > 0 {
+			target = step.CapacityMultiple * s.Capacity()
 		}
 		if step.Burst > 0 && target == 0 {
 			continue // a step with only a burst does not change the rate
@@ -113,7 +113,7 @@
 	rng := rand.New(rand.NewPCG(s.Seed, streamArrivals))
 	end, maxRate := s.Warmup+s.Duration, 0.0
 	for _, step := range s.Load {
-		maxRate = max(maxRate, step.Rate, step.Times*s.Capacity())
+		maxRate = max(maxRate, step.Rate, step.CapacityMultiple*s.Capacity())
 	}
 	if maxRate*end.Seconds() > maxArrivals {
 		return nil, ErrTooManyArrivals
@@ -173,7 +173,7 @@
 	arrival := Arrival{At: at, Class: drawIndex(rng, p.classShares), Tenant: drawIndex(rng, p.tenantShares), Random: rng.Uint64()}
 	class := p.scenario.Classes[arrival.Class]
 	arrival.Work = time.Duration(float64(class.Work) * workFactor(rng, class))
-	if rng.Float64() < p.scenario.Clients.CancelShare {
+	if rng.Float64() < p.scenario.Clients.CancelFraction {
 		arrival.CancelAfter = max(1, time.Duration(rng.Float64()*float64(class.Deadline)))
 	}
 	return arrival
@@ -351,7 +351,7 @@
 // are compared, so they do not follow renames of Go fields.
 func faultText(f Fault) string {
 	return fmt.Sprintf("{At:%v For:%v Kind:%s Target:%s Over:%v Times:%v Share:%v NewID:%v Delay:%v Jitter:%v Again:%v Way:%s}",
-		f.At, f.For, f.Kind, f.Target, f.Spread, f.Factor, f.Share, f.NewID, f.Delay, f.Jitter, f.FollowUpSignals, f.Direction)
+		f.At, f.For, f.Kind, f.Target, f.Spread, f.Factor, f.Fraction, f.NewID, f.Delay, f.Jitter, f.FollowUpSignals, f.Direction)
 }
 
 // Hash returns a 64-bit hash of Bytes in hexadecimal.
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -51,16 +51,16 @@
 	pickOne := func(of ...time.Duration) time.Duration { return of[rng.IntN(len(of))] }
 	s := &scenario.Scenario{
 		Name: fmt.Sprintf("soak-%d", o.Seed), About: "planned stops under faults", Seed: o.Seed,
-		Warmup: warmup, Duration: max(o.Duration, 10*time.Second), RigLate: time.Second,
+		Warmup: warmup, Duration: max(o.Duration, 10*time.Second), MaxSendDelay: time.Second,
 		Fleet: scenario.Fleet{Servers: 6 + rng.IntN(7), Zones: []string{"a", "b"}, PodSize: 3, Cores: 1, Speed: 1, SpeedSpread: 0.2,
-			QueueMax: 32, SlowFactor: 1, ColdSpeed: 0.3, ColdFor: 4 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
+			QueueMax: 32, SlowdownFactor: 1, InitialSpeed: 0.3, SlowStartDuration: 4 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
 			MaxConns: 256, Reports: rng.IntN(2) == 0, Probes: rng.IntN(2) == 0},
 		Nodes: scenario.Nodes{Count: []int{2, 2, 3, 5, 12}[rng.IntN(5)], Kind: "tackhub", Cores: []float64{0.25, 1}[rng.IntN(2)],
 			MemoryMB: 128, Sockets: 512, DrainGrace: pickOne(500*time.Millisecond, 1500*time.Millisecond), Attempts: 4,
 			DiscoveryDelay: pickOne(50*time.Millisecond, 300*time.Millisecond)},
 		Clients: scenario.Clients{Tenants: 4, Zipf: 1, Retry: []string{"none", "now", "backoff"}[rng.IntN(3)], Retries: 3,
-			Backoff: 30 * time.Millisecond, MarksRetry: rng.IntN(2) == 0, CancelShare: 0.02, Devices: 8},
-		Load:   []scenario.Step{{Times: 0.3 + 0.3*rng.Float64()}},
+			Backoff: 30 * time.Millisecond, MarksRetry: rng.IntN(2) == 0, CancelFraction: 0.02, Devices: 8},
+		Load:   []scenario.Step{{CapacityMultiple: 0.3 + 0.3*rng.Float64()}},
 		Expect: scenario.Expectations{Window: 2 * time.Second},
 	}
 	if o.Nodes > 0 {
@@ -72,7 +72,7 @@
 	deadline := pickOne(250*time.Millisecond, 390*time.Millisecond, 390*time.Millisecond, 800*time.Millisecond, 1500*time.Millisecond)
 	for _, class := range classes {
 		s.Classes = append(s.Classes, scenario.Class{Name: class.name, Effect: class.effect, Group: class.group, Window: class.window,
-			Share: class.share, Worth: class.worth, Aim: deadline / 2, Deadline: deadline, Work: 12 * time.Millisecond,
+			Share: class.share, PriorityWeight: class.worth, LatencyObjective: deadline / 2, Deadline: deadline, Work: 12 * time.Millisecond,
 			Dist: "exponential", Body: 200})
 	}
 	if !o.Quiet {
@@ -153,7 +153,7 @@
 func (d *faultGenerator) addServerFault(stopAt, faultStart, faultDuration time.Duration, percentage string) {
 	switch kind := serverFaults[d.rng.IntN(len(serverFaults))]; kind {
 	case scenario.FaultErrors:
-		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: kind, Target: percentage, Share: 0.2 + 0.6*d.rng.Float64()})
+		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: kind, Target: percentage, Fraction: 0.2 + 0.6*d.rng.Float64()})
 	case scenario.FaultSlow:
 		d.add(scenario.Fault{At: faultStart, For: faultDuration, Kind: kind, Target: percentage, Factor: 2 + 4*d.rng.Float64()})
 	case scenario.FaultServersReset:
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -11,8 +11,8 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// Text returns a plan in the format of a scenario file.
-func Text(s *scenario.Scenario) (string, error) {
+// PlanText returns a plan in the format of a scenario file.
+func PlanText(s *scenario.Scenario) (string, error) {
 	var out bytes.Buffer
 	if err := toml.NewEncoder(&out).Encode(s); err != nil {
 		return "", fmt.Errorf("cannot encode the plan of %s: %w", s.Name, err)
@@ -27,8 +27,8 @@
 	Figures  Figures
 }
 
-// Broke reports whether the run breached a rule or a node crashed.
-func (o *Outcome) Broke() bool { return len(o.Result.Breaches) > 0 || o.Figures.Crashes > 0 }
+// Failed reports whether the run breached a rule or a node crashed.
+func (o *Outcome) Failed() bool { return len(o.Result.Breaches) > 0 || o.Figures.Crashes > 0 }
 
 // Play runs a plan with the nodes that a command starts. It returns an error if the plan could not be run or the run is invalid.
 func Play(ctx context.Context, s *scenario.Scenario, command, env []string, dir, build string) (*Outcome, error) {
@@ -37,8 +37,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.VoidReason != "" {
-		return nil, fmt.Errorf("run %s is invalid: %s", s.Name, r.VoidReason)
+	if r.InvalidReason != "" {
+		return nil, fmt.Errorf("run %s is invalid: %s", s.Name, r.InvalidReason)
 	}
 	return &Outcome{Scenario: s, Result: r, Figures: Summarize(r, clients, s.KillAfter())}, nil
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -17,7 +17,7 @@
 // parsePrinted prints a plan and parses the text.
 func parsePrinted(t *testing.T, s *scenario.Scenario) *scenario.Scenario {
 	t.Helper()
-	text, err := Text(s)
+	text, err := PlanText(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,12 +92,12 @@
 		t.Fatalf("go build: %v\n%s", err, out)
 	}
 	s := parsePrinted(t, Plan(Options{Seed: 4, Kind: "least"}))
-	s.RigLate = time.Minute // a busy machine must not make the run invalid
+	s.MaxSendDelay = time.Minute // a busy machine must not make the run invalid
 	outcome, err := Play(context.Background(), s, []string{lab, "baseline", "--policy", "least"}, nil, "", "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if outcome.Result.BreachesByRule[audit.RuleUnanswered] == 0 || !outcome.Broke() || outcome.Figures.Stops == 0 {
+	if outcome.Result.BreachesByRule[audit.RuleUnanswered] == 0 || !outcome.Failed() || outcome.Figures.Stops == 0 {
 		t.Errorf("no breach of rule lost reported for a node that drops its requests: %s", outcome.Figures)
 	}
 }
