--- a/balancer/estimate.go
+++ b/balancer/estimate.go
@@ -15,15 +15,15 @@
 	healthyProbabilityPerFailure = 0.5
 )
 
-// fleetEstimate holds what this node estimates about all servers together.
+// fleetEstimate holds this node's estimates that apply to all servers.
 type fleetEstimate struct {
 	unitTime        Millis  // typical time in which a server of capacity 1 serves a request of mean work
 	initialUnitTime Millis  // unitTime assumed before any was measured
-	slowdownFactor  float64 // service times now, divided by the servers' unit times
+	slowdownFactor  float64 // current service times divided by the recorded unit times of the servers
 	parallelism     float64 // requests that a server works on in parallel; further ones wait
-	extraCapacity   float64 // fraction of the capacity above its minimum that a server in slow start has
-	othersLoad      float64 // mean number of requests of other nodes at a server, by recent reports
-	reportLag       Millis  // age of load reports on arrival
+	extraCapacity   float64 // capacity of servers in slow start: 0 is minimumCapacity, 1 is full capacity
+	othersLoad      float64 // mean number of requests of other nodes at a server, according to recent reports
+	reportLag       Millis  // smoothed age of load reports on arrival
 	meanWorkHint    Millis  // smoothed mean of the work hints
 }
 
@@ -68,12 +68,12 @@
 	return b.estimatedUnitTime(s) * b.serviceRounds(b.estimatedRequests(s), r.work)
 }
 
-// estimatedFailureRate returns the estimated fraction of requests that fail at a server, by this node's
-// outcomes and those that other nodes report in gossip. It is 0 if gossip is not allowed: this node's
+// estimatedFailureRate returns the estimated fraction of requests that fail at a server, based on this
+// node's outcomes and those that other nodes report in gossip. It is 0 if gossip is not allowed: this node's
 // failures then count only in the score and for ejection.
 func (b *Balancer) estimatedFailureRate(s *server) float64 {
-	noOwnFailure := s.outcomes.failedAt < b.now-outcomeBucketCount*outcomeBucketLength
-	if !b.settings.GossipAllowed || len(s.gossipReports) == 0 && noOwnFailure {
+	noRecentFailure := s.outcomes.failedAt < b.now-outcomeBucketCount*outcomeBucketLength
+	if !b.settings.GossipAllowed || len(s.gossipReports) == 0 && noRecentFailure {
 		return 0
 	}
 	successes, failures := s.outcomeCounts(b.now)
--- a/balancer/loadestimate.go
+++ b/balancer/loadestimate.go
@@ -5,13 +5,14 @@
 const (
 	// parallelismSmoothing is the weight of a new report of a queue in the estimated parallelism.
 	parallelismSmoothing = 0.05
-	// othersLoadSmoothing is the weight of a new report in the mean number of requests that other
-	// nodes have at a server, over the fleet.
+	// othersLoadSmoothing is the weight of a new report in the fleet-wide mean number of requests that
+	// other nodes have at a server.
 	othersLoadSmoothing = 0.05
-	// serverLoadSmoothing is the weight of a new report in the same mean of a single server.
+	// serverLoadSmoothing is the weight of a new report in the mean number of requests that other nodes
+	// have at the reporting server.
 	serverLoadSmoothing = 0.2
-	// othersTimeConstantUnits is the time constant, in unit times, with which the mean of a single
-	// server decays toward the fleet's mean.
+	// othersTimeConstantUnits is the time constant, in unit times, with which the mean of one server
+	// decays toward the fleet-wide mean.
 	othersTimeConstantUnits = 4.0
 	// gossipTimeConstantUnits and reportTimeConstantUnits are the time constants, in unit times, with
 	// which the weights of gossip and of a load report decay.
@@ -20,14 +21,14 @@
 	// reportLagSmoothing is the weight of a new sample in the averages of the report lag and of the
 	// gossip interval.
 	reportLagSmoothing = 0.05
-	// reportFreshFor, in ms, is how long after a report the server is not probed, and how old an
-	// attempt must be to count as missing when a report does not include it.
+	// reportFreshFor, in ms, is the time after a load report during which the server is not probed. It is
+	// also the minimum age of an open attempt for it to count as missing from a report.
 	reportFreshFor = 8.0
 )
 
-// serverLoad holds what this node knows about the load that other nodes put on a server.
+// serverLoad is the load that other nodes put on a server, according to its load reports.
 type serverLoad struct {
-	others        float64 // requests of other nodes at the server, by the latest report
+	others        float64 // requests of other nodes at the server, according to the latest report
 	othersAverage float64 // smoothed
 	reportedAt    Millis  // 0: no report yet
 	probePending  bool
@@ -61,11 +62,12 @@
 	}
 	s.estimate.uncertainty = 1
 	typical := b.typicalOthersLoad(s)
-	// If probes could find a server with less load, assume a load above the mean: by up to one standard
-	// deviation, if arrivals are a Poisson process.
+	// If probes can find a server with less load, the assumed load is above the mean, by up to one
+	// standard deviation. If arrivals are a Poisson process, this is the square root of the mean.
 	typical += b.probeCoverage() * math.Sqrt(typical)
 	if b.gossipAlive() {
-		// On average, a gossip message is half an interval old.
+		// On average, a gossip message is half an interval old. The time constant of gossip is twice that of
+		// a load report, so the whole interval is used here.
 		gossipWeight := math.Exp(-b.gossip.interval / (gossipTimeConstantUnits * max(1, b.estimate.unitTime)))
 		typical += gossipWeight * (s.gossipedLoad() - typical)
 		s.estimate.uncertainty -= gossipWeight
@@ -80,8 +82,8 @@
 }
 
 // typicalOthersLoad returns how many requests other nodes usually have at a server: the mean of this
-// server, which decays toward the fleet's mean as its latest report ages. A node that gets a report
-// of a server only once a minute must not treat it as idle between the reports.
+// server, decayed toward the fleet-wide mean according to the age of its latest report. A node that
+// gets a report of a server only once a minute must not treat it as idle between the reports.
 func (b *Balancer) typicalOthersLoad(s *server) float64 {
 	typical := b.estimate.othersLoad * b.estimatedCapacity(s) // all nodes send less to a server in slow start
 	if s.load.reportedAt == 0 {
--- a/balancer/loadprobe.go
+++ b/balancer/loadprobe.go
@@ -6,15 +6,16 @@
 	// probesPerRequest is the maximum number of servers that are probed for their load before a request
 	// is sent. Even in a busy fleet, one of that many is likely to be idle.
 	probesPerRequest = 6
-	// minProbeWait, in ms, is the minimum time that a request waits for the results of its probes.
+	// minProbeWait, in ms, is the lower bound of probeWait, the maximum time that a request waits for the
+	// results of its probes.
 	minProbeWait = 4.0
-	// probeBudgetFraction is the fraction of all priority weight that probes may cost.
+	// probeBudgetFraction is the maximum cost of probes, as a fraction of all priority weight.
 	probeBudgetFraction = 0.012
 	// probeAgainAfter, in unit times, is the time after which a queued request sends probes again. By
 	// then some busy servers have finished a request.
 	probeAgainAfter = 0.25
-	// probeRejectionStep is the fraction by which a rejected probe or a timeout lowers the acceptance
-	// rate. Each completed probe raises the rate by a tenth of this.
+	// probeRejectionStep is the fraction by which a rejected or timed-out probe lowers the acceptance
+	// rate. Every completed probe, whatever its outcome, raises the rate by a tenth of this value.
 	probeRejectionStep = 0.05
 	// probeRoundTripSmoothing is the weight of a new sample in the average round-trip time of probes.
 	probeRoundTripSmoothing = 0.05
@@ -29,8 +30,8 @@
 	roundTrip  Millis      // smoothed round-trip time
 }
 
-// sendLoadProbes probes a few servers whose load is unknown. They are the servers preferred by the
-// request's key and servers drawn by score. The results are used to choose the request's server.
+// sendLoadProbes probes a few servers whose load is unknown: the affinity servers of the request, and
+// servers drawn by score. The results are used to choose the request's server.
 func (b *Balancer) sendLoadProbes(r *request) {
 	if !b.settings.ProbesAllowed || !b.settings.LoadReports || len(b.servers.ready) < 2 {
 		return
@@ -74,8 +75,8 @@
 
 // probeCoverage returns the probability that probes find an idle server for a queued request. It is
 // estimated as the number of probes that the budget allows for each request, at most 1. If probes are
-// expensive and there are many nodes, the load of nearly all servers is unknown, so waiting gains no
-// information.
+// expensive and there are many nodes, the load of nearly all servers remains unknown, so queuing a
+// request gains no information.
 func (b *Balancer) probeCoverage() float64 {
 	if !b.settings.ProbesAllowed {
 		return 0
@@ -83,11 +84,11 @@
 	return b.probing.acceptance * min(1, probeBudgetFraction/max(minPrice, b.settings.Prices.Probe))
 }
 
-// creditProbeBudget adds the probes that one new request allows to the budget. It adds fewer if servers are
-// mostly idle, because probing idle servers gains little.
+// creditProbeBudget increases the probe budget for one new request. The increase is smaller if servers
+// are mostly idle, because probing idle servers gains little.
 func (b *Balancer) creditProbeBudget() {
-	perServer := b.estimate.othersLoad + float64(b.openAttempts)/max(1, float64(len(b.servers.ready)))
-	spend := b.probing.acceptance * probeBudgetFraction * min(1, perServer/math.Round(b.estimate.parallelism))
+	meanLoad := b.estimate.othersLoad + float64(b.openAttempts)/max(1, float64(len(b.servers.ready)))
+	spend := b.probing.acceptance * probeBudgetFraction * min(1, meanLoad/math.Round(b.estimate.parallelism))
 	b.probing.tokens.credit(spend/max(minPrice, b.settings.Prices.Probe), maxSavedProbeRounds*probesPerRequest)
 }
 
@@ -109,8 +110,8 @@
 	case TimedOut:
 		b.probing.acceptance *= 1 - probeRejectionStep
 		b.recordProbeRoundTrip(e.Elapsed)
-		queuedThere := b.settings.ReportsFromProbesOnly && e.Elapsed <= missingAfterFactor*b.probing.roundTrip
-		if !queuedThere { // if probes queue like requests, a slow probe indicates a queue, not a fault
+		likelyQueued := b.settings.ReportsFromProbesOnly && e.Elapsed <= missingAfterFactor*b.probing.roundTrip
+		if !likelyQueued { // if probes are queued like requests, a slow probe indicates a queue, not a fault
 			b.recordFailedProbe(s, e)
 		}
 	case Errored, Unreachable, ConnectionLost:
--- a/balancer/objective.go
+++ b/balancer/objective.go
@@ -21,7 +21,7 @@
 	servedFraction
 	index int // in Settings.Classes
 	// protectedObjective, in ms, is the shortest latency objective among the classes with a higher
-	// priority weight and a shorter objective; +Inf without any. Requests of this class may occupy a
+	// priority weight and a shorter objective; +Inf if there is none. Requests of this class may occupy a
 	// server only for a fraction of it.
 	protectedObjective Millis
 	// longestTimeout, in ms, is the longest time that a client has allowed for an attempt. If a client
@@ -82,7 +82,7 @@
 }
 
 // shortestMoreUrgentObjective returns the shortest latency objective among the classes with a higher
-// priority weight and a shorter objective than the given one; +Inf without any.
+// priority weight and a shorter objective than the given one; +Inf if there is none.
 func shortestMoreUrgentObjective(settings Settings, class Class) Millis {
 	shortest := math.Inf(1)
 	for _, other := range settings.Classes {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,29 +6,30 @@
 	// ejectionConsecutiveFailures is the number of consecutive failures that ejects a server. It comes
 	// from the design's profile for latency-sensitive services.
 	ejectionConsecutiveFailures = 3
-	// maxStreakProbability prevents the ejection of a server whose failure rate before the streak
-	// makes a streak of this length more probable than this.
+	// maxStreakProbability is the highest probability of a streak of failures at which the streak ejects
+	// the server. The probability is computed from the failure rate before the streak, so that a server
+	// that fails often is not ejected for a streak that occurs by chance.
 	maxStreakProbability = 1e-6
 	// ejectionErrorRate is the fraction of failures in the error window that ejects a server if the
 	// window has at least ejectionMinOutcomes outcomes.
 	ejectionErrorRate   = 0.5
 	ejectionMinOutcomes = 20
-	// ejectionTime, in ms, is the time from the ejection of a server to its trial. It comes from the
-	// same profile of the design.
+	// ejectionTime, in ms, is the time from the ejection of a server to its trial. Like
+	// ejectionConsecutiveFailures, it comes from the design's profile for latency-sensitive services.
 	ejectionTime = 10000
-	// healthyFailureRatio limits the recent failure rate of a healthy server to this multiple of the
-	// failing server's rate.
+	// healthyFailureRatio is the highest recent failure rate of a server that counts as healthy, as a
+	// multiple of the failing server's rate.
 	healthyFailureRatio = 0.5
-	// healthyMinFraction is the fraction of the other servers that must be healthy for an ejection;
-	// with fewer, the failures are attributed to a shared cause.
+	// healthyMinFraction is the minimum fraction of the other servers that must be healthy for an
+	// ejection. If fewer are healthy, the failures are attributed to a shared cause.
 	healthyMinFraction = 0.3
 )
 
 // outlierDetector holds the state of outlier detection that is not specific to one server.
 type outlierDetector struct {
 	sharedCauseUntil Millis // until then, ejections prevented by a shared cause are not logged again
-	// trialIdempotency is the idempotency of the classes whose requests are used as trials: of those
-	// configured, the one with which a failed trial does the least harm.
+	// trialIdempotency is the idempotency of the classes whose requests are used as trials. Among the
+	// configured classes, it is the one with which a failed trial does the least harm.
 	trialIdempotency Idempotency
 }
 
@@ -92,8 +93,8 @@
 }
 
 // othersHealthy reports whether enough of the other servers fail clearly less often. If not, the
-// servers share a cause or the cause is this node, and ejecting one server after another would move
-// all load to the last one.
+// failures have a shared cause or a cause on this node, and ejecting one server after another would
+// move all load to the last one.
 func (b *Balancer) othersHealthy(s *server) bool {
 	healthy, remaining := 0.0, 0.0
 	for _, other := range b.servers.ready {
@@ -114,7 +115,7 @@
 	s.outlier.trialAt = b.now + ejectionTime
 	b.servers.version++
 	successes, failures := s.outcomeCounts(b.now)
-	b.logf("ejected %s: %d failures in a row, %d of %d in the window",
+	b.logf("ejected %s: %d consecutive failures, %d of %d outcomes in the error window failed",
 		s.ID, s.outlier.consecutiveFailures, failures, successes+failures)
 }
 
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// server holds what this node knows about one server.
+// server holds this node's records and estimates of one server.
 type server struct {
 	Endpoint
 	score    float64 // from 0 to 1; the picker draws in proportion to it
@@ -29,7 +29,7 @@
 	gossipReports []gossipReport
 }
 
-// serverSet holds the servers that this node knows.
+// serverSet holds the listed servers, and removed servers that still have open attempts.
 type serverSet struct {
 	byID    map[ServerID]*server
 	known   []*server // in the order in which they were first listed
@@ -46,7 +46,7 @@
 	latestAnswered Millis     // latest send time of a successful attempt
 }
 
-// atServer returns how many of this node's requests the server has, by its latest load report.
+// atServer returns how many of this node's requests the server has, according to its latest load report.
 func (a *serverAttempts) atServer() float64 {
 	return float64(a.inFlight - a.missing - a.awaitingBody)
 }
@@ -70,9 +70,8 @@
 	}
 }
 
-// superseded reports whether the time that an attempt is unanswered gives no evidence about the
-// server: the attempt is missing, a later attempt has been answered, or its body is still being
-// received.
+// superseded reports whether an unanswered attempt is no evidence of a slow server, because the attempt
+// is missing, a later attempt has been answered, or the request's body is still being received.
 func (s *server) superseded(a *attempt) bool {
 	return a.missing || a.sentAt < s.attempts.latestAnswered || math.IsInf(a.sentAt, 1)
 }
--- a/balancer/serverhealth.go
+++ b/balancer/serverhealth.go
@@ -10,7 +10,7 @@
 
 // The ejection statuses, in the order in which they are checked.
 const (
-	// Ejected means that the server waits for its trial or for the trial's outcome.
+	// Ejected means that the server is ejected until a trial succeeds.
 	Ejected EjectionStatus = "ejected"
 	// NoFailures means that the error window has no failure. If SinceOutcome is also long, the server
 	// gets no requests that could fail, because the picker expects other servers to be faster.
@@ -18,14 +18,14 @@
 	// TooFewFailures means that the server has too few failures for an ejection, both consecutive ones
 	// and as a fraction of the error window.
 	TooFewFailures EjectionStatus = "too few failures"
-	// UsualFailures means that the server has enough consecutive failures, but fails so often that such
-	// a streak is likely by chance.
+	// UsualFailures means that the server has enough consecutive failures, but usually fails so often
+	// that such a streak is likely to occur by chance.
 	UsualFailures EjectionStatus = "no more failures than usual"
 	// OthersUnhealthy means that the server has enough failures, but too few other servers fail clearly
 	// less often.
 	OthersUnhealthy EjectionStatus = "too few others are healthy"
-	// NextFailureEjects means that the server has enough failures and enough other servers have become
-	// healthy since.
+	// NextFailureEjects means that the server has enough failures, and that enough other servers have
+	// become healthy since its last failure.
 	NextFailureEjects EjectionStatus = "ejected at its next failure"
 )
 
@@ -40,7 +40,7 @@
 	InFlight            int     // open attempts of this node
 	Score               float64 // from 0 to 1
 	UnitTime            Millis  // expected service time of a request of mean work
-	SinceOutcome        Millis  // since the last outcome; without any, since zero of the node's clock
+	SinceOutcome        Millis  // time since the last outcome, or since the server was added if there is none
 }
 
 // ServerHealth returns the health of at most limit ready servers at the time now. Ejected servers come
--- a/balancer/unittime.go
+++ b/balancer/unittime.go
@@ -10,11 +10,11 @@
 	latencySmoothing = 0.2
 	// slowdownSmoothing is the weight of a new sample in the fleet's slowdown factor.
 	slowdownSmoothing = 0.08
-	// maxSlowdownSample is the upper bound of a sample of the slowdown factor, and its inverse the lower
-	// one, so that one heavy request does not raise the estimate for the whole fleet.
+	// maxSlowdownSample limits each sample of the slowdown factor to the range from 1/maxSlowdownSample
+	// to maxSlowdownSample, so that one heavy request does not raise the estimate for the whole fleet.
 	maxSlowdownSample = 3.0
-	// slowdownReversion is the weight with which each sample moves the slowdown factor back to 1,
-	// because a lasting slowdown shows in the unit times of the individual servers.
+	// slowdownReversion is the weight with which each sample also moves the slowdown factor toward 1. The
+	// factor covers only recent changes: a lasting slowdown is part of the servers' unit times.
 	slowdownReversion = 0.01
 	// staleAfter, in ms, is the age from which a server's latency and unit time decay toward the
 	// fleet's typical unit time.
@@ -39,7 +39,7 @@
 func (b *Balancer) updateTypicalUnitTime() {
 	var unitTimes []float64
 	for _, s := range b.servers.ready {
-		// The outdated unit time of an unused server could keep the median too high.
+		// The unit time of an unused server is omitted: it is outdated and could keep the median too high.
 		fresh := b.now < s.timing.outcomeAt+staleAfter+staleTimeConstant
 		if !s.timing.measured || !fresh {
 			continue
@@ -65,8 +65,8 @@
 }
 
 // currentUnitTime returns the estimated time that a server now takes to serve a request of mean work.
-// It includes the fleet's slowdown factor, slow start, and the time that the oldest attempt has been
-// unanswered.
+// The estimate accounts for the fleet's slowdown factor and for slow start. It also rises while the
+// server's oldest attempt is unanswered.
 func (b *Balancer) currentUnitTime(s *server) Millis {
 	typical := b.typicalUnitTime(s)
 	unitTime := typical
@@ -77,7 +77,8 @@
 	return max(minLatency, unitTime/b.estimatedCapacity(s), b.unansweredTimePerServiceRound(s))
 }
 
-// typicalUnitTime returns the fleet's typical unit time for a server of this capacity.
+// typicalUnitTime returns the fleet's typical unit time, divided by the server's capacity if the
+// endpoint list contains capacities.
 func (b *Balancer) typicalUnitTime(s *server) Millis {
 	if b.settings.CapacitiesListed && s.Capacity > 0 {
 		return b.estimate.unitTime / s.Capacity
@@ -103,7 +104,7 @@
 	success := outcome == OK
 	timing := &s.timing
 	latency := elapsed
-	if !success { // a fast error must not count as low latency, nor a lost attempt as a long queue
+	if !success { // neither a fast error nor the timeout of a lost attempt shows the server's latency
 		latency = r.class.LatencyObjective
 	}
 	gain := 1.0 // the first response replaces the initial estimate
