--- a/balancer/failurerate_test.go
+++ b/balancer/failurerate_test.go
@@ -79,7 +79,7 @@
 }
 
 // Guards against avoiding a zone after it has become reachable again, and against logging more than one
-// line when it begins and one when it ends.
+// line when the node starts to avoid the zone and more than one when it uses the zone again.
 func TestRecoveredZoneIsUsedAgain(t *testing.T) {
 	set := largeFleetSettings(0.1)
 	set.ConnectTimeout = 150
--- a/balancer/healthscore_test.go
+++ b/balancer/healthscore_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against slow detection of a slowdown of the whole fleet: the typical unit time must follow
-// its begin and its end from the responses of all servers, before the record of each server does.
+// Guards against slow detection of a slowdown of the whole fleet: the responses of all servers together
+// must raise and lower the typical unit time before the unit time of each server has changed.
 func TestTypicalUnitTimeFollowsFleetSlowdown(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(12)...)
 	for i := 0; i < 120; i++ {
--- a/balancer/loadestimate_test.go
+++ b/balancer/loadestimate_test.go
@@ -95,17 +95,17 @@
 // Guards against assuming that a server in slow start without a report has as many requests as the others,
 // although all nodes send it less: in the simulation join+vast, nodes rejected 15% to 21% of the requests
 // while such servers were half idle.
-func TestSlowStartServerIsEstimatedToHoldFewerRequests(t *testing.T) {
+func TestSlowStartServerIsEstimatedToHaveFewerRequests(t *testing.T) {
 	entries := testEndpoints(2)
 	b := newTestNode(t, largeFleetSettings(0.1), entries...)
 	entries[1].Started = b.now
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: entries[1:]})
 	b.balancer.estimate.othersLoad = 3
-	started, starting := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
-	if atStarted, atStarting := b.balancer.estimateRequests(started), b.balancer.estimateRequests(starting); atStarting > 0.9*atStarted || atStarting <= 0 {
-		t.Errorf("estimated requests at a server in slow start = %.2f, want above 0 and at most 0.9 times %.2f", atStarting, atStarted)
+	fullServer, slowStartServer := b.balancer.servers.byID["s0"], b.balancer.servers.byID["s1"]
+	if atFullServer, atSlowStartServer := b.balancer.estimateRequests(fullServer), b.balancer.estimateRequests(slowStartServer); atSlowStartServer > 0.9*atFullServer || atSlowStartServer <= 0 {
+		t.Errorf("estimated requests at a server in slow start = %.2f, want above 0 and at most 0.9 times %.2f", atSlowStartServer, atFullServer)
 	}
-	b.balancer.recordLoadReport(starting, LoadReport{Valid: true, InFlight: 3 * b.balancer.estimatedCapacity(starting)})
+	b.balancer.recordLoadReport(slowStartServer, LoadReport{Valid: true, InFlight: 3 * b.balancer.estimatedCapacity(slowStartServer)})
 	if math.Abs(b.balancer.estimate.othersLoad-3) > 1e-9 {
 		t.Errorf("mean load after a report proportional to the capacity = %v, want 3", b.balancer.estimate.othersLoad)
 	}
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -52,18 +52,18 @@
 	for i := 0; i < 40; i++ {
 		b.balancer.retryBudget.available = retryBurst
 		id, acts := b.arrive("put", 2000)
-		first := sentTo(acts)
+		firstServer := sentTo(acts)
 		b.now++
-		acts = b.completeAttempt(id, 0, first, Errored, 1)
-		second := sentTo(acts)
-		if second != "" && b.balancer.servers.byID[second].Cell != b.balancer.servers.byID[first].Cell {
-			t.Fatalf("retried in cell %d after an attempt in cell %d", b.balancer.servers.byID[second].Cell, b.balancer.servers.byID[first].Cell)
+		acts = b.completeAttempt(id, 0, firstServer, Errored, 1)
+		secondServer := sentTo(acts)
+		if secondServer != "" && b.balancer.servers.byID[secondServer].Cell != b.balancer.servers.byID[firstServer].Cell {
+			t.Fatalf("retried in cell %d after an attempt in cell %d", b.balancer.servers.byID[secondServer].Cell, b.balancer.servers.byID[firstServer].Cell)
 		}
-		if second == "" && count[Reject](acts) > 0 {
+		if secondServer == "" && count[Reject](acts) > 0 {
 			t.Fatal("the request was rejected although an attempt may have run")
 		}
-		if second != "" {
-			b.completeAttempt(id, 1, second, OK, 1)
+		if secondServer != "" {
+			b.completeAttempt(id, 1, secondServer, OK, 1)
 		}
 	}
 	id, acts := b.arrive("put", 5000)
@@ -105,7 +105,8 @@
 	}
 }
 
-// Each dedup scope limits which servers a request that may have run can be retried at, and whether it can be rejected.
+// If a request may have run, the dedup scope of its class limits the servers at which it can be retried, and
+// determines whether it can be rejected.
 func TestDedupScopeLimitsRetriesAndRejections(t *testing.T) {
 	servers := testEndpoints(4)
 	servers[3].Zone = "y"
@@ -160,14 +161,14 @@
 	set.Nodes = nodes
 	sent := 0
 	for n := 0; n < nodes; n++ {
-		l, err := New(set, uint64(n))
+		lb, err := New(set, uint64(n))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &testNode{t: t, balancer: l, now: 100000}
+		b := &testNode{t: t, balancer: lb, now: 100000}
 		b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(servers)})
-		l.estimate.unitTime = 1000 // no server can respond in time
-		for _, s := range l.servers.ready {
+		lb.estimate.unitTime = 1000 // no server can respond in time
+		for _, s := range lb.servers.ready {
 			s.timing.measured, s.timing.unitTime = true, 1000
 		}
 		for i := 0; i < 20; i++ { // 10 s
@@ -245,33 +246,33 @@
 		set := largeFleetSettings(0.1)
 		set.Prices.Handshake = price
 		b := newTestNode(t, set, testEndpoints(40)...)
-		open := map[ServerID]int{}
+		idleConnections := map[ServerID]int{}
 		for i := range 200 {
 			b.now += 50
 			id, acts := b.arrive("read", 2000)
 			s := sentTo(acts)
-			if open[s]--; open[s] < 0 {
-				open[s] = 0
+			if idleConnections[s]--; idleConnections[s] < 0 {
+				idleConnections[s] = 0
 				dialed++
 			}
 			b.now += 10
 			b.completeAttempt(id, 0, s, OK, 10)
-			if open[s]++; closesAfter(i) {
-				open[s]--
+			if idleConnections[s]++; closesAfter(i) {
+				idleConnections[s]--
 				b.step(ConnectionClosed{Server: s})
 			}
 		}
 		return dialed
 	}
 	never := func(int) bool { return false }
-	if free, priced := countDials(0, never), countDials(0.1, never); free < 30 || priced > free/2 {
-		t.Errorf("connections opened = %d without a price, want at least 30; %d at price 0.1, want at most half", free, priced)
+	if unpriced, priced := countDials(0, never), countDials(0.1, never); unpriced < 30 || priced > unpriced/2 {
+		t.Errorf("connections opened = %d without a price, want at least 30; %d at price 0.1, want at most half", unpriced, priced)
 	}
 	if n := countDials(0.1, func(int) bool { return true }); n < 190 {
 		t.Errorf("connections opened = %d although each is closed at once, want at least 190 of 200", n)
 	}
-	if free, priced := countDials(0, never), countDials(0.001, never); priced < free/2 {
-		t.Errorf("connections opened = %d at price 0.001, want at least half of the %d without a price", priced, free)
+	if unpriced, priced := countDials(0, never), countDials(0.001, never); priced < unpriced/2 {
+		t.Errorf("connections opened = %d at price 0.001, want at least half of the %d without a price", priced, unpriced)
 	}
 }
 
@@ -303,7 +304,7 @@
 	}
 }
 
-// Guards against sending to another zone without need, and against staying in a zone whose servers are full.
+// Guards against sending to another zone unnecessarily, and against staying in a zone whose servers are full.
 func TestRequestLeavesZoneOnlyIfZoneIsFull(t *testing.T) {
 	set := probeOnlySettings(1)
 	set.Zone, set.Prices.CrossZone, set.ProbesAllowed = "here", 0.13, false
@@ -375,8 +376,8 @@
 
 // Guards against a class with a low priority weight and a long objective that fills the servers until each
 // response takes longer than the objective of the class with the highest weight, and keeps them full after
-// the load has ended (batumi-freight, calm+mass: 0.2% in time). Its requests are sent while the expected
-// time leaves capacity for the other class, and rejected at once otherwise.
+// the load has ended (simulation batumi-freight, calm+mass: 0.2% of the responses in time). Its requests are
+// sent while the expected time leaves capacity for the other class, and rejected at once otherwise.
 func TestLongObjectivesLeaveCapacityForHigherPriority(t *testing.T) {
 	for elapsed, wantSent := range map[Millis]bool{60: true, 250: false} {
 		set := settings()
--- a/balancer/server_test.go
+++ b/balancer/server_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against memory that grows with every server ever listed: fleets replace servers all day, with
-// new names.
+// Guards against memory that grows with every server that was ever listed: fleets replace servers
+// continuously, and each replacement has a new name.
 func TestRemovedServersAreForgotten(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(1)...)
 	id, acts := b.arrive("read", 2000)
@@ -44,7 +44,7 @@
 	for range 5 {
 		b.step(ConnectionClosed{Server: "s0"})
 	}
-	b.step(ConnectionClosed{Server: "unheard of"})
+	b.step(ConnectionClosed{Server: "unknown"})
 	if s.idleConnections != 0 {
 		t.Errorf("idle connections = %d after all were closed, want 0", s.idleConnections)
 	}
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -16,11 +16,12 @@
 
 // slowStartCall is a call to the server in slow start.
 type slowStartCall struct {
-	at   Millis
-	cost float64 // in requests of mean work
+	sentAt Millis
+	cost   float64 // in requests of mean work
 }
 
-// newSlowStartFleet makes a fleet in which the server may get allowed calls in its first overload window.
+// newSlowStartFleet makes a fleet in which the server's budget for its first overload window is the given
+// number of allowed calls.
 func newSlowStartFleet(t *testing.T, nodes int, allowed float64, seed int) *slowStartFleet {
 	t.Helper()
 	f := &slowStartFleet{set: settings(), serverStartedAt: 100000}
@@ -42,12 +43,12 @@
 func (f *slowStartFleet) startNodeAt(t *testing.T, node, seed int, now Millis) *testNode {
 	set := f.set
 	set.Node = node
-	l, err := New(set, uint64(seed))
+	lb, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.estimate.unitTime, l.estimate.initialUnitTime, l.estimate.meanWorkHint = f.typicalUnitTime, f.typicalUnitTime, 10 // as after many requests
-	b := &testNode{t: t, balancer: l, now: now}
+	lb.estimate.unitTime, lb.estimate.initialUnitTime, lb.estimate.meanWorkHint = f.typicalUnitTime, f.typicalUnitTime, 10 // as after many requests
+	b := &testNode{t: t, balancer: lb, now: now}
 	b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(4)})
 	b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.serverStartedAt}}})
 	return b
@@ -55,14 +56,14 @@
 
 // budget returns the number of calls that the settings allow the server in an overload window that begins
 // at the given time.
-func (f *slowStartFleet) budget(at Millis) float64 {
-	capacity := min(1, f.set.SlowStart.InitialCapacity+(1-f.set.SlowStart.InitialCapacity)*(at-f.serverStartedAt)/f.set.SlowStart.Duration)
+func (f *slowStartFleet) budget(windowStart Millis) float64 {
+	capacity := min(1, f.set.SlowStart.InitialCapacity+(1-f.set.SlowStart.InitialCapacity)*(windowStart-f.serverStartedAt)/f.set.SlowStart.Duration)
 	return f.set.SlowStart.OverloadFactor * capacity * f.set.SlowStart.OverloadWindow / f.typicalUnitTime
 }
 
-// sendBurst sends requests to all nodes for span ms, at a mean interval of every ms, while the server in
+// sendBurst sends requests to each node between from and from+span, at the given mean interval. The server in
 // slow start is the only server.
-func (f *slowStartFleet) sendBurst(from, span, every Millis, cost func(int) float64) {
+func (f *slowStartFleet) sendBurst(from, span, meanInterval Millis, cost func(int) float64) {
 	costs := map[RequestID]float64{}
 	var perform func(b *testNode, acts []Action)
 	perform = func(b *testNode, acts []Action) {
@@ -77,9 +78,9 @@
 	for i, b := range f.nodes {
 		b.now = from
 		b.step(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Zone: "z", Capacity: 1, Started: f.serverStartedAt}}})
-		b.balancer.explorations.available = -1e9 // no explorations: they pass the same budget, and the test is on the budget alone
+		b.balancer.explorations.available = -1e9 // no explorations: they use the same budget, and the test checks only the budget
 		for k := 0; b.now < from+span; k++ {
-			b.now += every * (0.5 + float64((i*7+k)%11)/10)
+			b.now += meanInterval * (0.5 + float64((i*7+k)%11)/10)
 			b.lastRequestID++
 			costs[b.lastRequestID] = cost(i + k)
 			perform(b, b.step(Arrival{ID: b.lastRequestID, Class: "read", Deadline: b.now + f.set.SlowStart.OverloadWindow/4, WorkHint: 10 * cost(i+k)}))
@@ -88,22 +89,23 @@
 	}
 }
 
-// worstWindow returns the budget n of the window that exceeded its limit of n calls plus 2√n+2 for random
-// variation the most, and by how many calls it did.
-func (f *slowStartFleet) worstWindow() (over, n float64) {
-	over = math.Inf(-1)
+// worstWindow compares each overload window that begins with a call with its limit: a budget of n calls, plus
+// 2√n+2 for random variation. It returns the largest excess over the limit, in calls, and the budget n of
+// that window.
+func (f *slowStartFleet) worstWindow() (worstExcess, windowBudget float64) {
+	worstExcess = math.Inf(-1)
 	for _, from := range f.sent {
-		sum, allowed := 0.0, f.budget(from.at)
+		sum, allowed := 0.0, f.budget(from.sentAt)
 		for _, c := range f.sent {
-			if c.at >= from.at && c.at < from.at+f.set.SlowStart.OverloadWindow {
+			if c.sentAt >= from.sentAt && c.sentAt < from.sentAt+f.set.SlowStart.OverloadWindow {
 				sum += c.cost
 			}
 		}
-		if excess := sum - allowed - 2*math.Sqrt(allowed) - 2; excess > over {
-			over, n = excess, allowed
+		if excess := sum - allowed - 2*math.Sqrt(allowed) - 2; excess > worstExcess {
+			worstExcess, windowBudget = excess, allowed
 		}
 	}
-	return over, n
+	return worstExcess, windowBudget
 }
 
 func meanCost(int) float64 { return 1 }
@@ -113,7 +115,7 @@
 // together must stay within the server's budget of N calls plus 2√N+2 for random variation.
 func TestFleetStaysWithinSlowStartBudget(t *testing.T) {
 	savedAt := func(f *slowStartFleet) Millis { return f.serverStartedAt + 0.3*f.set.SlowStart.Duration } // by then each node has had time to save its quota
-	span, every := 1.5*settings().SlowStart.OverloadWindow, settings().SlowStart.OverloadWindow/40
+	span, meanInterval := 1.5*settings().SlowStart.OverloadWindow, settings().SlowStart.OverloadWindow/40
 	heavy := func(k int) float64 { // the mean is 1
 		if k%10 == 0 {
 			return 4
@@ -121,17 +123,17 @@
 		return 2.0 / 3
 	}
 	for name, send := range map[string]func(*slowStartFleet){
-		"burst":                     func(f *slowStartFleet) { f.sendBurst(savedAt(f), span, every, meanCost) },
-		"burst with heavy requests": func(f *slowStartFleet) { f.sendBurst(savedAt(f), span, every, heavy) },
-		"burst from the start":      func(f *slowStartFleet) { f.sendBurst(f.serverStartedAt, span, every, meanCost) },
+		"burst":                     func(f *slowStartFleet) { f.sendBurst(savedAt(f), span, meanInterval, meanCost) },
+		"burst with heavy requests": func(f *slowStartFleet) { f.sendBurst(savedAt(f), span, meanInterval, heavy) },
+		"burst from the start":      func(f *slowStartFleet) { f.sendBurst(f.serverStartedAt, span, meanInterval, meanCost) },
 		"half of the nodes restart during the burst": func(f *slowStartFleet) {
-			f.sendBurst(savedAt(f), span/2, every, meanCost)
+			f.sendBurst(savedAt(f), span/2, meanInterval, meanCost)
 			for i := range f.nodes {
 				if i%2 == 0 {
 					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, savedAt(f)+span/2)
 				}
 			}
-			f.sendBurst(savedAt(f)+span/2, span/2, every, meanCost)
+			f.sendBurst(savedAt(f)+span/2, span/2, meanInterval, meanCost)
 		},
 		"half of the nodes discover the server at the burst": func(f *slowStartFleet) {
 			for i := range f.nodes {
@@ -139,7 +141,7 @@
 					f.nodes[i] = f.startNodeAt(t, i, 1_000_000+i, savedAt(f))
 				}
 			}
-			f.sendBurst(savedAt(f), span, every, meanCost)
+			f.sendBurst(savedAt(f), span, meanInterval, meanCost)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -173,8 +175,8 @@
 		for seed := range 10 {
 			f := newSlowStartFleet(t, nodes, 60, seed)
 			f.sendBurst(f.serverStartedAt, f.set.SlowStart.Duration/2, f.set.SlowStart.OverloadWindow/40, meanCost)
-			for at := f.serverStartedAt; at < f.serverStartedAt+f.set.SlowStart.Duration/2; at += f.set.SlowStart.OverloadWindow {
-				allowed += f.budget(at + f.set.SlowStart.OverloadWindow/2)
+			for windowStart := f.serverStartedAt; windowStart < f.serverStartedAt+f.set.SlowStart.Duration/2; windowStart += f.set.SlowStart.OverloadWindow {
+				allowed += f.budget(windowStart + f.set.SlowStart.OverloadWindow/2)
 			}
 			used += float64(len(f.sent))
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestSlowStartBudget(t *testing.T) {
+func TestNodeStaysWithinSlowStartBudget(t *testing.T) {
 	set := settings()
 	set.Nodes = 2
 	set.Classes = set.Classes[:1]
@@ -74,40 +74,40 @@
 		const nodes, servers = 300, 30
 		set := settings()
 		set.Nodes, set.LoadReports = nodes, reports
-		began, work := 100000.0, map[int]float64{}
+		startedAt, workByWindow := 100000.0, map[int]float64{}
 		for n := 0; n < nodes; n++ {
 			set.Node = n
-			l, err := New(set, uint64(n))
+			lb, err := New(set, uint64(n))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &testNode{t: t, balancer: l, now: began}
+			b := &testNode{t: t, balancer: lb, now: startedAt}
 			b.step(EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(servers)})
-			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s7", Zone: "z", Capacity: 1, Started: began}}})
+			b.step(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "s7", Zone: "z", Capacity: 1, Started: startedAt}}})
 			restarted := b.balancer.servers.byID["s7"]
-			for ; b.now < began+set.SlowStart.Duration; b.now += 100 { // every node tries to send a request every 100 ms
-				l.now = b.now
-				r := &request{class: l.classes["read"], work: 1, deadline: b.now + 2000}
+			for ; b.now < startedAt+set.SlowStart.Duration; b.now += 100 { // every node tries to send a request every 100 ms
+				lb.now = b.now
+				r := &request{class: lb.classes["read"], work: 1, deadline: b.now + 2000}
 				if slices.Contains(b.balancer.candidates(r), restarted) {
 					restarted.slowStart.budget.available--
-					work[int((b.now-began)/set.SlowStart.OverloadWindow)] += b.balancer.estimate.unitTime
+					workByWindow[int((b.now-startedAt)/set.SlowStart.OverloadWindow)] += b.balancer.estimate.unitTime
 				}
 			}
 		}
-		for window, sent := range work {
+		for window, sent := range workByWindow {
 			capacity := min(1, set.SlowStart.InitialCapacity+(1-set.SlowStart.InitialCapacity)*float64(window)*set.SlowStart.OverloadWindow/set.SlowStart.Duration)
 			if maxWork := set.SlowStart.OverloadFactor * capacity * set.SlowStart.OverloadWindow; sent > maxWork {
 				t.Errorf("load reports %v: work sent in window %d = %.0f ms, want at most %.0f ms", reports, window, sent, maxWork)
 			}
 		}
-		if work[0] < 0.1*set.SlowStart.OverloadFactor*set.SlowStart.InitialCapacity*set.SlowStart.OverloadWindow {
-			t.Errorf("load reports %v: work sent in the first window = %.0f ms, want at least a tenth of its budget", reports, work[0])
+		if workByWindow[0] < 0.1*set.SlowStart.OverloadFactor*set.SlowStart.InitialCapacity*set.SlowStart.OverloadWindow {
+			t.Errorf("load reports %v: work sent in the first window = %.0f ms, want at least a tenth of its budget", reports, workByWindow[0])
 		}
 	}
 }
 
 // Guards against estimating the capacity of each server in slow start separately: in the simulation
-// join+vast, 80 nodes expected normal speed of each of 36 replaced servers, and up to 57% of the first
+// join+vast, 80 nodes expected full capacity of each of 36 replaced servers, and up to 57% of the first
 // requests were late. An estimate from a few servers must apply to the others, and measurements during
 // slow start must not make a server appear slow afterwards.
 func TestSlowStartCapacityIsEstimatedFromAllServers(t *testing.T) {
