--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Action is an instruction of the balancer that its caller carries out.
+// Action is an instruction that Step returns and its caller carries out.
 type Action interface{ action() }
 
 // StartAttempt sends a request to a server. The attempts of a request are numbered from 0, in the order
@@ -10,9 +10,9 @@
 type StartAttempt struct {
 	ID       RequestID
 	Server   ServerID
-	Deadline Millis // when the attempt times out; 0: when the client gives up
-	// WriteDeadline is the end of the dedup window. The request must be written completely before it, or
-	// not at all: afterwards a server no longer drops repeats. 0: no limit.
+	Deadline Millis // when the attempt times out; 0: only when the client gives up
+	// WriteDeadline is the end of the dedup window, after which servers no longer drop repeats. The last
+	// byte of the request must be written before it. 0: no limit.
 	WriteDeadline Millis
 }
 
@@ -29,7 +29,7 @@
 	Reason     RejectReason
 }
 
-// Fail is a final answer after which a retry may take effect twice.
+// Fail is a final answer after which a retry could make the request take effect twice.
 type Fail struct {
 	ID     RequestID
 	Reason RejectReason
@@ -38,7 +38,7 @@
 // RejectReason is why a request was rejected or failed.
 type RejectReason int
 
-// The reasons. Each names the file that decides on it.
+// Reasons for a Reject or a Fail. The comments name the file in which the decision is made.
 const (
 	// UnknownClass: the settings don't name the request's class (admission.go).
 	UnknownClass RejectReason = iota
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,7 +1,8 @@
 package balancer
 
 const (
-	// maxRecentRejections limits the stored rejections. A busy node reaches it within seconds.
+	// maxRecentRejections is the number of stored rejections at which all of them are removed, to limit
+	// the memory. A busy node stores as many within seconds.
 	maxRecentRejections = 4096
 	// samplingMarkBits is the number of bits of a sampling mark that are converted to a number from 0 to 1.
 	samplingMarkBits = 53
@@ -59,8 +60,8 @@
 	return r
 }
 
-// recognizeRetry detects a retry if the clients don't mark retries: a request that follows a rejection
-// with the same key and class. The latency objective of a retry counts from the rejected request.
+// recognizeRetry detects a retry that its client didn't mark: a request with the same key and class as a
+// recently rejected one. It sets the retry's latency objective to that of the rejected request.
 func (b *Balancer) recognizeRetry(r *request) {
 	rejected, found := b.recentRejections[r.identity]
 	if !found || b.now >= rejected.expiresAt {
@@ -71,8 +72,9 @@
 	r.late = rejected.objectiveAt <= b.now
 }
 
-// accountFirstAttempt credits the budgets that grow with each first attempt, and records the request for
-// its tenant and its class. If clients don't mark retries, every request counts as a first attempt.
+// accountFirstAttempt credits the budgets that grow with each first attempt, and adds the request to the
+// statistics of its tenant and its class. If clients don't mark retries, every request counts as a first
+// attempt.
 func (b *Balancer) accountFirstAttempt(r *request) {
 	b.creditRetryBudget()
 	b.creditGossipBudget()
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,8 +1,8 @@
 package balancer
 
-// startAttempt sends a request to a server and updates the bookkeeping of both.
+// startAttempt sends a request to a server and updates the state of both.
 func (b *Balancer) startAttempt(r *request, s *server) {
-	s.slowStart.budget.available -= r.work // unused if the server is not in slow start
+	s.slowStart.budget.available -= r.work // the budget has no effect outside slow start
 	b.gossip.loadsChanged = true
 	if r.bodyPending {
 		s.attempts.awaitingBody++
@@ -34,7 +34,8 @@
 	s := a.server
 	b.closeAttempt(r, a, e.Outcome)
 	b.recordLoadReport(s, e.Report)
-	if e.Outcome == OK { // a load report that omitted this attempt was older than the attempt
+	// A successful attempt was at the server, so a load report that omitted it was outdated by missingAfter.
+	if e.Outcome == OK {
 		b.estimate.reportLag += reportLagSmoothing * (a.missingAfter - b.estimate.reportLag)
 	}
 	b.recordAttemptOutcome(s, r, a, e.Outcome, e.Elapsed)
@@ -43,7 +44,7 @@
 	}
 	switch {
 	case r.finished:
-		b.forgetIfFinished(r)
+		b.removeIfNoOpenAttempts(r)
 	case e.RequestFinished || e.Outcome == OK:
 		if e.Outcome == OK && b.now <= r.objectiveAt {
 			b.addToServedFractions(r, func(s *servedFraction, weight float64) { s.served += weight })
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,11 +11,11 @@
 const (
 	// seedMix is combined with the seed to form the second word of the generator's seed.
 	seedMix = 0x9e3779b97f4a7c15
-	// unitTimesPerObjective is the divisor of the shortest latency objective that gives the unit time
+	// unitTimesPerObjective divides the shortest latency objective. The quotient is the unit time that is
 	// assumed before the first measurement.
 	unitTimesPerObjective = 4
-	// initialCapacityEstimate is the initial estimate for servers in slow start: the fraction of the
-	// capacity above the slow start minimum that such a server already has. Their answers correct it.
+	// initialCapacityEstimate is the initial value of fleetEstimate.extraCapacity, the estimated fraction
+	// of the capacity above its minimum that a server in slow start has. Answers of such servers change it.
 	initialCapacityEstimate = 0.5
 )
 
--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Clone returns a deep copy with the same state and the same future random numbers, but with other
-// settings. The copy omits classes and tenants that the other settings don't contain, and the requests of
-// such classes. Clone returns an error for settings that New rejects.
+// Clone returns a deep copy with the same state and the same future random numbers, but with the given
+// settings. The copy omits classes and tenants that these settings don't contain, and the requests of such
+// classes. Clone returns an error for settings that New rejects.
 func (b *Balancer) Clone(settings Settings) (*Balancer, error) {
 	fresh, err := New(settings, 0)
 	if err != nil {
@@ -17,7 +17,7 @@
 	source := *b.randomSource
 	clone := *b
 	clone.settings = settings
-	clone.fleet.size = settings.Nodes * b.fleet.processes // assuming as many processes in every node
+	clone.fleet.size = settings.Nodes * b.fleet.processes // each node is assumed to have as many processes
 	clone.randomSource = &source
 	clone.rng = rand.New(&source)
 	clone.actions = nil
@@ -36,8 +36,8 @@
 	return &clone, nil
 }
 
-// copier copies the state of one balancer into another that has its own classes and tenants. The maps
-// hold the copy of each server and request.
+// copier copies the state of one balancer into another that has its own classes and tenants. The maps are
+// keyed by the original server or request and hold its copy.
 type copier struct {
 	from, to *Balancer
 	servers  map[*server]*server
@@ -68,8 +68,8 @@
 	}
 }
 
-// copyServers copies the known servers and those that only requests refer to. The latter have been
-// replaced in the list after a restart.
+// copyServers copies the listed servers, and the servers to which only requests still refer because they
+// were replaced in the list after a restart.
 func (c *copier) copyServers() {
 	for _, s := range c.from.servers.known {
 		c.addServer(s)
@@ -99,7 +99,7 @@
 	n.zoneFailures = c.to.zoneRecord(s.Zone)
 	n.gossipReports = slices.Clone(s.gossipReports)
 	n.classFailures = nil
-	for name, class := range c.to.classes { // the order of the classes may differ
+	for name, class := range c.to.classes { // the order of the classes may differ between the settings
 		if old := c.from.classes[name]; old != nil && old.index < len(s.classFailures) {
 			*n.classFailure(class) = s.classFailures[old.index]
 		}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -14,15 +14,15 @@
 	ID            RequestID
 	Class, Tenant string
 	Key           string
-	SamplingMark  uint64 // a random number of the request, the same at every node
+	SamplingMark  uint64 // pseudorandom number derived from the request, the same at every node
 	WorkHint      Millis // expected time that the request takes, given by the client; 0: none given
 	IsRetry       bool   // as marked by the client
 	Deadline      Millis // when the client gives up on this attempt, if the body arrives without delay
-	UploadTimeout Millis // longest time until the body is complete; 0: it is complete
+	UploadTimeout Millis // maximum time until the body is complete; 0: it is already complete
 }
 
-// BodyReceived reports the end of a request body that was incomplete at the arrival. No server can have
-// started to process the request before.
+// BodyReceived reports that a request body is complete that was incomplete when the request arrived. No
+// server can have started to process the request earlier.
 type BodyReceived struct {
 	ID       RequestID
 	Deadline Millis // when the client gives up on this attempt
@@ -35,7 +35,7 @@
 	Server          ServerID
 	Outcome         Outcome
 	Elapsed         Millis
-	RequestFinished bool // the client has its final answer, or has left
+	RequestFinished bool // the client has its final answer, or no longer waits for one
 	Report          LoadReport
 }
 
@@ -79,19 +79,19 @@
 type SiblingProcesses struct{ Count int }
 
 // StateTransferred is the state of the predecessor of this process. The endpoint list must have been
-// received before: only servers in the list are restored.
+// received earlier: only servers in the list are restored.
 type StateTransferred struct{ State State }
 
 // FleetQuota is the fraction of the fleet-wide budgets that this node may use, from 0 to 1. Until the
 // first FleetQuota the budgets are divided evenly among the nodes.
 type FleetQuota struct {
-	Current float64 // fraction until Until
+	Current float64 // fraction before the time Until
 	Until   Millis
-	After   float64 // fraction from Until to the next FleetQuota
+	After   float64 // fraction from the time Until to the next FleetQuota
 }
 
-// FleetAdmission limits the requests that the fleet admits while the servers are overloaded. An empty one
-// ends the limits.
+// FleetAdmission limits the requests that the fleet admits while the servers are overloaded. An empty
+// FleetAdmission removes the limits.
 type FleetAdmission struct {
 	AdmittedFraction map[string]float64 // by class, from 0 to 1; other classes are not limited
 	RetryReduction   float64            // fraction by which the retry budget is reduced, from 0 to 1
@@ -130,8 +130,8 @@
 	State    EndpointState
 	Zone     string
 	Cell     int
-	Capacity float64 // relative to other servers; 1 if the list has none
-	Started  Millis  // wall clock; 0: long ago
+	Capacity float64 // relative to other servers; 1 if the list contains no capacities
+	Started  Millis  // start time by the wall clock; 0: long ago
 }
 
 // EndpointState is the state of a server according to the endpoint list.
@@ -156,7 +156,7 @@
 	Unreachable            // no connection; never ran
 	ConnectionLost         // the connection broke; may have run
 	Cancelled              // cancelled by this node; may have run
-	NotSent                // never sent
+	NotSent                // not sent by this node; never ran
 )
 
 // LoadReport is the load that a server reports.
--- a/balancer/fairness.go
+++ b/balancer/fairness.go
@@ -5,8 +5,8 @@
 const (
 	// servedFractionTimeConstant, in ms, is the decay time constant of the served fractions.
 	servedFractionTimeConstant = 30000.0
-	// lateRequestDiscount divides the value of late requests, so that all requests that can still be in
-	// time precede them in the queue.
+	// lateRequestDiscount divides the marginal value of late requests, so that all requests that can still
+	// be answered in time precede them in the queue.
 	lateRequestDiscount = 1e6
 )
 
@@ -24,7 +24,8 @@
 	s.updatedAt = now
 }
 
-// servedRatio returns the fraction of the requested weight that was served in time; 1 without requests.
+// servedRatio returns the fraction of the requested weight that was served in time, or 1 if there were no
+// requests.
 func (s *servedFraction) servedRatio() float64 {
 	if s.requested <= 0 {
 		return 1
@@ -32,8 +33,8 @@
 	return s.served / s.requested
 }
 
-// addToServedFractions adds a request's weight to its class and, if the tenant is within its quota, to
-// its tenant. The function add selects the sum.
+// addToServedFractions adds a request's weight to the statistics of its class and, if the tenant is within
+// its quota, of its tenant. The function add adds it to the requested or to the served weight.
 func (b *Balancer) addToServedFractions(r *request, add func(*servedFraction, float64)) {
 	weight := b.priorityWeight(r)
 	r.class.decay(b.now)
@@ -44,9 +45,9 @@
 	}
 }
 
-// marginalValue returns by how much serving a request raises the operator's goal, per unit of work. It is
-// higher if the request's class or tenant is the worst served one. Queued requests are dispatched in the
-// order of this value.
+// marginalValue returns by how much the value of the operator's goal rises per unit of work if a request is
+// served. It is higher if the request's class or tenant is the worst served one. Queued requests are
+// dispatched in the order of this value, highest first.
 func (b *Balancer) marginalValue(r *request) float64 {
 	if r.late {
 		return r.class.LateFraction * b.priorityWeight(r) / r.work / lateRequestDiscount
@@ -64,7 +65,7 @@
 	return gain * b.priorityWeight(r) / r.work
 }
 
-// summarizeClasses returns the requested weight of all classes, and the served ratio of the worst class.
+// summarizeClasses returns the total requested weight of all classes, and the lowest served ratio.
 func (b *Balancer) summarizeClasses() (total, worst float64) {
 	worst = 1
 	for _, class := range b.settings.Classes {
--- a/balancer/fleetquota.go
+++ b/balancer/fleetquota.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// fleetLimits are the limits of the fleet and this node's quota of the fleet-wide budgets.
+// fleetLimits holds the limits of the fleet and this node's quota of the fleet-wide budgets.
 type fleetLimits struct {
 	processes        int                // processes of this node: two during an upgrade
-	size             int                // processes of the fleet, assuming as many in every node
+	size             int                // processes of the fleet, if each node has as many as this one
 	quota            *FleetQuota        // nil: an equal fraction for each process
 	admittedFraction map[string]float64 // by class, from 0 to 1; other classes are not limited
 	retryReduction   float64            // fraction by which the retry budget is reduced, from 0 to 1
@@ -29,7 +29,7 @@
 	return float64(b.fleet.processes) / fraction
 }
 
-// setProcesses sets the number of processes of this node. They divide the node's budgets among them.
+// setProcesses sets the number of processes of this node, among which its budgets are divided.
 func (b *Balancer) setProcesses(processes int) {
 	if b.fleet.processes == processes || processes < 1 {
 		return
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -1,25 +1,25 @@
 package balancer
 
 const (
-	// gossipInterval, in ms, is the minimum time between two messages of a node. It is about the time
+	// gossipInterval, in ms, is the minimum time between two messages from a node. It is about the time
 	// that a message takes to arrive.
 	gossipInterval = 10.0
 	// outcomeGossipInterval, in ms, is the time between two messages about outcomes. It is long because
-	// the outcome window of ten seconds changes slowly.
+	// the error window of ten seconds changes slowly.
 	outcomeGossipInterval = 2000.0
-	// gossipBudgetFraction is the fraction of all priority weight that messages may cost, summed over all
-	// receivers.
+	// gossipBudgetFraction is the maximum cost of the messages, summed over all receivers, as a fraction
+	// of all priority weight.
 	gossipBudgetFraction = 0.006
-	// gossipBurst is the maximum unspent budget, in requests. About ten requests pay for a message to a
-	// hundred nodes.
+	// gossipBurst is the number of first attempts whose credits fill the budget. The credits of about ten
+	// first attempts cover one message to a hundred nodes.
 	gossipBurst = 50.0
 	// gossipReadCost, in microseconds, is the CPU time that each receiver spends on a message.
 	gossipReadCost = 1.0
 	// minGossipTimeout, in ms, is the minimum time without messages after which the other nodes count as
 	// gone or unreachable.
 	minGossipTimeout = 3000.0
-	// gossipTimeoutIntervals is the same time as a multiple of the usual interval between messages. It
-	// applies if messages are rare.
+	// gossipTimeoutIntervals is the gossip timeout as a multiple of the smoothed interval between
+	// messages. It applies if it results in a longer time than minGossipTimeout.
 	gossipTimeoutIntervals = 3
 	// gossipRefreshInterval, in ms, is the maximum time between two messages about loads, even if nothing
 	// has changed.
@@ -33,17 +33,17 @@
 	sentAt         Millis
 	outcomesSentAt Millis
 
-	heardAt      Millis // time of the last message from any node; 0: none yet
+	heardAt      Millis // when a load message last arrived from any node; 0: never
 	heardFrom    map[int]Millis
-	interval     Millis // smoothed time between two messages of a node
+	interval     Millis // smoothed time between two load messages from a node
 	isolated     bool   // no messages arrive, and this has been logged
 	serversByTag map[uint16]*server
 	reportedBy   map[gossipSource][]*server // the servers in a node's latest message
 }
 
-// broadcastGossip sends the other nodes this node's requests in flight at each server, or the outcomes of
-// its attempts, as often as the budget allows. It sends nothing if a message costs the receivers more CPU
-// time in total than CPUPerRequest.
+// broadcastGossip sends a message to the other nodes, as often as the budget allows: either the number of
+// this node's requests in flight at each server, or the outcomes of its attempts. It sends nothing if all
+// receivers together would spend more CPU time on a message than CPUPerRequest.
 func (b *Balancer) broadcastGossip() {
 	if !b.settings.GossipAllowed || b.fleet.size < 2 {
 		return
@@ -51,15 +51,15 @@
 	if b.gossip.tokens.available <= 0 || b.now < b.gossip.sentAt+gossipInterval {
 		return
 	}
-	readers := float64(b.fleet.size - 1)
-	if b.settings.CPUPerRequest > 0 && readers*gossipReadCost > b.settings.CPUPerRequest {
+	receivers := float64(b.fleet.size - 1)
+	if b.settings.CPUPerRequest > 0 && receivers*gossipReadCost > b.settings.CPUPerRequest {
 		return
 	}
 	body := b.nextGossip()
 	if body == nil {
 		return
 	}
-	b.gossip.tokens.available -= b.settings.Prices.Gossip * readers * float64(len(body)) / MaxGossipBytes
+	b.gossip.tokens.available -= b.settings.Prices.Gossip * receivers * float64(len(body)) / MaxGossipBytes
 	b.gossip.sentAt = b.now
 	b.emit(BroadcastGossip{body})
 }
@@ -93,7 +93,7 @@
 	}
 	silent := b.now >= b.gossip.heardAt+b.gossipTimeout()
 	if silent && !b.gossip.isolated {
-		b.logf("no gossip from other nodes for %.0f ms: using only load reports and own outcomes",
+		b.logf("no gossip from other nodes for %.0f ms: using only load reports and this node's outcomes",
 			b.now-b.gossip.heardAt)
 	}
 	b.gossip.isolated = silent
--- a/balancer/objective.go
+++ b/balancer/objective.go
@@ -21,18 +21,18 @@
 	servedFraction
 	index int // in Settings.Classes
 	// protectedObjective, in ms, is the shortest latency objective among the classes with a higher
-	// priority weight and a shorter objective; +Inf without any. Requests of this class may occupy a
-	// server only for a fraction of it.
+	// priority weight and a shorter objective; +Inf if there is none. Requests of this class may occupy a
+	// server only for a fraction of that time.
 	protectedObjective Millis
-	// longestTimeout, in ms, is the longest time that a client has allowed for an attempt. If a client
-	// allows less, its total timeout ends the attempt.
+	// longestTimeout, in ms, is the longest timeout of an attempt that any client has used. If the timeout
+	// of an attempt is shorter, the client's total timeout ends that attempt.
 	longestTimeout Millis
 }
 
-// setObjective sets the time by which the request should be answered. For a retry it counts from the
-// client's first attempt, whose time can be derived in one case: if the attempt's timeout is shorter than
-// the longest one seen, the client's total timeout ends the attempt, so the first attempt began that total
-// timeout before the deadline.
+// setObjective sets the time by which the request should be answered. The latency objective of a retry
+// counts from the client's first attempt. The start of that attempt can be derived only if the retry's
+// timeout is shorter than longestTimeout: then the client's total timeout ends the retry, so the first
+// attempt began TotalTimeout before the deadline.
 func (b *Balancer) setObjective(r *request, isRetry bool) {
 	class := r.class
 	timeout := r.deadline - b.now
@@ -82,7 +82,7 @@
 }
 
 // shortestMoreUrgentObjective returns the shortest latency objective among the classes with a higher
-// priority weight and a shorter objective than the given one; +Inf without any.
+// priority weight and a shorter objective than the given class, or +Inf if there is none.
 func shortestMoreUrgentObjective(settings Settings, class Class) Millis {
 	shortest := math.Inf(1)
 	for _, other := range settings.Classes {
--- a/balancer/outcomewindow.go
+++ b/balancer/outcomewindow.go
@@ -81,7 +81,7 @@
 	return float64(failures) / max(1, float64(successes+failures))
 }
 
-// recentSuccessRate returns the fraction of successes among the recent outcomes, or 1 without any.
+// recentSuccessRate returns the fraction of successes among the recent outcomes, or 1 if there are none.
 func (s *server) recentSuccessRate() float64 {
 	if s.outcomes.recentLen == 0 {
 		return 1
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -12,7 +12,7 @@
 	arrived     Millis
 	deadline    Millis  // when the client gives up
 	objectiveAt Millis  // until then an answer has its full priority weight
-	late        bool    // objectiveAt had passed at the arrival
+	late        bool    // objectiveAt had passed when the request arrived
 	bodyPending bool    // the body is still incomplete
 	work        float64 // estimated; 1 is the mean request
 	overQuota   bool    // the tenant is over its quota
@@ -24,7 +24,7 @@
 
 	queued      bool
 	priority    float64 // marginalValue at the last dispatch of the queue
-	probesUntil Millis  // it waits for the results of load probes until then
+	probesUntil Millis  // until then the request waits for the results of load probes
 
 	dedupServer *server // server of the first attempt that may have run
 	dedupUntil  Millis  // until then servers in dedupServer's dedup scope drop repeats
@@ -33,7 +33,8 @@
 	affinity    affinityPair
 }
 
-// affinityPair caches the two preferred servers for a request's key. It is valid for one serverSet.version.
+// affinityPair caches the two preferred servers for a request's key. It is valid only while version equals
+// serverSet.version.
 type affinityPair struct {
 	primary, secondary *server
 	version            int
@@ -53,7 +54,7 @@
 	expectedDuration Millis  // expected duration at the time of sending
 	open             bool
 	missing          bool   // absent from the server's latest load report
-	missingAfter     Millis // time since sending when a load report first omitted it
+	missingAfter     Millis // time from sending to the first load report that omits the attempt; 0: none
 }
 
 // triedServer reports whether a request has had an attempt at a server.
@@ -104,11 +105,11 @@
 func (b *Balancer) finishRequest(r *request) {
 	r.finished = true
 	r.queued = false
-	b.forgetIfFinished(r)
+	b.removeIfNoOpenAttempts(r)
 }
 
-// forgetIfFinished removes a request without open attempts.
-func (b *Balancer) forgetIfFinished(r *request) {
+// removeIfNoOpenAttempts removes a finished request unless it has open attempts.
+func (b *Balancer) removeIfNoOpenAttempts(r *request) {
 	if r.openAttempts == 0 {
 		delete(b.requests, r.id)
 	}
@@ -120,14 +121,15 @@
 	}
 }
 
-// expectBody extends the deadline by the longest time until the body is complete; 0: it is complete.
-func (r *request) expectBody(timeout Millis) {
-	r.bodyPending = timeout > 0
-	r.deadline += max(0, timeout)
+// expectBody extends the deadline by the maximum time until the body is complete. If that time is 0, the
+// body is already complete.
+func (r *request) expectBody(uploadTimeout Millis) {
+	r.bodyPending = uploadTimeout > 0
+	r.deadline += max(0, uploadTimeout)
 }
 
 // attemptStart returns the time at which a server can start to process an attempt that is sent now. While
-// the body is incomplete it is unknown (+Inf), and the attempt doesn't count as load of the server.
+// the body is incomplete, this time is unknown (+Inf), and the attempt doesn't count as load of the server.
 func (b *Balancer) attemptStart(r *request) Millis {
 	if r.bodyPending {
 		return math.Inf(1)
@@ -146,7 +148,7 @@
 	a.server.estimate.computedAt = estimateOutdated
 }
 
-// handleBodyReceived restarts the time of a request and of its open attempts at the end of its body.
+// handleBodyReceived makes the times of a request and its open attempts count from the end of its body.
 func (b *Balancer) handleBodyReceived(e BodyReceived) {
 	r := b.requests[e.ID]
 	if r == nil || !r.bodyPending {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,15 +6,15 @@
 	// retryBudgetRatio is the number of retries that each first attempt adds to the budget. It is low
 	// because the clients' own retries already multiply the load.
 	retryBudgetRatio = 0.1
-	// retryBurst is the maximum of the retry budget. It allows the requests of a lost server to be
-	// retried at once.
+	// retryBurst is the maximum of the retry budget. It allows several requests at a failed server to be
+	// retried at the same time.
 	retryBurst = 5.0
 	// retryAfterFraction is the largest fraction of the time to the objective that Retry-After may use.
 	// The rest remains for the client's next attempt.
 	retryAfterFraction = 0.25
 )
 
-// creditRetryBudget adds the retries that one first attempt allows, less the reduction of the fleet.
+// creditRetryBudget adds the retries that one first attempt allows, reduced by the fleet's retryReduction.
 func (b *Balancer) creditRetryBudget() {
 	b.retryBudget.credit(retryBudgetRatio*(1-b.fleet.retryReduction), retryBurst)
 }
@@ -48,12 +48,12 @@
 	return attemptsLeft && timeLeft && (!r.mayHaveRun || r.class.repeatable())
 }
 
-// repeatable reports whether requests of this class may be repeated after they may have run. The method
-// eligible limits the servers for such a repeat.
+// repeatable reports whether requests of this class may be repeated after they may have run. The servers
+// to which such a repeat may be sent are limited by Balancer.eligible.
 func (c *classState) repeatable() bool { return c.Idempotency != NonIdempotent }
 
 // rejectOrFail gives the final answer: a rejection if the client can retry safely, otherwise a failure. It
-// gives the answer immediately and never delays it.
+// never delays the answer.
 func (b *Balancer) rejectOrFail(r *request, reason RejectReason) {
 	if b.retryMayHarm(r) {
 		b.emit(Fail{r.id, reason})
@@ -79,9 +79,9 @@
 	return false
 }
 
-// retryAfter returns the value for Retry-After, in ms; 0: none. It is the time in which the servers work
-// off the requests that are queued now, limited to a fraction of the time to the objective: a client that
-// retries after its objective only adds load.
+// retryAfter returns the value for Retry-After, in ms, or 0 for none. It is the estimated time that the
+// servers need for the requests that are queued now, limited to a fraction of the time to the objective: a
+// client that retries after its objective only adds load.
 func (b *Balancer) retryAfter(r *request) Millis {
 	if !b.settings.RetryAfterAllowed || len(b.servers.ready) == 0 {
 		return 0
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -29,7 +29,7 @@
 	gossipReports []gossipReport
 }
 
-// serverSet holds the servers that this node knows.
+// serverSet holds the servers of the endpoint list, and removed ones that still have open attempts.
 type serverSet struct {
 	byID    map[ServerID]*server
 	known   []*server // in the order in which they were first listed
--- a/balancer/serverhealth.go
+++ b/balancer/serverhealth.go
@@ -40,7 +40,7 @@
 	InFlight            int     // open attempts of this node
 	Score               float64 // from 0 to 1
 	UnitTime            Millis  // expected service time of a request of mean work
-	SinceOutcome        Millis  // since the last outcome; without any, since zero of the node's clock
+	SinceOutcome        Millis  // since the last outcome; since time 0 of the node's clock if there is none
 }
 
 // ServerHealth returns the health of at most limit ready servers at the time now. Ejected servers come
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -20,7 +20,7 @@
 	OverQuotaFraction  float64 // factor for the weight of requests over their tenant's quota, from 0 to 1
 	WeightByWork       bool    // multiply the weight of a request by its work
 	ClientsMarkRetries bool    // if false, a retry is detected by its idempotency key
-	KeyAffinity        bool    // a server does less work for keys that it saw recently
+	KeyAffinity        bool    // requests cost a server less work if it recently served their key
 
 	// WatchEndpoints makes the balancer request the endpoint list. If it is false, the discovery client
 	// decides when to poll.
@@ -44,7 +44,7 @@
 	Tick              Millis // interval at which a node handles events; 0: immediately
 
 	Prices        Prices
-	CPUPerRequest float64 // limit in microseconds for a request and all work that it causes; 0: none
+	CPUPerRequest float64 // limit of the CPU time for a request and all work it causes, in µs; 0: none
 }
 
 // SlowStart describes the capacity of a server that has just started.
@@ -70,7 +70,7 @@
 	Name             string
 	Idempotency      Idempotency
 	DedupScope       DedupScope // only for IdempotentWithKey
-	DedupWindow      Millis     // time for which servers drop repeats, from the first attempt that may have run
+	DedupWindow      Millis     // how long servers drop repeats, from the first attempt that may have run
 	LatencyObjective Millis     // an answer within this time has the full priority weight
 	ObjectivePerWork float64    // multiple of the expected time of the request's work, added to the objective
 	TotalTimeout     Millis     // total time that a client waits, over all its attempts
--- a/balancer/staterestore.go
+++ b/balancer/staterestore.go
@@ -1,8 +1,9 @@
 package balancer
 
-// A transferred state comes from a process of any version, whose clock may have differed. Invalid values
-// are replaced by the current values of this process: a NaN would never go away, and a time in the future
-// would keep a record from aging for as long as the clocks differ.
+// A transferred state may come from a process of any version and with a different clock. Invalid values are
+// replaced by the current values of this process, because a NaN would persist in all later calculations.
+// Times of measurements that lie in the future are replaced by now, because such records would not decay
+// until this process's clock reaches these times.
 
 const (
 	// maxRestoredTime, in ms, limits restored durations.
@@ -15,7 +16,7 @@
 	maxRestoredAge Millis = 24 * 3600e3
 )
 
-// inRangeOr returns the value if it is in the range, and the fallback if it is outside or NaN.
+// inRangeOr returns the value if it lies between lowest and highest, and the fallback otherwise or for NaN.
 func inRangeOr(value, lowest, highest, fallback float64) float64 {
 	if value >= lowest && value <= highest {
 		return value
@@ -29,7 +30,7 @@
 }
 
 // restore replaces this process's state with a transferred one. It skips servers that have restarted
-// since, and servers, classes and tenants that this process doesn't know.
+// since, and servers, classes and tenants that aren't in this process's endpoint list or settings.
 func (b *Balancer) restore(state State) {
 	e := &b.estimate
 	b.setTypicalUnitTime(inRangeOr(state.UnitTime, 0, maxRestoredTime, e.unitTime))
@@ -45,13 +46,13 @@
 	b.retryBudget.available = inRangeOr(state.RetryTokens, 0, retryBurst, b.retryBudget.available)
 	for name, record := range state.Classes {
 		if c := b.classes[name]; c != nil {
-			c.servedFraction = b.restoredServedFraction(record.Asked, record.Served, record.At)
+			c.servedFraction = b.restoredServedFraction(record.Requested, record.Served, record.At)
 			c.longestTimeout = inRangeOr(record.LongestTimeout, 0, maxRestoredTime, c.longestTimeout)
 		}
 	}
 	for name, record := range state.Tenants {
 		if t := b.tenants[name]; t != nil {
-			t.servedFraction = b.restoredServedFraction(record.Asked, record.Served, record.At)
+			t.servedFraction = b.restoredServedFraction(record.Requested, record.Served, record.At)
 			t.rate = inRangeOr(record.Rate, 0, maxRestoredCount, t.rate)
 			t.rateAt = b.restoredTime(record.RateAt)
 			t.quota = b.restoredBucket(record.Quota, record.QuotaAt, t.quota)
@@ -66,7 +67,7 @@
 	b.servers.version++
 }
 
-// restoredServedFraction returns a valid served fraction.
+// restoredServedFraction returns a served fraction in which 0 replaces each invalid weight.
 func (b *Balancer) restoredServedFraction(requested, served float64, updatedAt Millis) servedFraction {
 	return servedFraction{
 		inRangeOr(requested, 0, maxRestoredWeight, 0),
@@ -75,10 +76,10 @@
 	}
 }
 
-// restoredBucket returns a valid token bucket.
-func (b *Balancer) restoredBucket(left float64, refilledAt Millis, fallback tokenBucket) tokenBucket {
+// restoredBucket returns a token bucket. An invalid number of tokens is replaced by that of the fallback.
+func (b *Balancer) restoredBucket(tokens float64, refilledAt Millis, fallback tokenBucket) tokenBucket {
 	return tokenBucket{
-		inRangeOr(left, -maxRestoredCount, maxRestoredCount, fallback.available),
+		inRangeOr(tokens, -maxRestoredCount, maxRestoredCount, fallback.available),
 		b.restoredTime(refilledAt),
 	}
 }
@@ -107,10 +108,10 @@
 	s.estimate.computedAt = estimateOutdated
 	s.outcomes.restore(record, b.now)
 	s.outcomes.failedAt = b.restoredTime(record.FailedAt)
-	for name, share := range record.ClassFailures {
+	for name, classRate := range record.ClassFailures {
 		if c := b.classes[name]; c != nil {
 			*s.classFailure(c) = failureRate{
-				rate:      inRangeOr(share, 0, 1, 0),
+				rate:      inRangeOr(classRate, 0, 1, 0),
 				observed:  true,
 				updatedAt: b.restoredTime(record.ClassFailureAt[name]),
 			}
@@ -118,7 +119,8 @@
 	}
 }
 
-// restore replaces the outcomes with transferred ones. Outcomes with a future time are dated now.
+// restore replaces the outcomes with transferred ones. Outcomes with a time in the future count as recorded
+// now.
 func (w *outcomeWindow) restore(record ServerRecord, now Millis) {
 	newest := int64(now / outcomeBucketLength)
 	for i := range min(len(record.Successes), len(record.Failures), len(record.Buckets), outcomeBucketCount) {
@@ -135,5 +137,5 @@
 	}
 }
 
-// restoredOutcomeCount limits a number of outcomes to the valid range.
+// restoredOutcomeCount limits a number of outcomes to the range from 0 to maxRestoredCount.
 func restoredOutcomeCount(n int) int { return max(0, min(maxRestoredCount, n)) }
--- a/balancer/statetransfer.go
+++ b/balancer/statetransfer.go
@@ -39,8 +39,8 @@
 	OthersAverage       float64            `json:"OthersAvg"`
 	ReportedAt          Millis             `json:"ReportAt"`
 	ConsecutiveFailures int                `json:"Failures"`
-	Successes           []int              `json:"Ok"` // for each bucket of the error window
-	Failures            []int              `json:"Fail"`
+	Successes           []int              `json:"Ok"`      // successes in each bucket of the error window
+	Failures            []int              `json:"Fail"`    // failures in each bucket
 	Buckets             []int64            `json:"Seconds"` // index of each bucket
 	Recent              []bool             `json:"Recent"`  // oldest first
 	Budget              float64            `json:"Budget"`  // slow start budget
@@ -51,7 +51,7 @@
 
 // ClassRecord is the requested and the served priority weight of a class, and its longest client timeout.
 type ClassRecord struct {
-	Asked          float64 `json:"Asked"`
+	Requested      float64 `json:"Asked"`
 	Served         float64 `json:"Served"`
 	At             Millis  `json:"At"`
 	LongestTimeout Millis  `json:"LongestTry"`
@@ -59,13 +59,13 @@
 
 // TenantRecord is the requested and the served priority weight of a tenant, and its request rate.
 type TenantRecord struct {
-	Asked   float64 `json:"Asked"`
-	Served  float64 `json:"Served"`
-	At      Millis  `json:"At"`
-	Rate    float64 `json:"Rate"` // first attempts per second
-	RateAt  Millis  `json:"RateAt"`
-	Quota   float64 `json:"Quota"` // available tokens
-	QuotaAt Millis  `json:"QuotaAt"`
+	Requested float64 `json:"Asked"`
+	Served    float64 `json:"Served"`
+	At        Millis  `json:"At"`
+	Rate      float64 `json:"Rate"` // first attempts per second
+	RateAt    Millis  `json:"RateAt"`
+	Quota     float64 `json:"Quota"` // available tokens
+	QuotaAt   Millis  `json:"QuotaAt"`
 }
 
 // Snapshot returns the state to transfer. After a SiblingProcesses event with two processes it contains
@@ -86,11 +86,11 @@
 		Tenants:        map[string]TenantRecord{},
 	}
 	for name, c := range b.classes {
-		state.Classes[name] = ClassRecord{Asked: c.requested, Served: c.served, At: c.updatedAt,
+		state.Classes[name] = ClassRecord{Requested: c.requested, Served: c.served, At: c.updatedAt,
 			LongestTimeout: c.longestTimeout}
 	}
 	for name, t := range b.tenants {
-		state.Tenants[name] = TenantRecord{Asked: t.requested, Served: t.served, At: t.updatedAt, Rate: t.rate,
+		state.Tenants[name] = TenantRecord{Requested: t.requested, Served: t.served, At: t.updatedAt, Rate: t.rate,
 			RateAt: t.rateAt, Quota: t.quota.available, QuotaAt: t.quota.refilledAt}
 	}
 	for _, s := range b.servers.known {
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// tokenBucket holds tokens that accrue either with time or with events.
+// tokenBucket holds tokens that are added either with time or by events.
 type tokenBucket struct {
 	available  float64 // available tokens
 	refilledAt Millis
@@ -18,10 +18,10 @@
 
 // refillPhased refills a bucket that may save at most capacity tokens, where capacity may be below 1.
 //
-// If capacity is below 1, an accrued token is usable only for a limited time: for the fraction capacity of
-// the time in which the next token accrues. Then it expires. If the nodes start with random fill levels,
-// the fraction of nodes with a usable token at any moment is about capacity, so the fleet saves only what
-// it may save in total. Otherwise every node could save a token, and all could spend them at the same time.
+// If capacity is below 1, a token expires before the next one is complete: it is usable for capacity times
+// the time in which a token accrues. If the nodes start with random fill levels, the fraction of nodes with
+// a usable token is about capacity at any moment, so the tokens saved by all nodes together stay within the
+// limit of the fleet. Otherwise each node could save a token, and all could spend them at the same time.
 func (t *tokenBucket) refillPhased(now Millis, rate, capacity float64) float64 {
 	t.refill(now, rate, math.Inf(1))
 	if capacity >= 1 {
