--- a/balancer/characterization_test.go
+++ b/balancer/characterization_test.go
@@ -82,7 +82,7 @@
 	addToChecksum func(format string, args ...any)
 	actions       int
 	kinds         map[string]int
-	next          RequestID
+	lastRequestID RequestID
 	openAttempts  []openAttempt
 	attemptCounts map[RequestID]int
 	finished      map[RequestID]bool
@@ -97,7 +97,7 @@
 	id     RequestID
 	number int
 	server ServerID
-	at     Millis
+	sentAt Millis
 }
 
 func newSequencePlayer(t *testing.T, seed uint64) *sequencePlayer {
@@ -154,7 +154,7 @@
 	}
 }
 
-// recordAction adds an action to the checksum and stores what is needed for a later event that answers it.
+// recordAction adds an action to the checksum, and stores the attempts, probes and timers for which events follow.
 func (p *sequencePlayer) recordAction(a Action) {
 	kind := ""
 	switch a := a.(type) {
@@ -278,9 +278,9 @@
 }
 
 func (p *sequencePlayer) arrival() {
-	p.next++
+	p.lastRequestID++
 	class := []string{"read", "read", "read", "put", "put", "bill", "none"}[p.rng.IntN(7)]
-	e := Arrival{ID: p.next, Class: class, Tenant: []string{"acme", "umbra", ""}[p.rng.IntN(3)], SamplingMark: p.rng.Uint64(),
+	e := Arrival{ID: p.lastRequestID, Class: class, Tenant: []string{"acme", "umbra", ""}[p.rng.IntN(3)], SamplingMark: p.rng.Uint64(),
 		IsRetry: p.rng.IntN(5) == 0, Deadline: p.now + 300 + 1700*p.rng.Float64()}
 	if p.coinFlip() {
 		e.Key = fmt.Sprintf("k%d", p.rng.IntN(30))
@@ -290,7 +290,7 @@
 	}
 	if p.rng.IntN(12) == 0 {
 		e.UploadTimeout = 400
-		p.pendingBodies = append(p.pendingBodies, p.next)
+		p.pendingBodies = append(p.pendingBodies, p.lastRequestID)
 	}
 	p.step(e)
 }
@@ -316,7 +316,7 @@
 	if closed {
 		p.finished[a.id] = true
 	}
-	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: outcome, Elapsed: max(0.2, p.now-a.at), RequestFinished: closed, Report: p.randomLoadReport()})
+	p.step(AttemptCompleted{ID: a.id, Attempt: a.number, Server: a.server, Outcome: outcome, Elapsed: max(0.2, p.now-a.sentAt), RequestFinished: closed, Report: p.randomLoadReport()})
 }
 
 func (p *sequencePlayer) probeEnd() {
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// While the endpoint list is stale, a server may have been draining for long. The balancer must prefer
-// servers that answered recently, since these can't be draining. If there are none, it uses all servers. The
-// next update ends the preference.
+// While the endpoint list is stale, a server may be draining although its entry doesn't say so. The balancer must
+// prefer servers that answered recently, since these can't be draining. If there are none, it uses all servers. It
+// uses all servers again after the next update.
 func TestStaleListPrefersRecentlyAnsweringServers(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(20)...)
 	b.step(EndpointUpdate{Kind: UpdateStale})
@@ -102,14 +102,14 @@
 		id, acts := b.arrive("read", 2000)
 		s := sentTo(acts)
 		if i > 10 && b.balancer.mayBeDraining(b.balancer.servers.byID[s]) {
-			t.Fatalf("sent to %s, which has answered nothing for half of the drain grace", s)
+			t.Fatalf("sent to %s, which has answered no request for half of the drain grace", s)
 		}
 		b.now += 10
 		b.completeAttempt(id, 0, s, OK, 10)
 	}
 	recentlyAnswering := len(b.balancer.candidates(&request{class: b.balancer.classes["read"]}))
 	if recentlyAnswering == 0 || recentlyAnswering == 20 {
-		t.Errorf("candidates with a long stale list = %d, want more than 0 and fewer than 20", recentlyAnswering)
+		t.Errorf("candidates while the list is stale for longer than the drain grace = %d, want more than 0 and fewer than 20", recentlyAnswering)
 	}
 	b.now += 10 * b.balancer.settings.DrainGrace
 	b.step(TimerFired{"sweep"})
@@ -126,9 +126,9 @@
 	}
 }
 
-// discoveryModel simulates a discovery service that answers polls one after the other. It rejects a poll that
-// would wait for more than two seconds: after two seconds, although it still spends the time on it, or at once
-// and without spending time if the wait would exceed four seconds. This behaviour was observed.
+// discoveryModel simulates a discovery service that answers polls one after the other. If the wait would exceed two
+// seconds, the poll is rejected after two seconds, but still takes up the time for its answer. If the wait would
+// exceed four seconds, the poll is rejected immediately and takes up no time. This behaviour was observed.
 type discoveryModel struct {
 	timePerCall Millis
 	busyUntil   Millis
@@ -143,7 +143,7 @@
 	case wait <= maxWait:
 		return d.busyUntil, true
 	case wait > 2*maxWait:
-		d.busyUntil -= d.timePerCall // rejected without spending time on it
+		d.busyUntil -= d.timePerCall // the rejected poll takes up no time
 		d.rejected++
 		return now + 1, false
 	}
@@ -152,12 +152,12 @@
 }
 
 // Nodes that restart together must not keep discovery overloaded by repeating rejected polls immediately. In
-// one run (herd+vast), 42 of 56 nodes knew fewer than half of 42 new servers six seconds after their start,
-// and 24% of the requests were rejected.
+// one run (herd+vast), 42 of 56 nodes had fewer than half of 42 new servers in their list six seconds after their
+// start, and 24% of the requests were rejected.
 func TestRestartedNodesGetListFromOverloadedDiscovery(t *testing.T) {
 	for _, size := range []struct {
 		nodes  int
-		within Millis  // time until 90% of the nodes have the list
+		within Millis  // maximum time until 90% of the nodes have the list
 		calls  float64 // maximum mean number of polls for each node
 	}{{1, 1000, 1}, {8, 1500, 1.5}, {80, 10000, 2}, {300, 13000, 1.5}, {1000, 6000, 1.5}} {
 		discovery := &discoveryModel{timePerCall: 5000 / float64(max(50, size.nodes))} // answers one poll from every node within 5 s
@@ -183,13 +183,13 @@
 			nodes[i] = lb
 			push(scheduledEvent{rand.New(rand.NewPCG(uint64(i), 1)).Float64(), i, EndpointUpdate{Kind: CachedUpdate, Endpoints: testEndpoints(4)}})
 		}
-		var informed []Millis
-		for now := 0.0; len(queue) > 0 && len(informed) < size.nodes && now < 3*size.within; {
+		var receivedAt []Millis // when each node received the list
+		for now := 0.0; len(queue) > 0 && len(receivedAt) < size.nodes && now < 3*size.within; {
 			w := queue[0]
 			queue = queue[1:]
 			now = w.at
 			if update, isUpdate := w.event.(EndpointUpdate); isUpdate && update.Kind == FullUpdate {
-				informed = append(informed, now)
+				receivedAt = append(receivedAt, now)
 			}
 			for _, a := range nodes[w.node].Step(now, w.event) {
 				switch a := a.(type) {
@@ -206,9 +206,9 @@
 				}
 			}
 		}
-		minInformed := (9*size.nodes + 9) / 10
-		if len(informed) < minInformed || informed[minInformed-1] > size.within {
-			t.Errorf("%d nodes: %d have the list, %d polls rejected; want 90%% of the nodes to have it within %v ms", size.nodes, len(informed), discovery.rejected, size.within)
+		requiredNodes := (9*size.nodes + 9) / 10
+		if len(receivedAt) < requiredNodes || receivedAt[requiredNodes-1] > size.within {
+			t.Errorf("%d nodes: %d have the list, %d polls rejected; want 90%% of the nodes to have it within %v ms", size.nodes, len(receivedAt), discovery.rejected, size.within)
 		}
 		if perNode := float64(calls) / float64(size.nodes); perNode > size.calls {
 			t.Errorf("%d nodes: %.1f polls for each node, want at most %v", size.nodes, perNode, size.calls)
@@ -216,8 +216,8 @@
 	}
 }
 
-// The entry of a removed server may lack its cell, which then reads as cell 0. A request with an idempotency
-// key that may have run on the server must stay bound to the original cell.
+// The entry of a removed server may lack the cell, and the Endpoint then contains cell 0. A request with an
+// idempotency key that may have run on the server must still be retried only in the original cell.
 func TestRemovedEntryKeepsDedupScope(t *testing.T) {
 	for name, update := range map[string]Endpoint{
 		"gone":       {ID: "s1", State: Removed},
@@ -243,8 +243,8 @@
 	}
 }
 
-// The time between polls must stay within MaxPollBackoff, so that a change of the list is known in time. It
-// once grew to 7.5 s, and the first poll came up to 5 s after the start, to which the caller's delays are added.
+// The time between polls must stay within MaxPollBackoff, so that a node receives a changed list in time. In a
+// former version it grew to 7.5 s, and the first poll came up to 5 s after the start. The caller adds further delays.
 func TestPollBackoffStaysWithinMaximum(t *testing.T) {
 	for _, nodes := range []int{1, 2, 8, 36, 80, 300, 350, 1024} {
 		for seed := range uint64(20) {
--- a/balancer/fairness_test.go
+++ b/balancer/fairness_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// While the server is overloaded by a tenant far over its quota, the requests of a tenant within its quota
-// go first.
+// While a tenant far over its quota overloads the server, the requests of a tenant within its quota are
+// dispatched first.
 func TestTenantWithinQuotaIsServedFirstUnderOverload(t *testing.T) {
 	set := settings()
 	set.Goal = GoalWeights{Overall: 0.7, WorstTenant: 0.3}
@@ -34,6 +34,6 @@
 	}
 	withinQuota, overQuota := float64(sent["meek"])/36, float64(sent["loud"])/364
 	if withinQuota < 0.5 || withinQuota < 2*overQuota {
-		t.Errorf("tenant within quota: %.0f%% served, tenant over quota: %.0f%% served; want at least 50%% and twice as much", 100*withinQuota, 100*overQuota)
+		t.Errorf("tenant within quota: %.0f%% served, tenant over quota: %.0f%% served; want at least 50%% within quota, and at least twice the fraction over quota", 100*withinQuota, 100*overQuota)
 	}
 }
--- a/balancer/finite_test.go
+++ b/balancer/finite_test.go
@@ -61,7 +61,7 @@
 		"interface": []any{inner{math.NaN()}},
 	} {
 		if findNaN("", reflect.ValueOf(v), map[uintptr]bool{}) == "" {
-			t.Errorf("findNaN missed NaN in: %s", name)
+			t.Errorf("findNaN found no NaN behind this kind of reference: %s, want its path", name)
 		}
 	}
 	if path := findNaN("", reflect.ValueOf([]float64{0, math.Inf(1)}), map[uintptr]bool{}); path != "" {
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // contractChecker checks the balancer's guarantees from its events and actions: one final answer for each request, no
-// repeat that could take effect twice, no request to a draining server, one attempt at a time, and the maximum of attempts.
+// repeat that could take effect twice, no request to a draining server, one attempt at a time, and at most MaxAttempts attempts.
 type contractChecker struct {
 	t          *testing.T
 	set        Settings
@@ -23,7 +23,7 @@
 type attemptRecord struct {
 	server     ServerID
 	cell       int
-	at         Millis
+	startedAt  Millis
 	open       bool
 	mayHaveRun bool
 }
@@ -34,13 +34,13 @@
 		case StartAttempt:
 			c.checkAttempt(now, a)
 		case Reject:
-			e := c.requests[a.ID]
-			for _, s := range e.attempts {
-				if s.mayHaveRun && e.class.Idempotency == NonIdempotent || (s.mayHaveRun || s.open) && e.class.Idempotency == IdempotentWithKey {
-					c.t.Fatalf("request %d was rejected, want a failure: its attempt at %s may have run", a.ID, s.server)
+			r := c.requests[a.ID]
+			for _, prev := range r.attempts {
+				if prev.mayHaveRun && r.class.Idempotency == NonIdempotent || (prev.mayHaveRun || prev.open) && r.class.Idempotency == IdempotentWithKey {
+					c.t.Fatalf("request %d was rejected, want a failure: its attempt at %s may have run", a.ID, prev.server)
 				}
 			}
-			e.finalAnswers++
+			r.finalAnswers++
 		case Fail:
 			c.requests[a.ID].finalAnswers++
 		case CancelAttempt:
@@ -57,39 +57,39 @@
 			}
 		}
 	}
-	for id, e := range c.requests {
-		if e.finalAnswers > 1 {
-			c.t.Fatalf("request %d: final answers = %d, want at most 1", id, e.finalAnswers)
+	for id, r := range c.requests {
+		if r.finalAnswers > 1 {
+			c.t.Fatalf("request %d: final answers = %d, want at most 1", id, r.finalAnswers)
 		}
 	}
 }
 
 func (c *contractChecker) checkAttempt(now Millis, a StartAttempt) {
-	e := c.requests[a.ID]
-	if e == nil || e.finished || e.finalAnswers > 0 {
+	r := c.requests[a.ID]
+	if r == nil || r.finished || r.finalAnswers > 0 {
 		c.t.Fatalf("attempt started for request %d, which is finished or unknown", a.ID)
 	}
 	server, ok := c.endpoints[a.Server]
 	if !ok || server.State != Ready {
 		c.t.Fatalf("attempt sent to %s, which is not ready", a.Server)
 	}
-	for _, s := range e.attempts {
-		if s.open {
+	for _, prev := range r.attempts {
+		if prev.open {
 			c.t.Fatalf("request %d has two open attempts, want one", a.ID)
 		}
-		if !s.open && !s.mayHaveRun {
+		if !prev.open && !prev.mayHaveRun {
 			continue
 		}
-		if e.class.Idempotency == NonIdempotent {
+		if r.class.Idempotency == NonIdempotent {
 			c.t.Fatalf("request %d of a non-idempotent class was retried after it may have run", a.ID)
 		}
-		if e.class.Idempotency == IdempotentWithKey && (s.cell != server.Cell || now-s.at > e.class.DedupWindow) {
-			c.t.Fatalf("retry with an idempotency key left its cell or dedup window: from cell %d to %d after %.0f ms", s.cell, server.Cell, now-s.at)
+		if r.class.Idempotency == IdempotentWithKey && (prev.cell != server.Cell || now-prev.startedAt > r.class.DedupWindow) {
+			c.t.Fatalf("retry with an idempotency key left its cell or dedup window: from cell %d to %d after %.0f ms", prev.cell, server.Cell, now-prev.startedAt)
 		}
 	}
-	e.attempts = append(e.attempts, attemptRecord{server: a.Server, cell: server.Cell, at: now, open: true})
-	if len(e.attempts) > c.set.MaxAttempts {
-		c.t.Fatalf("request %d: attempts = %d, want at most %d", a.ID, len(e.attempts), c.set.MaxAttempts)
+	r.attempts = append(r.attempts, attemptRecord{server: a.Server, cell: server.Cell, startedAt: now, open: true})
+	if len(r.attempts) > c.set.MaxAttempts {
+		c.t.Fatalf("request %d: attempts = %d, want at most %d", a.ID, len(r.attempts), c.set.MaxAttempts)
 	}
 }
 
@@ -97,17 +97,17 @@
 func (c *contractChecker) endOpenAttempt(pick int, outcome Outcome, now Millis) Event {
 	for i := range c.requestIDs {
 		id := c.requestIDs[(i+pick)%len(c.requestIDs)]
-		e := c.requests[id]
-		for n := range e.attempts {
-			s := &e.attempts[n]
-			if !s.open {
+		r := c.requests[id]
+		for n := range r.attempts {
+			a := &r.attempts[n]
+			if !a.open {
 				continue
 			}
-			s.open = false
-			s.mayHaveRun = outcome != Overloaded && outcome != Unreachable && outcome != NotSent
-			e.finished = e.finished || outcome == OK
-			return AttemptCompleted{ID: id, Attempt: n, Server: s.server, Outcome: outcome, Elapsed: now - s.at,
-				RequestFinished: e.finished || e.finalAnswers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
+			a.open = false
+			a.mayHaveRun = outcome != Overloaded && outcome != Unreachable && outcome != NotSent
+			r.finished = r.finished || outcome == OK
+			return AttemptCompleted{ID: id, Attempt: n, Server: a.server, Outcome: outcome, Elapsed: now - a.startedAt,
+				RequestFinished: r.finished || r.finalAnswers > 0, Report: LoadReport{Valid: pick%2 == 0, InFlight: float64(pick % 9)}}
 		}
 	}
 	return nil
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -9,24 +9,24 @@
 func TestGossipReportsRequestsInFlight(t *testing.T) {
 	set := probeOnlySettings(2)
 	set.ProbesAllowed = false
-	one := newTestNode(t, set, testEndpoints(2)...)
+	sender := newTestNode(t, set, testEndpoints(2)...)
 	set.Node = 1
-	two := newTestNode(t, set, testEndpoints(2)...)
+	receiver := newTestNode(t, set, testEndpoints(2)...)
 	deliver := func(s ServerID, acts []Action) float64 {
 		for _, a := range acts {
 			if m, ok := a.(BroadcastGossip); ok {
-				two.step(GossipReceived{From: 0, Body: m.Body})
+				receiver.step(GossipReceived{From: 0, Body: m.Body})
 			}
 		}
-		return two.balancer.servers.byID[s].gossipedLoad()
+		return receiver.balancer.servers.byID[s].gossipedLoad()
 	}
-	id, acts := one.arrive("read", 2000)
+	id, acts := sender.arrive("read", 2000)
 	busy := sentTo(acts)
-	if got := deliver(busy, one.actions); got != 1 {
+	if got := deliver(busy, sender.actions); got != 1 {
 		t.Fatalf("gossiped load of %s = %v, want 1", busy, got)
 	}
-	one.now += 20
-	if got := deliver(busy, one.completeAttempt(id, 0, busy, OK, 20)); got != 0 {
+	sender.now += 20
+	if got := deliver(busy, sender.completeAttempt(id, 0, busy, OK, 20)); got != 0 {
 		t.Errorf("gossiped load of %s after the answer = %v, want 0", busy, got)
 	}
 }
@@ -63,8 +63,8 @@
 	}
 }
 
-// A server that fails immediately looks idle and would attract requests. Its failure rate must rise with
-// consecutive failures and with failures reported by gossip, even before it is ejected.
+// A server that fails immediately has few requests in flight, so by its load alone it would be preferred. Its
+// failure rate must rise with consecutive failures and with failures reported by gossip, even before it is ejected.
 func TestFailureRateCountsGossipAndConsecutiveFailures(t *testing.T) {
 	b := newTestNode(t, probeOnlySettings(2), testEndpoints(2)...)
 	s := b.balancer.servers.byID["s0"]
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The latency objective of a retry counts from the first attempt. If the deadline doesn't reveal when that
-// was, part of the objective still counts as used.
+// The latency objective of a retry counts from the first attempt. If the start of that attempt can't be derived
+// from the deadline, part of the objective still counts as used.
 func TestRetryObjectiveCountsFromFirstAttempt(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(1)...)
 	b.arrive("read", 1200) // sets the longest timeout; TotalTimeout is 2000
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -268,7 +268,7 @@
 		t.Errorf("connections opened = %d without a price, want at least 30; %d at price 0.1, want at most half", free, priced)
 	}
 	if n := countDials(0.1, func(int) bool { return true }); n < 190 {
-		t.Errorf("connections opened = %d although each is closed at once, want at least 190 of 200", n)
+		t.Errorf("connections opened = %d although each is closed immediately, want at least 190 of 200", n)
 	}
 	if free, priced := countDials(0, never), countDials(0.001, never); priced < free/2 {
 		t.Errorf("connections opened = %d at price 0.001, want at least half of the %d without a price", priced, free)
@@ -376,7 +376,7 @@
 // Guards against a class with a low priority weight and a long objective that fills the servers until each
 // response takes longer than the objective of the class with the highest weight, and keeps them full after
 // the load has ended (batumi-freight, calm+mass: 0.2% in time). Its requests are sent while the expected
-// time leaves capacity for the other class, and rejected at once otherwise.
+// time leaves capacity for the other class, and rejected immediately otherwise.
 func TestLongObjectivesLeaveCapacityForHigherPriority(t *testing.T) {
 	for elapsed, wantSent := range map[Millis]bool{60: true, 250: false} {
 		set := settings()
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Requests bound to a dedup scope without usable servers must fail at once. They must not count as
+// Requests bound to a dedup scope without usable servers must fail immediately. They must not count as
 // placement failures, which would keep other requests in the queue.
 func TestRequestsOfLostDedupScopeDoNotBlockOthers(t *testing.T) {
 	b := newTestNode(t, settings(), testEndpoints(4)...)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Requests that no server can answer in time must be rejected at once, with a Retry-After.
-func TestRejectAtOnceWithoutCapacity(t *testing.T) {
+// Requests that no server can answer in time must be rejected immediately, with a Retry-After.
+func TestRejectImmediatelyWithoutCapacity(t *testing.T) {
 	b := newTestNode(t, settings()) // no servers at all
 	if _, acts := b.arrive("read", 2000); count[Reject](acts) != 1 {
 		t.Errorf("actions without servers = %v, want one rejection", acts)
@@ -63,8 +63,8 @@
 			if want := tokens > 0 || !spends; retried != want {
 				t.Errorf("outcome %d with %v tokens: retried = %v, want %v", outcome, tokens, retried, want)
 			}
-			if left := b.balancer.retryBudget.available; spends && tokens > 0 && left != 0 || !spends && left != tokens {
-				t.Errorf("outcome %d: available tokens = %v, had %v, spends = %v", outcome, left, tokens, spends)
+			if remaining := b.balancer.retryBudget.available; spends && tokens > 0 && remaining != 0 || !spends && remaining != tokens {
+				t.Errorf("outcome %d: available tokens = %v, had %v before; want a token spent = %v", outcome, remaining, tokens, spends)
 			}
 		}
 	}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -8,14 +8,14 @@
 // New must reject invalid settings with an error that names the setting.
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, invalidate := range map[string]func(*Settings){
-		"nodes":        func(s *Settings) { s.Nodes = 0 },
-		"classes":      func(s *Settings) { s.Classes = nil },
-		"attempts":     func(s *Settings) { s.MaxAttempts = 0 },
-		"cold":         func(s *Settings) { s.SlowStart.InitialCapacity = 1.5 },
-		"cold server":  func(s *Settings) { s.SlowStart.OverloadFactor = 0 },
-		"drain":        func(s *Settings) { s.DrainGrace = -1 },
-		"aim":          func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"needs a wind": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
+		"nodes":          func(s *Settings) { s.Nodes = 0 },
+		"classes":        func(s *Settings) { s.Classes = nil },
+		"attempts":       func(s *Settings) { s.MaxAttempts = 0 },
+		"cold":           func(s *Settings) { s.SlowStart.InitialCapacity = 1.5 },
+		"cold server":    func(s *Settings) { s.SlowStart.OverloadFactor = 0 },
+		"drain":          func(s *Settings) { s.DrainGrace = -1 },
+		"aim":            func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"needs a window": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 	} {
 		set := settings()
 		invalidate(&set)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Guards against a restarted server that gets one request from each of hundreds of nodes at once, and
+// Guards against a restarted server that gets one request from each of hundreds of nodes at the same time, and
 // against one that gets none during slow start because each node's quota is less than one request.
 func TestSlowStartBudgetHoldsAcrossNodes(t *testing.T) {
 	for _, reports := range []bool{true, false} {
--- a/balancer/statetransfer_fixture_test.go
+++ b/balancer/statetransfer_fixture_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fixtureFile contains a state transferred by the version before this package's fields were renamed.
+// fixtureFile contains a state as the version before the renaming of this package's Go fields transferred it.
 const fixtureFile = "testdata/state-v1.json"
 
 // fixturePlayer plays the sequence whose final state is in the fixture.
--- a/balancer/statetransfer_test.go
+++ b/balancer/statetransfer_test.go
@@ -11,13 +11,13 @@
 	set := Settings{Nodes: 3, Classes: []Class{{Name: "look", LatencyObjective: 90, TotalTimeout: 100, PriorityWeight: 1}}, DrainGrace: 2000,
 		SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 9000, OverloadFactor: 3, OverloadWindow: 3000}, MaxAttempts: 1, Goal: GoalWeights{Overall: 1}}
 	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{ID: "cold", Capacity: 1, Started: 1}}}
-	newBalancer := func(seed uint64, left float64) *Balancer {
+	newBalancer := func(seed uint64, tokens float64) *Balancer {
 		lb, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lb.Step(10, list)
-		lb.servers.byID["cold"].slowStart.budget.available = left
+		lb.servers.byID["cold"].slowStart.budget.available = tokens
 		return lb
 	}
 	rate := func(lb *Balancer) float64 { return lb.slowStartRate(lb.servers.byID["cold"]) }
@@ -34,8 +34,8 @@
 	}
 	successor.Step(10, SiblingProcesses{2})
 	successor.Step(10, StateTransferred{state})
-	if left := old.servers.byID["cold"].slowStart.budget.available + successor.servers.byID["cold"].slowStart.budget.available; left != 6 {
-		t.Errorf("budget of both processes = %v, want 6 as before the upgrade", left)
+	if total := old.servers.byID["cold"].slowStart.budget.available + successor.servers.byID["cold"].slowStart.budget.available; total != 6 {
+		t.Errorf("budget of both processes = %v, want 6 as before the upgrade", total)
 	}
 	if both := rate(old) + rate(successor); both > rate(alone)*1.0001 || both < rate(alone)*0.9999 {
 		t.Errorf("slow start rate of both processes = %v per ms, want %v as for one process", both, rate(alone))
@@ -84,7 +84,7 @@
 }
 
 // If the wall clock is stepped by an hour between the starts of a node's two processes, the times in the transferred state are off by an hour.
-// No value may become NaN, after which the node would reject everything, and no time may lie in the future or delay a trial by an hour. If the
+// No value may become NaN, because the node would then reject every request, and no time may lie in the future or delay a trial by an hour. If the
 // state was shifted by the difference of the clocks, all waiting times stay the same.
 func TestRestoreStateAfterClockStep(t *testing.T) {
 	const hour = 3600e3
@@ -97,7 +97,7 @@
 		set := settings()
 		set.LoadReports = true
 		old := newTestNode(t, set, testEndpoints(3)...)
-		old.now += 24 * hour // a clock is never below 0
+		old.now += 24 * hour // so that the time stays positive if the clock is stepped back
 		failUntilEjected(t, old, "s1", Errored)
 		for range 50 {
 			old.serve("read", 5, allOK)
