--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -269,7 +269,7 @@
 		t.Errorf("connections opened = %d without a price, want at least 30; %d at price 0.1, want at most half", unpriced, priced)
 	}
 	if n := countDials(0.1, func(int) bool { return true }); n < 190 {
-		t.Errorf("connections opened = %d although each is closed at once, want at least 190 of 200", n)
+		t.Errorf("connections opened = %d although each is closed immediately, want at least 190 of 200", n)
 	}
 	if unpriced, priced := countDials(0, never), countDials(0.001, never); priced < unpriced/2 {
 		t.Errorf("connections opened = %d at price 0.001, want at least half of the %d without a price", priced, unpriced)
