--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -5,12 +5,12 @@
 import "time"
 
 const (
-	// KillAfter is the shortest time between SIGTERM and SIGKILL in addition to the longest timeout of the deployment
+	// KillAfter plus the longest timeout of the deployment is the shortest time between SIGTERM and SIGKILL
 	// (docs/operating/stops.md).
 	KillAfter = 700 * time.Millisecond
 
-	// MaxTimeout is the longest timeout of a request for which the earliest SIGKILL leaves time. Longer timeouts in the
-	// settings do not delay it.
+	// MaxTimeout limits the longest timeout in the computation of the earliest SIGKILL. A longer timeout in the settings does
+	// not delay SIGKILL.
 	MaxTimeout = 3 * time.Second
 
 	// MaxPause is the longest pause of the process between two steps for which the plan leaves time.
@@ -26,7 +26,7 @@
 	minListenTime = 550 * time.Millisecond
 )
 
-// Plan holds the times of a shutdown's steps, each counted from when the process noticed the signal.
+// Plan holds the times of a shutdown's steps, each measured from the start of the shutdown, when the process handles SIGTERM.
 type Plan struct {
 	// CloseIdle is when the node starts to close idle connections.
 	CloseIdle time.Duration
@@ -34,11 +34,11 @@
 	CloseListener time.Duration
 	// RejectIncomplete is when the node starts to reject requests that have not been received completely.
 	RejectIncomplete time.Duration
-	// LastAdmission is the time until which requests are admitted. A request that is read later is rejected at once as not
-	// run. Admitted requests may still be forwarded or retried until LastResponse.
+	// LastAdmission is the time until which requests are admitted. A request that is read later is rejected at once, before
+	// any server has run it. Admitted requests may still be forwarded or retried until LastResponse.
 	LastAdmission time.Duration
 	// LastResponse is the time by which every response is written; no request waits longer. From then on the listener is
-	// closed when its queue is empty, and MaxPause later in any case.
+	// closed as soon as its accept queue is empty, and at the latest MaxPause after LastResponse.
 	LastResponse time.Duration
 	// Kill is the earliest time of SIGKILL.
 	Kill time.Duration
@@ -50,7 +50,8 @@
 		longestTimeout = MaxTimeout
 	}
 	kill := longestTimeout + KillAfter
-	// The process may be paused before it notices the signal, and again right before it writes the last response.
+	// The process may be paused after SIGTERM is sent and before the shutdown starts, and again right before it writes the last
+	// response.
 	lastResponse := kill - 2*MaxPause
 	lastAdmission := lastResponse - MaxPause
 	return Plan{
@@ -63,13 +64,13 @@
 	}
 }
 
-// Start returns the schedule of a plan that starts now, when the process noticed the signal.
+// Start returns the schedule of a plan. Now is the time at which the shutdown starts.
 func (p Plan) Start(now time.Time) *Schedule { return &Schedule{Plan: p, Began: now} }
 
 // Schedule is a plan with its start time.
 type Schedule struct {
 	Plan
-	Began time.Time // when the process noticed the signal
+	Began time.Time // when the shutdown started
 }
 
 // Reached reports whether the time of a step has been reached.
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -55,6 +55,6 @@
 			e.broadcaster.Broadcast(a.Body)
 		}
 	case balancer.Log:
-		e.log.Info(a.Text, "code", "module") // this code predates the name "balancer"
+		e.log.Info(a.Text, "code", "module") // the log code keeps the balancer's former name
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -233,11 +233,11 @@
 }
 
 func TestTimersOfBalancerFireInOrder(t *testing.T) {
-	const farAhead = 1e15 // of any clock, in milliseconds
+	const distantFuture = 1e15 // Unix milliseconds, long after the end of the test
 	now := clock.New().Now()
 	e, s, clk, _ := startEngine(t, func(ev balancer.Event) []balancer.Action {
 		if _, ok := ev.(balancer.EndpointUpdate); ok {
-			return []balancer.Action{balancer.SetTimer{Token: "never", At: farAhead},
+			return []balancer.Action{balancer.SetTimer{Token: "never", At: distantFuture},
 				balancer.SetTimer{Token: "soon", At: now + 40}, balancer.SetTimer{Token: "past", At: 1}}
 		}
 		return nil
@@ -289,7 +289,8 @@
 	}
 	ticket.Cancel() // as the watcher of the client's connection does shortly after
 	if !e.RunBetweenSteps(func() {}) || count.Attempts.ClientDisconnected.Get() != 1 || count.Attempts.Open.Get() != 0 {
-		t.Errorf("unwanted = %d, in flight = %d, want 1 and 0", count.Attempts.ClientDisconnected.Get(), count.Attempts.Open.Get())
+		t.Errorf("disconnected clients = %d, attempts in flight = %d, want 1 and 0", count.Attempts.ClientDisconnected.Get(),
+			count.Attempts.Open.Get())
 	}
 	if len(request.responses) > 0 {
 		t.Error("a disconnected client was answered")
--- a/internal/engine/mailbox.go
+++ b/internal/engine/mailbox.go
@@ -71,7 +71,7 @@
 // ReceiveGossip passes a message from another node to the balancer.
 func (e *Engine) ReceiveGossip(m balancer.GossipReceived) { e.post(eventPosted{m}) }
 
-// Post passes an event that concerns no request to the balancer.
+// Post passes the balancer an event that does not belong to a request.
 func (e *Engine) Post(event balancer.Event) { e.post(eventPosted{event}) }
 
 // RunBetweenSteps runs f between two steps on the goroutine that owns the balancer, and waits for it
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -14,8 +14,9 @@
 	attempts         []*attempt
 	attemptsInFlight int
 	finished         bool // answered or cancelled
-	// bodyPending is set while the body is uploaded. Attempts have no deadline until the upload
-	// ends: a complete body sets one, and a failed upload cancels the request.
+	// bodyPending is true while the body is being uploaded. Attempts have no deadline during that
+	// time: handleBodyReceived sets it when the body is complete. If the upload fails, the request is
+	// cancelled.
 	bodyPending bool
 }
 
@@ -43,8 +44,8 @@
 	e.step(arrival)
 }
 
-// handleBodyReceived sets the deadline of a request whose body is complete and those of its attempts.
-// The elapsed time of the attempts is counted from here.
+// handleBodyReceived sets the deadlines of a request and of its attempts once the body is complete. The
+// elapsed time of these attempts is measured from that moment.
 func (e *Engine) handleBodyReceived(r *pendingRequest, deadline balancer.Millis) {
 	if r.finished {
 		return
@@ -70,7 +71,7 @@
 	for _, a := range r.attempts {
 		e.cancelAttempt(a)
 	}
-	e.forgetIfFinished(r)
+	e.removeIfFinished(r)
 }
 
 // startAttempt starts an attempt. If the request is finished, past its deadline or out of attempts,
@@ -101,7 +102,7 @@
 }
 
 // attemptDeadline returns the time at which the attempt is aborted: the earlier of its own deadline and
-// the request's, and none while the body is still being uploaded.
+// the request's, or infinity while the body is still being uploaded.
 func (r *pendingRequest) attemptDeadline(action balancer.StartAttempt) balancer.Millis {
 	if r.bodyPending {
 		return math.Inf(1)
@@ -159,7 +160,7 @@
 	}
 	e.step(balancer.AttemptCompleted{ID: r.id, Attempt: a.index, Server: a.server, Outcome: c.Outcome, Elapsed: c.Elapsed,
 		RequestFinished: r.finished, Report: c.Report})
-	e.forgetIfFinished(r)
+	e.removeIfFinished(r)
 }
 
 func (e *Engine) handleProbeCompleted(server balancer.ServerID, c Completion) {
@@ -179,7 +180,7 @@
 		response.Kind = TimedOut
 	}
 	e.respond(r, response)
-	e.forgetIfFinished(r)
+	e.removeIfFinished(r)
 }
 
 // respond passes the final response to the request unless it is finished already.
@@ -191,7 +192,7 @@
 	r.source.Respond(response)
 }
 
-func (e *Engine) forgetIfFinished(r *pendingRequest) {
+func (e *Engine) removeIfFinished(r *pendingRequest) {
 	if r.finished && r.attemptsInFlight == 0 {
 		delete(e.requests, r.id)
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -24,25 +24,26 @@
 	Abort() (mayHaveRun bool)
 }
 
-// Completion is the result of an attempt or a load probe. A body is passed on only if its request still
-// waits for a response.
+// Completion is the result of an attempt or a load probe. The body is sent to the client only if the
+// request has not been answered yet.
 type Completion struct {
 	Outcome            balancer.Outcome
 	Elapsed            balancer.Millis
 	Report             balancer.LoadReport
-	Body               []byte        // of a served response: all of it, or its beginning if Remaining is set
+	Body               []byte        // the complete response body, or its beginning if Remaining is set
 	Remaining          RemainingBody // the rest of the body; nil if Body is complete
-	ClientDisconnected bool          // not completely written, because the client had disconnected
+	ClientDisconnected bool          // the request was not completely written, because the client had disconnected
 }
 
-// discard releases the rest of a response body that is not passed on.
+// discard closes the rest of a response body that is not sent to the client.
 func (c Completion) discard() {
 	if c.Remaining != nil {
 		c.Remaining.Close()
 	}
 }
 
-// RemainingBody is the part of a large response that has not been received yet. Its receiver closes it.
+// RemainingBody is the part of a large response that has not been received yet. The code to
+// which it is passed must close it.
 type RemainingBody interface {
 	Size() int64           // of the complete body in bytes; -1 if unknown
 	SetDeadline(time.Time) // the time at which the client gives up; called before the first Read, if at all
@@ -53,7 +54,7 @@
 // Response is the final response to a request.
 type Response struct {
 	Kind       ResponseKind
-	Body       []byte          // of a served request: all of it, or its beginning if Remaining is set
+	Body       []byte          // of a served request: the complete body, or its beginning if Remaining is set
 	Remaining  RemainingBody   // the rest of the body; nil if Body is complete
 	RetryAfter balancer.Millis // of a rejected request; 0: none
 }
@@ -77,7 +78,7 @@
 
 	// WriteDeadline is the time after which the last byte must not be written; zero: no limit.
 	WriteDeadline time.Time
-	// ClientWaiting reports whether the client is still connected; nil: it always is. It is called
+	// ClientWaiting reports whether the client is still connected; nil: not checked. It is called
 	// right before the first byte is written and before the last chunk of a large body, because the
 	// client's cancellation may still be queued in the engine's mailbox.
 	ClientWaiting func() bool
@@ -86,7 +87,7 @@
 // RequestBody is a large request body that is stored outside memory.
 type RequestBody interface {
 	Size() int64 // in bytes
-	Retain()     // keeps the body until one more call of Release
+	Retain()     // adds a reference, which needs one more call of Release
 	Release()
 	// ForEachChunk calls each with every chunk in order. A chunk is valid during the call only.
 	ForEachChunk(each func(chunk []byte, last bool) error) error
@@ -104,8 +105,8 @@
 // CheckWritable returns ErrWriteDeadline or ErrClientDisconnected if the last byte must no longer be
 // written, else nil.
 //
-// A retry that is written after the end of its dedup window may run a second time, and the response to
-// a request whose client has disconnected is of no use.
+// If a retry is written after the end of its dedup window, a server may run the request a second time.
+// If the client has disconnected, nobody receives the response.
 func (r OutgoingRequest) CheckWritable() error {
 	if !r.WriteDeadline.IsZero() && !time.Now().Before(r.WriteDeadline) {
 		return ErrWriteDeadline
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// timer is a timer that the balancer set, or the deadline of an attempt.
+// timer is a pending timer of the balancer or the deadline of an attempt.
 type timer struct {
 	fireAt  float64  // Unix milliseconds of the node's clock
 	seq     uint64   // timers due at the same time fire in the order they were set
-	token   string   // passed back to the balancer when its timer fires; unused if attempt is set
+	token   string   // passed to the balancer when the timer fires; unused if attempt is set
 	attempt *attempt // the attempt that times out; nil for a timer of the balancer
 }
 
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,6 +1,6 @@
-// Package inflight tracks the requests that a node must answer, over all listeners, protocols and goroutines. A request is in
-// flight from the time when its last byte was read until its complete response was passed to the kernel. A graceful shutdown
-// ends only when no request is in flight.
+// Package inflight tracks the requests that a node must answer, across all listeners, protocols and goroutines. A request is
+// in flight from the time when its last byte was read until its complete response was passed to the kernel. A graceful
+// shutdown ends only when no request is in flight.
 package inflight
 
 import (
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Outcome is the way in which a request ended.
+// Outcome is how a request ended.
 type Outcome int
 
 // The outcomes.
 const (
 	Answered           Outcome = iota // the complete response was passed to the kernel
-	Rejected                          // as Answered, and the response was a rejection
-	ClientDisconnected                // the client disconnected before its response
+	Rejected                          // the complete response was passed to the kernel; it was a rejection
+	ClientDisconnected                // the client disconnected before the response was ready
 	Unanswered                        // the response could not be written completely
 
 	outcomeCount = iota
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// validate checks whether a request is well-formed. classFound is whether the settings contain the class that the request
-// names.
+// validate returns the rejection of a malformed request, or nil. ClassFound reports whether the settings contain the class of
+// the request.
 func (in *received) validate(class balancer.Class, classFound bool) *Rejection {
 	switch {
 	case in.id == "" || len(in.id) > maxIDBytes:
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// rejectIfDraining rejects a request that was read after the last admission of a shutdown, else returns nil. No server has run
-// the request, and the client still has time to retry it at another node.
+// rejectIfDraining returns the rejection of a request that was read after the last admission of a shutdown, or nil if the
+// request may be admitted. No server has run a rejected request, and the client still has time to retry it at another node.
 func (h *Handler) rejectIfDraining() *Rejection {
 	schedule := h.schedule.Load()
 	if schedule == nil || !schedule.Reached(schedule.LastAdmission, time.Now()) {
@@ -46,8 +46,8 @@
 // watchdogDelay returns how long after a request's deadline its watchdog fires, in milliseconds.
 func (h *Handler) watchdogDelay() balancer.Millis { return h.options.DeadlineSlack + watchdogMargin }
 
-// shortenDeadline applies the limit of a shutdown to a request that was in flight when it began, and resets the watchdog. It
-// reports whether the new deadline is earlier than the previous one.
+// shortenDeadline applies the limit of a shutdown to a request that was in flight when the shutdown began. If the
+// new deadline is earlier than the previous one, it resets the watchdog and returns true.
 func (r *request) shortenDeadline(watchdog *time.Timer) bool {
 	deadline := r.handler.limitDeadline(r.deadline)
 	if deadline >= r.deadline {
@@ -63,7 +63,7 @@
 	return clock.Duration(r.deadline + r.handler.watchdogDelay() - r.handler.options.Clock.Now())
 }
 
-// shutdownTimeoutOutcome is the outcome of a request that ran into a deadline shortened by a shutdown.
+// shutdownTimeoutOutcome returns the outcome of a request whose deadline was shortened by a shutdown and has passed.
 func shutdownTimeoutOutcome() outcome {
 	return outcome{status: fasthttp.StatusGatewayTimeout, kind: engine.TimedOut}
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -7,8 +7,8 @@
 	"tackhub.example/tackhub/internal/drain"
 )
 
-// A request that is read after a shutdown's last admission has no time left for a server's response. It must be rejected at once
-// as not run. A request that is read earlier is admitted.
+// A request that is read after a shutdown's last admission has no time left for a server's response. It must be rejected at once,
+// before any server has run it. A request that is read earlier is admitted.
 func TestRejectRequestsAfterLastAdmission(t *testing.T) {
 	plan := drain.NewPlan(time.Second)
 	for name, c := range map[string]struct {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -55,12 +55,12 @@
 	Clock         clock.Clock
 	Bodies        *body.Store
 	Classes       []balancer.Class
-	DeadlineSlack balancer.Millis // how many milliseconds after its deadline a response still counts
+	DeadlineSlack balancer.Millis // how long after the client's deadline a response may still be sent
 	Log           *slog.Logger
 	Counters      *counters.Counters
 }
 
-// Handler handles requests in all stages.
+// Handler handles requests from their arrival to their final response.
 type Handler struct {
 	options Options
 	classes map[string]balancer.Class // by name
@@ -84,7 +84,7 @@
 	return h
 }
 
-// Serve handles one request in all stages. A panic ends only this request and its connection.
+// Serve handles one request from its arrival to its final response. A panic ends only this request and its connection.
 func (h *Handler) Serve(ctx *fasthttp.RequestCtx, client Client) {
 	r := newRequest(h, client)
 	h.options.Counters.Requests.Taken.Inc()
@@ -124,8 +124,8 @@
 func (r *request) reject(ctx *fasthttp.RequestCtx, rejected *Rejection) {
 	r.finish(ctx, rejected.outcome())
 	if rejected.Status < fasthttp.StatusInternalServerError {
-		// The client is at fault. The connection is closed without reading further requests from it, which stops a flood
-		// at its first bad request.
+		// The client sent a bad request. Its connection is closed without reading further requests, so that a client that
+		// sends many bad requests is stopped at the first one.
 		r.client.SetCloseReason(ReasonBadRequest)
 		ctx.SetConnectionClose()
 	}
--- a/internal/proxy/receive.go
+++ b/internal/proxy/receive.go
@@ -28,7 +28,7 @@
 
 // received is a request as it was read. The values of its header fields are not validated yet.
 type received struct {
-	receivedAt     balancer.Millis // when the last byte was read, the earliest time that the node knows
+	receivedAt     balancer.Millis // when the last byte was received, the earliest time that the node can measure
 	method         string
 	uri            []byte // valid until Serve returns
 	id             string
@@ -79,7 +79,7 @@
 	return int64(len(in.body))
 }
 
-// originForm converts a request target in absolute form (RFC 9112, section 3.2.2) to the origin form, in which servers get it.
+// originForm converts a request target in absolute form (RFC 9112, section 3.2.2) to the origin form, which servers expect.
 func originForm(target []byte) []byte {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(target) < len(scheme) || !bytes.EqualFold(target[:len(scheme)], []byte(scheme)) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,7 +9,7 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// request is the state of a client's request in all stages. It implements engine.Request.
+// request is the state of a client's request from its arrival to its final response. It implements engine.Request.
 type request struct {
 	handler  *Handler
 	client   Client
--- a/internal/proxy/requestids.go
+++ b/internal/proxy/requestids.go
@@ -3,7 +3,7 @@
 import "sync"
 
 const (
-	// maxIDBytes is the maximum length of a request id; clients send sixteen characters.
+	// maxIDBytes is the maximum length of a request id in bytes; clients send sixteen characters.
 	maxIDBytes = 256
 
 	// maxSiblingIDs is the maximum number of stored ids of the sibling process. That process has at most one open request
@@ -51,7 +51,8 @@
 	}
 }
 
-// setPublisher publishes the ids that are open and, from then on, each change. It deletes the sibling's ids.
+// setPublisher sets the function that is called on each change (nil: none), calls it for each open id, and deletes the sibling's
+// ids.
 func (ids *requestIDs) setPublisher(publish func(id string, open bool)) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -82,11 +83,11 @@
 }
 
 // PublishRequestIDs calls publish for each request id that is open now, and from then on whenever an id is opened or closed,
-// until it is called with nil. publish must not block. The ids recorded by TrackSiblingRequestID are deleted.
+// until PublishRequestIDs is called with nil. publish must not block. The ids recorded by TrackSiblingRequestID are deleted.
 func (h *Handler) PublishRequestIDs(publish func(id string, open bool)) { h.ids.setPublisher(publish) }
 
 // TrackSiblingRequestID records that the sibling process has opened or closed an id during an upgrade. This process rejects
-// requests with an id that is open there.
+// requests with an id that is open in the sibling process.
 func (h *Handler) TrackSiblingRequestID(id string, open bool) {
 	if !h.ids.trackSibling(id, open) {
 		h.options.Counters.Handover.Dropped.Inc()
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// watchdogMargin is how long the watchdog waits, in milliseconds, after the last time at which a response counts by the
-	// settings (the deadline and DeadlineSlack), before it ends a request that the balancer has not answered. Clients wait
-	// 50 ms after that time; half of it is left for the transmission of the response.
+	// watchdogMargin is the time, in milliseconds, from the end of DeadlineSlack until the watchdog ends a request that the
+	// balancer has not answered. Clients wait for 50 ms after the end of DeadlineSlack, so half of that time remains for the
+	// transmission of the response.
 	watchdogMargin = 25
 
 	// statusClientClosedRequest is the status for a client that has disconnected, or has closed only its sending side.
@@ -26,7 +26,7 @@
 	body               []byte
 	retryAfter         float64         // in milliseconds; 0: no Retry-After field
 	rejectCode         string          // code of the rejection; "" if the request was admitted
-	clientDisconnected bool            // the client disconnected before its response
+	clientDisconnected bool            // the client disconnected before the response was ready
 	overdue            bool            // ended by the watchdog
 	stream             *responseStream // a large response that is still being written
 }
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -9,7 +9,7 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Fault is an error in one setting. Key is the path of the setting, in which list entries are numbers
+// Fault is an error in one setting. Key is the path of the setting, in which list entries are numbered
 // from 0. Text describes the error for operators and refers to a class by its name.
 type Fault struct{ Key, Text string }
 
@@ -28,7 +28,7 @@
 	return strings.Join(out, "; ")
 }
 
-// Faults returns the faults that an error of Parse contains, at least one.
+// Faults returns the faults that an error of Parse contains. It always returns at least one.
 func Faults(err error) []Fault {
 	var found faults
 	if errors.As(err, &found) {
@@ -38,7 +38,7 @@
 }
 
 // checkClasses returns a fault for each class whose name is empty or repeated, or whose effect or group is
-// unknown. The group matters only to idempotent classes with a key.
+// unknown. The group is checked only for idempotent classes with a key.
 func checkClasses(o *options) faults {
 	var out faults
 	for i, c := range o.Classes {
@@ -82,7 +82,7 @@
 }
 
 // reportModes lists the values of report.how: load reports arrive with responses, with load probes or not at
-// all. The empty value is that of a missing key.
+// all. The empty value means that the key is missing.
 var reportModes = []string{"", "answers", "probe", "none"}
 
 // checkRanges returns a fault for each value that is out of range. A missing key has the value 0.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,14 +21,14 @@
 	ReportFields  []string // the names of a load report's fields, in order
 
 	ServerIdleTimeout balancer.Millis // idle time after which servers close a connection; 0: never
-	ResponseSlack     balancer.Millis // how long after the client's deadline a final response still counts
+	ResponseSlack     balancer.Millis // how long after the client's deadline a final response may still be sent
 
 	// Digest is equal for equal settings in every version of the program.
 	Digest string
 }
 
 // Parse parses and validates the settings object. Its error names every required key that is missing and
-// every value that is unknown or out of range; All returns them as a list.
+// every value that is unknown or out of range; Faults returns them as a list.
 func Parse(raw json.RawMessage) (Settings, error) {
 	var o options
 	if err := json.Unmarshal(raw, &o); err != nil {
@@ -50,9 +50,9 @@
 	return set, nil
 }
 
-// reportIndexes returns the indexes of the requests in flight and of the queued requests in a load
-// report. They are -1 if the report does not contain them or no reports can arrive: reports that come
-// with load probes require that probes are allowed.
+// reportIndexes returns the indexes of two fields of a load report: the requests in flight and the queued
+// requests. An index is -1 if the report does not contain the field. Both are -1 if no reports can
+// arrive: there are none, or they arrive with load probes and the settings do not allow probes.
 func reportIndexes(o *options) (inFlight, queued int) {
 	probesForbidden := o.Report.How == "probe" && !o.Limits.Probes
 	if o.Report.How == "none" || probesForbidden {
