--- a/internal/body/file.go
+++ b/internal/body/file.go
@@ -9,7 +9,7 @@
 )
 
 // File holds the body of a request in an unnamed file. One goroutine fills it with Fill while others may already read it
-// with ForEachChunk. A user that may still need the File after its creator calls Release must call Retain first.
+// with ForEachChunk. Code that may still use the File after its creator calls Release must call Retain first.
 type File struct {
 	store         *Store
 	file          *os.File
@@ -173,7 +173,7 @@
 // ForEachChunk calls handle for each chunk of the body in order, as the chunks are received. A chunk is valid only during
 // the call. Last marks the last chunk, which is not passed until the body is complete: a server runs a request once it has
 // the last byte, and an incomplete request must not run. The errors are ErrNoCapacity, ErrStorage (also if the body ends
-// incomplete) and those of handle.
+// before it is complete) and those of handle.
 func (f *File) ForEachChunk(handle func(chunk []byte, last bool) error) error {
 	buffer, err := f.store.AcquireBuffer()
 	if err != nil {
@@ -210,8 +210,8 @@
 	}
 }
 
-// waitForMore waits until the body has more than offset bytes or has ended. The error is why the body ended incomplete. The
-// wait is bounded, because a body whose sender falls below the minimum rate is ended.
+// waitForMore waits until the body has more than offset bytes or has ended. It returns an error if the body has ended
+// before it was complete. The wait is bounded, because a body whose sender falls below the minimum rate is ended.
 func (f *File) waitForMore(offset int64) (size int64, ended bool, err error) {
 	for {
 		f.mu.Lock()
--- a/internal/ingress/accept.go
+++ b/internal/ingress/accept.go
@@ -21,8 +21,8 @@
 )
 
 // Serve accepts connections until a graceful shutdown stops it or the listener fails permanently, and returns once every
-// connection has ended. In both cases it waits until every request that was read has its response, without a time limit. The
-// error is that of the listener.
+// connection has ended. In both cases it waits until every request that was read has its response, without a time limit. It
+// returns the error of the listener, if any.
 func (s *Server) Serve(l Listener) error {
 	err := s.acceptAll(l)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return err
 }
 
-// ignoreClosed returns err, or nil if err only says that the listener was already closed.
+// ignoreClosed returns err, or nil if err means that the listener was already closed.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -99,7 +99,7 @@
 		_ = tcpConn.Close() // the connection has already failed
 		return
 	}
-	if !c.hasUnread() && !s.draining() { // the kernel has deferred the silent connection for deferAcceptTime
+	if !c.hasUnread() && !s.draining() { // no data yet, so the kernel deferred the connection for deferAcceptTime
 		c.idleSince = c.idleSince.Add(-deferAcceptTime)
 		c.requestBegan = c.requestBegan.Add(-deferAcceptTime)
 	}
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -29,8 +29,8 @@
 // pastDeadline is a read deadline that makes the pending read and every later read fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// conn is a client's connection. It records whether it is idle, which means between two requests, because the node may close
-// only an idle connection or one whose request is incomplete.
+// conn is a client's connection. It is idle while it is between two requests. The node may close a connection only if it is
+// idle or its request is incomplete, so conn records these states.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
@@ -41,10 +41,10 @@
 	idle              bool   // waiting for a request's first byte
 	inFlight          bool   // a request was read and has no response yet
 	uploading         bool   // the rest of the body of the request in flight is still being read
-	handled           bool   // the latest request has its response, which may not be written yet
+	handled           bool   // the response to the latest request is ready, but may not be written yet
 	nodeCloseReason   string // why the node closes the connection; "" if it does not
-	closingIncomplete bool   // closing with an incomplete request: only bytes received already are read
-	closeReason       string // the first reason for which the connection ends; "" if there is none yet
+	closingIncomplete bool   // closing with an incomplete request: only bytes that have already arrived are read
+	closeReason       string // why the connection ends; only the first reason is kept; "" if there is none yet
 
 	idleSince    time.Time
 	lastRead     time.Time
@@ -118,8 +118,8 @@
 }
 
 // readPendingRequest reads a request that arrived while the node was closing the connection because of a shutdown, an eviction
-// or the idle timeout. Such a request is still served. N and err are the results of the previous read, which are returned
-// if no new deadline can be set.
+// or the idle timeout. Such a request is still served. If no new deadline can be set, it returns n and err, the results of
+// the previous read.
 func (c *conn) readPendingRequest(p []byte, n int, err error) (int, error) {
 	if deadlineErr := c.Conn.SetReadDeadline(time.Now().Add(headTimeout)); deadlineErr == nil {
 		n, err = c.Conn.Read(p)
@@ -156,12 +156,12 @@
 	return closeClientReset
 }
 
-// kernelBufferTime returns how long the bytes just read were waiting in the kernel's buffer. Without it, an old request would
-// count as new after a pause of the process or behind a long backlog, and the node would work for a client that has already
-// given up.
+// kernelBufferTime returns how long the bytes just read were waiting in the kernel's buffer. Read subtracts this time from the
+// arrival time. Otherwise a request that waited in the buffer during a pause of the process or behind a long backlog would count
+// as new, and the node would forward it although its client has already given up.
 func (c *conn) kernelBufferTime() time.Duration {
 	var buffered time.Duration
-	_ = c.raw.Control(func(fd uintptr) { // if it fails, the time is taken as 0
+	_ = c.raw.Control(func(fd uintptr) { // if it fails, the function returns 0
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
 			buffered = time.Duration(info.Last_data_recv) * time.Millisecond
@@ -200,7 +200,7 @@
 }
 
 // SetReadDeadline sets the read deadline, unless the node is closing the connection. The HTTP server sets a deadline whenever
-// it begins to read, which must not undo the past deadline that closes the connection.
+// it begins to read, which must not replace pastDeadline on a connection that is being closed.
 func (c *conn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -92,7 +92,7 @@
 	}{
 		{"closed between requests", closeClientClosed, func(client net.Conn, _ *conn) { _ = client.Close() }},
 		{"idle", closeIdleTimeout, func(_ net.Conn, c *conn) { _ = c.SetReadDeadline(time.Unix(1, 0)) }},
-		{"cut", closeClientAborted, func(client net.Conn, c *conn) {
+		{"closed during a request", closeClientAborted, func(client net.Conn, c *conn) {
 			_, _ = client.Write([]byte("GET"))
 			_, _ = c.Read(make([]byte, 8))
 			_ = client.Close()
--- a/internal/ingress/descriptors.go
+++ b/internal/ingress/descriptors.go
@@ -17,8 +17,8 @@
 func (s *Server) connLimit() int { return int(min(s.maxConns.Load(), s.maxConnsByDescriptors.Load())) }
 
 // checkDescriptor adapts the connection limit to the descriptor number of a new connection. The kernel assigns the lowest free
-// number, so a high one shows that few descriptors are left, whatever uses the others. The limit of the process is read each
-// time, because it can be lowered while the process runs.
+// number, so a high one shows that few descriptors are left, regardless of what uses the others. The limit of the process is
+// read each time, because it can be lowered while the process runs.
 func (s *Server) checkDescriptor(tcpConn *net.TCPConn) {
 	var fdLimit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &fdLimit); err != nil {
@@ -37,11 +37,11 @@
 		return
 	}
 	if conns := int64(s.connCount()) + 1; conns >= s.maxConnsByDescriptors.Load() {
-		s.maxConnsByDescriptors.Store(conns + 1) // one more connection fits at least
+		s.maxConnsByDescriptors.Store(conns + 1) // at least one more connection is possible
 	}
 }
 
-// lowerLimit sets the limit on connections to the current number of connections, but at least to minConns.
+// lowerLimit sets the limit on connections to the current number of connections, but not below minConns.
 func (s *Server) lowerLimit() {
 	n := max(minConns, int64(s.connCount()))
 	s.maxConnsByDescriptors.Store(n)
--- a/internal/ingress/disconnect.go
+++ b/internal/ingress/disconnect.go
@@ -38,8 +38,8 @@
 }
 
 // WatchDisconnect returns a channel that is closed when the client closes the connection, and a function that stops the watch.
-// The watch only peeks, so that no byte of a following request is lost. It continues when such bytes arrive, and wakes once
-// for each arrival.
+// The watch only peeks, so that no byte of a following request is lost. The watch continues when such bytes arrive; its
+// goroutine wakes up once for each arrival.
 func (c *conn) WatchDisconnect() (clientClosed <-chan struct{}, stop func()) {
 	disconnected := make(chan struct{})
 	done := make(chan struct{})
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// drainInterval is how often a graceful shutdown checks its progress. It is also how long no new connection must arrive for
-	// the accept queue to count as empty.
+	// drainInterval is how often a graceful shutdown checks its progress. It is also the time without a new connection
+	// after which the accept queue counts as empty.
 	drainInterval = 10 * time.Millisecond
 
 	// lateEmptyQueueTimeout replaces drainInterval in the check for an empty accept queue after Schedule.LastAdmission, when
 	// every request that is read is rejected.
 	lateEmptyQueueTimeout = 2 * time.Millisecond
 
-	// firstRequestTimeout is how long a connection accepted during a drain may take to send its first request.
+	// firstRequestTimeout is how long a client may take to send the first request on a connection accepted during a drain.
 	firstRequestTimeout = 100 * time.Millisecond
 )
 
@@ -33,12 +33,12 @@
 			s.options.Log.Warn("cannot turn off deferred accept", "code", "defer_accept", "error", err)
 		}
 	}
-	_ = l.SetDeadline(time.Now()) // wakes Serve, which also detects a broken listener
+	_ = l.SetDeadline(time.Now()) // wakes Serve; the error is ignored because Serve itself detects a broken listener
 }
 
 func (s *Server) draining() bool { return s.schedule.Load() != nil }
 
-// emptyQueueTimeout returns how long no new connection must arrive for the accept queue to count as empty.
+// emptyQueueTimeout returns the time without a new connection after which the accept queue counts as empty.
 func (s *Server) emptyQueueTimeout() time.Duration {
 	schedule := s.schedule.Load()
 	if schedule != nil && schedule.Reached(schedule.LastAdmission, time.Now()) {
@@ -48,7 +48,7 @@
 }
 
 // stopsAccepting reports whether the listener must be closed now. QueueEmpty reports whether the last accept timed out. During a
-// shutdown it also closes the connections that can be closed already.
+// shutdown, stopsAccepting also closes the connections that can be closed already.
 func (s *Server) stopsAccepting(l Listener, queueEmpty bool) bool {
 	schedule := s.schedule.Load()
 	if schedule == nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// hasQueued reports whether a connection is waiting in the accept queue. A timeout of accept is not sufficient: after a pause of
-// the process, accept returns a timeout without checking the queue.
+// hasQueued reports whether a connection is waiting in the accept queue. A timeout of accept does not show that the queue is
+// empty: after a pause of the process, accept returns a timeout without checking the queue.
 func hasQueued(l Listener) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/ingress/halfopen.go
+++ b/internal/ingress/halfopen.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// The kernel lists half-open connections through its socket diagnosis interface (sock_diag(7)). The request specifies a local
-// port and a TCP state. The response has one message for each socket and a final message.
+// A connection is half-open while the kernel defers it because no data has arrived (see DeferAccept). The kernel lists half-open
+// connections through its socket diagnosis interface (sock_diag(7)). The request specifies a local port and a TCP state. The
+// response has one message for each socket and a final message.
 const (
 	diagRequestSize    = unix.SizeofNlMsghdr + 56 // bytes: header and struct inet_diag_req_v2
 	diagFamilyOffset   = unix.SizeofNlMsghdr
--- a/internal/ingress/handle.go
+++ b/internal/ingress/handle.go
@@ -22,7 +22,7 @@
 	codeNoCapacity   = "no_room" // no file, buffer or disk space for a large body
 )
 
-// serve serves a connection until it ends, then releases and logs it.
+// serve serves a connection until it ends, then stops tracking its requests and logs its end.
 func (s *Server) serve(c *conn) {
 	defer s.serving.Done()
 	err := s.serveHTTP(c)
@@ -130,7 +130,7 @@
 }
 
 // health responds 200 if clients should use this node, else 503. There is no check of readiness, because the node opens its
-// listener only once it can decide on requests.
+// listener only when it is able to route requests.
 func (s *Server) health(ctx *fasthttp.RequestCtx) {
 	// If a successor process accepts from the same queue, the node continues to serve, so either process responds 200.
 	stopping := s.draining() && !s.hasSuccessor.Load()
--- a/internal/ingress/requestbody.go
+++ b/internal/ingress/requestbody.go
@@ -25,8 +25,8 @@
 	maxBodyLag = 500 * time.Millisecond
 
 	// earlyHandlingTime is how long before its expected completion a large request of known size is passed to the handler. A
-	// back end takes about as long to read 1 to 2 MB. Passing a request on earlier would let a slow client occupy a connection
-	// to a back end for long.
+	// back end takes about that time to read 1 to 2 MB. Passing a request on earlier would let a slow client occupy a connection
+	// to a back end for a long time.
 	earlyHandlingTime = 500 * time.Millisecond
 
 	// unknownSize is the size of a body whose size the client did not announce.
@@ -53,9 +53,9 @@
 	return n, err
 }
 
-// setBodyDeadline sets the deadline for the next bytes of a body, of which received bytes were read since startedAt. The deadline
-// is at least headTimeout after the request began. The call has no effect if the node is closing the connection because its
-// request is incomplete.
+// setBodyDeadline sets the deadline for the next bytes of a body. Received is the number of bytes that were read since startedAt.
+// The deadline is at least headTimeout after the request began. The call has no effect if the node is closing the connection
+// because its request is incomplete.
 func (c *conn) setBodyDeadline(startedAt time.Time, received int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -80,7 +80,7 @@
 	maxConns              atomic.Int64
 	maxConnsByDescriptors atomic.Int64 // estimated limit that leaves the reserved descriptors free
 	evicting              atomic.Int64 // connections that are being evicted and are not yet closed
-	lastLogged            struct {     // time of the last log line of each kind, in the units of allowLog
+	lastLogged            struct {     // time of the last log line of each kind, in nanoseconds since Server.created; 0: none yet
 		noCapacity  atomic.Int64 // a request with a large body was rejected
 		descriptors atomic.Int64 // few descriptors are left
 		unanswered  atomic.Int64 // a request ended without a complete response
@@ -120,19 +120,19 @@
 // Printf does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
-// SetMaxConns sets the maximum number of connections. At the maximum, connections are evicted: idle ones first, else those that
-// have stopped sending an incomplete request.
+// SetMaxConns sets the maximum number of connections. At the maximum, connections are evicted: idle ones or, if there are
+// none, those on which no more bytes of an incomplete request arrive.
 func (s *Server) SetMaxConns(n int) { s.maxConns.Store(int64(n)) }
 
 // SetSuccessor sets whether another process accepts connections from the same queue. If so, a shutdown stops accepting at once
 // and leaves the queued connections to that process.
 func (s *Server) SetSuccessor(on bool) { s.hasSuccessor.Store(on) }
 
-// logInterval is the shortest time between two log lines of one kind whose every occurrence is also counted.
+// logInterval is the shortest time between two log lines of the same kind. Occurrences in between are only counted.
 const logInterval = 10 * time.Second
 
 // allowLog reports whether logInterval has passed since the previous log line of a kind, and records the current time in last if
-// so. Last holds nanoseconds since the server was created, and 0 before the first line.
+// so. Last is the time of the previous line in nanoseconds since the server was created; 0 before the first line.
 func (s *Server) allowLog(last *atomic.Int64) bool {
 	now := int64(time.Since(s.created))
 	previous := last.Load()
--- a/internal/ingress/tracking.go
+++ b/internal/ingress/tracking.go
@@ -45,8 +45,9 @@
 	c.release(err != nil || c.responseBroken || c.closeReason == closeWriteFailed)
 }
 
-// release ends the connection's requests in flight after their responses were written to the kernel. Broken means that this
-// failed, so the requests count as unanswered unless the client disconnected. The caller must hold c.mu.
+// release ends the connection's requests in flight after their responses were written to the kernel. Broken means that a
+// response could not be written completely; the requests then count as unanswered unless the client disconnected. The caller
+// must hold c.mu.
 func (c *conn) release(broken bool) {
 	for _, t := range c.tracked {
 		if broken && t.outcome != inflight.ClientDisconnected {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The functions below repeat a system call that a signal interrupted (EINTR). Otherwise the caller would take the failure for
+// The functions below repeat a system call that a signal interrupted (EINTR). Otherwise the caller would treat the failure as
 // "no data available" and wait until further data arrives.
 
 // Peek checks for received data without consuming it. It returns the number of bytes found, which is 0 or 1, and the error of
