--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -74,9 +74,9 @@
 func TestUnwrittenRequestPreservesIdleSince(t *testing.T) {
 	addr, _ := acceptingListener(t)
 	p, _ := testPool(fixedResolver{"s1": addr}, 8, 8)
-	longer, shorter := mustAcquire(t, p, "s1"), mustAcquire(t, p, "s1")
-	since := map[*conn]time.Time{longer: time.Now().Add(-30 * time.Second), shorter: time.Now().Add(-20 * time.Second)}
-	for _, c := range []*conn{longer, shorter} {
+	idle30s, idle20s := mustAcquire(t, p, "s1"), mustAcquire(t, p, "s1")
+	since := map[*conn]time.Time{idle30s: time.Now().Add(-30 * time.Second), idle20s: time.Now().Add(-20 * time.Second)}
+	for _, c := range []*conn{idle30s, idle20s} {
 		p.put(c)
 		c.idleSince = since[c]
 	}
@@ -97,7 +97,7 @@
 	for _, c := range taken { // the one with the shorter idle time is returned first
 		p.putUnused(c)
 	}
-	if list := p.idle["s1"]; len(list) != 2 || list[0] != longer || list[1] != shorter {
+	if list := p.idle["s1"]; len(list) != 2 || list[0] != idle30s || list[1] != idle20s {
 		t.Errorf("idle list has %d connections, want 2 with the longest idle one first", len(list))
 	}
 }
@@ -153,7 +153,7 @@
 			runtime.Gosched()
 		}
 		if i%3 == 0 {
-			time.Sleep(time.Duration(i) * time.Microsecond) // by then some connections are established and written to
+			time.Sleep(time.Duration(i) * time.Microsecond) // gives some connections the time to be established and written to
 		}
 		a.Abort()
 	}
--- a/internal/upstream/close.go
+++ b/internal/upstream/close.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// closeReason is the reason why a connection to a server was closed or could not be established. It is the code of the log
-// entry and the key of the counter; docs/oncall.md lists the values.
+// closeReason is the reason why a connection to a server was closed or could not be established. It is the code in the log
+// entry and the key in Counters.ServerEnds; docs/oncall.md lists the values.
 type closeReason string
 
 // reusable means that the connection stays open and can be used again.
@@ -16,7 +16,7 @@
 	closeConnectRefused    closeReason = "connect_refused"  // dial failed: the server refused or reset the connection
 	closeConnectLocal      closeReason = "connect_local"    // dial failed: this machine has no route or denies the connection
 	closeConnectTimeout    closeReason = "connect_timeout"  // dial failed: ConnectTimeout passed
-	closeIdleTimeout       closeReason = "idle"             // idle for nearly as long as the server allows
+	closeIdleTimeout       closeReason = "idle"             // idle for longer than maxIdleFraction of IdleTimeout
 	closePeerClosed        closeReason = "server_closed"    // the server closed it, or sent unsolicited bytes, while it was idle
 	closeAborted           closeReason = "gave_up"          // the attempt or probe was aborted, timed out or left the response unread
 	closeReset             closeReason = "server_reset"     // the connection broke during an attempt or probe
@@ -24,8 +24,8 @@
 	closeWriteFailed       closeReason = "write_failed"     // the request could not be written completely
 	closeRequestedByServer closeReason = "server_asked"     // the response announced the close, or unsolicited bytes followed it
 	closeAddressGone       closeReason = "address_gone"     // the server was removed, moved or is draining
-	closeExcessIdle        closeReason = "spare"            // the server has more idle connections than MaxIdlePerServer
-	closeEvicted           closeReason = "descriptor_limit" // closed for another connection at a limit, or no descriptor to dial
+	closeExcessIdle        closeReason = "spare"            // the pool had more idle connections to the server than MaxIdlePerServer
+	closeEvicted           closeReason = "descriptor_limit" // evicted at a limit, or dial failed: no free descriptor, memory or address
 	closeExit              closeReason = "exit"             // the node exits
 	closePanic             closeReason = "panic"            // handling a response panicked
 )
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// hasNoPendingInput reports whether an idle connection has neither unread bytes nor an end of file. It consumes nothing.
+// hasNoPendingInput reports whether an idle connection is still open and has no unread bytes. It does not consume any input.
 func (c *conn) hasNoPendingInput() bool {
 	rawConn, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil || c.reader.Buffered() > 0 {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -58,8 +58,8 @@
 	return ctx.Err() != nil || hasDeadline && !time.Now().Before(deadline)
 }
 
-// isLocalFailure reports whether an attempt failed before anything was sent and without a fault of the server: this node reached
-// a connection limit, its machine failed to connect, or the server has no address any more.
+// isLocalFailure reports whether an attempt failed before it sent anything, and not because of the server: this node reached a
+// connection limit, the failure was local to this machine, or the server no longer has an address.
 func isLocalFailure(err error) bool {
 	return errors.Is(err, errNoCapacity) || errors.Is(err, errNoAddress) || socket.IsLocalFailure(err)
 }
--- a/internal/upstream/idlesweep.go
+++ b/internal/upstream/idlesweep.go
@@ -9,13 +9,13 @@
 	// sweepInterval is the time between two checks of the idle connections. It is well below any idle timeout in use.
 	sweepInterval = time.Second
 
-	// maxIdleFraction is the fraction of IdleTimeout after which an idle connection is closed. A request that is written while
-	// the server closes the connection ends with a reset, and may have run nevertheless.
+	// maxIdleFraction is the fraction of IdleTimeout after which an idle connection is closed. It is below 1, because a
+	// request that is written while the server closes the connection fails with a reset although the server may have run it.
 	maxIdleFraction = 0.7
 )
 
-// Run periodically closes idle connections that are broken, have been idle too long, or lead to a server that has no address
-// any more. When the context ends, Run closes all idle connections and returns.
+// Run periodically closes idle connections that are broken, have been idle too long, or belong to a server that was removed, has
+// moved or is draining. When the context ends, Run closes all idle connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -30,15 +30,15 @@
 	}
 }
 
-// sweep closes the idle connections that can no longer be used, or all idle connections.
+// sweep closes the idle connections that can no longer be used, or every idle connection if all is true.
 func (p *Pool) sweep(all bool) {
 	for c, reason := range p.takeUnusable(all) {
 		p.closeIdle(c, reason, nil)
 	}
 }
 
-// takeUnusable removes the idle connections that can no longer be used, or all of them, from the pool. It returns them with
-// the reason for each.
+// takeUnusable removes from the pool the idle connections that can no longer be used, or every idle connection if all is true.
+// It returns the removed connections with the reason for closing each.
 func (p *Pool) takeUnusable(all bool) map[*conn]closeReason {
 	taken := map[*conn]closeReason{}
 	p.mu.Lock()
--- a/internal/upstream/janitor_test.go
+++ b/internal/upstream/janitor_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against the balancer counting connections as idle that are already closed, so that requests open new connections when
-// the balancer expects none to be needed. The balancer itself counts one idle connection fewer for each request, so the pool must
+// If the balancer is not notified of closed idle connections, it still counts them as idle, and requests open new connections where
+// the balancer expects to reuse idle ones. The balancer itself counts one idle connection fewer for each request, so the pool must
 // not notify it of the first stale connection that a request finds.
 func TestOnIdleClosed(t *testing.T) {
 	addr, _ := acceptingListener(t)
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -15,12 +15,12 @@
 const maxLoadValue = 1e9
 
 var (
-	// inFlightNames are the names under which servers report their number of requests in flight: "inflight" in the servers'
-	// own format, "concurrent" in the settings.
+	// inFlightNames are the names under which servers report their number of requests in flight: "inflight" is the name in the
+	// servers' own format, "concurrent" the name in the settings' list of reported values.
 	inFlightNames = [][]byte{[]byte("inflight"), []byte("concurrent")}
 
-	// queueNames are the names under which servers report the length of their queue: "queue" in the servers' own format,
-	// "depth" in the settings.
+	// queueNames are the names under which servers report the length of their queue: "queue" is the name in the servers' own
+	// format, "depth" the name in the settings' list of reported values.
 	queueNames = [][]byte{[]byte("queue"), []byte("depth")}
 )
 
@@ -47,8 +47,8 @@
 	return load
 }
 
-// loadValue returns the first value that has one of the names. It reports false if no pair has such a name, or if the first
-// value is not a number from 0 to below maxLoadValue.
+// loadValue returns the value of the first pair that has one of the names. It reports false if no pair has such a name, or if the
+// value is not a number in the range [0, maxLoadValue).
 func loadValue(report []byte, names [][]byte) (float64, bool) {
 	report = bytes.TrimSpace(report)
 	if format, rest, found := bytes.Cut(report, []byte(" ")); found && !bytes.ContainsRune(format, '=') {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -48,7 +48,7 @@
 	idle         map[balancer.ServerID][]*conn // each list ordered by idleSince, longest idle first
 	reserved     map[balancer.ServerID]int     // connections to each server: idle, in use and being dialed
 	total        int                           // sum of reserved
-	processCount int                           // processes that divide the limits among themselves
+	processCount int                           // number of processes among which the limits are divided
 }
 
 var (
@@ -113,7 +113,7 @@
 }
 
 // connect opens a connection. It closes the connection and returns errNoAddress if the server was removed, moved or started to
-// drain in the meantime: a server's drain period starts with its announcement, however long a connection takes to establish.
+// drain in the meantime, because a server's drain period starts when discovery reports it, not when a connection is established.
 func (p *Pool) connect(ctx context.Context, id balancer.ServerID, addr string) (*conn, error) {
 	c, err := p.dial(ctx, id, addr)
 	if err != nil {
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -40,8 +40,8 @@
 	done(result)
 }
 
-// probe sends one probe. If a failure of this node prevents it, such as a connection limit, the outcome is NotSent, which does
-// not count for or against the server.
+// probe sends one probe. If this node cannot send it, for example because of a connection limit, the outcome is NotSent, which
+// does not count for or against the server.
 func (p *Pool) probe(ctx context.Context, server balancer.ServerID) engine.Completion {
 	c, err := p.acquire(ctx, server)
 	switch {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -84,7 +84,8 @@
 	return response{body: buf[:n], rest: s}, reusable, nil
 }
 
-// readSmall reads a response that is small or of unknown size. If the latter turns out to be large, its rest stays unread.
+// readSmall reads a response that is small or of unknown size. If a response of unknown size turns out to be large, readSmall
+// leaves its rest unread.
 func (s *Stream) readSmall() (response, closeReason, error) {
 	buf, err := s.bufferBody()
 	if err != nil {
@@ -137,8 +138,9 @@
 }
 
 // awaitMore waits until there is input or the given time has passed, and reports whether there is input. It peeks, so a timeout
-// does not lose the position in the response. It must keep a reset as the stream's error, because the kernel reports a reset only
-// once: the next read would return an end of file, and a response that ends with the connection would count as complete.
+// does not lose the position in the response. It stores a reset as the stream's error, because the kernel reports a reset only
+// once: the next read would return io.EOF, and a truncated response that is delimited by the end of the connection would count as
+// complete.
 func (s *Stream) awaitMore(until time.Time) (bool, error) {
 	if s.conn.reader.Buffered() > 0 {
 		return true, nil
--- a/internal/upstream/responsehead.go
+++ b/internal/upstream/responsehead.go
@@ -17,8 +17,8 @@
 const (
 	versionPrefix = "HTTP/1." // start of every valid response
 
-	// maxInterimResponses limits the 1xx responses before the final one, so that a server that sends nothing else cannot
-	// keep an attempt reading without end.
+	// maxInterimResponses limits the 1xx responses before the final one, so that an attempt does not read forever if a server
+	// sends nothing else.
 	maxInterimResponses = 8
 
 	// maxHeadLines is the largest accepted number of lines in a head. Servers send about ten.
