--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// SetAddress switches to discovery at another address, or starts over at the same one. It aborts the call in flight and requests
+// SetAddress switches to discovery at another address, or reconnects to the same one. It aborts the call in flight and requests
 // the complete list. The current list and its addresses stay in use until that list arrives.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
--- a/internal/discovery/fake_test.go
+++ b/internal/discovery/fake_test.go
@@ -26,8 +26,8 @@
 	promptResponse  = 100 * time.Millisecond // longest duration of a call that discovery answers at once
 )
 
-// fakeDiscovery serves one list, holds watches, and can limit the rate of list entries that it sends. A new watch costs the entries
-// of the complete list; a watch that the same connection resumes within 200 ms costs none.
+// fakeDiscovery serves one list, holds watches, and can limit the rate of list entries that it sends. Against that limit, a call
+// counts as all entries of the list; only a watch that the same connection resumes within 200 ms counts as none.
 type fakeDiscovery struct {
 	mu       sync.Mutex
 	revision int64
@@ -347,11 +347,11 @@
 // each failed call.
 type watchRequester struct{ client *Client }
 
-func (b *watchRequester) UpdateEndpoints(update balancer.EndpointUpdate) {
+func (r *watchRequester) UpdateEndpoints(update balancer.EndpointUpdate) {
 	switch update.Kind {
 	case balancer.CachedUpdate:
-		b.client.WatchEndpoints()
+		r.client.WatchEndpoints()
 	case balancer.UpdateFailed:
-		time.AfterFunc(clock.Duration(balancer.MaxPollBackoff), b.client.WatchEndpoints)
+		time.AfterFunc(clock.Duration(balancer.MaxPollBackoff), r.client.WatchEndpoints)
 	}
 }
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -11,17 +11,18 @@
 	// maxHedgedCalls bounds the calls in flight to an unresponsive discovery.
 	maxHedgedCalls = 8
 
-	// hedgeTimeoutFactor times the interval between hedged calls is the longest timeout of each call. The timeout is then longer
-	// than the drain grace, and even with jitter at most maxHedgedCalls are in flight.
+	// hedgeTimeoutFactor is the longest timeout of a hedged call, as a multiple of the interval between hedged calls. With this
+	// factor the limit is longer than the drain grace, and at most maxHedgedCalls are in flight even if jitter halves the
+	// intervals.
 	hedgeTimeoutFactor = maxHedgedCalls / 2
 )
 
 // hedgedPoll requests the complete list from an unresponsive discovery until discovery responds.
 //
 // A call that is in flight when discovery recovers is lost, but the protocol considers this node notified of all pending changes
-// at once. If calls were made one after the other, a node would keep the old list until the lost call timed out, and would send
-// requests to servers that are draining. Therefore the next call is made after intervals.maxFailureBackoff, with jitter, while
-// earlier calls are in flight. A slow response is still accepted, and a rejection ends the poll.
+// as soon as discovery recovers. If calls were made one after the other, a node would keep the old list until the lost call timed
+// out, and would send requests to servers that are draining. Therefore the next call is made after intervals.maxFailureBackoff,
+// with jitter, while earlier calls are in flight. A slow response is still accepted, and a rejection ends the poll.
 func (c *Client) hedgedPoll(ctx context.Context, t *transport) (List, error) {
 	type result struct {
 		list List
--- a/internal/discovery/intervals.go
+++ b/internal/discovery/intervals.go
@@ -10,7 +10,8 @@
 
 // notifyDeadline is how long this node may take to receive a change, counted from when discovery has the change and can be reached,
 // whatever happened to earlier calls. The protocol considers the node notified after this time, and the drain grace of a server
-// starts then. No sequence of waits between a change and its response may take longer; see intervals.worstCaseDelay.
+// starts then. No sequence of waits between a change and the response that contains it may take longer; see
+// intervals.worstCaseDelay.
 const notifyDeadline = 6 * time.Second
 
 // Timeouts that count towards notifyDeadline.
@@ -25,7 +26,7 @@
 	callTimeoutFewNodes = 1500 * time.Millisecond
 
 	// callTimeoutManyNodes is the timeout of a call other than a watch in a large fleet, where discovery queues calls for up to
-	// 2 s. A call that is abandoned earlier yields no list and costs discovery as much work.
+	// 2 s. A call that times out earlier yields no list, but costs discovery as much work as one that succeeds.
 	callTimeoutManyNodes = 2500 * time.Millisecond
 )
 
@@ -46,7 +47,7 @@
 	// requests to servers that are draining.
 	failureBackoffGraceFraction = 1.0 / 3
 
-	// minFailureBackoff is the least value of intervals.maxFailureBackoff, however short the drain grace is.
+	// minFailureBackoff is the lower limit of intervals.maxFailureBackoff, even if the drain grace is very short.
 	minFailureBackoff = 20 * time.Millisecond
 )
 
@@ -55,18 +56,18 @@
 	// fewNodes is the largest number of nodes that do not need to spread their calls.
 	fewNodes = 8
 
-	// fleetCallPeriodPerNode times the number of nodes is the period in which every node can call once without overloading
-	// discovery. Calls that arrive faster than discovery can answer are queued until nearly all of them are rejected, for as
-	// long as they keep arriving at that rate.
+	// fleetCallPeriodPerNode is the time per node of the period in which every node can call once without overloading discovery.
+	// If calls arrive faster than discovery can answer, its queue grows until nearly all calls are rejected, and this lasts until
+	// the rate of calls drops.
 	fleetCallPeriodPerNode = 100 * time.Millisecond
 
-	// firstCallGraceFraction is the longest time over which first calls are spread, as a fraction of the drain grace. The protocol
-	// considers a node notified, as soon as it starts, of all changes since its cached list. The rest of the grace is for the
+	// firstCallGraceFraction is the longest time over which first calls are spread, as a fraction of the drain grace. As soon as a
+	// node starts, the protocol considers it notified of all changes since its cached list. The rest of the grace is for the
 	// response.
 	firstCallGraceFraction = 0.5
 
-	// rewatchSpreadPerNode times the number of other nodes is the time over which nodes that watch on request spread the call
-	// that follows a lost watch, since the watches of all nodes are lost together.
+	// rewatchSpreadPerNode is the time per other node over which nodes that watch on request spread the call that follows a lost
+	// watch. The watches of all nodes are lost together, so their next calls would otherwise arrive together.
 	rewatchSpreadPerNode = 25 * time.Millisecond
 
 	// maxRewatchSpread is the longest time over which calls after a lost watch are spread.
@@ -144,7 +145,7 @@
 	return iv.maxRetryDelay/2 + rand.N(iv.maxRetryDelay/2)
 }
 
-// maxWithJitter returns the longest delay that jitter can make of a backoff.
+// maxWithJitter returns a backoff with the largest possible jitter.
 func maxWithJitter(backoff time.Duration) time.Duration {
 	return time.Duration(maxJitterFactor * float64(backoff))
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -25,8 +25,8 @@
 	c.handler = handler
 	c.running.Store(true)
 	defer c.startStaleTimer().Stop()
-	// The list is published even if it is empty: it is the first event of the balancer, and a balancer that has to request
-	// the list does not start to do so before this event.
+	// The list is published even if it is empty, because the balancer needs it as its first event. With Options.WatchOnRequest
+	// the balancer calls WatchEndpoints only after this event.
 	c.publish(cached, balancer.CachedUpdate)
 	p := &poller{client: c, revision: noRevision, backoff: initialBackoff}
 	if spread := c.intervals.firstCallSpread; spread > 0 {
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// resetRevision discards the revision after a failed call, because changes may have been missed and a discovery that restarted may
-// count revisions from the start again. A call that was rejected for lack of capacity has missed nothing and keeps the revision.
+// resetRevision discards the revision after a failed call, because changes may have been missed, and discovery may have restarted
+// and begun to count revisions from the start. After a rejection for lack of capacity no change was missed, so the revision is kept.
 func (p *poller) resetRevision(err error) {
 	if !errors.As(err, new(rejectedError)) {
 		p.revision = noRevision
@@ -104,8 +104,8 @@
 	if !c.watchOnRequest || !watchLost {
 		return list, err
 	}
-	// A watch that timed out is followed at once by a call for the complete list, without the balancer's backoff, which is for
-	// failed calls: a change may have been pending since the watch began.
+	// After a watch has timed out, a change may have been pending since the watch began. The complete list is therefore requested
+	// without the balancer's backoff for failed calls, only spread over rewatchSpread.
 	p.revision = noRevision
 	c.sleep(ctx, rand.N(c.intervals.rewatchSpread+1))
 	if t != c.currentTransport() {
@@ -137,8 +137,8 @@
 	c.handler.UpdateEndpoints(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 }
 
-// waitForWatchRequest waits for WatchEndpoints. It returns false if the context ended first. It also returns after SetAddress, since
-// a watch that was requested at the old address continues at the new one.
+// waitForWatchRequest waits for WatchEndpoints. It returns false if the context ended first. It also returns true after SetAddress,
+// since a watch that was requested at the old address continues at the new one.
 func (c *Client) waitForWatchRequest(ctx context.Context) bool {
 	select {
 	case <-c.watchRequested:
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -39,7 +39,7 @@
 // longestRetryDelay is the longest delay after a failed call in a large fleet.
 var longestRetryDelay = intervalsFor(Options{Nodes: largeFleetNodes, DrainGrace: drainGrace}).maxRetryDelay
 
-// slowResponse is the duration of a call whose response arrives just before the timeout.
+// slowResponse is the longest duration of a call whose response arrives just before the timeout.
 const slowResponse = callTimeoutManyNodes + promptResponse
 
 // changeCases are the situations in which an endpoint list changes.
@@ -125,8 +125,8 @@
 	}
 }
 
-// Discovery can answer a limited rate of calls. If calls arrive faster, they are queued until nearly all of them are rejected and
-// retried, and a fleet that restarts would never receive the list.
+// Discovery can answer only a limited rate of calls. If calls arrive faster, its queue grows until nearly all calls are rejected
+// and retried, and a restarting fleet never receives the list. The clients must therefore spread their calls.
 func TestFleetRestartDoesNotOverloadSlowDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, servers, rate = 36, 24, 180.0
@@ -145,8 +145,8 @@
 }
 
 // The protocol considers a node notified of a change notifyDeadline after discovery has the change and can be reached, whatever
-// happened to earlier calls. A node that receives it later sends requests to draining servers. Each failure here ends with a
-// change, which every node must have by then, whatever it was waiting for.
+// happened to earlier calls. A node that receives it later sends requests to draining servers. Each failure in this test ends with
+// a change, which every node must receive within notifyDeadline, whichever call or delay it was waiting for.
 func TestChangeReceivedWithinDeadlineAfterAnyFailure(t *testing.T) {
 	failures := map[string]struct {
 		begin, end func(d *fakeDiscovery)
@@ -154,8 +154,8 @@
 		"watches lost, other calls answered":    {begin: func(d *fakeDiscovery) { d.stallConns() }},
 		"rejected with Retry-After of one hour": {begin: func(d *fakeDiscovery) { d.update(func() { d.rejecting, d.retryAfter = true, "3600" }) }, end: func(d *fakeDiscovery) { d.update(func() { d.rejecting = false }) }},
 		"rejected without Retry-After":          {begin: func(d *fakeDiscovery) { d.update(func() { d.rejecting = true }) }, end: func(d *fakeDiscovery) { d.update(func() { d.rejecting = false }) }},
-		"unresponsive, then back":               {begin: func(d *fakeDiscovery) { d.update(func() { d.unresponsive = true }) }, end: func(d *fakeDiscovery) { d.update(func() { d.unresponsive = false }) }},
-		"truncated answers":                     {begin: func(d *fakeDiscovery) { d.update(func() { d.truncating = true }) }, end: func(d *fakeDiscovery) { d.update(func() { d.truncating = false }) }},
+		"unresponsive, then recovered":          {begin: func(d *fakeDiscovery) { d.update(func() { d.unresponsive = true }) }, end: func(d *fakeDiscovery) { d.update(func() { d.unresponsive = false }) }},
+		"truncated responses":                   {begin: func(d *fakeDiscovery) { d.update(func() { d.truncating = true }) }, end: func(d *fakeDiscovery) { d.update(func() { d.truncating = false }) }},
 		"connections hang, watches lost":        {begin: func(d *fakeDiscovery) { d.stallConns(); d.update(func() { d.hanging = true }) }, end: func(d *fakeDiscovery) { d.update(func() { d.hanging = false }) }},
 		"connections refused, watches lost":     {begin: func(d *fakeDiscovery) { d.stallConns(); d.update(func() { d.refusing = true }) }, end: func(d *fakeDiscovery) { d.update(func() { d.refusing = false }) }},
 	}
@@ -204,9 +204,10 @@
 			listener := listenTCP(t)
 			client := New(Options{Address: listener.Addr().String(), Nodes: tc.nodes, DrainGrace: tc.grace,
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Count: &counters.Counters{}}, List{})
-			const notifiedAfterHold = 2 * time.Second // by the protocol a node counts as notified of a lost watch's changes, even older ones, after this time
+			// The protocol considers a node notified of all changes that a lost watch missed, including older ones, this long after the hold.
+			const notifiedAfterHold = 2 * time.Second
 			if maxDelay := notifiedAfterHold + tc.grace; client.intervals.watchTimeoutMargin+minFailureBackoff >= maxDelay {
-				t.Errorf("watch times out %v after the hold, its changes must be received within %v of the hold", client.intervals.watchTimeoutMargin, maxDelay)
+				t.Errorf("watch times out %v after the hold, want less than %v minus the shortest backoff", client.intervals.watchTimeoutMargin, maxDelay)
 			}
 			go client.Run(t.Context(), List{}, ignoreUpdates{})
 			var failedAt time.Time
--- a/internal/discovery/staleness_test.go
+++ b/internal/discovery/staleness_test.go
@@ -25,8 +25,9 @@
 	r.kinds = append(r.kinds, update.Kind)
 }
 
-// Without a staleness report, the balancer would continue to use a list that may have changed long ago. Without an update once
-// discovery responds again, even if nothing has changed, it would continue to treat the list as stale.
+// Without a staleness report, the balancer would continue to use a list that may have changed long ago. When discovery responds
+// again, the handler must receive an update even if nothing has changed; otherwise the balancer would continue to treat the list
+// as stale.
 func TestStalenessReportedOncePerOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, d := newFleet(t), newFakeDiscovery(3)
--- a/internal/discovery/transport.go
+++ b/internal/discovery/transport.go
@@ -51,8 +51,8 @@
 	transport *transport
 }
 
-func newTransport(address string, open Dial) *transport {
-	t := &transport{dialFunc: open, conns: map[*trackedConn]struct{}{}}
+func newTransport(address string, openConn Dial) *transport {
+	t := &transport{dialFunc: openConn, conns: map[*trackedConn]struct{}{}}
 	t.client = &fasthttp.HostClient{
 		Addr:                      address,
 		MaxConns:                  maxHedgedCalls + 1,
--- a/internal/filewatch/tracker_test.go
+++ b/internal/filewatch/tracker_test.go
@@ -15,10 +15,10 @@
 		name          string
 		selfVerifying bool
 		states        []FileState
-		times         []int
+		timesMs       []int
 		want          []Action // after ReadNow the state is marked as read
 	}{
-		{"unchanged for long at startup", false, []FileState{file(1, 5, -900)}, []int{0}, []Action{ReadNow}},
+		{"old file at startup", false, []FileState{file(1, 5, -900)}, []int{0}, []Action{ReadNow}},
 		{"read once", false, []FileState{file(1, 5, -900), file(1, 5, -900)}, []int{0, 50}, []Action{ReadNow, Unchanged}},
 		{"grows, then settles", false, []FileState{file(1, 5, -900), file(1, 7, 10), file(1, 9, 60), file(1, 9, 60), file(1, 9, 60)},
 			[]int{0, 11, 61, 120, 161}, []Action{ReadNow, WaitForSettle, WaitForSettle, WaitForSettle, ReadNow}},
@@ -33,9 +33,9 @@
 	} {
 		tracker := Tracker{Settle: 100 * time.Millisecond, SelfVerifying: tc.selfVerifying}
 		for i, state := range tc.states {
-			got, due := tracker.Observe(atMs(tc.times[i]), state)
-			if got != tc.want[i] || (got == WaitForSettle) != due.After(atMs(tc.times[i])) {
-				t.Errorf("%s, observation %d: action = %v until %v, want %v", tc.name, i, got, due, tc.want[i])
+			got, due := tracker.Observe(atMs(tc.timesMs[i]), state)
+			if got != tc.want[i] || (got == WaitForSettle) != due.After(atMs(tc.timesMs[i])) {
+				t.Errorf("%s, observation %d: action = %v, due at %v, want %v", tc.name, i, got, due, tc.want[i])
 			}
 			if got == ReadNow {
 				tracker.MarkRead(state)
--- a/internal/filewatch/watch.go
+++ b/internal/filewatch/watch.go
@@ -27,10 +27,10 @@
 	Err  error  // set if the file does not exist or cannot be read
 }
 
-// Run watches a file until the context ends. It passes to handle each state of the file that it could read completely, and each error
-// once until the error changes or the file is read.
+// Run watches a file until the context ends. It calls handle with the content of each state of the file that it could read
+// completely, and with each error unless the error repeats the previous one and the file has not been read in between.
 //
-// Notifications of the kernel only cause earlier checks. They may be lost, a directory may be replaced, and a symbolic link may be
+// Notifications from the kernel only cause earlier checks. They may be lost, a directory may be replaced, and a symbolic link may be
 // switched in a directory that is not watched. Run therefore also checks the file at every poll interval.
 func Run(ctx context.Context, o Options, handle func(Event)) {
 	w := &watcher{
@@ -69,7 +69,7 @@
 	lastError  string            // last reported error; empty once the file has been read
 }
 
-// newNotifier starts to watch the directory of the file. It returns nil, which leaves only polling, if the system has no watches left.
+// newNotifier starts to watch the directory of the file. If the system has no watches left, it returns nil, and Run only polls.
 func (w *watcher) newNotifier() *fsnotify.Watcher {
 	n, err := fsnotify.NewWatcher()
 	if err != nil {
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,4 +1,4 @@
-// Package statefile saves a small state in a directory. After a process was killed at any moment, the next one loads the last
+// Package statefile saves a small state in a directory. If a process is killed at any moment, the next process loads the last
 // state or the one before it, never a mixture. Each generation is a separate file: it is written under a temporary name, synced
 // and renamed, and then the directory is synced. If a file is truncated, damaged or not a state file of the same name and
 // version, the generation before it is loaded instead.
@@ -13,8 +13,8 @@
 	"strings"
 )
 
-// KeptGenerations is how many generations are kept. Two suffice if the process is killed at any moment; the third shows the state
-// before those.
+// KeptGenerations is the number of generations that are kept. Two are enough to recover from a kill at any moment; the third
+// preserves the state before those two.
 const KeptGenerations = 3
 
 // generationDigits is the number of digits of the generation in a file name.
@@ -23,7 +23,7 @@
 // ErrNoState reports that no generation can be used.
 var ErrNoState = errors.New("no usable state")
 
-// Store saves and loads the state of one name in one directory. It is not safe for concurrent use.
+// Store saves and loads the state with one name in one directory. It is not safe for concurrent use.
 type Store struct {
 	fs             FS
 	dir            string
@@ -38,7 +38,7 @@
 	Err  error
 }
 
-// New returns a store for the state of a name in a directory. It skips generations that have another version.
+// New returns a Store for the state with a name in a directory. Load skips generations that have another version.
 func New(fs FS, dir, name string, version int) *Store {
 	return &Store{fs: fs, dir: dir, name: name, version: version}
 }
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// prune removes all but the newest generations. Files that cannot be removed are tried again after the next save.
+// prune removes all but the newest KeptGenerations generations. If a file cannot be removed, the next save tries again.
 func (s *Store) prune() {
 	generations, err := s.generations()
 	if err != nil {
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -89,7 +89,7 @@
 			_ = killed.Save([]byte("state 4"))
 			got, _ := load(t, dir)
 			if got != "state 3" && got != "state 4" || step >= 2 && got != "state 4" {
-				t.Fatalf("killed at step %d after %d bytes: loaded %q, want state 4, or also state 3 before step 2", step, written, got)
+				t.Fatalf("killed at step %d after %d bytes: loaded %q, want state 4, or state 3 if killed before step 2", step, written, got)
 			}
 			restarted := New(OS{}, dir, "view", 1)
 			if _, _, err := restarted.Load(); err != nil {
