--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -21,18 +21,17 @@
 	// headerBytes is the size of the header before the body: the sender's node number, big-endian.
 	headerBytes = 4
 
-	// sendQueueLen bounds the messages that are queued for sending: a few tenths of a second at the highest rate.
+	// sendQueueLen is the maximum number of queued outgoing messages: those of a few tenths of a second at the highest rate.
 	sendQueueLen = 64
 
-	// maxMessagesPerSecond is the number of messages accepted per second from all nodes together. A hundred nodes send about ten per
-	// second each, so a higher rate indicates a fault.
+	// maxMessagesPerSecond limits the messages accepted per second from all nodes together. A hundred nodes send about ten per second
+	// each, so a higher rate indicates a fault.
 	maxMessagesPerSecond = 5000
 
-	// maxMessagesPerNode is the number of messages per second and node that are accepted in all if this allows more than
-	// maxMessagesPerSecond.
+	// maxMessagesPerNode times the number of nodes is the limit per second instead of maxMessagesPerSecond if it is higher.
 	maxMessagesPerNode = 50
 
-	// readErrorDelay keeps a persistent error, such as a lack of buffers, from using a whole CPU.
+	// readErrorDelay is the delay after a read error. Without it, a persistent error such as a lack of buffers would use a whole CPU.
 	readErrorDelay = time.Millisecond
 )
 
@@ -90,7 +89,7 @@
 func (t *Transport) drop(reason dropReason) {
 	t.options.Counters.Drops.Inc(string(reason))
 	if _, logged := t.loggedDrops.LoadOrStore(reason, true); !logged {
-		t.options.Log.Warn("message between nodes dropped, further drops for this reason are only counted", "code", "peers_drop", "reason", string(reason))
+		t.options.Log.Warn("dropped a message between nodes; further drops for this reason are only counted", "code", "peers_drop", "reason", string(reason))
 	}
 }
 
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// The member table is bounded. If it is full, a new member replaces the one that has been unreachable for longest, or is rejected;
-// rejections are logged once.
+// The member table is bounded. If it is full, a new member replaces the one that has been unreachable for longest. If none is
+// unreachable, the new member is rejected; only the first rejection is logged.
 func TestFullMemberTableRejectsNewMembers(t *testing.T) {
 	c := newCore("a1", 5)
 	for i := range 20 {
@@ -168,7 +168,7 @@
 	}
 	_, events := c.TakeOutput()
 	if len(c.peers.byName) != 7 || c.rejected != 13 || !hasEvent(events, EventTableFull) {
-		t.Errorf("members = %d, rejected = %d, want 7, 13", len(c.peers.byName), c.rejected)
+		t.Errorf("members = %d, rejected = %d, events = %v, want 7, 13 and a table full event", len(c.peers.byName), c.rejected, events)
 	}
 	c.peers.byName["bA"].state, c.peers.byName["bA"].stateSince = Unreachable, 0
 	c.Receive(0, from("bZ", 1, Ping))
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -20,7 +20,7 @@
 	// syncIntervals is the number of probe intervals between two exchanges of full states, and between two pings of the seeds.
 	syncIntervals = 40
 
-	// MaxDatagramBytes bounds the size of a datagram, so that every common link transmits it in one packet.
+	// MaxDatagramBytes is the maximum size of a datagram. It is small enough that common networks do not fragment the datagram.
 	MaxDatagramBytes = 1200
 
 	// maxHeaderBytes is the maximum encoded size of a message without its updates.
@@ -34,7 +34,7 @@
 type updateKey struct {
 	name      string
 	heardFrom bool
-	reporter  string // only of a suspicion: suspicions by several reporters confirm one another, so each is queued
+	reporter  string // set only for suspicions: those of several reporters confirm one another, so each is queued
 }
 
 func keyOf(u Update) updateKey {
@@ -88,7 +88,7 @@
 	return out
 }
 
-// enqueue starts to gossip an update on a state that was observed at observedAt.
+// enqueue queues an update to be gossiped. observedAt is the time at which the state in the update was observed.
 func (c *Core) enqueue(u Update, observedAt time.Duration) {
 	if u.State == Alive || u.State == Left { // earlier suspicions are out of date
 		c.updates.dropSuspicions(u.Name)
@@ -96,8 +96,9 @@
 	c.updates[keyOf(u)] = &queuedUpdate{update: u, observedAt: observedAt}
 }
 
-// withQueued appends queued updates to those of a message, as many as fit into a datagram.
-func (c *Core) withQueued(receiver string, updates []Update) []Update {
+// appendQueuedUpdates appends queued updates to those of a message, as many as fit into a datagram. It removes updates that have now
+// been sent often enough from the queue.
+func (c *Core) appendQueuedUpdates(receiver string, updates []Update) []Update {
 	if len(c.updates) == 0 {
 		return updates
 	}
@@ -132,7 +133,7 @@
 	return maxUpdateOverheadBytes + len(u.Name) + len(u.Reporter) + len(u.Address)
 }
 
-// gossip sends updates in separate messages, since there may be too few other messages to carry them.
+// gossip sends queued updates in separate messages, since there may be too few other messages to include them all.
 func (c *Core) gossip() {
 	if len(c.updates) == 0 || c.now < c.due.gossip {
 		return
@@ -143,8 +144,8 @@
 	}
 }
 
-// syncNext exchanges full states with one random member, which replaces updates that were lost on every path (anti-entropy).
-// The interval grows with the number of members, as the size of a full state does.
+// syncNext exchanges full states with one random member, so that both get the updates that gossip has not delivered to them
+// (anti-entropy). The interval grows with the number of members, since the size of a full state does.
 func (c *Core) syncNext() {
 	if c.now < c.due.sync {
 		return
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -18,12 +18,13 @@
 	// extraProbes is the number of additional members that are probed in each interval while any member is suspected.
 	extraProbes = 2
 
-	// recheckMisses is the number of consecutive unanswered probes after which a member may be probed in every interval if some
-	// member still receives its messages.
+	// recheckMisses is the number of consecutive unanswered probes after which the link to a member may be broken. In each interval,
+	// one such member of the view is probed in addition.
 	recheckMisses = 2
 
 	// brokenLinkMisses is the number of consecutive unanswered probes after which the link to a member counts as broken if some
-	// member still receives its messages. At a packet loss of 30% one probe in two has no answer, and five in a row one time in thirty.
+	// member still receives its messages. At a packet loss of 30% half of the probes are not answered, and the probability of five
+	// unanswered probes in a row is about 1/30.
 	brokenLinkMisses = 5
 
 	// retryIntervals is the number of probe intervals between two pings of unreachable members.
@@ -50,7 +51,7 @@
 
 // prober holds the order of the probes and the pings in flight.
 type prober struct {
-	order  []*peer // members that are still to be probed in this round
+	order  []*peer // members that have not been probed in this round yet
 	probes []*probe
 	relays []relayedPing
 	seq    uint32
@@ -111,8 +112,9 @@
 	return nil
 }
 
-// leastRecentlySeen returns the members whose latest message to any member is oldest, or nil if no member is suspected. Members
-// are seldom lost one at a time, and losses that are detected together make one change of the view.
+// leastRecentlySeen returns up to extraProbes members to probe while any member is suspected, and otherwise nil. It returns those
+// from which no member has received a message for the longest time, and skips members that were probed recently. Several members are
+// often lost at once, and losses that are detected together are published in one view.
 func (c *Core) leastRecentlySeen() []*peer {
 	var out []*peer
 	anySuspect := false
@@ -129,7 +131,8 @@
 	return out[:min(extraProbes, len(out))]
 }
 
-// ping probes a member. The ping to a suspect includes the suspicion, so that it can refute it at once (Lifeguard's buddy system).
+// ping probes a member. The ping to a suspect includes the suspicion, so that the suspect can refute it at once (Lifeguard's buddy
+// system).
 func (c *Core) ping(p *peer) {
 	seq := c.probing.nextSeq()
 	p.lastProbed = c.now
@@ -151,7 +154,7 @@
 		if !c.peers.isCurrent(p) || p.generation != pr.generation || p.state == Left {
 			continue
 		}
-		// The timeout is computed for each probe, since a missed one may raise the local health score and so lengthen it.
+		// The timeout is computed again for each probe, since handleMissedProbe may raise the local health score, which lengthens it.
 		waited := c.now - pr.sentAt
 		if waited >= c.scaleByLocalHealth(probeExpiryIntervals*c.options.ProbeInterval) {
 			c.handleMissedProbe(pr)
@@ -192,11 +195,11 @@
 	if p.missedProbes >= brokenLinkMisses && p.lastSeen > pr.sentAt {
 		c.markLinkBroken(p)
 	}
-	acceptSeenSince := pr.sentAt
+	earliestEvidence := pr.sentAt
 	if p.contradicted { // some member received its messages after this process missed its answers
-		acceptSeenSince = c.now - maxContradictedTimeouts*c.suspicionTimeout(0)
+		earliestEvidence = c.now - maxContradictedTimeouts*c.suspicionTimeout(0)
 	}
-	if p.lastSeen > acceptSeenSince {
+	if p.lastSeen > earliestEvidence {
 		p.contradicted = true
 		return
 	}
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -57,7 +57,7 @@
 			return nil
 		}
 		return c.addPeer(sender, c.now)
-	case m.Generation < p.generation: // the sender has been replaced and has not been notified
+	case m.Generation < p.generation: // the sender has been replaced and has not been notified yet
 		c.sendTo(p.name, m.Address, Message{Kind: Gossip, Updates: []Update{p.aliveUpdate()}}, false)
 		return nil
 	case m.Generation > p.generation:
@@ -136,9 +136,9 @@
 		if u.Reporter == "" {
 			return
 		}
-		isNews := observedAt > p.lastSeen+c.options.ProbeInterval
+		isNewEvidence := observedAt > p.lastSeen+c.options.ProbeInterval
 		c.recordHeardBy(p, u.Reporter, observedAt)
-		if isNews {
+		if isNewEvidence {
 			c.enqueue(u, observedAt)
 		}
 	}
@@ -154,7 +154,7 @@
 	}
 	p.incarnation = u.Incarnation
 	c.recordAlive(p, observedAt)
-	if p.state == Suspect || p.state == Unreachable { // the times of two processes do not show the order reliably; the refutation takes precedence
+	if p.state == Suspect || p.state == Unreachable { // different clocks do not show the order reliably, so the refutation takes precedence
 		c.recordAlive(p, c.now)
 	}
 	c.enqueue(u, observedAt)
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -57,7 +57,7 @@
 	case SyncRequest, SyncReply:
 		m.Updates = c.fullState()
 	default:
-		m.Updates = c.withQueued(name, m.Updates)
+		m.Updates = c.appendQueuedUpdates(name, m.Updates)
 	}
 	c.outgoing = append(c.outgoing, OutgoingMessage{To: name, Address: address, Stream: stream, Message: m})
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -34,11 +34,11 @@
 	NoPeers                   // it has received no member's message yet, or all others have left
 	InboundLost               // it receives no messages from other members
 	OutboundLost              // it receives messages, but no member answers its own
-	Superseded                // another process uses its name, and it no longer takes part in the cluster
+	Superseded                // another process uses its name, so this one no longer takes part in the cluster
 )
 
-// Isolated reports whether the process must neither draw conclusions about other members nor take over anything from them. Messages
-// may be missing because of a fault of its own.
+// Isolated reports whether messages may be missing because of a fault on the process's own side. An isolated process must neither
+// report other members as suspect or unreachable nor take over anything from them.
 func (c Connectivity) Isolated() bool {
 	return c == InboundLost || c == OutboundLost || c == Superseded
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -39,14 +39,14 @@
 	StateAge           int64            `json:"for_ms"`
 	SinceReceived      int64            `json:"heard_ms"`   // since its latest message arrived at this process
 	SinceAcked         int64            `json:"reached_ms"` // since it last answered this process
-	SinceSeen          int64            `json:"seen_ms"`    // since any member is known to have received a message from it
+	SinceSeen          int64            `json:"seen_ms"`    // since the latest message from it that any member is known to have received
 	Link               LinkState        `json:"link"`
 	OwnConnectivity    Connectivity     `json:"own_condition"` // as reported by the member itself
 	SuspectedBy        map[string]int64 `json:"missed_by,omitempty"`
 	HeardBy            map[string]int64 `json:"heard_by,omitempty"`
-	LossCount          int              `json:"lost_times"` // times it became unreachable, each within a minute of the previous one
-	DampedFor          int64            `json:"damped_ms,omitempty"`
-	PreviousGeneration uint64           `json:"replaced_start,omitempty"`
+	LossCount          int              `json:"lost_times"`               // times it became unreachable, each within a minute of the previous one
+	DampedFor          int64            `json:"damped_ms,omitempty"`      // remaining time for which it is kept out of the view
+	PreviousGeneration uint64           `json:"replaced_start,omitempty"` // of the process that this one replaced; 0 if none
 }
 
 // Status returns the complete state of this process.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -18,8 +18,8 @@
 	// grows with the logarithm of the size, as does the number of gossip rounds in which an update reaches all members.
 	suspicionBaseMembers = 32
 
-	// maxContradictedTimeouts is for how many suspicion timeouts the latest heard-from report about a member that does not answer this
-	// process prevents a suspicion. After that, another member must receive a message from it.
+	// maxContradictedTimeouts is how long, in suspicion timeouts, a heard-from report prevents this process from suspecting a member that
+	// does not answer it. Without a later report the member is then suspected.
 	maxContradictedTimeouts = 4
 
 	// maxUndampedLosses is how many times a member may become unreachable, each time within flapWindow of the previous one, and still
@@ -52,7 +52,7 @@
 	return time.Duration(minTimeout * (1 + (maxSuspicionFactor-1)*missingFraction))
 }
 
-// ownSuspicion returns the update that this process suspects a member, with the age of the suspicion.
+// ownSuspicion returns an update which reports that this process suspects a member, with the age of the suspicion.
 func (c *Core) ownSuspicion(p *peer) Update {
 	u := p.update(Suspect, c.options.Name)
 	u.Age = clampMillis(c.now - p.suspectedAt)
@@ -66,8 +66,8 @@
 		p.suspectedAt = since
 		p.suspicionSent = false
 		clear(p.suspectedBy)
-		// Some random members probe the suspect themselves, to confirm or contradict the suspicion. Their mean number is four at any
-		// cluster size, as many as the suspicion timeout depends on.
+		// Some random members probe the suspect themselves, to confirm or contradict the suspicion. Their mean number is four
+		// (requiredConfirmations+1) at any cluster size, enough to shorten the suspicion timeout to its minimum.
 		check := reporter != c.options.Name && c.rand.Float64() < float64(requiredConfirmations+1)/float64(c.viewSize())
 		if check {
 			c.ping(p)
@@ -76,8 +76,8 @@
 	p.suspectedBy[reporter] = since
 }
 
-// expireSuspicions sends out suspicions after half of their timeout, and makes the members unreachable whose suspicion timeout has
-// passed. An isolated process does so only in its own view and gossips nothing about it.
+// expireSuspicions sends out suspicions after half of their timeout, and marks members as unreachable after the whole timeout. An
+// isolated process removes them only from its own view and gossips nothing about it.
 func (c *Core) expireSuspicions() {
 	if c.mayBeIsolated() {
 		return
@@ -100,8 +100,8 @@
 	c.sendSuspicions(halfExpired)
 }
 
-// mayBeIsolated reports whether this process may be isolated without having detected it yet. Until this is clear, it must not make any
-// member unreachable.
+// mayBeIsolated reports whether this process may be isolated without having detected it yet. Until this is clear, it must not mark any
+// member as unreachable.
 func (c *Core) mayBeIsolated() bool {
 	silenceLimit := c.options.SuspicionTimeout / 2
 	silent := c.now-c.lastAcked > silenceLimit || c.now-c.lastReceived > silenceLimit
@@ -123,8 +123,8 @@
 }
 
 // sendSuspicions sends suspicions to the suspects themselves and to some random members before the timeout. A member with newer
-// evidence answers at once. With gossip alone, a few live members would become unreachable if many links are cut, since the
-// suspicion would not reach the members that receive their messages in time.
+// evidence answers at once. With gossip alone, if many links are cut, some suspicions would expire before they reach a member that
+// still receives the suspect's messages, and a few live members would become unreachable.
 func (c *Core) sendSuspicions(suspects []*peer) {
 	var suspicions []Update
 	for _, p := range suspects {
@@ -182,7 +182,8 @@
 	c.recordAlive(p, heardAt)
 }
 
-// latestReporter returns the member that heard from p last. If several did, it returns the first by name.
+// latestReporter returns the member that received the latest message from p. If several members received one at the same time, it
+// returns the first by name.
 func (c *Core) latestReporter(p *peer) string {
 	reporter, latest := c.options.Name, p.lastReceived
 	for name, at := range p.heardBy {
