--- a/internal/cluster/command.go
+++ b/internal/cluster/command.go
@@ -27,7 +27,7 @@
 	var asJSON, watch bool
 	return cli.Command{
 		Name: "members",
-		Help: "Show the cluster members that a running node knows, read from its local socket in $TMPDIR",
+		Help: "Show the cluster members known to a running node, read from its local socket in $TMPDIR",
 		Flags: func(f *flag.FlagSet) {
 			f.StringVar(&name, "name", "", "the `MEMBER` to query, if several run with this $TMPDIR")
 			f.BoolVar(&asJSON, "json", false, "print JSON")
--- a/internal/cluster/datagram_test.go
+++ b/internal/cluster/datagram_test.go
@@ -46,7 +46,8 @@
 		before := l.counters.Drops.Get(c.reason)
 		m := l.parse(raw, c.from)
 		if (m != nil) != (c.reason == "") || c.reason != "" && l.counters.Drops.Get(c.reason) != before+1 {
-			t.Errorf("reason %q: accepted message %v, counter = %d", c.reason, m, l.counters.Drops.Get(c.reason))
+			t.Errorf("drop reason %q: message = %v, counter = %d; want a message if the reason is empty, and otherwise nil and counter = %d",
+				c.reason, m, l.counters.Drops.Get(c.reason), before+1)
 		}
 	}
 	raw, _ := good.MarshalMsg(nil)
@@ -60,7 +61,7 @@
 	for name, valid := range map[string]bool{"n1": true, "a.b-c_d": true, "": false, ".a": false, "a/b": false, "a b": false, "é": false,
 		string(bytes.Repeat([]byte("a"), maxNameLength)): true, string(bytes.Repeat([]byte("a"), maxNameLength+1)): false} {
 		if validName(name) != valid {
-			t.Errorf("validName(%q), want %v", name, valid)
+			t.Errorf("validName(%q) = %v, want %v", name, !valid, valid)
 		}
 	}
 }
--- a/internal/cluster/fuzz_test.go
+++ b/internal/cluster/fuzz_test.go
@@ -67,10 +67,10 @@
 // goroutine.
 func watchEndedStream(t *testing.T, l *link, m *membership.Message) {
 	t.Helper()
-	here, there := net.Pipe()
-	_ = there.Close()
+	conn, remote := net.Pipe()
+	_ = remote.Close()
 	l.coreCalls = make(chan func(), 1)
-	l.quota.watchProcess(t.Context(), here, m)
+	l.quota.watchProcess(t.Context(), conn, m)
 	select {
 	case call := <-l.coreCalls:
 		call()
--- a/internal/cluster/link.go
+++ b/internal/cluster/link.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// maxQueuedMessages limits the received messages queued for the core. Further ones are dropped, as the kernel does with datagrams
-	// if a socket buffer is full.
+	// maxQueuedMessages limits the received messages queued for the core. Further datagrams are dropped, as the kernel drops them if a
+	// socket buffer is full.
 	maxQueuedMessages = 512
 
 	// maxQueuedBroadcasts limits the balancer's messages queued for the core.
@@ -56,7 +56,7 @@
 // Broadcaster sends the balancer's messages to the other nodes. Broadcast does not block.
 type Broadcaster interface{ Broadcast(body []byte) }
 
-// link is the instance of the subsystem.
+// link is an instance of the cluster subsystem: it connects this node to the other members.
 type link struct {
 	options          Options
 	node             Node
@@ -66,7 +66,7 @@
 	acceptNetworks   []netip.Prefix
 	addressOverrides map[string]netip.AddrPort // by member name
 
-	// These are owned by the goroutine of run once the link has started.
+	// The following four fields are owned by the goroutine of run once the link has started.
 	core     *membership.Core
 	epoch    time.Time      // start of the core's time
 	quota    *quotaAgent    // nil if the quota is off
@@ -94,12 +94,12 @@
 	reply   chan membership.Message // receives the reply to a SyncRequest from a stream; otherwise nil
 }
 
-// build creates a link and opens its sockets, unless a predecessor process still has the address.
+// build creates a link and opens its sockets, unless a predecessor process still uses the address.
 func build(host subsystem.Host, options any, previous subsystem.Instance) (subsystem.Instance, error) {
 	linkOptions := *options.(*Options)
 	node, ok := host.Node.(Node)
 	if !ok {
-		return nil, errors.New("the subsystem host has no cluster node")
+		return nil, fmt.Errorf("the node of the subsystem host has type %T, want a cluster.Node", host.Node)
 	}
 	if previous != nil {
 		return nil, errors.New("options cannot be changed at run time: turn the subsystem off with one SIGHUP and on with another, or restart the node")
@@ -148,7 +148,7 @@
 	return l
 }
 
-// newCore creates a core that knows no other member yet, and the overload agent.
+// newCore creates a core without other members, and the overload agent.
 func (l *link) newCore() {
 	o := l.options
 	l.epoch = time.Now()
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -98,8 +98,8 @@
 		options.Listen, options.Seeds, options.Overload, options.QuotaMembers = addresses[i], []string{addresses[1-i]}, true,
 			map[string]string{"n0": addresses[0], "n1": addresses[1]}
 		options.LeaseTTL = operator.Duration(time.Second) // shortens the wait for the first grant
-		if faults := options.validate(); len(faults) > 0 {
-			t.Fatal(faults)
+		if diagnostics := options.validate(); len(diagnostics) > 0 {
+			t.Fatal(diagnostics)
 		}
 		instance, err := build(subsystem.Host{Log: slog.New(slog.DiscardHandler), Node: n}, options, nil)
 		if err != nil {
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -41,12 +41,12 @@
 	// maxMembers limits the memory for the state of the other members, about 600 bytes each.
 	maxMembers = 1024
 
-	// defaultMessageRate is three times the rate, in datagrams per second, that a member of a cluster of a thousand receives while
-	// most of the other members are lost.
+	// defaultMessageRate is three times the rate, in datagrams per second, at which a member in a cluster of a thousand receives
+	// messages after most of the other members were lost.
 	defaultMessageRate = 2000
 
-	// defaultLeaseTTL is the default lease. A lease is renewed four times within its duration, so three of four messages may be lost.
-	// A partitioned member keeps its units for this time; the lessors can use them after a tenth more.
+	// defaultLeaseTTL is the default duration of a lease. A lease is renewed four times within it, so three of four renewals may be
+	// lost. A partitioned member may use its units for this time, and its lessors may use them after a time that is 10% longer.
 	defaultLeaseTTL = 4 * time.Second
 )
 
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -53,7 +53,7 @@
 	return o
 }
 
-// stop ends the admission control, since it will not be updated any more. It may be called on any goroutine.
+// stop removes the fleet's admission from the balancer, since it will not be updated any more. It may be called on any goroutine.
 func (o *overloadAgent) stop() {
 	if o != nil {
 		o.link.node.ApplyEvent(balancer.FleetAdmission{}, false)
--- a/internal/cluster/quota.go
+++ b/internal/cluster/quota.go
@@ -21,7 +21,7 @@
 	// ten times a second sees all of them.
 	maxAllocationRecords = 32
 
-	// allocationCounterScale converts a fraction to the counter that shows the allocation, in millionths.
+	// allocationCounterScale is the value of the counter for the whole quota: the counter shows the allocated fraction in millionths.
 	allocationCounterScale = 1e6
 )
 
@@ -34,7 +34,7 @@
 	link        *link
 	membersHash uint32
 	peers       []string         // lessors and lessees of this member
-	allocator   *quota.Allocator // nil until this process has joined, since its generation may change before
+	allocator   *quota.Allocator // nil until this process has joined, since its generation may change before that
 	applied     quota.Allocation // the allocation last passed to the balancer
 	hasApplied  bool
 	records     []AllocationRecord
@@ -180,7 +180,8 @@
 	if next.ValidUntil != noExpiry {
 		balancerUntil = q.link.node.Clock().Now() + float64(next.ValidUntil-now)/float64(time.Millisecond)
 	}
-	// The recorded time is before the change of a larger allocation, and after the change of a smaller one.
+	// For an increase, EffectiveFrom is taken before the balancer gets the event, and for a decrease after that, so that the records do
+	// not show less than the balancer used.
 	since := time.Now()
 	until := int64(math.MaxInt64)
 	if next.ValidUntil != noExpiry {
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -44,7 +44,8 @@
 	Duration     int64              `json:"for_ms"`      // milliseconds since load shedding started; 0 if no load is shed
 }
 
-// currentStatus gets the status from the core's goroutine. ok is false if that does not answer within statusTimeout.
+// currentStatus gets the status from the core's goroutine. ok is false if that goroutine does not accept the call within
+// statusTimeout, or if the context ends first.
 func (l *link) currentStatus(ctx context.Context) (status Status, ok bool) {
 	done := make(chan struct{})
 	call := func() {
--- a/internal/cluster/status_server.go
+++ b/internal/cluster/status_server.go
@@ -49,7 +49,7 @@
 	}
 	path := SocketPath(dir, l.name)
 	if len(path) > maxSocketPath {
-		return nil, fmt.Errorf("path of the local socket %s is too long: must be at most %d bytes", path, maxSocketPath)
+		return nil, fmt.Errorf("path of the local socket %s has %d bytes, want at most %d", path, len(path), maxSocketPath)
 	}
 	if conn, err := net.DialTimeout("unix", path, statusTimeout); err == nil {
 		_ = conn.Close()
@@ -107,7 +107,8 @@
 	}
 }
 
-// answer writes the status to one caller. Write errors are ignored, since the caller has gone in that case.
+// answer writes the status to one caller. Write errors are ignored, since the caller has closed the connection in that
+// case.
 func (s *statusServer) answer(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(statusTimeout))
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -20,7 +20,8 @@
 	// lengthPrefixBytes is the size in bytes of the big-endian length before each message.
 	lengthPrefixBytes = 4
 
-	// maxStateBytes is the maximum size of a full state: 1,024 members of 200 bytes each, the maximum for names and addresses.
+	// maxStateBytes is the maximum size of a full state: 1,024 members of 200 bytes each, which allows for names and addresses of the
+	// maximum length.
 	maxStateBytes = 256 << 10
 
 	// maxStreams limits the open streams in each direction, except accepted liveness streams. Full states are exchanged with one
@@ -31,7 +32,7 @@
 	streamTimeout = 2 * time.Second
 )
 
-var errTooLong = errors.New("message is longer than the limit of a stream")
+var errTooLong = fmt.Errorf("message exceeds the limit of %d bytes for a stream", maxStateBytes)
 
 // writeMessage writes the length of a message and the message, and returns the number of bytes written.
 func writeMessage(w io.Writer, m membership.Message) (int, error) {
--- a/internal/cluster/validate.go
+++ b/internal/cluster/validate.go
@@ -83,13 +83,13 @@
 
 func (o *Options) validateLimits(v *validator) {
 	interval := o.ProbeInterval.Std()
-	v.rejectIf(interval < minProbeInterval || interval > maxProbeInterval, "period", "must be %v to %v", minProbeInterval, maxProbeInterval)
-	v.rejectIf(o.ProbeTimeout.Std() < time.Millisecond || o.ProbeTimeout > o.ProbeInterval, "timeout", "must be 1ms to the period (%v)", interval)
-	v.rejectIf(o.SuspicionTimeout < minSuspicionIntervals*o.ProbeInterval, "suspicion", "must be at least four periods (%v)", minSuspicionIntervals*interval)
-	v.rejectIf(o.SuspicionTimeout.Std() > maxSuspicionTimeout, "suspicion", "must be at most 1h")
-	v.rejectIf(o.LeaseTTL < minLeaseIntervals*o.ProbeInterval || o.LeaseTTL.Std() > maxLeaseTTL, "lease", "must be four periods (%v) to 1m", minLeaseIntervals*interval)
-	v.rejectIf(o.MaxMembers < 2 || o.MaxMembers > maxMembers, "members", "must be 2 to %d", maxMembers)
-	v.rejectIf(o.MaxMessageRate < minMessageRate || o.MaxMessageRate > maxMessageRate, "rate", "must be %d to %d", minMessageRate, maxMessageRate)
+	v.rejectIf(interval < minProbeInterval || interval > maxProbeInterval, "period", "must be %v to %v, got %v", minProbeInterval, maxProbeInterval, interval)
+	v.rejectIf(o.ProbeTimeout.Std() < time.Millisecond || o.ProbeTimeout > o.ProbeInterval, "timeout", "must be 1ms to the period (%v), got %v", interval, o.ProbeTimeout.Std())
+	v.rejectIf(o.SuspicionTimeout < minSuspicionIntervals*o.ProbeInterval, "suspicion", "must be at least four periods (%v), got %v", minSuspicionIntervals*interval, o.SuspicionTimeout.Std())
+	v.rejectIf(o.SuspicionTimeout.Std() > maxSuspicionTimeout, "suspicion", "must be at most 1h, got %v", o.SuspicionTimeout.Std())
+	v.rejectIf(o.LeaseTTL < minLeaseIntervals*o.ProbeInterval || o.LeaseTTL.Std() > maxLeaseTTL, "lease", "must be four periods (%v) to 1m, got %v", minLeaseIntervals*interval, o.LeaseTTL.Std())
+	v.rejectIf(o.MaxMembers < 2 || o.MaxMembers > maxMembers, "members", "must be 2 to %d, got %d", maxMembers, o.MaxMembers)
+	v.rejectIf(o.MaxMessageRate < minMessageRate || o.MaxMessageRate > maxMessageRate, "rate", "must be %d to %d, got %d", minMessageRate, maxMessageRate, o.MaxMessageRate)
 }
 
 // dialable reports whether s is an IP address with a nonzero port.
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// run simulates a number of seconds. It returns the total priority of the served requests, as a fraction of the total if the
-// servers served all requests strictly by priority.
+// run simulates a number of seconds. It returns the sum of the priorities of the served requests, as a fraction of the optimum: the
+// sum if the servers served requests strictly by priority.
 func (f *fleet) run(seconds float64) (servedValue float64) {
 	optimum, achieved := 0.0, 0.0
 	for range int(seconds * 4) {
@@ -177,7 +177,7 @@
 
 // Nodes that receive summaries of at most a quarter of the fleet, or none, must shed nothing. A restart, and a node that reports a
 // thousand times its requests, may reduce the served value only by a bounded amount.
-func TestDecisionsWithMissingOrFalseReports(t *testing.T) {
+func TestMissingOrFalseReportsHaveLimitedEffect(t *testing.T) {
 	f := newFleet(8, 2)
 	f.capacity = 550
 	f.run(10)
@@ -247,19 +247,19 @@
 func TestRetryBudgetReductionFollowsFailureRatio(t *testing.T) {
 	controller := New(Options{Name: "a", Generation: 1, Classes: classes})
 	counts, now := Counts{Requested: make([]uint64, 3), Accepted: make([]uint64, 3)}, time.Duration(0)
-	run := func(seconds, fail float64) float64 {
+	run := func(seconds, failureRatio float64) float64 {
 		reduction := 0.0
 		for range int(seconds * 4) {
 			now += 250 * time.Millisecond
-			counts.Attempts, counts.Successes = counts.Attempts+100, counts.Successes+uint64(100*(1-fail))
+			counts.Attempts, counts.Successes = counts.Attempts+100, counts.Successes+uint64(100*(1-failureRatio))
 			controller.Observe(now, now, Counts{Attempts: counts.Attempts, Successes: counts.Successes, Requested: make([]uint64, 3), Accepted: make([]uint64, 3)})
 			reduction = controller.Decide(now, []string{"a"}).RetryBudgetReduction
 		}
 		return reduction
 	}
-	for _, c := range []struct{ seconds, fail, low, high float64 }{{5, 0.1, 0, 0}, {2, 0.6, 1, 1}, {1.5, 0, 0.4, 0.95}, {5, 0, 0, 0}, {3, 0.35, 0.4, 0.6}} {
-		if reduction := run(c.seconds, c.fail); reduction < c.low || reduction > c.high {
-			t.Errorf("after %v s with failure ratio %v: reduction = %.2f, want %v to %v", c.seconds, c.fail, reduction, c.low, c.high)
+	for _, c := range []struct{ seconds, failureRatio, minReduction, maxReduction float64 }{{5, 0.1, 0, 0}, {2, 0.6, 1, 1}, {1.5, 0, 0.4, 0.95}, {5, 0, 0, 0}, {3, 0.35, 0.4, 0.6}} {
+		if reduction := run(c.seconds, c.failureRatio); reduction < c.minReduction || reduction > c.maxReduction {
+			t.Errorf("after %v s with failure ratio %v: reduction = %.2f, want %v to %v", c.seconds, c.failureRatio, reduction, c.minReduction, c.maxReduction)
 		}
 	}
 }
--- a/internal/overload/decisions_test.go
+++ b/internal/overload/decisions_test.go
@@ -15,8 +15,8 @@
 	f := newFleet(2, seed)
 	f.nodes[0].requestFraction, f.nodes[1].requestFraction = 0.3, 0.7
 	digest := sha256.New()
-	steps := func(n int) {
-		for range n {
+	steps := func(count int) {
+		for range count {
 			f.step()
 			for _, n := range f.nodes {
 				fmt.Fprintln(digest, f.now, n.name, n.admission, n.controller.Rates())
--- a/internal/overload/summary.go
+++ b/internal/overload/summary.go
@@ -11,7 +11,7 @@
 	// servers that recover within seconds.
 	rateWindow = 1200 * time.Millisecond
 
-	// maxSummaryAge is the age at which a summary is no longer used.
+	// maxSummaryAge is the age from which on a summary is not used any more.
 	maxSummaryAge = 3 * time.Second
 
 	// sourceRetention is how long a source is kept after its latest summary.
@@ -113,14 +113,14 @@
 			names = append(names, name)
 		}
 	}
-	isOther := func(name string) int {
+	ownFirst := func(name string) int {
 		if name == c.options.Name {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(isOther(a)-isOther(b), c.sources[a].timesSent-c.sources[b].timesSent, cmp.Compare(a, b))
+		return cmp.Or(ownFirst(a)-ownFirst(b), c.sources[a].timesSent-c.sources[b].timesSent, cmp.Compare(a, b))
 	})
 	var out []Summary
 	for _, name := range names[:min(n, len(names))] {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -4,9 +4,9 @@
 // Each member owns an equal fraction of the quota, divided into units. Each unit has a lessor: another member, determined by a hash
 // of the member names. The owner of the unit is its lessee. It uses the unit until its lease expires by its own clock, counted from
 // the time at which it sent the request. The lessor uses the unit after the lease has expired by the lessor's clock, counted from
-// the later time of the grant and extended by the allowed clock drift. So at most one of the two uses the unit at any time. If a
-// process is proven to have ended (ProcessEnded, or a later process at the same address), the other side does not wait for the
-// expiry. docs/members.md has the derivation and the cases that are not covered.
+// the grant, which is later than the request, and extended by the allowed clock drift. So at most one of the two uses the unit at
+// any time. If a process is proven to have ended (ProcessEnded, or a later process at the same address), the other side does not
+// wait for the expiry. docs/members.md has the derivation and the cases that are not covered.
 //
 // The package does no I/O: the caller passes in times and messages, and gets messages and allocations back.
 package quota
@@ -30,7 +30,7 @@
 	Name       string
 	Members    map[string]string // addresses, by name, of all members that divide the quota; must be the same at every member
 	Generation uint64            // of this process
-	LeaseTTL   time.Duration     // how long a unit stays with its owner after the last granted renewal was requested
+	LeaseTTL   time.Duration     // how long the owner may use a unit after it requested the latest granted renewal
 }
 
 // Kind is the type of a message.
@@ -73,7 +73,7 @@
 type Allocator struct {
 	options      Options
 	startedAt    time.Duration
-	unitFraction float64 // fraction of the quota that one unit stands for
+	unitFraction float64 // fraction of the quota in one unit
 	membersHash  uint32
 	lessors      []*lessor
 	lessees      []*lessee
@@ -148,8 +148,8 @@
 	return out
 }
 
-// Peers returns the sorted names of the lessors and lessees. This process and the processes of its peers must be notified when the
-// other side ends.
+// Peers returns the sorted names of the lessors and lessees. This process must be notified when a peer's process ends, and the peers'
+// processes when this one ends.
 func (a *Allocator) Peers() []string {
 	var out []string
 	for _, l := range a.lessors {
@@ -191,7 +191,7 @@
 	}
 }
 
-// Tick requests a renewal of each lease that is due.
+// Tick requests each renewal of a lease that is due.
 func (a *Allocator) Tick(now time.Duration) {
 	for _, l := range a.lessors {
 		if now < l.renewAt || !l.canRequestRenewal() {
@@ -219,8 +219,8 @@
 	}
 }
 
-// handleRenew grants a lease. For the first lessorLeaseTTL after its start a process grants nothing, since its predecessor may have
-// granted leases that it does not know of and that have not expired yet.
+// handleRenew grants a lease. For the first lessorLeaseTTL after its start a process grants nothing, since leases that its predecessor
+// granted may not have expired yet.
 func (a *Allocator) handleRenew(now time.Duration, m IncomingMessage) {
 	if m.MembersHash != a.membersHash || now-a.startedAt <= lessorLeaseTTL(a.options.LeaseTTL) {
 		return
@@ -237,7 +237,7 @@
 	}
 }
 
-// handleGrant extends the lease of the renewal that the message grants.
+// handleGrant extends the lease whose renewal the message grants.
 func (a *Allocator) handleGrant(m IncomingMessage) {
 	for _, l := range a.lessors {
 		if l.name == m.From {
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -54,8 +54,8 @@
 }
 
 // processSeen records a running process of the lessor. A process with a higher generation than the grantor's proves that the grantor
-// has ended. The later process grants nothing in its first lessorLeaseTTL, and this process keeps the units until it sends the first
-// request, so it delays that request by at least lessorLeaseTTL.
+// has ended. The later process grants nothing in its first lessorLeaseTTL. This process keeps the units until it sends its first
+// request to the later process, so processSeen delays that request by more than lessorLeaseTTL.
 func (l *lessor) processSeen(now time.Duration, generation uint64, leaseTTL time.Duration) {
 	if generation <= l.seenGeneration {
 		return
@@ -71,8 +71,8 @@
 // recordRequest records that a renewal was sent to the lessor.
 //
 // If the grantor has ended, this process used the units without an expiry. The first request to a later process of the lessor ends
-// that: from then on the later process can grant the units and treat them as leased by this one, so this process may use them for
-// one more leaseTTL only, unless the lease is renewed.
+// that: the later process can grant the request, and uses the units itself when the granted lease has expired. So this process may
+// use them for one more leaseTTL only, unless the lease is renewed.
 func (l *lessor) recordRequest(now time.Duration, seq uint32, leaseTTL time.Duration) {
 	if l.processEnded {
 		l.processEnded = false
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -93,7 +93,7 @@
 	return started
 }
 
-// scheduleMemberSeen notifies observer after a random delay that the process seen is running. While the link is cut it retries.
+// scheduleMemberSeen calls observer's MemberSeen with the process seen after a random delay. While the link is cut it retries.
 func (s *simulation) scheduleMemberSeen(observer, seen *process) {
 	s.schedule(time.Duration(s.rng.Int64N(int64(3*time.Second))), func() {
 		if !observer.running {
@@ -157,8 +157,8 @@
 	}
 }
 
-// kill ends a process. Its kernel closes its connections, which the other processes see within 100 ms, or later if the link is cut.
-// If the machine is lost too, they never see it.
+// kill ends a process. Its kernel closes its connections, which the other processes detect within 100 ms, or later if the link is
+// cut. If the machine is lost too, they never detect it.
 func (s *simulation) kill(killed *process, machineLost bool) {
 	killed.running = false
 	killed.deferred = nil
@@ -215,7 +215,7 @@
 	return out
 }
 
-// run processes the events of the next span d and calls check after each.
+// run simulates a time span of d: it processes the events that are due and calls check after each.
 func (s *simulation) run(d time.Duration, check func()) {
 	end := s.now + d
 	for len(s.queue) > 0 && s.queue[0].at <= end {
