--- a/internal/coap/back/attempt.go
+++ b/internal/coap/back/attempt.go
@@ -35,7 +35,7 @@
 	request engine.OutgoingRequest
 
 	mu      sync.Mutex
-	written bool // the message that completes the request was passed to the socket, so the request may run
+	written bool // the last message of the request was passed to the socket, so the request may run
 	aborted bool
 }
 
@@ -62,8 +62,8 @@
 	return a.written
 }
 
-// markWritten records that the message that completes the request is about to be sent. If that message is sent again
-// after an Echo challenge, the attempt is still counted once.
+// markWritten records that the last message of the request is about to be sent. The attempt is reported as written only
+// once, even if that message is sent again after an Echo challenge.
 func (a *attempt) markWritten() {
 	a.mu.Lock()
 	isFirst := !a.written
--- a/internal/coap/back/conn.go
+++ b/internal/coap/back/conn.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// deliverPortClosed notifies every exchange and ping that no process listens on the port. The kernel does not report
-// which datagram caused the error. A request that was sent before the server died may have run, so no request may be
-// reported as not run.
+// deliverPortClosed notifies every exchange and ping that no process listens on the port, because the kernel does not
+// report which datagram caused the error. A request that was sent before the server process ended may have run, so
+// every written request counts as possibly run.
 func (c *serverConn) deliverPortClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,6 +186,6 @@
 	}
 	select {
 	case arrivals <- arrival{message: m}:
-	default: // the channel is full: this is a duplicate of a message that has not been read yet
+	default: // the channel is full: this message repeats one that has not been read yet
 	}
 }
--- a/internal/coap/back/exchange.go
+++ b/internal/coap/back/exchange.go
@@ -17,7 +17,7 @@
 
 const (
 	// ackTimeout is the time before the first retransmission, without jitter. The standard's 2 s is meant for links of
-	// unknown quality. These servers are on the operators' own network, and requests live for a few hundred
+	// unknown quality. These servers are on the operators' own network, and requests last a few hundred
 	// milliseconds. RFC 7252, 4.8.1 allows changing the value.
 	ackTimeout = 150 * time.Millisecond
 
@@ -27,12 +27,12 @@
 	// maxRetransmit is the maximum number of retransmissions of a message: MAX_RETRANSMIT.
 	maxRetransmit = 4
 
-	// arrivalBuffer is the number of unread arrivals of an exchange: an acknowledgement, the response, and a duplicate
-	// of each.
+	// arrivalBuffer is the maximum number of unread arrivals of an exchange: an acknowledgement, the response, and one
+	// repetition of each.
 	arrivalBuffer = 4
 )
 
-// The reasons why an exchange ends without a response.
+// The reasons why an exchange ends without a usable response.
 var (
 	errRejected     = errors.New("the server rejected the message")                 // the request has not run
 	errPortClosed   = errors.New("no process listens on the address")               // the request may have run
@@ -63,11 +63,11 @@
 		if len(body) > block.Size() {
 			blockRequest.Options = withBlock(request.Options, message.Block1, block)
 		}
-		var completedAttempt *attempt // set only if this block completes the request
+		var writtenAttempt *attempt // nil unless this is the last block of the request
 		if !block.More {
-			completedAttempt = a
+			writtenAttempt = a
 		}
-		response, err := c.exchange(ctx, blockRequest, completedAttempt)
+		response, err := c.exchange(ctx, blockRequest, writtenAttempt)
 		if err != nil || response.Code != codes.Continue || !block.More {
 			return response, err
 		}
@@ -108,10 +108,10 @@
 	return wire.AddUint(options[:len(options):len(options)], id, block.Value())
 }
 
-// exchange sends one confirmable message with a new message id and token, and waits for its response. If the message
-// completes the request of an attempt, completedAttempt is that attempt and is marked as written before the message is
-// sent.
-func (c *serverConn) exchange(ctx context.Context, m message.Message, completedAttempt *attempt) (message.Message, error) {
+// exchange sends one confirmable message with a new message id and token, and waits for its response. If the message is
+// the last one of an attempt's request, writtenAttempt is that attempt, and is marked as written before the message is
+// sent. Otherwise writtenAttempt is nil.
+func (c *serverConn) exchange(ctx context.Context, m message.Message, writtenAttempt *attempt) (message.Message, error) {
 	arrivals := make(chan arrival, arrivalBuffer)
 	id, token := c.registerExchange(arrivals)
 	defer c.unregister(id, token)
@@ -122,8 +122,8 @@
 	if err != nil {
 		return m, errRejected
 	}
-	if completedAttempt != nil {
-		completedAttempt.markWritten()
+	if writtenAttempt != nil {
+		writtenAttempt.markWritten()
 	}
 	return c.transmit(ctx, datagram, arrivals)
 }
--- a/internal/coap/back/transport.go
+++ b/internal/coap/back/transport.go
@@ -1,6 +1,6 @@
-// Package back sends requests to servers that speak CoAP (RFC 7252); an endpoint list marks them with the scheme
-// coap://. It takes the bytes that would be sent to an HTTP server and reports the same outcomes. The server for a
-// request is selected elsewhere.
+// Package back sends requests to servers that speak CoAP (RFC 7252). The addresses of such servers in an endpoint list
+// start with coap://. The transport converts the bytes that would be sent to an HTTP server, and reports the same
+// outcomes as for an HTTP server. Its caller selects the server.
 package back
 
 import (
@@ -63,7 +63,7 @@
 func (t *Transport) Send(server balancer.ServerID, request engine.OutgoingRequest, done func(engine.Completion)) engine.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{cancel: cancel, request: request}
-	if request.Body != nil { // larger than maxBody, the limit of this transport: another server may take the request
+	if request.Body != nil { // the body exceeds maxBody, the limit of this transport; another server may accept the request
 		cancel()
 		t.options.Count.Outcomes.Inc(outcomeUnsent)
 		go done(engine.Completion{Outcome: balancer.NotSent})
--- a/internal/coap/back/transport_test.go
+++ b/internal/coap/back/transport_test.go
@@ -22,11 +22,11 @@
 	"tackhub.example/tackhub/internal/engine"
 )
 
-// largeBody is a request body that is not held in memory.
+// largeBody is a request body that is stored outside memory.
 type largeBody struct{ engine.RequestBody }
 
-// A large body is only partly in memory. If that part were sent, the server would take it for the whole request. The
-// attempt must therefore end as not sent, so that another server can take the request.
+// OutgoingRequest.Bytes does not contain the whole request if its body is large. A server would treat these bytes as a
+// complete request. The attempt must therefore end as not sent, so that another server can run the request.
 func TestSendReportsNotSentForLargeBody(t *testing.T) {
 	var count counters.CoapServers
 	completions := make(chan engine.Completion, 1)
@@ -108,7 +108,7 @@
 	}), count
 }
 
-// attemptRequest returns a request; written counts how often it is reported as written.
+// attemptRequest returns a request that increments written each time it is reported as written.
 func attemptRequest(raw string, written *int) engine.OutgoingRequest {
 	return engine.OutgoingRequest{
 		Bytes:     []byte(raw),
@@ -165,7 +165,8 @@
 			transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
 			completion := waitForCompletion(t, completions)
 			if completion.Outcome != c.outcome || string(completion.Body) != c.body || written != 1 || count.Outcomes.Get(c.counter) != 1 {
-				t.Errorf("got outcome %s, body %q, written %d times; want those of the case, written once", engine.OutcomeName(completion.Outcome), completion.Body, written)
+				t.Errorf("got outcome %s, body %q, written %d times; want outcome %s, body %q, written once, counted once as %q",
+					engine.OutcomeName(completion.Outcome), completion.Body, written, engine.OutcomeName(c.outcome), c.body, c.counter)
 			}
 		})
 	}
@@ -264,8 +265,8 @@
 	}
 }
 
-// The kernel reports a closed port without naming the datagram. The request may have run in the previous process of
-// the server, so the outcome must not be one that means that it has not run.
+// The kernel does not report which datagram reached a closed port. The request may have run in the previous process of
+// the server, so its outcome must not mean that it has not run.
 func TestSendReportsConnectionLostForClosedPort(t *testing.T) {
 	server := startServer(t, nil)
 	address := server.conn.LocalAddr().String()
--- a/internal/coap/front/mapping.go
+++ b/internal/coap/front/mapping.go
@@ -23,7 +23,7 @@
 	queryCostHint = "hint"   // estimated work in microseconds
 )
 
-// mappedRequest is a CoAP request converted to HTTP terms. docs/coap.md describes the mapping.
+// mappedRequest is the HTTP equivalent of a CoAP request. docs/coap.md describes the mapping.
 type mappedRequest struct {
 	class          balancer.Class
 	method         string
@@ -69,7 +69,7 @@
 // request. Critical options have odd numbers.
 func isCritical(id message.OptionID) bool { return id%2 == 1 }
 
-// mapRequest converts a message to HTTP terms, or returns the reason why it cannot. It is pure.
+// mapRequest converts a message to its HTTP equivalent, or returns the reason for rejecting it. It is pure.
 func mapRequest(m *message.Message, classes map[string]balancer.Class) (mappedRequest, *rejection) {
 	for _, option := range m.Options {
 		switch {
@@ -92,7 +92,7 @@
 		return mappedRequest{}, reject(codes.MethodNotAllowed, "%v on %s", m.Code, class.Name)
 	}
 	mapped := mappedRequest{class: class, method: method, deadline: defaultDeadline(class)}
-	forwarded := mapped.takeQueries(wire.Strings(m, message.URIQuery))
+	forwarded := mapped.parseQueries(wire.Strings(m, message.URIQuery))
 	mapped.uri = buildURI(path, forwarded)
 	switch {
 	case class.Idempotency == balancer.IdempotentWithKey && mapped.idempotencyKey == "":
@@ -122,8 +122,8 @@
 	return strconv.FormatInt(max(1, int64(class.TotalTimeout)), 10)
 }
 
-// takeQueries reads the queries that are for the node and returns the others, escaped.
-func (m *mappedRequest) takeQueries(queries []string) (forwarded []string) {
+// parseQueries stores the values of the queries that the node reads, and returns all others in escaped form.
+func (m *mappedRequest) parseQueries(queries []string) (forwarded []string) {
 	for _, query := range queries {
 		name, value, hasValue := strings.Cut(query, "=")
 		switch name {
--- a/internal/coap/front/proven.go
+++ b/internal/coap/front/proven.go
@@ -14,8 +14,9 @@
 	validationLifetime = echo.Lifetime
 )
 
-// validatedEndpoints maps each endpoint that has proved with an Echo value that it receives at its address to the time
-// at which the validation expires. Times are durations since the server's start.
+// validatedEndpoints maps each validated endpoint to the time at which its validation expires. An endpoint is validated
+// when it returns a valid Echo value, which proves that it receives datagrams at its address. Times are durations since
+// the server's start.
 type validatedEndpoints map[string]time.Duration
 
 // contains reports whether an endpoint is validated and its validation has not expired.
@@ -23,8 +24,8 @@
 	return v[endpoint] > now
 }
 
-// add stores an endpoint as validated. At the limit it first removes endpoints, not all of them necessarily expired; a
-// removed endpoint is challenged again.
+// add stores an endpoint as validated. If the limit is reached, it first removes other endpoints, possibly before they
+// expire. A removed endpoint is challenged again.
 func (v validatedEndpoints) add(now time.Duration, endpoint string) {
 	if len(v) >= maxValidated {
 		v.shrink(now)
@@ -32,8 +33,8 @@
 	v[endpoint] = now + validationLifetime
 }
 
-// shrink removes at least one endpoint, expired or not, and further expired ones until less than half of the limit is
-// used.
+// shrink removes one endpoint even if it has not expired, and then expired endpoints until fewer than half of
+// maxValidated are left.
 func (v validatedEndpoints) shrink(now time.Duration) {
 	for endpoint, expiresAt := range v {
 		if expiresAt <= now || len(v) >= maxValidated {
--- a/internal/coap/front/request.go
+++ b/internal/coap/front/request.go
@@ -89,7 +89,7 @@
 	}
 	if verdict == echo.Unknown {
 		// The request may be a retransmission of one that ran at another node, or at this node before a restart. This
-		// process cannot find out, so the response does not promise that the request has not run. The device decides
+		// process cannot detect that, so its response must not mean that the request has not run. The device decides
 		// whether to send a new request with the new value.
 		s.options.Count.Refused.Inc("foreign_echo")
 		r.respond(response{code: codes.BadGateway, body: []byte("may have run elsewhere"), options: r.challenge()})
@@ -262,7 +262,7 @@
 	r.server.send(wire.Empty(wire.Ack, r.key.ID), r.from)
 }
 
-// device is the proxy.Client of a CoAP request. It has no connection, so its disconnect cannot be detected.
+// device is the proxy.Client of a CoAP request. There is no connection, so a disconnect cannot be detected.
 type device struct{ receivedAt time.Time }
 
 // LastRead returns when the request was received.
@@ -271,7 +271,7 @@
 // WatchDisconnect returns a nil channel, which never delivers a value.
 func (d device) WatchDisconnect() (<-chan struct{}, func()) { return nil, func() {} }
 
-// Disconnected returns false, since the disconnect of a device cannot be detected.
+// Disconnected returns false, since a disconnect cannot be detected.
 func (d device) Disconnected() bool { return false }
 
 // SetCloseReason does nothing, since there is no connection to close.
--- a/internal/coap/front/response.go
+++ b/internal/coap/front/response.go
@@ -116,8 +116,9 @@
 	return answer
 }
 
-// newMessage builds the message of a response: the acknowledgement if the request still needs one, otherwise a
-// separate message, which is confirmable if the request was. The caller holds the lock.
+// newMessage builds the message of a response. If the request is confirmable and not yet acknowledged, the message is
+// its acknowledgement. Otherwise it is a separate message, which is confirmable if the request is. The caller holds the
+// lock.
 func (r *request) newMessage(answer response) message.Message {
 	m := message.Message{Token: r.message.Token, Code: answer.code, Payload: answer.body, Options: answer.options}
 	if answer.maxAge > 0 {
--- a/internal/coap/front/server.go
+++ b/internal/coap/front/server.go
@@ -1,6 +1,6 @@
 // Package front serves CoAP requests (RFC 7252) from devices and passes them to the same handler as HTTP requests. It
-// deals with messages, retransmissions and block-wise transfers. Server selection, retries and load shedding are
-// decided elsewhere.
+// implements the message layer, retransmissions and block-wise transfers. The handler is responsible for server selection,
+// retries and load shedding.
 package front
 
 import (
@@ -76,10 +76,10 @@
 	validated      validatedEndpoints
 	limiter        *limiter
 	lastMessageID  uint16
-	unacknowledged map[dedup.Key]chan struct{} // by separate response; closed when it is acknowledged
+	unacknowledged map[dedup.Key]chan struct{} // keyed by separate response; a channel is closed when its response is acknowledged
 }
 
-// New returns a server for a socket, which Close closes. It fails only if no random bytes are available.
+// New returns a server for a socket. Close closes the socket. New fails only if no random bytes are available.
 func New(conn net.PacketConn, o Options) (*Server, error) {
 	var key [32]byte
 	if _, err := rand.Read(key[:]); err != nil {
@@ -134,7 +134,7 @@
 // Close rejects new requests, waits until those in flight are answered, and closes the socket. Each request in flight
 // ends by its deadline, or sooner in a graceful shutdown.
 func (s *Server) Close() {
-	s.mu.Lock() // handlers already includes every request that was accepted before the lock was taken
+	s.mu.Lock() // requests are accepted with the lock held, so Wait covers every request that was accepted before
 	s.stopping.Store(true)
 	s.mu.Unlock()
 	s.handlers.Wait()
--- a/internal/coap/front/subsystem.go
+++ b/internal/coap/front/subsystem.go
@@ -18,7 +18,7 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// Config is the section [coap]. docs/operating/coap.md describes its keys.
+// Config holds the settings of the section [coap]. docs/operating/coap.md describes its keys.
 type Config struct {
 	Listen                  string         `toml:"listen"`       // UDP address as IP and port; required
 	MaxInFlight             int            `toml:"open"`         // requests; default 512
