--- a/internal/coap/blocks/download.go
+++ b/internal/coap/blocks/download.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// acceptsPayload reports whether a payload of the given length can be the block's part of a body, starting at offset.
-// Every block except the last must be full.
+// acceptsPayload reports whether the block starts at the given offset of the body and may have a payload of the given
+// length. Every block except the last must be full.
 func (b Block) acceptsPayload(offset, length int) bool {
 	if b.offset() != offset || length > b.Size() {
 		return false
--- a/internal/coap/blocks/download_test.go
+++ b/internal/coap/blocks/download_test.go
@@ -53,7 +53,7 @@
 				return
 			}
 			if next, more := d.Next(); next != c.next || more != c.more || len(d.Body()) != total {
-				t.Errorf("Next() = %+v, %v with a body of %d bytes; want those of the case", next, more, len(d.Body()))
+				t.Errorf("Next() = %+v, %v with a body of %d bytes; want %+v, %v with %d bytes", next, more, len(d.Body()), c.next, c.more, total)
 			}
 		})
 	}
--- a/internal/coap/blocks/store.go
+++ b/internal/coap/blocks/store.go
@@ -9,9 +9,9 @@
 type Limits struct {
 	MaxTransfers   int
 	MaxPerEndpoint int           // transfers of one endpoint
-	MaxBytes       int           // of all bodies together
-	MaxBodyBytes   int           // of one body
-	IdleTimeout    time.Duration // since its last message, after which a transfer is removed
+	MaxBytes       int           // total size of all bodies
+	MaxBodyBytes   int           // size of one body
+	IdleTimeout    time.Duration // time after the last message of a transfer until the transfer is removed
 }
 
 // Key identifies a transfer.
--- a/internal/coap/blocks/store_test.go
+++ b/internal/coap/blocks/store_test.go
@@ -75,7 +75,7 @@
 			}
 			stored, ok := s.Get(0, k)
 			if ok != (len(body) <= limits.MaxBodyBytes) {
-				t.Fatalf("a body of %d bytes is stored: %v, want only bodies within the limit", len(body), ok)
+				t.Fatalf("Get of a body of %d bytes: ok = %v, want true only up to %d bytes", len(body), ok, limits.MaxBodyBytes)
 			}
 			if !ok {
 				continue
--- a/internal/coap/client/client.go
+++ b/internal/coap/client/client.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	// maxEchoAttempts is how often a request is sent at most if the server answers with Echo challenges.
+	// maxEchoAttempts is the maximum number of times that a request is sent if the server answers with Echo challenges.
 	maxEchoAttempts = 3
 
 	// tokenLength is the length of a token in bytes.
--- a/internal/coap/client/client_test.go
+++ b/internal/coap/client/client_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// A server that never answers must get a confirmable message as often as the standard requires, with the same id each
-// time, and a non-confirmable message once.
+// If a server never answers, a confirmable message must be retransmitted MaxRetransmit times with the same id, and a
+// non-confirmable message must be sent only once.
 func TestDoRetransmitsUntilLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		options Options
@@ -227,7 +227,7 @@
 }
 
 // If a call is cancelled at about the time its response arrives, the interruption must not affect the next call on the
-// same socket. That call would take it for a missing response and retransmit its message.
+// same socket. That call would treat it as a missing response and retransmit its message.
 func TestCancelDoesNotInterruptNextCall(t *testing.T) {
 	server := startServer(t, func(m message.Message) []message.Message { return []message.Message{ackOf(m, codes.Content, "done")} })
 	client := startClient(t, server, Options{AckTimeout: time.Minute})
--- a/internal/coap/client/command.go
+++ b/internal/coap/client/command.go
@@ -105,7 +105,7 @@
 func printResponse(w io.Writer, response Response, elapsed time.Duration) {
 	_, _ = fmt.Fprintf(w, "%v in %v, %d bytes", response.Code, elapsed.Round(time.Millisecond), len(response.Body))
 	if response.MaxAge > 0 {
-		_, _ = fmt.Fprintf(w, ", come back after %d s", response.MaxAge)
+		_, _ = fmt.Fprintf(w, ", Max-Age %d s", response.MaxAge)
 	}
 	_, _ = fmt.Fprintf(w, "\n%s\n", response.Body)
 }
--- a/internal/coap/client/exchange.go
+++ b/internal/coap/client/exchange.go
@@ -25,11 +25,11 @@
 // errReset is returned if the server rejects a message with a reset.
 var errReset = errors.New("reset")
 
-// interruptReads makes the end of a context interrupt the current read and all later ones until stop is called. After
-// stop the caller has sole control of the socket's read deadline again.
+// interruptReads interrupts the current read and all later reads when the context ends, until stop is called. After
+// stop, only the caller sets the socket's read deadline again.
 //
 // The context's deadline is not set on the socket, because the two timers can fire in either order. A read could end
-// at the socket's deadline before the context is done, and would be mistaken for a missing response.
+// at the socket's deadline before the context is done, and the timeout would be mistaken for a missing response.
 func (c *Client) interruptReads(ctx context.Context) (stop func()) {
 	interrupted := make(chan struct{})
 	undo := context.AfterFunc(ctx, func() {
@@ -54,8 +54,8 @@
 	timeout := time.Duration(float64(c.options.AckTimeout) * (1 + rand.Float64()*ackJitter))
 	acknowledged := false
 	for retransmits := 0; ; retransmits++ {
-		retransmittable := m.Type == wire.Con || retransmits == 0
-		if retransmittable && !acknowledged {
+		mayTransmit := m.Type == wire.Con || retransmits == 0
+		if mayTransmit && !acknowledged {
 			if err := c.write(datagram); err != nil {
 				return nil, err
 			}
@@ -72,7 +72,7 @@
 	}
 }
 
-// write sends a datagram and the configured number of duplicates.
+// write sends a datagram and the configured number of additional copies.
 func (c *Client) write(datagram []byte) error {
 	for range c.options.Duplicates + 1 {
 		if _, err := c.conn.WriteTo(datagram, c.server); err != nil {
@@ -117,7 +117,7 @@
 				_ = c.write(wire.Empty(wire.Ack, uint16(incoming.MessageID)))
 			}
 			return &incoming, acknowledged, nil
-		case incoming.Type == wire.Con: // of an exchange that has ended
+		case incoming.Type == wire.Con: // a response to an exchange that has ended
 			_ = c.write(wire.Empty(wire.Rst, uint16(incoming.MessageID)))
 		}
 	}
--- a/internal/coap/dedup/entry.go
+++ b/internal/coap/dedup/entry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// EntryCost is the size in bytes that an exchange counts for in addition to its response: the entry, and its elements
-// in the maps and lists.
+// EntryCost is the size in bytes that is counted for an exchange in addition to its response. It covers the entry and
+// its elements in the maps and lists.
 const EntryCost = 330
 
 // entry is a stored exchange.
@@ -23,10 +23,10 @@
 	byCompletion *list.Element // in Table.evictable; nil if not in that list
 }
 
-// cost returns the size in bytes that the entry counts for.
+// cost returns the size in bytes that is counted for the entry.
 func (e *entry) cost() int { return EntryCost + len(e.response) }
 
-// lifetime is the kind of lifetime that an exchange has, by the type of its message.
+// lifetime is the kind of an exchange's lifetime, which depends on the type of its message.
 type lifetime int
 
 // The lifetimes.
--- a/internal/coap/dedup/message.go
+++ b/internal/coap/dedup/message.go
@@ -1,9 +1,9 @@
 // Package dedup detects retransmitted CoAP requests, so that a request that arrives again is not run again (RFC 7252,
 // 4.2 to 4.5). It is pure: the caller passes times and messages and acts on the returned verdicts.
 //
-// A retransmission of an answered exchange gets the stored response; a retransmission of an exchange in progress waits
-// for the same response. An exchange that may have had an effect is never evicted before its lifetime ends: at the
-// limits new requests are rejected instead. Responses to idempotent requests are evicted first.
+// A retransmission of an answered request gets the stored response. If the request is still in progress, its response
+// also answers the retransmission. An exchange that may have had an effect is never evicted before its lifetime ends: at
+// the limits, new requests are rejected instead. Responses to idempotent requests are evicted first.
 package dedup
 
 import (
@@ -19,7 +19,7 @@
 
 // Key identifies a message by its sender and its message id.
 type Key struct {
-	Endpoint string // address and port, and the transport's own identity if it has one
+	Endpoint string // address and port, plus an identity if the transport provides one
 	ID       uint16
 }
 
@@ -39,7 +39,7 @@
 // The verdicts.
 const (
 	Fresh        Verdict = iota // run the request, then call Complete or Remove
-	InProgress                  // the request is running: only acknowledge it again if it was acknowledged before
+	InProgress                  // the request is running: acknowledge it again if it was acknowledged before, and do nothing else
 	Replay                      // send the stored response again
 	TableFull                   // reject the request: an exchange that may have had an effect would have to be evicted
 	EndpointFull                // reject the request: its endpoint is at its limit, or another request with the same id is running
--- a/internal/coap/dedup/table_test.go
+++ b/internal/coap/dedup/table_test.go
@@ -26,7 +26,7 @@
 	receive(1*time.Second, m, InProgress, "", false)
 	tb.MarkAcknowledged(m.Key)
 	receive(2*time.Second, m, InProgress, "", true)
-	receive(2*time.Second, message("a", 7, 2, false), EndpointFull, "", false) // another request with an id in progress
+	receive(2*time.Second, message("a", 7, 2, false), EndpointFull, "", false) // another request with the id of a request in progress
 	tb.Complete(m.Key, []byte("done"), false)
 	receive(3*time.Second, m, Replay, "done", false)
 	receive(246*time.Second, m, Replay, "done", false)
@@ -118,8 +118,8 @@
 	expiresAt   time.Duration
 }
 
-// For any sequence of messages, a request must run at most once in its lifetime for one id and fingerprint, and a
-// replay must return its own response.
+// For any sequence of messages, requests with the same id and fingerprint must run at most once within the lifetime of
+// their exchange, and a replay must return the response of that exchange.
 func TestTableMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb := New(Limits{MaxEntries: 6, MaxBytes: 6*EntryCost + 40, MaxPerEndpoint: 4})
--- a/internal/coap/echo/authenticator.go
+++ b/internal/coap/echo/authenticator.go
@@ -1,10 +1,10 @@
-// Package echo issues and checks the values of the Echo option (RFC 9175). With such a value a device proves that it
-// receives at the address it sends from, and that its request is fresh. The package is pure; each process has its own
-// key.
+// Package echo issues and checks the values of the Echo option (RFC 9175). By returning such a value, a device proves
+// that it receives datagrams at the address from which it sends, and that its request is fresh. The package is pure;
+// each process has its own key.
 //
-// A request with an effect runs only with a fresh value of this process. A request without a value has therefore not
-// run anywhere, whereas one with the value of another process may have run. After a restart, or at another node,
-// nothing else distinguishes the two.
+// A process runs a request with an effect only if the request contains a fresh value that this process issued. A request
+// without a value has therefore not run at any node, whereas a request with a value from another process may have run
+// there. After a restart, or at another node, nothing else distinguishes the two cases.
 package echo
 
 import (
@@ -35,13 +35,13 @@
 	None    Verdict = iota // no value was sent: issue one
 	Valid                  // the value is fresh and was issued by this process to this endpoint
 	Expired                // the value was issued by this process to this endpoint, but is too old: issue a new one
-	Unknown                // the value is of another process or endpoint, or forged: the request may have run elsewhere
+	Unknown                // the value was issued by another process or to another endpoint, or is forged: the request may have run elsewhere
 )
 
 // Authenticator issues and checks values.
 type Authenticator struct{ key [32]byte }
 
-// New returns an authenticator. Its key must not be known to anybody else.
+// New returns an authenticator. The key must be kept secret.
 func New(key [32]byte) *Authenticator { return &Authenticator{key} }
 
 // Issue returns a value for an endpoint. The time is a duration since the start of the process.
--- a/internal/coap/echo/authenticator_test.go
+++ b/internal/coap/echo/authenticator_test.go
@@ -6,8 +6,8 @@
 )
 
 func TestCheckReturnsVerdicts(t *testing.T) {
-	own, other := New([32]byte{1}), New([32]byte{2})
-	v := own.Issue(10*time.Second, "a")
+	authenticator, other := New([32]byte{1}), New([32]byte{2})
+	v := authenticator.Issue(10*time.Second, "a")
 	forged := append([]byte(nil), v...)
 	forged[0]++
 	for name, c := range map[string]struct {
@@ -27,7 +27,7 @@
 		"forged time":       {10 * time.Second, "a", forged, true, Unknown},
 		"of another length": {10 * time.Second, "a", v[:6], true, Unknown},
 	} {
-		if got := own.Check(c.now, c.endpoint, c.value, c.present); got != c.want {
+		if got := authenticator.Check(c.now, c.endpoint, c.value, c.present); got != c.want {
 			t.Errorf("%s: Check() = %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/coap/wire/options.go
+++ b/internal/coap/wire/options.go
@@ -9,8 +9,8 @@
 // maxUintLength is the maximum length in bytes of an option that is read as a number.
 const maxUintLength = 4
 
-// Uint returns the first option of a message with an id as a number. Options longer than four bytes are skipped; false
-// if there is no other.
+// Uint returns the value of the first option of a message with the given id, as a number; false if there is none.
+// Options longer than four bytes are skipped.
 func Uint(m *message.Message, id message.OptionID) (uint32, bool) {
 	for _, option := range m.Options {
 		if option.ID != id || len(option.Value) > maxUintLength {
@@ -25,7 +25,7 @@
 	return 0, false
 }
 
-// Bytes returns the value of the first option of a message with an id; false if there is none.
+// Bytes returns the value of the first option of a message with the given id; false if there is none.
 func Bytes(m *message.Message, id message.OptionID) ([]byte, bool) {
 	for _, option := range m.Options {
 		if option.ID == id {
@@ -35,7 +35,7 @@
 	return nil, false
 }
 
-// Strings returns the values of all options of a message with an id, in order.
+// Strings returns the values of all options of a message with the given id, in order.
 func Strings(m *message.Message, id message.OptionID) []string {
 	var values []string
 	for _, option := range m.Options {
--- a/internal/coap/wire/wire_test.go
+++ b/internal/coap/wire/wire_test.go
@@ -26,7 +26,7 @@
 	} {
 		got, err := ParseHeader(c.datagram)
 		if got != c.want || errors.Is(err, ErrMalformed) != c.fails {
-			t.Errorf("%s: ParseHeader() = %+v, %v; want the header or ErrMalformed of the case", name, got, err)
+			t.Errorf("%s: ParseHeader() = %+v, %v; want %+v, ErrMalformed: %v", name, got, err, c.want, c.fails)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		t.Errorf("Block1 = %+v, %v, %v; want number 5, more, size exponent 2", block, present, err)
 	}
 	if _, present, err := Block(&got, message.Block2); present || err != nil {
-		t.Errorf("Block2, which is absent: present = %v, error = %v", present, err)
+		t.Errorf("Block2, which is absent: present = %v, error = %v; want false, nil", present, err)
 	}
 	if TypeOf(datagram) != Con || Class(got.Code) != ClassRequest || Detail(got.Code) != 2 {
 		t.Errorf("got type %v, code %d.%02d; want confirmable, 0.02", TypeOf(datagram), Class(got.Code), Detail(got.Code))
@@ -83,11 +83,11 @@
 	}
 	long := message.Message{Options: message.Options{}.Add(message.Option{ID: message.MaxAge, Value: make([]byte, 5)})}
 	if _, ok := Uint(&long, message.MaxAge); ok {
-		t.Error("Uint() accepted a value of five bytes")
+		t.Error("Uint() of a value of five bytes: ok = true, want false")
 	}
 }
 
-func TestEmpty(t *testing.T) {
+func TestEmptyReturnsHeaderOnlyDatagram(t *testing.T) {
 	for messageType, want := range map[message.Type][]byte{
 		Con: {0x40, 0, 0x12, 0x34},
 		Ack: {0x60, 0, 0x12, 0x34},
