--- a/internal/endpoints/command.go
+++ b/internal/endpoints/command.go
@@ -31,7 +31,7 @@
 
 func (c *commandFlags) declareShow(f *flag.FlagSet) {
 	c.declareOperatorFile(f)
-	f.StringVar(&c.stateDir, "state", "", "state `FOLDER` of a node; default: the one in the operator file, or else the list files are merged")
+	f.StringVar(&c.stateDir, "state", "", "state `FOLDER` of a node; default: state_dir of the operator file; without either, the list files are merged")
 	f.BoolVar(&c.asJSON, "json", false, "print JSON")
 }
 
@@ -109,7 +109,7 @@
 	return &File{Path: path}
 }
 
-// loadList reads one list with the options that a node would use.
+// loadList reads one list with the file options configured for its path.
 func loadList(o *Options, path string) (inventory.List, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return parseFile(o.fileOptions(path), raw)
 }
 
-// loadSingleList reads one list with the options of an operator file.
+// loadSingleList reads an operator file, and one list with its options.
 func loadSingleList(operatorPath, path string) (inventory.List, error) {
 	o, err := loadOptions(operatorPath)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return loadList(o, path)
 }
 
-// lint prints the errors in each list, or the list's size and hash if it has none.
+// lint prints the errors in each list. For a list without errors it prints the number of servers and the SHA-256.
 func lint(out io.Writer, operatorPath string, paths []string) error {
 	if len(paths) == 0 {
 		return errors.New("inventory lint: expected at least one file")
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -49,11 +49,11 @@
 	return address, ok
 }
 
-// UpdateEndpoints forwards discovery's events without members: a failed call, or a stale list. If the inventory is on, a stale
-// list is not reported to the balancer: discovery is only one of the sources, and the merged list can be current without it.
+// UpdateEndpoints forwards the events from discovery that contain no members: a failed call, or a stale list. If the inventory
+// is on, it does not forward stale lists: discovery is only one of the sources, and the merged list can be current without it.
 func (d *Directory) UpdateEndpoints(l balancer.EndpointUpdate) {
 	if l.Kind == balancer.UpdateStale {
-		// Holds the lock until the handler returns, so that no stale event arrives after the inventory's first list.
+		// The lock is held until the handler returns, so that no stale event arrives after the inventory's first list.
 		d.mu.RLock()
 		defer d.mu.RUnlock()
 		if d.consumer != nil {
--- a/internal/endpoints/inventory.go
+++ b/internal/endpoints/inventory.go
@@ -59,7 +59,7 @@
 	servers int // number of servers in the file's list
 }
 
-// Inventory is the running subsystem. After Start, the goroutine of run owns the view and the fields below it.
+// Inventory is the running subsystem. After Start, the goroutine that executes run owns the view and the fields below it.
 type Inventory struct {
 	options      Options
 	node         Node
@@ -193,8 +193,8 @@
 	return outcome.NextTick
 }
 
-// publish sends the balancer the first complete list and, after that, the changes of each event. An answer of discovery is
-// published even if it changes nothing, since a balancer that has requested discovery's list waits for an answer.
+// publish sends the balancer the full merged list once it is ready and, after that, the changes of each event. An answer from
+// discovery is published even if it changes nothing, since a balancer that has requested discovery's list waits for an answer.
 func (i *Inventory) publish(e sourceEvent, outcome endpointmerge.Outcome) {
 	entries := outcome.Changes
 	kind := balancer.DeltaUpdate
@@ -226,8 +226,8 @@
 	return false
 }
 
-// firstListReady reports whether the first list can be published: it has a server, and all sources have reported or need not be
-// waited for.
+// firstListReady reports whether the first list can be published: it has at least one server, and either all sources have
+// reported or a partial list is allowed.
 func (i *Inventory) firstListReady() bool {
 	if i.view.Len() == 0 {
 		return false
--- a/internal/endpoints/inventory_test.go
+++ b/internal/endpoints/inventory_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// A balancer that lost discovery requests the complete list and waits for an answer. An answer without changes must reach it
-// too, or it repeats the request. The servers of the first list are counted as published.
+// A balancer that has lost its connection to discovery requests the complete list and waits for an answer. If an answer without
+// changes is not forwarded, the balancer repeats the request. The servers of the first list are counted as published.
 func TestPublishUnchangedCompleteListAsAnswer(t *testing.T) {
 	node := newFakeNode()
 	node.start(t, "[inventory]\n[[inventory.static]]\nid=\"s\"\naddress=\"127.0.0.1:9\"\n")
@@ -120,25 +120,25 @@
 		servers[i] = inventory.Server{ID: fmt.Sprintf("s%05d", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Pod: fmt.Sprint(i / 4), Size: 1}
 	}
 	node, path := newFakeNode(), filepath.Join(b.TempDir(), "list."+format)
-	put := func() {
+	writeList := func() {
 		data := inventory.WriteCSV(servers)
 		if format == "yaml" {
 			data = inventory.WriteYAML(servers)
 		}
 		writeFile(b, path, data)
 	}
-	put()
+	writeList()
 	node.start(b, "[inventory]\ndiscovery = false\n[[inventory.file]]\npath=\""+path+"\"\ntrailer=true\n")
 	node.nextUpdate(b)
-	var took []float64
+	var latenciesMs []float64
 	for b.Loop() {
-		servers[len(took)%n].Size += 0.5
-		put()
+		servers[len(latenciesMs)%n].Size += 0.5
+		writeList()
 		began := time.Now()
 		node.nextUpdate(b)
-		took = append(took, float64(time.Since(began).Microseconds())/1000)
+		latenciesMs = append(latenciesMs, float64(time.Since(began).Microseconds())/1000)
 	}
-	sort.Float64s(took)
-	b.ReportMetric(took[len(took)/2], "p50-ms")
-	b.ReportMetric(took[len(took)*99/100], "p99-ms")
+	sort.Float64s(latenciesMs)
+	b.ReportMetric(latenciesMs[len(latenciesMs)/2], "p50-ms")
+	b.ReportMetric(latenciesMs[len(latenciesMs)*99/100], "p99-ms")
 }
--- a/internal/endpoints/options.go
+++ b/internal/endpoints/options.go
@@ -28,14 +28,14 @@
 	RemoveLeast int     `toml:"remove_least"` // number of servers; default 3
 
 	// How servers move to another pod.
-	PodHold   operator.Duration `toml:"pod_hold"`   // how long a moving server gets no new requests; default 0: the longest dedup window
+	PodHold   operator.Duration `toml:"pod_hold"`   // how long a moving server gets no new requests; 0, the default: the longest dedup window
 	MoveShare float64           `toml:"move_share"` // fraction of the servers that move at a time; default 0.1
 
 	Tombstone operator.Duration `toml:"tombstone"` // how long a removal overrides sources that still list the server; default 10m
 
 	// How files are read.
 	Settle operator.Duration `toml:"settle"` // how long a file must be unchanged before it is read; default 100ms
-	Poll   operator.Duration `toml:"poll"`   // interval of checks for changes, besides file notifications; default 1s
+	Poll   operator.Duration `toml:"poll"`   // interval of checks for changes, in addition to file notifications; default 1s
 
 	// Where the view is saved.
 	StateDir  string            `toml:"state_dir"`  // default: the view is not saved
@@ -46,10 +46,10 @@
 type File struct {
 	Path     string            `toml:"path"`
 	Name     string            `toml:"name"`     // name of the source; default: the base name of Path
-	Aliases  map[string]string `toml:"aliases"`  // from the file's name of a column or key to the field's name
+	Aliases  map[string]string `toml:"aliases"`  // field name by name of the column or key in the file
 	MinRows  int               `toml:"min_rows"` // a file with fewer servers is rejected
 	Trailer  bool              `toml:"trailer"`  // the last line must be "# end N"
-	Checksum bool              `toml:"checksum"` // PATH.sha256 must hold its SHA-256
+	Checksum bool              `toml:"checksum"` // PATH.sha256 must contain the SHA-256 of the list file
 }
 
 // StaticServer is a server that is listed in the operator file.
@@ -85,7 +85,7 @@
 // checksumPath returns the path of the file that holds this file's SHA-256.
 func (f File) checksumPath() string { return f.Path + ".sha256" }
 
-// confirmPath returns the path of the file by which an operator confirms a held list. That file holds the list's SHA-256.
+// confirmPath returns the path of the file with which an operator confirms a held list. It contains the list's SHA-256.
 func (f File) confirmPath() string { return f.Path + ".confirm" }
 
 func (f File) parseOptions() inventory.Options {
--- a/internal/endpoints/show.go
+++ b/internal/endpoints/show.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// readSavedState reads the newest usable state in a folder and prints the files that it skipped.
+// readSavedState reads the newest usable state in a folder. It prints the name of each file that it skipped, and the reason.
 func readSavedState(out io.Writer, dir string) (SavedState, error) {
 	data, skipped, err := statefile.New(statefile.OS{}, dir, stateName, stateVersion).Load()
 	for _, s := range skipped {
--- a/internal/endpoints/sources.go
+++ b/internal/endpoints/sources.go
@@ -20,7 +20,7 @@
 	sourceStatic    = "static"
 )
 
-// maxConfirmBytes is the maximum size of a confirmation file, which holds one checksum.
+// maxConfirmBytes is the maximum size of a confirmation file, which contains one checksum.
 const maxConfirmBytes = 1024
 
 // enqueue queues an event for the goroutine that owns the view. It blocks while the queue is full, until the subsystem stops.
@@ -101,7 +101,7 @@
 		i.enqueue(sourceEvent{file: f, err: e.Err})
 		return
 	}
-	// Queued before the list, since the confirmation may apply to that list.
+	// The confirmation is queued before the list, since it may apply to that list.
 	if sum := confirmedSHA256(f); sum != "" {
 		i.enqueue(sourceEvent{event: endpointmerge.Confirmed{Source: f.source(), Revision: sum}})
 	}
--- a/internal/endpoints/state.go
+++ b/internal/endpoints/state.go
@@ -21,8 +21,8 @@
 	Members   []endpointmerge.Member `json:"members"`
 }
 
-// restore initializes the view from the predecessor's view, or from the state that an earlier process saved. Either is
-// complete, so the first list does not wait for the sources.
+// restore initializes the view from the predecessor's view, or from the state that an earlier process saved. Both count as
+// complete, so the first list is published without waiting for the sources.
 func (i *Inventory) restore() {
 	if i.predecessor != nil && i.predecessor.published {
 		i.allowPartialList = true
@@ -58,7 +58,8 @@
 	return state, err
 }
 
-// restoreMembers adds members to the view as a restored list, before the directory is attached. The next event publishes them.
+// restoreMembers adds members to the view as a restored list. It runs before the directory is attached; the next event publishes
+// the members.
 func (i *Inventory) restoreMembers(revision string, members []endpointmerge.Member) {
 	servers := make([]inventory.Server, 0, len(members))
 	for _, m := range members {
--- a/internal/endpoints/state_test.go
+++ b/internal/endpoints/state_test.go
@@ -19,8 +19,8 @@
 // testdata/state was written by a running subsystem before the packages were renamed (December 2026); its sources were a CSV
 // file, a static server and discovery, with one server draining and one moving. Never regenerate it.
 
-// formatState returns the state that testdata/state holds.
-func formatState() SavedState {
+// fixtureState returns the state that testdata/state contains.
+func fixtureState() SavedState {
 	noRack := map[string]string{"rack": ""}
 	fromFile := map[string]string{"address": "hosts.csv", "pod": "hosts.csv", "size": "hosts.csv", "zone": "hosts.csv"}
 	return SavedState{
@@ -44,7 +44,7 @@
 	}
 }
 
-const formatFile = "inventory.000000000001"
+const fixtureFile = "inventory.000000000001"
 
 func TestReadSavedStateFixture(t *testing.T) {
 	var out strings.Builder
@@ -52,14 +52,14 @@
 	if err != nil || out.Len() > 0 {
 		t.Fatalf("error = %v, printed %q, want neither", err, out.String())
 	}
-	if !reflect.DeepEqual(got, formatState()) {
-		t.Errorf("state = %+v\nwant %+v", got, formatState())
+	if !reflect.DeepEqual(got, fixtureState()) {
+		t.Errorf("state = %+v\nwant %+v", got, fixtureState())
 	}
 }
 
 // The saved state must have the same bytes as the fixture, so that the previous version can read it after a rollback.
 func TestWriteSavedStateMatchesFixture(t *testing.T) {
-	data, err := json.Marshal(formatState())
+	data, err := json.Marshal(fixtureState())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,11 +67,11 @@
 	if err := statefile.New(statefile.OS{}, dir, stateName, stateVersion).Save(data); err != nil {
 		t.Fatal(err)
 	}
-	got, err := os.ReadFile(filepath.Join(dir, formatFile))
+	got, err := os.ReadFile(filepath.Join(dir, fixtureFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := os.ReadFile(filepath.Join("testdata", "state", formatFile))
+	want, err := os.ReadFile(filepath.Join("testdata", "state", fixtureFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,12 +82,12 @@
 
 // A node whose sources have not reported serves from the saved state, with each server's zone, pod, size and start time.
 func TestServeFromSavedState(t *testing.T) {
-	raw, err := os.ReadFile(filepath.Join("testdata", "state", formatFile))
+	raw, err := os.ReadFile(filepath.Join("testdata", "state", fixtureFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, formatFile), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fixtureFile), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	node := newFakeNode()
