--- a/internal/endpointmerge/address.go
+++ b/internal/endpointmerge/address.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // addressClaims records which servers claim which address. An address belongs to one member only: if several servers claim it,
-// as the old and the new server do after a process was replaced, only the address's owner is a member.
+// for example the old and the new one after a process was replaced, only the address's owner is a member.
 type addressClaims struct {
 	wanted    map[string]string // by server id: the address that it claims
 	claimants map[string]idSet  // by address: the ids of the servers that claim it
@@ -13,8 +13,8 @@
 	return addressClaims{wanted: map[string]string{}, claimants: map[string]idSet{}}
 }
 
-// claim sets the address that a candidate claims, or releases its claim if the candidate is nil. It adds each address whose
-// claims changed to contested.
+// claim sets the address that a candidate claims, or releases its claim if the candidate is nil. It sets contested to true for
+// each address whose claims changed.
 func (a addressClaims) claim(id string, c *member, contested map[string]bool) {
 	before, claimed := a.wanted[id]
 	if claimed && (c == nil || before != c.Address) {
--- a/internal/endpointmerge/event.go
+++ b/internal/endpointmerge/event.go
@@ -12,7 +12,7 @@
 	Servers  []inventory.Server
 }
 
-// Delta holds the changes of a source to its list.
+// Delta contains changes to a source's list.
 type Delta struct {
 	Source   string
 	Revision string
@@ -20,7 +20,8 @@
 	Removed  []string // ids
 }
 
-// Withdrawn ends a source. Its list and its removals no longer count; the servers on its list are not treated as removed by it.
+// Withdrawn discards a source's list and the tombstones of its removals. It adds no tombstones for the servers on the list, so
+// they can stay members if another source lists them.
 type Withdrawn struct{ Source string }
 
 // Confirmed allows a list that removes too many servers, whether the list is already held or arrives later.
@@ -74,5 +75,5 @@
 // HeldList is a list that is not merged until it is confirmed, since it removes too many servers.
 type HeldList struct {
 	Source, Revision string
-	Removed, Total   int // number of members in service that it would remove, and of all members in service
+	Removed, Total   int // members in service: the number that the list would remove, and the number of all
 }
--- a/internal/endpointmerge/guard.go
+++ b/internal/endpointmerge/guard.go
@@ -6,8 +6,8 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// heldLists holds back complete lists that remove too many servers. It guards against a file generated from partial data: such
-// a file parses without errors, but would take the missing servers out of service.
+// heldLists records the complete lists that are held because they remove too many servers. Such a list may come from a file
+// generated from partial data, which parses without errors but would take the missing servers out of service.
 type heldLists struct {
 	lists     map[string]Snapshot // by source
 	reported  map[string]string   // by source: revision of the held list that an Outcome has reported
--- a/internal/endpointmerge/helper_test.go
+++ b/internal/endpointmerge/helper_test.go
@@ -12,10 +12,12 @@
 		GuardedSources: []string{"file"}, MaxRemovedFraction: 0.3, MinHeldRemovals: 2, PodHold: 2000, MaxMovingFraction: 0.5, TombstoneTTL: 60_000}
 }
 
+// server returns a serving server of zone a. The last number of its address is the number in its id.
 func server(id, pod string) inventory.Server {
 	return inventory.Server{ID: id, Address: "10.0.0." + id[1:] + ":80", Zone: "a", Pod: pod, Phase: inventory.Serving}
 }
 
+// servers returns the servers s1 to s<n> of a pod.
 func servers(pod string, n int) []inventory.Server {
 	var out []inventory.Server
 	for i := range n {
--- a/internal/endpointmerge/merge.go
+++ b/internal/endpointmerge/merge.go
@@ -70,8 +70,8 @@
 	return c
 }
 
-// addOtherFields merges the fields without a precedence of their own. The member drains if any source drains it; of the other
-// fields the first value is used.
+// addOtherFields merges one source's values of the fields without a precedence of their own. The member drains if any source
+// drains it. For each of the other fields, the first value is kept.
 func (m *member) addOtherFields(s inventory.Server, source string) {
 	if s.Phase == inventory.Draining {
 		m.Phase = inventory.Draining
--- a/internal/endpointmerge/move.go
+++ b/internal/endpointmerge/move.go
@@ -10,8 +10,8 @@
 
 func (s dedupScope) String() string { return s.zone + "/" + s.pod }
 
-// move is a member's change to another dedup scope. The zero value means that the member does not move. A move is queued until
-// few enough others are in progress. From its start until its end the member gets no new requests.
+// move is a member's change to another dedup scope. The zero value means that the member does not move. A move is queued while
+// too many others are in progress. From its start until its end the member gets no new requests.
 type move struct {
 	queued      bool
 	endsAt      Millis // time at which a started move ends; 0 if it has not started
@@ -23,11 +23,12 @@
 
 func (m *member) scope() dedupScope { return dedupScope{m.Zone, m.Pod} }
 
-// planMove keeps a member in its present dedup scope, and queues a move if its sources now state another one.
-func (v *View) planMove(m *member, present dedupScope) {
+// planMove keeps a member in its current dedup scope, and queues a move if its sources now state another one. If PodHold is 0,
+// the member changes to the other scope at once.
+func (v *View) planMove(m *member, current dedupScope) {
 	wanted := m.scope()
-	if wanted == present {
-		if m.move.started() { // moved back before the move ended; it got no new requests in between
+	if wanted == current {
+		if m.move.started() { // cancel the move; no second hold is needed, since the member got no new requests in the meantime
 			v.movingCount--
 		}
 		m.move = move{}
@@ -38,8 +39,8 @@
 		m.cell = v.pods.number(wanted.pod)
 		return
 	}
-	m.Zone = present.zone
-	m.Pod = present.pod
+	m.Zone = current.zone
+	m.Pod = current.pod
 	m.MovingTo = wanted.String()
 	m.move.destination = wanted
 	m.move.queued = !m.move.started()
@@ -67,7 +68,7 @@
 	v.startMoves(v.renamePods(queue), out)
 }
 
-// startMoves starts queued moves as long as fewer members move than MaxMovingFraction allows. At least one may move.
+// startMoves starts queued moves as long as fewer members move than MaxMovingFraction allows. The limit is at least one member.
 func (v *View) startMoves(queue []*member, out *Outcome) {
 	maxMoving := max(1, int(v.settings.MaxMovingFraction*float64(len(v.members))))
 	for _, m := range queue {
@@ -134,7 +135,7 @@
 	for _, m := range v.pendingMoves {
 		joining[m.move.destination.pod]++
 	}
-	leaving := map[dedupScope]map[dedupScope]int{} // number of queued members by present and new scope
+	leaving := map[dedupScope]map[dedupScope]int{} // number of queued members by current and new scope
 	for _, m := range queue {
 		from := m.scope()
 		if leaving[from] == nil {
--- a/internal/endpointmerge/move_test.go
+++ b/internal/endpointmerge/move_test.go
@@ -6,18 +6,18 @@
 	"tackhub.example/tackhub/internal/inventory"
 )
 
-// A request with an idempotency key may be repeated in the pod that it was sent to. If it was sent to a moving server, neither
-// pod would drop the repeat, so a moving server gets no new requests until PodHold is over. A pod that is only renamed stays in
-// service.
+// Repeats of a request with an idempotency key are sent to the pod that the request was sent to. If the request was sent to a
+// moving server, neither the old nor the new pod would drop the repeats, so a moving server gets no new requests until PodHold has
+// passed. A pod that is only renamed stays in service.
 func TestMoveServersBetweenPods(t *testing.T) {
 	settings := testSettings()
 	settings.Sources, settings.MaxMovingFraction = []string{"file"}, 0.3
 	s := sequence{t, New(settings)}
-	two := append(servers("p1", 2), server("s3", "p2"), server("s4", "p2"))
-	s.step(1, Snapshot{Source: "file", Revision: "1", Servers: two}, " s1@1 s2@1 s3@2 s4@2")
+	initial := append(servers("p1", 2), server("s3", "p2"), server("s4", "p2"))
+	s.step(1, Snapshot{Source: "file", Revision: "1", Servers: initial}, " s1@1 s2@1 s3@2 s4@2")
 	renamed := append(servers("q1", 2), server("s3", "p2"), server("s4", "p2"))
 	s.step(2, Snapshot{Source: "file", Revision: "2", Servers: renamed}, "")
-	moved := append(servers("p2", 2), server("s3", "p2"), server("s4", "p2")) // both join a pod that has other members
+	moved := append(servers("p2", 2), server("s3", "p2"), server("s4", "p2")) // s1 and s2 join a pod that has other members
 	out := s.step(3, Snapshot{Source: "file", Revision: "3", Servers: moved}, " s1~@1")
 	if out.NextTick != 2003 || out.MovesStarted != 1 {
 		t.Errorf("next tick = %v, moves started = %d, want 2003 and 1", out.NextTick, out.MovesStarted)
@@ -33,7 +33,7 @@
 }
 
 // Several moves to new pods end in one step. The same events must give the pods the same numbers on every node and in every
-// run, since requests with an idempotency key stay within a pod number.
+// run, since repeats of a request with an idempotency key are sent only to servers with the same pod number.
 func TestNumberNewPodsDeterministically(t *testing.T) {
 	settings := testSettings()
 	settings.Sources, settings.MaxMovingFraction = []string{"file"}, 1
@@ -41,12 +41,12 @@
 	for range 20 {
 		s := sequence{t, New(settings)}
 		s.step(1, Snapshot{Source: "file", Revision: "1", Servers: servers("p", members)}, " s1@1 s2@1 s3@1 s4@1 s5@1 s6@1 s7@1 s8@1")
-		var apart []inventory.Server
+		var onePodEach []inventory.Server
 		for i, m := range servers("p", members) {
 			m.Pod = string(rune('a' + i))
-			apart = append(apart, m)
+			onePodEach = append(onePodEach, m)
 		}
-		s.step(2, Snapshot{Source: "file", Revision: "2", Servers: apart}, " s1~@1 s2~@1 s3~@1 s4~@1 s5~@1 s6~@1 s7~@1 s8~@1")
+		s.step(2, Snapshot{Source: "file", Revision: "2", Servers: onePodEach}, " s1~@1 s2~@1 s3~@1 s4~@1 s5~@1 s6~@1 s7~@1 s8~@1")
 		s.step(2+settings.PodHold, Tick{}, " s1@2 s2@3 s3@4 s4@5 s5@6 s6@7 s7@8 s8@9")
 		if t.Failed() {
 			return
--- a/internal/endpointmerge/pod.go
+++ b/internal/endpointmerge/pod.go
@@ -1,6 +1,7 @@
 package endpointmerge
 
-// podNumbers assigns numbers to pods. A renamed pod keeps its number. A pod that takes its old name later gets a new number.
+// podNumbers assigns numbers to pods. A renamed pod keeps its number. If its old name is used again later, that is a new pod with
+// a new number.
 type podNumbers struct {
 	numberByName map[string]int
 	nameByNumber map[int]string // current name of each number
--- a/internal/endpointmerge/settings.go
+++ b/internal/endpointmerge/settings.go
@@ -3,7 +3,7 @@
 // Millis is a time or a duration in milliseconds.
 type Millis = float64
 
-// SourceRestored is the source of a list that was restored from disk. The list counts until every other source has reported.
+// SourceRestored is the source of a list that was restored from disk. The list is used until every other source has reported.
 const SourceRestored = "state"
 
 // The fields that have a precedence of sources. The phase has none: a server drains if any source drains it, since ignoring a
--- a/internal/endpointmerge/tombstone.go
+++ b/internal/endpointmerge/tombstone.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// qualifiesAsMember reports whether a server is a member by the sources' lists, required sources and tombstones. Conflicts over
-// addresses are not considered.
+// qualifiesAsMember reports whether the sources' lists, the required sources and the tombstones allow a server to be a member.
+// Conflicts over addresses are not considered.
 func (v *View) qualifiesAsMember(id string) bool {
 	if !v.listedByAny(id) {
 		delete(v.tombstones, id)
--- a/internal/endpointmerge/view.go
+++ b/internal/endpointmerge/view.go
@@ -1,7 +1,8 @@
 // Package endpointmerge merges the server lists of several sources into one list and returns its changes. It performs no I/O and
 // reads no clock: the time and the sources' events are passed in, and the changes to publish are returned.
 //
-// docs/inventory.md lists the failures that it guards against. Each rule below names the failure that it prevents.
+// docs/inventory.md lists the failures that it guards against. The comment on each rule names the
+// failure that the rule prevents.
 package endpointmerge
 
 import "sort"
