--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// ParseCSV parses a list in CSV as of RFC 4180. A header names the columns, in any order. Quoted fields, LF and CRLF line
-// endings, a byte order mark and comment lines beginning with # are supported. The error is a *Diagnostics.
+// ParseCSV parses a list in CSV as defined in RFC 4180. The header line names the columns, in any order. Quoted fields,
+// LF and CRLF line endings, a byte order mark and comment lines beginning with # are supported. The error is a *Diagnostics.
 func ParseCSV(name string, raw []byte, o Options) (List, error) {
 	if err := checkSize(name, raw); err != nil {
 		return List{}, err
@@ -34,7 +34,7 @@
 	r.csv = csv.NewReader(bytes.NewReader(body))
 	r.csv.Comment = '#'
 	r.csv.ReuseRecord = true
-	r.csv.FieldsPerRecord = -1 // not checked here: addRecord reports a wrong number with its row
+	r.csv.FieldsPerRecord = -1 // the csv package does not check the number: addRecord reports a wrong one with its row
 	if !r.readHeader() {
 		return
 	}
--- a/internal/inventory/diagnostic.go
+++ b/internal/inventory/diagnostic.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// MaxDiagnostics is the number of diagnostics that are kept for one file. A file in a different format can have an error in
+// MaxDiagnostics is the number of diagnostics that are kept for one file. A file in an unexpected format can have an error in
 // every row.
 const MaxDiagnostics = 20
 
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -50,7 +50,7 @@
 
 // Options configures parsing. The zero value requires at least one server and no trailer.
 type Options struct {
-	Aliases map[string]string // from the file's name of a column or key to the field's name
+	Aliases map[string]string // field name by name of the column or key in the file
 	MinRows int               // fewer servers are an error, since a file truncated at the end of a line is still well-formed
 	Trailer bool              // the last line must be a comment "# end N" with the number of servers
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -71,12 +71,12 @@
 		{"a.txt", "id\ns1\n", 0, "unknown file extension"},
 	} {
 		l, err := Parse(c.name, []byte(c.text), Options{})
-		var f *Diagnostics
-		if !errors.As(err, &f) || len(l.Servers) > 0 {
+		var diagnostics *Diagnostics
+		if !errors.As(err, &diagnostics) || len(l.Servers) > 0 {
 			t.Errorf("%.60q: error = %v with %d servers, want *Diagnostics and no servers", c.text, err, len(l.Servers))
 			continue
 		}
-		if got := f.First[0]; c.line > 0 && got.Line != c.line || !strings.Contains(got.Message, c.want) || !strings.HasPrefix(got.String(), c.name) {
+		if got := diagnostics.First[0]; c.line > 0 && got.Line != c.line || !strings.Contains(got.Message, c.want) || !strings.HasPrefix(got.String(), c.name) {
 			t.Errorf("%.60q: diagnostic = %s, want line %d and %q", c.text, got, c.line, c.want)
 		}
 	}
@@ -92,8 +92,8 @@
 		text += fmt.Sprintf("s%d,x\n", i)
 	}
 	_, err := ParseCSV("a.csv", []byte(text), Options{})
-	var f *Diagnostics
-	if !errors.As(err, &f) || f.Total != 50 || len(f.First) != MaxDiagnostics || !strings.Contains(err.Error(), "49 more") {
+	var diagnostics *Diagnostics
+	if !errors.As(err, &diagnostics) || diagnostics.Total != 50 || len(diagnostics.First) != MaxDiagnostics || !strings.Contains(err.Error(), "49 more") {
 		t.Errorf("error = %v, want 50 diagnostics of which %d are kept", err, MaxDiagnostics)
 	}
 }
@@ -118,8 +118,8 @@
 func checkParseResult(t *testing.T, name string, raw []byte) {
 	l, err := Parse(name, raw, Options{})
 	if err != nil {
-		var f *Diagnostics
-		if !errors.As(err, &f) || f.Total == 0 || len(l.Servers) > 0 {
+		var diagnostics *Diagnostics
+		if !errors.As(err, &diagnostics) || diagnostics.Total == 0 || len(l.Servers) > 0 {
 			t.Fatalf("error = %v with %d servers, want *Diagnostics and no servers", err, len(l.Servers))
 		}
 		return
--- a/internal/inventory/reader.go
+++ b/internal/inventory/reader.go
@@ -57,7 +57,7 @@
 // value is the value of one field of a row.
 type value struct {
 	text string
-	list []string // tags from a format with lists; nil: the value is in text
+	list []string // elements of a YAML list, only used for tags; nil: the value is in text
 	pos  position
 }
 
@@ -124,7 +124,7 @@
 	}
 }
 
-// invalidInID reports whether an id must not contain a character. U+FFFD results from text that is not valid UTF-8.
+// invalidInID reports whether a character is not allowed in an id. U+FFFD results from text that is not valid UTF-8.
 func invalidInID(c rune) bool { return c <= ' ' || c == 0x7f || c == utf8.RuneError }
 
 func validAddress(text string) bool {
--- a/internal/inventory/write.go
+++ b/internal/inventory/write.go
@@ -30,7 +30,8 @@
 	return out.Bytes()
 }
 
-// WriteYAML returns a list as YAML with a trailer. All texts are quoted, so that no parser reads one as another type.
+// WriteYAML returns a list as YAML with a trailer. All texts are quoted, so that no parser reads a text as a number,
+// Boolean or null.
 func WriteYAML(servers []Server) []byte {
 	var out bytes.Buffer
 	out.WriteString("servers:\n")
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -25,8 +25,8 @@
 //	    defaults: {zone: b}
 //	    servers: [{id: s2, address: "10.0.0.2:80"}]
 //
-// A group inherits the defaults of the groups that contain it. Scalars are used as the text in the file, whatever their YAML
-// type: an id of no, 0123 or 1e3 is that text. The error is a *Diagnostics.
+// A group inherits the defaults of the groups that contain it. Scalars keep the text in the file, whatever their YAML type:
+// the ids no, 0123 and 1e3 stay as they are written. The error is a *Diagnostics.
 func ParseYAML(name string, raw []byte, o Options) (List, error) {
 	if err := checkSize(name, raw); err != nil {
 		return List{}, err
@@ -44,7 +44,7 @@
 	limitExceeded bool // a limit was exceeded and has been reported
 }
 
-// read parses the file unless it exceeds a limit or has a syntax error, which it reports.
+// read parses the file. If the file exceeds a limit or has a syntax error, it reports only that error.
 func (r *yamlReader) read(body []byte) {
 	if pos, message := checkYAMLLimits(body); message != "" {
 		r.report(pos, "%s", message)
@@ -59,7 +59,7 @@
 	case len(file.Docs) == 0 || file.Docs[0].Body == nil:
 		r.report(position{}, "the file is empty")
 	case len(file.Docs) > 1:
-		r.report(nodePosition(file.Docs[1].Body), "the file has a second document: expected one")
+		r.report(nodePosition(file.Docs[1].Body), "the file has a second document: expected a single document")
 	default:
 		r.readDocument(file.Docs[0].Body)
 	}
@@ -150,7 +150,7 @@
 func (r *yamlReader) readServer(item, server ast.Node, defaults map[string]value, depth int) {
 	values := map[string]value{}
 	for name, v := range defaults {
-		v.pos = position{} // errors in defaults are reported at the server
+		v.pos = position{} // errors in defaults are reported at the server's position
 		values[name] = v
 	}
 	maps.Copy(values, r.readFields(server, depth+1))
--- a/internal/inventory/yamlnode.go
+++ b/internal/inventory/yamlnode.go
@@ -133,7 +133,7 @@
 			name := v.Value.GetToken().Value
 			target, known := r.anchors[name]
 			if !known {
-				r.report(nodePosition(n), "alias %q refers to no anchor before it", name)
+				r.report(nodePosition(n), "alias %q: no anchor of this name precedes it", name)
 				return nil
 			}
 			n = target
