--- a/internal/handover/descriptor.go
+++ b/internal/handover/descriptor.go
@@ -14,7 +14,7 @@
 
 var (
 	errNoDescriptor = errors.New("the predecessor sent no listener")
-	errOtherUser    = errors.New("a process of another user asked for the listener")
+	errOtherUser    = errors.New("a process of another user requested the listener")
 )
 
 // parseDescriptor returns the first descriptor of a control message, and closes any others.
@@ -38,7 +38,7 @@
 }
 
 // sendListener sends a message with a listener's descriptor. It does not use TCPListener.File, which would switch the socket to
-// blocking mode for both processes, since they share its accept queue.
+// blocking mode. That would affect both processes, since their descriptors refer to the same socket.
 func sendListener(conn *net.UnixConn, listener *net.TCPListener, m Message) error {
 	raw, err := json.Marshal(m)
 	if err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Guards against handing the listener to a process of another node. The socket's name depends only on the clients' address, so that
+// Guards against handing the listener to a process of another node. The socket's name depends only on the clients' address, so
 // such a process can find the socket.
 func TestTakeOverRefusedForOtherNode(t *testing.T) {
 	dir := t.TempDir()
@@ -129,7 +129,7 @@
 	}
 }
 
-// FuzzMessages checks that any input from another process is read without a panic, and that it has no more messages than lines.
+// FuzzMessages checks that any input from another process is read without a panic, and that no more messages than lines are read.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("{\"tackhub_handover\":1}\n{\"opened\":\"x\"}\n"))
 	f.Add([]byte("{\n"))
@@ -146,6 +146,6 @@
 				return
 			}
 		}
-		t.Error("read more messages than lines")
+		t.Error("readMessage returned more messages than the input has lines")
 	})
 }
--- a/internal/handover/messages_test.go
+++ b/internal/handover/messages_test.go
@@ -14,7 +14,7 @@
 )
 
 // The files under testdata contain the output of a released version: one line for each form of message, and the state of a node.
-// The two processes of an upgrade may have different versions, so that these bytes must not change.
+// The two processes of an upgrade may have different versions, so these bytes must not change.
 
 var yes, no = true, false
 
@@ -63,13 +63,13 @@
 	for i, want := range wireMessages {
 		got, err := (&messageConn{reader: bufio.NewReader(bytes.NewReader(lines[i]))}).readMessage()
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("read %+v, want %+v; %v", got, want, err)
+			t.Errorf("read %+v, error %v; want %+v", got, err, want)
 		}
 		if err := out.write(want); err != nil {
 			t.Fatal(err)
 		}
 		if line, err := in.ReadBytes('\n'); err != nil || !bytes.Equal(line, lines[i]) {
-			t.Errorf("wrote %s, want %s; %v", line, lines[i], err)
+			t.Errorf("wrote %s, error %v; want %s", line, err, lines[i])
 		}
 	}
 }
@@ -93,16 +93,16 @@
 	}}
 	var got nodeState
 	if err := json.Unmarshal(raw, &got); err != nil || !got.Drained || !reflect.DeepEqual(got.List, want) || !json.Valid(got.Module) {
-		t.Errorf("read %+v, want the list %+v; %v", got, want, err)
+		t.Errorf("read %+v, error %v; want a drained node, valid JSON in module and the list %+v", got, err, want)
 	}
 	if encoded, err := json.Marshal(nodeState{List: want, Module: got.Module, Drained: true}); err != nil || !bytes.Equal(encoded, raw) {
-		t.Errorf("wrote %s, want %s; %v", encoded, raw, err)
+		t.Errorf("wrote %s, error %v; want %s", encoded, err, raw)
 	}
 	local, remote := socketPair(t)
 	go func() { _ = (&messageConn{conn: local}).write(Message{State: raw}) }()
 	m, err := (&messageConn{conn: remote, reader: bufio.NewReader(remote)}).read(stepTimeout)
 	if err != nil || !bytes.Equal(m.State, raw) {
-		t.Errorf("received state %s, want %s; %v", m.State, raw, err)
+		t.Errorf("received state %s, error %v; want %s", m.State, err, raw)
 	}
 }
 
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// readyTimeout is the longest time until a successor must serve. A working successor is ready within 6 s. One that hangs must
-	// not block the next one.
+	// readyTimeout limits the wait for each message of a successor that is not ready yet. A working successor is ready within
+	// 6 s; one that hangs must not block the next one.
 	readyTimeout = 15 * time.Second
 
 	// acceptRetryDelay is the delay after a failed accept. Most such errors are temporary.
@@ -184,7 +184,7 @@
 		return err
 	}
 	if m.Identity.belongsToOtherNode(p.identity) { // it receives this node's identity, but not the listener
-		return errors.Join(fmt.Errorf("node %q asked for the listener of %q", m.Identity.Name, p.identity.Name), c.write(p.hello()))
+		return errors.Join(fmt.Errorf("node %q requested the listener of node %q", m.Identity.Name, p.identity.Name), c.write(p.hello()))
 	}
 	// A process with another version receives the listener too. It detects the difference itself and logs it.
 	if err := sendListener(c.conn, p.clientListener, p.hello()); err != nil {
@@ -235,7 +235,7 @@
 	return c.write(Message{State: state})
 }
 
-// acceptSuccessor registers and confirms that the successor serves.
+// acceptSuccessor registers a successor that serves, and sends it the confirmation.
 func (p *Predecessor) acceptSuccessor(c *messageConn) error {
 	p.setSuccessor(c)
 	if err := c.write(Message{Ready: true}); err != nil {
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -60,7 +60,7 @@
 		conn, err = net.DialTimeout("unix", short, stepTimeout)
 		return err
 	})
-	if errors.Is(err, unix.ECONNREFUSED) { // the predecessor was killed: a listener at the clients' address now belongs to another program
+	if errors.Is(err, unix.ECONNREFUSED) { // the predecessor was killed; any listener at the clients' address belongs to another program
 		return nil, ErrPredecessorGone
 	}
 	if err != nil {
@@ -92,7 +92,8 @@
 	case fileErr != nil:
 		return nil, fileErr
 	case m.Version != Version || m.Listen != clientAddress:
-		return nil, fmt.Errorf("the predecessor has version %d and the address %q", m.Version, m.Listen)
+		return nil, fmt.Errorf("the predecessor has version %d and address %q, want version %d and address %q",
+			m.Version, m.Listen, Version, clientAddress)
 	}
 	return tcpListener(file)
 }
@@ -116,7 +117,7 @@
 	return data[0], file, fileErr, nil
 }
 
-// tcpListener returns a listener on a duplicate of a descriptor.
+// tcpListener returns a TCP listener on a duplicate of the file's descriptor.
 func tcpListener(file *os.File) (*net.TCPListener, error) {
 	l, err := net.FileListener(file)
 	if err != nil {
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -11,8 +11,9 @@
 	"tackhub.example/tackhub/internal/operator"
 )
 
-// Check validates the configuration and the operator file as a start does, and prints either the
-// effective configuration or every fault. It reports whether a start would succeed.
+// Check validates the configuration and the operator file in the same way as Serve. It prints the
+// effective configuration if there are no faults, and every fault otherwise. It reports whether there are
+// no faults.
 func Check(out io.Writer, getenv func(string) string, operatorFile string) bool {
 	c, faults := config.Check(getenv)
 	file, err := loadOperatorFile(operatorFile)
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -37,7 +37,7 @@
 // Name returns the node's name.
 func (n *node) Name() string { return n.name }
 
-// Number returns the node's number, which the settings define.
+// Number returns the number of this node in the fleet, counted from 0. It comes from the settings.
 func (n *node) Number() int { return n.nodeNumber }
 
 // Classes returns the request classes of the settings.
@@ -62,8 +62,8 @@
 // InFlight returns the tracker of the requests that the node has received and not yet answered.
 func (n *node) InFlight() *inflight.Tracker { return &n.inFlight }
 
-// SetBroadcaster sends the balancer's messages to other nodes over a cluster's transport; nil ends
-// that.
+// SetBroadcaster makes the node send the balancer's messages to the other nodes through b. If b is nil,
+// the node uses the gossip transport again, if it has one.
 func (n *node) SetBroadcaster(b cluster.Broadcaster) {
 	if b == nil {
 		n.broadcaster.Store(nil)
@@ -75,7 +75,7 @@
 // ReceiveGossip passes another node's message to the balancer.
 func (n *node) ReceiveGossip(m balancer.GossipReceived) { n.engine.ReceiveGossip(m) }
 
-// ApplyEvent passes an event that concerns the whole fleet to the balancer. If wait is set, it
+// ApplyEvent passes an event that concerns the whole fleet to the balancer. If wait is true, it
 // returns after the balancer has processed the event.
 func (n *node) ApplyEvent(event balancer.Event, wait bool) {
 	n.engine.Post(event)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	counters    *counters.Counters
 
 	engine        *engine.Engine
-	shadow        *shadow.Evaluator // the balancer, and a shadow evaluation of other settings
+	shadow        *shadow.Evaluator // wraps the balancer and evaluates the shadow settings
 	handler       *proxy.Handler
 	ingress       *ingress.Server
 	pool          *upstream.Pool
@@ -55,10 +55,10 @@
 	serving         atomic.Bool // client connections are accepted
 	drainPlan       drain.Plan
 	inFlight        inflight.Tracker // received requests of all protocols
-	maxConnsPerSide int              // limit of the connections to clients, and of those to servers
+	maxConnsPerSide int              // limit of the connections to clients; the same limit applies to those to servers
 
 	upgrade          *upgrade
-	transferredState atomic.Pointer[balancer.State] // the predecessor's, until the balancer has an endpoint list
+	transferredState atomic.Pointer[balancer.State] // state of the predecessor's balancer; nil once it is passed to this one
 
 	background sync.WaitGroup
 }
@@ -75,12 +75,12 @@
 	}
 }
 
-// waitBackground waits until the goroutines of startBackground have returned, so that their last log
-// lines and counts are recorded.
+// waitBackground waits until the goroutines of n.background have returned, so that their last log lines
+// and counts are recorded.
 func (n *node) waitBackground() { n.background.Wait() }
 
-// followDiscovery starts the discovery client. The subsystems must be started before, so that a
-// subsystem that merges endpoint lists receives the first list too. The exit of the process does not
+// followDiscovery starts the discovery client. The subsystems must be started before it, so that
+// a subsystem that merges endpoint lists receives the first list too. The exit of the process does not
 // wait for this goroutine, since discovery may delay the response to a call for seconds.
 func (n *node) followDiscovery(ctx context.Context) {
 	go n.discovery.Run(ctx, n.initialList, n.endpoints)
@@ -112,15 +112,15 @@
 	}
 }
 
-// engineForwarder passes endpoint lists and gossip to the engine. It exists because the engine is built
-// after their sources.
+// engineForwarder passes endpoint lists and gossip to the engine. It refers to the node instead of the
+// engine, since discovery and the gossip transport are built before the engine.
 type engineForwarder struct{ n *node }
 
 // UpdateEndpoints passes an endpoint update to the engine. After the first update with endpoints it
 // also passes on the predecessor's state, which the balancer can apply only to servers in its list.
 func (f engineForwarder) UpdateEndpoints(update balancer.EndpointUpdate) {
 	f.n.engine.UpdateEndpoints(update)
-	if len(update.Endpoints) == 0 { // the predecessor's list is not always taken over
+	if len(update.Endpoints) == 0 { // for example, the first list is empty if the predecessor's was not taken over
 		return
 	}
 	if state := f.n.transferredState.Swap(nil); state != nil {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -45,7 +45,7 @@
 	log.Info("configuration reloaded", "code", "reload", "discovery", next.Discovery)
 }
 
-// loadOperatorFile reads the operator file. Without a path it returns nil.
+// loadOperatorFile reads the operator file. If path is empty, it returns nil.
 func loadOperatorFile(path string) (*operator.File, error) {
 	if path == "" {
 		return nil, nil
--- a/internal/node/report.go
+++ b/internal/node/report.go
@@ -9,7 +9,7 @@
 )
 
 // maxHealthLines limits the servers in one health report. ServerHealth returns the most relevant servers
-// first, so that the report of a large fleet contains them.
+// first, so the report of a large fleet contains those.
 const maxHealthLines = 32
 
 // reportOnSignal logs the counters and the health of the servers at each signal.
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -14,8 +14,8 @@
 }
 
 // notifySignals starts to receive the signals; before that, each of them would kill the process.
-// SIGPIPE is ignored: otherwise the next log line would kill the node after the reader of its log has
-// exited.
+// SIGPIPE is ignored: otherwise, if the process that reads the node's log exits, the next log line would
+// kill the node.
 func notifySignals() signals {
 	s := signals{
 		stop:   notify(syscall.SIGTERM, syscall.SIGINT),
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,8 +10,8 @@
 	"tackhub.example/tackhub/internal/ingress"
 )
 
-// maxLoggedRepeats limits the log lines for further stop signals during a shutdown. All of them are
-// counted.
+// maxLoggedRepeats limits the log lines for repeated stop signals during a shutdown. All repeated signals
+// are counted.
 const maxLoggedRepeats = 3
 
 // stopOnSignals begins a graceful shutdown at the first signal. Further signals change nothing, since the
@@ -41,7 +41,8 @@
 		"kill_ms", schedule.Kill.Milliseconds())
 }
 
-// logShutdown logs one line with the outcomes of the requests of a graceful shutdown.
+// logShutdown logs the duration of a graceful shutdown and the outcomes of its requests, in one line. If
+// no shutdown has begun, it logs nothing.
 func (n *node) logShutdown(log *slog.Logger) {
 	stats, ok := n.inFlight.ShutdownStats()
 	if !ok {
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -17,12 +17,12 @@
 	"tackhub.example/tackhub/internal/handover"
 )
 
-// siblingQueueSize limits the queued messages to the sibling process. It holds the request ids of some
-// seconds on a busy node. Messages beyond it are dropped; a dropped request id matters only if a
-// client sends the same id again, which is not expected.
+// siblingQueueSize limits the queued messages to the sibling process. The queue has space for the request
+// ids of a few seconds on a busy node. If it is full, messages are dropped; a dropped request id matters
+// only if a client sends the same id again, which is not expected.
 const siblingQueueSize = 4096
 
-// errEngineEnded means that the engine has stopped, so that its state cannot be read.
+// errEngineEnded means that the engine has stopped and its state cannot be read.
 var errEngineEnded = errors.New("the engine has stopped, its state cannot be read")
 
 // handoverState is the state that a process transfers to its successor. Its JSON names are fixed, since
@@ -30,9 +30,9 @@
 type handoverState struct {
 	List     discovery.List `json:"list"`
 	Balancer balancer.State `json:"module"`
-	Drained  bool           `json:"drained"` // in an administrative drain
-	// ClockZero is the node's time, in ms, at which the machine's monotonic clock began. It is 0 if the
-	// predecessor could not read it or has an earlier version.
+	Drained  bool           `json:"drained"` // the node is in an administrative drain
+	// ClockZero is the predecessor's time, in Unix milliseconds, at which the machine's monotonic clock
+	// was 0. It is 0 if the predecessor could not read that clock or has an earlier version.
 	ClockZero float64 `json:"clock_zero_ms,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 func (t *handoverState) adjustClock(own clock.Clock) {
 	monotonicZero, err := own.MonotonicZero()
 	if t.ClockZero == 0 || err != nil {
-		return // the balancer itself discards times in the future
+		return // not adjusted; the balancer replaces times in the future with the current time
 	}
 	t.Balancer.Shift(monotonicZero - t.ClockZero)
 }
@@ -60,8 +60,9 @@
 	}
 }
 
-// identity returns the identity of this process. The digest of the settings is part of it because the
-// balancer's state is stored under the names of classes, tenants and servers.
+// identity returns the identity of this process. It includes the digest of the settings, since the
+// balancer's state is keyed by the names of classes, tenants and servers, and other settings may use the
+// same names differently.
 func identity(c *config.Config) handover.Identity {
 	return handover.Identity{Name: c.Name, Discovery: c.Discovery, Settings: c.Settings.Digest}
 }
@@ -181,7 +182,7 @@
 	return json.Marshal(state)
 }
 
-// SuccessorReady is called when the successor serves clients.
+// SuccessorReady is called when the successor serves clients. From then on, request ids are sent to it.
 func (u *upgrade) SuccessorReady() {
 	u.successorServes.Store(true)
 	u.node.ingress.SetSuccessor(true)
@@ -202,8 +203,8 @@
 	}
 }
 
-// sendRequestID queues the id of a request that was opened or closed for the sibling process. It does
-// not block.
+// sendRequestID queues a message for the sibling process that the request with this id was opened or has
+// ended. It does not block.
 func (u *upgrade) sendRequestID(id string, open bool) {
 	if open {
 		u.enqueue(handover.Message{RequestOpened: id})
@@ -212,8 +213,8 @@
 	}
 }
 
-// sendDrain notifies the sibling process that an administrative drain began or ended. The drain applies to
-// the node, that is, to both processes.
+// sendDrain notifies the sibling process that an administrative drain began or ended, since the drain
+// applies to both processes of the node.
 func (u *upgrade) sendDrain(draining bool) { u.enqueue(handover.Message{Drained: &draining}) }
 
 func (u *upgrade) enqueue(m handover.Message) {
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -7,8 +7,8 @@
 	"tackhub.example/tackhub/internal/clock"
 )
 
-// Guards against server records whose times lie in the past or future of this process because the wall clock
-// was stepped between the starts of the two processes. A predecessor of an earlier version sends no ClockZero,
+// Guards against wrong times in the transferred server records: if the wall clock was stepped between the
+// starts of the two processes, their clocks differ. A predecessor of an earlier version sends no ClockZero,
 // and its times stay unchanged.
 func TestAdjustClockShiftsPredecessorTimes(t *testing.T) {
 	const hour = 3600e3
