--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -109,5 +109,5 @@
 		s.counters.Admin.Open.Add(-1)
 		_ = conn.Close()
 	}()
-	_ = s.http.ServeConn(conn) // a client that disconnects gets no response
+	_ = s.http.ServeConn(conn) // the error is ignored: a client that has disconnected receives no response
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// acceptPause is the delay after a failed Accept. Without it, the accept loop would use up the node's only core during a
-	// shortage of descriptors, which can last.
+	// acceptPause is the delay after a failed Accept. Without it, the accept loop would use all CPU time of a node with one core
+	// for as long as descriptors are short.
 	acceptPause = 20 * time.Millisecond
 
-	// readTimeout limits the time to receive a request. A connection without a complete request is closed after it.
+	// readTimeout limits the time to receive a request. A connection without a complete request is closed after this time.
 	readTimeout = 2 * time.Second
 
-	// writeTimeout limits the time to write a response. The statistics take some kilobytes, which fit into the socket's buffer.
+	// writeTimeout limits the time to write a response. The statistics take a few kilobytes, which fit into the socket's buffer.
 	writeTimeout = time.Second
 
 	// maxHeadBytes limits the request line and the header fields together.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,12 +30,12 @@
 // Config is the complete configuration of a node.
 type Config struct {
 	Name         string
-	Listen       string
-	Discovery    string
+	Listen       string // address of the clients' listener
+	Discovery    string // address of the discovery service
 	AdminAddress string // address of the administrators' listener; empty: off
-	Seed         uint64
+	Seed         uint64 // seed of the balancer's random numbers
 	Limits       Limits
-	Known        discovery.List
+	Known        discovery.List // endpoint list that is used until discovery responds
 	Settings     settings.Settings
 	GossipNodes  []netip.AddrPort   // addresses of all nodes, indexed by node number; empty if gossip is off
 	Shadow       *balancer.Settings // shadow settings, evaluated in addition to Settings; nil: none
@@ -58,8 +58,8 @@
 	Watch string `json:"watch"`
 }
 
-// minSockets is the smallest descriptor limit with which a node can serve: the descriptors for the node
-// itself, and some for connections to clients and to servers.
+// minSockets is the smallest descriptor limit with which a node can serve: it covers the descriptors for
+// the node itself and a few connections to clients and to servers.
 const minSockets = 64
 
 // Load reads the environment and the configuration file. The error describes the first fault, in one
@@ -119,8 +119,8 @@
 	return f
 }
 
-// applyEnvironment overrides values of the file with environment variables, since the program that
-// starts the node sets these last.
+// applyEnvironment overrides values of the file with environment variables. These have precedence, since
+// the program that starts the node sets them last.
 func (f *file) applyEnvironment(getenv func(string) string) {
 	for key, field := range map[string]*string{
 		"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery,
@@ -136,8 +136,8 @@
 func (f *file) validate(path string, lines configpos.Lines) (Config, []operator.Diagnostic) {
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddress: f.Operator, Limits: f.Limits}
 	var faults []operator.Diagnostic
-	fault := func(position, key, format string, args ...any) {
-		faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(position), Key: key, Message: fmt.Sprintf(format, args...)})
+	fault := func(lineKey, key, format string, args ...any) {
+		faults = append(faults, operator.Diagnostic{File: path, Line: lines.Line(lineKey), Key: key, Message: fmt.Sprintf(format, args...)})
 	}
 	if c.Name == "" {
 		fault("name", "", "ROUTER_NAME is not set, and the configuration has no name")
@@ -153,8 +153,8 @@
 			fault("operator", "", "%v", err)
 		}
 	}
-	for _, l := range f.Limits.validate() {
-		fault(l.Key, l.Key, "%s", l.Message)
+	for _, d := range f.Limits.validate() {
+		fault(d.Key, d.Key, "%s", d.Message)
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -183,7 +183,7 @@
 
 // gossipNodes returns the addresses of all nodes for gossip, which are required if the settings allow
 // gossip.
-func (f *file) gossipNodes(balancerSettings balancer.Settings, fault func(position, key, format string, args ...any)) []netip.AddrPort {
+func (f *file) gossipNodes(balancerSettings balancer.Settings, fault func(lineKey, key, format string, args ...any)) []netip.AddrPort {
 	if !balancerSettings.GossipAllowed && len(f.Peers.Nodes) == 0 {
 		return nil
 	}
@@ -202,7 +202,7 @@
 	for i, text := range f.Peers.Nodes {
 		address, err := netip.ParseAddrPort(text)
 		if key := fmt.Sprintf("peers.nodes[%d]", i); err != nil || address.Port() == 0 || slices.Contains(addresses, address) {
-			fault(key, key, "%q is not an IP address with a port from 1 to 65535, or another node has it too", text)
+			fault(key, key, "%q is not an IP address with a port from 1 to 65535, or is also the address of another node", text)
 			return nil
 		}
 		addresses = append(addresses, address)
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -30,7 +30,7 @@
 // written, a request when it ends.
 type Operation struct {
 	Fulfilled Count `json:"fulfilled"` // answered 200
-	Throttled Count `json:"throttled"` // answered 503 or 429 by this node; such responses of servers are not forwarded
+	Throttled Count `json:"throttled"` // answered 503 or 429, always by this node, since such responses of servers are not forwarded
 	Faulted   Count `json:"faulted"`   // every other outcome; malformed requests are not counted
 	Relayed   Count `json:"relayed"`   // attempts written completely to a server
 }
@@ -65,7 +65,7 @@
 
 // Handover counts messages between two processes of a node. All are 0 without a handover.
 type Handover struct {
-	Dropped Count `json:"dropped"` // messages to the sibling process, and request ids received from it, that exceeded a limit
+	Dropped Count `json:"dropped"` // messages to the sibling process, and request ids received from it, that were dropped at a limit
 }
 
 // Admin counts calls of the administrators' listener. All are 0 if it is off.
@@ -73,7 +73,7 @@
 	Calls   Count  `json:"calls"`   // answered 2xx
 	Refused ByCode `json:"refused"` // calls with any other response, by status
 	Open    Count  `json:"open"`    // open connections now
-	Evicted Count  `json:"evicted"` // idle connections closed in favour of new ones
+	Evicted Count  `json:"evicted"` // idle connections closed to admit new ones
 }
 
 // Attempts counts attempts, each of which sends a request to a server.
@@ -101,7 +101,7 @@
 type ClientConnections struct {
 	Opened             Count `json:"opened"`
 	Open               Count `json:"open"`              // open now
-	DeferAcceptUnknown Count `json:"held_back_unknown"` // failed queries for connections whose accept the kernel defers
+	DeferAcceptUnknown Count `json:"held_back_unknown"` // failed queries for connections without data, whose accept the kernel defers
 	Paused             Count `json:"paused"`            // times accepting paused: at the connection limit, or after a failed accept
 	ReservedUsed       Count `json:"short"`             // times a reserved descriptor was used, or accept lacked descriptors or memory
 }
@@ -118,7 +118,7 @@
 	Full         Count `json:"full"`             // complete lists
 	Delta        Count `json:"delta"`            // lists of changes
 	Failed       Count `json:"failed"`           // calls that failed or had an invalid response
-	Stale        Count `json:"late"`             // times the list became stale: no response within the time limit for receiving a change
+	Stale        Count `json:"late"`             // reports that the list is stale: no response within the time in which a change must arrive
 	LastResponse Count `json:"informed_unix_ms"` // time of the last response, in Unix milliseconds; 0 before the first one
 }
 
@@ -148,7 +148,7 @@
 	Taken         Count  `json:"taken"` // valid messages of this cluster
 	TakenBytes    Count  `json:"taken_bytes"`
 	Drops         ByCode `json:"drops"`   // messages not sent or not accepted, by reason
-	Streams       Count  `json:"streams"` // full states sent to a member to request its full state
+	Streams       Count  `json:"streams"` // requests for a member's full state, each with the full state of this node
 	StreamsFailed Count  `json:"streams_failed"`
 	Views         Count  `json:"views"`     // changes of the membership view
 	Members       Count  `json:"members"`   // members in the view now
@@ -206,7 +206,7 @@
 	Requests      Requests          `json:"requests"`
 	Stop          Shutdown          `json:"stop"`
 	Operations    Operations        `json:"operations"`
-	Rejections    ByCode            `json:"rejections"` // responses without the balancer, by code; some requests are not in Requests.Taken
+	Rejections    ByCode            `json:"rejections"` // responses without a decision of the balancer, by code; Requests.Taken does not count all of these
 	Endpoints     EndpointCounts    `json:"registry"`
 	Bodies        Bodies            `json:"large_bodies"`
 	Handover      Handover          `json:"handover"`
--- a/internal/counters/json_test.go
+++ b/internal/counters/json_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Guards against changes of the two JSON objects, which operators' tools read. The files contain the output of a released version.
+// Guards against changes of the two JSON objects, which operators' tools read. The files under
+// testdata contain the output of a released version.
 func TestJSONMatchesReleasedFormat(t *testing.T) {
 	c := Counters{Operations: Operations{"look": &Operation{}}}
 	c.Outcomes.Inc("served")
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// queueLines is the capacity of the queue in lines: some seconds of a busy node, at most about a megabyte.
+	// queueLines is the capacity of the queue in lines. A busy node logs that many in a few seconds. They use about a megabyte of
+	// memory at most.
 	queueLines = 4096
 
 	// batchBytes is the approximate maximum of one write call. Queued lines are written together, since one call per line would
@@ -66,7 +67,7 @@
 	return batch, true
 }
 
-// copyLine copies a line, since the logger reuses its buffer. The result is never nil.
+// copyLine copies a line, since the logger reuses its buffer. The result is never nil, since a nil line marks the end.
 func copyLine(p []byte) []byte { return append(make([]byte, 0, len(p)), p...) }
 
 // Write queues one line, or drops it if the queue is full. It never returns an error.
@@ -82,7 +83,7 @@
 // Logger returns a logger that writes one JSON object per line to the sink.
 func (s *Sink) Logger(node string) *slog.Logger { return newLogger(s, node) }
 
-// Close writes the queued lines, for closeTimeout at most. Later lines are lost.
+// Close waits until the queued lines are written, for closeTimeout at most. Lines queued after it are lost.
 func (s *Sink) Close() {
 	timeout := time.After(closeTimeout)
 	select {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -44,7 +44,7 @@
 			t.Fatalf("Write() = %d, %v; want 5, nil", n, err)
 		}
 	}
-	// One batch may be in the blocked write.
+	// The loop writes batchBytes lines more than the queue holds. One batch of 5-byte lines may be in the blocked write.
 	if n, maxDropped := dropped.Get(), int64(batchBytes); n < maxDropped-batchBytes/5-1 || n > maxDropped {
 		t.Errorf("dropped lines = %d, want %d to %d", n, maxDropped-batchBytes/5-1, maxDropped)
 	}
