--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -37,7 +37,7 @@
 const (
 	ExitOK     = 0
 	ExitFailed = 1 // the command returned an error
-	ExitUsage  = 2 // the command line is wrong
+	ExitUsage  = 2 // the command line is invalid
 )
 
 // helpArgs are the values of the first argument that print the help.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -17,7 +17,7 @@
 		t.Errorf("difference between two times = %v ms, want 1.5 ms", d)
 	}
 	if Duration(2.5) != 2500*time.Microsecond || Millis(2500*time.Microsecond) != 2.5 {
-		t.Error("Span(2.5) is not 2.5ms or Millis(2.5ms) is not 2.5")
+		t.Error("Duration(2.5) is not 2.5ms or Millis(2.5ms) is not 2.5")
 	}
 }
 
--- a/internal/clock/wall_test.go
+++ b/internal/clock/wall_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// wallClockReads is the number of places that read the wall clock in each file of the node. The comments say what a step of the
-// wall clock by an hour affects there. docs/operating/stops.md has the same list.
+// wallClockReads is the number of places that read the wall clock in each file of the node. The comments describe what a step
+// of the wall clock by an hour affects there. docs/operating/stops.md has the same list.
 var wallClockReads = map[string]int{
 	"internal/clock/clock.go":         1, // start of the node's clock: read once, then advanced by the monotonic clock
 	"internal/discovery/staleness.go": 1, // a counter for operators
--- a/internal/configpos/toml.go
+++ b/internal/configpos/toml.go
@@ -24,7 +24,7 @@
 	openBrackets int            // unclosed brackets of the value that continues on the next line; 0 if none
 }
 
-// scanLine records the key or table that a line begins. Lines that continue a value are skipped.
+// scanLine records the key or table that begins on a line. Lines that continue a value are skipped.
 func (s *tomlScanner) scanLine(number int, line string) {
 	if s.closingQuote != "" {
 		_, rest, closed := strings.Cut(line, s.closingQuote)
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// maxFileBytes limits the size of the operator file. Real files have some hundred lines, and a node may have little memory.
+// maxFileBytes limits the size of the operator file. Real files have a few hundred lines, and a node may have little memory.
 const maxFileBytes = 1 << 20
 
 // Section declares the table of one subsystem.
--- a/internal/resourceusage/subsystem.go
+++ b/internal/resourceusage/subsystem.go
@@ -13,7 +13,7 @@
 	"tackhub.example/tackhub/internal/subsystem"
 )
 
-// Options are the keys of [vitals]. A warning is logged when the usage exceeds its fraction of the limit.
+// Options are the keys of [vitals]. A warning is logged when the usage exceeds the configured fraction of the limit.
 type Options struct {
 	Interval               operator.Duration `toml:"every"`            // time between two log lines, 1 s to 1 h; default 10 s
 	Counters               bool              `toml:"counters"`         // adds the counters to each line; default false
@@ -22,7 +22,8 @@
 }
 
 // Limits of the interval. Each reading writes a few kilobytes of log and lists all descriptors. More than one reading per second
-// would take a noticeable part of the fraction of a core that a node has; one in several hours does not show the current state.
+// would use a noticeable part of the CPU time of a node, which may have less than one core. With an interval of several hours, the
+// latest reading would not show the current state.
 const (
 	minInterval = operator.Duration(time.Second)
 	maxInterval = operator.Duration(time.Hour)
--- a/internal/shadow/compare.go
+++ b/internal/shadow/compare.go
@@ -6,8 +6,8 @@
 	"tackhub.example/tackhub/balancer"
 )
 
-// Kinds of differences between the actual decision and that of the shadow settings. Each comment says what the shadow settings
-// would have done. The values are the keys of the counters.
+// Kinds of differences between the actual decision and that of the shadow settings. Each comment describes what the shadow
+// settings would have done. The values are the keys of the counters.
 const (
 	DifferentServer = "other_server"       // sent the request to another server of the same zone
 	DifferentZone   = "other_zone"         // sent the request to a server of another zone
@@ -27,7 +27,7 @@
 var kinds = []string{DifferentServer, DifferentZone, Queued, Rejected, Failed, Sent, Retried, NotRetried, RetryAfter,
 	Cancellation, Probe, Gossip}
 
-// decision is what one step of the balancer decided about a request.
+// decision is the decision of one step of the balancer about a request.
 type decision struct {
 	kind       string // Sent, Rejected or Failed; empty if the step decided nothing
 	server     balancer.ServerID
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -118,7 +118,7 @@
 			t.Errorf("the same settings: differences = %s in %d steps, want none in at least %d", differ, count.Steps.Get(), steps)
 		}
 		if name == "others" && string(differ) == "{}" || count.Faults.Get() != 0 {
-			t.Errorf("shadow settings %q: differences = %s, faults = %d, want 0 faults, and differences for others", name, differ, count.Faults.Get())
+			t.Errorf("shadow settings %q: differences = %s, faults = %d, want no faults and, for \"others\", differences", name, differ, count.Faults.Get())
 		}
 	}
 }
--- a/internal/simadapter/decode.go
+++ b/internal/simadapter/decode.go
@@ -62,8 +62,9 @@
 	"delta": balancer.DeltaUpdate, "full": balancer.FullUpdate, "cached": balancer.CachedUpdate, "failed": balancer.UpdateFailed,
 }
 
-// Translate translates an event of the wire format to one of package balancer. It returns nil if the event is to be ignored. lists
-// holds the endpoint lists by number; indexes locates the figures of a load report.
+// Translate translates an event of the wire format to one of package balancer. It returns nil if the type of the event or the
+// kind of an endpoint update is unknown; such events are ignored. lists holds the endpoint lists by number; indexes locates the
+// figures of a load report.
 func Translate(e *Event, lists map[int][]balancer.Endpoint, indexes ReportIndexes) balancer.Event {
 	load := indexes.loadReport(e.Feedback)
 	switch e.Type {
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -33,14 +33,14 @@
 	Form       string  `json:"form"`         // kind of the endpoint update
 
 	Job           uint64       `json:"job"`          // request id
-	SizeHint      float64      `json:"size_hint_ms"` // anticipated work
+	SizeHint      float64      `json:"size_hint_ms"` // expected duration of the work
 	Kind          string       `json:"kind"`         // class of the request
 	Object        string       `json:"object"`       // key of the request
-	Retry         bool         `json:"retry"`        // whether the client marks a retry
+	Retry         bool         `json:"retry"`        // whether the client marked the request as a retry
 	Project       OptionalName `json:"project"`      // tenant
 	Expires       float64      `json:"expires_ms"`   // deadline of the request
 	NoMore        bool         `json:"no_more"`      // whether the request is finished
-	RTT           float64      `json:"rtt_ms"`       // elapsed time
+	RTT           float64      `json:"rtt_ms"`       // duration of the attempt or load probe
 	Backend       string       `json:"backend"`      // server id
 	ResultCode    string       `json:"rc"`           // outcome, a key of outcomes
 	AttemptNumber int          `json:"n"`            // number of the attempt within its request
--- a/internal/subsystem/manager.go
+++ b/internal/subsystem/manager.go
@@ -67,7 +67,7 @@
 	return change, nil
 }
 
-// replace replaces the running instance of a subsystem by next. If next is nil, the subsystem keeps running if it has options, and
+// replace replaces the running instance of a subsystem with next. If next is nil, the subsystem keeps running if it has options, and
 // is stopped otherwise.
 func (m *Manager) replace(ctx context.Context, name string, options any, next Instance) {
 	if next == nil && options != nil {
