--- a/internal/simadapter/encode.go
+++ b/internal/simadapter/encode.go
@@ -22,7 +22,7 @@
 	case balancer.SetTimer:
 		return setTimerMessage{"set_timer", a.Token, a.At}
 	case balancer.ProbeLoad:
-		return serverMessage{"health_check", string(a.Server)}
+		return loadProbeMessage{"health_check", string(a.Server)}
 	case balancer.WatchEndpoints:
 		return watchMessage{"stream_changes", true}
 	case balancer.BroadcastGossip:
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -113,8 +113,8 @@
 	Time       float64 `json:"time_ms"`
 }
 
-// serverMessage sends a load probe to a server.
-type serverMessage struct {
+// loadProbeMessage sends a load probe to a server.
+type loadProbeMessage struct {
 	Type    string `json:"what"`
 	Backend string `json:"backend"`
 }
