--- a/cmd/tackhub/backend_test.go
+++ b/cmd/tackhub/backend_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// respondRaw returns a behavior that writes text unchanged, except that %s becomes the request's id, and keeps the
-// connection open.
+// respondRaw returns a behavior that writes text, with %s replaced by the request's id, and keeps the connection
+// open.
 func respondRaw(text string) behavior {
 	return func(c net.Conn, req receivedRequest) bool {
 		_, err := io.WriteString(c, strings.ReplaceAll(text, "%s", req.header.Get("X-Request-Id")))
@@ -25,7 +25,7 @@
 // respondWithID responds with the request's id, so that a test detects a response that belongs to another request.
 var respondWithID = respondRaw("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n%s")
 
-// respondEndlessly announces a body of 3 GB and sends zero bytes until the node closes the connection.
+// respondEndlessly announces a body of 3 GB and sends bytes of value 0 until the node closes the connection.
 func respondEndlessly(c net.Conn, _ receivedRequest) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
 	for chunk := make([]byte, 64<<10); err == nil; {
@@ -44,20 +44,20 @@
 // behavior responds to one request and reports whether the backend keeps the connection open.
 type behavior func(c net.Conn, req receivedRequest) bool
 
-// backend is a small HTTP server for tests. It reads complete requests and responds by its behavior, except to load
-// probes and health probes, which it counts and answers itself.
+// backend is a small HTTP server for tests. It reads each request completely and calls its behavior to respond. It counts
+// load probes and health probes and responds to them without the behavior.
 type backend struct {
-	id         string
-	addr       string
-	l          net.Listener
-	alsoCounts *backend // if set, requests also returns the requests that this backend received
+	id           string
+	addr         string
+	l            net.Listener
+	otherBackend *backend // if not nil, requests also returns the requests that otherBackend received
 
 	mu          sync.Mutex
 	behavior    behavior
 	received    []receivedRequest
 	probes      int
 	conns       map[net.Conn]bool
-	closedConns atomic.Int64 // connections that ended before a complete request was read
+	closedConns atomic.Int64 // connections on which no further complete request could be read
 }
 
 // startBackend starts a backend on a free port.
@@ -112,7 +112,7 @@
 		}
 		s.mu.Lock()
 		act := s.behavior
-		if path := req.line; path == "GET /_load HTTP/1.1" || path == "GET /ping HTTP/1.1" {
+		if requestLine := req.line; requestLine == "GET /_load HTTP/1.1" || requestLine == "GET /ping HTTP/1.1" {
 			s.probes++
 			act = respond(200, "TEXT inflight=0, queue=0, util=0.1")
 		} else {
@@ -160,10 +160,10 @@
 	s.behavior = act
 }
 
-// requests returns the requests that the backend and alsoCounts received.
+// requests returns the requests that the backend and otherBackend received.
 func (s *backend) requests() []receivedRequest {
-	if s.alsoCounts != nil {
-		return append(s.ownRequests(), s.alsoCounts.ownRequests()...)
+	if s.otherBackend != nil {
+		return append(s.ownRequests(), s.otherBackend.ownRequests()...)
 	}
 	return s.ownRequests()
 }
@@ -218,11 +218,11 @@
 	return false
 }
 
-// respondAfter returns a behavior that waits until the channel gate is closed and then behaves as then.
-func respondAfter(gate <-chan struct{}, then behavior) behavior {
+// respondAfter returns a behavior that waits until the channel gate is closed and then responds as act does.
+func respondAfter(gate <-chan struct{}, act behavior) behavior {
 	return func(c net.Conn, req receivedRequest) bool {
 		<-gate
-		return then(c, req)
+		return act(c, req)
 	}
 }
 
--- a/cmd/tackhub/blockedbackend_test.go
+++ b/cmd/tackhub/blockedbackend_test.go
@@ -38,7 +38,7 @@
 	}
 	addr := "127.0.0.1:" + strconv.Itoa(sa.(*syscall.SockaddrInet4).Port)
 	fillers := 0
-	for range 2 { // Linux accepts one connection more than the backlog of 0; the second dial confirms that it is full
+	for range 2 { // Linux queues one connection even with a backlog of 0; the second dial confirms that the queue is full
 		filler, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err == nil {
 			fillers++
@@ -74,8 +74,8 @@
 	h.t.Cleanup(func() { _ = syscall.Shutdown(h.fd, syscall.SHUT_RDWR) }) // ends the accept loop
 }
 
-// settingsWithLongConnectTimeout returns testSettings with a connect timeout of 5 s. Further pairs of old and new text are
-// replaced as well.
+// settingsWithLongConnectTimeout returns testSettings with a connect timeout of 5 s. replacements holds further pairs of
+// old and new text.
 func settingsWithLongConnectTimeout(replacements ...string) string {
 	return strings.NewReplacer(append([]string{`"connect_timeout_ms":150`, `"connect_timeout_ms":5000`}, replacements...)...).Replace(testSettings)
 }
--- a/cmd/tackhub/client_test.go
+++ b/cmd/tackhub/client_test.go
@@ -164,5 +164,5 @@
 	_ = c.Close()
 }
 
-// disconnectModes maps the name of each way to close a client's connection to the argument of client.cancel.
+// disconnectModes maps the name of each way to close a client's connection to the argument of client.disconnect.
 var disconnectModes = map[string]bool{"closed": false, "reset": true}
--- a/cmd/tackhub/clientconn_test.go
+++ b/cmd/tackhub/clientconn_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// A client sends a part of a request head and stops. It must get 408 or a closed connection, and no server a request.
+// A client sends a part of a request head and stops. It must get 408 or a closed connection, and no server may get a request.
 func TestPartialHeadTimesOut(t *testing.T) {
 	t.Parallel()
 	s := startBackend(t, "s1", respond(200, "done"))
--- a/cmd/tackhub/coapbackend_test.go
+++ b/cmd/tackhub/coapbackend_test.go
@@ -30,7 +30,7 @@
 	receivedAt []time.Time
 }
 
-// startCoapBackend starts a CoAP server. If link is not nil, its datagrams pass through it.
+// startCoapBackend starts a CoAP server. If link is not nil, the server's datagrams pass through it.
 func startCoapBackend(t *testing.T, link *netfault.Link, handle func(int, *message.Message) []message.Message) *coapBackend {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -99,10 +99,10 @@
 	return p
 }
 
-// An HTTP request is forwarded to a CoAP server. Each outcome, lost and reordered messages included, must become the
-// HTTP response that the same outcome of an HTTP server becomes. A retransmission must be the same message, and must be
-// sent early enough to complete during a drain.
-func TestCoapServerOutcomes(t *testing.T) {
+// An HTTP request is forwarded to a CoAP server. For each outcome, also if messages are lost or reordered, the client must
+// get the same HTTP response as for that outcome of an HTTP server. A retransmission must have the id of the first
+// transmission, and must be sent early enough to complete during a drain.
+func TestCoapServerOutcomesBecomeHTTPResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
 		handle func(int, *message.Message) []message.Message
@@ -115,7 +115,7 @@
 		"error": {"bill", func(_ int, m *message.Message) []message.Message {
 			return piggybackedResponse(m, codes.InternalServerError, "")
 		}, 502, 1},
-		"turned": {"bill", func(_ int, m *message.Message) []message.Message {
+		"service unavailable": {"bill", func(_ int, m *message.Message) []message.Message {
 			return piggybackedResponse(m, codes.ServiceUnavailable, "")
 		}, 503, 0},
 		"reset": {"bill", func(_ int, m *message.Message) []message.Message {
@@ -131,7 +131,7 @@
 		"separate": {"look", func(_ int, m *message.Message) []message.Message {
 			return []message.Message{{Type: wire.Ack, MessageID: m.MessageID}, {Type: wire.Con, Code: codes.Content, MessageID: 777, Token: m.Token, Payload: []byte("done")}}
 		}, 200, 1},
-		"outrun": {"look", func(_ int, m *message.Message) []message.Message { // the separate response overtakes the acknowledgement
+		"separate response first": {"look", func(_ int, m *message.Message) []message.Message { // it overtakes the acknowledgement
 			return []message.Message{{Type: wire.Con, Code: codes.Content, MessageID: 778, Token: m.Token, Payload: []byte("done")}, {Type: wire.Ack, MessageID: m.MessageID}}
 		}, 200, 1},
 		"another's token": {"bill", func(_ int, m *message.Message) []message.Message {
@@ -170,7 +170,7 @@
 
 // A CoAP server's port is closed. The kernel's error does not show whether an earlier transmission arrived, so only a
 // safe request may be retried on another server.
-func TestCoapServerUnreachable(t *testing.T) {
+func TestSafeRequestIsRetriedIfCoapServerIsUnreachable(t *testing.T) {
 	closed := startCoapBackend(t, nil, nil)
 	_ = closed.conn.Close()
 	listening := startCoapBackend(t, nil, func(_ int, m *message.Message) []message.Message {
@@ -185,7 +185,7 @@
 }
 
 // Large request and response bodies must be transferred block-wise to and from a CoAP server.
-func TestCoapServerBlockTransfer(t *testing.T) {
+func TestLargeBodiesAreTransferredBlockWiseToCoapServer(t *testing.T) {
 	responseBody := bytes.Repeat([]byte("0123456789abcdef"), 300)
 	var uploaded []byte
 	s := startCoapBackend(t, nil, func(_ int, m *message.Message) []message.Message {
@@ -209,6 +209,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !bytes.Equal(uploaded, requestBody) {
-		t.Errorf("the server got another body of %d bytes, want %d bytes", len(uploaded), len(requestBody))
+		t.Errorf("the server got a different body of %d bytes, want the %d bytes that were sent", len(uploaded), len(requestBody))
 	}
 }
--- a/cmd/tackhub/deploy_test.go
+++ b/cmd/tackhub/deploy_test.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The deployed node was once built without external linking. Go then produces a static executable, into which the library
-// of the fleet trial cannot be loaded. The test builds the node with the command in deploy/balancer.toml.
+// The deployed node was once built without external linking. Go then produces a static executable, and the fleet trial
+// cannot load its library into such an executable. The test builds the node with the command in deploy/balancer.toml.
 func TestDeployedNodeIsLinkedDynamically(t *testing.T) {
 	var deploy struct {
 		Build, Run string
--- a/cmd/tackhub/discovery_test.go
+++ b/cmd/tackhub/discovery_test.go
@@ -87,8 +87,8 @@
 	eventually(t, "the new list", func() bool { resp := p.mustDo(request("look", 1500)); return resp.status == 200 && resp.body == "two" })
 }
 
-// With "discovery":"subscribe" the list is only sent in response to a poll. The node must poll unprompted, also after an
-// outage.
+// With "discovery":"subscribe" discovery sends the list only in response to a poll. The node must therefore poll when it
+// starts and again after an outage.
 func TestSubscribedDiscoveryPollsAfterOutage(t *testing.T) {
 	settings := strings.Replace(testSettings, `"discovery":"automatic"`, `"discovery":"subscribe"`, 1)
 	settings = strings.Replace(settings, `"cold_from"`, `"must_ask_in_ms":10000,"cold_from"`, 1)
@@ -148,15 +148,16 @@
 	eventually(t, "the connections to the server to be closed", func() bool { return p.counts().Servers["open"] == 0 })
 }
 
-// A second server joins, which has just started or has been up for a long time, according to discovery. With a slow start
-// of 1,000 s that begins at 1/200 of the capacity, a server that has just started must get few requests.
+// Discovery adds a second server that has just started, or one whose start time is unknown. With a slow start of 1,000 s that
+// begins at 1/200 of the capacity, a server that has just started must get few requests. A server with an unknown start time
+// must not begin with a slow start.
 func TestSlowStartServerGetsFewRequests(t *testing.T) {
 	settings := strings.Replace(testSettings, `"cold_from":0.3,"cold_ms":9000`, `"cold_from":0.005,"cold_ms":1e6`, 1)
 	const requests = 40
 	for name, c := range map[string]struct {
-		upSince                  int64
+		upSince                  int64 // Unix time in milliseconds; 0: unknown
 		minRequests, maxRequests int
-	}{"just started": {time.Now().UnixMilli(), 0, requests / 4}, "long up": {0, requests / 4, requests}} {
+	}{"just started": {time.Now().UnixMilli(), 0, requests / 4}, "start time unknown": {0, requests / 4, requests}} {
 		act := func(c net.Conn, req receivedRequest) bool {
 			time.Sleep(10 * time.Millisecond) // response time, from which the balancer calculates the slow start budget
 			return respond(200, "done")(c, req)
--- a/cmd/tackhub/discoveryserver_test.go
+++ b/cmd/tackhub/discoveryserver_test.go
@@ -17,15 +17,15 @@
 type discoveryServer struct {
 	addr string
 
-	mu              sync.Mutex
-	revision        int
-	list            []member
-	delta           []member
-	raw             string        // if not empty, the body of every response
-	changed         chan struct{} // closed on a change, then replaced
-	watches         int
-	endedWatchCount int          // watches that the node cancelled
-	responseCount   atomic.Int64 // responses and cancelled watches
+	mu                  sync.Mutex
+	revision            int
+	list                []member
+	delta               []member
+	raw                 string        // if not empty, the body of every response
+	changed             chan struct{} // closed on a change, then replaced
+	watches             int
+	cancelledWatchCount int          // watches that the node cancelled
+	responseCount       atomic.Int64 // responses and cancelled watches
 }
 
 // startDiscoveryServer starts a discovery server on a free port.
@@ -68,7 +68,8 @@
 	d.changed = make(chan struct{})
 }
 
-// respondWith sets the body of every further response; "" returns to the list.
+// respondWith ends the open watches and sets the body of every further response. If raw is empty, the server responds with
+// the list again.
 func (d *discoveryServer) respondWith(raw string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +93,7 @@
 		case <-r.Context().Done():
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.endedWatchCount++
+			d.cancelledWatchCount++
 			return
 		}
 		d.mu.Lock()
@@ -119,9 +120,9 @@
 	return d.watches
 }
 
-// endedWatches returns the number of watches that the node cancelled.
-func (d *discoveryServer) endedWatches() int {
+// cancelledWatches returns the number of watches that the node cancelled.
+func (d *discoveryServer) cancelledWatches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.endedWatchCount
+	return d.cancelledWatchCount
 }
--- a/cmd/tackhub/largerequest_test.go
+++ b/cmd/tackhub/largerequest_test.go
@@ -42,12 +42,12 @@
 	return out.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
-// startWithLargeBodies starts two servers and a node that has a folder for large bodies. The returned backend includes the
-// requests of both servers.
+// startWithLargeBodies starts two servers and a node that has a folder for large bodies. The method
+// requests of the returned backend returns the requests of both servers.
 func startWithLargeBodies(t *testing.T, act behavior) (*nodeProcess, *backend) {
 	t.Helper()
 	s, other := startBackend(t, "s1", act), startBackend(t, "s2", act)
-	s.alsoCounts = other
+	s.otherBackend = other
 	d := startDiscoveryServer(t, members(s, other))
 	p := startNode(t, nodeOptions{discovery: d.addr, env: []string{"TMPDIR=" + t.TempDir()}})
 	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
@@ -60,7 +60,7 @@
 	return bodies["files"], bodies["buffers"]
 }
 
-// Requests with bodies of 3 MB, in each form that HTTP has for them, are rejected by the first server and retried. Each
+// Requests with bodies of 3 MB, in each form that HTTP defines for them, are rejected by the first server and retried. Each
 // must arrive complete at both servers.
 func TestLargeRequestsArriveComplete(t *testing.T) {
 	sent := largeBody(3 << 20)
@@ -103,15 +103,15 @@
 
 // A client asks with Expect: 100-continue whether it may send a body above the limit. It must be rejected before it
 // sends any of the body.
-func TestExpectContinueBeyondLimit(t *testing.T) {
+func TestExpectContinueAboveLimitIsRejectedBeforeBody(t *testing.T) {
 	p, _ := startWithLargeBodies(t, respond(200, "done"))
 	if resp := p.mustDo(postHead("Content-Length: 60000000", "Expect: 100-continue")); resp.status != 413 {
 		t.Errorf("got status %d before the body, want 413", resp.status)
 	}
 }
 
-// A body exceeds the limit, either by its Content-Length or only as its chunks arrive. It must be rejected with 413, and
-// so must each large body if the node has no folder for large bodies.
+// A body exceeds the limit according to its Content-Length, or without one after some of its chunks. It must be rejected
+// with 413. Without a folder for large bodies, the node must reject each large body with 413.
 func TestTooLargeRequestsAreRejected(t *testing.T) {
 	p, _ := startWithLargeBodies(t, respond(200, "done"))
 	if resp := p.mustDo(postHead(fmt.Sprintf("Content-Length: %d", 60_000_000)) + string(largeBody(10_000))); resp.status != 413 {
@@ -211,7 +211,7 @@
 	case <-time.After(waitTimeout):
 		t.Fatalf("no server got half of the body within %v", waitTimeout)
 	}
-	<-reset // the node detects it now, if it is still writing, or when it writes the last byte
+	<-reset // the node detects the reset now if it is still writing, and otherwise when it writes the last byte
 	select {
 	case <-complete:
 		t.Error("a server got a complete body before the client sent the last byte")
@@ -222,7 +222,7 @@
 		t.Fatalf("got status %d, %v, want 200", resp.status, err)
 	}
 	if got := <-complete; !bytes.Equal(got, sent) {
-		t.Errorf("the server got another body of %d bytes, want %d bytes", len(got), len(sent))
+		t.Errorf("the server got a different body of %d bytes, want the %d bytes that were sent", len(got), len(sent))
 	}
 	if n := p.counts().Attempts["written"]; n != 1 {
 		t.Errorf("got %d attempts written completely, want 1 (the second)", n)
--- a/cmd/tackhub/main.go
+++ b/cmd/tackhub/main.go
@@ -1,4 +1,4 @@
-// Command tackhub is one node of a load balancer for HTTP and CoAP. Without arguments it serves.
+// Command tackhub runs one node of a load balancer for HTTP and CoAP. Without arguments it runs the command serve.
 //
 // Exit codes: 0 after a graceful shutdown or a check that found no errors, 1 if the node failed to start or to serve or
 // a check found errors, 2 if the command line is invalid.
@@ -33,7 +33,7 @@
 	return cli.Program{Name: "tackhub", Default: "serve", Commands: []cli.Command{
 		{Name: "serve", Help: "Serve as one node, configured by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG", Flags: operatorFileFlag,
 			Run: func([]string, io.Writer) error { return node.Serve(operatorFile) }},
-		{Name: "check", Help: "Read the configuration and the operator file as at a start; print what would run, or every error", Flags: operatorFileFlag,
+		{Name: "check", Help: "Read the configuration and the operator file as serve does; print what would run, or every error", Flags: operatorFileFlag,
 			Run: func(_ []string, out io.Writer) error {
 				if !node.Check(out, os.Getenv, operatorFile) {
 					return cli.ErrReported
@@ -47,7 +47,7 @@
 		{Name: "version", Help: "Print revision, Go version and platform", Run: func(_ []string, out io.Writer) error { return version(out) }},
 	}, Footer: []string{
 		"",
-		"Signals to a running node: SIGTERM or SIGINT starts a graceful shutdown (repeated ones are ignored), SIGHUP reloads the files,",
+		"Signals: SIGTERM or SIGINT starts a graceful shutdown (repeated ones are ignored), SIGHUP reloads configuration and operator file,",
 		"SIGUSR1 writes the counters and the health of the servers to the log.",
 		"Exit codes: 0 graceful shutdown or no errors found, 1 failure or errors found, 2 invalid command line.",
 	}}
--- a/cmd/tackhub/operatorfile_test.go
+++ b/cmd/tackhub/operatorfile_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Each command must have its output and exit code, and check must report every error with file, line and key.
-func TestCommandLine(t *testing.T) {
+// Each command must print the expected output and return the expected exit code, and check must report
+// every error with file, line and key.
+func TestCommandsPrintOutputAndExitCode(t *testing.T) {
 	env := environment(t, "127.0.0.1:8081", nodeOptions{discovery: "127.0.0.1:8500"})
 	edge := filepath.Join(t.TempDir(), "edge.toml")
 	writeFile(t, edge, "[vitals]\nevery = \"30s\"\n")
@@ -50,7 +51,7 @@
 
 // A running node reloads a valid operator file, an invalid one, and an empty one. The invalid file must be reported and
 // change nothing; the last valid one stays in force.
-func TestOperatorFileOnReload(t *testing.T) {
+func TestReloadOfInvalidOperatorFileKeepsLastValid(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	edge := filepath.Join(t.TempDir(), "edge.toml")
@@ -70,7 +71,7 @@
 		t.Error("the log lacks the error with key other and line 3")
 	}
 	before := logCount(`"code":"vitals"`)
-	eventually(t, "another vitals line by the last valid file", func() bool { return logCount(`"code":"vitals"`) > before })
+	eventually(t, "another vitals line, as the last valid file configures", func() bool { return logCount(`"code":"vitals"`) > before })
 	writeFile(t, edge, "")
 	p.reload("edge")
 	if logCount(`"off":["vitals"]`) != 1 {
--- a/cmd/tackhub/reload_test.go
+++ b/cmd/tackhub/reload_test.go
@@ -64,19 +64,19 @@
 	p.configure("discovery", replacement.addr)
 	p.reload("reload")
 	eventually(t, "the new watch", func() bool { return replacement.watchCount() > 0 })
-	if a := p.mustDo(request("look", 1000)); a.body != "two" {
-		t.Errorf("request after the change of address: status %d, body %q, want \"two\"", a.status, a.body)
+	if resp := p.mustDo(request("look", 1000)); resp.body != "two" {
+		t.Errorf("request after the change of address: status %d, body %q, want \"two\"", resp.status, resp.body)
 	}
 	if n := p.counts().List["failed"]; n != 0 {
 		t.Errorf("%d failed calls to discovery, want 0: the change of address was counted as a failure", n)
 	}
-	eventually(t, "the end of the old watch", func() bool { return d.endedWatches() > 0 })
+	eventually(t, "the end of the old watch", func() bool { return d.cancelledWatches() > 0 })
 	watchesBefore := d.watchCount()
 	p.configure("discovery", d.addr)
 	p.reload("reload")
 	eventually(t, "the watch at the first address", func() bool { return d.watchCount() > watchesBefore })
-	if a := p.mustDo(request("look", 1000)); a.body != "one" {
-		t.Errorf("request after the change back: status %d, body %q, want \"one\"", a.status, a.body)
+	if resp := p.mustDo(request("look", 1000)); resp.body != "one" {
+		t.Errorf("request after the change back: status %d, body %q, want \"one\"", resp.status, resp.body)
 	}
 }
 
@@ -87,8 +87,8 @@
 	p.configure("discovery", freeAddress(t))
 	p.reload("reload")
 	eventually(t, "a failed call to discovery", func() bool { return p.counts().List["failed"] > 0 })
-	if a := p.mustDo(request("bill", 1000)); a.status != 200 {
-		t.Errorf("request while discovery does not answer: status %d, want 200", a.status)
+	if resp := p.mustDo(request("bill", 1000)); resp.status != 200 {
+		t.Errorf("request while discovery does not answer: status %d, want 200", resp.status)
 	}
 }
 
@@ -102,8 +102,8 @@
 	p.configure("discovery", replacement.addr)
 	p.reload("reload")
 	eventually(t, "the new watch", func() bool { return replacement.watchCount() > 0 })
-	if a := p.mustDo(request("look", 1000)); a.body != "two" {
-		t.Errorf("request after the change of address: status %d, body %q, want \"two\"", a.status, a.body)
+	if resp := p.mustDo(request("look", 1000)); resp.body != "two" {
+		t.Errorf("request after the change of address: status %d, body %q, want \"two\"", resp.status, resp.body)
 	}
 }
 
@@ -137,8 +137,8 @@
 		t.Fatal(err)
 	}
 	p.reload("reload_failed")
-	if a := p.mustDo(request("look", 1000)); a.status != 200 || otherDiscovery.responseCount.Load() != 0 {
-		t.Errorf("status %d, %d calls to the other discovery address, want 200 and 0", a.status, otherDiscovery.responseCount.Load())
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 || otherDiscovery.responseCount.Load() != 0 {
+		t.Errorf("status %d, %d calls to the other discovery address, want 200 and 0", resp.status, otherDiscovery.responseCount.Load())
 	}
 	p.replace(validFile)
 	p.reload("reload")
@@ -159,13 +159,13 @@
 	s := startBackend(t, "s1", respondAfter(gate, respond(200, "done")))
 	p, _ := startWithBackends(t, "", s)
 	inFlight := p.send(request("bill", 1500))
-	eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
+	eventually(t, "the request at the server", func() bool { return len(s.requests()) == 1 })
 	p.terminate()
-	eventually(t, "drain", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
+	eventually(t, "the drain in the log", func() bool { return strings.Contains(p.log.String(), `"code":"drain"`) })
 	p.reload("reload")
 	close(gate)
-	if a := await(t, "request in flight", inFlight); a.status != 200 {
-		t.Errorf("request in flight: status %d, want 200", a.status)
+	if resp := await(t, "request in flight", inFlight); resp.status != 200 {
+		t.Errorf("request in flight: status %d, want 200", resp.status)
 	}
 	if code := p.exit(); code != 0 {
 		t.Errorf("exit code %d, want 0", code)
--- a/cmd/tackhub/retry_test.go
+++ b/cmd/tackhub/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A 503 means that a retry by the client is harmless, so an unsafe request gets it only if no server executed it. For each
-// class and each failure of its servers, the status and the number of attempts must be the ones that the class allows.
+// A 503 means that a retry by the client is harmless, so an unsafe request may get a 503 only if no server executed it. For
+// each class and each kind of server failure, the test checks the status and the number of attempts.
 func TestServerFailureStatusByRequestClass(t *testing.T) {
 	reject := respond(503, "", "X-Not-Run: 1")
 	for _, c := range []struct {
--- a/cmd/tackhub/shutdown_test.go
+++ b/cmd/tackhub/shutdown_test.go
@@ -59,7 +59,7 @@
 }
 
 // Clients continue to connect while the node shuts down. Each client whose connection is accepted must get a response.
-func TestShutdownUnderLoad(t *testing.T) {
+func TestShutdownUnderLoadAnswersAcceptedClients(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s)
 	stop := make(chan struct{})
@@ -157,8 +157,9 @@
 	}
 }
 
-// At shutdown the node once kept the connection of a partial request open until the process ended. The last byte could
-// then still be accepted, and the request got no response. It must be rejected while the client can retry on another node.
+// At shutdown the node once kept the connection of a partial request open until the process ended. The node could then
+// still receive the last byte, and the request got no response. It must be rejected while the client can retry on another
+// node.
 func TestShutdownRejectsPartialRequests(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, d := startWithBackends(t, "", s)
