--- a/cmd/tackhub/admin_test.go
+++ b/cmd/tackhub/admin_test.go
@@ -29,7 +29,7 @@
 	d := startDiscoveryServer(t, members(servers...))
 	admin = freeAddress(t)
 	p = startNode(t, nodeOptions{discovery: d.addr, env: []string{"ROUTER_OPERATOR=" + admin}})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	return p, admin
 }
 
@@ -58,9 +58,9 @@
 // queryAdminStats returns the statistics that the admin listener reports.
 func queryAdminStats(t *testing.T, admin string) (stats adminStats) {
 	t.Helper()
-	a := adminCall(t, admin, "GET", "/stats")
-	if err := json.Unmarshal([]byte(a.body), &stats); err != nil || a.status != 200 {
-		t.Fatalf("GET /stats: status %d, %v, body %s", a.status, err, a.body)
+	resp := adminCall(t, admin, "GET", "/stats")
+	if err := json.Unmarshal([]byte(resp.body), &stats); err != nil || resp.status != 200 {
+		t.Fatalf("GET /stats: status %d, %v, body %s", resp.status, err, resp.body)
 	}
 	return stats
 }
@@ -78,8 +78,8 @@
 		{"POST", "/stats", 405, "GET"}, {"GET", "/healthcheck/fail", 405, "PUT"},
 		{"GET", "/", 404, ""}, {"GET", "/_counters", 404, ""}, {"noise", "", 400, ""},
 	} {
-		if a := adminCall(t, admin, c.method, c.path); a.status != c.status || a.header.Get("Allow") != c.allow {
-			t.Errorf("%s %s: status %d, Allow %q, want %d, %q", c.method, c.path, a.status, a.header.Get("Allow"), c.status, c.allow)
+		if resp := adminCall(t, admin, c.method, c.path); resp.status != c.status || resp.header.Get("Allow") != c.allow {
+			t.Errorf("%s %s: status %d, Allow %q, want %d, %q", c.method, c.path, resp.status, resp.header.Get("Allow"), c.status, c.allow)
 		}
 	}
 }
@@ -104,8 +104,8 @@
 		}
 	}
 	began := time.Now()
-	if a := adminCall(t, admin, "GET", "/healthcheck"); a.status != 200 || time.Since(began) > time.Second {
-		t.Errorf("health check: status %d after %v, want 200 within a second", a.status, time.Since(began))
+	if resp := adminCall(t, admin, "GET", "/healthcheck"); resp.status != 200 || time.Since(began) > time.Second {
+		t.Errorf("health check: status %d after %v, want 200 within a second", resp.status, time.Since(began))
 	}
 }
 
@@ -169,8 +169,8 @@
 	p, admin := startWithAdmin(t, startBackend(t, "s1", respondAfter(gate, respond(200, "done"))))
 	healthStatusIs := func(status int) func() bool {
 		return func() bool {
-			a, err := p.do("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-			return err == nil && a.status == status
+			resp, err := p.do("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+			return err == nil && resp.status == status
 		}
 	}
 	idle, busy := p.connect(), p.connect()
@@ -181,8 +181,8 @@
 	busy.write(request("bill", 1500))
 	eventually(t, "a request in flight", func() bool { return p.counts().Requests["open"] == 1 })
 	for range 2 { // the second call repeats the drain while it is active
-		if a := adminCall(t, admin, "PUT", "/healthcheck/fail"); a.status != 200 {
-			t.Fatalf("PUT /healthcheck/fail: status %d, want 200", a.status)
+		if resp := adminCall(t, admin, "PUT", "/healthcheck/fail"); resp.status != 200 {
+			t.Fatalf("PUT /healthcheck/fail: status %d, want 200", resp.status)
 		}
 	}
 	if !healthStatusIs(503)() || adminCall(t, admin, "GET", "/healthcheck").status != 503 {
@@ -190,23 +190,23 @@
 	}
 	duringDrain := p.send(request("look", 1500))
 	close(gate)
-	if a, err := busy.read(); err != nil || a.status != 200 || !a.closesConn {
-		t.Errorf("request in flight: %+v, %v, want 200 and a closed connection", a, err)
+	if resp, err := busy.read(); err != nil || resp.status != 200 || !resp.closesConn {
+		t.Errorf("request in flight: %+v, %v, want 200 and a closed connection", resp, err)
 	}
-	if a := await(t, "request sent during the drain", duringDrain); a.status != 200 || !a.closesConn {
-		t.Errorf("request sent during the drain: %+v, want 200 and a closed connection", a)
+	if resp := await(t, "request sent during the drain", duringDrain); resp.status != 200 || !resp.closesConn {
+		t.Errorf("request sent during the drain: %+v, want 200 and a closed connection", resp)
 	}
 	if _, err := idle.read(); err != io.EOF && err != io.ErrUnexpectedEOF {
 		t.Errorf("read from the idle connection: %v, want EOF", err)
 	}
-	for range 2 { // the second call finds no drain to end
+	for range 2 { // no drain is active during the second call
 		adminCall(t, admin, "PUT", "/healthcheck/ok")
 	}
 	if !healthStatusIs(200)() || adminCall(t, admin, "GET", "/healthcheck").status != 200 {
 		t.Error("the node does not report healthy after the drain, want 200")
 	}
-	if a := p.mustDo(request("look", 500)); a.status != 200 {
-		t.Errorf("request after the drain: status %d, want 200", a.status)
+	if resp := p.mustDo(request("look", 500)); resp.status != 200 {
+		t.Errorf("request after the drain: status %d, want 200", resp.status)
 	}
 	adminCall(t, admin, "PUT", "/healthcheck/fail")
 	p.terminate()
--- a/cmd/tackhub/backendconn_test.go
+++ b/cmd/tackhub/backendconn_test.go
@@ -12,8 +12,8 @@
 	c := p.connect()
 	for range 20 {
 		c.write(request("look", 1000))
-		if a, err := c.read(); err != nil || a.status != 200 {
-			t.Fatalf("response %v, %v, want status 200", a, err)
+		if resp, err := c.read(); err != nil || resp.status != 200 {
+			t.Fatalf("response %v, %v, want status 200", resp, err)
 		}
 	}
 	if got := p.counts(); got.Servers["dialed"] != 1 || got.Servers["reused"] != 19 {
@@ -24,14 +24,14 @@
 // A server closes its connection after each response without sending Connection: close. The node must not send the next
 // request, which cannot be retried, on the closed connection.
 func TestClosedConnectionIsNotReused(t *testing.T) {
-	s := startBackend(t, "s1", func(c net.Conn, g receivedRequest) bool {
-		respond(200, "done")(c, g)
+	s := startBackend(t, "s1", func(c net.Conn, req receivedRequest) bool {
+		respond(200, "done")(c, req)
 		return false // closes the connection, which the response did not announce
 	})
 	p, _ := startWithBackends(t, "", s)
 	for i := range 10 {
-		if a := p.mustDo(request("bill", 1000)); a.status != 200 {
-			t.Fatalf("request %d: status %d, want 200", i, a.status)
+		if resp := p.mustDo(request("bill", 1000)); resp.status != 200 {
+			t.Fatalf("request %d: status %d, want 200", i, resp.status)
 		}
 		eventually(t, "the server's close to be counted", func() bool { return p.counts().ServerEnds["server_closed"] >= i })
 	}
@@ -43,8 +43,8 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s)
 	for i := range 10 {
-		if a := p.mustDo(request("bill", 1500)); a.status != 200 {
-			t.Fatalf("request %d: status %d, want 200", i, a.status)
+		if resp := p.mustDo(request("bill", 1500)); resp.status != 200 {
+			t.Fatalf("request %d: status %d, want 200", i, resp.status)
 		}
 		s.mu.Lock()
 		for c := range s.conns {
--- a/cmd/tackhub/badrequest_test.go
+++ b/cmd/tackhub/badrequest_test.go
@@ -73,9 +73,9 @@
 		{"head too large", replaceOnce(good, "X-Tenant: acme", "X-Tenant: "+strings.Repeat("a", 8192)), 431, "head_too_large"},
 	} {
 		before := p.counts().Rejections[c.code]
-		a, err := p.do(c.raw)
-		if err != nil || a.status != c.status {
-			t.Errorf("%s: response %v, %v, want status %d", c.name, a, err, c.status)
+		resp, err := p.do(c.raw)
+		if err != nil || resp.status != c.status {
+			t.Errorf("%s: response %v, %v, want status %d", c.name, resp, err, c.status)
 		}
 		if n := p.counts().Rejections[c.code]; n != before+1 {
 			t.Errorf("%s: not counted once as %s: rejections = %v", c.name, c.code, p.counts().Rejections)
@@ -84,17 +84,17 @@
 	if n := len(s.requests()); n != 0 {
 		t.Errorf("the server received %d malformed requests, want 0", n)
 	}
-	if a := p.mustDo(request("look", 1000, "X-Extras: "+strings.Repeat("a=1,", 1500))); a.status != 200 {
-		t.Errorf("request head of 6 KiB: status %d, want 200", a.status)
+	if resp := p.mustDo(request("look", 1000, "X-Extras: "+strings.Repeat("a=1,", 1500))); resp.status != 200 {
+		t.Errorf("request head of 6 KiB: status %d, want 200", resp.status)
 	}
 	for _, field := range []string{"X-Cost-Hint: many", "X-Cost-Hint: -5", "X-Cost-Hint: NaN", "X-Extras: ==,,=",
 		"X-Retry: maybe"} {
-		if a := p.mustDo(request("look", 1000, field)); a.status != 200 {
-			t.Errorf("%s: status %d, want 200 with the field ignored", field, a.status)
+		if resp := p.mustDo(request("look", 1000, field)); resp.status != 200 {
+			t.Errorf("%s: status %d, want 200 with the field ignored", field, resp.status)
 		}
 	}
-	if a := p.mustDo(strings.Replace(good, "acme", "nobody", 1)); a.status != 200 {
-		t.Errorf("unknown tenant: status %d, want 200", a.status)
+	if resp := p.mustDo(strings.Replace(good, "acme", "nobody", 1)); resp.status != 200 {
+		t.Errorf("unknown tenant: status %d, want 200", resp.status)
 	}
 	p.counts().checkRequestTotals(t)
 }
@@ -108,15 +108,15 @@
 	raw := request("bill", 1500)
 	first := p.send(raw)
 	eventually(t, "the first request at the server", func() bool { return len(s.requests()) == 1 })
-	if a := p.mustDo(raw); a.status != 409 || !a.closesConn {
-		t.Errorf("second request: status %d, closes the connection: %v, want 409 and a close", a.status, a.closesConn)
+	if resp := p.mustDo(raw); resp.status != 409 || !resp.closesConn {
+		t.Errorf("second request: status %d, closes the connection: %v, want 409 and a close", resp.status, resp.closesConn)
 	}
 	close(gate)
-	if a := await(t, "the first request", first); a.status != 200 {
-		t.Errorf("first request: status %d, want 200", a.status)
+	if resp := await(t, "the first request", first); resp.status != 200 {
+		t.Errorf("first request: status %d, want 200", resp.status)
 	}
-	if a := p.mustDo(raw); a.status != 200 {
-		t.Errorf("request after the first has ended: status %d, want 200", a.status)
+	if resp := p.mustDo(raw); resp.status != 200 {
+		t.Errorf("request after the first has ended: status %d, want 200", resp.status)
 	}
 	if n := len(s.requests()); n != 2 {
 		t.Errorf("the server received %d requests, want 2", n)
@@ -131,16 +131,16 @@
 	c := p.connect()
 	c.write(strings.Replace(request("bill", 1000), "Content-Length: 9", "Content-Length: 60000000", 1))
 	go func() { _, _ = c.Write(make([]byte, 60_000_000)) }() // fails when the node closes the connection
-	if a, err := c.read(); err == nil && a.status != 413 {
-		t.Errorf("request with 60 MB: status %d, want 413", a.status)
+	if resp, err := c.read(); err == nil && resp.status != 413 {
+		t.Errorf("request with 60 MB: status %d, want 413", resp.status)
 	}
-	if a := p.mustDo(request("look", 1000)); a.status != 200 || len(s.requests()) != 1 {
-		t.Errorf("next request: status %d, want 200 and no other request at the server", a.status)
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 || len(s.requests()) != 1 {
+		t.Errorf("next request: status %d, want 200 and no other request at the server", resp.status)
 	}
 }
 
 // Requests wait unread in the kernel's receive buffer while the node is suspended for 400 ms. The node must send no attempt
-// for a request whose deadline passed meanwhile, and must forward another one with its remaining time only.
+// for a request whose deadline has passed meanwhile, and must forward the other request with only its remaining time.
 func TestDeadlineIncludesTimeInReceiveBuffer(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s)
@@ -157,11 +157,11 @@
 	unexpired.write(request("look", 1400))
 	time.Sleep(400 * time.Millisecond) // longer than the deadline of the first request
 	signal(syscall.SIGCONT)
-	if a, err := expired.read(); err != nil || a.status != 504 {
-		t.Errorf("request past its deadline: %v, %v, want status 504", a, err)
+	if resp, err := expired.read(); err != nil || resp.status != 504 {
+		t.Errorf("request past its deadline: %v, %v, want status 504", resp, err)
 	}
-	if a, err := unexpired.read(); err != nil || a.status != 200 {
-		t.Errorf("request before its deadline: %v, %v, want status 200", a, err)
+	if resp, err := unexpired.read(); err != nil || resp.status != 200 {
+		t.Errorf("request before its deadline: %v, %v, want status 200", resp, err)
 	}
 	got := s.requests()
 	if len(got) != 1 || !strings.HasPrefix(got[0].line, "GET /look") {
@@ -182,14 +182,14 @@
 	}
 	c.write(raw[:0] + request("bill", 1400) + request("look", 1400))
 	for i := range 5 {
-		if a, err := c.read(); err != nil || a.status != 200 {
-			t.Fatalf("request %d: status %d, %v, want 200", i, a.status, err)
+		if resp, err := c.read(); err != nil || resp.status != 200 {
+			t.Fatalf("request %d: status %d, %v, want 200", i, resp.status, err)
 		}
 	}
 	if n := len(s.requests()); n != 5 {
 		t.Errorf("the server received %d requests, want 5", n)
 	}
-	if !slices.ContainsFunc(s.requests(), func(g receivedRequest) bool { return bytes.Equal(g.body, largeBody(300)) }) {
+	if !slices.ContainsFunc(s.requests(), func(req receivedRequest) bool { return bytes.Equal(req.body, largeBody(300)) }) {
 		t.Error("the server did not receive the chunked body unchanged")
 	}
 }
@@ -204,8 +204,8 @@
 	if err := c.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if a, err := c.read(); err != nil || a.status != 200 {
-		t.Errorf("response %v, %v, want status 200 before the rest of the next request is sent", a, err)
+	if resp, err := c.read(); err != nil || resp.status != 200 {
+		t.Errorf("response %v, %v, want status 200 before the rest of the next request is sent", resp, err)
 	}
 }
 
@@ -220,13 +220,13 @@
 	eventually(t, "the first request at the server", func() bool { return len(s.requests()) == 1 })
 	close(gate)
 	for i := range 2 {
-		if a, err := c.read(); err != nil || a.status != 200 {
-			t.Fatalf("response %d: %v, %v, want status 200", i, a, err)
+		if resp, err := c.read(); err != nil || resp.status != 200 {
+			t.Fatalf("response %d: %v, %v, want status 200", i, resp, err)
 		}
 	}
 	c.write(request("look", 1000)[20:])
-	if a, err := c.read(); err != nil || a.status != 200 {
-		t.Fatalf("last response: %v, %v, want status 200", a, err)
+	if resp, err := c.read(); err != nil || resp.status != 200 {
+		t.Fatalf("last response: %v, %v, want status 200", resp, err)
 	}
 	if got := p.counts(); got.Requests["left"] != 0 || got.Requests["served"] != 3 {
 		t.Errorf("request counters = %v, want 3 served and none left", got.Requests)
--- a/cmd/tackhub/badresponse_test.go
+++ b/cmd/tackhub/badresponse_test.go
@@ -37,8 +37,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := startBackend(t, "s1", act)
 			p, _ := startWithBackends(t, "", s)
-			if a := p.mustDo(request("bill", 300)); a.status != 502 && a.status != 504 {
-				t.Errorf("status %d, body %q, want 502 or 504", a.status, a.body)
+			if resp := p.mustDo(request("bill", 300)); resp.status != 502 && resp.status != 504 {
+				t.Errorf("status %d, body %q, want 502 or 504", resp.status, resp.body)
 			}
 			if n := len(s.requests()); n != 1 {
 				t.Errorf("the server received %d requests, want 1", n)
@@ -46,8 +46,8 @@
 			eventually(t, "the server connection to be closed", func() bool { return p.counts().Servers["open"] == 0 })
 			s.setBehavior(respondWithID)
 			next := request("bill", 1000)
-			if a := p.mustDo(next); a.status != 200 || a.body != requestID(next) {
-				t.Errorf("next request: status %d, body %q, want 200 and its own ID", a.status, a.body)
+			if resp := p.mustDo(next); resp.status != 200 || resp.body != requestID(next) {
+				t.Errorf("next request: status %d, body %q, want 200 and its own ID", resp.status, resp.body)
 			}
 		})
 	}
@@ -79,8 +79,8 @@
 			p, _ := startWithBackends(t, settingsWithLoadReports(), s)
 			for i := range 4 {
 				req := request("bill", 1000)
-				if a := p.mustDo(req); a.status != 200 || a.body != requestID(req) {
-					t.Errorf("request %d: status %d, body %q, want 200, %q", i, a.status, a.body, requestID(req))
+				if resp := p.mustDo(req); resp.status != 200 || resp.body != requestID(req) {
+					t.Errorf("request %d: status %d, body %q, want 200, %q", i, resp.status, resp.body, requestID(req))
 				}
 				if name == "delayed repeat" {
 					<-repeated
--- a/cmd/tackhub/brokenresponse_test.go
+++ b/cmd/tackhub/brokenresponse_test.go
@@ -17,19 +17,19 @@
 // respondThenReset writes part of a response and resets the connection. If gate is not nil, the reset waits until it is
 // closed.
 func respondThenReset(part string, gate <-chan struct{}) behavior {
-	return func(c net.Conn, g receivedRequest) bool {
+	return func(c net.Conn, req receivedRequest) bool {
 		_, _ = io.WriteString(c, part)
 		if gate != nil {
 			<-gate
 		}
-		return resetConn(c, g)
+		return resetConn(c, req)
 	}
 }
 
 // A server resets the connection during a response. If the response has no length, only the read error distinguishes the
 // reset from the regular end, and the kernel reports it once: a further read returns EOF, after which a truncated response
 // would be considered complete. The node must answer with 502 or close the connection.
-func TestResetDuringResponseIsNotTakenAsItsEnd(t *testing.T) {
+func TestResetDuringResponseFailsRequest(t *testing.T) {
 	for name, part := range map[string]string{
 		"after the head":         headWithoutLength,
 		"after a few bytes":      headWithoutLength + "half an ans",
@@ -42,9 +42,9 @@
 			t.Run(name+" to HTTP/"+version, func(t *testing.T) {
 				s := startBackend(t, "s1", respondThenReset(part, nil))
 				p, _ := startWithBackends(t, "", s)
-				a, err := p.do(strings.Replace(request("bill", 1400), "HTTP/1.1", "HTTP/"+version, 1))
-				if err == nil && a.status != 502 {
-					t.Errorf("the client received a complete response: status %d, %d bytes, want 502 or an error", a.status, len(a.body))
+				resp, err := p.do(strings.Replace(request("bill", 1400), "HTTP/1.1", "HTTP/"+version, 1))
+				if err == nil && resp.status != 502 {
+					t.Errorf("the client received a complete response: status %d, %d bytes, want 502 or an error", resp.status, len(resp.body))
 				}
 				if n := len(s.requests()); n != 1 {
 					t.Errorf("the server received %d requests, want 1: the first attempt may have been executed", n)
@@ -66,8 +66,8 @@
 	})
 	p, _ := startWithBackends(t, "", bad, good)
 	for len(bad.requests()) == 0 {
-		if a := p.mustDo(request("look", 1400)); a.status != 200 || a.body != "a whole answer" {
-			t.Errorf("status %d, body %q, want 200 and the other server's response", a.status, a.body)
+		if resp := p.mustDo(request("look", 1400)); resp.status != 200 || resp.body != "a whole answer" {
+			t.Errorf("status %d, body %q, want 200 and the other server's response", resp.status, resp.body)
 		}
 	}
 }
@@ -91,9 +91,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				begin := make([]byte, len("half an ans"))
-				if _, err := io.ReadFull(resp.Body, begin); err != nil || !bytes.Equal(begin, []byte("half an ans")) {
-					t.Fatalf("first bytes = %q, %v, want \"half an ans\"", begin, err)
+				firstBytes := make([]byte, len("half an ans"))
+				if _, err := io.ReadFull(resp.Body, firstBytes); err != nil || !bytes.Equal(firstBytes, []byte("half an ans")) {
+					t.Fatalf("first bytes = %q, %v, want \"half an ans\"", firstBytes, err)
 				}
 				close(gate)
 				if rest, err := io.ReadAll(resp.Body); err == nil || len(rest) > 0 {
@@ -121,16 +121,16 @@
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(name+" to HTTP/"+version, func(t *testing.T) {
-				s := startBackend(t, "s1", func(c net.Conn, g receivedRequest) bool {
+				s := startBackend(t, "s1", func(c net.Conn, req receivedRequest) bool {
 					_, _ = io.WriteString(c, part)
-					return neverRespond(c, g)
+					return neverRespond(c, req)
 				})
 				p, _ := startWithBackends(t, "", s)
 				c := p.connect()
 				began := time.Now()
 				c.write(strings.Replace(request("bill", 600), "HTTP/1.1", "HTTP/"+version, 1))
-				if a, err := c.read(); err == nil && a.status == 200 {
-					t.Errorf("the client received a complete response of %d bytes, want 502 or an error", len(a.body))
+				if resp, err := c.read(); err == nil && resp.status == 200 {
+					t.Errorf("the client received a complete response of %d bytes, want 502 or an error", len(resp.body))
 				}
 				if took := time.Since(began); took > 2*time.Second {
 					t.Errorf("the response ended after %v with a deadline of 600 ms, want at most 2s", took)
@@ -168,8 +168,8 @@
 				return false
 			})
 			p, _ := startWithBackends(t, "", s)
-			if a, err := p.do(request("bill", 300)); err != nil || a.status != 200 || len(a.body) != c.pieces<<10 {
-				t.Errorf("status %d, %d bytes, %v, want 200 and %d bytes", a.status, len(a.body), err, c.pieces<<10)
+			if resp, err := p.do(request("bill", 300)); err != nil || resp.status != 200 || len(resp.body) != c.pieces<<10 {
+				t.Errorf("status %d, %d bytes, %v, want 200 and %d bytes", resp.status, len(resp.body), err, c.pieces<<10)
 			}
 		})
 	}
--- a/cmd/tackhub/build_test.go
+++ b/cmd/tackhub/build_test.go
@@ -11,9 +11,9 @@
 // program is the path of the tackhub binary that TestMain builds and the tests start.
 var program string
 
-// This variable makes the test binary depend on the node's code, because its initialization reaches every command. The tests
-// only start the program that TestMain builds. Without the dependency the linker would omit the node's code, a change of the
-// node would not change the test binary, and `go test` would print a cached result for an older node.
+// This variable makes the test binary depend on the node's code, because its initialization refers to the code of every
+// command. The tests only start the program that TestMain builds. Without the dependency the linker would omit the node's code,
+// a change of the node would not change the test binary, and `go test` would print a cached result for an older node.
 var _ = commands()
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
--- a/cmd/tackhub/cancel_test.go
+++ b/cmd/tackhub/cancel_test.go
@@ -21,14 +21,14 @@
 // A client sends a request and further bytes, and closes the connection. The node once did not detect the close because of
 // the unread bytes, and the request occupied a server until its deadline.
 func TestCancelIsDetectedDespiteUnreadInput(t *testing.T) {
-	for name, hard := range disconnectModes {
+	for name, reset := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			s := startBackend(t, "s1", neverRespond)
 			p, _ := startWithBackends(t, "", s)
 			c := p.connect()
 			c.write(request("look", 1500) + strings.Repeat(request("look", 1500), 200)) // exceeds the node's read buffer
-			eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
-			c.disconnect(hard)
+			eventually(t, "the request at the server", func() bool { return len(s.requests()) == 1 })
+			c.disconnect(reset)
 			p.waitCancelled(1)
 			got := p.counts()
 			if n := len(s.requests()); n != 1 || got.Outcomes["cancelled"] != 1 || got.Requests["failed"]+got.Requests["rejected"] > 0 {
@@ -45,8 +45,8 @@
 	p, _ := startWithBackends(t, "", s)
 	keepAlive := p.connect()
 	keepAlive.write(request("look", 1500))
-	if a, err := keepAlive.read(); err != nil || a.status != 200 {
-		t.Fatalf("response %v, %v, want status 200", a, err)
+	if resp, err := keepAlive.read(); err != nil || resp.status != 200 {
+		t.Fatalf("response %v, %v, want status 200", resp, err)
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	eventually(t, "the suspension", p.suspended)
@@ -67,20 +67,20 @@
 // A client closes its connection while its request waits for a connection to a server. The node must not send the request
 // when the server's connection is established.
 func TestRequestCancelledDuringConnectIsNotSent(t *testing.T) {
-	for name, hard := range disconnectModes {
+	for name, reset := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			s := startBlockedBackend(t, "s1", respond(200, "done"))
 			p, _ := startWithBackends(t, strings.Replace(testSettings, `"connect_timeout_ms":150`, `"connect_timeout_ms":5000`, 1), s.backend)
 			c := p.connect()
 			c.write(request("bill", 1500))
-			eventually(t, "attempt", func() bool { return p.counts().Attempts["open"] == 1 })
-			c.disconnect(hard)
+			eventually(t, "an open attempt", func() bool { return p.counts().Attempts["open"] == 1 })
+			c.disconnect(reset)
 			p.waitCancelled(1)
 			s.unblock()
 			// The server accepts this request's connection after the cancelled request's, whose SYN the kernel retransmits earlier.
 			eventually(t, "a request to be served", func() bool { return p.mustDo(request("look", 1500)).status == 200 })
-			for _, g := range s.requests() {
-				if strings.HasPrefix(g.line, "POST /bill") {
+			for _, req := range s.requests() {
+				if strings.HasPrefix(req.line, "POST /bill") {
 					t.Error("the server received the request of a client that had closed its connection")
 				}
 			}
@@ -90,21 +90,21 @@
 
 // A client closes its connection during the first attempt, which fails later. The node must not start a second attempt.
 func TestCancelledRequestIsNotRetried(t *testing.T) {
-	for name, hard := range disconnectModes {
+	for name, reset := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			gate := make(chan struct{})
 			s1, s2 := startBackend(t, "s1", respondAfter(gate, resetConn)), startBackend(t, "s2", respondAfter(gate, resetConn))
 			p, _ := startWithBackends(t, "", s1, s2)
 			c := p.connect()
 			c.write(request("look", 1500))
-			eventually(t, "attempt", func() bool { return len(s1.requests())+len(s2.requests()) == 1 })
-			c.disconnect(hard)
+			eventually(t, "the request at the server", func() bool { return len(s1.requests())+len(s2.requests()) == 1 })
+			c.disconnect(reset)
 			p.waitCancelled(1)
 			close(gate)
 			p.mustDo(request("store", 1500)) // a second attempt of the first request would start before this one is served
 			received := 0
-			for _, g := range append(s1.requests(), s2.requests()...) {
-				if strings.HasPrefix(g.line, "GET /look") {
+			for _, req := range append(s1.requests(), s2.requests()...) {
+				if strings.HasPrefix(req.line, "GET /look") {
 					received++
 				}
 			}
@@ -115,22 +115,22 @@
 	}
 }
 
-// A server's connection is established at the same moment as the client closes its connection. The cancellation passes through
-// the engine and so reaches the attempt after the new connection does. The node must check again for a close before it writes
-// the request.
+// A server's connection is established at the same moment as the client closes its connection. The engine passes the
+// cancellation on, so the attempt receives the new connection first. The node must check again for a close before it writes the
+// request.
 func TestRequestCancelledAsConnectionIsEstablishedIsNotSent(t *testing.T) {
 	longLimits := strings.NewReplacer(`"connect_timeout_ms":150`, `"connect_timeout_ms":20000`, `"hard_limit_ms":1500`, `"hard_limit_ms":20000`,
 		`"aim_ms":400`, `"aim_ms":20000`).Replace(testSettings)
-	for name, hard := range disconnectModes {
+	for name, reset := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			s := startBlockedBackend(t, "s1", respond(200, "done"))
 			p, _ := startWithBackends(t, longLimits, s.backend)
 			c := p.connect()
 			c.write(request("bill", 20_000))
-			eventually(t, "attempt", func() bool { return p.counts().Attempts["open"] == 1 })
+			eventually(t, "an open attempt", func() bool { return p.counts().Attempts["open"] == 1 })
 			_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 			eventually(t, "the suspension", p.suspended)
-			c.disconnect(hard)
+			c.disconnect(reset)
 			s.unblock()
 			eventually(t, "the server to accept the connection", func() bool {
 				s.mu.Lock()
@@ -139,11 +139,11 @@
 			})
 			_ = p.cmd.Process.Signal(syscall.SIGCONT)
 			p.waitCancelled(1)
-			if a := p.mustDo(request("look", 20_000)); a.status != 200 {
-				t.Errorf("next request: status %d, want 200", a.status)
+			if resp := p.mustDo(request("look", 20_000)); resp.status != 200 {
+				t.Errorf("next request: status %d, want 200", resp.status)
 			}
-			for _, g := range s.requests() {
-				if strings.HasPrefix(g.line, "POST /bill") {
+			for _, req := range s.requests() {
+				if strings.HasPrefix(req.line, "POST /bill") {
 					t.Error("the server received the request of a client that had closed its connection")
 				}
 			}
@@ -158,7 +158,7 @@
 	p, _ := startWithBackends(t, "", s)
 	c := p.connect()
 	c.write(request("bill", 1500))
-	eventually(t, "attempt", func() bool { return len(s.requests()) == 1 })
+	eventually(t, "the request at the server", func() bool { return len(s.requests()) == 1 })
 	_ = c.Close()
 	eventually(t, "all attempts to end", func() bool {
 		got := p.counts()
--- a/cmd/tackhub/cluster_test.go
+++ b/cmd/tackhub/cluster_test.go
@@ -52,8 +52,8 @@
 	}
 	t.Cleanup(links.Close)
 	d := startDiscoveryServer(t, members(servers...))
-	b := &testCluster{t: t, dir: dir, links: links, listenAddresses: listenAddresses, discovery: d.addr}
-	b.setup = func(i int) nodeOptions {
+	tc := &testCluster{t: t, dir: dir, links: links, listenAddresses: listenAddresses, discovery: d.addr}
+	tc.setup = func(i int) nodeOptions {
 		edge := filepath.Join(dir, fmt.Sprintf("m%d.toml", i))
 		text := fmt.Sprintf("[cluster]\nname = \"m%d\"\nlisten = %q\n", i, listenAddresses[i])
 		seeds, addresses := []string{}, []string{}
@@ -70,16 +70,16 @@
 		writeFile(t, edge, text)
 		return nodeOptions{discovery: d.addr, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}}
 	}
-	b.start = func(i int) *nodeProcess { return startNode(t, b.setup(i)) }
+	tc.start = func(i int) *nodeProcess { return startNode(t, tc.setup(i)) }
 	for i := range n {
-		b.nodes = append(b.nodes, b.start(i))
+		tc.nodes = append(tc.nodes, tc.start(i))
 	}
-	return b
+	return tc
 }
 
 // status returns the status that a member reports, or the zero value if it does not answer.
-func (b *testCluster) status(i int) cluster.Status {
-	s, _, err := cluster.QueryStatus(cluster.SocketPath(b.dir, fmt.Sprintf("m%d", i)))
+func (tc *testCluster) status(i int) cluster.Status {
+	s, _, err := cluster.QueryStatus(cluster.SocketPath(tc.dir, fmt.Sprintf("m%d", i)))
 	if err != nil {
 		return cluster.Status{}
 	}
@@ -87,10 +87,10 @@
 }
 
 // waitViews waits until the views of the members with the given indexes contain exactly the members in want.
-func (b *testCluster) waitViews(what string, indexes []int, want ...string) {
-	b.t.Helper()
-	eventually(b.t, what, func() bool {
-		return !slices.ContainsFunc(indexes, func(i int) bool { return !slices.Equal(b.status(i).View.Members, want) })
+func (tc *testCluster) waitViews(what string, indexes []int, want ...string) {
+	tc.t.Helper()
+	eventually(tc.t, what, func() bool {
+		return !slices.ContainsFunc(indexes, func(i int) bool { return !slices.Equal(tc.status(i).View.Members, want) })
 	})
 }
 
@@ -98,40 +98,40 @@
 // view, and m1 reports that its messages do not arrive. After the partition both have one view again.
 func TestBothMembersDetectOneWayPartition(t *testing.T) {
 	t.Parallel()
-	b := startTestCluster(t, 2)
+	tc := startTestCluster(t, 2)
 	both := []int{0, 1}
-	b.waitViews("both members in both views", both, "m0", "m1")
-	before := b.status(0).View.Number
-	setLinkCut(b.links, 1, 0, true)
-	b.waitViews("m0 to remove m1", []int{0}, "m0")
+	tc.waitViews("both members in both views", both, "m0", "m1")
+	before := tc.status(0).View.Number
+	setLinkCut(tc.links, 1, 0, true)
+	tc.waitViews("m0 to remove m1", []int{0}, "m0")
 	eventually(t, "m0 to report m1 as unreachable, with its reporter", func() bool {
-		m := b.status(0).Members
+		m := tc.status(0).Members
 		return len(m) == 1 && m[0].State == swim.Unreachable && m[0].SuspectedBy["m0"] > 0
 	})
 	eventually(t, "both to report lost connectivity", func() bool {
-		return b.status(0).Connectivity == swim.InboundLost && b.status(1).Connectivity == swim.OutboundLost
+		return tc.status(0).Connectivity == swim.InboundLost && tc.status(1).Connectivity == swim.OutboundLost
 	})
-	if !strings.Contains(b.nodes[1].log.String(), `"is":"not heard"`) {
+	if !strings.Contains(tc.nodes[1].log.String(), `"is":"not heard"`) {
 		t.Error("m1 has not logged that its messages do not arrive")
 	}
-	setLinkCut(b.links, 1, 0, false)
-	b.waitViews("one view again", both, "m0", "m1")
+	setLinkCut(tc.links, 1, 0, false)
+	tc.waitViews("one view again", both, "m0", "m1")
 	eventually(t, "both to report that they are connected", func() bool {
-		return b.status(0).Connectivity == swim.Connected && b.status(1).Connectivity == swim.Connected
+		return tc.status(0).Connectivity == swim.Connected && tc.status(1).Connectivity == swim.Connected
 	})
-	if after := b.status(0).View.Number; after <= before {
+	if after := tc.status(0).View.Number; after <= before {
 		t.Errorf("view number after the partition = %d, want more than %d", after, before)
 	}
-	out, code := runTackhub(t, []string{"TMPDIR=" + b.dir}, "members", "--name", "m0")
+	out, code := runTackhub(t, []string{"TMPDIR=" + tc.dir}, "members", "--name", "m0")
 	if code != 0 || !strings.Contains(out, "m1 ") || !strings.Contains(out, "2 members: m0 m1") {
 		t.Errorf("tackhub members: exit code %d, want 0 and both members:\n%s", code, out)
 	}
-	b.nodes[1].terminate()
-	if code := b.nodes[1].exit(); code != 0 {
+	tc.nodes[1].terminate()
+	if code := tc.nodes[1].exit(); code != 0 {
 		t.Errorf("exit code %d, want 0", code)
 	}
 	eventually(t, "the leave message", func() bool {
-		m := b.status(0).Members
+		m := tc.status(0).Members
 		return len(m) == 1 && m[0].State == swim.Left
 	})
 }
@@ -140,10 +140,10 @@
 // in the views of the others all the time.
 func TestUpgradeKeepsMembership(t *testing.T) {
 	t.Parallel()
-	b := startTestCluster(t, 2)
-	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
-	before, result, stop := b.status(0).Generation, make(chan bool), make(chan struct{})
-	go func() { // until the upgrade is over
+	tc := startTestCluster(t, 2)
+	tc.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
+	before, result, stop := tc.status(0).Generation, make(chan bool), make(chan struct{})
+	go func() { // checks the view of m1 until the upgrade is over
 		missing := false
 		for {
 			select {
@@ -151,38 +151,38 @@
 				result <- missing
 				return
 			default:
-				v := b.status(1).View.Members
+				v := tc.status(1).View.Members
 				missing = missing || len(v) == 1
 			}
 		}
 	}()
-	successor := launch(t, b.nodes[0].addr, b.setup(0))
+	successor := launch(t, tc.nodes[0].addr, tc.setup(0))
 	eventually(t, "the successor to wait for the address", func() bool { return strings.Contains(successor.log.String(), "cluster_waits") })
 	eventually(t, "the handover to the successor", func() bool { return strings.Contains(successor.log.String(), `"code":"handover"`) })
-	b.nodes[0].terminate()
-	if code := b.nodes[0].exit(); code != 0 {
+	tc.nodes[0].terminate()
+	if code := tc.nodes[0].exit(); code != 0 {
 		t.Errorf("exit code %d, want 0", code)
 	}
 	eventually(t, "m1 to see the successor's generation", func() bool {
-		m := b.status(1).Members
+		m := tc.status(1).Members
 		return len(m) == 1 && m[0].Generation > before && m[0].State == swim.Alive
 	})
 	close(stop)
 	if <-result {
 		t.Error("m1's view did not contain m0 during the upgrade")
 	}
-	b.waitViews("both members in both views after the upgrade", []int{0, 1}, "m0", "m1")
+	tc.waitViews("both members in both views after the upgrade", []int{0, 1}, "m0", "m1")
 }
 
 // Two processes are started with the same member name. With the same address the second must fail to start and print the
 // reason. With another address, as on another machine, the later one replaces the earlier one, which must report that it is
 // superseded.
-func TestDuplicateMemberName(t *testing.T) {
+func TestDuplicateMemberNameIsDetected(t *testing.T) {
 	t.Parallel()
-	b := startTestCluster(t, 2)
-	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
-	options := b.setup(0)
-	options.discovery = b.discovery
+	tc := startTestCluster(t, 2)
+	tc.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
+	options := tc.setup(0)
+	options.discovery = tc.discovery
 	out, code := runTackhub(t, append(environment(t, freeAddress(t), options), options.env...))
 	if code != 1 || !strings.Contains(out, "address already in use") || !strings.Contains(out, "[cluster]") {
 		t.Errorf("second process at the same address: exit code %d, want 1 and the reason: %s", code, out)
@@ -193,12 +193,12 @@
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	edge := filepath.Join(dir, "edge.toml")
-	writeFile(t, edge, fmt.Sprintf("[cluster]\nname = \"m0\"\nlisten = %q\nseeds = [%q]\n", freeAddress(t), b.links.Address(0, 1)))
-	second := startNode(t, nodeOptions{discovery: b.discovery, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}})
-	eventually(t, "the first to log that it is outdated", func() bool { return strings.Contains(b.nodes[0].log.String(), "cluster_outdated") })
-	eventually(t, "the first to report that it is superseded", func() bool { return b.status(0).Connectivity == swim.Superseded })
+	writeFile(t, edge, fmt.Sprintf("[cluster]\nname = \"m0\"\nlisten = %q\nseeds = [%q]\n", freeAddress(t), tc.links.Address(0, 1)))
+	second := startNode(t, nodeOptions{discovery: tc.discovery, env: []string{"TACKHUB_EDGE=" + edge, "TMPDIR=" + dir}})
+	eventually(t, "the first to log that it is outdated", func() bool { return strings.Contains(tc.nodes[0].log.String(), "cluster_outdated") })
+	eventually(t, "the first to report that it is superseded", func() bool { return tc.status(0).Connectivity == swim.Superseded })
 	eventually(t, "m1 to see the second process as m0", func() bool {
-		m := b.status(1).Members
+		m := tc.status(1).Members
 		return len(m) == 1 && m[0].PreviousGeneration > 0 && m[0].State == swim.Alive
 	})
 	if strings.Contains(second.log.String(), "cluster_outdated") {
@@ -210,8 +210,8 @@
 // version, and drop and count messages that are incompatible, malformed or of another cluster.
 func TestIncompatibleClusterMessagesAreDropped(t *testing.T) {
 	t.Parallel()
-	b := startTestCluster(t, 1)
-	conn, err := net.Dial("udp", b.listenAddresses[0])
+	tc := startTestCluster(t, 1)
+	conn, err := net.Dial("udp", tc.listenAddresses[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,17 +241,17 @@
 		}
 	}
 	if reply.Seq != 7 || reply.Version != swim.WireVersion {
-		t.Errorf("reply = %+v, want sequence number 7 and the own version", reply)
+		t.Errorf("reply = %+v, want sequence number 7 and version %d", reply, swim.WireVersion)
 	}
 	newer.MinVersion, newer.From = 9, "x8" // the sender requires at least version 9
 	send(newer)
 	send(swim.Message{Kind: swim.Ping, Version: 1, ClusterHash: hash + 1, From: "x7", Generation: 1, Address: "127.0.0.1:9"})
 	_, _ = conn.Write([]byte("no message"))
 	eventually(t, "one drop of each kind to be counted", func() bool {
-		drops := b.nodes[0].counts().Cluster.Drops
+		drops := tc.nodes[0].counts().Cluster.Drops
 		return drops["version"] == 1 && drops["other_cluster"] == 1 && drops["malformed"] == 1
 	})
-	if m := b.status(0).Members; len(m) != 1 || m[0].Name != "x9" {
+	if m := tc.status(0).Members; len(m) != 1 || m[0].Name != "x9" {
 		t.Errorf("members = %+v, want only x9", m)
 	}
 }
@@ -259,16 +259,16 @@
 // All seeds are down when a member starts. It must serve without peers, and join when a seed is up.
 func TestMemberStartsAloneIfAllSeedsAreDown(t *testing.T) {
 	t.Parallel()
-	b := startTestCluster(t, 2)
-	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
-	for _, n := range b.nodes {
+	tc := startTestCluster(t, 2)
+	tc.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
+	for _, n := range tc.nodes {
 		n.terminate()
 		n.exit()
 	}
-	b.nodes[0] = b.start(0)
-	eventually(t, "m0 to run without peers", func() bool { s := b.status(0); return s.State == swim.Alive && s.Connectivity == swim.NoPeers })
-	b.nodes[1] = b.start(1)
-	b.waitViews("both members in both views again", []int{0, 1}, "m0", "m1")
+	tc.nodes[0] = tc.start(0)
+	eventually(t, "m0 to run without peers", func() bool { s := tc.status(0); return s.State == swim.Alive && s.Connectivity == swim.NoPeers })
+	tc.nodes[1] = tc.start(1)
+	tc.waitViews("both members in both views again", []int{0, 1}, "m0", "m1")
 }
 
 // The [cluster] section of the configuration is invalid in several keys. The check must report each with its line and key.
@@ -286,53 +286,54 @@
 }
 
 // A reload disables the cluster and another one enables it again. The member must leave and then rejoin. A reload that changes
-// keys of the enabled cluster is rejected.
+// keys of the enabled cluster must be rejected.
 func TestReloadDisablesAndEnablesCluster(t *testing.T) {
 	t.Parallel()
-	b := startTestCluster(t, 2)
-	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
-	edge := filepath.Join(b.dir, "m0.toml")
+	tc := startTestCluster(t, 2)
+	tc.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
+	edge := filepath.Join(tc.dir, "m0.toml")
 	enabled, err := os.ReadFile(edge)
 	if err != nil {
 		t.Fatal(err)
 	}
 	writeFile(t, edge, string(enabled)+"period = \"300ms\"\n")
-	b.nodes[0].reload("edge_failed")
+	tc.nodes[0].reload("edge_failed")
 	writeFile(t, edge, "")
-	b.nodes[0].reload("edge")
+	tc.nodes[0].reload("edge")
 	eventually(t, "the leave message", func() bool {
-		m := b.status(1).Members
+		m := tc.status(1).Members
 		return len(m) == 1 && m[0].State == swim.Left
 	})
 	writeFile(t, edge, string(enabled))
-	b.nodes[0].reload("edge")
-	b.waitViews("m0 to be back in both views", []int{0, 1}, "m0", "m1")
+	tc.nodes[0].reload("edge")
+	tc.waitViews("m0 to be back in both views", []int{0, 1}, "m0", "m1")
 }
 
-// enableQuotas disables the cluster of one member by a reload, and enables it again with a quota that both members divide.
-func (b *testCluster) enableQuotas(i int) {
-	b.t.Helper()
-	edge := filepath.Join(b.dir, fmt.Sprintf("m%d.toml", i))
+// enableQuotas disables the cluster of one member by a reload, and enables it again with a quota that is
+// divided between both members.
+func (tc *testCluster) enableQuotas(i int) {
+	tc.t.Helper()
+	edge := filepath.Join(tc.dir, fmt.Sprintf("m%d.toml", i))
 	text, err := os.ReadFile(edge)
 	if err != nil {
-		b.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	writeFile(b.t, edge, "")
-	b.nodes[i].reload("edge")
-	writeFile(b.t, edge, fmt.Sprintf("%sshares = { m0 = %q, m1 = %q }\n", text, b.listenAddresses[0], b.listenAddresses[1]))
-	b.nodes[i].reload("edge")
+	writeFile(tc.t, edge, "")
+	tc.nodes[i].reload("edge")
+	writeFile(tc.t, edge, fmt.Sprintf("%sshares = { m0 = %q, m1 = %q }\n", text, tc.listenAddresses[0], tc.listenAddresses[1]))
+	tc.nodes[i].reload("edge")
 }
 
 // Quotas are enabled on two members under load, one after the other. The first opens a liveness stream to the second, which has
 // no quota yet and drops it. No process may exit because of that, and no request may be lost.
 func TestQuotaRolloutLosesNoRequest(t *testing.T) {
 	t.Parallel()
-	b := startTestCluster(t, 2, startBackend(t, "s1", respond(200, "done")))
-	b.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
+	tc := startTestCluster(t, 2, startBackend(t, "s1", respond(200, "done")))
+	tc.waitViews("both members in both views", []int{0, 1}, "m0", "m1")
 	stop := make(chan struct{})
 	var lost, answered atomic.Int64
 	var clients sync.WaitGroup
-	for _, node := range b.nodes {
+	for _, node := range tc.nodes {
 		clients.Go(func() {
 			for {
 				select {
@@ -340,8 +341,8 @@
 					return
 				default:
 				}
-				if a, err := node.do(request("look", 1400)); err != nil || a.status != 200 {
-					t.Logf("lost request: %+v, %v", a, err)
+				if resp, err := node.do(request("look", 1400)); err != nil || resp.status != 200 {
+					t.Logf("lost request: %+v, %v", resp, err)
 					lost.Add(1)
 				}
 				answered.Add(1)
@@ -353,19 +354,19 @@
 		clients.Wait()
 	})
 	t.Cleanup(stopClients)
-	b.enableQuotas(0)
+	tc.enableQuotas(0)
 	eventually(t, "m1 to have dropped a liveness stream", func() bool {
-		c, err := b.nodes[1].dial()
+		c, err := tc.nodes[1].dial()
 		if err != nil {
 			return false
 		}
 		defer func() { _ = c.Close() }()
-		got, ok := b.nodes[1].countsOn(c)
+		got, ok := tc.nodes[1].countsOn(c)
 		return ok && got.Cluster.Drops["lifeline"] > 0
 	})
-	b.enableQuotas(1)
+	tc.enableQuotas(1)
 	eventually(t, "each member to have half of the quota", func() bool {
-		half := func(i int) bool { q := b.status(i).Quota; return q != nil && q.Fraction == 0.5 }
+		half := func(i int) bool { q := tc.status(i).Quota; return q != nil && q.Fraction == 0.5 }
 		return half(0) && half(1)
 	})
 	stopClients()
--- a/cmd/tackhub/connlimit_test.go
+++ b/cmd/tackhub/connlimit_test.go
@@ -13,16 +13,17 @@
 	"time"
 )
 
-// Each client opens a connection, sends one request and keeps the connection open. All clients together hold at most a third of
-// the node's descriptors, and send nothing more at that limit. The node must therefore close idle connections well below it.
+// Each client opens a connection, sends one request and keeps the connection open. All clients together open at most as many
+// connections as a third of the node's descriptors, and send no further requests at that limit. The node must therefore close
+// idle connections well below the limit.
 func TestIdleClientsAreEvictedEarly(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s) // 256 descriptors
 	for i := range 200 {
 		c := p.connect()
 		c.write(request("look", 1000))
-		if a, err := c.read(); err != nil || a.status != 200 {
-			t.Fatalf("connection %d: %v, %v, want status 200", i, a, err)
+		if resp, err := c.read(); err != nil || resp.status != 200 {
+			t.Fatalf("connection %d: %v, %v, want status 200", i, resp, err)
 		}
 	}
 	time.Sleep(60 * time.Millisecond) // a connection can be evicted after it has been idle for 50 ms
@@ -35,14 +36,14 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 64})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	began := time.Now()
 	var clients []*client
 	for range 300 {
 		clients = append(clients, p.connect())
 	}
-	if a := p.mustDo(request("look", 1000)); a.status != 200 {
-		t.Errorf("status %d after %v, want 200", a.status, a.took)
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+		t.Errorf("status %d after %v, want 200", resp.status, resp.took)
 	}
 	if n := p.counts().Clients["opened"]; n > 100 {
 		t.Errorf("the node accepted %d connections although nearly all clients were silent, want at most 100", n)
@@ -60,15 +61,15 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 64})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	for i := range 100 {
 		c := p.connect()
 		c.write(request("look", 5000))
-		if a, err := c.read(); err != nil || a.status != 200 {
-			t.Fatalf("connection %d: %v, %v, want status 200", i, a, err)
+		if resp, err := c.read(); err != nil || resp.status != 200 {
+			t.Fatalf("connection %d: %v, %v, want status 200", i, resp, err)
 		}
 	}
-	eventually(t, "evictions", func() bool { return p.counts().ClientEnds["descriptor_limit"] >= 84 })
+	eventually(t, "84 evictions", func() bool { return p.counts().ClientEnds["descriptor_limit"] >= 84 })
 }
 
 // Far more clients connect and send a request at once than the node has descriptors. The node must not evict a new connection
@@ -77,13 +78,13 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 64})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
-	var all []<-chan asyncResult
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
+	var pending []<-chan asyncResult
 	for range 300 {
-		all = append(all, p.send(request("look", 5000, "Connection: close")))
+		pending = append(pending, p.send(request("look", 5000, "Connection: close")))
 	}
-	for _, o := range all {
-		await(t, "answer", o)
+	for _, result := range pending {
+		await(t, "a response", result)
 	}
 	got := p.counts()
 	got.checkRequestTotals(t)
@@ -98,7 +99,7 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 4096})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	lim := syscall.Rlimit{Cur: 24, Max: 24}
 	if err := prlimit(p.cmd.Process.Pid, &lim); err != nil {
 		t.Fatal(err)
@@ -107,15 +108,15 @@
 	for range 60 {
 		c := p.connect()
 		c.write(request("look", 5000))
-		if a, err := c.read(); err != nil || a.status != 200 && a.status != 503 {
-			t.Fatalf("response %v, %v, want status 200 or 503", a, err)
+		if resp, err := c.read(); err != nil || resp.status != 200 && resp.status != 503 {
+			t.Fatalf("response %v, %v, want status 200 or 503", resp, err)
 		}
 		connections = append(connections, c)
 	}
 	// The node evicts an idle connection in favor of the client. If no descriptor is left for a connection to the server, it rejects
 	// the request at once.
-	if a := p.mustDo(request("look", 5000)); a.status != 200 && a.status != 503 {
-		t.Errorf("status %d with no descriptor left, want 200 or 503", a.status)
+	if resp := p.mustDo(request("look", 5000)); resp.status != 200 && resp.status != 503 {
+		t.Errorf("status %d with no descriptor left, want 200 or 503", resp.status)
 	}
 	if n := p.counts().Clients["paused"]; n == 0 {
 		t.Error("accept never failed: the limit of 24 descriptors had no effect")
@@ -123,9 +124,9 @@
 	for _, c := range connections {
 		_ = c.Close()
 	}
-	eventually(t, "recovery", func() bool {
-		a, err := p.do(request("look", 1000))
-		return err == nil && a.status == 200
+	eventually(t, "a served request after the connections were closed", func() bool {
+		resp, err := p.do(request("look", 1000))
+		return err == nil && resp.status == 200
 	})
 }
 
@@ -135,7 +136,7 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, sockets: 96})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	for i := range 60 {
 		c := p.connect()
 		if i%2 == 0 {
@@ -149,8 +150,8 @@
 		c.write(raw[i*len(raw)/4 : (i+1)*len(raw)/4])
 		time.Sleep(200 * time.Millisecond)
 	}
-	if a, err := c.read(); err != nil || a.status != 200 || a.took > time.Second {
-		t.Errorf("status %d after %v, %v, want 200 within a second", a.status, a.took, err)
+	if resp, err := c.read(); err != nil || resp.status != 200 || resp.took > time.Second {
+		t.Errorf("status %d after %v, %v, want 200 within a second", resp.status, resp.took, err)
 	}
 	if n := p.counts().ClientEnds["descriptor_limit"]; n == 0 {
 		t.Error("no connection was evicted at the descriptor limit")
@@ -196,19 +197,19 @@
 // node must reserve descriptors: when discovery is back, it must apply the new list, connect to the listed servers, serve the
 // admin listener and reload its configuration.
 func TestDescriptorsAreReservedFromIdleClients(t *testing.T) {
-	const files, clients = 64, 150
+	const descriptorLimit, clients = 64, 150
 	s1, s2 := startBackend(t, "s1", respond(200, "one")), startBackend(t, "s2", respond(200, "two"))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := &discoveryServer{addr: l.Addr().String(), revision: 1, list: members(s1), changed: make(chan struct{})}
-	srv := &http.Server{Handler: first}
+	originalDiscovery := &discoveryServer{addr: l.Addr().String(), revision: 1, list: members(s1), changed: make(chan struct{})}
+	srv := &http.Server{Handler: originalDiscovery}
 	go func() { _ = srv.Serve(l) }()
 	admin := freeAddress(t)
-	p := startNode(t, nodeOptions{discovery: first.addr, sockets: 4096, env: []string{"ROUTER_OPERATOR=" + admin}})
-	eventually(t, "watch", func() bool { return first.watchCount() > 0 })
-	lim := syscall.Rlimit{Cur: files, Max: files}
+	p := startNode(t, nodeOptions{discovery: originalDiscovery.addr, sockets: 4096, env: []string{"ROUTER_OPERATOR=" + admin}})
+	eventually(t, "the first discovery watch", func() bool { return originalDiscovery.watchCount() > 0 })
+	lim := syscall.Rlimit{Cur: descriptorLimit, Max: descriptorLimit}
 	if err := prlimit(p.cmd.Process.Pid, &lim); err != nil {
 		t.Fatal(err)
 	}
@@ -219,33 +220,33 @@
 			continue
 		}
 		c.write(request("look", 1400))
-		if a, err := c.read(); err != nil || a.status != 200 && a.status != 503 {
-			t.Fatalf("client %d: %v, %v, want status 200 or 503", i, a, err)
+		if clientResp, err := c.read(); err != nil || clientResp.status != 200 && clientResp.status != 503 {
+			t.Fatalf("client %d: %v, %v, want status 200 or 503", i, clientResp, err)
 		}
 	}
 	stop := p.connectManyIdle()
 	defer stop()
-	second := startDiscoveryServerAt(t, first.addr, members(s2))
-	eventually(t, "the new list", func() bool { return second.watchCount() > 0 })
-	if n := stop(); n > files*3/4 {
-		t.Errorf("%d of %d descriptors were open, want at most three quarters: half reserved, except for connections being accepted", n, files)
+	restartedDiscovery := startDiscoveryServerAt(t, originalDiscovery.addr, members(s2))
+	eventually(t, "the new list", func() bool { return restartedDiscovery.watchCount() > 0 })
+	if n := stop(); n > descriptorLimit*3/4 {
+		t.Errorf("%d of %d descriptors were open, want at most three quarters: the unreserved half and the connections being accepted", n, descriptorLimit)
 	}
-	if a := p.mustDo(request("look", 1400)); a.status != 200 || a.body != "two" {
-		t.Errorf("request after discovery is back: status %d, body %q, want 200, \"two\"", a.status, a.body)
+	if clientResp := p.mustDo(request("look", 1400)); clientResp.status != 200 || clientResp.body != "two" {
+		t.Errorf("request after discovery is back: status %d, body %q, want 200, \"two\"", clientResp.status, clientResp.body)
 	}
 	resp, err := http.Get("http://" + admin + "/stats")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var figures map[string]any
-	if err := json.NewDecoder(resp.Body).Decode(&figures); err != nil {
+	var stats map[string]any
+	if err := json.NewDecoder(resp.Body).Decode(&stats); err != nil {
 		t.Error(err)
 	}
 	_ = resp.Body.Close()
-	third := startDiscoveryServer(t, members(s1))
-	p.configure("discovery", third.addr)
+	otherDiscovery := startDiscoveryServer(t, members(s1))
+	p.configure("discovery", otherDiscovery.addr)
 	p.reload("reload")
-	eventually(t, "the list at the new address", func() bool { return third.watchCount() > 0 })
+	eventually(t, "the list at the new address", func() bool { return otherDiscovery.watchCount() > 0 })
 	if n := strings.Count(p.log.String(), `"code":"descriptors_short"`); n != 1 {
 		t.Errorf("descriptors_short was logged %d times, want 1", n)
 	}
--- a/cmd/tackhub/counters_test.go
+++ b/cmd/tackhub/counters_test.go
@@ -25,11 +25,11 @@
 	if _, err := io.WriteString(c, "GET /_counters HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		return got, false
 	}
-	a, err := c.read()
+	resp, err := c.read()
 	if err != nil {
 		return got, false
 	}
-	err = json.Unmarshal([]byte(a.body), &got)
+	err = json.Unmarshal([]byte(resp.body), &got)
 	return got, err == nil
 }
 
@@ -92,7 +92,7 @@
 	if err := p.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "counters on request", func() bool { return logLines() == 1 })
+	eventually(t, "the counters in the log after SIGUSR1", func() bool { return logLines() == 1 })
 	p.terminate()
 	if code := p.exit(); code != 0 || logLines() != 2 {
 		t.Errorf("exit code %d, counters logged %d times, want 0 and 2", code, logLines())
--- a/cmd/tackhub/inventory_test.go
+++ b/cmd/tackhub/inventory_test.go
@@ -19,7 +19,7 @@
 }
 
 // startWithInventory starts a node with an inventory file and the given discovery server. extra is added to the
-// [inventory] section. It returns the paths of the inventory file and of the configuration file with that section.
+// [inventory] section. It returns the node and the paths of the inventory file and of the operator file.
 func startWithInventory(t *testing.T, list, extra string, d *discoveryServer) (p *nodeProcess, path, edge string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,12 +31,13 @@
 }
 
 // A tool writes truncated and contradictory inventory files, and then a valid one. The server list must not change until the
-// valid file is there, and no request may fail. After that the added server gets requests and the removed one no new ones.
+// valid file is written, and no request may fail. Then the added server must get requests, and the removed one no
+// new requests.
 func TestInvalidInventoryFilesAreIgnored(t *testing.T) {
 	s1, s2, s3 := startBackend(t, "s1", respond(200, "one")), startBackend(t, "s2", respond(200, "two")), startBackend(t, "s3", respond(200, "three"))
 	pods := map[*backend]string{s1: "p1", s2: "p2", s3: "p1"}
 	p, path, _ := startWithInventory(t, inventoryCSV(pods, s1, s2), "discovery = false", startDiscoveryServer(t, []member{}))
-	eventually(t, "servers", func() bool { return p.mustDo(request("look", 1000)).status == 200 })
+	eventually(t, "a served request", func() bool { return p.mustDo(request("look", 1000)).status == 200 })
 
 	var sent, failed atomic.Int64
 	stop, ended := make(chan struct{}), make(chan struct{})
@@ -48,7 +49,7 @@
 				return
 			default:
 			}
-			if a, err := p.do(request("look", 1000)); err != nil || a.status != 200 {
+			if resp, err := p.do(request("look", 1000)); err != nil || resp.status != 200 {
 				failed.Add(1)
 			}
 			sent.Add(1)
@@ -71,7 +72,7 @@
 	eventually(t, "a request at the new server", func() bool { return len(s3.requests()) > 0 })
 	countAtRemoval := len(s2.requests())
 	target := sent.Load() + 30
-	eventually(t, "more traffic", func() bool { return sent.Load() > target })
+	eventually(t, "30 more requests", func() bool { return sent.Load() > target })
 	close(stop)
 	<-ended
 	if n := len(s2.requests()); n > countAtRemoval+1 { // one may have been in flight
@@ -106,8 +107,8 @@
 	p.waitLog(`"code":"inventory_released"`, 1)
 	n := len(s2.requests()) + len(s3.requests())
 	for range 20 {
-		if a := p.mustDo(request("look", 1000)); a.status != 200 || a.body != "one" {
-			t.Fatalf("request after the confirmation: status %d, body %q, want 200, \"one\"", a.status, a.body)
+		if resp := p.mustDo(request("look", 1000)); resp.status != 200 || resp.body != "one" {
+			t.Fatalf("request after the confirmation: status %d, body %q, want 200, \"one\"", resp.status, resp.body)
 		}
 	}
 	if len(s2.requests())+len(s3.requests()) != n {
@@ -125,8 +126,8 @@
 	p.waitLog(`"field":"pod"`, 2)
 	s1.setBehavior(resetConn)
 	s2.setBehavior(resetConn)
-	if a := p.mustDo(request("store", 1000)); a.status == 200 {
-		t.Errorf("status %d although both servers reset their connections, want an error status", a.status)
+	if resp := p.mustDo(request("store", 1000)); resp.status == 200 {
+		t.Errorf("status %d although both servers reset their connections, want an error status", resp.status)
 	}
 	if len(s1.requests()) > 0 && len(s2.requests()) > 0 {
 		t.Error("a keyed request that may have been executed was retried in another pod")
@@ -154,7 +155,7 @@
 	state := filepath.Join(t.TempDir(), "state")
 	extra := "discovery = false\nstate_dir = \"" + state + "\""
 	p, path, edge := startWithInventory(t, inventoryCSV(pods, s1, s2), extra, startDiscoveryServer(t, []member{}))
-	eventually(t, "a save", func() bool { return p.counts().Inventory["saves"] > 0 })
+	eventually(t, "a saved state", func() bool { return p.counts().Inventory["saves"] > 0 })
 	if err := p.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -172,8 +173,8 @@
 	p = startNode(t, nodeOptions{discovery: freeAddress(t), env: []string{"TACKHUB_EDGE=" + edge}})
 	p.waitLog(`"code":"state_skipped"`, 1)
 	p.waitLog(`"code":"inventory_stale"`, 1)
-	if a := p.mustDo(request("look", 1000)); a.status != 200 {
-		t.Errorf("request with the saved list: status %d, want 200", a.status)
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+		t.Errorf("request with the saved list: status %d, want 200", resp.status)
 	}
 	if out, code := runTackhub(t, nil, "inventory", "show", "--edge", edge); code != 0 || !strings.Contains(out, "pod=tools") {
 		t.Errorf("tackhub inventory show: exit code %d, want 0 and pod=tools:\n%s", code, out)
@@ -198,8 +199,8 @@
 		p.reload("edge")
 		before := len(s2.requests())
 		for range 40 {
-			if a := p.mustDo(request("look", 1000)); a.status != 200 {
-				t.Fatalf("request after reload %d: status %d, want 200", i, a.status)
+			if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+				t.Fatalf("request after reload %d: status %d, want 200", i, resp.status)
 			}
 		}
 		if i < 2 {
--- a/cmd/tackhub/largeresponse_test.go
+++ b/cmd/tackhub/largeresponse_test.go
@@ -26,8 +26,8 @@
 }
 
 // A server sends half of a large response and pauses. The node must forward that half during the pause. If the server then
-// closes the connection, the client's read must fail. The exception is a response without a length, which the close of the
-// connection ends regularly.
+// closes the connection, the client's read must fail. The exception is a response without a length, which ends
+// regularly when the connection is closed.
 func TestLargeResponsesAreStreamed(t *testing.T) {
 	b := largeBody(1 << 20)
 	for name, head := range map[string]string{
@@ -61,7 +61,7 @@
 				eventually(t, "files and buffers to be released", func() bool { f, b := p.bodyCounts(); return f == 0 && b == 0 })
 				counts := p.counts()
 				if failed := counts.Requests["failed"]; name != "close" && (failed == 1) == complete {
-					t.Errorf("%s, complete %v: %d failed requests", name, complete, failed)
+					t.Errorf("%s, complete %v: %d failed requests, want 0 if complete and 1 otherwise", name, complete, failed)
 				}
 				counts.checkRequestTotals(t)
 			}
@@ -89,9 +89,9 @@
 		t.Errorf("resident memory = %d kB with 144 MiB of responses in progress, want at most 64 MiB", kb)
 	}
 	for _, c := range clients {
-		a, err := c.read()
-		if err != nil || len(a.body) != len(b) {
-			t.Errorf("received %d bytes, %v, want %d", len(a.body), err, len(b))
+		resp, err := c.read()
+		if err != nil || len(resp.body) != len(b) {
+			t.Errorf("received %d bytes, %v, want %d", len(resp.body), err, len(b))
 		}
 	}
 }
--- a/cmd/tackhub/loadreport_test.go
+++ b/cmd/tackhub/loadreport_test.go
@@ -11,14 +11,14 @@
 	s1, s2 := startBackend(t, "s1", respond(200, "done", report)), startBackend(t, "s2", respond(200, "done", report))
 	p, _ := startWithBackends(t, settingsWithLoadReports(), s1, s2)
 	for range 5 {
-		if a := p.mustDo(request("look", 1000)); a.status != 200 {
-			t.Fatalf("status %d, want 200", a.status)
+		if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+			t.Fatalf("status %d, want 200", resp.status)
 		}
 	}
-	eventually(t, "probes", func() bool { return s1.probeCount()+s2.probeCount() > 0 && p.counts().Probes["open"] == 0 })
+	eventually(t, "the end of a load probe", func() bool { return s1.probeCount()+s2.probeCount() > 0 && p.counts().Probes["open"] == 0 })
 	got := p.counts()
 	if got.Reports["read"] != got.Probes["sent"]+5 || got.Reports["unknown"] != 0 {
-		t.Errorf("reports = %v, want one read for each of 5 responses and of the probes %v", got.Reports, got.Probes)
+		t.Errorf("reports = %v, want one read report for each of 5 responses and each probe, probes = %v", got.Reports, got.Probes)
 	}
 	s1.setBehavior(respond(200, "done", "X-Load: TEXT weather=1"))
 	s2.setBehavior(respond(200, "done", "X-Load: TEXT weather=1"))
--- a/cmd/tackhub/log_test.go
+++ b/cmd/tackhub/log_test.go
@@ -16,11 +16,11 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, stderr: w})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	for i := range 6000 { // each connection writes a log line; the pipe and the queue hold far fewer
-		a, err := p.do(request("look", 1000, "Connection: close"))
-		if err != nil || a.status != 200 {
-			t.Fatalf("request %d: %v, %v, want status 200", i, a, err)
+		resp, err := p.do(request("look", 1000, "Connection: close"))
+		if err != nil || resp.status != 200 {
+			t.Fatalf("request %d: %v, %v, want status 200", i, resp, err)
 		}
 		if i%500 == 0 && p.counts().Log["dropped"] > 0 {
 			return
@@ -39,12 +39,12 @@
 	s := startBackend(t, "s1", respond(200, "done"))
 	d := startDiscoveryServer(t, members(s))
 	p := startNode(t, nodeOptions{discovery: d.addr, stderr: w})
-	eventually(t, "watch", func() bool { return d.watchCount() > 0 })
+	eventually(t, "the first discovery watch", func() bool { return d.watchCount() > 0 })
 	_, _ = r.Close(), w.Close()
 	for i := range 20 { // each connection writes a log line
-		a, err := p.do(request("look", 1000, "Connection: close"))
-		if err != nil || a.status != 200 {
-			t.Fatalf("request %d: %v, %v, want status 200", i, a, err)
+		resp, err := p.do(request("look", 1000, "Connection: close"))
+		if err != nil || resp.status != 200 {
+			t.Fatalf("request %d: %v, %v, want status 200", i, resp, err)
 		}
 	}
 	p.terminate()
--- a/cmd/tackhub/savedstate_test.go
+++ b/cmd/tackhub/savedstate_test.go
@@ -89,8 +89,8 @@
 				t.Error("the node skipped a generation that the previous version saved")
 			}
 			for range 60 {
-				if a := p.mustDo(request("look", 1000)); a.status != 200 {
-					t.Fatalf("request with the saved list: status %d, want 200", a.status)
+				if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+					t.Fatalf("request with the saved list: status %d, want 200", resp.status)
 				}
 			}
 			if len(s1.requests()) == 0 || len(s3.requests()) == 0 {
--- a/cmd/tackhub/shadow_test.go
+++ b/cmd/tackhub/shadow_test.go
@@ -21,8 +21,8 @@
 	single := strings.Replace(testSettings, `"effect":"free"`, `"effect":"single_shot"`, 1)
 	p.configure("watch", writeTempFile(t, "single.json", single))
 	p.reload("reload")
-	if a := p.mustDo(request("look", 1000)); a.status != 503 {
-		t.Errorf("status %d, want 503: the shadow settings affected the request", a.status)
+	if resp := p.mustDo(request("look", 1000)); resp.status != 503 {
+		t.Errorf("status %d, want 503: the shadow settings affected the request", resp.status)
 	}
 	if got := p.counts().Shadow.Differ["failed"]; got == 0 {
 		t.Error("difference \"failed\" = 0, want at least 1: the shadow settings fail a request that the node rejects")
--- a/cmd/tackhub/shutdownload_test.go
+++ b/cmd/tackhub/shutdownload_test.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// shortDeadline is the longest deadline that the settings of these tests allow, in milliseconds.
-	shortDeadline = 390
+	// shortDeadlineMs is the longest deadline that the settings of these tests allow, in milliseconds.
+	shortDeadlineMs = 390
 
-	// earliestKill is the shortest time from SIGTERM to SIGKILL: the longest deadline and 0.7 s.
-	earliestKill = (shortDeadline + 700) * time.Millisecond
+	// minKillDelay is the shortest time between SIGTERM and SIGKILL: the longest deadline plus 0.7 s.
+	minKillDelay = (shortDeadlineMs + 700) * time.Millisecond
 
-	// closeRaceWindow is how long before the end of its connection a request may be written and still race with the close, in
-	// which case the node has not read it.
+	// closeRaceWindow is a period before the end of a connection. A request that is written in this period races with the
+	// close, so the node may not have read it.
 	closeRaceWindow = 20 * time.Millisecond
 )
 
 // shortSettings returns the test settings with short deadlines, as in the incident that TestShutdownAnswersLateFirstRequests
 // reproduces.
 func shortSettings() string {
-	return strings.ReplaceAll(testSettings, `"hard_limit_ms":1500`, fmt.Sprintf(`"hard_limit_ms":%d`, shortDeadline))
+	return strings.ReplaceAll(testSettings, `"hard_limit_ms":1500`, fmt.Sprintf(`"hard_limit_ms":%d`, shortDeadlineMs))
 }
 
 // sentRequest is one request of a shutdown test with the times and the result that its client measured.
@@ -53,21 +53,21 @@
 	if closedAlready(c) {
 		return false
 	}
-	r := sentRequest{raw: request(class, shortDeadline)}
+	r := sentRequest{raw: request(class, shortDeadlineMs)}
 	r.sent = time.Now()
 	if _, err := io.WriteString(c, r.raw); err != nil {
 		return false // the node closed the connection before the request was written
 	}
 	r.sent = time.Now()
-	a, err := c.read()
+	resp, err := c.read()
 	r.ended, r.err = time.Now(), err
 	if err == nil {
-		r.status = a.status
+		r.status = resp.status
 	}
 	s.mu.Lock()
 	s.requests = append(s.requests, r)
 	s.mu.Unlock()
-	return err == nil && !a.closesConn
+	return err == nil && !resp.closesConn
 }
 
 // closedAlready reports whether the node has closed a connection on which no response is outstanding.
@@ -113,7 +113,7 @@
 		for range 12 {
 			clients.running.Go(func() { keepRequesting(p, clients, quit) })
 		}
-		eventually(t, "traffic", func() bool {
+		eventually(t, "more than 24 requests", func() bool {
 			clients.mu.Lock()
 			defer clients.mu.Unlock()
 			return len(clients.requests) > 24
@@ -121,19 +121,19 @@
 		p.terminate()
 		signalled := time.Now()
 		for i := range 24 {
-			opens := time.Duration(10+14*i) * time.Millisecond
-			sends := time.Duration(500+23*i) * time.Millisecond
+			connectDelay := time.Duration(10+14*i) * time.Millisecond
+			sendDelay := time.Duration(500+23*i) * time.Millisecond
 			clients.running.Go(func() {
-				time.Sleep(time.Until(signalled.Add(opens)))
+				time.Sleep(time.Until(signalled.Add(connectDelay)))
 				c, err := p.dial()
 				if err != nil {
 					return
 				}
-				time.Sleep(time.Until(signalled.Add(sends)))
+				time.Sleep(time.Until(signalled.Add(sendDelay)))
 				clients.exchange(c, []string{"look", "store", "bill"}[i%3])
 			})
 		}
-		killed := waitOrKill(p, signalled.Add(earliestKill))
+		killed := waitOrKill(p, signalled.Add(minKillDelay))
 		close(quit)
 		for _, r := range clients.lostRequests() {
 			t.Errorf("shutdown %d (killed: %v): request sent %v after SIGTERM, connection ended after %v without a complete response: %v",
--- a/cmd/tackhub/start_test.go
+++ b/cmd/tackhub/start_test.go
@@ -67,16 +67,16 @@
 		p := startNode(t, options)
 		clientConn := p.connect() // its state stays in the kernel after the process has exited
 		clientConn.write(request("look", 1000))
-		if a, err := clientConn.read(); err != nil || a.status != 200 {
-			t.Fatalf("response %v, %v, want status 200", a, err)
+		if resp, err := clientConn.read(); err != nil || resp.status != 200 {
+			t.Fatalf("response %v, %v, want status 200", resp, err)
 		}
 		if err := p.cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
 		}
 		p.exit()
 		restarted := p.restart(options)
-		if a := restarted.mustDo(request("bill", 1000)); a.status != 200 {
-			t.Errorf("request after %v and a restart: status %d, want 200", sig, a.status)
+		if resp := restarted.mustDo(request("bill", 1000)); resp.status != 200 {
+			t.Errorf("request after %v and a restart: status %d, want 200", sig, resp.status)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 func TestNodeServesIfDiscoveryIsDownAtStart(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p := startNode(t, nodeOptions{discovery: freeAddress(t), known: members(s)}) // nothing listens at the discovery address
-	if a := p.mustDo(request("look", 1000)); a.status != 200 {
-		t.Errorf("request with the configured list: status %d, want 200", a.status)
+	if resp := p.mustDo(request("look", 1000)); resp.status != 200 {
+		t.Errorf("request with the configured list: status %d, want 200", resp.status)
 	}
 	eventually(t, "two failed calls to discovery", func() bool { return p.counts().List["failed"] > 1 })
 }
