--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -105,7 +105,7 @@
 	At        Offset
 }
 
-// Collapse is the crash of a server that was overloaded while it was still warming up.
+// Collapse is the crash of a server that was overloaded during its slow start.
 type Collapse struct {
 	Server string
 	At     Offset
@@ -160,7 +160,7 @@
 	RuleDuplicateExecution     = "twice"              // a keyed or unsafe operation was executed twice
 	RuleRejectedThoughExecuted = "refused-though-run" // rejected as safe to retry, although a server had started it
 	RuleDrain                  = "drain"              // sent to a server later than the drain grace after the notification of its drain
-	RuleSlowStartCollapse      = "cold"               // a server that was warming up was overloaded until it crashed
+	RuleSlowStartCollapse      = "cold"               // a server in slow start was overloaded until it crashed
 	RuleSentAfterCancel        = "sent-for-one-gone"  // sent to a server after the client had cancelled
 	RuleDeadline               = "deadline"           // a server was given more time than the client had left
 )
@@ -183,7 +183,7 @@
 	a.checkDeadlines()
 	a.checkDrains()
 	for _, collapse := range r.Collapses {
-		a.breach(RuleSlowStartCollapse, collapse.At, "%s was overloaded until it crashed while it was warming up", collapse.Server)
+		a.breach(RuleSlowStartCollapse, collapse.At, "%s was overloaded during its slow start until it crashed", collapse.Server)
 	}
 	sort.SliceStable(a.breaches, func(i, j int) bool { return a.breaches[i].At < a.breaches[j].At })
 	return a.breaches
--- a/lab/audit/audit_test.go
+++ b/lab/audit/audit_test.go
@@ -66,7 +66,7 @@
 			r.Attempts[3].Outcome, r.Attempts[3].Ended = Cancelled, 75*ms-101*ms
 		}},
 		{"time limit beyond the client's deadline", RuleDeadline, func(r *Record) { r.Receipts[0].Deadline = 300*ms - 5*ms + 151*ms }},
-		{"server overloaded during warm-up", RuleSlowStartCollapse, func(r *Record) { r.Collapses = []Collapse{{"s4", 70 * ms}} }},
+		{"server overloaded during its slow start", RuleSlowStartCollapse, func(r *Record) { r.Collapses = []Collapse{{"s4", 70 * ms}} }},
 	} {
 		r := cleanRecord()
 		c.addDefect(r)
@@ -76,8 +76,8 @@
 	}
 }
 
-// Attempts fail because the lab killed or suspended a node, delayed its link, or because the client or the connection ended
-// first. Judge must not report any of these as a breach of the node.
+// Attempts fail or end late because the lab killed or suspended a node or delayed its link, or because the client cancelled or
+// the connection closed. Judge must not report any of these as a breach of the node.
 func TestJudgeIgnoresEffectsOfInjectedFaults(t *testing.T) {
 	for name, change := range map[string]func(*Record){
 		"node killed with the request in flight": func(r *Record) {
--- a/lab/audit/groundtruth.go
+++ b/lab/audit/groundtruth.go
@@ -107,7 +107,7 @@
 	since := Offset(-1)
 	for ; truthIndex >= 0; truthIndex-- {
 		truth := a.truths[truthIndex]
-		// The absence counts only while the sample's own process ran: after a start or resume it needs time for detection too.
+		// The absence counts only from the last start or resume of the observing process, because that process needs time to detect it.
 		runs := truth.up[node] || a.record.suspended(node, truth.at) && !a.record.suspendedTooLong(node, truth.at)
 		observerNew := truth.upSince[sample.Node] > a.changes[truthIndex] || !truth.up[sample.Node]
 		if observerNew || runs && truth.reaches(node, sample.Node) {
@@ -140,18 +140,18 @@
 	return true
 }
 
-// suspended reports whether a node is suspended at a time.
+// suspended reports whether a node is suspended at the given time.
 func (m MembershipRecord) suspended(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool { return d.Node == node && d.Suspended && d.From <= at && at < d.To })
 }
 
-// suspendedTooLong reports whether a node is suspended at a time, and the suspension lasts longer than maxUnnoticedSuspension.
+// suspendedTooLong reports whether a node is suspended at the given time by a suspension longer than maxUnnoticedSuspension.
 func (m MembershipRecord) suspendedTooLong(node int, at Offset) bool {
 	return slices.ContainsFunc(m.Downtimes, func(d Downtime) bool {
 		return d.Node == node && d.Suspended && d.From <= at && at < d.To && d.To-d.From > maxUnnoticedSuspension
 	})
 }
 
-// maxUnnoticedSuspension is the longest suspension after which a node must not have been removed from any view: the
-// shortest suspicion timeout minus the round trip of a probe.
+// maxUnnoticedSuspension is the longest suspension that must not remove a node from any view: the shortest suspicion timeout
+// minus the round trip of a probe.
 const maxUnnoticedSuspension = 2100 * time.Millisecond
--- a/lab/audit/membership.go
+++ b/lab/audit/membership.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// MemberSample is the view that one process reported at a time.
+// MemberSample is the view that one process reported in one sample.
 type MemberSample struct {
 	At          Offset
 	Node        int
 	Generation  uint64 // generation of the process
 	View        uint64 // number of its view
 	Members     []int  // nodes in its view
-	HasMajority bool   // the process does not consider itself isolated or without peers
+	HasMajority bool   // false if the process reported that it is isolated or has no peers
 }
 
 // LinkEvent is the start or the end of the cut of a directed link.
@@ -58,8 +58,8 @@
 
 // MemberLimits are the limits that views have to keep.
 type MemberLimits struct {
-	DetectWithin   time.Duration // within it a node that is down or unreachable is removed from every view
-	ConvergeWithin time.Duration // within it after the last fault all views are the same
+	DetectWithin   time.Duration // time limit for removing a node that is down or unreachable from every view
+	ConvergeWithin time.Duration // time limit from the last fault until all views are the same
 	IgnorePartial  bool          // live members may be missing from views
 }
 
--- a/lab/audit/membership_test.go
+++ b/lab/audit/membership_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// A one-way cut of a single link must not be reported, because messages still reach the node through others. A node that
-// reaches nobody must be removed from the views, and a short suspension must not remove a node.
+// A one-way cut of a single link must not be reported, because messages still reach the node through others. A node
+// whose messages reach no other node must be removed from the views, and a short suspension must not remove a node.
 func TestJudgeMembershipDuringCutsAndSuspensions(t *testing.T) {
 	limits := MemberLimits{DetectWithin: 5 * sec, ConvergeWithin: 5 * sec}
 	m := sampleMembershipRecord()
--- a/lab/audit/quotas.go
+++ b/lab/audit/quotas.go
@@ -11,7 +11,7 @@
 	lastSample Offset
 }
 
-// quotaAt returns the quota that the process may use at a time. It returns false if the quota is unknown then.
+// quotaAt returns the quota that the process may use at the given time. It returns false if the quota is unknown then.
 func (h *quotaHistory) quotaAt(t Offset) (float64, bool) {
 	later := sort.Search(len(h.grants), func(i int) bool { return h.grants[i].At > t })
 	if later == 0 || t > h.lastSample {
@@ -54,7 +54,7 @@
 // combinedQuota adds up the quotas that all processes may use at the same time. It returns the maximum of the sum, when the
 // maximum was reached, and the mean from MembershipRecord.From on. A suspended process uses nothing. After its last sample
 // the quota of a killed process is unknown and is left out.
-func (m MembershipRecord) combinedQuota() (most float64, when Offset, mean float64) {
+func (m MembershipRecord) combinedQuota() (maximum float64, maximumAt Offset, mean float64) {
 	histories, changes := m.quotaHistories()
 	integral := 0.0 // of the sum over time from m.From on, in quota seconds
 	until := Offset(0)
@@ -65,9 +65,9 @@
 				sum += quota
 			}
 		}
-		if sum > most {
-			most = sum
-			when = at
+		if sum > maximum {
+			maximum = sum
+			maximumAt = at
 		}
 		if at >= m.From && i+1 < len(changes) {
 			integral += sum * (changes[i+1] - at).Seconds()
@@ -77,5 +77,5 @@
 	if until > m.From {
 		mean = integral / (until - m.From).Seconds()
 	}
-	return most, when, mean
+	return maximum, maximumAt, mean
 }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -1,5 +1,5 @@
-// Package model computes the behaviour of the lab's simulated servers: a queue in front of the cores, a warm-up after the
-// start, a slow mode after a long queue, and pods that drop repeated requests. The package is pure: it takes times and
+// Package model computes the behaviour of the lab's simulated servers: a queue in front of the cores, a slow start, a
+// slow mode after a long queue, and pods that drop repeated requests. The package is pure: it takes times and
 // requests and returns completions. Package backend adds the sockets. docs/lab.md describes the model in enough detail to
 // compute small cases by hand.
 package model
@@ -15,15 +15,16 @@
 	Speed    float64 // ms of Request.Work that one core does per ms
 	QueueMax int     // queue length at which new requests are rejected; 0: no limit
 
-	// Slow mode: after more than SlowdownQueueDepth requests per core have been queued for CrowdFor, every request that starts takes
-	// SlowFactor times as long, until the queue has been empty for RestFor.
+	// Slow mode: after more than SlowdownQueueDepth requests per core have been queued for SlowdownDelay, every request that
+	// starts takes SlowdownFactor times as long, until the queue has been empty for SlowdownRecovery.
 	SlowdownQueueDepth float64 // 0: no slow mode
 	SlowdownDelay      Millis
 	SlowdownFactor     float64
 	SlowdownRecovery   Millis
 
-	// Warm-up: a server starts at InitialSpeed, a fraction of its speed, which increases linearly to full speed over ColdFor. It
-	// crashes if the work that arrives within CollapseWindow exceeds CollapseMultiple times what it can do in that window.
+	// Slow start: a server starts at the fraction InitialSpeed of its full speed, and its speed increases linearly to full speed
+	// during SlowStartDuration. It crashes if the work that arrives within CollapseWindow exceeds CollapseMultiple times the
+	// work that it can do in that window.
 	InitialSpeed      float64
 	SlowStartDuration Millis
 	CollapseMultiple  float64
@@ -95,7 +96,7 @@
 type Server struct {
 	params    Params
 	pod       *Pod
-	started   Millis // -Inf: long ago, so that it is fully warmed up
+	started   Millis // -Inf: long ago, so that its slow start is over
 	slowdown  float64
 	suspended bool // it keeps its requests and executes nothing
 	draining  bool
@@ -104,12 +105,12 @@
 	queue           []job
 	running         []job
 	slow            bool   // it is in slow mode
-	overDepthSince  Millis // since when the queue has been longer than CrowdDepth per core; NaN: it is not
+	overDepthSince  Millis // since when the queue has been longer than SlowdownQueueDepth per core; NaN: it is not
 	queueEmptySince Millis // since when the queue has been empty; NaN: it is not
 
 	justStarted []Request // requests that started since the last TakeStarted
 
-	offeredWork   slidingSum // work that arrived during the warm-up, in CollapseWindow
+	offeredWork   slidingSum // work that arrived within CollapseWindow during the slow start
 	possibleWork  slidingSum // work that it could have done in the same window
 	lastMeteredAt Millis
 	collapsed     bool
@@ -123,14 +124,14 @@
 	ends    Millis
 }
 
-// NewServer returns a server that started at a time; math.Inf(-1) means that it is fully warmed up.
+// NewServer returns a server that started at the given time; math.Inf(-1) means that its slow start is over.
 func NewServer(p Params, pod *Pod, started Millis) *Server {
 	s := &Server{params: p, pod: pod, started: started, slowdown: 1, overDepthSince: math.NaN(), queueEmptySince: 0, lastMeteredAt: started}
 	s.offeredWork.span, s.possibleWork.span = p.CollapseWindow, p.CollapseWindow
 	return s
 }
 
-// WarmupFactor returns the fraction of its full speed that the server has at a time.
+// WarmupFactor returns the fraction of its full speed that the server has at the given time of its slow start, and 1 after it.
 func (s *Server) WarmupFactor(now Millis) float64 {
 	age := now - s.started
 	if math.IsInf(s.started, -1) || age >= s.params.SlowStartDuration || s.params.SlowStartDuration <= 0 {
@@ -157,7 +158,7 @@
 // Slow reports whether the server is in slow mode.
 func (s *Server) Slow() bool { return s.slow }
 
-// Collapsed reports whether the server crashed because it was overloaded during its warm-up.
+// Collapsed reports whether the server crashed because it was overloaded during its slow start.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
 // Arrive offers a request to the server. The caller must have advanced the server to now with Advance.
@@ -185,7 +186,7 @@
 	return Accepted
 }
 
-// recordOffered measures the work that arrives during the warm-up, and crashes the server if that exceeds the limit.
+// recordOffered measures the work that arrives during the slow start, and crashes the server if that exceeds the limit.
 func (s *Server) recordOffered(now Millis, work Millis) {
 	if s.params.CollapseMultiple <= 0 || s.WarmupFactor(now) >= 1 {
 		return
@@ -220,8 +221,8 @@
 	return started
 }
 
-// updateSlowMode starts slow mode after the queue has been too long for CrowdFor, and ends it after the queue has been empty
-// for RestFor.
+// updateSlowMode starts slow mode after the queue has been too long for SlowdownDelay, and ends it after the queue has been
+// empty for SlowdownRecovery.
 func (s *Server) updateSlowMode(now Millis) {
 	if s.params.SlowdownQueueDepth <= 0 {
 		return
@@ -286,7 +287,7 @@
 // SetSlowdown multiplies the execution time of the requests that start from now on.
 func (s *Server) SetSlowdown(factor float64) { s.slowdown = max(factor, 1e-3) }
 
-// SetSuspended suspends all execution at a time, or resumes it where it was suspended.
+// SetSuspended suspends all execution at the given time, or resumes it where it was suspended.
 func (s *Server) SetSuspended(now Millis, on bool) {
 	if s.suspended == on {
 		return
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -46,24 +46,24 @@
 	}
 }
 
-// A server starts at a fraction of its speed, which must increase linearly to full speed during the warm-up.
-func TestServerSpeedIncreasesDuringWarmup(t *testing.T) {
+// A server starts at a fraction of its speed, which must increase linearly to full speed during the slow start.
+func TestServerSpeedIncreasesDuringSlowStart(t *testing.T) {
 	p := Params{Cores: 1, Speed: 1, InitialSpeed: 0.25, SlowStartDuration: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 	s := NewServer(p, NewPod(0, 0), 1000)
 	for at, want := range map[float64]float64{1000: 0.25, 3000: 0.625, 5000: 1, 9000: 1} {
 		if got := s.WarmupFactor(at); math.Abs(got-want) > 1e-9 {
-			t.Errorf("warm-up factor at %v = %v, want %v", at, got, want)
+			t.Errorf("slow start factor at %v ms = %v, want %v", at, got, want)
 		}
 	}
 	s.Arrive(1000, Request{Work: 10})
 	if d := s.Advance(1040); len(d) != 1 || d[0].At != 1040 {
-		t.Errorf("10 ms of work at a quarter of the speed: completions = %+v, want one at 1040", d)
+		t.Errorf("10 ms of work at a quarter of the speed: completions = %+v, want one at 1040 ms", d)
 	}
 }
 
-// During its warm-up a server must not crash while the arriving work stays below CollapseMultiple times its capacity, and must
-// crash soon after CollapseWindow if the work exceeds that.
-func TestServerCollapsesOnlyUnderOverloadDuringWarmup(t *testing.T) {
+// During its slow start a server must not crash while the arriving work stays below CollapseMultiple times its capacity, and
+// must crash soon after CollapseWindow if the work exceeds that.
+func TestServerCollapsesOnlyUnderOverloadDuringSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		times     float64
 		collapses bool
@@ -79,15 +79,15 @@
 			}
 		}
 		if s.Collapsed() != c.collapses {
-			t.Errorf("offered %v times its capacity: collapsed = %v at %v, want collapsed = %v", c.times, s.Collapsed(), collapsedAt, c.collapses)
+			t.Errorf("offered %v times its capacity: collapsed = %v at %v ms, want collapsed = %v", c.times, s.Collapsed(), collapsedAt, c.collapses)
 		}
 		if c.collapses && (collapsedAt < 1000 || collapsedAt > 1200) {
-			t.Errorf("collapsed at %v, want between 1000 and 1200", collapsedAt)
+			t.Errorf("collapsed at %v ms, want between 1000 and 1200 ms", collapsedAt)
 		}
 	}
 }
 
-// A long queue must start slow mode after CrowdFor, and an empty queue must end it after RestFor.
+// A long queue must start slow mode after SlowdownDelay, and an empty queue must end it after SlowdownRecovery.
 func TestSlowModeStartsWithLongQueueAndEndsWithEmptyQueue(t *testing.T) {
 	p := Params{Cores: 1, Speed: 1, SlowdownQueueDepth: 2, SlowdownDelay: 100, SlowdownFactor: 3, SlowdownRecovery: 50}
 	s := NewServer(p, NewPod(0, 0), math.Inf(-1))
@@ -98,12 +98,12 @@
 	if s.Slow() {
 		t.Error("slow mode started before the queue had been long for 100 ms")
 	}
-	s.Advance(121) // at 120 ms four requests are queued: the queue has been too long since 0
+	s.Advance(121) // at 120 ms four requests are queued: the queue has been too long since 0 ms
 	if !s.Slow() {
 		t.Fatal("slow mode did not start after 120 ms of a long queue")
 	}
 	if at, _ := s.NextCompletion(); at != 180 && at != 300 {
-		t.Errorf("next completion at %v, want 180 or 300", at)
+		t.Errorf("next completion at %v ms, want 180 or 300 ms", at)
 	}
 	s.Advance(5000) // all requests were completed long before, and the queue has been empty since
 	s.Advance(5100)
@@ -125,7 +125,7 @@
 	}{{0, a, Accepted}, {400, b, Duplicate}, {450, other, Accepted}, {600, b, Accepted}, {650, a, Duplicate}} {
 		c.s.Advance(c.at)
 		if v := c.s.Arrive(c.at, Request{Work: 1, Key: "k"}); v != c.want {
-			t.Errorf("verdict at %v = %v, want %v", c.at, v, c.want)
+			t.Errorf("verdict at %v ms = %v, want %v", c.at, v, c.want)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	}
 	a.SetSuspended(100, false)
 	if d := a.Advance(106); len(d) != 1 || d[0].At != 106 {
-		t.Errorf("after the suspension: completions = %+v, want one at 106", d)
+		t.Errorf("after the suspension: completions = %+v, want one at 106 ms", d)
 	}
 	if n := a.Crash(); n != 1 {
 		t.Errorf("requests dropped by the crash = %d, want 1", n)
