--- a/lab/backend/discovery.go
+++ b/lab/backend/discovery.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// response returns the response body for a poll or watch, and the entries that the node is notified of by it. A watch
-// gets the changes since revision from if that revision is known. The caller holds d.mu.
+// response returns the response body for a poll or watch, and the entries of which this response notifies the node. A
+// watch gets the changes since revision from if that revision is known. The caller holds d.mu.
 func (d *DiscoveryServer) response(from int64, watch bool) ([]byte, []Member) {
 	out := struct {
 		Revision int64    `json:"revision"`
--- a/lab/backend/drain_test.go
+++ b/lab/backend/drain_test.go
@@ -11,8 +11,8 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// askServer sends one request to a server address and returns the response.
-func askServer(t *testing.T, address, id string) *http.Response {
+// sendRequest sends one request to a server address and returns the response.
+func sendRequest(t *testing.T, address, id string) *http.Response {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, 10*time.Second)
 	if err != nil {
@@ -51,19 +51,19 @@
 	end := drain
 	end.Ends = true
 	drained := f.servers[0]
-	if got := askServer(t, drained.addrs[0], AttemptID(1, 0)); got.StatusCode != http.StatusOK {
+	if got := sendRequest(t, drained.addrs[0], AttemptID(1, 0)); got.StatusCode != http.StatusOK {
 		t.Fatalf("status before the drain = %d, want 200", got.StatusCode)
 	}
 	if err := drained.apply(drain); err != nil {
 		t.Fatal(err)
 	}
-	if got := askServer(t, drained.addrs[0], AttemptID(2, 0)); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("X-Not-Run") != "1" {
+	if got := sendRequest(t, drained.addrs[0], AttemptID(2, 0)); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("X-Not-Run") != "1" {
 		t.Errorf("status while draining = %d, X-Not-Run = %q, want 503 and \"1\"", got.StatusCode, got.Header.Get("X-Not-Run"))
 	}
 	if err := drained.apply(end); err != nil {
 		t.Fatal(err)
 	}
-	if got := askServer(t, drained.addrs[0], AttemptID(3, 0)); got.StatusCode != http.StatusOK {
+	if got := sendRequest(t, drained.addrs[0], AttemptID(3, 0)); got.StatusCode != http.StatusOK {
 		t.Errorf("status after the drain = %d, want 200", got.StatusCode)
 	}
 }
--- a/lab/backend/faults.go
+++ b/lab/backend/faults.go
@@ -27,7 +27,7 @@
 		s.drain()
 	case scenario.FaultServersStall:
 		s.fleet.recordStall(s.name(), e.Ends)
-		for _, l := range s.fleet.links[s.index] { // the link wraps the server's end, so the server reads what is sent up
+		for _, l := range s.fleet.links[s.index] { // the server's side is wrapped, so In is towards the server
 			ApplyStall(l, e, netfault.In, netfault.Out)
 		}
 	case scenario.FaultServersReset:
--- a/lab/backend/fleet.go
+++ b/lab/backend/fleet.go
@@ -113,7 +113,7 @@
 // offsetOf returns the time from the start of the run to t.
 func (f *Fleet) offsetOf(t time.Time) audit.Offset { return t.Sub(f.start) }
 
-// now returns the time since the start of the run in the model's unit.
+// now returns the time since the start of the run in milliseconds, the unit of package model.
 func (f *Fleet) now() model.Millis { return millis(time.Since(f.start)) }
 
 // Discovery returns the address of a node's discovery server.
--- a/lab/backend/http.go
+++ b/lab/backend/http.go
@@ -69,7 +69,7 @@
 }
 
 // answer handles one request and fills in the response. It returns false if the connection must be reset instead.
-// firstOnConn says that the request is the first one on its connection.
+// firstOnConn is true for the first request on a connection.
 func (s *Server) answer(req *fasthttp.Request, resp *fasthttp.Response, node int, firstOnConn bool, firstByteAt time.Time) bool {
 	switch path := string(req.URI().Path()); {
 	case s.fleet.scenario.Fleet.Probes && (path == "/ping" || path == "/_load"):
--- a/lab/backend/inventory.go
+++ b/lab/backend/inventory.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// nodeReadDelay is the time after a valid file was written from which a node counts as notified. It covers the node's
-	// poll interval and settle time.
+	// nodeReadDelay is how long after the writing of a valid file the lab assumes that the node has read it. It covers the
+	// node's poll interval and settle time.
 	nodeReadDelay = 400 * time.Millisecond
 
 	// chunkBytes and chunkPause set the rate at which a file is written in place: one chunk, then one pause.
@@ -177,8 +177,8 @@
 	return err
 }
 
-// recordUpdates records which servers a valid file withdraws or puts back in service. A withdrawal counts once the node has
-// had time to read the file, a return to service at once.
+// recordUpdates records which servers a valid file withdraws or puts back in service. The recorded time of a withdrawal is
+// the current time plus nodeReadDelay, which the node needs to read the file. That of a return to service is the current time.
 func (w *InventoryWriter) recordUpdates(node int, listed []Member) {
 	notifiedAt := w.fleet.offsetOf(time.Now()) + nodeReadDelay
 	current := map[string]bool{}
--- a/lab/backend/work.go
+++ b/lab/backend/work.go
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("TEXT inflight=%d, queue=%d, util=%.2f", inFlight, queued, util)
 }
 
-// execute offers a request to the model and waits for its result. firstOnConn says that it is the first request on its
-// connection, firstByteAt when its first byte arrived.
+// execute offers a request to the model and waits for its result. firstOnConn is true for the first request on a
+// connection, and firstByteAt is when its first byte arrived.
 func (s *Server) execute(req *fasthttp.Request, node int, firstOnConn bool, firstByteAt time.Time) result {
 	id := attemptID(req)
 	op, ok := OperationOf(id)
--- a/lab/load/coap.go
+++ b/lab/load/coap.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// usesCoap reports whether an operation is requested over CoAP. This depends only on the random number in its schedule
+// usesCoap reports whether the requests of an operation use CoAP. This depends only on the random number in its schedule
 // entry, so it is the same in each run.
 func (g *Generator) usesCoap(arrival scenario.Arrival) bool {
 	return len(g.freeDevices) > 0 && float64(arrival.Random>>40)/float64(1<<24) < g.options.Scenario.Clients.Coap
@@ -90,7 +90,8 @@
 	defer cancel()
 	got, err := dev.client.Do(waitCtx, req)
 	result := g.coapResponse(got, err)
-	// A response after the deadline may be the stored one, sent in reply to a retransmission after a datagram was lost.
+	// If the link lost a datagram, the node answers the retransmission with its stored response, possibly after the deadline.
+	// A response after the deadline is therefore attributed to the link.
 	if g.options.Scenario.Links.Clients.Loss > 0 && g.now() > attempt.Deadline {
 		result.outcome = audit.InTransit
 	}
@@ -123,8 +124,8 @@
 	return req
 }
 
-// coapResponse classifies a response. If the link loses datagrams, it may have lost a missing response, so it is unknown
-// whether the node responded. The auditor then checks only the executions.
+// coapResponse classifies a response. If the link loses datagrams and no response arrives, it is unknown whether the node
+// responded. The auditor then checks only the executions.
 func (g *Generator) coapResponse(got coap.Response, err error) response {
 	impaired := g.options.Scenario.Links.Clients.Loss > 0
 	switch {
--- a/lab/load/connpool.go
+++ b/lab/load/connpool.go
@@ -21,8 +21,8 @@
 	// dialTimeout limits the time to open a connection.
 	dialTimeout = time.Second
 
-	// useWhileStopping is how long the pool still returns connections to a stopping node. The platform stops sending to it
-	// after at most 0.4 s.
+	// useWhileStopping is how long the pool still uses a node after its planned stop began. The platform stops sending
+	// requests to a stopping node after at most 0.4 s.
 	useWhileStopping = 400 * time.Millisecond
 )
 
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -148,7 +148,7 @@
 	status        int
 	body          string
 	count         int  // responses received
-	closesConn    bool // the node closes the connection after it
+	closesConn    bool // the node closes the connection after the response
 	retryAfter    time.Duration
 	hasRetryAfter bool
 }
--- a/lab/load/http.go
+++ b/lab/load/http.go
@@ -57,7 +57,7 @@
 
 // mayResend reports whether a request whose connection ended without a response may be sent on another connection. If the
 // node runs, it closed an idle connection without reading the request. If the node was killed, it may have executed the
-// request, so resending it would be a fault of the client unless its class is safe to repeat.
+// request. The client must then not resend it unless its class is safe to repeat.
 func (g *Generator) mayResend(c *conn, class scenario.Class, deadline time.Duration) bool {
 	if g.pool.wasReset(c) || g.now() >= deadline {
 		return false
@@ -122,7 +122,7 @@
 	return raw
 }
 
-// readResponse reads the response. endedEarly says that the connection ended before the first byte of a response.
+// readResponse reads the response. endedEarly reports whether the connection ended before the first byte of a response.
 func (g *Generator) readResponse(c *conn, arrival scenario.Arrival, attempt audit.Attempt) (result response, endedEarly bool) {
 	firstByteDeadline := g.options.Start.Add(attempt.Deadline + lateResponseWindow)
 	if arrival.CancelAfter > 0 {
--- a/lab/netfault/conn.go
+++ b/lab/netfault/conn.go
@@ -135,7 +135,7 @@
 			if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 				_ = t.CloseWrite()
 			}
-			c.out.waitFailed() // until then, bytes from the other side are still read
+			c.out.waitFailed() // meanwhile, bytes from the other side are still read
 			c.terminate()
 			return
 		default:
--- a/lab/netfault/packetrelay.go
+++ b/lab/netfault/packetrelay.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// arrivals returns the delay of each copy of a datagram of n bytes that is to be delivered. It is empty if all are lost.
+// arrivals returns the delay of each copy of a datagram of n bytes. It leaves out the copies that are lost.
 func (r *PacketRelay) arrivals(n int) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/netfault/pipe.go
+++ b/lab/netfault/pipe.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// chunk is a number of bytes that arrive together. dueAt is measured from the start of the connection.
+// chunk is a sequence of bytes that arrive together. dueAt is measured from the start of the connection.
 type chunk struct {
 	dueAt time.Duration
 	data  []byte
@@ -25,9 +25,9 @@
 	maxDelay       time.Duration // the largest delay since Conn.ResetMaxDelay
 	finishErr      error         // set if nothing more is queued; queued chunks are still delivered
 	failErr        error         // set if nothing is delivered any more
-	timer          *time.Timer
-	deadlinePassed bool     // of read
-	ready          [][]byte // chunks that are due but not read yet
+	timer          *time.Timer   // expires at the read deadline
+	deadlinePassed bool          // the read deadline has passed
+	ready          [][]byte      // chunks that are due but not read yet
 	unread         []byte
 	readErr        error // returned by read after the last ready chunk
 }
@@ -85,7 +85,7 @@
 	p.cond.Broadcast()
 }
 
-// finish ends the direction after the queued chunks. err is returned once they are delivered.
+// finish ends the direction after the queued chunks. next returns err when no queued chunk is left.
 func (p *pipe) finish(err error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/netfault/relay.go
+++ b/lab/netfault/relay.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// track registers a connection so that Close closes it. It closes it and returns false if the relay is already closed.
+// track registers a connection so that Close closes it. If the relay is already closed, track closes the connection and
+// returns false.
 func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/netfault/shaper.go
+++ b/lab/netfault/shaper.go
@@ -40,7 +40,7 @@
 	impairment  Impairment
 	rng         *rand.Rand
 	lineFreeAt  time.Duration // when the line has transmitted all earlier bytes
-	lastArrival time.Duration // of all earlier segments, which TCP delivers first
+	lastArrival time.Duration // latest arrival of an earlier segment; TCP delivers later segments no sooner
 }
 
 // NewShaper creates a shaper whose random numbers depend only on the seed and the stream number. It raises a
--- a/lab/nodeproc/faults.go
+++ b/lab/nodeproc/faults.go
@@ -103,8 +103,8 @@
 	"USR1": syscall.SIGUSR1,
 }
 
-// replace performs a planned stop of the process and starts the next one. After SIGTERM it sends the follow-up signals one by
-// one. It sends SIGKILL if the process is still running after Scenario.KillAfter.
+// replace performs a planned stop of the process and starts the next one. After SIGTERM it sends one follow-up signal per
+// signalInterval. It sends SIGKILL if the process is still running after Scenario.KillAfter.
 func (n *Node) replace(followUps []string) error {
 	if err := n.signal(syscall.SIGTERM); err != nil {
 		return err
--- a/lab/nodeproc/sample.go
+++ b/lab/nodeproc/sample.go
@@ -56,8 +56,8 @@
 	}
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
-	const ticks = 100 // USER_HZ, fixed on Linux
-	return Sample{RSS: rss * int64(os.Getpagesize()), Descriptors: len(fds), CPU: (user + system) / ticks}, nil
+	const ticksPerSecond = 100 // USER_HZ, fixed on Linux
+	return Sample{RSS: rss * int64(os.Getpagesize()), Descriptors: len(fds), CPU: (user + system) / ticksPerSecond}, nil
 }
 
 // Report contains the measurements of one node.
