--- a/lab/knownred/entry.go
+++ b/lab/knownred/entry.go
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case e.Observed == "":
-		return Entry{}, fmt.Errorf("%s: the part that says what was seen is empty", e.Name)
+		return Entry{}, fmt.Errorf("%s: the description of what was seen is empty", e.Name)
 	case !issueName.MatchString(e.Issue):
 		return Entry{}, fmt.Errorf("%s: the last part is %q, want: issue N", e.Name, e.Issue)
 	case testName.MatchString(e.Name):
--- a/lab/membersim/figures.go
+++ b/lab/membersim/figures.go
@@ -32,7 +32,7 @@
 // count false positives, and then kills one member, to measure the detection time. The same options give the same figures.
 func Detect(o Options, kills int) Detection {
 	detection := Detection{Options: o, Kills: kills, Expected: ExpectedDetection(o)}
-	took := make([]time.Duration, kills)
+	detectionTimes := make([]time.Duration, kills)
 	removed := make([]int, kills)
 	forEachParallel(kills, func(i int) {
 		clusterOptions := o
@@ -41,16 +41,16 @@
 		s := New(clusterOptions)
 		s.Run(5 * time.Second)
 		removed[i] = s.countFalseRemovals(rand.New(rand.NewPCG(clusterOptions.Seed, 11)))
-		took[i] = s.detectKill()
+		detectionTimes[i] = s.detectKill()
 	})
-	slices.Sort(took)
+	slices.Sort(detectionTimes)
 	totalRemoved := 0
 	for _, n := range removed {
 		totalRemoved += n
 	}
 	memberHours := float64(kills) * observationTime.Hours() * float64(o.Members)
-	detection.P50 = took[kills/2]
-	detection.P99 = took[min(kills-1, kills*99/100)]
+	detection.P50 = detectionTimes[kills/2]
+	detection.P99 = detectionTimes[min(kills-1, kills*99/100)]
 	detection.FalsePositives = float64(totalRemoved) / memberHours
 	return detection
 }
--- a/lab/membersim/membersim_test.go
+++ b/lab/membersim/membersim_test.go
@@ -37,7 +37,7 @@
 		for i := range killed {
 			s.Restart(n - 1 - i)
 		}
-		rejoined := s.waitConverged(t, "restarted", 5*time.Second)
+		rejoined := s.waitConverged(t, "restart", 5*time.Second)
 		for i := range n {
 			for j := range n {
 				s.Cut(i, j, i%2 != j%2)
@@ -54,6 +54,6 @@
 		s.Run(22 * time.Second)
 		s.Heal()
 		t.Logf("%d members: joined in %v, detected the kill of 60 %% in %v, rejoined in %v, converged after the split in %v", n, joined, detected,
-			rejoined, s.waitConverged(t, "healed", 5*time.Second))
+			rejoined, s.waitConverged(t, "end of the split", 5*time.Second))
 	}
 }
--- a/lab/membersim/schedules_test.go
+++ b/lab/membersim/schedules_test.go
@@ -216,7 +216,7 @@
 			s.Run(span - min(span, 2400*time.Millisecond))
 			switch {
 			case span < 5*time.Second:
-			case suspendedCount == n-1: // the remaining member cannot detect the suspensions: it considers itself isolated
+			case suspendedCount == n-1: // the remaining member reports itself as isolated instead of detecting the suspensions
 				if c := s.Node(n - 1).Core.Connectivity(); c != membership.InboundLost {
 					t.Errorf("connectivity of the only running member = %v, want %v", c, membership.InboundLost)
 				}
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -28,8 +28,8 @@
 	// newConnWindow is how long after SIGTERM clients open new connections.
 	newConnWindow = 400 * time.Millisecond
 
-	// closeRaceWindow is how long before the end of its connection a request may have been written and still count as unread,
-	// because the node closed the connection at the same time. It allows for a suspension of the node and a delay of the lab.
+	// closeRaceWindow is the time after the writing of a request within which the end of its connection may be a race: the node
+	// may have closed the connection before it read the request. It allows for a suspension of the node and a delay of the lab.
 	closeRaceWindow = 250 * time.Millisecond
 
 	// lateResponseWindow is how much longer than the request's deadline a client waits for a response.
@@ -43,7 +43,7 @@
 	// manySilentClients replaces silentClients in the runs whose seed is divisible by 3.
 	manySilentClients = 150
 
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout limits the time to open a connection, and the time to write a request.
 	dialTimeout = time.Second
 )
 
@@ -213,7 +213,7 @@
 	c.finishRequest(conn, node, operation, raw[split:])
 }
 
-// holdSilentConnection opens a connection at a time and keeps it open until another without sending anything.
+// holdSilentConnection opens a connection at connectAt and keeps it open until the given time without sending anything.
 func (c *Clients) holdSilentConnection(address string, connectAt, until time.Time) {
 	conn := c.dialAt(address, connectAt)
 	if conn == nil {
@@ -223,7 +223,7 @@
 	_ = c.runEndsBefore(until)
 }
 
-// dialAt opens a connection at a time. It returns nil if the run ends first or the connection is not accepted.
+// dialAt opens a connection at the given time. It returns nil if the run ends first or the connection is not accepted.
 func (c *Clients) dialAt(address string, connectAt time.Time) *connection {
 	if c.runEndsBefore(connectAt) {
 		return nil
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -118,7 +118,7 @@
 	return minPause + d.randomBelow(maxPause-minPause)
 }
 
-// addStop adds a planned stop of a node at a time, and the faults around it.
+// addStop adds a planned stop of a node at the given time, and the faults around it.
 func (d *faultGenerator) addStop(at time.Duration, node int) {
 	target := fmt.Sprintf("node:%d", node%d.scenario.Nodes.Count)
 	d.add(scenario.Fault{At: at, Kind: scenario.FaultNodeReplace, Target: target, FollowUpSignals: randomSignals(d.rng)})
@@ -149,7 +149,7 @@
 	scenario.FaultColdReturn, scenario.FaultDrain, scenario.FaultServersStall, scenario.FaultSlow,
 }
 
-// addServerFault adds a fault of a percentage of the servers around the stop at a time.
+// addServerFault adds a fault of a percentage of the servers around the stop at stopAt.
 func (d *faultGenerator) addServerFault(stopAt, faultStart, faultDuration time.Duration, percentage string) {
 	switch kind := serverFaults[d.rng.IntN(len(serverFaults))]; kind {
 	case scenario.FaultErrors:
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -13,7 +13,7 @@
 	"tackhub.example/tackhub/lab/experiment"
 )
 
-// timelineWindow is how long before and after a breach events belong to its time line.
+// timelineWindow is the time before and after a breach that its time line covers.
 const timelineWindow = 1500 * time.Millisecond
 
 // maxLogLines limits the log lines of the node in one time line.
@@ -65,7 +65,7 @@
 	return reports
 }
 
-// Summarize computes the figures of one run. kill is the earliest time after SIGTERM at which SIGKILL may come.
+// Summarize computes the figures of one run. kill is the earliest time after SIGTERM at which SIGKILL may be sent.
 func Summarize(r *experiment.Result, clients *Clients, kill time.Duration) Figures {
 	f := Figures{Runs: 1, Stops: len(clients.ObservedStops()), KilledStops: r.KilledStops, RacedCloses: clients.RacedCloses(),
 		Attempts: len(r.Record.Attempts), Crashes: r.Figures.Crashes, Breaches: r.BreachesByRule}
@@ -163,8 +163,9 @@
 	}
 }
 
-// writeLog writes the node's log lines that contain the request id, and those about starts and stops near a breach.
-func writeLog(w io.Writer, r *experiment.Result, node int, id string, at time.Duration) {
+// writeLog writes the node's log lines that contain the request ID, and those about starts and stops within timelineWindow of
+// a breach.
+func writeLog(w io.Writer, r *experiment.Result, node int, id string, breachAt time.Duration) {
 	began := r.Began
 	linesLeft := maxLogLines
 	for scan := bufio.NewScanner(strings.NewReader(r.Logs[node])); scan.Scan() && linesLeft > 0; {
@@ -176,11 +177,11 @@
 		if json.Unmarshal([]byte(line), &head) != nil {
 			continue
 		}
-		when := head.Time.Sub(began)
+		loggedAt := head.Time.Sub(began)
 		namesRequest := strings.Contains(line, id)
 		aboutStop := strings.HasPrefix(head.Code, "drain_") || head.Code == "drain" || head.Code == "end" || head.Code == "start"
-		if namesRequest || aboutStop && when > at-timelineWindow && when < at+timelineWindow {
-			_, _ = fmt.Fprintf(w, "  %9.3f node %d's log: %s\n", when.Seconds(), node, line)
+		if namesRequest || aboutStop && loggedAt > breachAt-timelineWindow && loggedAt < breachAt+timelineWindow {
+			_, _ = fmt.Fprintf(w, "  %9.3f node %d's log: %s\n", loggedAt.Seconds(), node, line)
 			linesLeft--
 		}
 	}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -46,10 +46,10 @@
 		s := Plan(Options{Seed: seed})
 		schedule := scheduleHash(t, parsePrinted(t, s))
 		if secondSchedule := scheduleHash(t, parsePrinted(t, Plan(Options{Seed: seed}))); secondSchedule != schedule {
-			t.Errorf("seed %d: two plans have different schedules", seed)
+			t.Errorf("seed %d: two plans have different schedules, want the same schedule", seed)
 		}
 		if seen[schedule] {
-			t.Errorf("seed %d: same schedule as another seed", seed)
+			t.Errorf("seed %d: same schedule as another seed, want a different one", seed)
 		}
 		seen[schedule] = true
 		stops := 0
@@ -98,6 +98,6 @@
 		t.Fatal(err)
 	}
 	if outcome.Result.BreachesByRule[audit.RuleUnanswered] == 0 || !outcome.Failed() || outcome.Figures.Stops == 0 {
-		t.Errorf("no breach of rule lost reported for a node that drops its requests: %s", outcome.Figures)
+		t.Errorf("node that drops its requests: want a breach of rule lost, a failure and a stop, got %s", outcome.Figures)
 	}
 }
--- a/pages_test.go
+++ b/pages_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// uncheckedPages describe the past with the names of that time, or plans.
+// uncheckedPages are not checked, because they describe plans, or the past with the names of that time.
 var uncheckedPages = []string{"docs/incidents", "docs/standing.md", "docs/ROADMAP.md"}
 
 // currentPages returns the pages that describe the current code.
@@ -108,7 +108,7 @@
 	return missing
 }
 
-// nameExists reports whether the item that a text names exists. It is true for a text that does not name an item of the module.
+// nameExists reports whether the item that a text names exists. It returns true for a text that does not name an item of the module.
 func nameExists(text string, declared nameIndex) bool {
 	if pathName.MatchString(text) {
 		path := strings.TrimSuffix(text, "/...")
--- a/shape_test.go
+++ b/shape_test.go
@@ -17,7 +17,7 @@
 	maxStructFields  = 30
 )
 
-// exemptStructs have no limit of fields. Other processes depend on their fields by name, so they cannot be split.
+// exemptStructs are exempt from maxStructFields. Other processes depend on their fields by name, so they cannot be split.
 var exemptStructs = []string{
 	"digestedBalancer", // the settings whose digest both processes of an upgrade compare (internal/settings)
 }
