--- a/lab/backend/fleet.go
+++ b/lab/backend/fleet.go
@@ -164,12 +164,12 @@
 
 // ServerLoad is the state of one server at one time.
 type ServerLoad struct {
-	ID           string  `json:"id"`
-	InFlight     int     `json:"in_hand"`
-	WarmupFactor float64 `json:"warmth"`
-	Slow         bool    `json:"slow"`
-	Serving      bool    `json:"serving"`
-	Started      int64   `json:"begun"` // requests whose execution has started since the start of the run
+	ID              string  `json:"id"`
+	InFlight        int     `json:"in_hand"`
+	SlowStartFactor float64 `json:"warmth"`
+	Slow            bool    `json:"slow"`
+	Serving         bool    `json:"serving"`
+	Started         int64   `json:"begun"` // requests whose execution has started since the start of the run
 }
 
 // Loads returns the states of all servers.
--- a/lab/backend/server.go
+++ b/lab/backend/server.go
@@ -182,7 +182,7 @@
 	defer s.mu.Unlock()
 	s.pod.mu.Lock()
 	defer s.pod.mu.Unlock()
-	return ServerLoad{ID: s.id, InFlight: s.model.InFlight(), WarmupFactor: s.model.WarmupFactor(s.fleet.now()), Slow: s.model.Slow(),
+	return ServerLoad{ID: s.id, InFlight: s.model.InFlight(), SlowStartFactor: s.model.SlowStartFactor(s.fleet.now()), Slow: s.model.Slow(),
 		Serving: len(s.listeners) > 0 && s.phase == phaseServing, Started: s.started}
 }
 
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -131,8 +131,8 @@
 	return s
 }
 
-// WarmupFactor returns the fraction of its full speed that the server has at the given time of its slow start, and 1 after it.
-func (s *Server) WarmupFactor(now Millis) float64 {
+// SlowStartFactor returns the fraction of its full speed that the server has at the given time of its slow start, and 1 after it.
+func (s *Server) SlowStartFactor(now Millis) float64 {
 	age := now - s.started
 	if math.IsInf(s.started, -1) || age >= s.params.SlowStartDuration || s.params.SlowStartDuration <= 0 {
 		return 1
@@ -142,7 +142,7 @@
 
 // capacity returns the work that all cores together do per millisecond.
 func (s *Server) capacity(now Millis) float64 {
-	v := float64(s.params.Cores) * s.params.Speed * s.WarmupFactor(now) / s.slowdown
+	v := float64(s.params.Cores) * s.params.Speed * s.SlowStartFactor(now) / s.slowdown
 	if s.slow {
 		v /= s.params.SlowdownFactor
 	}
@@ -188,11 +188,11 @@
 
 // recordOffered measures the work that arrives during the slow start, and crashes the server if that exceeds the limit.
 func (s *Server) recordOffered(now Millis, work Millis) {
-	if s.params.CollapseMultiple <= 0 || s.WarmupFactor(now) >= 1 {
+	if s.params.CollapseMultiple <= 0 || s.SlowStartFactor(now) >= 1 {
 		return
 	}
 	elapsed := min(now-s.lastMeteredAt, s.params.CollapseWindow) // capacity before the window does not count
-	s.possibleWork.add(now, elapsed*float64(s.params.Cores)*s.params.Speed*(s.WarmupFactor(s.lastMeteredAt)+s.WarmupFactor(now))/2)
+	s.possibleWork.add(now, elapsed*float64(s.params.Cores)*s.params.Speed*(s.SlowStartFactor(s.lastMeteredAt)+s.SlowStartFactor(now))/2)
 	s.lastMeteredAt = now
 	s.offeredWork.add(now, work)
 	if now-s.started >= s.params.CollapseWindow && s.offeredWork.sum > s.params.CollapseMultiple*s.possibleWork.sum {
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -51,7 +51,7 @@
 	p := Params{Cores: 1, Speed: 1, InitialSpeed: 0.25, SlowStartDuration: 4000, CollapseMultiple: 3, CollapseWindow: 1000}
 	s := NewServer(p, NewPod(0, 0), 1000)
 	for at, want := range map[float64]float64{1000: 0.25, 3000: 0.625, 5000: 1, 9000: 1} {
-		if got := s.WarmupFactor(at); math.Abs(got-want) > 1e-9 {
+		if got := s.SlowStartFactor(at); math.Abs(got-want) > 1e-9 {
 			t.Errorf("slow start factor at %v ms = %v, want %v", at, got, want)
 		}
 	}
@@ -73,7 +73,7 @@
 		collapsedAt := math.NaN()
 		for now := 0.0; now < 3900; now += 10 {
 			s.Advance(now)
-			if s.Arrive(now, Request{Work: 10 * c.times * s.WarmupFactor(now)}) == NotRunning {
+			if s.Arrive(now, Request{Work: 10 * c.times * s.SlowStartFactor(now)}) == NotRunning {
 				collapsedAt = now
 				break
 			}
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -135,7 +135,7 @@
 		slowStartMax, inSlowStart := 0.0, false
 		for _, l := range loads {
 			inFlight = append(inFlight, float64(l.InFlight))
-			if l.WarmupFactor < 1 {
+			if l.SlowStartFactor < 1 {
 				slowStartMax, inSlowStart = max(slowStartMax, float64(l.InFlight)), true
 			}
 		}
