--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -89,7 +89,8 @@
 	Size() int64 // in bytes
 	Retain()     // adds a reference, which needs one more call of Release
 	Release()
-	// ForEachChunk calls each with every chunk in order. A chunk is valid during the call only.
+	// ForEachChunk calls each with every chunk in order. A chunk is valid during the call only; last
+	// marks the last one.
 	ForEachChunk(each func(chunk []byte, last bool) error) error
 }
 
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -26,7 +26,7 @@
 	if !s.schedule.CompareAndSwap(nil, schedule) {
 		return
 	}
-	if !s.hasSuccessor.Load() { // a successor accepts the deferred connections itself
+	if !s.hasSuccessor.Load() { // a successor shares the listener and accepts the deferred connections itself
 		// From now on connections without data are accepted too, and closed without a reset. Otherwise the kernel would keep
 		// deferring them and reset them when the listener closes.
 		if err := setDeferAccept(l, false); err != nil {
--- a/internal/ingress/halfopen.go
+++ b/internal/ingress/halfopen.go
@@ -45,7 +45,7 @@
 	}
 	s.halfOpen.checkedAt = now
 	found, err := anyHalfOpen(l.Addr())
-	if err != nil { // without a result, deferred connections are reset when the listener closes
+	if err != nil { // without a result, such as when the query is not permitted, deferred connections are reset with the listener
 		s.options.Counters.Clients.DeferAcceptUnknown.Inc()
 	}
 	s.halfOpen.found = found
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -55,7 +55,7 @@
 	Clock         clock.Clock
 	Bodies        *body.Store
 	Classes       []balancer.Class
-	DeadlineSlack balancer.Millis // how long after the client's deadline a response may still be sent
+	DeadlineSlack balancer.Millis // how long after the client's deadline a response still counts
 	Log           *slog.Logger
 	Counters      *counters.Counters
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	ReportFields  []string // the names of a load report's fields, in order
 
 	ServerIdleTimeout balancer.Millis // idle time after which servers close a connection; 0: never
-	ResponseSlack     balancer.Millis // how long after the client's deadline a final response may still be sent
+	ResponseSlack     balancer.Millis // how long after the client's deadline a final response still counts
 
 	// Digest is equal for equal settings in every version of the program.
 	Digest string
