--- a/balancer/clone.go
+++ b/balancer/clone.go
@@ -17,7 +17,8 @@
 	source := *b.randomSource
 	clone := *b
 	clone.settings = settings
-	clone.fleet.size = settings.Nodes * b.fleet.processes // each node is assumed to have as many processes
+	// During an upgrade, each node of the fleet is assumed to have as many processes as this one.
+	clone.fleet.size = settings.Nodes * b.fleet.processes
 	clone.randomSource = &source
 	clone.rng = rand.New(&source)
 	clone.actions = nil
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -15,7 +15,7 @@
 //
 //	endpointlist.go    endpoint list: polling, backoff, staleness, new and removed servers
 //	server.go          state of one server
-//	outcomewindow.go   outcomes of a server's attempts in the last ten seconds
+//	outcomewindow.go   outcomes at a server in the last ten seconds
 //	healthscore.go     scores from latency, errors and recent outcomes
 //	unittime.go        time that a server takes for a request, and slowdowns of the whole fleet
 //	failurerate.go     failure rate of a class at a server, and of a zone
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -21,7 +21,7 @@
 
 const (
 	gossipLoads    gossipKind = iota // requests that the node has in flight at a server
-	gossipOutcomes                   // successes and failures of its attempts there, in its outcome window
+	gossipOutcomes                   // successes and failures that it recorded there, in its error window
 )
 
 // entryLen returns the length of a server's entry, in bytes.
@@ -32,7 +32,7 @@
 	from            int // number of the node
 	kind            gossipKind
 	loadOrSuccesses float64 // requests in flight, or successes
-	failures        float64 // unused for gossipLoads
+	failures        float64 // for gossipLoads equal to loadOrSuccesses and unused
 	receivedAt      Millis
 }
 
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -23,8 +23,8 @@
 	// server vary less, and keeping it free gains nothing.
 	idleTimeFraction = 0.7
 	// idleFleetTimeFraction is multiplied by the idle fraction of the fleet and added to
-	// newRequestTimeFraction. If at least 0.3 of the fleet is idle, the expected time of an attempt may
-	// be all of the time to the objective.
+	// newRequestTimeFraction to give the same limit if that is larger. If 0.3 of the fleet is idle, the
+	// limit is all of the time to the objective; if more is idle, the limit is longer than that time.
 	idleFleetTimeFraction = 2.0
 	// saturationFactor, as a multiple of a server's parallelism, is the number of requests above which
 	// the server becomes slower for all of them.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -65,7 +65,7 @@
 }
 
 // retryMayHarm reports whether a client's retry could make the request take effect twice: an attempt may
-// have run, and the retry may reach a server outside the dedup scope.
+// have run, and the retry may reach a server that does not detect the repeat.
 func (b *Balancer) retryMayHarm(r *request) bool {
 	if !r.mayHaveRun && r.openAttempts == 0 {
 		return false
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -121,7 +121,7 @@
 )
 
 // validate returns an error that describes the first invalid setting. The messages use the terms of the
-// settings file, such as "cold" and "aim", because these are the keys that an operator can change.
+// settings object, such as "cold" and "aim", because these are the keys that an operator can change.
 func validate(s Settings) error {
 	switch {
 	case s.Nodes < 1:
@@ -133,7 +133,8 @@
 	case s.SlowStart.InitialCapacity < 0 || s.SlowStart.InitialCapacity > 1:
 		return fmt.Errorf("cold starting share must be from 0 to 1, got %v", s.SlowStart.InitialCapacity)
 	case s.SlowStart.Duration < 0 || s.SlowStart.OverloadWindow < 0 || s.SlowStart.OverloadFactor <= 0:
-		return fmt.Errorf("cold server settings must be positive, got %+v", s.SlowStart)
+		return fmt.Errorf("cold server settings must be positive, got cold_ms %v, fall_ms %v and fall_multiple %v",
+			s.SlowStart.Duration, s.SlowStart.OverloadWindow, s.SlowStart.OverloadFactor)
 	case s.DrainGrace < 0:
 		return fmt.Errorf("drain grace must not be negative, got %v ms", s.DrainGrace)
 	}
