--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -18,7 +18,7 @@
 	Name             string            `toml:"name"`      // name of this member; default: the node's name
 	Listen           string            `toml:"listen"`    // IP address and port, for UDP and TCP
 	Advertise        string            `toml:"advertise"` // address at which others reach this member; default: Listen
-	Seeds            []string          `toml:"seeds"`     // addresses of members to contact on start
+	Seeds            []string          `toml:"seeds"`     // addresses of members to contact first
 	AddressOverrides map[string]string `toml:"addresses"` // by member name: address to use instead of the advertised one
 	AcceptNetworks   []string          `toml:"accept"`    // networks whose messages are accepted; default: all
 	ProbeInterval    operator.Duration `toml:"period"`    // time between two health probes
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -24,8 +24,8 @@
 	// maximum length.
 	maxStateBytes = 256 << 10
 
-	// maxStreams limits the open streams in each direction, except accepted liveness streams. Full states are exchanged with one
-	// member every ten seconds, and with each member that becomes reachable again.
+	// maxStreams limits the open streams in each direction, except liveness streams; an incoming one counts until its first message
+	// is read. Full states are exchanged with one member every ten seconds, and with each member that becomes reachable again.
 	maxStreams = 8
 
 	// streamTimeout limits a whole exchange of messages.
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -25,7 +25,8 @@
 	columns []string
 }
 
-// read parses the file up to its end or to the first syntax error.
+// read parses the file up to its end, or to an error that prevents further parsing: invalid UTF-8, an invalid header or a syntax
+// error.
 func (r *csvReader) read(body []byte) {
 	if pos, ok := checkUTF8(body); !ok {
 		r.report(pos, "invalid UTF-8")
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -44,7 +44,7 @@
 	limitExceeded bool // a limit was exceeded and has been reported
 }
 
-// read parses the file. If the file exceeds a limit or has a syntax error, it reports only that error.
+// read parses the file. If the file fails checkYAMLLimits or has a syntax error, it reports only that error.
 func (r *yamlReader) read(body []byte) {
 	if pos, message := checkYAMLLimits(body); message != "" {
 		r.report(pos, "%s", message)
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -99,7 +99,7 @@
 	connectivity Connectivity
 	localHealth  int           // Lifeguard's score: 0 is healthy; a higher score makes this process slower to suspect others
 	lastReceived time.Duration // when the latest message from any member arrived, moved forward by later pauses of this process
-	lastAcked    time.Duration // when any member last answered a ping or SyncRequest of this process, moved forward by later pauses
+	lastAcked    time.Duration // when any member last sent this process an Ack or SyncReply, moved forward by later pauses
 	lastRefuted  time.Duration
 	everReceived bool // whether any member's message has arrived
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -17,7 +17,8 @@
 	// gossipBaseMembers is the cluster size above which the number of repeats grows with the logarithm of the size.
 	gossipBaseMembers = 9
 
-	// syncIntervals is the number of probe intervals between two exchanges of full states, and between two pings of the seeds.
+	// syncIntervals is the number of probe intervals between two exchanges of full states, and between two pings of the seeds
+	// unless this process is alone in its view.
 	syncIntervals = 40
 
 	// MaxDatagramBytes is the maximum size of a datagram. It is small enough that common networks do not fragment the datagram.
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -308,8 +308,8 @@
 	}
 }
 
-// retryUnreachable pings one member that is unreachable or left, and at longer intervals the seeds, so that the parts of a
-// partitioned cluster merge again.
+// retryUnreachable pings one member that is unreachable or left, and the seeds (at longer intervals unless this process is alone in
+// its view), so that the parts of a partitioned cluster merge again.
 func (c *Core) retryUnreachable() {
 	if c.now < c.due.retry {
 		return
--- a/internal/overload/summary.go
+++ b/internal/overload/summary.go
@@ -53,7 +53,8 @@
 
 func (s *source) latest() sample { return s.samples[len(s.samples)-1] }
 
-// accepts reports whether a summary is later than the latest sample and consistent with it. Inconsistent summaries are ignored.
+// accepts reports whether a summary is later than the latest sample and consistent with it. Inconsistent ones are ignored until
+// they are consistent again.
 func (s *source) accepts(m Summary) bool {
 	if len(s.samples) == 0 {
 		return true
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -9,7 +9,7 @@
 	Members             int      `json:"members"`
 	UnitsLeased         int      `json:"units_leased"`
 	UnitsOfEndedLessors int      `json:"units_sole"`          // used without an expiry because the lessor's process has ended
-	LapsedLessors       []string `json:"lapsed,omitempty"`    // lessors whose leases to this process have expired
+	LapsedLessors       []string `json:"lapsed,omitempty"`    // lessors whose units this process may not use now, since it has no valid lease
 	InheritedFrom       []string `json:"inherited,omitempty"` // lessees whose units this process uses because their leases are over
 }
 
