--- a/cmd/tacklab/compare.go
+++ b/cmd/tacklab/compare.go
@@ -15,7 +15,7 @@
 // confidence is the confidence level of all intervals.
 const confidence = 0.95
 
-// metrics are the figures by which two arms are compared.
+// metrics are the rows of the comparison table: the figures that are compared between the two arms.
 var metrics = []struct {
 	name  string
 	value func(experiment.Figures) float64
@@ -58,21 +58,21 @@
 		if i%2 == 1 {
 			order = []int{1, 0}
 		}
-		for _, side := range order {
-			r, err := c.runOne(ctx, side, c.Seed+uint64(i))
+		for _, arm := range order {
+			r, err := c.runOne(ctx, arm, c.Seed+uint64(i))
 			if err != nil {
 				return err
 			}
-			figures[side] = append(figures[side], r.Figures)
+			figures[arm] = append(figures[arm], r.Figures)
 			for rule, n := range r.BreachesByRule {
-				breaches[side][rule] += n
+				breaches[arm][rule] += n
 			}
-			fmt.Printf("%s %s\n", string("AB"[side]), summaryLine(r))
+			fmt.Printf("%s %s\n", string("AB"[arm]), summaryLine(r))
 		}
 	}
 	differences := c.printTable(figures)
-	for side, rules := range breaches {
-		fmt.Printf("%s: rules broken: %s\n", string("AB"[side]), formatRules(rules))
+	for arm, rules := range breaches {
+		fmt.Printf("%s: rules broken: %s\n", string("AB"[arm]), formatRules(rules))
 	}
 	if c.JSON == "" {
 		return nil
@@ -84,10 +84,10 @@
 	return os.WriteFile(c.JSON, append(raw, '\n'), 0o644)
 }
 
-// runOne runs one arm once. An invalid run is an error that ends the comparison, because its pair is incomplete.
-func (c *compareCmd) runOne(ctx context.Context, side int, seed uint64) (*experiment.Result, error) {
+// runOne runs one arm once. It returns an error if the run is invalid, because a pair without both runs cannot be compared.
+func (c *compareCmd) runOne(ctx context.Context, arm int, seed uint64) (*experiment.Result, error) {
 	file, overrides, program := c.A, c.SetA, c.ProgramA
-	if side == 1 {
+	if arm == 1 {
 		file, overrides, program = c.B, c.SetB, c.ProgramB
 	}
 	s, err := scenario.Load(file, append(append([]string(nil), overrides...), fmt.Sprintf("seed=%d", seed))...)
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	if r.Verdict == experiment.VerdictInvalid {
-		return nil, fmt.Errorf("the run of arm %s with seed %d is invalid: %s", string("AB"[side]), seed, r.InvalidReason)
+		return nil, fmt.Errorf("the run of arm %s with seed %d is invalid: %s", string("AB"[arm]), seed, r.InvalidReason)
 	}
 	return r, nil
 }
--- a/cmd/tacklab/demo.go
+++ b/cmd/tacklab/demo.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d servers in %d zones, %d nodes, %.0f requests a second; a server crashes at 8s and restarts in slow start at 12s. About %v.\n",
+	fmt.Printf("%d servers in %d zones, %d nodes, %.0f requests per second; a server crashes at 8s and restarts in slow start at 12s. The demo takes about %v.\n",
 		s.Fleet.Servers, len(s.Fleet.Zones), s.Nodes.Count, s.Load[0].CapacityMultiple*s.Capacity(), expectedDuration(s))
 	fmt.Println("worth: fraction of the requests' priority weight served within the latency objective; excluded: servers ejected by a node")
 	r, err := runScenario(ctx, s, commonFlags{Program: c.Program}, progressPrinter(s), func(nodes []string) {
--- a/cmd/tacklab/knownred.go
+++ b/cmd/tacklab/knownred.go
@@ -29,7 +29,7 @@
 	Command []string `arg:"" passthrough:"" help:"The command with its arguments."`
 }
 
-// runner returns a runner with the entries of the list. A missing list is empty.
+// runner returns a runner with the entries of the list. If the file does not exist, the list is empty.
 func (c *knownRedCmd) runner() (*knownred.Runner, error) {
 	text, err := os.ReadFile(c.List)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -51,7 +51,7 @@
 	return r.Check()
 }
 
-// Run runs all tests; listed tests run separately and may fail.
+// Run runs all tests. The listed tests run separately from the others and may fail.
 func (c *knownRedTestCmd) Run() error {
 	r, err := cli.KnownRed.runner()
 	if err != nil {
--- a/cmd/tacklab/members.go
+++ b/cmd/tacklab/members.go
@@ -28,9 +28,9 @@
 	fmt.Println("| members | period | suspicion | loss, jitter | p50 | p99 | foretold mean | taken out alive, a member and hour |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 	chart := plot.New()
-	chart.Title.Text = "Time to detect against false verdicts"
-	chart.X.Label.Text = "p99 until out of every view, s"
-	chart.Y.Label.Text = "taken out alive, a member and hour"
+	chart.Title.Text = "Detection time and false removals"
+	chart.X.Label.Text = "p99 time until removal from every view, s"
+	chart.Y.Label.Text = "live members removed, per member and hour"
 	for i, loss := range []float64{0, 0.2} {
 		var points plotter.XYs
 		for _, suspicion := range []time.Duration{600, 1000, 1500, 2500, 4000} {
@@ -51,7 +51,7 @@
 		}
 		line.Color, markers.Color = plotutil.Color(i), plotutil.Color(i)
 		chart.Add(line, markers)
-		chart.Legend.Add(fmt.Sprintf("%.0f%% lost", loss*100), line, markers)
+		chart.Legend.Add(fmt.Sprintf("%.0f%% packet loss", loss*100), line, markers)
 	}
 	fmt.Println("\n| members | bytes/s, calm | datagrams/s | bytes/s, six in ten lost | known after | CPU, calm |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
--- a/cmd/tacklab/program.go
+++ b/cmd/tacklab/program.go
@@ -12,11 +12,12 @@
 	"tackhub.example/tackhub/lab/scenario"
 )
 
-// nodePackage is the package that is built if no program is given.
+// nodePackage is the import path of the tackhub command, which is built if no program is given.
 const nodePackage = "tackhub.example/tackhub/cmd/tackhub"
 
-// nodeCommand returns the command that starts a scenario's nodes and a description of its build. If no program is given, it
-// builds one with the given build tags, or without tags uses findProgram. clean removes a program that was built.
+// nodeCommand returns the command that starts a scenario's nodes and a description of its build. The nodes of a baseline are
+// started with this program. For other nodes it uses the given program, else the scenario's. If there is neither, it builds
+// one with the build tags or, if there are no tags, calls findProgram. clean removes the program if it was built.
 func nodeCommand(s *scenario.Scenario, program, tags string) (argv []string, build string, clean func(), err error) {
 	clean = func() {}
 	if s.Nodes.Kind != "tackhub" {
--- a/cmd/tacklab/run.go
+++ b/cmd/tacklab/run.go
@@ -23,10 +23,10 @@
 	Logs    string   `help:"Keep the nodes' configurations and logs in this folder." type:"path"`
 }
 
-func (a commonFlags) overrides() []string {
-	out := append([]string(nil), a.Set...)
-	if a.Seed != nil {
-		out = append(out, fmt.Sprintf("seed=%d", *a.Seed))
+func (f commonFlags) overrides() []string {
+	out := append([]string(nil), f.Set...)
+	if f.Seed != nil {
+		out = append(out, fmt.Sprintf("seed=%d", *f.Seed))
 	}
 	return out
 }
@@ -97,7 +97,7 @@
 		Progress: progress, Started: started})
 }
 
-// progressPrinter returns a function that prints a line for each progress report, after a header line.
+// progressPrinter returns a function that prints one line for each progress report. The first call also prints a header line.
 func progressPrinter(s *scenario.Scenario) func(experiment.Progress) {
 	headerPrinted := false
 	return func(p experiment.Progress) {
--- a/cmd/tacklab/soak.go
+++ b/cmd/tacklab/soak.go
@@ -11,7 +11,7 @@
 	"tackhub.example/tackhub/lab/soak"
 )
 
-// maxBreachesShown is the maximum number of breaches printed with their time lines for one run.
+// maxBreachesShown is the maximum number of breaches printed with their timelines for one run.
 const maxBreachesShown = 5
 
 // soakCmd runs plans generated from seeds, with planned stops of nodes and with faults.
@@ -89,7 +89,7 @@
 		}
 		return []*scenario.Scenario{s}, nil
 	}
-	var scenarios []*scenario.Scenario
+	var generated []*scenario.Scenario
 	for i := range max(1, c.Runs) {
 		text, err := soak.PlanText(soak.Plan(soak.Options{Seed: c.Seed + uint64(i), Nodes: c.Nodes, Duration: c.Duration, Quiet: c.Quiet, Kind: c.Kind}))
 		if err != nil {
@@ -99,9 +99,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("seed %d: %w", c.Seed+uint64(i), err)
 		}
-		scenarios = append(scenarios, s)
+		generated = append(generated, s)
 	}
-	return scenarios, nil
+	return generated, nil
 }
 
 func printPlans(plans []*scenario.Scenario) error {
@@ -130,14 +130,14 @@
 	return soak.Play(ctx, s, argv, env, dir, build)
 }
 
-// printBreaches prints the first breaches of a run with their time lines.
+// printBreaches prints the first breaches of a run with their timelines.
 func printBreaches(outcome *soak.Outcome) {
 	for i, b := range outcome.Result.Breaches {
 		if i == maxBreachesShown {
 			fmt.Printf("and %d more\n", len(outcome.Result.Breaches)-i)
 			break
 		}
-		fmt.Printf("rule %s broken at %.3f: %s\n", b.Rule, b.At.Seconds(), b.Text)
+		fmt.Printf("rule %s broken at %.3fs: %s\n", b.Rule, b.At.Seconds(), b.Text)
 		soak.WriteTimeline(os.Stdout, outcome.Result, b)
 	}
 }
