--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -23,7 +23,7 @@
 		{fleet.PodSize < 1, "fleet.pod_size", "must be at least 1"},
 		{fleet.Cores < 1, "fleet.cores", "must be at least 1"},
 		{fleet.Speed <= 0, "fleet.speed", "must be above 0"},
-		{fleet.SpeedSpread < 0 || fleet.SpeedSpread >= 1, "fleet.speed_spread", "must be 0 to 1"},
+		{fleet.SpeedSpread < 0 || fleet.SpeedSpread >= 1, "fleet.speed_spread", "must be at least 0 and below 1"},
 		{fleet.InitialSpeed <= 0 || fleet.InitialSpeed > 1, "fleet.cold_from", "must be above 0 and at most 1"},
 		{fleet.SlowdownFactor < 1, "fleet.slow_times", "must be at least 1"},
 		{nodes.Count < 1 || nodes.Count > 64, "nodes.count", "must be 1 to 64"},
@@ -47,7 +47,8 @@
 		}
 	}
 	if s.Inventory != nil && !s.Inventory.valid() {
-		return fmt.Errorf("inventory: form must be csv or yaml, every must be above 0, and bad and saving must not be negative and must add up to at most 1")
+		return fmt.Errorf("inventory: form %q must be csv or yaml, every %v must be above 0, bad %v and saving %v must not be negative and add up to at most 1",
+			s.Inventory.Format, s.Inventory.RewriteInterval, s.Inventory.InvalidFraction, s.Inventory.InPlaceFraction)
 	}
 	for name, link := range map[string]Impairment{"clients": s.Links.Clients, "servers": s.Links.Servers, "discovery": s.Links.Discovery} {
 		if link.Loss < 0 || link.Loss >= 1 || link.Delay < 0 || link.Jitter < 0 || link.Bandwidth < 0 || !slices.Contains(directions, link.Direction) {
@@ -66,9 +67,9 @@
 // valid reports whether the format is known, the interval between rewrites is above 0, and the fractions are not negative
 // and add up to at most 1.
 func (i *Inventory) valid() bool {
-	knownForm := i.Format == "csv" || i.Format == "yaml"
-	validShares := i.InvalidFraction >= 0 && i.InPlaceFraction >= 0 && i.InvalidFraction+i.InPlaceFraction <= 1
-	return knownForm && validShares && i.RewriteInterval > 0
+	knownFormat := i.Format == "csv" || i.Format == "yaml"
+	validFractions := i.InvalidFraction >= 0 && i.InPlaceFraction >= 0 && i.InvalidFraction+i.InPlaceFraction <= 1
+	return knownFormat && validFractions && i.RewriteInterval > 0
 }
 
 // checkClasses returns an error that names the first invalid class, or nil.
@@ -149,6 +150,6 @@
 	directions      = []string{"", "both", "up", "down"}
 	followUpSignals = []string{"TERM", "INT", "HUP", "USR1"}
 
-	// Defects are the defects that a baseline can be given to test the auditor; empty means none.
+	// Defects lists the intentional defects of a baseline, which serve to test the auditor. The empty string means no defect.
 	Defects = []string{"", "double-send", "lost-answer", "late-drain", "swapped-answer", "late-answer", "cold-push", "refuse-run"}
 )
--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Mesh connects the nodes to a cluster, with a separate link for each directed pair of nodes. For durations of 0, the
-// nodes use their defaults.
+// Mesh connects the nodes into a cluster, with a separate link for each directed pair of nodes. If a duration is 0, the
+// nodes use their default for it.
 type Mesh struct {
 	Period    time.Duration `toml:"period"`
 	Timeout   time.Duration `toml:"timeout"`
@@ -19,13 +19,14 @@
 	Overload  bool          `toml:"overload"` // nodes coordinate load shedding
 }
 
-// MeshExpect holds the requirements on the nodes' membership views and on the cost of the mesh. 0 means no limit.
+// MeshExpect holds the requirements on the nodes' membership views and on the cost of the mesh. Bytes and Cores are not
+// limited if they are 0. DetectWithin and ConvergeWithin have no default: if they are 0, the auditor tolerates no delay.
 type MeshExpect struct {
-	DetectWithin   time.Duration `toml:"notice"`      // until a failed or unreachable node is removed from every view
-	ConvergeWithin time.Duration `toml:"heal"`        // after the last fault, until all nodes have the same view
-	Bytes          float64       `toml:"bytes_max"`   // bytes per second that a node may send to other nodes
-	Cores          float64       `toml:"cpu_max"`     // CPU cores that a node may use
-	IgnorePartial  bool          `toml:"uneven_only"` // members that only some nodes can reach are not judged
+	DetectWithin   time.Duration `toml:"notice"`      // longest time until a failed or unreachable node is removed from every view
+	ConvergeWithin time.Duration `toml:"heal"`        // longest time after the last fault until all nodes have the same view
+	Bytes          float64       `toml:"bytes_max"`   // maximum bytes per second that a node sends to other nodes
+	Cores          float64       `toml:"cpu_max"`     // maximum number of CPU cores that a node uses
+	IgnorePartial  bool          `toml:"uneven_only"` // live members that only some nodes can reach may be missing from views
 }
 
 // checkMesh returns an error that names the first invalid setting of the mesh or of its faults, or nil.
@@ -138,8 +139,8 @@
 	return slices.DeleteFunc(indexes(s.Nodes.Count), func(i int) bool { return slices.Contains(set, i) })
 }
 
-// nodeSet returns the nodes on one side of a link target. For "rest" it returns nil: the caller, which has the other side,
-// replaces it by all nodes outside that side.
+// nodeSet returns the nodes on one side of a link target. For "rest" it returns nil, because "rest" depends on the other
+// side: the caller replaces nil with all nodes that are not on that side.
 func (s *Scenario) nodeSet(text string) ([]int, error) {
 	kind, name, _ := strings.Cut(text, ":")
 	switch kind {
--- a/lab/scenario/parse.go
+++ b/lab/scenario/parse.go
@@ -23,8 +23,8 @@
 	return s, nil
 }
 
-// Parse reads and validates a scenario. An override has the form key=value with a dotted key, and replaces the value of
-// the text.
+// Parse reads and validates a scenario. An override has the form key=value with a dotted key, such as fleet.servers=30. It
+// replaces the value that the text sets for the key.
 func Parse(text string, overrides ...string) (*Scenario, error) {
 	s := defaults()
 	for _, o := range overrides {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -12,7 +12,7 @@
 	Name         string        `toml:"name"`
 	About        string        `toml:"about"`
 	Seed         uint64        `toml:"seed"`
-	Warmup       time.Duration `toml:"warmup"`   // precedes the measured part of the run
+	Warmup       time.Duration `toml:"warmup"`   // of the part of the run before the measured part
 	Duration     time.Duration `toml:"duration"` // of the measured part
 	MaxSendDelay time.Duration `toml:"rig_late"` // maximum p99 delay of the lab's own sends; above it the run is invalid
 	Fleet        Fleet         `toml:"fleet"`
@@ -78,7 +78,7 @@
 	DiscoveryDelay time.Duration `toml:"discovery_delay"` // from a change of the servers until discovery reports it
 }
 
-// The effects that a repeated execution of a request of a class has.
+// The values of Class.Effect: the effect of executing the same request more than once.
 const (
 	EffectSafe   = "safe"   // none
 	EffectKeyed  = "keyed"  // none within the window, because the servers store the idempotency key
@@ -92,8 +92,8 @@
 	Group            string        `toml:"group"`  // idempotency scope of a keyed class: all, zone or cell
 	Window           time.Duration `toml:"window"`
 	Share            float64       `toml:"share"` // of the requests, relative to the sum over all classes
-	PriorityWeight   float64       `toml:"worth"` // priority weight
-	LatencyObjective time.Duration `toml:"aim"`   // latency objective
+	PriorityWeight   float64       `toml:"worth"` // of one request
+	LatencyObjective time.Duration `toml:"aim"`   // longest latency that counts as served in the goodput
 	Deadline         time.Duration `toml:"deadline"`
 	Work             time.Duration `toml:"work"` // mean per request
 	Dist             string        `toml:"dist"` // fixed, exponential or lognormal
@@ -132,7 +132,7 @@
 	For             time.Duration `toml:"for"` // duration; 0: until the end of the run
 	Kind            FaultKind     `toml:"kind"`
 	Target          string        `toml:"target"` // "25%", "3" servers, "zone:b", "server:s004", "node:0", "all"
-	Spread          time.Duration `toml:"over"`   // the targets are hit one after the other over this duration
+	Spread          time.Duration `toml:"over"`   // the fault starts at one target after the other over this duration
 	Factor          float64       `toml:"times"`  // of slow: divides the speed
 	Fraction        float64       `toml:"share"`  // of errors, loss, duplicate and reorder: affected fraction of the requests or packets
 	NewID           bool          `toml:"new_id"` // a server that returns has a new ID
@@ -159,10 +159,10 @@
 	Discovery Impairment `toml:"discovery"`
 }
 
-// Expectations holds the requirements that a run must meet in addition to the rules. An unset field is not checked.
+// Expectations holds the requirements that a run must meet in addition to the auditor's rules. An unset field is not checked.
 type Expectations struct {
 	Goodput     *float64       `toml:"worth_min"`        // minimum fraction of the priority weight served within the latency objective
-	WorstWindow *float64       `toml:"worst_window_min"` // the same in the worst interval of length Window
+	WorstWindow *float64       `toml:"worst_window_min"` // minimum of the same fraction in any interval of length Window
 	Window      time.Duration  `toml:"window"`
 	P99         *time.Duration `toml:"p99_max"` // latency of served requests, from the scheduled send time
 	Rejected    *float64       `toml:"refused_max"`
@@ -173,7 +173,7 @@
 	Mesh        *MeshExpect    `toml:"mesh"`
 }
 
-// Recover requires that the goodput reaches a level within a time after From and holds it for one window.
+// Recover requires that a window with a goodput of at least Goodput starts no later than Within after From.
 type Recover struct {
 	From    time.Duration `toml:"from"`
 	Within  time.Duration `toml:"within"`
@@ -193,8 +193,8 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-// HasFault reports whether a fault of a kind is scheduled. The links that such a fault acts on must exist from the start
-// of the run.
+// HasFault reports whether a fault of a kind is scheduled. If a fault will act on a link, its callers create the link at the
+// start of the run even if the link has no other impairment.
 func (s *Scenario) HasFault(kind FaultKind) bool {
 	for _, f := range s.Faults {
 		if f.Kind == kind {
@@ -206,10 +206,10 @@
 
 // Capacity returns the maximum number of requests per second that the fleet can serve when no server is in slow start.
 func (s *Scenario) Capacity() float64 {
-	mean, shares := 0.0, 0.0
+	weightedWork, shareSum := 0.0, 0.0
 	for _, c := range s.Classes {
-		mean += c.Share * c.Work.Seconds()
-		shares += c.Share
+		weightedWork += c.Share * c.Work.Seconds()
+		shareSum += c.Share
 	}
-	return float64(s.Fleet.Servers*s.Fleet.Cores) * s.Fleet.Speed / (mean / shares)
+	return float64(s.Fleet.Servers*s.Fleet.Cores) * s.Fleet.Speed / (weightedWork / shareSum)
 }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// A fault must hit its targets one after the other over its spread duration, and must end at each after its duration.
+// A fault must start at one target after the other over its spread duration, and must end at each target after its duration.
 func TestFaultEventsSpreadOverTargetsAndEnd(t *testing.T) {
 	events := mustSchedule(t, mustParse(t, smallScenario)).Events
 	if len(events) != 4 {
