--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline implements simple balancers to compare the node with. They choose a random server, or the server with
-// the fewest of this balancer's requests in flight. A baseline uses the node's protocol and keeps the rules of any careful
-// proxy: it does not retry an unsafe request that may have been executed, and sends no new request to a draining server.
-// It has no scores, ejection, slow start or tenants, and shares no decision code with the node.
+// Package baseline implements simple load balancers with which the node is compared. A baseline chooses a random server, or
+// the server with the fewest requests in flight from this baseline. It uses the same protocol as the node and follows the
+// usual rules of a proxy: it does not retry an unsafe request that may have been executed, and sends no new request to a
+// draining server. It has no scores, ejection, slow start or tenants, and shares no decision code with the node.
 //
 // A baseline can be given an intentional defect that breaks one rule, to test the auditor.
 package baseline
@@ -292,7 +292,7 @@
 	}
 }
 
-// attempt sends the request to one server. It returns the status, or 0 without a response, and whether the request may have
+// attempt sends the request to one server. It returns the status, or 0 if there is no response, and whether the request may have
 // been executed.
 func (n *node) attempt(ctx *fasthttp.RequestCtx, s *server, deadline time.Time) (status int, mayHaveExecuted bool) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -319,7 +319,7 @@
 }
 
 // injectDefect applies the defects that replace forwarding and reports whether it did. Only every seventh request is
-// affected, so that the other requests show a normal run.
+// affected, so that most of the run is normal.
 func (n *node) injectDefect(ctx *fasthttp.RequestCtx, class balancer.Class, timeout time.Duration) bool {
 	n.mu.Lock()
 	n.requestCount++
@@ -357,7 +357,7 @@
 	return true
 }
 
-// swapResponse replaces the response body by that of the previous request.
+// swapResponse replaces the response body with that of the previous request.
 func (n *node) swapResponse(ctx *fasthttp.RequestCtx) {
 	if ctx.Response.StatusCode() != fasthttp.StatusOK {
 		return
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -69,12 +69,12 @@
 		lines       []line
 		maxY        float64
 	}{
-		{"Worth served", "share of the worth asked for", goodputLines(r), 1.05},
-		{"Latency of what was served", "ms from the intended send", latencyLines(r), 0},
-		{"Refused and failed", "operations a second", outcomeLines(r), 0},
-		{"Load by server", "requests in hand", serverLoadLines(r), 0},
+		{"Worth served within the latency objective", "fraction of the worth of all requests", goodputLines(r), 1.05},
+		{"Latency of served requests", "ms since the scheduled send time", latencyLines(r), 0},
+		{"Refused and failed", "operations per second", outcomeLines(r), 0},
+		{"Load by server", "requests in flight", serverLoadLines(r), 0},
 		{"Memory of the nodes", "MB resident", nodeLines(r, func(s sample) float64 { return s.memory }), 0},
-		{"Descriptors of the nodes", "open", nodeLines(r, func(s sample) float64 { return s.sockets }), 0},
+		{"File descriptors of the nodes", "open", nodeLines(r, func(s sample) float64 { return s.sockets }), 0},
 		{"CPU of the nodes", "cores", nodeLines(r, func(s sample) float64 { return s.cpu }), 0},
 	} {
 		svg, err := chart(p.title, p.unit, p.lines, p.maxY, r.Marks)
@@ -125,8 +125,8 @@
 	return []line{{"asked", requested}, {"refused", rejected}, {"failed", failed}}
 }
 
-// serverLoadLines returns the lines of the median and the highest number of requests in flight of a server, and of the
-// highest number of a server in slow start.
+// serverLoadLines returns three lines, each with the number of requests in flight: of the median server, of the most loaded
+// server, and of the most loaded server in slow start.
 func serverLoadLines(r *experiment.Result) []line {
 	median, highest, slowStart := plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	for i, loads := range r.Servers {
@@ -146,10 +146,10 @@
 			slowStart = append(slowStart, plotter.XY{X: at, Y: slowStartMax})
 		}
 	}
-	return []line{{"median server", median}, {"fullest server", highest}, {"fullest cold server", slowStart}}
+	return []line{{"median server", median}, {"most loaded server", highest}, {"most loaded server in slow start", slowStart}}
 }
 
-// sample holds the values of a node at a time: memory in MB, open sockets and CPU cores used.
+// sample holds the values of a node at one point in time: memory in MB, open sockets and CPU cores used.
 type sample struct{ memory, sockets, cpu float64 }
 
 func nodeLines(r *experiment.Result, value func(sample) float64) []line {
@@ -241,8 +241,8 @@
 <h2>Rules</h2>
 {{if .Breaches}}<table><tr><th>rule</th><th>at</th><th>what</th></tr>
 {{range .Breaches}}<tr><td>{{.Rule}}</td><td>{{.At}}</td><td>{{.Text}}</td></tr>{{end}}</table>
-{{if .More}}<p>and {{.More}} more</p>{{end}}{{else}}<p class="ok">No rule broke.</p>{{end}}
-<h2>Course</h2>
+{{if .More}}<p>and {{.More}} more</p>{{end}}{{else}}<p class="ok">No rule was broken.</p>{{end}}
+<h2>Time series</h2>
 {{range .Plots}}{{.}}{{end}}
 <h2>Faults</h2>
 <table>{{range .R.Marks}}<tr><td>{{printf "%.1f s" .At}}</td><td>{{.Text}}</td></tr>{{else}}<tr><td>none</td></tr>{{end}}</table>
