--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -97,9 +97,9 @@
 			t.Parallel()
 			overrides := []string{"nodes.kind=least", "nodes.break=" + defect, "duration=3s", "warmup=500ms", "rig_late=1s"}
 			switch defect {
-			case "late-drain": // drain early enough for the grace period to end within the run, and without an end of the drain
+			case "late-drain": // the drain starts early, so that the grace period ends within the run, and has no end
 				overrides = append(overrides, "nodes.drain_grace=300ms", "fault=[{at=\"800ms\", kind=\"drain\", target=\"4\"}]")
-			case "cold-push": // both nodes send their whole load to one server that starts with a fifth of a core
+			case "cold-push": // both nodes send their whole load to one server that starts with a fifth of its speed
 				overrides = append(overrides, "load=[{rate=150}]", "fleet.cold_from=0.2", "fault=[{at=\"700ms\", kind=\"cold-return\", target=\"server:1\"}]")
 			default:
 				overrides = append(overrides, "fault=[]")
@@ -145,7 +145,7 @@
 	}
 }
 
-// The recovery time must end at the first whole window that reaches the expected goodput.
+// The recovery time must end at the start of the first window whose goodput reaches the expected value.
 func TestRecoveryTimeAfterOutage(t *testing.T) {
 	s := loadSmall(t, "duration=20s", "warmup=0s", "expect.window=1s")
 	ops := fixedRateOperations(s, func(at time.Duration) bool { return at < 5*time.Second || at >= 8*time.Second })
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// viewInterval is the time between two status queries to a process.
+	// viewInterval is the time between two status queries to a node.
 	viewInterval = 50 * time.Millisecond
 
-	// maxQueryTime is the longest duration of a status query whose result is used. A process that was suspended during the
-	// query may have returned a view of a much earlier or later time than the sample's.
+	// maxQueryTime is the longest duration of a status query whose result is used. If the node's process was suspended during
+	// a longer query, its view may date from a much earlier or later time than the sample.
 	maxQueryTime = 200 * time.Millisecond
 )
 
@@ -36,12 +36,12 @@
 	linkEvents     []audit.LinkEvent
 	otherFaultEnds []audit.Offset
 	quotaGrants    []audit.QuotaGrant
-	lastGrant      map[[2]uint64]int64 // start of the last recorded quota, by node and generation
+	lastGrant      map[[2]uint64]int64 // start of the last recorded quota in Unix nanoseconds, by node and generation
 	trafficStarts  []trafficCount      // by node, at the start of the load
 	bytesPerSecond []float64           // by node
 }
 
-// trafficCount is a node's counter of bytes sent to other nodes at a time.
+// trafficCount is the value of a node's counter of bytes sent to other nodes at one point in time.
 type trafficCount struct {
 	at    time.Time
 	bytes float64
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// maxSeeds is the number of other nodes that a node contacts to join the cluster.
+// maxSeeds is the maximum number of other nodes that a node contacts to join the cluster.
 const maxSeeds = 2
 
 // clusterSection returns the [cluster] section of a node's operator file. The address of each other node is that of the
@@ -209,8 +209,8 @@
 	}
 }
 
-// countTraffic reads each node's counter of bytes sent to other nodes. At the end it also computes the rate since the last
-// call.
+// countTraffic reads each node's counter of bytes sent to other nodes. If end is true, it also computes the rate since the
+// previous call.
 func (r *run) countTraffic(end bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for i, addr := range r.nodes.Addresses() {
@@ -233,7 +233,8 @@
 	}
 }
 
-// judgeMembers lets the auditor compare the nodes' views with the faults and downtimes of the run.
+// judgeMembers checks the nodes' views and quotas with the auditor, against the faults and downtimes of the run. It adds
+// the breaches and the figures to the result.
 func (r *run) judgeMembers(out *Result) {
 	s := r.options.Scenario
 	limits := audit.MemberLimits{DetectWithin: time.Hour, ConvergeWithin: time.Hour}
--- a/lab/experiment/operatorfiles.go
+++ b/lab/experiment/operatorfiles.go
@@ -45,7 +45,7 @@
 		return nil
 	}
 	for node := range r.options.Scenario.Nodes.Count {
-		addr, err := loopback.FreeAddress() // a free TCP port of an unused loopback address, so the UDP port is free too
+		addr, err := loopback.FreeAddress() // only the TCP port is checked, but no other listener has this address
 		if err != nil {
 			return err
 		}
--- a/lab/experiment/progress.go
+++ b/lab/experiment/progress.go
@@ -7,10 +7,10 @@
 	"tackhub.example/tackhub/lab/load"
 )
 
-// measure samples the nodes every sampleEvery and the servers half as often, and reports the progress once per second, until
-// done is closed.
+// measure samples the nodes at each sampleInterval and the servers at every second one, and reports the progress at every
+// fourth, which is once per second. It returns when done is closed.
 func (r *run) measure(done <-chan struct{}) {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	reported, ticks := 0, 0
 	for {
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -68,7 +68,7 @@
 	Took           float64                `json:"took_s"`
 	KilledStops    int                    `json:"killed"` // planned stops that were ended by SIGKILL
 	Record         audit.Record           `json:"-"`
-	Began          time.Time              `json:"-"` // times in the record count from it
+	Began          time.Time              `json:"-"` // start of the run; the times in Record are relative to it
 	Logs           []string               `json:"-"`
 }
 
@@ -102,7 +102,7 @@
 			out.Figures.RecoverySeconds = &recoverySeconds
 		}
 	}
-	out.Figures.WorkRatio = r.fleet.WorkStarted().Seconds() / math.Max(1e-9, r.workAsked().Seconds())
+	out.Figures.WorkRatio = r.fleet.WorkStarted().Seconds() / math.Max(1e-9, r.scheduledWork().Seconds())
 	for i := range out.Nodes {
 		out.Logs = append(out.Logs, r.nodes.Log(i))
 	}
@@ -125,8 +125,8 @@
 	return VerdictOK
 }
 
-// workAsked returns the total work of all scheduled requests, without retries.
-func (r *run) workAsked() time.Duration {
+// scheduledWork returns the total work of all scheduled requests, without retries.
+func (r *run) scheduledWork() time.Duration {
 	sum := time.Duration(0)
 	for _, a := range r.sched.Arrivals {
 		sum += a.Work
@@ -134,8 +134,9 @@
 	return sum
 }
 
-// maxClockSkew is the largest measured difference between the clocks of the lab and the nodes. The measurement includes the
-// time that a log line takes through a pipe, which is milliseconds on a busy machine; a wrong clock differs by more.
+// maxClockSkew is the largest measured difference between the clocks of the lab and the nodes at which a run is valid. The
+// measurement includes the time that a log line takes through a pipe, which is several milliseconds on a busy machine. A
+// wrong clock differs by more.
 const maxClockSkew = 50 * time.Millisecond
 
 // invalidReason returns why a run is invalid, or an empty string if it is valid.
@@ -157,8 +158,9 @@
 	return ""
 }
 
-// buildRecord combines the records of clients, servers and nodes for the auditor. It converts the times of the clients'
-// attempts, which count from the start of the schedule, to times since the start of the run, as in the other records.
+// buildRecord combines the records of clients, servers and nodes for the auditor. The times of the clients' attempts are
+// relative to the start of the schedule. buildRecord converts them to times since the start of the run, as in the other
+// records.
 func (r *run) buildRecord(attempts []audit.Attempt) audit.Record {
 	record := r.fleet.Record()
 	record.Outages, record.Pauses = r.nodes.Outages(), r.nodes.Pauses()
@@ -172,9 +174,9 @@
 	return record
 }
 
-// maxLinkDelay returns the longest usual delay of a message between node and server on the lab's links. The four RTOs cover
-// two consecutive losses of a segment (1 + 2 RTO). With a loss of 10%, three or more consecutive losses happen to one
-// segment in a thousand.
+// maxLinkDelay returns the longest usual delay of a message between node and server on the lab's links. If the links lose
+// packets, it adds four retransmission timeouts (RTO), which cover two consecutive losses of a segment (1 + 2 RTO). With a
+// loss of 10%, only one segment in a thousand is lost three or more times in a row.
 func maxLinkDelay(s *scenario.Scenario) time.Duration {
 	linkDelay := func(link scenario.Impairment) time.Duration {
 		delay := link.Delay + link.Jitter
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -1,5 +1,5 @@
 // Package experiment runs a scenario: it starts simulated servers, discovery and the nodes, sends the load, injects the
-// faults, and lets the auditor check the records of the run.
+// faults, and checks the records of the run with the auditor.
 package experiment
 
 import (
@@ -16,11 +16,11 @@
 )
 
 const (
-	// sampleEvery is the time between two samples of the nodes.
-	sampleEvery = 250 * time.Millisecond
+	// sampleInterval is the time between two samples of the nodes.
+	sampleInterval = 250 * time.Millisecond
 
 	// responseSlack is how long after the client's deadline a response may arrive: the rule allows 5 ms, and 50 ms are added
-	// for the sockets.
+	// for delays in the sockets.
 	responseSlack = 55 * time.Millisecond
 
 	// settleTime gives new nodes the time to get the endpoint list and to open connections before the first request.
@@ -41,7 +41,7 @@
 
 // Companion sends requests in addition to the scenario's load.
 type Companion interface {
-	// Begin is called when the nodes are healthy. The times of the attempts count from start.
+	// Begin is called when the nodes are healthy. The times of the attempts are relative to start.
 	Begin(start time.Time, nodes []string)
 	// StopBegan is called directly after SIGTERM was sent for a planned stop. It must not block.
 	StopBegan(node int, address string, at time.Time)
@@ -49,8 +49,8 @@
 	Attempts() []audit.Attempt
 }
 
-// Run runs a scenario and judges it. It returns an error if the run could not start. A run that started but is unusable has
-// the verdict VerdictInvalid.
+// Run runs a scenario and returns its result and verdict. It returns an error if the run could not start. If a run started
+// but shows nothing about the nodes, its verdict is VerdictInvalid.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	sched, err := o.Scenario.Schedule()
 	if err != nil {
@@ -92,7 +92,7 @@
 		CoapAddresses: r.coapAddresses,
 	})
 	err = r.runLoad(ctx)
-	time.Sleep(responseSlack) // lets servers receive attempts that a node wrongly sends after the client's response
+	time.Sleep(responseSlack) // gives the servers time to receive attempts that a node wrongly sends after the client's response
 	r.summarize(out, err)
 	out.Took = time.Since(began).Seconds()
 	return out, nil
--- a/lab/scenario/schedule.go
+++ b/lab/scenario/schedule.go
@@ -84,7 +84,7 @@
 	return out
 }
 
-// Rate returns the scheduled rate at a time since the start of the run, in requests per second.
+// Rate returns the scheduled rate in requests per second at the given time since the start of the run.
 func (s *Scenario) Rate(at time.Duration) float64 {
 	rate := 0.0
 	for _, step := range s.Load {
