--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -23,7 +23,7 @@
 const stepTimeout = 700 * time.Millisecond
 
 var (
-	// ErrNoPredecessor means that no process of the node runs.
+	// ErrNoPredecessor means that there is no process to take over from.
 	ErrNoPredecessor = errors.New("no process to take over from")
 
 	// ErrPredecessorGone means that the predecessor has ended without removing its socket.
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -21,8 +21,8 @@
 // Stats returns the summary of the counters for administrators, in JSON.
 func (n *node) Stats() []byte { return n.counters.AdminSummary() }
 
-// Drain begins an administrative drain: the health check fails, so that clients move to other nodes.
-// The process keeps running. The sibling process of an upgrade is notified.
+// Drain begins an administrative drain: the health check fails and connections are closed, so that
+// clients move to other nodes. The process keeps running. The sibling process of an upgrade is notified.
 func (n *node) Drain() {
 	n.ingress.BeginAdminDrain()
 	n.upgrade.sendDrain(true)
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -93,8 +93,8 @@
 }
 
 // listen opens a listener at the clients' address. If shareAddress is true, a running process of this
-// node that cannot hand over its listener may be listening at the address too. Otherwise, an address
-// in use belongs to another program, and listen returns an error.
+// node that cannot hand over its listener may be listening at the address too. Otherwise, there is no
+// sign of such a process, so an address in use counts as another program's, and listen returns an error.
 func listen(address string, shareAddress bool) (*net.TCPListener, error) {
 	if !shareAddress {
 		free, err := freeAddress(address)
--- a/internal/resourceusage/subsystem.go
+++ b/internal/resourceusage/subsystem.go
@@ -1,6 +1,6 @@
 // Package resourceusage implements the subsystem [vitals] of the operator file. At an interval it logs the resource usage of the
 // node's process: memory, descriptors, goroutines and, if configured, the counters. It logs one warning when a threshold is
-// exceeded, and the end of the warning when the usage has fallen below the threshold again.
+// exceeded, and the end of the warning when the usage has fallen below clearFraction of the threshold.
 package resourceusage
 
 import (
