--- a/cmd/tacklab/knownred.go
+++ b/cmd/tacklab/knownred.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	r.PlayListed()
+	r.RunListed()
 	return nil
 }
 
--- a/cmd/tacklab/soak.go
+++ b/cmd/tacklab/soak.go
@@ -127,7 +127,7 @@
 	if c.Faults {
 		env = append(env, fmt.Sprintf("%s=%d", faults.SeedVariable, s.Seed))
 	}
-	return soak.Play(ctx, s, argv, env, dir, build)
+	return soak.Run(ctx, s, argv, env, dir, build)
 }
 
 // printBreaches prints the first breaches of a run with their timelines.
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -163,7 +163,7 @@
 		t.Error(err)
 	}
 	out.Reset()
-	if r.PlayListed(); !strings.Contains(out.String(), "known red, failed in this run: soak seed 7") {
+	if r.RunListed(); !strings.Contains(out.String(), "known red, failed in this run: soak seed 7") {
 		t.Errorf("output = %q, want the result of soak seed 7", out.String())
 	}
 }
--- a/lab/knownred/run.go
+++ b/lab/knownred/run.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// PlayListed runs the listed seeded runs and reports their results.
-func (r *Runner) PlayListed() {
+// RunListed runs the listed seeded runs and reports their results.
+func (r *Runner) RunListed() {
 	for _, e := range r.Entries {
 		if e.Seed == "" {
 			continue
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -30,8 +30,8 @@
 // Failed reports whether the run breached a rule or a node crashed.
 func (o *Outcome) Failed() bool { return len(o.Result.Breaches) > 0 || o.Figures.Crashes > 0 }
 
-// Play runs a plan with the nodes that a command starts. It returns an error if the plan could not be run or the run is invalid.
-func Play(ctx context.Context, s *scenario.Scenario, command, env []string, dir, build string) (*Outcome, error) {
+// Run runs a plan with the nodes that a command starts. It returns an error if the plan could not be run or the run is invalid.
+func Run(ctx context.Context, s *scenario.Scenario, command, env []string, dir, build string) (*Outcome, error) {
 	clients := NewClients(s)
 	r, err := experiment.Run(ctx, experiment.Options{Scenario: s, Command: command, Env: env, Dir: dir, Build: build, Companion: clients})
 	if err != nil {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -93,7 +93,7 @@
 	}
 	s := parsePrinted(t, Plan(Options{Seed: 4, Kind: "least"}))
 	s.MaxSendDelay = time.Minute // a busy machine must not make the run invalid
-	outcome, err := Play(context.Background(), s, []string{lab, "baseline", "--policy", "least"}, nil, "", "test")
+	outcome, err := Run(context.Background(), s, []string{lab, "baseline", "--policy", "least"}, nil, "", "test")
 	if err != nil {
 		t.Fatal(err)
 	}
