--- a/cmd/tackhub/admin_test.go
+++ b/cmd/tackhub/admin_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Clients use all connections that the node accepts, and 60 silent connections are open to the admin listener. The admin
-// listener must still answer a health check within a second.
+// Clients use all connections that the node accepts, and 60 connections without a complete request are open to the admin
+// listener. The admin listener must still answer a health check within a second.
 func TestAdminAnswersAtConnectionLimit(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	d, admin := startDiscoveryServer(t, members(s)), freeAddress(t)
--- a/cmd/tackhub/brokenresponse_test.go
+++ b/cmd/tackhub/brokenresponse_test.go
@@ -100,7 +100,7 @@
 					t.Errorf("rest of the truncated response = %q, %v, want no bytes and an error", rest, err)
 				}
 				if n, err := c.r.Read(make([]byte, 1)); n > 0 || err == nil {
-					t.Error("the connection was not closed after the truncated response")
+					t.Error("more bytes arrived after the truncated response, want a read error")
 				}
 				eventually(t, "one failed request", func() bool { return p.counts().Requests["failed"] == 1 })
 				if n := len(s.requests()); n != 1 {
--- a/cmd/tackhub/connlimit_test.go
+++ b/cmd/tackhub/connlimit_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Each client opens a connection, sends one request and keeps the connection open. All clients together open at most as many
-// connections as a third of the node's descriptors, and send no further requests at that limit. The node must therefore close
-// idle connections well below the limit.
+// Each client opens a connection, sends one request and keeps the connection open. All clients together open connections for at
+// most a third of the node's descriptors, and send no request that would need another one. The node must therefore close idle
+// connections long before that third is used up.
 func TestIdleClientsAreEvictedEarly(t *testing.T) {
 	s := startBackend(t, "s1", respond(200, "done"))
 	p, _ := startWithBackends(t, "", s) // 256 descriptors
