--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -79,7 +79,7 @@
 }
 
 // Runs two nodes with a link each. A message of one balancer must reach the other with the sender's node number. Each balancer must
-// start with no quota and reach half of it. When one link stops, the other must get the whole quota at once.
+// start with no quota and reach half of the whole. When one link stops, the other must get the whole quota at once.
 func TestTwoLinksExchangeMessagesAndDivideQuota(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	var addresses [2]string
@@ -97,7 +97,7 @@
 		options := Subsystem().Section.New().(*Options)
 		options.Listen, options.Seeds, options.Overload, options.QuotaMembers = addresses[i], []string{addresses[1-i]}, true,
 			map[string]string{"n0": addresses[0], "n1": addresses[1]}
-		options.LeaseTTL = operator.Duration(time.Second) // shortens the wait for the first grant
+		options.LeaseTTL = operator.Duration(time.Second) // shortens the wait for the first grant, which takes about 4 s by default
 		if diagnostics := options.validate(); len(diagnostics) > 0 {
 			t.Fatal(diagnostics)
 		}
--- a/internal/coap/back/transport_test.go
+++ b/internal/coap/back/transport_test.go
@@ -35,7 +35,7 @@
 	select {
 	case completion := <-completions:
 		if completion.Outcome != balancer.NotSent || count.Outcomes.Get("unsent") != 1 {
-			t.Errorf("outcome = %s, want NotSent, counted once", engine.OutcomeName(completion.Outcome))
+			t.Errorf("outcome = %s, want void, counted once", engine.OutcomeName(completion.Outcome))
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatal("no completion within 10 s")
@@ -260,7 +260,7 @@
 		completions := make(chan engine.Completion, 1)
 		transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
 		if completion := waitForCompletion(t, completions); completion.Outcome != balancer.ConnectionLost {
-			t.Errorf("%s: outcome = %s with %d bytes, want ConnectionLost", name, engine.OutcomeName(completion.Outcome), len(completion.Body))
+			t.Errorf("%s: outcome = %s with %d bytes, want broken", name, engine.OutcomeName(completion.Outcome), len(completion.Body))
 		}
 	}
 }
@@ -276,7 +276,7 @@
 	completions := make(chan engine.Completion, 1)
 	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
 	if completion := waitForCompletion(t, completions); completion.Outcome != balancer.ConnectionLost {
-		t.Errorf("outcome = %s, want ConnectionLost", engine.OutcomeName(completion.Outcome))
+		t.Errorf("outcome = %s, want broken", engine.OutcomeName(completion.Outcome))
 	}
 }
 
@@ -327,7 +327,7 @@
 	completions := make(chan engine.Completion, 1)
 	transport.Send("s1", attemptRequest(getRequest, &written), func(e engine.Completion) { completions <- e })
 	if completion := waitForCompletion(t, completions); completion.Outcome != balancer.NotSent || written != 0 || count.Outcomes.Get("unsent") != 1 {
-		t.Errorf("outcome = %s, written %d times; want NotSent, counted once, and never written", engine.OutcomeName(completion.Outcome), written)
+		t.Errorf("outcome = %s, written %d times; want void, counted once, and never written", engine.OutcomeName(completion.Outcome), written)
 	}
 }
 
@@ -358,8 +358,8 @@
 	}
 }
 
-// If this node has reached its limit of exchanges with a server, or its machine has no socket or route, neither a
-// probe nor an attempt may count toward the ejection of the server.
+// If this node has reached its limit of exchanges with a server, or its machine has no socket or route, this shows
+// nothing about the server: neither a probe nor an attempt may count toward its ejection.
 func TestProbeReportsNotSentForLocalFailure(t *testing.T) {
 	server := startServer(t, nil)
 	address := server.conn.LocalAddr().String()
@@ -374,7 +374,7 @@
 	completions := make(chan engine.Completion, 1)
 	transport.Probe("s1", 10*time.Second, func(e engine.Completion) { completions <- e })
 	if completion := waitForCompletion(t, completions); completion.Outcome != balancer.NotSent {
-		t.Errorf("at the limit of exchanges: outcome = %s, want NotSent", engine.OutcomeName(completion.Outcome))
+		t.Errorf("at the limit of exchanges: outcome = %s, want void", engine.OutcomeName(completion.Outcome))
 	}
 	for errno, want := range map[syscall.Errno]balancer.Outcome{
 		syscall.EMFILE: balancer.NotSent, syscall.ENFILE: balancer.NotSent, syscall.ENOBUFS: balancer.NotSent, syscall.EADDRNOTAVAIL: balancer.NotSent,
--- a/internal/endpointmerge/move_test.go
+++ b/internal/endpointmerge/move_test.go
@@ -20,7 +20,7 @@
 	moved := append(servers("p2", 2), server("s3", "p2"), server("s4", "p2")) // s1 and s2 join a pod that has other members
 	out := s.step(3, Snapshot{Source: "file", Revision: "3", Servers: moved}, " s1~@1")
 	if out.NextTick != 2003 || out.MovesStarted != 1 {
-		t.Errorf("next tick = %v, moves started = %d, want 2003 and 1", out.NextTick, out.MovesStarted)
+		t.Errorf("next tick = %v, moves started = %d, want 2003 and 1 of 4 at a time", out.NextTick, out.MovesStarted)
 	}
 	s.step(2002, Tick{}, "")
 	s.step(2003, Tick{}, " s1@2 s2~@1")
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -92,7 +92,7 @@
 }
 
 // Guards against handing the listener to a process of another node. The socket's name depends only on the clients' address, so
-// such a process can find the socket.
+// a node of another customer can find the socket.
 func TestTakeOverRefusedForOtherNode(t *testing.T) {
 	dir := t.TempDir()
 	p, _ := startPredecessor(t, dir)
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -71,7 +71,7 @@
 }
 
 // A node that starts from a mixture of two states sends requests to servers that no longer exist. If the process is killed at any step
-// of a save, also during a write, the store must load the last state or the one before it.
+// of a save, also during a write after any number of bytes, the store must load the last state or the one before it.
 func TestLoadAfterKillAtEachSaveStep(t *testing.T) {
 	for step := range 6 {
 		for written := 0; written < 120; written += 7 {
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -6,7 +6,7 @@
 )
 
 // A response of unknown size may pause for less than half a second after the request's deadline. The deadline must not limit the
-// rest of a response over 64 KiB, because it applies only to the first bytes of such a response.
+// rest of a response whose size is known to be over 64 KiB, because it applies only to the first bytes of such a response.
 func TestReadDeadline(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
