--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -166,7 +166,7 @@
 )
 
 const (
-	// cancelSlack is how long after its client has cancelled a request may still reach a server.
+	// cancelSlack is how long a request may still reach a server after its client has cancelled it.
 	cancelSlack = 100 * time.Millisecond
 
 	// deadlineSlack is by how much the time limit passed to a server may exceed the time that its client has left.
--- a/lab/audit/membership.go
+++ b/lab/audit/membership.go
@@ -34,7 +34,7 @@
 // MembershipRecord holds the injected faults of a run and the views and quotas that the processes reported.
 type MembershipRecord struct {
 	Nodes          int
-	From           Offset // when all nodes had started; earlier samples are not checked
+	From           Offset // when all nodes had started; earlier members and views are not compared with the ground truth
 	Until          Offset // end of the run
 	Samples        []MemberSample
 	Links          []LinkEvent
@@ -60,7 +60,7 @@
 type MemberLimits struct {
 	DetectWithin   time.Duration // time limit for removing a node that is down or unreachable from every view
 	ConvergeWithin time.Duration // time limit from the last fault until all views are the same
-	IgnorePartial  bool          // live members may be missing from views
+	IgnorePartial  bool          // live members may be missing from views, for runs in which only some nodes receive their messages
 }
 
 // MemberFigures are the measurements of the views and quotas of a run.
--- a/lab/experiment/mesh.go
+++ b/lab/experiment/mesh.go
@@ -23,7 +23,7 @@
 	viewInterval = 50 * time.Millisecond
 
 	// maxQueryTime is the longest duration of a status query whose result is used. If the node's process was suspended during
-	// a longer query, its view may date from a much earlier or later time than the sample.
+	// a longer query, its view may date from a much earlier time than the sample.
 	maxQueryTime = 200 * time.Millisecond
 )
 
--- a/lab/netfault/relay.go
+++ b/lab/netfault/relay.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// Close stops the relay and resets all its connections.
+// Close stops the relay and closes all its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -149,7 +149,7 @@
 	return []line{{"median server", median}, {"most loaded server", highest}, {"most loaded server in slow start", slowStart}}
 }
 
-// sample holds the values of a node at one point in time: memory in MB, open sockets and CPU cores used.
+// sample holds the values of a node at one point in time: memory in MB, open file descriptors and CPU cores used.
 type sample struct{ memory, sockets, cpu float64 }
 
 func nodeLines(r *experiment.Result, value func(sample) float64) []line {
--- a/lab/scenario/mesh.go
+++ b/lab/scenario/mesh.go
@@ -26,7 +26,7 @@
 	ConvergeWithin time.Duration `toml:"heal"`        // longest time after the last fault until all nodes have the same view
 	Bytes          float64       `toml:"bytes_max"`   // maximum bytes per second that a node sends to other nodes
 	Cores          float64       `toml:"cpu_max"`     // maximum number of CPU cores that a node uses
-	IgnorePartial  bool          `toml:"uneven_only"` // live members that only some nodes can reach may be missing from views
+	IgnorePartial  bool          `toml:"uneven_only"` // live members may be missing from views, for runs in which only some nodes receive their messages
 }
 
 // checkMesh returns an error that names the first invalid setting of the mesh or of its faults, or nil.
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -69,7 +69,7 @@
 	Kind           string        `toml:"kind"`  // tackhub (default), random or least
 	Defect         string        `toml:"break"` // intentional defect of a baseline, one of Defects
 	Program        string        `toml:"program"`
-	OperatorFile   string        `toml:"edge"` // path, passed to the nodes as TACKHUB_EDGE; empty: none
+	OperatorFile   string        `toml:"edge"` // path of an operator file, passed to the nodes as TACKHUB_EDGE; empty: TACKHUB_EDGE is not set from it
 	Cores          float64       `toml:"cores"`
 	MemoryMB       float64       `toml:"memory_mb"`
 	Sockets        int           `toml:"sockets"`
